--- a/crates/umbersail-control/src/engine/floor.rs
+++ b/crates/umbersail-control/src/engine/floor.rs
@@ -28,6 +28,9 @@
     /// Whom it lifts by the newest order, and whether it is owed in full; bounded by
     /// the share of the fleet that those take.
     lifted: BTreeMap<Name, bool>,
+    /// Jobs that began by being lifted, with the task that made them begin, until
+    /// that task ends; bounded by the same share. A successor starts with none.
+    beginning: BTreeMap<Name, u32>,
 }
 
 /// Room on a machine that falls free for one task of a job.
@@ -91,10 +94,11 @@
             ids.push(id);
             members.push(unbegun);
         }
-        let room = fleet.cpus.iter().flatten().sum::<f64>() * tuning.floor_share;
+        let share_cpus = fleet.cpus.iter().flatten().sum::<f64>() * tuning.floor_share;
         let mut out = Vec::new();
-        for (ids, unbegun) in by_tier.into_values().rev() {
-            let of_tier = lifted(&unbegun, tuning.floor_near_s, room);
+        for (tier, (ids, unbegun)) in by_tier.into_iter().rev() {
+            let busy_cpus = self.beginning_cpus(tier);
+            let of_tier = lifted(&unbegun, tuning.floor_near_s, share_cpus, busy_cpus);
             out.extend(of_tier.into_iter().map(|index| Lifted {
                 job: ids[index].clone(),
                 owed: false,
@@ -103,6 +107,25 @@
         out
     }
 
+    /// CPUs of a tier's tasks that run, or are about to, because their jobs were
+    /// lifted to begin.
+    fn beginning_cpus(&self, tier: Priority) -> f64 {
+        let cpus = |(id, task): (&Name, &u32)| {
+            let job = self.jobs.get(id)?;
+            let counts = job.spec.priority == tier && job.live.contains_key(task);
+            counts.then_some(job.shape.cpus)
+        };
+        self.floor.beginning.iter().filter_map(cpus).sum()
+    }
+
+    /// A lifted job was placed with the task that makes it begin.
+    pub(super) fn note_beginning(&mut self, id: &Name) {
+        let task = self.jobs.get(id).and_then(|j| j.live.keys().next().copied());
+        if let Some(task) = task {
+            self.floor.beginning.insert(id.clone(), task);
+        }
+    }
+
     /// A new order: whom it lifts, and places for those of them that have none. What
     /// an upper tier's tasks fill again one by one never falls free for a large
     /// task of a lower tier, so a kept place is closed to all others. The lowest
@@ -115,6 +138,10 @@
         usage: &[Usage],
         fleet: &Survey,
     ) {
+        let jobs = &self.jobs;
+        self.floor
+            .beginning
+            .retain(|id, task| jobs.get(id).is_some_and(|j| j.live.contains_key(task)));
         self.floor.lifted.clear();
         for Lifted { job, owed } in &lifted {
             *self.floor.lifted.entry(job.clone()).or_default() |= owed;
@@ -311,8 +338,12 @@
                 continue;
             };
             let machine = fleet.places.get(index).machine.clone();
+            let begins = job.is_unbegun();
             fleet.places.take(index, &job.shape, 1, job.image);
             self.place(now, &place.job, &machine, usage);
+            if begins {
+                self.note_beginning(&place.job);
+            }
             placed += 1;
         }
         self.floor.kept = left;
--- a/crates/umbersail-control/src/engine/schedule.rs
+++ b/crates/umbersail-control/src/engine/schedule.rs
@@ -450,6 +450,9 @@
                 self.place(now, id, &machine, slice.usage);
             }
         }
+        if begins && placed > 0 {
+            self.note_beginning(id);
+        }
         let Choice {
             wanted,
             quota,
--- a/crates/umbersail-control/src/engine/tests/floor.rs
+++ b/crates/umbersail-control/src/engine/tests/floor.rs
@@ -58,6 +58,49 @@
     assert_eq!(first, None);
 }
 
+#[test]
+fn in_a_lasting_overload_jobs_that_have_begun_are_also_completed() {
+    // Guards against a floor that begins one job after the other and completes none:
+    // four places that fall free one after the other, tasks of a minute, and forty
+    // jobs of two tasks that are all late.
+    const TASK_S: u32 = 60;
+    const APART_S: u32 = 15;
+    const JOBS: usize = 40;
+    let mut engine = fresh(vec![team(0.0, 0.0)]);
+    let mut worker = ready_worker(&mut engine, "m1", "a");
+    for n in 0..JOBS {
+        let spec = JobSpec {
+            deadline_s: Some(90.0),
+            ..spec(&format!("job-{n:03}"), 2, 2.0)
+        };
+        engine.job_accepted(1.0, 1000, record(spec), 70);
+    }
+    let mut ends: BTreeMap<String, u32> = BTreeMap::new();
+    for second in 2..600 {
+        let now = f64::from(second);
+        let over = ends.extract_if(.., |_, end| second >= *end);
+        for (task, _) in over {
+            worker.exit(&task, None, ExitCause::Done);
+        }
+        for task in starts(&worker.turn(&mut engine, now)) {
+            let first = second < APART_S;
+            let run_s = if first {
+                APART_S * (1 + ends.len() as u32)
+            } else {
+                TASK_S
+            };
+            ends.insert(task, second + run_s);
+        }
+        engine.tick(now);
+        commit(&mut engine, now);
+    }
+    let done = JOBS - engine.jobs.len();
+    let unbegun = engine.jobs.values().filter(|j| j.is_unbegun()).count();
+    // Places for 18 jobs; every fourth goes to a job that has not begun.
+    assert!(done >= 14, "{done} of {JOBS} jobs are done");
+    assert!(unbegun <= 22, "{unbegun} of {JOBS} have not begun");
+}
+
 #[test]
 fn a_successor_finds_the_debt_that_was_and_none_that_was_paid() {
     // Guards against a debt that a take-over forgets, or pays twice.
--- a/crates/umbersail-policy/src/floor.rs
+++ b/crates/umbersail-policy/src/floor.rs
@@ -15,10 +15,17 @@
 
 /// Which of these the floor lifts, in the order given: those that have waited for
 /// `near_s`, the groups in turn and in each the longest waiting first, as far as
-/// `room_cpus` go. The first always, however small the room: else the largest
+/// `share_cpus` go less the `busy_cpus` that tasks lifted before still take: else in a
+/// lasting overload every place would begin another job and none would end. The
+/// first always if none of those runs, however small the share: else the largest
 /// task of all would wait for ever. One task each, so a job of many small tasks
 /// gains no more than a small job.
-pub fn lifted<G: Ord>(jobs: &[Unbegun<G>], near_s: f64, room_cpus: f64) -> Vec<usize> {
+pub fn lifted<G: Ord>(
+    jobs: &[Unbegun<G>],
+    near_s: f64,
+    share_cpus: f64,
+    busy_cpus: f64,
+) -> Vec<usize> {
     let mut by_group: BTreeMap<&G, Vec<usize>> = BTreeMap::new();
     for (index, job) in jobs.iter().enumerate() {
         if job.waited_s >= near_s {
@@ -31,11 +38,12 @@
         turns.extend(members.iter().copied().enumerate());
     }
     turns.sort_by(|a, b| a.0.cmp(&b.0).then_with(|| longest_first(jobs, a.1, b.1)));
-    let mut left = room_cpus;
+    let mut left = share_cpus - busy_cpus;
     let mut chosen = Vec::new();
     for (_, index) in turns {
         let cpus = jobs[index].cpus;
-        if cpus > left && !chosen.is_empty() {
+        let is_first = chosen.is_empty() && busy_cpus <= 0.0;
+        if cpus > left && !is_first {
             break;
         }
         left -= cpus;
@@ -149,13 +157,23 @@
         // as the large one, would all go before it.
         let mut jobs: Vec<Unbegun<u32>> = (0..300).map(|_| unbegun(1, 150.0, 1.0)).collect();
         jobs.push(unbegun(2, 149.0, 32.0));
-        let chosen = lifted(&jobs, 140.0, 64.0);
+        let chosen = lifted(&jobs, 140.0, 64.0, 0.0);
         assert_eq!(chosen[..2], [0, 300]);
         assert_eq!(chosen.len(), 33, "no more than there is room for");
-        assert_eq!(lifted(&jobs, 151.0, 64.0), []);
+        assert_eq!(lifted(&jobs, 151.0, 64.0, 0.0), []);
         // However little room, the first is lifted, and the longest waiting is first.
         let jobs = [unbegun(2, 150.0, 32.0), unbegun(2, 200.0, 64.0)];
-        assert_eq!(lifted(&jobs, 140.0, 1.0), [1]);
+        assert_eq!(lifted(&jobs, 140.0, 1.0, 0.0), [1]);
+    }
+
+    #[test]
+    fn what_was_lifted_and_still_runs_counts_against_the_share() {
+        // Guards against a share that is given anew with every order.
+        let jobs: Vec<Unbegun<u32>> = (0..9).map(|_| unbegun(1, 150.0, 8.0)).collect();
+        assert_eq!(lifted(&jobs, 140.0, 32.0, 0.0).len(), 4);
+        assert_eq!(lifted(&jobs, 140.0, 32.0, 16.0).len(), 2);
+        assert_eq!(lifted(&jobs, 140.0, 32.0, 32.0), []);
+        assert_eq!(lifted(&jobs, 140.0, 4.0, 8.0), [], "one runs already");
     }
 
     #[test]
