--- a/crates/umbersail-control/src/engine/order.rs
+++ b/crates/umbersail-control/src/engine/order.rs
@@ -22,8 +22,8 @@
 }
 
 /// Not yet held faulty, tier, guaranteed, lifted by the floor, can still start in
-/// time, how it stands to its deadline, late but begun.
-type Rank = (bool, Priority, bool, bool, bool, Standing, bool);
+/// time, how it stands to its deadline.
+type Rank = (bool, Priority, bool, bool, bool, Standing);
 
 /// Whether a job can end in time beside the others that wait; the later one
 /// goes first.
@@ -107,9 +107,8 @@
 
     /// Most urgent first: tier, then what a guarantee covers, then what the floor
     /// lifts, then what can still start in time, then what can end in time or soon
-    /// after (see `standings`), by the time it must start. Of those that are late in any
-    /// case the ones that have begun go first: where places fall free one by one, as
-    /// many jobs begin and fewer stay half done. What fails again and again is last. Who is lifted to begin comes a second time, in its own place; and
+    /// after (see `standings`), by the time it must start. What fails again and again
+    /// is last. Who is lifted to begin comes a second time, in its own place; and
     /// who is lifted.
     pub(super) fn waiting_order(
         &self,
@@ -150,7 +149,6 @@
                     lifted,
                     self.is_fresh(now, w.job, guaranteed),
                     w.standing,
-                    w.standing == Standing::Late && !w.job.is_unbegun(),
                 )
             };
             let slack = w.slack_s.unwrap_or(1e9 - (now - w.job.submitted));
