--- a/crates/umbersail-control/src/engine/plans/images.rs
+++ b/crates/umbersail-control/src/engine/plans/images.rs
@@ -1,5 +1,5 @@
-//! Large images that many machines want: what the engine tells the picture of
-//! `umbersail-images`, and what it asks before a launch is told.
+//! Large images that many machines want: what the engine reports to the cache
+//! view of `umbersail-images`, and what it asks before a launch is told.
 //!
 //! Only launches wait for a fetch's turn, and only ones that no worker was told of: what
 //! was told is settled by reports as ever (rules 3 and 5).
@@ -8,7 +8,7 @@
 use std::rc::Rc;
 
 use tracing::{debug, info, warn};
-use umbersail_images::{Answer, Ask, Bounds, ImageRecord, Picture, Rank};
+use umbersail_images::{CacheView, Decision, FetchPriority, FetchRequest, ImageRecord, Settings};
 use umbersail_pass::ImageKey;
 use umbersail_policy::names_type;
 use umbersail_tuning::Tuning;
@@ -29,9 +29,9 @@
 
 /// Images under way.
 pub(in crate::engine) struct Images {
-    picture: Picture<Name, ImageKey>,
+    cache_view: CacheView<Name, ImageKey>,
     hand_on: bool,
-    /// Names of images that count, by key: as many as the picture remembers.
+    /// Names of images that count, by key: as many as the cache view tracks.
     names: BTreeMap<ImageKey, Rc<str>>,
     most: usize,
     found_at: Time,
@@ -40,11 +40,11 @@
 
 impl Images {
     pub fn new(now: Time, tuning: &Tuning) -> Images {
-        let bounds = Bounds::of(tuning);
+        let settings = Settings::from_tuning(tuning);
         Images {
-            hand_on: bounds.hand_on,
-            most: bounds.most,
-            picture: Picture::new(bounds),
+            hand_on: settings.peer_to_peer,
+            most: settings.max_images,
+            cache_view: CacheView::new(settings),
             names: BTreeMap::new(),
             found_at: now,
             told_at: None,
@@ -53,21 +53,21 @@
 
     /// Whether the machine is kept for others that want an image of its.
     pub fn keeps(&self, machine: &Name) -> bool {
-        self.picture.is_last_holder(machine)
+        self.cache_view.is_last_holder(machine)
     }
 
     /// Whether its launch waits for its fetch's turn.
     pub fn waits(&self, image: ImageKey, machine: &Name) -> bool {
-        self.picture.waits(&image, machine)
+        self.cache_view.is_queued(&image, machine)
     }
 
     /// No task on the machine uses the image any more.
     pub fn unused(&mut self, image: ImageKey, machine: &Name) {
-        self.picture.gave_up(&image, machine);
+        self.cache_view.cancel_fetch(&image, machine);
     }
 
     pub fn gone(&mut self, machine: &Name) {
-        self.picture.gone(machine);
+        self.cache_view.remove_machine(machine);
     }
 
     /// Types whose caches hold the image, where workers hand on; without, whatever
@@ -89,9 +89,9 @@
             return;
         }
         if self.names.len() >= self.most {
-            let picture = &self.picture;
+            let cache_view = &self.cache_view;
             self.names
-                .retain(|image, _| picture.counts(image) != (0, 0, 0));
+                .retain(|image, _| !cache_view.counts(image).is_empty());
         }
         if self.names.len() < 2 * self.most {
             self.names.insert(image, name.into());
@@ -123,26 +123,26 @@
     }
 }
 
-/// What the picture wants to know of a job's image on a machine.
-fn ask_of<'a>(
+/// The request for a job's image on a machine.
+fn request_of<'a>(
     types: &[MachineType],
     job: &'a Job,
     machine: &'a Machine,
     attempt: u64,
     shared: usize,
-) -> Option<Ask<'a, Name, ImageKey>> {
-    Some(Ask {
+) -> Option<FetchRequest<'a, Name, ImageKey>> {
+    Some(FetchRequest {
         image: &job.image,
-        gb: job.spec.image_gb,
+        size_gb: job.spec.image_gb,
         rate_gb_s: types.get(machine.type_index?)?.fetch_gb_per_s,
         machine: &machine.name,
         zone: &machine.zone,
         // Passes place the most urgent first, and number attempts as they do.
-        rank: Rank {
+        priority: FetchPriority {
             tier: tier(job.spec.priority),
             order: attempt,
         },
-        shared,
+        concurrent_fetches: shared,
     })
 }
 
@@ -184,7 +184,7 @@
             return at_once;
         }
         let shared = known.image_uses.len();
-        let Some(ask) = ask_of(&self.types, job, known, attempt, shared) else {
+        let Some(request) = request_of(&self.types, job, known, attempt, shared) else {
             return at_once;
         };
         let machines = &self.machines;
@@ -194,17 +194,21 @@
             holder.is_some_and(|m| m.addr.is_some() && m.takes_tasks(now, silent_after))
         };
         let images = &mut self.plans.images;
-        match images.picture.ask(now, &ask, usable) {
-            Answer::Wait => {
+        match images.cache_view.request(now, &request, usable) {
+            Decision::Wait => {
                 debug!(job = &**id, task, machine = &**machine, "waits to fetch");
                 None
             }
-            Answer::Begin { holders } => {
-                if images.hand_on && images.picture.is_large(ask.gb, ask.rate_gb_s) {
+            Decision::Start { sources } => {
+                if images.hand_on
+                    && images
+                        .cache_view
+                        .is_large(request.size_gb, request.rate_gb_s)
+                {
                     images.remember(job.image, &job.spec.image);
                 }
                 let address = |m: &Name| Some(machines.get(m)?.addr?.to_string());
-                Some(holders.iter().filter_map(address).collect())
+                Some(sources.iter().filter_map(address).collect())
             }
         }
     }
@@ -212,7 +216,7 @@
     /// What a machine's newest report shows of its fetches.
     pub(in crate::engine) fn see_fetches(&mut self, now: Time, name: &Name, report: &Report) {
         if self.plans.images.hand_on {
-            self.plans.images.picture.heard(name);
+            self.plans.images.cache_view.observe_report(name);
         }
         let fetching = |state| state == TaskState::Fetching;
         if !report.tasks.iter().any(|t| fetching(t.state)) {
@@ -233,9 +237,13 @@
         let shared = seen.len();
         let images = &mut self.plans.images;
         for (image, attempt, job) in seen {
-            if let Some(ask) = ask_of(&self.types, job, machine, attempt, shared) {
-                images.picture.seen_fetching(now, &ask);
-                if images.hand_on && images.picture.is_large(ask.gb, ask.rate_gb_s) {
+            if let Some(request) = request_of(&self.types, job, machine, attempt, shared) {
+                images.cache_view.observe_fetching(now, &request);
+                if images.hand_on
+                    && images
+                        .cache_view
+                        .is_large(request.size_gb, request.rate_gb_s)
+                {
                     images.remember(image, &job.spec.image);
                 }
             }
@@ -255,10 +263,10 @@
         };
         let images = &mut self.plans.images;
         for image in pushed_out {
-            images.picture.lost(image, name);
+            images.cache_view.remove(image, name);
         }
-        if let Some(ask) = ask_of(&self.types, job, machine, 0, 1) {
-            images.picture.has(now, &ask);
+        if let Some(request) = request_of(&self.types, job, machine, 0, 1) {
+            images.cache_view.observe_cached(now, &request);
         }
     }
 
@@ -273,7 +281,7 @@
                         let image = ImageKey::of(&record.image);
                         let images = &mut self.plans.images;
                         images.remember(image, &record.image);
-                        images.picture.restore(now, image, &record, |m| m.into());
+                        images.cache_view.restore(now, image, &record, |m| m.into());
                         info!(
                             image = record.image,
                             from_store = record.from_store.len(),
@@ -297,7 +305,7 @@
         let names = &images.names;
         let name = |image: &ImageKey| names.get(image).map_or(String::new(), |n| n.to_string());
         let machine = |m: &Name| m.to_string();
-        let records = images.picture.records(name, machine);
+        let records = images.cache_view.records(name, machine);
         let mut stand = BTreeSet::new();
         for (image, record) in records.iter().filter(|(image, _)| !image.is_empty()) {
             let plan = plan_name(image);
@@ -319,16 +327,16 @@
         }
         images.told_at = Some(now);
         for (image, name) in &images.names {
-            let (fetching, waiting, have) = images.picture.counts(image);
-            if fetching + waiting > 0 {
-                let rates = images.picture.rates();
+            let counts = images.cache_view.counts(image);
+            if counts.fetching + counts.waiting > 0 {
+                let rates = images.cache_view.rates();
                 info!(
                     image = &**name,
-                    fetching,
-                    waiting,
-                    have,
+                    fetching = counts.fetching,
+                    waiting = counts.waiting,
+                    have = counts.cached,
                     store_gb_s = rates.store_gb_s(),
-                    handed_gb_s = rates.handed_gb_s(),
+                    handed_gb_s = rates.peer_gb_s(),
                     "image under way"
                 );
             }
--- /dev/null
+++ b/crates/umbersail-images/src/cache_view/admission.rs
@@ -0,0 +1,148 @@
+//! Admission of fetches: who may start now, in order of priority.
+
+use std::fmt::Debug;
+
+use super::CacheView;
+use crate::fetch::{ActiveFetch, FetchSource};
+use crate::machine_cache::CachedImage;
+use crate::rollout::MAX_EXAMINED;
+use crate::{Decision, FetchRequest};
+
+/// A store fetch that exceeds its nominal duration by this factor no longer
+/// occupies a slot, as long as other store fetches complete.
+const OVERDUE_FACTOR: f64 = 3.0;
+
+impl<M: Ord + Clone + Debug, I: Ord + Clone + Debug> CacheView<M, I> {
+    /// Decides whether a machine may start to fetch an image it does not have.
+    ///
+    /// [`Decision::Start`] counts as started. `is_usable` tells whether a machine
+    /// can serve as a source now: reachable, not to be returned and not about to
+    /// be declared lost.
+    pub fn request(
+        &mut self,
+        now: f64,
+        request: &FetchRequest<'_, M, I>,
+        is_usable: impl Fn(&M) -> bool,
+    ) -> Decision<M> {
+        let untracked = Decision::Start {
+            sources: Vec::new(),
+        };
+        if !self.is_request_large(request) || self.cached(request.image, request.machine).is_some()
+        {
+            return untracked;
+        }
+        if !self.track(now, request.image, request.size_gb) {
+            return untracked;
+        }
+        // Concurrent fetches share the machine's rate: the most urgent goes alone.
+        if self.settings.peer_to_peer && self.has_more_urgent_fetch(request) {
+            return Decision::Wait;
+        }
+        let free_slots = self.free_store_slots(now, request.rate_gb_s);
+        if !self.is_next(now, request, free_slots) {
+            return Decision::Wait;
+        }
+        let sources = self.choose_sources(request, free_slots, is_usable);
+        if sources.is_empty() && free_slots == 0 {
+            return Decision::Wait;
+        }
+        self.start(now, request, sources.clone());
+        Decision::Start { sources }
+    }
+
+    /// Whether the machine fetches something of the same or a higher priority.
+    fn has_more_urgent_fetch(&self, request: &FetchRequest<'_, M, I>) -> bool {
+        let Some(cache) = self.machines.get(request.machine) else {
+            return false;
+        };
+        cache.images.values().any(|held| match held {
+            CachedImage::Partial(fetch) => fetch.priority <= request.priority,
+            CachedImage::Complete => false,
+        })
+    }
+
+    /// Whether the machine is among the most urgent that can start now; queues it
+    /// if slots are limited.
+    fn is_next(&mut self, now: f64, request: &FetchRequest<'_, M, I>, free_slots: usize) -> bool {
+        let Some(rollout) = self.rollouts.get_mut(request.image) else {
+            return true;
+        };
+        rollout.last_used_at = now;
+        if free_slots == usize::MAX {
+            rollout.dequeue(request.machine);
+            return true;
+        }
+        rollout.enqueue(now, request.machine, request.priority);
+        let servable_by_peers = match self.settings.peer_to_peer {
+            true => {
+                let sources_per_fetch = self.settings.sources_per_fetch.max(1);
+                (rollout.spare_capacity() as usize).div_ceil(sources_per_fetch)
+            }
+            false => 0,
+        };
+        let limit = free_slots
+            .saturating_add(servable_by_peers)
+            .min(MAX_EXAMINED);
+        rollout.is_among_first(now, request.machine, limit, self.settings.queue_expiry_s)
+    }
+
+    fn start(&mut self, now: f64, request: &FetchRequest<'_, M, I>, sources: Vec<M>) {
+        let hop_of = |machine: &M| Some(self.cached(request.image, machine)?.hop());
+        let farthest = sources.iter().filter_map(hop_of).max();
+        let hop = farthest.map_or(1, |hop| hop + 1);
+        let from_store = sources.is_empty();
+        let mut fetch_sources = Vec::new();
+        for machine in sources {
+            self.update_machine(&machine, |cache| cache.load += 1);
+            if let Some(cache) = self.machines.get(&machine) {
+                let registration = cache.registration;
+                fetch_sources.push(FetchSource {
+                    machine,
+                    registration,
+                });
+            }
+        }
+        let fetch = ActiveFetch {
+            started_at: now,
+            last_seen_at: now,
+            nominal_s: request.nominal_s(),
+            concurrent_fetches: request.concurrent_fetches.max(1),
+            priority: request.priority,
+            sources: fetch_sources,
+            store_integral_at_start: from_store.then(|| self.store_fetches.integral_until(now)),
+            adopted: false,
+            hop,
+        };
+        self.insert_fetch(now, request, fetch);
+    }
+
+    /// Store fetches that may start now; `usize::MAX` if there is no limit.
+    fn free_store_slots(&self, now: f64, rate_gb_s: f64) -> usize {
+        let slots = self.rates.store_slots(rate_gb_s, &self.settings);
+        if slots == usize::MAX {
+            return slots;
+        }
+        let recorded = self.rollouts.values();
+        let recorded: usize = recorded.map(|r| r.recorded_store_fetches(now)).sum();
+        let counted = self.store_fetches.len() - self.overdue_store_fetches(now);
+        slots.saturating_sub(counted + recorded)
+    }
+
+    /// The oldest store fetches that take far too long while others complete.
+    fn overdue_store_fetches(&self, now: f64) -> usize {
+        let last_completed_at = self.store_fetches.last_completed_at();
+        let mut overdue = 0;
+        for (started_at, machine, image) in self.store_fetches.iter() {
+            let Some(CachedImage::Partial(fetch)) = self.cached(image, machine) else {
+                continue;
+            };
+            let overdue_at = started_at + OVERDUE_FACTOR * fetch.nominal_s;
+            // While none completes the store itself is slow, and more would not help.
+            if now <= overdue_at || last_completed_at <= overdue_at {
+                break;
+            }
+            overdue += 1;
+        }
+        overdue
+    }
+}
--- /dev/null
+++ b/crates/umbersail-images/src/cache_view/observations.rs
@@ -0,0 +1,130 @@
+//! What reports tell of the machines' caches.
+
+use std::fmt::Debug;
+
+use super::CacheView;
+use crate::FetchRequest;
+use crate::fetch::ActiveFetch;
+use crate::machine_cache::CachedImage;
+
+impl<M: Ord + Clone + Debug, I: Ord + Clone + Debug> CacheView<M, I> {
+    /// A report shows that the machine still fetches the image.
+    ///
+    /// A fetch that started under a predecessor is adopted as it is.
+    pub fn observe_fetching(&mut self, now: f64, request: &FetchRequest<'_, M, I>) {
+        let cache = self.machines.get_mut(request.machine);
+        match cache.and_then(|cache| cache.images.get_mut(request.image)) {
+            Some(CachedImage::Partial(fetch)) => {
+                fetch.last_seen_at = now;
+                fetch.concurrent_fetches = fetch.concurrent_fetches.max(request.concurrent_fetches);
+            }
+            Some(CachedImage::Complete) => {}
+            None => self.adopt_fetch(now, request),
+        }
+    }
+
+    /// Takes over a fetch that started under a predecessor.
+    fn adopt_fetch(&mut self, now: f64, request: &FetchRequest<'_, M, I>) {
+        if !self.is_request_large(request) || !self.track(now, request.image, request.size_gb) {
+            return;
+        }
+        let rollout = self.rollouts.get_mut(request.image);
+        let from_store =
+            rollout.is_some_and(|rollout| rollout.take_recorded_store_fetch(request.machine));
+        let fetch = ActiveFetch {
+            started_at: now,
+            last_seen_at: now,
+            nominal_s: request.nominal_s(),
+            concurrent_fetches: request.concurrent_fetches.max(1),
+            priority: request.priority,
+            sources: Vec::new(),
+            store_integral_at_start: from_store.then(|| self.store_fetches.integral_until(now)),
+            adopted: true,
+            hop: if from_store { 1 } else { 2 },
+        };
+        self.insert_fetch(now, request, fetch);
+        // How many fetches it serves already is unknown: assume that it is almost full.
+        let assumed_load = self.settings.fetches_per_source.saturating_sub(1);
+        self.update_machine(request.machine, |cache| {
+            cache.load = cache.load.max(assumed_load);
+        });
+    }
+
+    /// A report shows that the machine holds the image.
+    pub fn observe_cached(&mut self, now: f64, request: &FetchRequest<'_, M, I>) {
+        let (image, machine) = (request.image, request.machine);
+        let store_integral = self.store_fetches.integral_until(now);
+        match self.cached(image, machine).cloned() {
+            Some(CachedImage::Complete) => return,
+            Some(CachedImage::Partial(fetch)) => {
+                if let Some(completed) = fetch.completed(now, request.size_gb, store_integral) {
+                    self.rates.record(&completed, &self.settings);
+                }
+                if fetch.is_from_store() {
+                    self.store_fetches.record_completion(now);
+                }
+                self.end_fetch(image, machine);
+            }
+            None if self.rollouts.contains_key(image) => {}
+            // Sources should be known before the first request.
+            None if self.settings.peer_to_peer
+                && self.is_request_large(request)
+                && self.track(now, image, request.size_gb) => {}
+            None => return,
+        }
+        if let Some(rollout) = self.rollouts.get_mut(image) {
+            rollout.dequeue(machine);
+            rollout.take_recorded_store_fetch(machine);
+            rollout.add_copy(request.zone);
+        }
+        self.insert_cached(image, machine, request.zone, CachedImage::Complete);
+    }
+
+    /// A report came from the machine: it may serve as a source again.
+    pub fn observe_report(&mut self, machine: &M) {
+        if self.machines.get(machine).is_some_and(|c| c.suspended) {
+            self.update_machine(machine, |cache| cache.suspended = false);
+        }
+    }
+
+    /// The machine evicted the image or gave up its fetch.
+    pub fn remove(&mut self, image: &I, machine: &M) {
+        if let Some(rollout) = self.rollouts.get_mut(image) {
+            rollout.dequeue(machine);
+        }
+        self.end_fetch(image, machine);
+        self.remove_cached(image, machine);
+        if (self.machines.get(machine)).is_some_and(|cache| cache.images.is_empty()) {
+            self.machines.remove(machine);
+        }
+    }
+
+    /// No task on the machine needs the image: its fetch is cancelled, a complete
+    /// copy stays.
+    pub fn cancel_fetch(&mut self, image: &I, machine: &M) {
+        match self.cached(image, machine) {
+            Some(CachedImage::Partial(_)) => self.remove(image, machine),
+            Some(CachedImage::Complete) => {}
+            None => {
+                if let Some(rollout) = self.rollouts.get_mut(image) {
+                    rollout.dequeue(machine);
+                }
+            }
+        }
+    }
+
+    /// The machine is gone with its cache.
+    pub fn remove_machine(&mut self, machine: &M) {
+        let images: Vec<I> = match self.machines.get(machine) {
+            Some(cache) => cache.images.keys().cloned().collect(),
+            None => Vec::new(),
+        };
+        for image in images {
+            self.remove(&image, machine);
+        }
+        for rollout in self.rollouts.values_mut() {
+            rollout.dequeue(machine);
+            rollout.take_recorded_store_fetch(machine);
+        }
+    }
+}
--- a/crates/umbersail-images/src/rates.rs
+++ b/crates/umbersail-images/src/rates.rs
@@ -1,127 +1,176 @@
-//! What the store and the holders give, learned from how long fetches took.
+//! Throughput of the store and of peers, learned from completed fetches.
 
 use std::collections::VecDeque;
 
-use crate::Bounds;
-
-/// Fetches judged together; one slow machine says nothing of the store.
-const JUDGED: usize = 16;
-/// The least number of them that says something.
-const JUDGED_LEAST: usize = 6;
-/// Fetches beside a slow one without which the machine may be to blame.
-const BESIDE_LEAST: f64 = 3.0;
-/// Weight of the newest sample.
-const WEIGHT: f64 = 0.25;
-/// Fetches at once over what the store seems to give: so it stays in full use, and
-/// shows when it gives more.
-const OVER: f64 = 1.25;
-
-/// A fetch that has ended.
+use crate::Settings;
+
+/// Recent store fetches that are judged together: one slow machine proves nothing.
+const WINDOW: usize = 16;
+/// Smallest number of them that proves something.
+const MIN_WINDOW: usize = 6;
+/// A slow fetch with fewer concurrent ones may be the machine's own fault.
+const MIN_CONCURRENCY: f64 = 3.0;
+/// Weight of the newest sample in the moving averages.
+const SAMPLE_WEIGHT: f64 = 0.25;
+/// Slots in excess of the estimated throughput: the store stays saturated, and
+/// shows when it can deliver more.
+const OVERSUBSCRIPTION: f64 = 1.25;
+/// Share of the saturating concurrency from which on a sample tells the throughput.
+const SATURATED_SHARE: f64 = 0.75;
+/// Shortest duration assumed for a fetch, in seconds.
+const MIN_DURATION_S: f64 = 0.1;
+/// Smallest size or rate assumed: avoids a division by zero.
+const EPSILON: f64 = 1e-6;
+
+/// Measurements of a fetch that has completed.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Fetched {
-    pub gb: f64,
-    /// How long its machine takes by itself, in seconds.
+pub struct CompletedFetch {
+    /// Size of the image in GB.
+    pub size_gb: f64,
+    /// Duration in seconds without contention.
     pub nominal_s: f64,
-    /// How long it took at the least and at the most, in seconds: its end lies
-    /// between two reports.
-    pub least_s: f64,
-    pub most_s: f64,
-    /// Fetches from the store during it, in the mean, itself included; `None` if it
-    /// came from holders.
-    pub beside: Option<f64>,
+    /// Lower bound of its duration in seconds: it ended between two reports.
+    pub min_s: f64,
+    /// Upper bound of its duration in seconds.
+    pub max_s: f64,
+    /// Mean number of concurrent store fetches, itself included; `None` if peers
+    /// served it.
+    pub store_concurrency: Option<f64>,
+}
+
+/// Whether the store slowed a fetch down.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+enum Slowdown {
+    Slowed,
+    Unaffected,
+    /// It ended between two reports on both sides of the limit.
+    Unknown,
 }
 
-/// Rates as learned.
+impl CompletedFetch {
+    fn slowdown(&self, settings: &Settings) -> Slowdown {
+        let limit_s = self.nominal_s * settings.slowdown_factor;
+        if self.min_s > limit_s {
+            Slowdown::Slowed
+        } else if self.max_s <= limit_s {
+            Slowdown::Unaffected
+        } else {
+            Slowdown::Unknown
+        }
+    }
+
+    fn rate_gb_s(&self) -> f64 {
+        self.size_gb / self.max_s.max(MIN_DURATION_S)
+    }
+}
+
+/// Throughput of the store and of peers, as learned.
 #[derive(Debug, Clone, Default, PartialEq)]
-pub struct Rates {
-    /// Whether the newest fetches from the store were slowed.
-    judged: VecDeque<bool>,
-    /// What the store gives in all, once it has slowed fetches.
+pub struct TransferRates {
+    /// Whether the most recent store fetches were slowed down.
+    recent_slowdowns: VecDeque<bool>,
+    /// Total throughput of the store, once it has slowed fetches down.
     store_gb_s: Option<f64>,
-    /// The most fetches at once that did not slow each other.
-    free_beside: f64,
-    /// What a machine gets that fetches from holders.
-    handed_gb_s: Option<f64>,
+    /// Largest concurrency at which fetches did not slow each other down.
+    unaffected_concurrency: f64,
+    /// Rate at which a machine receives from peers.
+    peer_gb_s: Option<f64>,
 }
 
-impl Rates {
-    /// As a predecessor had learned them; nonsense is dropped.
-    pub fn known(store_gb_s: Option<f64>, handed_gb_s: Option<f64>) -> Rates {
-        let sound = |rate: &f64| rate.is_finite() && *rate > 0.0;
-        Rates {
-            store_gb_s: store_gb_s.filter(sound),
-            handed_gb_s: handed_gb_s.filter(sound),
-            ..Rates::default()
+impl TransferRates {
+    /// Rates that a predecessor recorded; invalid values are ignored.
+    pub fn restored(store_gb_s: Option<f64>, peer_gb_s: Option<f64>) -> TransferRates {
+        let is_valid = |rate: &f64| rate.is_finite() && *rate > 0.0;
+        TransferRates {
+            store_gb_s: store_gb_s.filter(is_valid),
+            peer_gb_s: peer_gb_s.filter(is_valid),
+            ..TransferRates::default()
         }
     }
 
-    /// What the store gives in all, in GB/s; `None` as long as it slows nobody.
+    /// Total throughput of the store in GB/s; `None` while it slows nobody down.
     pub fn store_gb_s(&self) -> Option<f64> {
         self.store_gb_s
     }
 
-    /// What a machine gets from holders, in GB/s.
-    pub fn handed_gb_s(&self) -> Option<f64> {
-        self.handed_gb_s
+    /// Rate at which a machine receives from peers, in GB/s.
+    pub fn peer_gb_s(&self) -> Option<f64> {
+        self.peer_gb_s
     }
 
-    /// Learns from a fetch that ended.
-    pub fn learn(&mut self, fetch: &Fetched, bounds: &Bounds) {
-        let Some(beside) = fetch.beside else {
-            let seen = fetch.gb / fetch.most_s.max(0.1);
-            let known = self.handed_gb_s.get_or_insert(seen);
-            *known += (seen - *known) * WEIGHT;
-            return;
-        };
-        let limit_s = fetch.nominal_s * bounds.slowed;
-        let slowed = match () {
-            () if fetch.least_s > limit_s => true,
-            () if fetch.most_s <= limit_s => false,
-            // Its end lies between two reports on both sides of the limit.
-            () => return,
+    /// Learns from a completed fetch.
+    pub fn record(&mut self, fetch: &CompletedFetch, settings: &Settings) {
+        match fetch.store_concurrency {
+            None => self.record_from_peers(fetch),
+            Some(concurrency) => self.record_from_store(fetch, concurrency, settings),
+        }
+    }
+
+    fn record_from_peers(&mut self, fetch: &CompletedFetch) {
+        let sample = fetch.rate_gb_s();
+        let average = self.peer_gb_s.get_or_insert(sample);
+        *average += (sample - *average) * SAMPLE_WEIGHT;
+    }
+
+    fn record_from_store(&mut self, fetch: &CompletedFetch, concurrency: f64, settings: &Settings) {
+        let slowed = match fetch.slowdown(settings) {
+            Slowdown::Slowed => true,
+            Slowdown::Unaffected => false,
+            Slowdown::Unknown => return,
         };
-        let seen = fetch.gb / fetch.most_s.max(0.1) * beside;
-        if let Some(known) = &mut self.store_gb_s {
-            // Fewer at once than it serves say nothing of what it gives.
-            let full = *known * fetch.nominal_s / fetch.gb.max(1e-6);
-            if slowed || beside >= 0.75 * full {
-                *known += (seen - *known) * WEIGHT;
+        let sample = fetch.rate_gb_s() * concurrency;
+        if let Some(average) = &mut self.store_gb_s {
+            // Below saturation a fetch does not show what the store can deliver.
+            let saturating = *average * fetch.nominal_s / fetch.size_gb.max(EPSILON);
+            if slowed || concurrency >= SATURATED_SHARE * saturating {
+                *average += (sample - *average) * SAMPLE_WEIGHT;
             }
             return;
         }
         if !slowed {
-            self.free_beside = self.free_beside.max(beside);
+            self.unaffected_concurrency = self.unaffected_concurrency.max(concurrency);
         }
-        if beside < BESIDE_LEAST && slowed {
+        if slowed && concurrency < MIN_CONCURRENCY {
             return;
         }
-        self.judged.push_back(slowed);
-        if self.judged.len() > JUDGED {
-            self.judged.pop_front();
+        self.recent_slowdowns.push_back(slowed);
+        if self.recent_slowdowns.len() > WINDOW {
+            self.recent_slowdowns.pop_front();
         }
-        let bad = self.judged.iter().filter(|slowed| **slowed).count();
-        if slowed && self.judged.len() >= JUDGED_LEAST && 4 * bad >= 3 * self.judged.len() {
-            self.store_gb_s = Some(seen);
-            self.judged.clear();
+        if slowed && self.is_store_saturated() {
+            self.store_gb_s = Some(sample);
+            self.recent_slowdowns.clear();
         }
     }
 
-    /// How many fetches from the store may be under way at once, for machines that
-    /// take `nominal_gb_s` by themselves. Without handing on it is without bound
-    /// until fetches have slowed each other.
-    pub fn slots(&self, nominal_gb_s: f64, bounds: &Bounds) -> usize {
-        let served = |rate: f64| {
-            self.store_gb_s
-                .map(|store| (OVER * store / rate.max(1e-6)).ceil().clamp(1.0, 1e6) as usize)
-        };
-        if !bounds.hand_on {
-            return served(nominal_gb_s).unwrap_or(usize::MAX);
+    /// Whether at least three quarters of the recent store fetches were slowed down.
+    fn is_store_saturated(&self) -> bool {
+        let total = self.recent_slowdowns.len();
+        let slowed = self.recent_slowdowns.iter().filter(|s| **s).count();
+        total >= MIN_WINDOW && 4 * slowed >= 3 * total
+    }
+
+    /// How many store fetches may be in progress at once, for machines that fetch
+    /// at `nominal_gb_s`. Without peer-to-peer distribution there is no limit
+    /// (`usize::MAX`) until fetches have slowed each other down.
+    pub fn store_slots(&self, nominal_gb_s: f64, settings: &Settings) -> usize {
+        if !settings.peer_to_peer {
+            return self.saturating_fetches(nominal_gb_s).unwrap_or(usize::MAX);
         }
-        // Holders give as fast as the store would: the store is spared.
-        let Some(handed) = self.handed_gb_s.filter(|rate| 2.0 * rate < nominal_gb_s) else {
-            return served(nominal_gb_s).map_or(bounds.first, |n| n.min(bounds.first));
+        let initial = settings.initial_store_fetches;
+        // Peers as fast as the store relieve it.
+        let Some(slow_peer_gb_s) = self.peer_gb_s.filter(|rate| 2.0 * rate < nominal_gb_s) else {
+            let saturating = self.saturating_fetches(nominal_gb_s);
+            return saturating.map_or(initial, |slots| slots.min(initial));
         };
-        let free = (2.0 * self.free_beside).max(bounds.first as f64) as usize;
-        served(handed).unwrap_or(free)
+        let probing = (2.0 * self.unaffected_concurrency).max(initial as f64) as usize;
+        self.saturating_fetches(slow_peer_gb_s).unwrap_or(probing)
+    }
+
+    /// Fetches at this rate that saturate the store, if its throughput is known.
+    fn saturating_fetches(&self, rate_gb_s: f64) -> Option<usize> {
+        let store_gb_s = self.store_gb_s?;
+        let fetches = OVERSUBSCRIPTION * store_gb_s / rate_gb_s.max(EPSILON);
+        Some(fetches.ceil().clamp(1.0, 1e6) as usize)
     }
 }
--- a/crates/umbersail-images/src/record.rs
+++ b/crates/umbersail-images/src/record.rs
@@ -1,39 +1,44 @@
-//! What a successor finds of an image under way.
+//! The persisted record of an image with an active rollout.
 
 use serde::{Deserialize, Serialize};
 
 /// The version of [`ImageRecord`] that this build writes and reads.
 pub const RECORD_VERSION: u32 = 1;
 
-/// A small record of one image under way. Who has it and who is fetching it is
-/// seen in reports; the record holds what they don't show.
+/// A small record of one image with an active rollout.
+///
+/// Reports show which machines hold or fetch it; the record holds what they do
+/// not show. The field names are part of the stored format.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct ImageRecord {
+    /// Name of the image.
     pub image: String,
+    /// Size in GB.
     pub gb: f64,
-    /// Machines that were told to fetch it from the store, as far as they still do.
+    /// Machines that fetch it from the store.
     #[serde(default)]
     pub from_store: Vec<String>,
-    /// Learned rates in GB/s.
+    /// Learned throughput of the store, in GB/s.
     #[serde(default)]
     pub store_gb_s: Option<f64>,
+    /// Learned rate at which a machine receives from peers, in GB/s.
     #[serde(default)]
     pub handed_gb_s: Option<f64>,
 }
 
 impl ImageRecord {
-    /// Machines that a record names at most, so that it stays small.
-    pub const MACHINES_MOST: usize = 64;
+    /// Largest number of machines in a record, so that it stays small.
+    pub const MAX_MACHINES: usize = 64;
 
-    /// What is wrong with it, if anything.
+    /// Validates the record.
     ///
     /// # Errors
-    /// The reason, for the log.
+    /// The reason why the record is invalid, for the log.
     pub fn check(&self) -> Result<(), &'static str> {
         match () {
             () if self.image.is_empty() => Err("it names no image"),
             () if !self.gb.is_finite() || self.gb < 0.0 => Err("its size is no amount"),
-            () if self.from_store.len() > Self::MACHINES_MOST => Err("it names too many machines"),
+            () if self.from_store.len() > Self::MAX_MACHINES => Err("it names too many machines"),
             () => Ok(()),
         }
     }
--- /dev/null
+++ b/crates/umbersail-images/tests/rollouts/fleet.rs
@@ -0,0 +1,135 @@
+//! A fleet of machines that fetch images, driven step by step.
+
+use std::collections::BTreeSet;
+use std::ops::Range;
+
+use umbersail_images::{CacheView, Decision, FetchPriority, FetchRequest, Settings};
+
+const GB: f64 = 40.0;
+
+pub fn settings(peer_to_peer: bool) -> Settings {
+    Settings {
+        peer_to_peer,
+        serve_partial: true,
+        sources_per_fetch: 4,
+        fetches_per_source: 5,
+        initial_store_fetches: 8,
+        min_fetch_s: 10.0,
+        slowdown_factor: 2.5,
+        queue_expiry_s: 10.0,
+        max_images: 16,
+    }
+}
+
+pub fn machine(n: usize) -> String {
+    format!("host-{n:06}")
+}
+
+pub fn zone(n: usize) -> &'static str {
+    ["east", "west", "north"][n % 3]
+}
+
+fn request_of<'a>(
+    image: &'a &'static str,
+    machine: &'a String,
+    n: usize,
+    tier: u8,
+    concurrent_fetches: usize,
+) -> FetchRequest<'a, String, &'static str> {
+    FetchRequest {
+        image,
+        size_gb: GB,
+        rate_gb_s: 1.0,
+        machine,
+        zone: zone(n),
+        priority: FetchPriority {
+            tier,
+            order: n as u64,
+        },
+        concurrent_fetches,
+    }
+}
+
+/// Machines with a download rate of 1 GB/s, in three zones.
+pub struct Fleet {
+    pub view: CacheView<String, &'static str>,
+    pub unreachable: BTreeSet<String>,
+    /// Concurrent fetches on each machine.
+    pub concurrent_fetches: usize,
+}
+
+impl Fleet {
+    pub fn new(settings: Settings) -> Fleet {
+        Fleet {
+            view: CacheView::new(settings),
+            unreachable: BTreeSet::new(),
+            concurrent_fetches: 1,
+        }
+    }
+
+    pub fn request_image(
+        &mut self,
+        now: f64,
+        image: &'static str,
+        n: usize,
+        tier: u8,
+    ) -> Decision<String> {
+        let (machine, unreachable) = (machine(n), &self.unreachable);
+        let request = request_of(&image, &machine, n, tier, self.concurrent_fetches);
+        self.view
+            .request(now, &request, |m| !unreachable.contains(m))
+    }
+
+    pub fn request(&mut self, now: f64, n: usize) -> Decision<String> {
+        self.request_image(now, "weights", n, 1)
+    }
+
+    /// The sources, or `None` if it has to wait.
+    pub fn start(&mut self, now: f64, n: usize) -> Option<Vec<String>> {
+        match self.request(now, n) {
+            Decision::Start { sources } => Some(sources),
+            Decision::Wait => None,
+        }
+    }
+
+    pub fn report_fetching(&mut self, now: f64, n: usize) {
+        let machine = machine(n);
+        let request = request_of(&"weights", &machine, n, 1, self.concurrent_fetches);
+        self.view.observe_fetching(now, &request);
+    }
+
+    pub fn report_cached(&mut self, now: f64, n: usize) {
+        self.report_cached_image(now, "weights", n);
+    }
+
+    pub fn report_cached_image(&mut self, now: f64, image: &'static str, n: usize) {
+        let machine = machine(n);
+        self.view.observe_cached(
+            now,
+            &request_of(&image, &machine, n, 1, self.concurrent_fetches),
+        );
+    }
+
+    /// Runs fetches from the store that start at `at` and take `took_s` each.
+    pub fn fetch(&mut self, at: f64, machines: Range<usize>, took_s: f64) {
+        for n in machines.clone() {
+            assert_eq!(self.start(at, n), Some(vec![]));
+        }
+        for n in machines.clone() {
+            self.report_fetching(at + took_s - 1.0, n);
+        }
+        for n in machines {
+            self.report_cached(at + took_s, n);
+        }
+    }
+
+    /// Recorded store fetches of the image.
+    pub fn store_fetches_of(&self, image: &str) -> usize {
+        let records = self.view.records(|i| (*i).to_owned(), String::clone);
+        records.get(image).map_or(0, |r| r.from_store.len())
+    }
+
+    pub fn store_fetches(&self) -> usize {
+        self.store_fetches_of("weights")
+    }
+}
--- /dev/null
+++ b/crates/umbersail-images/tests/rollouts/peers.rs
@@ -0,0 +1,162 @@
+//! Choice of sources, and order of fetches on one machine.
+
+use std::collections::BTreeSet;
+
+use umbersail_images::{Decision, ImageCounts, Settings};
+
+use crate::fleet::{Fleet, machine, settings, zone};
+
+#[test]
+fn few_fetch_from_the_store_and_the_rest_from_nearby_peers() {
+    let mut fleet = Fleet::new(settings(true));
+    let (mut store, mut near, mut far) = (0, 0, 0);
+    for n in 0..1307 {
+        let sources = fleet.start(0.0, n).unwrap();
+        store += usize::from(sources.is_empty());
+        for source in &sources {
+            let other: usize = source[5..].parse().unwrap();
+            let same = zone(other) == zone(n);
+            near += usize::from(same);
+            far += usize::from(!same);
+        }
+    }
+    assert_eq!(store, 8);
+    assert!(near > 2 * far, "{near} near, {far} far");
+}
+
+#[test]
+fn without_partial_sources_the_rollout_is_staged() {
+    let mut fleet = Fleet::new(Settings {
+        serve_partial: false,
+        ..settings(true)
+    });
+    let mut had = 0;
+    let mut waves = Vec::new();
+    for wave in 0..8 {
+        let at = 100.0 * f64::from(wave);
+        let mut started = Vec::new();
+        for n in had..600 {
+            if fleet.start(at, n).is_some() {
+                started.push(n);
+            }
+        }
+        for n in &started {
+            fleet.report_cached(at + 50.0, *n);
+        }
+        had += started.len();
+        waves.push(started.len());
+        assert!(
+            started.iter().max().is_none_or(|n| *n == had - 1),
+            "in turn"
+        );
+    }
+    assert_eq!(waves[0], 8);
+    assert!(
+        waves[1] >= 16 && waves.iter().sum::<usize>() == 600,
+        "{waves:?}"
+    );
+}
+
+#[test]
+fn lost_sources_are_replaced_by_new_store_fetches() {
+    let mut fleet = Fleet::new(settings(true));
+    for n in 0..40 {
+        fleet.start(0.0, n).unwrap();
+    }
+    for n in 0..8 {
+        fleet.view.remove_machine(&machine(n));
+    }
+    assert_eq!(fleet.store_fetches(), 0);
+    // No copy is left: new fetches use the store, within the initial limit.
+    let sources: Vec<_> = (40..140).map(|n| fleet.start(11.0, n).unwrap()).collect();
+    assert_eq!(sources.iter().filter(|h| h.is_empty()).count(), 8);
+    let dead: BTreeSet<String> = (0..8).map(machine).collect();
+    assert!(sources.iter().flatten().all(|h| !dead.contains(h)));
+}
+
+#[test]
+fn sources_in_an_unreachable_zone_are_skipped_until_they_report() {
+    let mut fleet = Fleet::new(settings(true));
+    // All in one zone.
+    for n in (0..60).map(|n| 3 * n) {
+        fleet.start(0.0, n).unwrap();
+        fleet.report_cached(50.0, n);
+    }
+    fleet.unreachable = (0..60).map(|n| machine(3 * n)).collect();
+    let first: Vec<_> = (0..30).map(|n| fleet.start(60.0, 3 * n + 1)).collect();
+    // Eight fetch from the store, the rest from those eight.
+    let store = first.iter().flatten().filter(|h| h.is_empty()).count();
+    assert_eq!((store, first.iter().flatten().count()), (8, 30));
+    let cut = |h: &String| fleet.unreachable.contains(h);
+    assert!(!first.iter().flatten().flatten().any(cut));
+    fleet.unreachable.clear();
+    for n in 0..60 {
+        fleet.view.observe_report(&machine(3 * n));
+    }
+    let sources = fleet.start(70.0, 181).unwrap();
+    assert!(
+        sources
+            .iter()
+            .any(|h| h[5..].parse::<usize>().unwrap() % 3 == 0)
+    );
+}
+
+#[test]
+fn cancelled_fetches_release_their_slots() {
+    let mut fleet = Fleet::new(settings(true));
+    for n in 0..8 {
+        fleet.start(0.0, n).unwrap();
+    }
+    for n in 0..8 {
+        fleet.view.cancel_fetch(&"weights", &machine(n));
+    }
+    assert!(fleet.view.counts(&"weights").is_empty());
+    assert_eq!(fleet.start(6.0, 8), Some(vec![]));
+    // A complete copy stays when its task is cancelled.
+    fleet.report_cached(50.0, 8);
+    fleet.view.cancel_fetch(&"weights", &machine(8));
+    let only_cached = ImageCounts {
+        cached: 1,
+        ..ImageCounts::default()
+    };
+    assert_eq!(fleet.view.counts(&"weights"), only_cached);
+}
+
+#[test]
+fn one_machine_fetches_its_images_in_order_of_priority() {
+    let mut fleet = Fleet::new(settings(true));
+    assert!(matches!(
+        fleet.request_image(0.0, "weights", 1, 1),
+        Decision::Start { .. }
+    ));
+    assert_eq!(fleet.request_image(0.0, "other", 1, 2), Decision::Wait);
+    // A more urgent fetch does not wait for a less urgent one.
+    assert!(matches!(
+        fleet.request_image(0.0, "urgent", 1, 0),
+        Decision::Start { .. }
+    ));
+    fleet.report_cached(40.0, 1);
+    assert_eq!(fleet.request_image(41.0, "other", 1, 2), Decision::Wait);
+    fleet.report_cached_image(80.0, "urgent", 1);
+    assert!(matches!(
+        fleet.request_image(81.0, "other", 1, 2),
+        Decision::Start { .. }
+    ));
+}
+
+#[test]
+fn the_last_holder_of_a_zone_is_kept_while_the_rollout_is_active() {
+    let mut fleet = Fleet::new(settings(true));
+    for n in [0, 1, 4] {
+        fleet.start(0.0, n).unwrap();
+        fleet.report_cached(40.0, n);
+    }
+    assert!(!fleet.view.is_last_holder(&machine(0)), "nobody wants it");
+    fleet.start(50.0, 7).unwrap();
+    assert!(fleet.view.is_last_holder(&machine(0)));
+    assert!(!fleet.view.is_last_holder(&machine(1)), "its zone has two");
+    fleet.view.remove_machine(&machine(4));
+    assert!(fleet.view.is_last_holder(&machine(1)));
+    fleet.report_cached(90.0, 7);
+    assert!(!fleet.view.is_last_holder(&machine(0)));
+}
--- /dev/null
+++ b/crates/umbersail-images/tests/rollouts/store.rs
@@ -0,0 +1,126 @@
+//! Limits on fetches from the store, and how its throughput is learned.
+
+use umbersail_images::Decision;
+
+use crate::fleet::{Fleet, machine, settings};
+
+#[test]
+fn all_fetches_start_at_once_while_the_store_is_not_saturated() {
+    let mut fleet = Fleet::new(settings(false));
+    // Durations vary by a third, and one machine in ten is stalled.
+    for n in 0..500 {
+        assert_eq!(fleet.start(0.0, n), Some(vec![]));
+    }
+    for n in 0..500 {
+        let took = match n % 10 {
+            0 => 190.0,
+            _ => 40.0 * (0.7 + 0.08 * (n % 10) as f64),
+        };
+        fleet.report_fetching(took - 1.0, n);
+        fleet.report_cached(took, n);
+    }
+    for n in 500..2000 {
+        assert_eq!(fleet.start(300.0, n), Some(vec![]));
+    }
+    assert!(
+        fleet
+            .view
+            .records(|i| (*i).to_owned(), String::clone)
+            .is_empty()
+    );
+}
+
+#[test]
+fn a_saturated_store_serves_a_limited_number_by_priority() {
+    let mut fleet = Fleet::new(settings(false));
+    // 20 GB/s for 100 machines that take 1 GB/s each.
+    fleet.fetch(0.0, 0..100, 200.0);
+    let store = fleet.view.rates().store_gb_s().unwrap();
+    assert!((18.0..22.0).contains(&store), "{store}");
+    let mut started = Vec::new();
+    for n in (100..300).rev() {
+        let _ = fleet.request(210.0, n);
+    }
+    for n in 100..300 {
+        if fleet.start(211.0, n).is_some() {
+            started.push(n);
+        }
+    }
+    // The first to ask start at once: a quarter more than saturate the store.
+    assert!(started.len() <= 25, "{started:?}");
+    let counts = fleet.view.counts(&"weights");
+    assert_eq!((counts.fetching, counts.waiting), (25, 175));
+    for n in 100..275 {
+        assert_eq!(fleet.start(255.0, n), None);
+    }
+    // Released slots go to the highest priority, whoever asks first.
+    for n in 290..300 {
+        fleet.report_fetching(260.0, n);
+        fleet.report_cached(261.0, n);
+    }
+    let started: Vec<usize> = (100..275)
+        .rev()
+        .filter(|n| fleet.start(261.0, *n).is_some())
+        .collect();
+    let free = started.len();
+    assert!((8..=12).contains(&free), "{started:?}");
+    assert!(started.iter().all(|n| *n < 100 + free), "{started:?}");
+    // Queue entries that are not renewed expire, and a later one starts.
+    for n in 285..290 {
+        fleet.report_fetching(270.0, n);
+        fleet.report_cached(271.0, n);
+    }
+    assert_eq!(fleet.start(271.0, 270), None);
+    assert_eq!(fleet.start(300.0, 270), Some(vec![]));
+}
+
+#[test]
+fn concurrent_fetches_on_one_machine_do_not_count_as_store_saturation() {
+    // Guards against holding launches back after a start with cold caches.
+    let mut fleet = Fleet::new(settings(false));
+    fleet.concurrent_fetches = 3;
+    fleet.fetch(0.0, 0..100, 115.0);
+    assert_eq!(fleet.view.rates().store_gb_s(), None);
+    for n in 100..400 {
+        assert_eq!(fleet.start(200.0, n), Some(vec![]));
+    }
+}
+
+#[test]
+fn a_single_slow_machine_does_not_count_as_store_saturation() {
+    let mut fleet = Fleet::new(settings(false));
+    for round in 0..20 {
+        fleet.fetch(1000.0 * round as f64, round..round + 1, 400.0);
+        fleet.view.remove(&"weights", &machine(round));
+    }
+    assert_eq!(fleet.view.rates().store_gb_s(), None);
+}
+
+#[test]
+fn during_a_store_outage_peers_serve_and_store_fetches_stay_limited() {
+    let mut fleet = Fleet::new(settings(true));
+    for n in 0..8 {
+        fleet.start(0.0, n).unwrap();
+    }
+    for n in 0..8 {
+        fleet.report_cached(45.0, n);
+    }
+    for n in 8..200 {
+        assert!(!fleet.start(50.0, n).unwrap().is_empty(), "sources live");
+    }
+    // An image without copies: store fetches up to the limit, and no more however
+    // long they take.
+    for n in 300..340 {
+        let _ = fleet.request_image(50.0, "other", n, 1);
+    }
+    let started = |fleet: &mut Fleet, at| {
+        let mut store = 0;
+        for n in 340..400 {
+            let decision = fleet.request_image(at, "other", n, 1);
+            store += usize::from(decision == Decision::Start { sources: vec![] });
+        }
+        store
+    };
+    assert_eq!(fleet.store_fetches_of("other"), 8);
+    assert_eq!(started(&mut fleet, 500.0), 0);
+}
--- a/crates/umbersail-rehearsal/examples/weights.rs
+++ b/crates/umbersail-rehearsal/examples/weights.rs
@@ -14,7 +14,7 @@
         for gb in [40.0, 140.0] {
             for machines in [64, 589, 1307, 4000] {
                 let mut bounds = Wave::bounds(true);
-                bounds.pieces = pieces;
+                bounds.serve_partial = pieces;
                 let wave = Wave {
                     machines,
                     zones: 3,
--- a/crates/umbersail-rehearsal/src/waves.rs
+++ b/crates/umbersail-rehearsal/src/waves.rs
@@ -8,7 +8,7 @@
 
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
-use umbersail_images::{Answer, Ask, Bounds, Picture, Rank};
+use umbersail_images::{CacheView, Decision, FetchPriority, FetchRequest, Settings};
 
 use crate::store::Swarm;
 
@@ -39,7 +39,7 @@
     pub down_gb_s: f64,
     pub piece_gb: f64,
     pub report_s: f64,
-    pub bounds: Bounds,
+    pub bounds: Settings,
     pub troubles: Vec<(f64, Trouble)>,
     pub seed: u64,
 }
@@ -65,8 +65,8 @@
 
 impl Wave {
     /// The defaults of `images.*`, with handing on.
-    pub fn bounds(hand_on: bool) -> Bounds {
-        Bounds::of(&umbersail_tuning::Tuning {
+    pub fn bounds(hand_on: bool) -> Settings {
+        Settings::from_tuning(&umbersail_tuning::Tuning {
             images_hand_on: f64::from(u8::from(hand_on)),
             ..umbersail_tuning::Tuning::default()
         })
@@ -107,7 +107,7 @@
 
 struct Play<'a> {
     wave: &'a Wave,
-    picture: Picture<usize, u32>,
+    cache_view: CacheView<usize, u32>,
     swarm: Swarm,
     stage: Vec<Stage>,
     hop: Vec<u32>,
@@ -131,7 +131,7 @@
         }
         let troubles = wave.troubles.iter().enumerate();
         Play {
-            picture: Picture::new(wave.bounds.clone()),
+            cache_view: CacheView::new(wave.bounds.clone()),
             swarm,
             stage: vec![Stage::Waits; wave.machines],
             hop: vec![0; wave.machines],
@@ -195,25 +195,27 @@
         let wave = self.wave;
         let zone_number = node as u16 % wave.zones;
         self.heard[node] = now;
-        self.picture.heard(&node);
+        self.cache_view.observe_report(&node);
         let zone = zone_number.to_string();
-        let ask = Ask {
+        let ask = FetchRequest {
             image: &IMAGE,
-            gb: wave.gb,
+            size_gb: wave.gb,
             rate_gb_s: wave.down_gb_s,
             machine: &node,
             zone: &zone,
-            rank: Rank {
+            priority: FetchPriority {
                 tier: 1,
                 order: node as u64,
             },
-            shared: 1,
+            concurrent_fetches: 1,
         };
         match self.stage[node] {
             Stage::Waits => {
                 let (heard, report_s) = (&self.heard, wave.report_s);
                 let usable = |m: &usize| now - heard[*m] < 3.0 * report_s;
-                if let Answer::Begin { holders } = self.picture.ask(now, &ask, usable) {
+                if let Decision::Start { sources: holders } =
+                    self.cache_view.request(now, &ask, usable)
+                {
                     let before = holders.iter().map(|h| self.hop[*h]).max();
                     self.hop[node] = before.map_or(1, |hop| hop + 1);
                     self.stage[node] = Stage::Fetches;
@@ -221,11 +223,11 @@
                     return Some(holders);
                 }
             }
-            Stage::Fetches => self.picture.seen_fetching(now, &ask),
+            Stage::Fetches => self.cache_view.observe_fetching(now, &ask),
             Stage::Has { shown } => {
                 if !shown {
                     self.stage[node] = Stage::Has { shown: true };
-                    self.picture.has(now, &ask);
+                    self.cache_view.observe_cached(now, &ask);
                 }
             }
             Stage::Gone => {}
@@ -261,7 +263,7 @@
             Trouble::FirstDie(count) => {
                 for node in first(count) {
                     self.swarm.remove(now, node);
-                    self.picture.gone(&node);
+                    self.cache_view.remove_machine(&node);
                     self.stage[node] = Stage::Gone;
                     self.had_at.remove(&node);
                 }
@@ -280,12 +282,12 @@
                 self.swarm.set_store(now, 0.0);
             }
             Trouble::TakeOver => {
-                let records = self.picture.records(u32::to_string, usize::to_string);
-                self.picture = Picture::new(self.wave.bounds.clone());
+                let records = self.cache_view.records(u32::to_string, usize::to_string);
+                self.cache_view = CacheView::new(self.wave.bounds.clone());
                 for record in records.values() {
                     // Names are numbers here.
                     let machine = |name: &str| name.parse().unwrap_or(usize::MAX);
-                    self.picture.restore(now, IMAGE, record, machine);
+                    self.cache_view.restore(now, IMAGE, record, machine);
                 }
                 for stage in &mut self.stage {
                     if let Stage::Has { shown } = stage {
@@ -297,7 +299,7 @@
                 for node in 0..count.min(self.stage.len()) {
                     if self.stage[node] == Stage::Fetches {
                         self.swarm.give_up(now, node, IMAGE);
-                        self.picture.gave_up(&IMAGE, &node);
+                        self.cache_view.cancel_fetch(&IMAGE, &node);
                         self.stage[node] = Stage::Gone;
                     }
                 }
--- a/crates/umbersail-rehearsal/tests/waves.rs
+++ b/crates/umbersail-rehearsal/tests/waves.rs
@@ -1,6 +1,6 @@
 //! Waves of large images against the kit's store: how fast they go, and through what.
 
-use umbersail_images::Bounds;
+use umbersail_images::Settings;
 use umbersail_rehearsal::waves::{Course, Trouble, Wave};
 
 /// 40 GB, a store of 10 GB/s, machines that send and take 1 GB/s.
@@ -45,8 +45,8 @@
 #[test]
 fn without_handing_on_machines_share_the_store_as_ever() {
     let wave = Wave {
-        bounds: Bounds {
-            hand_on: false,
+        bounds: Settings {
+            peer_to_peer: false,
             ..Wave::bounds(false)
         },
         ..wave(64, &[])
--- a/crates/umbersail-tuning/src/lib.rs
+++ b/crates/umbersail-tuning/src/lib.rs
@@ -312,7 +312,7 @@
     images_hand_on, "images.hand_on", 0.0, 0.0..=1.0, "0 or 1",
         "1: launches name machines that hand the image on, for workers that can fetch from each other; others fetch from the store as ever";
     images_pieces, "images.pieces", 1.0, 0.0..=1.0, "0 or 1",
-        "1: workers hand on pieces of what they are still fetching, so that all begin at once; 0: whole images only, so that they begin in waves";
+        "1: workers hand on pieces of what they are still fetching, so that all begin at once; 0: whole images only, so that the rollout is staged";
     images_sources, "images.sources", 4.0, 1.0..=32.0, "machines",
         "Holders that one fetch is told of: one that is slow or dies leaves three";
     images_load, "images.load", 5.0, 1.0..=64.0, "fetches",
