--- a/crates/umbersail-rehearsal/src/play.rs
+++ b/crates/umbersail-rehearsal/src/play.rs
@@ -11,7 +11,7 @@
 use thiserror::Error;
 use umbersail_control::Settings;
 use umbersail_runtime::{
-    EPOCH_MS, HostId, HostSpec, NetworkConfig, Simulation, WorldHandle, sleep, spawn,
+    EPOCH_MS, HostId, HostSpec, NetworkConfig, Simulation, WorkDone, WorldHandle, sleep, spawn,
 };
 use umbersail_tuning::Tuning;
 
@@ -209,7 +209,7 @@
 
 impl Outcome {
     pub(crate) fn of(night: &Night, seed: u64, events: Vec<Event>, world: &WorldHandle) -> Outcome {
-        let (packets, steps) = world.work_done();
+        let WorkDone { packets, steps } = world.work_done();
         let (_, hash) = crate::history::lines(&events);
         let processor_s = world.used_by_all_s();
         let most_s = night.controllers.processor_most_s;
--- a/crates/umbersail-runtime/src/clock.rs
+++ b/crates/umbersail-runtime/src/clock.rs
@@ -1,7 +1,7 @@
-use std::cell::Cell;
-use std::time::Instant;
+//! Clocks, as routines see them.
 
-use crate::executor::Inner;
+use std::cell::Cell;
+use std::time::{Instant, SystemTime, UNIX_EPOCH};
 
 /// Seconds on the steady clock of this process, counted from its start.
 pub type Time = f64;
@@ -34,10 +34,14 @@
     }
 
     fn unix_ms(&self) -> u64 {
-        Inner::system_ms()
+        let since_epoch = SystemTime::now().duration_since(UNIX_EPOCH);
+        since_epoch.map_or(0, |elapsed| elapsed.as_millis() as u64)
     }
 }
 
+/// Time of day at which [`FakeClock`] starts, in milliseconds.
+const FAKE_EPOCH_MS: u64 = 1_000_000_000;
+
 /// A clock that a test moves by hand.
 #[derive(Default)]
 pub struct FakeClock {
@@ -45,6 +49,7 @@
 }
 
 impl FakeClock {
+    /// Moves the clock forward.
     pub fn advance(&self, seconds: Time) {
         self.now.set(self.now.get() + seconds);
     }
@@ -56,6 +61,6 @@
     }
 
     fn unix_ms(&self) -> u64 {
-        1_000_000_000 + (self.now.get() * 1000.0) as u64
+        FAKE_EPOCH_MS + (self.now.get() * 1000.0) as u64
     }
 }
--- a/crates/umbersail-runtime/src/executor.rs
+++ b/crates/umbersail-runtime/src/executor.rs
@@ -1,53 +1,53 @@
+//! The event loop and the routines it runs.
+
 use std::cell::{Cell, RefCell};
-use std::collections::{BTreeMap, BTreeSet, VecDeque};
+use std::collections::{BTreeSet, VecDeque};
 use std::future::Future;
 use std::io;
 use std::pin::Pin;
 use std::rc::Rc;
 use std::sync::{Arc, Mutex};
 use std::task::{Context, Poll, Wake, Waker};
-use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
+use std::time::{Duration, Instant};
 
 use slab::Slab;
 
-use crate::sim::{HostId, NetEvent, Sim, Turn, WorldHandle};
+use crate::routine_id::RoutineId;
+use crate::sim::{HostId, PacketTimers, Sim, StepAdmission};
+use crate::timers::{Event, Nanos, Timers};
 
 type BoxedRoutine = Pin<Box<dyn Future<Output = ()>>>;
 
-/// Nanoseconds since the world began.
-pub(crate) type Nanos = u64;
+/// Events between two calls of the watcher in [`Runtime::block_on_watched`].
+const TURNS_PER_WATCH: u32 = 1000;
+/// Socket events taken from the operating system at once.
+const EVENT_CAPACITY: usize = 256;
+/// Longest sleep, for durations that can't be represented.
+const MAX_SLEEP: Duration = Duration::from_secs(3600);
 
+/// A routine in the slab.
 struct Slot {
     /// Absent while the routine is being polled.
     future: Option<BoxedRoutine>,
     waker: Waker,
     generation: u64,
     cancelled: bool,
-    parent: Option<Id>,
-    children: BTreeSet<Id>,
+    parent: Option<RoutineId>,
+    children: BTreeSet<RoutineId>,
     /// Where it runs, in a simulated world.
     host: HostId,
 }
 
-/// A place in the slab and the generation that had it.
-pub(crate) type Id = (usize, u64);
-
-/// What becomes due at a time.
-pub(crate) enum Due {
-    Wake(Waker),
-    Net(NetEvent),
-}
-
-/// The machine's own clock, sockets and chance.
+/// The machine's own clock, sockets and random numbers.
 pub(crate) struct Real {
     poll: RefCell<mio::Poll>,
     pub(crate) registry: mio::Registry,
     start: Instant,
-    /// Stand-ins that play hosts in the real world, and their first routines.
-    pub(crate) played: RefCell<Vec<Option<Id>>>,
+    /// First routines of the hosts that this process emulates.
+    pub(crate) host_roots: RefCell<Vec<Option<RoutineId>>>,
 }
 
-/// Where time, network and chance come from.
+/// Where time, network and random numbers come from.
 pub(crate) enum World {
     Real(Real),
     Simulated(Box<Sim>),
@@ -60,48 +60,48 @@
     pub(crate) writer: Option<Waker>,
 }
 
+/// State of a runtime.
 pub(crate) struct Inner {
     pub(crate) world: World,
     slots: RefCell<Slab<Slot>>,
     ready: Arc<ReadyQueue>,
-    due: RefCell<BTreeMap<(Nanos, u64), Due>>,
-    due_serial: Cell<u64>,
+    pub(crate) timers: PacketTimers,
     pub(crate) sources: RefCell<Slab<Source>>,
     generation: Cell<u64>,
     /// The routine that is being polled, and its host.
-    running: Cell<Option<(Id, HostId)>>,
+    running: Cell<Option<(RoutineId, HostId)>>,
 }
 
+/// Routines that are ready to run, in order.
 #[derive(Default)]
 struct ReadyQueue {
-    queue: Mutex<VecDeque<(usize, u64)>>,
+    queue: Mutex<VecDeque<RoutineId>>,
 }
 
 impl ReadyQueue {
-    pub(crate) fn push(&self, key: usize, generation: u64) {
+    fn push(&self, id: RoutineId) {
         if let Ok(mut queue) = self.queue.lock() {
-            queue.push_back((key, generation));
+            queue.push_back(id);
         }
     }
 
-    fn pop(&self) -> Option<(usize, u64)> {
+    fn pop(&self) -> Option<RoutineId> {
         self.queue.lock().ok()?.pop_front()
     }
 }
 
 struct RoutineWaker {
-    key: usize,
-    generation: u64,
+    id: RoutineId,
     ready: Arc<ReadyQueue>,
 }
 
 impl Wake for RoutineWaker {
     fn wake(self: Arc<Self>) {
-        self.ready.push(self.key, self.generation);
+        self.ready.push(self.id);
     }
 
     fn wake_by_ref(self: &Arc<Self>) {
-        self.ready.push(self.key, self.generation);
+        self.ready.push(self.id);
     }
 }
 
@@ -109,8 +109,12 @@
     static CURRENT: RefCell<Option<Rc<Inner>>> = const { RefCell::new(None) };
 }
 
-/// Runs `f` with the runtime of this thread. Sockets, timers and `spawn` only
-/// work inside `Runtime::block_on`; elsewhere it is an error of the program.
+/// Runs `f` with the runtime of this thread.
+///
+/// Sockets, timers and `spawn` only work inside of [`Runtime::block_on`].
+///
+/// # Panics
+/// Outside of it, which is a programming error.
 pub(crate) fn with_current<R>(f: impl FnOnce(&Rc<Inner>) -> R) -> R {
     CURRENT.with(|current| {
         let current = current.borrow();
@@ -120,13 +124,13 @@
     })
 }
 
-/// Runs `f` with the runtime of this thread, if one runs.
+/// Runs `f` with the runtime of this thread, if there is one.
 pub(crate) fn current_world<R>(f: impl FnOnce(&Rc<Inner>) -> Option<R>) -> Option<R> {
     let seen = CURRENT.try_with(|current| f(current.try_borrow().ok()?.as_ref()?));
     seen.ok().flatten()
 }
 
-/// Takes the registration of a socket back; quiet when the runtime is gone.
+/// Runs `f` with the runtime of this thread; does nothing if there is none.
 pub(crate) fn try_with_current(f: impl FnOnce(&Rc<Inner>)) {
     let _ = CURRENT.try_with(|current| {
         if let Ok(current) = current.try_borrow()
@@ -144,6 +148,9 @@
 
 impl Runtime {
     /// A runtime on the machine's own clock and sockets.
+    ///
+    /// # Errors
+    /// If the operating system provides no event queue.
     pub fn new() -> io::Result<Runtime> {
         let poll = mio::Poll::new()?;
         let registry = poll.registry().try_clone()?;
@@ -151,23 +158,17 @@
             poll: RefCell::new(poll),
             registry,
             start: Instant::now(),
-            played: RefCell::default(),
+            host_roots: RefCell::default(),
         })))
     }
 
-    /// The world in which it runs.
-    pub fn world(&self) -> WorldHandle {
-        WorldHandle::of(self.inner.clone())
-    }
-
     pub(crate) fn of(world: World) -> Runtime {
         Runtime {
             inner: Rc::new(Inner {
                 world,
                 slots: RefCell::new(Slab::new()),
                 ready: Arc::new(ReadyQueue::default()),
-                due: RefCell::new(BTreeMap::new()),
-                due_serial: Cell::new(0),
+                timers: Timers::new(),
                 sources: RefCell::new(Slab::new()),
                 generation: Cell::new(0),
                 running: Cell::new(None),
@@ -177,6 +178,10 @@
 
     /// Runs `main` to its end, and with it every routine that it spawns;
     /// routines still alive then are dropped.
+    ///
+    /// # Errors
+    /// If the operating system's event queue fails, or if all routines of a
+    /// simulated world wait and no event is scheduled.
     pub fn block_on<T: 'static>(&self, main: impl Future<Output = T> + 'static) -> io::Result<T> {
         self.block_on_watched(main, || {})
     }
@@ -195,7 +200,7 @@
             let value = main.await;
             *slot.borrow_mut() = Some(value);
         });
-        let mut events = mio::Events::with_capacity(256);
+        let mut events = mio::Events::with_capacity(EVENT_CAPACITY);
         let result = loop {
             self.inner.run_ready();
             if let Some(value) = out.borrow_mut().take() {
@@ -205,14 +210,14 @@
                 break Err(e);
             }
             turns = turns.wrapping_add(1);
-            if turns.is_multiple_of(1000) {
+            if turns.is_multiple_of(TURNS_PER_WATCH) {
                 watch();
             }
         };
-        // Dropped one by one outside of the borrow: a routine may own sockets
-        // and timers that take themselves off the tables on the way.
-        let left: Vec<Slot> = self.inner.slots.borrow_mut().drain().collect();
-        drop(left);
+        // Dropped outside of the borrow: a routine may own sockets and timers
+        // that remove themselves from the tables when they are dropped.
+        let remaining: Vec<Slot> = self.inner.slots.borrow_mut().drain().collect();
+        drop(remaining);
         CURRENT.with(|current| *current.borrow_mut() = None);
         result
     }
@@ -227,32 +232,25 @@
         }
     }
 
-    /// How long `seconds` on the clock of the routine that runs are in the
-    /// world's own time.
-    pub(crate) fn span(&self, seconds: f64) -> Nanos {
-        let whole = |seconds: f64| {
+    /// Converts a duration on the running routine's clock to true time.
+    pub(crate) fn duration(&self, seconds: f64) -> Nanos {
+        let to_nanos = |seconds: f64| {
             Duration::try_from_secs_f64(seconds.max(0.0))
-                .unwrap_or(Duration::from_secs(3600))
+                .unwrap_or(MAX_SLEEP)
                 .as_nanos() as Nanos
         };
         match &self.world {
-            World::Real(_) => whole(seconds),
-            // Never short of the time that was asked for, or whoever waits for a
-            // point in time would wait for less than a nanosecond for ever.
-            World::Simulated(sim) if seconds > 0.0 => whole(seconds / sim.rate(self.host())) + 1,
+            World::Real(_) => to_nanos(seconds),
+            // Rounded up: a routine that waits for a point in time must not wake
+            // just before it again and again.
+            World::Simulated(sim) if seconds > 0.0 => {
+                to_nanos(seconds / sim.clock_rate(self.host())) + 1
+            }
             World::Simulated(_) => 0,
         }
     }
 
-    /// Milliseconds since the Unix epoch, by the machine.
-    pub(crate) fn system_ms() -> u64 {
-        SystemTime::now()
-            .duration_since(UNIX_EPOCH)
-            .map(|d| d.as_millis() as u64)
-            .unwrap_or(0)
-    }
-
-    /// The host of the routine that runs.
+    /// The host of the running routine.
     pub(crate) fn host(&self) -> HostId {
         self.running.get().map_or(HostId::OUTSIDE, |(_, host)| host)
     }
@@ -264,104 +262,85 @@
         }
     }
 
-    /// Puts something off; the key takes it back.
-    pub(crate) fn put_off(&self, at: Nanos, what: Due) -> (Nanos, u64) {
-        let serial = self.due_serial.get() + 1;
-        self.due_serial.set(serial);
-        self.due.borrow_mut().insert((at, serial), what);
-        (at, serial)
+    /// Queues a routine to run.
+    pub(crate) fn make_ready(&self, id: RoutineId) {
+        self.ready.push(id);
     }
 
-    pub(crate) fn take_back(&self, key: (Nanos, u64)) {
-        self.due.borrow_mut().remove(&key);
+    fn run_ready(&self) {
+        while let Some(id) = self.ready.pop() {
+            self.run_step(id);
+        }
     }
 
-    /// Whether it is still to come; its waker is brought up to date.
-    pub(crate) fn is_put_off(&self, key: (Nanos, u64), cx: &Context<'_>) -> bool {
-        match self.due.borrow_mut().get_mut(&key) {
-            Some(Due::Wake(waker)) => {
-                if !waker.will_wake(cx.waker()) {
-                    *waker = cx.waker().clone();
+    /// Polls a routine once, if its host admits it.
+    fn run_step(&self, id: RoutineId) {
+        let Some((mut future, waker, host)) = self.take_for_polling(id) else {
+            return;
+        };
+        self.running.set(Some((id, host)));
+        let mut context = Context::from_waker(&waker);
+        let is_done = future.as_mut().poll(&mut context).is_ready();
+        self.running.set(None);
+        let finished = {
+            let mut slots = self.slots.borrow_mut();
+            match slots.get_mut(id.index) {
+                Some(slot) if !is_done && !slot.cancelled => {
+                    slot.future = Some(future);
+                    return;
                 }
-                true
+                _ => future,
             }
-            _ => false,
-        }
-    }
-
-    /// Ready again, as after a freeze.
-    pub(crate) fn make_ready(&self, id: Id) {
-        self.ready.push(id.0, id.1);
+        };
+        // Dropped outside of the borrow: it may own sockets and timers.
+        drop(finished);
+        self.remove(id);
     }
 
-    fn run_ready(&self) {
-        while let Some((key, generation)) = self.ready.pop() {
-            let (mut future, waker, host) = {
-                let mut slots = self.slots.borrow_mut();
-                match slots.get_mut(key) {
-                    Some(slot) if slot.generation == generation => {
-                        if let Some(sim) = self.simulated() {
-                            match sim.turn_of(slot.host, (key, generation)) {
-                                Turn::Now => {}
-                                Turn::Parked => continue,
-                                Turn::Later(at) => {
-                                    self.put_off(at, Due::Wake(slot.waker.clone()));
-                                    continue;
-                                }
-                            }
-                        }
-                        match slot.future.take() {
-                            Some(future) => (future, slot.waker.clone(), slot.host),
-                            None => continue,
-                        }
-                    }
-                    _ => continue,
-                }
-            };
-            self.running.set(Some(((key, generation), host)));
-            let done = future
-                .as_mut()
-                .poll(&mut Context::from_waker(&waker))
-                .is_ready();
-            self.running.set(None);
-            let cancelled = {
-                let mut slots = self.slots.borrow_mut();
-                match slots.get_mut(key) {
-                    Some(slot) if !done && !slot.cancelled => {
-                        slot.future = Some(future);
-                        continue;
-                    }
-                    _ => future,
+    /// Takes a ready routine out of its slot, unless its host delays it.
+    fn take_for_polling(&self, id: RoutineId) -> Option<(BoxedRoutine, Waker, HostId)> {
+        let mut slots = self.slots.borrow_mut();
+        let slot = slots.get_mut(id.index)?;
+        if slot.generation != id.generation {
+            return None;
+        }
+        if let Some(sim) = self.simulated() {
+            match sim.admit_step(slot.host, id) {
+                StepAdmission::Run => {}
+                StepAdmission::Parked => return None,
+                StepAdmission::Delayed(until) => {
+                    self.timers.schedule(until, Event::Wake(slot.waker.clone()));
+                    return None;
                 }
-            };
-            drop(cancelled);
-            self.remove((key, generation));
+            }
         }
+        let future = slot.future.take()?;
+        Some((future, slot.waker.clone(), slot.host))
     }
 
-    /// Ends a routine and, with it, all that it started.
-    pub(crate) fn remove(&self, id: Id) {
-        let mut doomed = vec![id];
-        while let Some((key, generation)) = doomed.pop() {
+    /// Ends a routine and all that it started.
+    pub(crate) fn remove(&self, id: RoutineId) {
+        let mut pending = vec![id];
+        while let Some(id) = pending.pop() {
             let slot = {
                 let mut slots = self.slots.borrow_mut();
-                match slots.get_mut(key) {
-                    Some(slot) if slot.generation == generation => {
-                        doomed.extend(std::mem::take(&mut slot.children));
-                        if self.running.get().map(|(id, _)| id) == Some((key, generation)) {
-                            // It is just being polled: it ends right after.
+                match slots.get_mut(id.index) {
+                    Some(slot) if slot.generation == id.generation => {
+                        pending.extend(std::mem::take(&mut slot.children));
+                        if self.running.get().map(|(running, _)| running) == Some(id) {
+                            // It is being polled: it is removed right after.
                             slot.cancelled = true;
                             continue;
                         }
                     }
                     _ => continue,
                 }
-                let slot = slots.remove(key);
-                if let Some((parent, generation)) = slot.parent
-                    && let Some(parent) = slots.get_mut(parent)
-                    && parent.generation == generation
+                let slot = slots.remove(id.index);
+                if let Some(parent_id) = slot.parent
+                    && let Some(parent) = slots.get_mut(parent_id.index)
+                    && parent.generation == parent_id.generation
                 {
-                    parent.children.remove(&(key, slot.generation));
+                    parent.children.remove(&id);
                 }
                 slot
             };
@@ -370,36 +349,33 @@
         }
     }
 
+    /// Waits for the next event and handles all that are due.
     fn turn(&self, events: &mut mio::Events) -> io::Result<()> {
         match &self.world {
             World::Real(real) => self.turn_real(real, events)?,
             World::Simulated(sim) => {
-                let next = self.due.borrow().first_key_value().map(|((at, _), _)| *at);
-                let Some(next) = next else {
-                    return Err(io::Error::other("every routine waits, and nothing is due"));
-                };
-                sim.advance(next);
+                let next = self.timers.next_at();
+                let stalled = || io::Error::other("every routine waits, and nothing is due");
+                sim.advance(next.ok_or_else(stalled)?);
             }
         }
         let now = self.now();
-        loop {
-            let due = {
-                let mut due = self.due.borrow_mut();
-                match due.first_entry() {
-                    Some(entry) if entry.key().0 <= now => entry.remove(),
-                    _ => return Ok(()),
+        while let Some(event) = self.timers.pop_due(now) {
+            match (event, &self.world) {
+                (Event::Wake(waker), _) => waker.wake(),
+                (Event::Deliver(packet), World::Simulated(sim)) => {
+                    sim.deliver(&self.timers, packet);
                 }
-            };
-            match due {
-                Due::Wake(waker) => waker.wake(),
-                Due::Net(event) => crate::sim::happen(self, event),
+                (Event::Deliver(_), World::Real(_)) => {}
             }
         }
+        Ok(())
     }
 
+    /// Waits for socket events until the next timer is due.
     fn turn_real(&self, real: &Real, events: &mut mio::Events) -> io::Result<()> {
         let now = self.now();
-        let next = self.due.borrow().first_key_value().map(|((at, _), _)| *at);
+        let next = self.timers.next_at();
         let wait = next
             .map(|at| Duration::from_nanos(at.saturating_sub(now)))
             .map(|d| d.max(Duration::from_millis(if d.is_zero() { 0 } else { 1 })));
@@ -431,17 +407,19 @@
     pub(crate) fn start(
         &self,
         host: HostId,
-        parent: Option<Id>,
+        parent: Option<RoutineId>,
         future: impl Future<Output = ()> + 'static,
-    ) -> Id {
+    ) -> RoutineId {
         let generation = self.generation.get() + 1;
         self.generation.set(generation);
         let mut slots = self.slots.borrow_mut();
         let entry = slots.vacant_entry();
-        let key = entry.key();
-        let waker = Waker::from(Arc::new(RoutineWaker {
-            key,
+        let id = RoutineId {
+            index: entry.key(),
             generation,
+        };
+        let waker = Waker::from(Arc::new(RoutineWaker {
+            id,
             ready: self.ready.clone(),
         }));
         entry.insert(Slot {
@@ -453,21 +431,21 @@
             children: BTreeSet::new(),
             host,
         });
-        if let Some((parent, parent_generation)) = parent
-            && let Some(parent) = slots.get_mut(parent)
-            && parent.generation == parent_generation
+        if let Some(parent_id) = parent
+            && let Some(parent) = slots.get_mut(parent_id.index)
+            && parent.generation == parent_id.generation
         {
-            parent.children.insert((key, generation));
+            parent.children.insert(id);
         }
-        self.ready.push(key, generation);
-        (key, generation)
+        self.ready.push(id);
+        id
     }
 }
 
 /// A running routine. Dropping the handle lets the routine go on;
 /// [`Routine::cancel`] ends it.
 pub struct Routine {
-    id: Id,
+    id: RoutineId,
 }
 
 impl Routine {
@@ -498,56 +476,3 @@
     }
     Poll::Pending
 }
-
-#[cfg(test)]
-mod tests {
-    use super::*;
-    use crate::{sleep, timeout};
-
-    #[test]
-    fn a_cancelled_routine_takes_what_it_started_with_it() {
-        let count = Rc::new(Cell::new(0));
-        let inner = count.clone();
-        Runtime::new()
-            .unwrap()
-            .block_on(async move {
-                let child = inner.clone();
-                let parent = spawn(async move {
-                    spawn(async move {
-                        loop {
-                            child.set(child.get() + 1);
-                            sleep(0.002).await;
-                        }
-                    });
-                    sleep(60.0).await;
-                });
-                sleep(0.02).await;
-                assert!(inner.get() > 1);
-                parent.cancel();
-                let seen = inner.get();
-                sleep(0.02).await;
-                assert_eq!(inner.get(), seen);
-            })
-            .unwrap();
-    }
-
-    #[test]
-    fn a_timeout_drops_what_ran_too_long() {
-        struct Flag(Rc<Cell<bool>>);
-        impl Drop for Flag {
-            fn drop(&mut self) {
-                self.0.set(true);
-            }
-        }
-        let dropped = Rc::new(Cell::new(false));
-        let flag = Flag(dropped.clone());
-        let result = Runtime::new()
-            .unwrap()
-            .block_on(timeout(0.01, async move {
-                let _flag = flag;
-                sleep(60.0).await;
-            }))
-            .unwrap();
-        assert!(result.is_err() && dropped.get());
-    }
-}
--- a/crates/umbersail-runtime/src/lib.rs
+++ b/crates/umbersail-runtime/src/lib.rs
@@ -1,21 +1,30 @@
-//! A single-threaded executor over `mio`, or over a simulated world.
+//! A single-threaded asynchronous runtime, over `mio` or over a simulated world.
 //!
 //! A routine is a `Future`; it is cancelled by dropping it or through its
-//! [`Routine`] handle. Nothing here knows about scheduling.
+//! [`Routine`] handle. Nothing here knows about cluster scheduling.
+//!
+//! Modules depend on each other in one direction: `clock`, `timers` and
+//! `routine_id` on none; `sim` (state of a simulated world) on those; the
+//! `executor` on `sim`; `net`, `sync`, `time`, `world` and `simulation` on the
+//! executor.
+#![deny(missing_docs)]
 
 mod clock;
 mod executor;
 mod net;
+mod routine_id;
 mod sim;
+mod simulation;
 mod sync;
 mod time;
+mod timers;
+mod world;
 
 pub use clock::{Clock, FakeClock, SystemClock, Time};
 pub use executor::{Routine, Runtime, spawn};
 pub use net::{TcpListener, TcpStream};
-pub use sim::{
-    CutId, CutMode, EPOCH_MS, HostId, HostSpec, NetworkConfig, Simulation, WorldHandle, charge,
-    random, simulated_place,
-};
+pub use sim::{CutId, CutMode, EPOCH_MS, HostId, HostSpec, NetworkConfig, WorkDone};
+pub use simulation::Simulation;
 pub use sync::{Broadcast, Notify};
 pub use time::{Elapsed, Sleep, sleep, timeout};
+pub use world::{WorldHandle, charge, random, simulated_place};
--- a/crates/umbersail-runtime/src/net.rs
+++ b/crates/umbersail-runtime/src/net.rs
@@ -8,8 +8,9 @@
 use mio::{Interest, Token};
 
 use crate::executor::{Inner, Real, Source, World, try_with_current, wait_on, with_current};
+use crate::sim::{ConnectionId, Side, Sim};
 
-/// A socket's place in the event loop, given back on drop.
+/// A socket's registration with the event loop, removed on drop.
 struct Registration {
     key: usize,
 }
@@ -46,79 +47,88 @@
     }
 }
 
-/// One of a real socket and a simulated one.
-enum Socket<R, S: Held> {
+/// A real socket or a simulated one.
+enum Socket<R, S: Release> {
     Real(R, Registration),
     Simulated(OnDrop<S>),
 }
 
-/// What a simulated socket holds, let go of on drop.
-trait Held {
+/// A resource of the simulated network, released on drop.
+trait Release {
     fn release(&self, inner: &Inner);
 }
 
-struct OnDrop<S: Held>(S);
+struct OnDrop<S: Release>(S);
 
-impl<S: Held> Drop for OnDrop<S> {
+impl<S: Release> Drop for OnDrop<S> {
     fn drop(&mut self) {
         try_with_current(|inner| self.0.release(inner));
     }
 }
 
-/// An address that a host listens at.
-struct Bound(SocketAddr);
+/// A bound address.
+struct BoundAddress(SocketAddr);
 
-impl Held for Bound {
+impl Release for BoundAddress {
     fn release(&self, inner: &Inner) {
         if let Some(sim) = inner.simulated() {
-            sim.unbind(inner, self.0);
+            sim.unbind(&inner.timers, self.0);
         }
     }
 }
 
-/// One end of a connection.
+/// An open end of a connection.
 struct OpenEnd {
-    conn: u64,
-    side: usize,
+    connection: ConnectionId,
+    side: Side,
 }
 
-impl Held for OpenEnd {
+impl Release for OpenEnd {
     fn release(&self, inner: &Inner) {
         if let Some(sim) = inner.simulated() {
-            sim.close(inner, self.conn, self.side);
+            sim.close(&inner.timers, self.connection, self.side);
         }
     }
 }
 
 /// Uses the simulated world; a simulated socket is never seen outside of one.
-fn in_world<R>(f: impl FnOnce(&Inner, &crate::sim::Sim) -> R) -> R {
+fn in_world<R>(f: impl FnOnce(&Inner, &Sim) -> R) -> R {
     with_current(|inner| match &inner.world {
         World::Simulated(sim) => f(inner, sim),
         World::Real(_) => unreachable!("a simulated socket in the real world"),
     })
 }
 
+/// A listening TCP socket.
 pub struct TcpListener {
-    socket: Socket<mio::net::TcpListener, Bound>,
+    socket: Socket<mio::net::TcpListener, BoundAddress>,
 }
 
 impl TcpListener {
+    /// Binds a socket and listens; port 0 selects a free port.
+    ///
+    /// # Errors
+    /// If the address can't be bound.
     pub fn bind(addr: SocketAddr) -> io::Result<TcpListener> {
         with_current(|inner| {
             let socket = match &inner.world {
                 World::Real(real) => {
                     let mut io = mio::net::TcpListener::bind(addr)?;
-                    let place = Registration::new(inner, real, &mut io, Interest::READABLE)?;
-                    Socket::Real(io, place)
+                    let registration = Registration::new(inner, real, &mut io, Interest::READABLE)?;
+                    Socket::Real(io, registration)
                 }
                 World::Simulated(sim) => {
-                    Socket::Simulated(OnDrop(Bound(sim.bind(inner.host(), addr)?)))
+                    Socket::Simulated(OnDrop(BoundAddress(sim.bind(inner.host(), addr)?)))
                 }
             };
             Ok(TcpListener { socket })
         })
     }
 
+    /// The address it is bound to.
+    ///
+    /// # Errors
+    /// If the operating system can't tell.
     pub fn local_addr(&self) -> io::Result<SocketAddr> {
         match &self.socket {
             Socket::Real(io, _) => io.local_addr(),
@@ -126,21 +136,25 @@
         }
     }
 
+    /// Waits for the next connection.
+    ///
+    /// # Errors
+    /// As for the operating system's call, such as when sockets run out.
     pub async fn accept(&self) -> io::Result<TcpStream> {
-        let (io, place) = match &self.socket {
-            Socket::Real(io, place) => (io, place),
+        let (io, registration) = match &self.socket {
+            Socket::Real(io, registration) => (io, registration),
             Socket::Simulated(bound) => {
                 let accepted = poll_fn(|cx| {
                     in_world(|_, sim| sim.accept(bound.0.0, cx.waker()))
                         .map_or(Poll::Pending, Poll::Ready)
                 });
-                return Ok(TcpStream::simulated(accepted.await?, 1));
+                return Ok(TcpStream::simulated(accepted.await?, Side::Server));
             }
         };
         let stream = poll_fn(|cx| match io.accept() {
             Ok((stream, _)) => Poll::Ready(Ok(stream)),
             Err(e) if e.kind() == io::ErrorKind::WouldBlock => {
-                let _ = place.wait_readable(cx);
+                let _ = registration.wait_readable(cx);
                 Poll::Pending
             }
             Err(e) => Poll::Ready(Err(e)),
@@ -150,14 +164,15 @@
     }
 }
 
+/// A TCP connection.
 pub struct TcpStream {
     socket: Socket<mio::net::TcpStream, OpenEnd>,
 }
 
 impl TcpStream {
-    fn simulated(conn: u64, side: usize) -> TcpStream {
+    fn simulated(connection: ConnectionId, side: Side) -> TcpStream {
         TcpStream {
-            socket: Socket::Simulated(OnDrop(OpenEnd { conn, side })),
+            socket: Socket::Simulated(OnDrop(OpenEnd { connection, side })),
         }
     }
 
@@ -167,27 +182,31 @@
                 unreachable!("a real socket in a simulated world")
             };
             let interest = Interest::READABLE | Interest::WRITABLE;
-            let place = Registration::new(inner, real, &mut io, interest)?;
+            let registration = Registration::new(inner, real, &mut io, interest)?;
             let _ = io.set_nodelay(true);
             Ok(TcpStream {
-                socket: Socket::Real(io, place),
+                socket: Socket::Real(io, registration),
             })
         })
     }
 
+    /// Opens a connection.
+    ///
+    /// # Errors
+    /// If it is refused or the address can't be reached.
     pub async fn connect(addr: SocketAddr) -> io::Result<TcpStream> {
         if with_current(|inner| inner.simulated().is_some()) {
-            let conn = in_world(|inner, sim| sim.connect(inner, addr))?;
-            let stream = TcpStream::simulated(conn, 0);
+            let connection = in_world(|inner, sim| sim.connect(&inner.timers, inner.host(), addr))?;
+            let stream = TcpStream::simulated(connection, Side::Client);
             poll_fn(|cx| {
-                in_world(|_, sim| sim.connected(conn, cx.waker()))
+                in_world(|_, sim| sim.connected(connection, cx.waker()))
                     .map_or(Poll::Pending, Poll::Ready)
             })
             .await?;
             return Ok(stream);
         }
         let stream = TcpStream::from_mio(mio::net::TcpStream::connect(addr)?)?;
-        if let Socket::Real(io, place) = &stream.socket {
+        if let Socket::Real(io, registration) = &stream.socket {
             poll_fn(|cx| {
                 if let Some(e) = io.take_error()? {
                     return Poll::Ready(Err(e));
@@ -195,7 +214,7 @@
                 match io.peer_addr() {
                     Ok(_) => Poll::Ready(Ok(())),
                     Err(e) if e.kind() == io::ErrorKind::NotConnected => {
-                        place.wait_writable(cx).map(Ok)
+                        registration.wait_writable(cx).map(Ok)
                     }
                     Err(e) => Poll::Ready(Err(e)),
                 }
@@ -205,16 +224,20 @@
         Ok(stream)
     }
 
+    /// Reads what has arrived; 0 at the end of the stream.
+    ///
+    /// # Errors
+    /// If the connection was reset.
     pub async fn read(&mut self, buf: &mut [u8]) -> io::Result<usize> {
         match &mut self.socket {
-            Socket::Real(io, place) => {
+            Socket::Real(io, registration) => {
                 poll_fn(|cx| {
                     loop {
                         match io.read(buf) {
                             Ok(n) => return Poll::Ready(Ok(n)),
                             Err(e) if e.kind() == io::ErrorKind::Interrupted => {}
                             Err(e) if e.kind() == io::ErrorKind::WouldBlock => {
-                                return place.wait_readable(cx).map(|()| Ok(0));
+                                return registration.wait_readable(cx).map(|()| Ok(0));
                             }
                             Err(e) => return Poll::Ready(Err(e)),
                         }
@@ -224,7 +247,7 @@
             }
             Socket::Simulated(OnDrop(end)) => {
                 poll_fn(|cx| {
-                    in_world(|_, sim| sim.read(end.conn, end.side, buf, Some(cx.waker())))
+                    in_world(|_, sim| sim.read(end.connection, end.side, buf, Some(cx.waker())))
                         .map_or(Poll::Pending, Poll::Ready)
                 })
                 .await
@@ -240,16 +263,22 @@
                 matches!(io.read(&mut [0u8; 1]), Err(e) if e.kind() == io::ErrorKind::WouldBlock)
             }
             Socket::Simulated(OnDrop(end)) => {
-                in_world(|_, sim| sim.read(end.conn, end.side, &mut [0u8; 1], None)).is_none()
+                in_world(|_, sim| sim.read(end.connection, end.side, &mut [0u8; 1], None)).is_none()
             }
         }
     }
 
+    /// Writes all bytes.
+    ///
+    /// # Errors
+    /// If the connection was reset or closed.
     pub async fn write_all(&mut self, mut buf: &[u8]) -> io::Result<()> {
-        let (io, place) = match &mut self.socket {
-            Socket::Real(io, place) => (io, place),
+        let (io, registration) = match &mut self.socket {
+            Socket::Real(io, registration) => (io, registration),
             Socket::Simulated(OnDrop(end)) => {
-                return in_world(|inner, sim| sim.write(inner, end.conn, end.side, buf));
+                return in_world(|inner, sim| {
+                    sim.write(&inner.timers, end.connection, end.side, buf)
+                });
             }
         };
         while !buf.is_empty() {
@@ -260,7 +289,7 @@
                         Ok(n) => return Poll::Ready(Ok(n)),
                         Err(e) if e.kind() == io::ErrorKind::Interrupted => {}
                         Err(e) if e.kind() == io::ErrorKind::WouldBlock => {
-                            return place.wait_writable(cx).map(|()| Ok(0));
+                            return registration.wait_writable(cx).map(|()| Ok(0));
                         }
                         Err(e) => return Poll::Ready(Err(e)),
                     }
--- /dev/null
+++ b/crates/umbersail-runtime/src/sim/connection.rs
@@ -0,0 +1,142 @@
+//! State of simulated connections and listeners.
+
+use std::collections::VecDeque;
+use std::net::SocketAddr;
+use std::task::Waker;
+
+use super::HostId;
+use crate::timers::Nanos;
+
+/// Identifies a connection.
+pub(crate) type ConnectionId = u64;
+
+/// One of the two ends of a connection.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub(crate) enum Side {
+    /// The end that opened the connection.
+    Client,
+    /// The end that accepted it.
+    Server,
+}
+
+impl Side {
+    pub fn peer(self) -> Side {
+        match self {
+            Side::Client => Side::Server,
+            Side::Server => Side::Client,
+        }
+    }
+}
+
+/// One end of a connection.
+pub(crate) struct End {
+    pub host: HostId,
+    /// Whether a socket holds it.
+    pub open: bool,
+    pub received: VecDeque<u8>,
+    /// The peer has closed its end.
+    pub finished: bool,
+    pub reset: bool,
+    pub reader: Option<Waker>,
+    /// Arrival time of the last packet sent to it: packets stay in order.
+    pub last_arrival: Nanos,
+}
+
+impl End {
+    fn new(host: HostId, open: bool) -> End {
+        End {
+            host,
+            open,
+            received: VecDeque::new(),
+            finished: false,
+            reset: false,
+            reader: None,
+            last_arrival: 0,
+        }
+    }
+
+    pub fn wake(&mut self) {
+        if let Some(waker) = self.reader.take() {
+            waker.wake();
+        }
+    }
+
+    pub fn reset(&mut self) {
+        self.reset = true;
+        self.wake();
+    }
+}
+
+/// The outcome of an attempt to connect.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub(crate) enum Handshake {
+    Pending,
+    Established,
+    Refused,
+}
+
+/// A connection, from the attempt to open it until both ends are closed.
+pub(crate) struct Connection {
+    client: End,
+    server: End,
+    /// The address that the client connects to.
+    pub target: SocketAddr,
+    pub handshake: Handshake,
+}
+
+impl Connection {
+    /// An attempt to connect; no socket holds the server's end before it is accepted.
+    pub fn new(client: HostId, server: HostId, target: SocketAddr) -> Connection {
+        Connection {
+            client: End::new(client, true),
+            server: End::new(server, false),
+            target,
+            handshake: Handshake::Pending,
+        }
+    }
+
+    pub fn end(&self, side: Side) -> &End {
+        match side {
+            Side::Client => &self.client,
+            Side::Server => &self.server,
+        }
+    }
+
+    pub fn end_mut(&mut self, side: Side) -> &mut End {
+        match side {
+            Side::Client => &mut self.client,
+            Side::Server => &mut self.server,
+        }
+    }
+
+    /// Hosts of the client and the server.
+    pub fn hosts(&self) -> (HostId, HostId) {
+        (self.client.host, self.server.host)
+    }
+
+    pub fn is_closed(&self) -> bool {
+        !self.client.open && !self.server.open
+    }
+
+    pub fn reset(&mut self) {
+        self.client.reset();
+        self.server.reset();
+    }
+}
+
+/// A bound address with the connections that wait to be accepted.
+pub(crate) struct Listener {
+    pub host: HostId,
+    pub backlog: VecDeque<ConnectionId>,
+    pub waker: Option<Waker>,
+}
+
+impl Listener {
+    pub fn new(host: HostId) -> Listener {
+        Listener {
+            host,
+            backlog: VecDeque::new(),
+            waker: None,
+        }
+    }
+}
--- /dev/null
+++ b/crates/umbersail-runtime/src/sim/delivery.rs
@@ -0,0 +1,172 @@
+//! Packets: sending and delivery.
+
+use super::connection::{ConnectionId, Handshake, Side};
+use super::{Network, PacketTimers, Sim};
+use crate::timers::{Event, nanos};
+
+/// Connections that wait to be accepted, as in a kernel's backlog.
+const BACKLOG: usize = 128;
+
+/// Seconds until a request to connect to a host without power is sent again.
+const SYN_RETRY_S: f64 = 1.0;
+
+/// A packet of a connection.
+pub(crate) struct Packet {
+    pub connection: ConnectionId,
+    /// The end that receives it.
+    pub to: Side,
+    pub payload: Payload,
+}
+
+/// Contents of a packet.
+pub(crate) enum Payload {
+    /// Asks for a connection.
+    Syn,
+    /// Accepts or refuses a connection.
+    SynAck { accepted: bool },
+    /// Bytes of the stream.
+    Data(Vec<u8>),
+    /// The sender has closed its end.
+    Fin,
+    /// The receiver of earlier data had no open end.
+    Reset,
+}
+
+impl Sim {
+    /// Sends a packet, in order with those sent to the same end before.
+    pub(super) fn send(&self, timers: &PacketTimers, network: &mut Network, packet: Packet) {
+        let Some(connection) = network.connections.get(&packet.connection) else {
+            return;
+        };
+        let Some(packet) = network.hold_back(connection.hosts(), packet) else {
+            return;
+        };
+        let Some(connection) = network.connections.get_mut(&packet.connection) else {
+            return;
+        };
+        let end = connection.end_mut(packet.to);
+        let arrival = (self.now() + self.draw_travel_time()).max(end.last_arrival);
+        end.last_arrival = arrival;
+        self.count_packet();
+        timers.schedule(arrival, Event::Deliver(packet));
+    }
+
+    /// A packet arrives.
+    pub(crate) fn deliver(&self, timers: &PacketTimers, packet: Packet) {
+        let mut network = self.network.borrow_mut();
+        let Packet {
+            connection,
+            to,
+            payload,
+        } = packet;
+        match payload {
+            Payload::Syn => self.deliver_syn(timers, &mut network, connection),
+            Payload::SynAck { accepted } => deliver_syn_ack(&mut network, connection, accepted),
+            Payload::Data(bytes) => self.deliver_data(timers, &mut network, connection, to, bytes),
+            Payload::Fin => {
+                if let Some(connection) = network.connections.get_mut(&connection) {
+                    let end = connection.end_mut(to);
+                    end.finished = true;
+                    end.wake();
+                }
+            }
+            Payload::Reset => {
+                if let Some(connection) = network.connections.get_mut(&connection) {
+                    connection.end_mut(to).reset();
+                }
+            }
+        }
+    }
+
+    fn deliver_syn(&self, timers: &PacketTimers, network: &mut Network, id: ConnectionId) {
+        let Some(connection) = network.connections.get(&id) else {
+            return;
+        };
+        // The client has given up: the connection is not established later.
+        if !connection.end(Side::Client).open {
+            network.remove_if_closed(id);
+            return;
+        }
+        let hosts = connection.hosts();
+        let (_, server) = hosts;
+        let target = connection.target;
+        if !self.host(server).powered {
+            // Sent again, as a kernel does, while the client waits.
+            let retry = Packet {
+                connection: id,
+                to: Side::Server,
+                payload: Payload::Syn,
+            };
+            timers.schedule(self.now() + nanos(SYN_RETRY_S), Event::Deliver(retry));
+            return;
+        }
+        let refused = !self.host(server).has_free_socket() || network.is_refused_by_cut(hosts);
+        let accepted = !refused && network.enqueue_connection(target, id);
+        if accepted && let Some(connection) = network.connections.get_mut(&id) {
+            connection.end_mut(Side::Server).open = true;
+        }
+        let reply = Packet {
+            connection: id,
+            to: Side::Client,
+            payload: Payload::SynAck { accepted },
+        };
+        self.send(timers, network, reply);
+    }
+
+    fn deliver_data(
+        &self,
+        timers: &PacketTimers,
+        network: &mut Network,
+        id: ConnectionId,
+        to: Side,
+        bytes: Vec<u8>,
+    ) {
+        let Some(connection) = network.connections.get_mut(&id) else {
+            return;
+        };
+        let peer_is_open = connection.end(to.peer()).open;
+        let end = connection.end_mut(to);
+        if !self.host(end.host).powered {
+            return;
+        }
+        if end.open {
+            end.received.extend(bytes);
+            end.wake();
+        } else if peer_is_open {
+            let reset = Packet {
+                connection: id,
+                to: to.peer(),
+                payload: Payload::Reset,
+            };
+            self.send(timers, network, reset);
+        }
+    }
+}
+
+impl Network {
+    /// Queues a connection at the listener of its target, if there is room.
+    fn enqueue_connection(&mut self, target: std::net::SocketAddr, id: ConnectionId) -> bool {
+        let Some(listener) = self.listeners.get_mut(&target) else {
+            return false;
+        };
+        if listener.backlog.len() >= BACKLOG {
+            return false;
+        }
+        listener.backlog.push_back(id);
+        if let Some(waker) = listener.waker.take() {
+            waker.wake();
+        }
+        true
+    }
+}
+
+fn deliver_syn_ack(network: &mut Network, id: ConnectionId, accepted: bool) {
+    let Some(connection) = network.connections.get_mut(&id) else {
+        return;
+    };
+    connection.handshake = match accepted {
+        true => Handshake::Established,
+        false => Handshake::Refused,
+    };
+    connection.end_mut(Side::Client).wake();
+}
--- /dev/null
+++ b/crates/umbersail-runtime/src/sim/host.rs
@@ -0,0 +1,168 @@
+//! Simulated hosts: power, processor time and clocks.
+
+use std::cell::RefMut;
+use std::net::Ipv4Addr;
+
+use rand_chacha::ChaCha8Rng;
+
+use super::Sim;
+use crate::routine_id::RoutineId;
+use crate::timers::{Nanos, nanos};
+
+/// A host of a simulated world.
+#[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
+pub struct HostId(pub(crate) u32);
+
+impl HostId {
+    /// The controller of the simulation; it has no address on the network.
+    pub const OUTSIDE: HostId = HostId(0);
+}
+
+/// Properties of a host to be added.
+#[derive(Debug, Clone)]
+pub struct HostSpec {
+    /// Name, for log lines; it also seeds the host's random numbers.
+    pub name: String,
+    /// Address on the simulated network.
+    pub ip: Ipv4Addr,
+    /// Rate of its steady clock relative to true time.
+    pub clock_rate: f64,
+    /// Offset of its time of day in milliseconds.
+    pub skew_ms: f64,
+    /// Connections that it may have open at once.
+    pub max_sockets: usize,
+    /// Processor time per step of a routine, in seconds of a whole core; 0 is free.
+    pub step_s: f64,
+    /// Share of a core that it has.
+    pub core: f64,
+}
+
+impl HostSpec {
+    /// A host with exact clocks, unlimited sockets and a free processor.
+    pub fn new(name: impl Into<String>, ip: Ipv4Addr) -> HostSpec {
+        HostSpec {
+            name: name.into(),
+            ip,
+            clock_rate: 1.0,
+            skew_ms: 0.0,
+            max_sockets: usize::MAX,
+            step_s: 0.0,
+            core: 1.0,
+        }
+    }
+}
+
+/// State of a simulated host.
+pub(crate) struct Host {
+    pub spec: HostSpec,
+    /// Without power it neither replies nor refuses.
+    pub powered: bool,
+    pub frozen: bool,
+    /// Routines that became ready during a freeze.
+    pub parked: Vec<RoutineId>,
+    pub busy_until: Nanos,
+    /// Factor by which it computes more slowly than specified.
+    pub slowdown: f64,
+    /// Processor time used so far, in seconds of a whole core.
+    pub used_s: f64,
+    /// When its current process started.
+    pub started_at: Nanos,
+    pub root: Option<RoutineId>,
+    pub rng: ChaCha8Rng,
+    pub sockets: usize,
+    /// How often a process was started there.
+    pub starts: u64,
+}
+
+impl Host {
+    pub fn new(spec: HostSpec, rng: ChaCha8Rng, now: Nanos) -> Host {
+        Host {
+            spec,
+            powered: true,
+            frozen: false,
+            parked: Vec::new(),
+            busy_until: 0,
+            slowdown: 1.0,
+            used_s: 0.0,
+            started_at: now,
+            root: None,
+            rng,
+            sockets: 0,
+            starts: 0,
+        }
+    }
+
+    /// Charges processor time, after what was charged before.
+    pub fn charge(&mut self, core_s: f64) {
+        let duration_s = core_s * self.slowdown;
+        self.used_s += duration_s;
+        self.busy_until += nanos(duration_s / self.spec.core);
+    }
+
+    pub fn has_free_socket(&self) -> bool {
+        self.sockets < self.spec.max_sockets
+    }
+}
+
+/// Whether a routine may run its next step.
+pub(crate) enum StepAdmission {
+    Run,
+    /// The host is frozen; the routine is resumed when it thaws.
+    Parked,
+    /// The processor is busy until then.
+    Delayed(Nanos),
+}
+
+impl Sim {
+    pub(crate) fn host(&self, id: HostId) -> RefMut<'_, Host> {
+        RefMut::map(self.hosts.borrow_mut(), |hosts| &mut hosts[id.0 as usize])
+    }
+
+    /// Adds a host with power and nothing running.
+    pub(crate) fn add_host(&self, spec: HostSpec) -> HostId {
+        let mut hosts = self.hosts.borrow_mut();
+        let id = HostId(hosts.len() as u32);
+        self.network.borrow_mut().hosts_by_ip.insert(spec.ip, id);
+        let rng = self.host_rng(&spec.name, 0);
+        hosts.push(Host::new(spec, rng, self.now()));
+        id
+    }
+
+    /// Resets the host for the start of a process.
+    pub(crate) fn reset_for_start(&self, id: HostId) {
+        let mut host = self.host(id);
+        host.starts += 1;
+        host.started_at = self.now();
+        host.busy_until = 0;
+        host.powered = true;
+        let rng = self.host_rng(&host.spec.name, host.starts);
+        host.rng = rng;
+    }
+
+    pub(crate) fn clock_rate(&self, id: HostId) -> f64 {
+        self.host(id).spec.clock_rate
+    }
+
+    /// Charges a step of the routine to its host if it may run now.
+    pub(crate) fn admit_step(&self, host: HostId, routine: RoutineId) -> StepAdmission {
+        let now = self.now();
+        let mut host = self.host(host);
+        if host.frozen {
+            host.parked.push(routine);
+            return StepAdmission::Parked;
+        }
+        if host.busy_until > now {
+            return StepAdmission::Delayed(host.busy_until);
+        }
+        host.busy_until = now;
+        let step_s = host.spec.step_s;
+        host.charge(step_s);
+        self.count_step();
+        StepAdmission::Run
+    }
+
+    /// Processor time used by all hosts, in seconds of a whole core.
+    pub(crate) fn total_used_s(&self) -> f64 {
+        self.hosts.borrow().iter().map(|host| host.used_s).sum()
+    }
+}
--- /dev/null
+++ b/crates/umbersail-runtime/src/simulation.rs
@@ -0,0 +1,73 @@
+//! A runtime whose world is simulated.
+
+use std::future::Future;
+use std::io;
+use std::net::Ipv4Addr;
+
+use crate::executor::{Runtime, World};
+use crate::sim::{HostSpec, NetworkConfig, Sim};
+use crate::world::WorldHandle;
+
+/// A runtime whose world is simulated.
+///
+/// A host is one process on a machine of its own. What runs there uses
+/// [`sleep`](crate::sleep), [`TcpStream`](crate::TcpStream) and
+/// [`random`](crate::random) as in the real world and can't tell the difference.
+///
+/// ```
+/// use umbersail_runtime::{HostSpec, NetworkConfig, Simulation, sleep};
+///
+/// let simulation = Simulation::new(7, NetworkConfig::default());
+/// let world = simulation.world();
+/// let host = world.add_host(HostSpec::new("a", [10, 0, 0, 1].into()));
+/// let end = simulation
+///     .block_on(async move {
+///         world.start(host, async { sleep(3600.0).await });
+///         sleep(7200.0).await;
+///         world.now()
+///     })
+///     .unwrap();
+/// assert!((end - 7200.0).abs() < 1e-6);
+/// ```
+pub struct Simulation {
+    runtime: Runtime,
+}
+
+impl Simulation {
+    /// A world without hosts, in which `seed` decides all random numbers.
+    pub fn new(seed: u64, config: NetworkConfig) -> Simulation {
+        let sim = Sim::new(seed, config);
+        let simulation = Simulation {
+            runtime: Runtime::of(World::Simulated(Box::new(sim))),
+        };
+        let outside = HostSpec::new("outside", Ipv4Addr::UNSPECIFIED);
+        simulation.world().add_host(outside);
+        simulation
+    }
+
+    /// The world, to add hosts and inject faults.
+    pub fn world(&self) -> WorldHandle {
+        self.runtime.world()
+    }
+
+    /// Runs `main` outside of every host, to its end.
+    ///
+    /// # Errors
+    /// If `main` and all others wait and no event is scheduled.
+    pub fn block_on<T: 'static>(&self, main: impl Future<Output = T> + 'static) -> io::Result<T> {
+        self.runtime.block_on(main)
+    }
+
+    /// The same, and calls `watch` about once per thousand events: it runs
+    /// outside of the world and can't change what happens there.
+    ///
+    /// # Errors
+    /// As `block_on`.
+    pub fn run_watched<T: 'static>(
+        &self,
+        main: impl Future<Output = T> + 'static,
+        watch: impl FnMut(),
+    ) -> io::Result<T> {
+        self.runtime.block_on_watched(main, watch)
+    }
+}
--- a/crates/umbersail-runtime/src/sync.rs
+++ b/crates/umbersail-runtime/src/sync.rs
@@ -1,9 +1,13 @@
+//! Notifications between routines.
+
 use std::cell::{Cell, RefCell};
 use std::future::poll_fn;
 use std::rc::Rc;
 use std::task::{Poll, Waker};
 
-/// Wakes all routines that wait at the moment; nothing is kept for later ones.
+use crate::executor::wait_on;
+
+/// Wakes all routines that currently wait; a later one waits for the next signal.
 #[derive(Clone, Default)]
 pub struct Broadcast {
     inner: Rc<BroadcastInner>,
@@ -16,6 +20,7 @@
 }
 
 impl Broadcast {
+    /// Wakes all that wait.
     pub fn raise(&self) {
         self.inner.serial.set(self.inner.serial.get() + 1);
         for waker in self.inner.wakers.take() {
@@ -23,7 +28,7 @@
         }
     }
 
-    /// Waits for the next time it is raised.
+    /// Waits for the next signal.
     pub async fn raised(&self) {
         let seen = self.inner.serial.get();
         poll_fn(|cx| {
@@ -37,7 +42,7 @@
     }
 }
 
-/// Wakes one waiting routine; a notice given while nobody waits is kept.
+/// Wakes one waiting routine; a notification without a waiter is kept for the next.
 #[derive(Clone, Default)]
 pub struct Notify {
     inner: Rc<NotifyInner>,
@@ -50,6 +55,7 @@
 }
 
 impl Notify {
+    /// Notifies the waiting routine.
     pub fn notify(&self) {
         self.inner.pending.set(true);
         if let Some(waker) = self.inner.waker.borrow_mut().take() {
@@ -57,12 +63,13 @@
         }
     }
 
+    /// Waits for a notification.
     pub async fn notified(&self) {
         poll_fn(|cx| {
             if self.inner.pending.replace(false) {
                 Poll::Ready(())
             } else {
-                crate::executor::wait_on(&mut self.inner.waker.borrow_mut(), cx)
+                wait_on(&mut self.inner.waker.borrow_mut(), cx)
             }
         })
         .await
--- a/crates/umbersail-runtime/src/time.rs
+++ b/crates/umbersail-runtime/src/time.rs
@@ -1,4 +1,4 @@
-//! Waiting, by the clock of the world that runs.
+//! Waiting, by the clock of the current world.
 
 use std::future::Future;
 use std::pin::{Pin, pin};
@@ -6,18 +6,19 @@
 
 use futures::future::{Either, select};
 
-use crate::executor::{Due, Nanos, try_with_current, with_current};
+use crate::executor::{try_with_current, with_current};
+use crate::timers::{Event, Nanos, TimerKey};
 
-/// Ends at its time; dropping it takes it off the timers.
+/// A pending timer; dropping it cancels it.
 pub struct Sleep {
     at: Nanos,
-    key: Option<(Nanos, u64)>,
+    key: Option<TimerKey>,
 }
 
 /// Waits for `seconds` of steady time.
 pub fn sleep(seconds: f64) -> Sleep {
     with_current(|inner| Sleep {
-        at: inner.now() + inner.span(seconds),
+        at: inner.now() + inner.duration(seconds),
         key: None,
     })
 }
@@ -26,16 +27,16 @@
     type Output = ();
 
     fn poll(mut self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<()> {
-        let waits = with_current(|inner| match self.key {
-            Some(key) => inner.is_put_off(key, cx),
+        let is_pending = with_current(|inner| match self.key {
+            Some(key) => inner.timers.is_pending(key, cx),
             None if self.at <= inner.now() => false,
             None => {
                 let waker = cx.waker().clone();
-                self.key = Some(inner.put_off(self.at, Due::Wake(waker)));
+                self.key = Some(inner.timers.schedule(self.at, Event::Wake(waker)));
                 true
             }
         });
-        if waits {
+        if is_pending {
             return Poll::Pending;
         }
         self.key = None;
@@ -46,16 +47,19 @@
 impl Drop for Sleep {
     fn drop(&mut self) {
         if let Some(key) = self.key {
-            try_with_current(|inner| inner.take_back(key));
+            try_with_current(|inner| inner.timers.cancel(key));
         }
     }
 }
 
-/// The time ran out before the future was ready.
+/// The timeout elapsed before the future was ready.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Elapsed;
 
 /// Runs `future` for at most `seconds`, then drops it.
+///
+/// # Errors
+/// If the timeout elapsed first.
 pub async fn timeout<T>(seconds: f64, future: impl Future<Output = T>) -> Result<T, Elapsed> {
     match select(pin!(future), pin!(sleep(seconds))).await {
         Either::Left((value, _)) => Ok(value),
