--- /dev/null
+++ b/crates/umbersail-standby/tests/model/degraded_mode.rs
@@ -0,0 +1,136 @@
+//! Steps of degraded mode: agreement to unrecorded starts.
+
+use crate::fault::InjectedFault;
+use crate::memory::AGREED;
+use crate::state::{AgreementRequest, DegradedMode, LateWrite, Leader, NODE_COUNT, World};
+use crate::steps::Transition;
+
+impl World {
+    /// The leader waits for no more replies to its requests.
+    pub fn abandon_requests(&mut self, token: u8, fault: InjectedFault) {
+        if fault == InjectedFault::StaleAgreementCounts {
+            return;
+        }
+        let stray_requests = self.stray_requests;
+        (self.requests).retain(|r| r.token != token || (stray_requests && !r.agreed));
+        for request in self.requests.iter_mut().filter(|r| r.token == token) {
+            request.awaited = false;
+        }
+        self.requests.sort_unstable();
+        self.requests.dedup();
+    }
+
+    /// A request for agreement arrives at a peer, which may agree.
+    pub fn handle_request(&self, i: usize, index: usize, fault: InjectedFault) -> Option<World> {
+        let token = self.requests[index].token;
+        let newest = match fault {
+            InjectedFault::AgreementWithReplacedLeader => token,
+            _ => self.nodes[i].newest,
+        };
+        let out = !self.state_up;
+        let mut next = self.clone();
+        let memory = &mut next.nodes[i].memory;
+        if fault == InjectedFault::AgreementWithoutRead {
+            memory.update(|m| m.read(token.into()));
+        }
+        if !memory.update(|m| m.agrees(AGREED, token.into(), newest.into(), out)) {
+            return None;
+        }
+        if let Some(greeting_reply) = next
+            .greeting_reply
+            .as_mut()
+            .filter(|w| usize::from(w.to) == i)
+        {
+            greeting_reply.stale = true;
+        }
+        if self.requests[index].awaited {
+            next.requests[index].agreed = true;
+        } else {
+            next.requests.remove(index);
+        }
+        next.requests.sort_unstable();
+        next.requests.dedup();
+        Some(next)
+    }
+
+    /// A leader requests agreement, receives replies, gives up, enters and leaves
+    /// degraded mode.
+    pub fn degraded_mode_steps(
+        &self,
+        i: usize,
+        leader: Leader,
+        fault: InjectedFault,
+        out: &mut Vec<Transition>,
+    ) {
+        let set = |degraded_mode: DegradedMode| {
+            self.with(|w| {
+                w.nodes[i]
+                    .leader
+                    .as_mut()
+                    .expect("the node leads")
+                    .degraded_mode = degraded_mode
+            })
+        };
+        let is_recorded = leader
+            .at
+            .is_none_or(|(m, told)| !told || leader.recorded & (1 << m) != 0);
+        let peers = (0..NODE_COUNT).filter(|j| *j != i);
+        let peers: Vec<usize> = match fault {
+            InjectedFault::OnePeerNotAsked => peers.take(1).collect(),
+            _ => peers.collect(),
+        };
+        match leader.degraded_mode {
+            DegradedMode::Off if !self.state_up && !leader.past_deadline => {
+                out.push(self.with(|w| {
+                    let l = w.nodes[i].leader.as_mut().expect("the node leads");
+                    l.degraded_mode = DegradedMode::Requesting(0);
+                    w.requests.extend(peers.iter().map(|peer| AgreementRequest {
+                        token: leader.token,
+                        peer: *peer as u8,
+                        awaited: true,
+                        agreed: false,
+                    }));
+                    w.requests.sort_unstable();
+                    w.requests.dedup();
+                }))
+            }
+            DegradedMode::Requesting(answered) => {
+                out.push(self.with(|w| {
+                    w.abandon_requests(leader.token, fault);
+                    let l = w.nodes[i].leader.as_mut().expect("the node leads");
+                    l.degraded_mode = DegradedMode::Off;
+                }));
+                let here = |r: &AgreementRequest| r.token == leader.token && r.agreed && r.awaited;
+                for (index, request) in self.requests.iter().enumerate().filter(|(_, r)| here(r)) {
+                    let answered = answered | (1 << request.peer);
+                    out.push(self.with(|w| {
+                        w.requests.remove(index);
+                        let l = w.nodes[i].leader.as_mut().expect("the node leads");
+                        l.degraded_mode = if peers.iter().all(|p| answered & (1 << p) != 0) {
+                            DegradedMode::Active
+                        } else {
+                            DegradedMode::Requesting(answered)
+                        };
+                    }));
+                }
+            }
+            DegradedMode::Active => out.push(set(DegradedMode::Draining)),
+            DegradedMode::Draining
+                if is_recorded || fault == InjectedFault::RecordedClaimedTooEarly =>
+            {
+                out.push(set(DegradedMode::Off));
+            }
+            _ => {}
+        }
+        // The reply to a liveness probe, which is not applied before the next probe.
+        let shut = leader.degraded_mode == DegradedMode::Off;
+        if shut && self.state_up && self.late_writes > 0 && self.late_write.is_none() {
+            out.push(self.with(|w| {
+                w.late_writes -= 1;
+                w.late_write = Some(LateWrite::LivenessReply {
+                    token: leader.token,
+                });
+            }));
+        }
+    }
+}
--- /dev/null
+++ b/crates/umbersail-standby/tests/model/election.rs
@@ -0,0 +1,196 @@
+//! Steps of a node: restarts, reads, elections and greetings.
+
+use crate::fault::InjectedFault;
+use crate::memory::{AFTER, BEFORE};
+use crate::state::{
+    ALL_MACHINES, DegradedMode, GreetingReply, LateWrite, Leader, MACHINE_COUNT, NODE_COUNT, Node,
+    World,
+};
+use crate::steps::Transition;
+
+impl World {
+    /// An election is applied, whether its node learns of it or not.
+    pub fn elected(&mut self, by: u8, open: bool) {
+        self.key += 1;
+        self.elected_nodes[self.key as usize] = by;
+        self.former_leaders_stopped = false;
+        self.recovery_pending |= open;
+    }
+
+    pub fn node_steps(&self, i: usize, fault: InjectedFault, out: &mut Vec<Transition>) {
+        let node = &self.nodes[i];
+        if self.process_ends > 0 && *node != Node::default() {
+            out.push(self.with(|w| {
+                if let Some(leader) = node.leader {
+                    w.abandon_requests(leader.token, fault);
+                }
+                w.greeting_reply = w
+                    .greeting_reply
+                    .filter(|greeting_reply| greeting_reply.to != i as u8);
+                w.nodes[i] = Node::default();
+                w.process_ends -= 1;
+            }));
+        }
+        if self.state_up && (self.key > node.newest || node.first == 0) {
+            out.push(self.with(|w| {
+                w.nodes[i].newest = w.key;
+                let key = u64::from(w.key);
+                w.nodes[i].memory.update(|m| m.read(key));
+                if node.first == 0 {
+                    w.nodes[i].first = w.key;
+                }
+            }));
+        }
+        self.greeting_steps(i, fault, out);
+        let follows = node.leader.is_none();
+        for (index, request) in self.requests.iter().enumerate() {
+            let asked = usize::from(request.peer) == i && !request.agreed;
+            if asked && (follows || fault == InjectedFault::AgreementWithReplacedLeader) {
+                out.extend(self.handle_request(i, index, fault).map(Ok));
+            }
+        }
+        if !follows {
+            return;
+        }
+        if self.state_up && self.elections > 0 {
+            let key = u64::from(self.key);
+            let in_time = matches!(
+                fault,
+                InjectedFault::LateElectionIgnored | InjectedFault::PeerReplyCountsAsRead
+            ) && node.first > 0
+                && node.first < self.key;
+            let trusted = match node.memory.fingerprint {
+                _ if !node.memory.real.may_be_open(key) => true,
+                (token, ..) if token != self.key && in_time => true,
+                (_, 0, _) => fault == InjectedFault::TrustWithoutMemory,
+                (_, 2, _) => fault == InjectedFault::AgreementForgotten,
+                _ => false,
+            };
+            let open = self.recovery_pending || (self.key > 0 && !trusted);
+            let noted = open && fault != InjectedFault::RecoveryNotInherited;
+            if self.late_elections > 0 && self.late_write.is_none() {
+                out.push(self.with(|w| {
+                    w.late_elections -= 1;
+                    w.late_write = Some(LateWrite::Election {
+                        by: i as u8,
+                        former: self.key,
+                        open: noted,
+                    });
+                }));
+            }
+            out.push(self.with(|w| {
+                w.elections -= 1;
+                w.recovery_pending &= fault != InjectedFault::RecoveryNotInherited;
+                w.elected(i as u8, noted);
+                w.nodes[i].newest = w.key;
+                w.nodes[i].leader = Some(Leader {
+                    token: w.key,
+                    degraded_mode: DegradedMode::Off,
+                    possible_orphans: if open { ALL_MACHINES } else { w.record },
+                    fenced: 0,
+                    at: None,
+                    recorded: w.record,
+                    recovery_pending: open,
+                    past_deadline: false,
+                    silent_leases: [0; MACHINE_COUNT as usize],
+                    newer_report: 0,
+                });
+            }));
+        }
+    }
+
+    /// Replies of other nodes to greetings, at once or delayed.
+    pub fn greeting_steps(&self, i: usize, fault: InjectedFault, out: &mut Vec<Transition>) {
+        let node = &self.nodes[i];
+        for j in (0..NODE_COUNT).filter(|j| *j != i) {
+            let other = &self.nodes[j];
+            let leader = other.leader.filter(|l| l.token >= other.newest);
+            let newest = other.newest.max(node.newest);
+            if node.leader.is_some() {
+                if newest > node.newest {
+                    out.push(self.with(|w| w.nodes[i].newest = newest));
+                }
+                continue;
+            }
+            let shut = leader.filter(|l| match l.degraded_mode {
+                DegradedMode::Off => true,
+                DegradedMode::Requesting(_) => fault == InjectedFault::RequestingReportedAsOff,
+                _ => false,
+            });
+            let recorded = match (leader, other.leader) {
+                (Some(_), _) => shut.map(|l| l.token),
+                (None, None) => other.memory.real.recorded().map(|token| token as u8),
+                (None, Some(_)) => None,
+            };
+            out.push(self.with(|w| {
+                w.nodes[i].newest = newest;
+                if node.first == 0
+                    && fault == InjectedFault::PeerReplyCountsAsRead
+                    && let Some(leader) = leader
+                {
+                    w.nodes[i].first = leader.token - 1;
+                    let before = u64::from(leader.token) - 1;
+                    w.nodes[i].memory.update(|m| m.read(before));
+                }
+                if let Some(token) = recorded {
+                    w.receive_recorded_claim(i, token, leader.is_some(), false, fault);
+                }
+            }));
+            if let Some(token) = recorded
+                && self.delayed_replies > 0
+                && self.greeting_reply.is_none()
+            {
+                out.push(self.with(|w| {
+                    w.delayed_replies -= 1;
+                    w.greeting_reply = Some(GreetingReply {
+                        to: i as u8,
+                        token,
+                        from_leader: leader.is_some(),
+                        stale: false,
+                    });
+                }));
+            }
+        }
+        if let Some(greeting_reply) = self
+            .greeting_reply
+            .filter(|greeting_reply| usize::from(greeting_reply.to) == i)
+        {
+            out.push(self.with(|w| {
+                w.greeting_reply = None;
+                if node.leader.is_none() {
+                    w.receive_recorded_claim(
+                        i,
+                        greeting_reply.token,
+                        greeting_reply.from_leader,
+                        greeting_reply.stale,
+                        fault,
+                    );
+                }
+            }));
+        }
+    }
+
+    /// A node learns the claim that the leader with this token has recorded all.
+    pub fn receive_recorded_claim(
+        &mut self,
+        i: usize,
+        token: u8,
+        from_leader: bool,
+        stale: bool,
+        fault: InjectedFault,
+    ) {
+        let node = &self.nodes[i];
+        let former_self =
+            node.newest == token && usize::from(self.elected_nodes[token as usize]) == i;
+        let stale = stale && fault != InjectedFault::StaleReplyCounts;
+        let asked = if stale { BEFORE } else { AFTER };
+        self.nodes[i].memory.update(|memory| {
+            if from_leader || fault == InjectedFault::PeerRecordedClaimTrusted {
+                memory.told(asked, token.into(), false);
+            } else {
+                let any = fault == InjectedFault::PeerClaimOfLiveLeaderTrusted;
+                memory.told_by_peer(token.into(), former_self || any);
+            }
+        });
+    }
+}
--- /dev/null
+++ b/crates/umbersail-standby/tests/model/late_writes.rs
@@ -0,0 +1,49 @@
+//! Late writes: those without a reply, which are applied after newer ones.
+
+use crate::fault::InjectedFault;
+use crate::memory::AFTER;
+use crate::state::{LateWrite, World};
+use crate::steps::Transition;
+
+impl World {
+    /// A late write is applied if its conditions hold by then.
+    pub fn late_steps(&self, fault: InjectedFault, out: &mut Vec<Transition>) {
+        let Some(late_write) = self.late_write.filter(|_| self.state_up) else {
+            return;
+        };
+        out.push(self.with(|w| {
+            w.late_write = None;
+            match late_write {
+                LateWrite::Election { by, former, open } => {
+                    if former == self.key {
+                        w.elected(by, open);
+                    }
+                }
+                LateWrite::Progress {
+                    token,
+                    record,
+                    valid,
+                } => {
+                    let ours = token == self.key;
+                    let version = valid || fault == InjectedFault::UnconditionalProgressWrite;
+                    if ours && version {
+                        w.record = record;
+                    }
+                }
+                LateWrite::RecoveryDone { token } => {
+                    if token == self.key {
+                        w.recovery_pending = false;
+                    }
+                }
+                LateWrite::LivenessReply { token } => {
+                    if token == self.key && fault == InjectedFault::StaleLivenessReplyCounts {
+                        let following = w.nodes.iter_mut().filter(|n| n.leader.is_none());
+                        following.for_each(|n| {
+                            n.memory.update(|m| m.told(AFTER, token.into(), false));
+                        });
+                    }
+                }
+            }
+        }));
+    }
+}
--- /dev/null
+++ b/crates/umbersail-standby/tests/model/search.rs
@@ -0,0 +1,26 @@
+//! Breadth-first search of states.
+
+use std::collections::{HashSet, VecDeque};
+use std::hash::{BuildHasher, RandomState};
+
+use crate::fault::InjectedFault;
+use crate::state::World;
+
+/// Searches breadth-first. States are remembered by their hash alone.
+pub fn search(fault: InjectedFault, first: World, max_worlds: usize) -> (usize, bool) {
+    let hasher = RandomState::new();
+    let mut seen = HashSet::from([hasher.hash_one(&first)]);
+    let mut queue = VecDeque::from([first]);
+    while let Some(world) = queue.pop_front() {
+        for next in world.successors(fault) {
+            let Ok(next) = next else {
+                return (seen.len(), true);
+            };
+            let next = next.canonical();
+            if seen.len() < max_worlds && seen.insert(hasher.hash_one(&next)) {
+                queue.push_back(next);
+            }
+        }
+    }
+    (seen.len(), false)
+}
--- /dev/null
+++ b/crates/umbersail-standby/tests/model/searches.rs
@@ -0,0 +1,230 @@
+//! The searches: no step order runs the task twice, and each injected fault is found.
+
+use crate::fault::InjectedFault;
+use crate::search::search;
+use crate::state::{Limits, NO_EVENTS, World};
+
+fn initial_world(limits: Limits) -> World {
+    if limits.recovery_pending {
+        World::with_recovery_pending(limits)
+    } else {
+        World::with_leader(limits)
+    }
+}
+
+/// Limits on elections and ends of processes alone.
+fn elections_and_ends(elections: u8, process_ends: u8) -> Limits {
+    Limits {
+        elections,
+        process_ends,
+        ..NO_EVENTS
+    }
+}
+
+#[test]
+fn no_order_of_steps_starts_the_task_twice() {
+    // Conditions for a start may hold one by one and not together. Searches without
+    // a limit on worlds are complete.
+    let all = usize::MAX;
+    let silence = |limits| Limits {
+        leases: 3,
+        duplicate_reports: 1,
+        ..limits
+    };
+    let searches = [
+        (elections_and_ends(1, 0), all, 70_000),
+        (elections_and_ends(1, 1), 800_000, 800_000),
+        (elections_and_ends(2, 1), 300_000, 300_000),
+        // Isolated leaders, silence and duplicates, and immediate restarts.
+        (silence(elections_and_ends(1, 0)), 200_000, 200_000),
+        (silence(elections_and_ends(2, 1)), 200_000, 200_000),
+        // Delayed replies to greetings, and delayed requests.
+        (
+            Limits {
+                delayed_replies: 1,
+                ..elections_and_ends(1, 1)
+            },
+            300_000,
+            300_000,
+        ),
+        (
+            Limits {
+                stray_requests: true,
+                ..elections_and_ends(1, 0)
+            },
+            300_000,
+            200_000,
+        ),
+        (
+            Limits {
+                recovery_pending: true,
+                ..elections_and_ends(1, 1)
+            },
+            300_000,
+            20_000,
+        ),
+        (
+            Limits {
+                recovery_pending: true,
+                late_writes: 1,
+                ..elections_and_ends(1, 1)
+            },
+            300_000,
+            300_000,
+        ),
+        // Late writes.
+        (
+            Limits {
+                late_elections: 1,
+                ..elections_and_ends(1, 0)
+            },
+            all,
+            600_000,
+        ),
+        (
+            Limits {
+                late_elections: 1,
+                ..elections_and_ends(1, 1)
+            },
+            300_000,
+            300_000,
+        ),
+        (
+            Limits {
+                late_writes: 1,
+                ..elections_and_ends(1, 0)
+            },
+            all,
+            600_000,
+        ),
+        (
+            Limits {
+                late_writes: 1,
+                delayed_replies: 1,
+                ..elections_and_ends(2, 1)
+            },
+            300_000,
+            300_000,
+        ),
+    ];
+    std::thread::scope(|scope| {
+        for (limits, max_worlds, min_worlds) in searches {
+            scope.spawn(move || {
+                let started = std::time::Instant::now();
+                let (seen, ran_twice) =
+                    search(InjectedFault::None, initial_world(limits), max_worlds);
+                println!("{limits:?}: {seen} worlds in {:.1?}", started.elapsed());
+                assert!(!ran_twice, "{limits:?}: after {seen} worlds");
+                assert!(seen >= min_worlds, "{limits:?}: {seen} worlds only");
+            });
+        }
+    });
+}
+
+#[test]
+fn each_injected_fault_is_found() {
+    // Proves that the search can fail. Each fault has no more elections and process
+    // ends than it needs.
+    let late_write = Limits {
+        late_writes: 1,
+        ..elections_and_ends(1, 0)
+    };
+    let fault = [
+        (InjectedFault::AgreementForgotten, elections_and_ends(1, 0)),
+        (InjectedFault::TrustWithoutMemory, elections_and_ends(1, 1)),
+        (InjectedFault::OnePeerNotAsked, elections_and_ends(1, 0)),
+        (
+            InjectedFault::AgreementWithReplacedLeader,
+            elections_and_ends(1, 0),
+        ),
+        (
+            InjectedFault::RecoveryEndsBeforeRecord,
+            Limits {
+                recovery_pending: true,
+                ..elections_and_ends(1, 0)
+            },
+        ),
+        (
+            InjectedFault::RecoveryNotInherited,
+            elections_and_ends(2, 0),
+        ),
+        (InjectedFault::AnyReportFences, elections_and_ends(1, 0)),
+        (InjectedFault::LaunchBeforeRecord, elections_and_ends(1, 0)),
+        (
+            InjectedFault::RecordedClaimedTooEarly,
+            elections_and_ends(1, 0),
+        ),
+        (
+            InjectedFault::PeerReplyCountsAsRead,
+            elections_and_ends(1, 1),
+        ),
+        (
+            InjectedFault::LeaderServesAfterDeadline,
+            Limits {
+                leases: 2,
+                ..elections_and_ends(1, 0)
+            },
+        ),
+        (
+            InjectedFault::LeaseExpiryByOwnReplies,
+            Limits {
+                leases: 2,
+                ..elections_and_ends(1, 0)
+            },
+        ),
+        (
+            InjectedFault::DuplicateReportsCount,
+            Limits {
+                duplicate_reports: 1,
+                ..NO_EVENTS
+            },
+        ),
+        (
+            InjectedFault::PeerRecordedClaimTrusted,
+            elections_and_ends(1, 0),
+        ),
+        (
+            InjectedFault::PeerClaimOfLiveLeaderTrusted,
+            elections_and_ends(1, 1),
+        ),
+        (
+            InjectedFault::AgreementWithoutRead,
+            elections_and_ends(1, 1),
+        ),
+        (
+            InjectedFault::StaleReplyCounts,
+            Limits {
+                delayed_replies: 1,
+                ..elections_and_ends(1, 0)
+            },
+        ),
+        (
+            InjectedFault::RequestingReportedAsOff,
+            elections_and_ends(1, 0),
+        ),
+        (
+            InjectedFault::StaleAgreementCounts,
+            elections_and_ends(1, 0),
+        ),
+        (InjectedFault::StaleLivenessReplyCounts, late_write),
+        (InjectedFault::LateWriteIgnored, late_write),
+        (InjectedFault::UnconditionalProgressWrite, late_write),
+        (
+            InjectedFault::LateElectionIgnored,
+            Limits {
+                late_elections: 1,
+                ..elections_and_ends(1, 0)
+            },
+        ),
+    ];
+    std::thread::scope(|scope| {
+        for (fault, limits) in fault {
+            scope.spawn(move || {
+                let started = std::time::Instant::now();
+                let (seen, ran_twice) = search(fault, initial_world(limits), 2_000_000);
+                println!("{fault:?}: {seen} worlds in {:.1?}", started.elapsed());
+                assert!(ran_twice, "{fault:?} is not found in {seen} worlds");
+            });
+        }
+    });
+}
--- /dev/null
+++ b/crates/umbersail-standby/tests/model/state.rs
@@ -0,0 +1,245 @@
+//! The state of the modelled system, and the states at which searches start.
+
+use crate::memory::{AFTER, AGREED, Memory};
+
+pub const NODE_COUNT: usize = 3;
+pub const MACHINE_COUNT: u8 = 2;
+pub const ALL_MACHINES: u8 = 0b11;
+
+/// Tokens are smaller than this in every search.
+pub const TOKEN_LIMIT: u8 = 6;
+
+#[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
+pub enum DegradedMode {
+    Off,
+    /// Agreement is requested; these peers have agreed.
+    Requesting(u8),
+    Active,
+    Draining,
+}
+
+/// A request for agreement to unrecorded starts.
+#[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
+pub struct AgreementRequest {
+    pub token: u8,
+    pub peer: u8,
+    /// The leader still waits for the reply.
+    pub awaited: bool,
+    /// The peer has agreed; its reply is in flight.
+    pub agreed: bool,
+}
+
+/// A reply to a greeting in flight: all starts are recorded.
+#[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
+pub struct GreetingReply {
+    pub to: u8,
+    pub token: u8,
+    pub from_leader: bool,
+    /// The receiver has agreed to unrecorded starts since it asked.
+    pub stale: bool,
+}
+
+/// A write without a reply, which may still be applied.
+#[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
+pub enum LateWrite {
+    Election {
+        by: u8,
+        former: u8,
+        open: bool,
+    },
+    /// `valid` until another write replaces the record.
+    Progress {
+        token: u8,
+        record: u8,
+        valid: bool,
+    },
+    RecoveryDone {
+        token: u8,
+    },
+    /// The reply to an earlier liveness probe: all starts are recorded.
+    LivenessReply {
+        token: u8,
+    },
+}
+
+/// How often events happen at most in a search.
+#[derive(Debug, Clone, Copy, Default)]
+pub struct Limits {
+    pub elections: u8,
+    pub process_ends: u8,
+    pub leases: u8,
+    pub duplicate_reports: u8,
+    /// Delayed replies to greetings.
+    pub delayed_replies: u8,
+    /// Late writes: elections, and others of the leader.
+    pub late_elections: u8,
+    pub late_writes: u8,
+    /// Requests for agreement may arrive after the leader has abandoned them.
+    pub stray_requests: bool,
+    /// The search starts after a leader that made an unrecorded start and ended.
+    pub recovery_pending: bool,
+}
+
+pub const NO_EVENTS: Limits = Limits {
+    elections: 0,
+    process_ends: 0,
+    leases: 0,
+    duplicate_reports: 0,
+    delayed_replies: 0,
+    late_elections: 0,
+    late_writes: 0,
+    stray_requests: false,
+    recovery_pending: false,
+};
+
+#[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
+pub struct Leader {
+    pub token: u8,
+    pub degraded_mode: DegradedMode,
+    /// Machines that may run the task without its knowledge.
+    pub possible_orphans: u8,
+    /// Machines that have shown its token.
+    pub fenced: u8,
+    /// Where it believes the task to be, and whether the launch was sent.
+    pub at: Option<(u8, bool)>,
+    /// Machines that the record names, as far as it knows.
+    pub recorded: u8,
+    pub recovery_pending: bool,
+    /// Its deadline has passed: it replies to no worker and starts nothing.
+    pub past_deadline: bool,
+    /// Leases for which each machine was silent, two at most, counted from when no
+    /// earlier leader may reply any more.
+    pub silent_leases: [u8; MACHINE_COUNT as usize],
+    /// Machines of which it has a newer report than the delayed one.
+    pub newer_report: u8,
+}
+
+#[derive(Debug, Clone, PartialEq, Eq, Hash, Default)]
+pub struct Node {
+    pub newest: u8,
+    pub memory: Memory,
+    /// The first token that its process read at the state service.
+    pub first: u8,
+    pub leader: Option<Leader>,
+}
+
+#[derive(Debug, Clone, PartialEq, Eq, Hash)]
+pub struct World {
+    pub state_up: bool,
+    /// Token of the newest leader.
+    pub key: u8,
+    pub record: u8,
+    pub recovery_pending: bool,
+    pub nodes: [Node; NODE_COUNT],
+    /// The highest token that each machine has seen, and whether the task runs there.
+    pub machines: [(u8, bool); MACHINE_COUNT as usize],
+    /// Machines that had a reply since the last full lease.
+    pub answered: u8,
+    /// Full leases that may still pass, and whether the deadline of all leaders
+    /// before the newest has passed.
+    pub leases: u8,
+    pub former_leaders_stopped: bool,
+    /// Launches in flight: machine, token, and whether a lease has passed since.
+    pub launches: Vec<(u8, u8, bool)>,
+    /// A duplicate of a report that may arrive at any time: machine, token and task.
+    pub delayed_report: Option<(u8, u8, bool)>,
+    pub duplicate_reports: u8,
+    pub elections: u8,
+    pub process_ends: u8,
+    pub outages: u8,
+    /// The node elected with each token.
+    pub elected_nodes: [u8; TOKEN_LIMIT as usize],
+    /// Requests to peers, and their replies in flight.
+    pub requests: Vec<AgreementRequest>,
+    pub greeting_reply: Option<GreetingReply>,
+    pub delayed_replies: u8,
+    pub late_write: Option<LateWrite>,
+    pub late_elections: u8,
+    pub late_writes: u8,
+    pub stray_requests: bool,
+}
+
+impl World {
+    /// One node leads, its peers know that all is recorded, and the machines show
+    /// its token.
+    pub fn with_leader(limits: Limits) -> World {
+        let leader = Leader {
+            token: 1,
+            degraded_mode: DegradedMode::Off,
+            possible_orphans: 0,
+            fenced: ALL_MACHINES,
+            at: None,
+            recorded: 0,
+            recovery_pending: false,
+            past_deadline: false,
+            silent_leases: [0; MACHINE_COUNT as usize],
+            newer_report: 0,
+        };
+        let mut memory = Memory::default();
+        memory.update(|m| m.read(1));
+        let leader = Node {
+            newest: 1,
+            memory: memory.clone(),
+            first: 1,
+            leader: Some(leader),
+        };
+        memory.update(|m| m.told(AFTER, 1, false));
+        let follower = Node {
+            newest: 1,
+            memory,
+            first: 1,
+            leader: None,
+        };
+        World {
+            state_up: true,
+            key: 1,
+            record: 0,
+            recovery_pending: false,
+            nodes: [leader, follower.clone(), follower],
+            machines: [(1, false); MACHINE_COUNT as usize],
+            answered: ALL_MACHINES,
+            leases: limits.leases,
+            former_leaders_stopped: true,
+            launches: Vec::new(),
+            delayed_report: None,
+            duplicate_reports: limits.duplicate_reports,
+            elections: limits.elections,
+            process_ends: limits.process_ends,
+            outages: 1,
+            elected_nodes: [0; TOKEN_LIMIT as usize],
+            requests: Vec::new(),
+            greeting_reply: None,
+            delayed_replies: limits.delayed_replies,
+            late_write: None,
+            late_elections: limits.late_elections,
+            late_writes: limits.late_writes,
+            stray_requests: limits.stray_requests,
+        }
+    }
+
+    /// A leader made an unrecorded start with its peers' agreement and ended; one of
+    /// them has been elected.
+    pub fn with_recovery_pending(limits: Limits) -> World {
+        let mut world = World::with_leader(limits);
+        world.nodes[1]
+            .memory
+            .update(|m| m.agrees(AGREED, 1, 1, true));
+        let agreed = world.nodes[1].clone();
+        let leader = Leader {
+            token: 2,
+            possible_orphans: ALL_MACHINES,
+            fenced: 0,
+            recovery_pending: true,
+            ..world.nodes[0].leader.expect("the node leads")
+        };
+        world.nodes[0] = Node {
+            newest: 2,
+            leader: Some(leader),
+            ..agreed.clone()
+        };
+        world.nodes[2] = Node::default();
+        world.machines[0].1 = true;
+        (world.key, world.recovery_pending, world.outages) = (2, true, 0);
+        world
+    }
+}
