--- a/crates/umbersail-calendar/src/entry.rs
+++ b/crates/umbersail-calendar/src/entry.rs
@@ -7,33 +7,37 @@
 
 use crate::when::{After, Openings, UnixMs, span};
 
-/// What the keys of all entries begin with.
+/// Prefix of the keys of all entries.
 pub const PREFIX: &str = "calendar.";
 
-/// Bounds of what a file may hold, so that tables and records stay small.
-const MOST_ENTRIES: usize = 256;
-const MOST_STEPS: usize = 16;
-const MOST_CLASSES: usize = 16;
-const MOST_NAME: usize = 60;
-const MOST_COUNT: u32 = 100_000;
+// Limits on a file, so that tables and records stay small.
+const MAX_ENTRIES: usize = 256;
+const MAX_STEPS: usize = 16;
+const MAX_CLASSES: usize = 16;
+const MAX_NAME_BYTES: usize = 60;
+const MAX_COUNT: u32 = 100_000;
 
 /// A property that can't be used.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 #[error("key '{key}': {reason}")]
 pub struct EntryError {
+    /// Key of the property.
     pub key: String,
+    /// Why it can't be used.
     pub reason: String,
 }
 
-/// What recurs: steps in order, with the time by which all of them are to end.
+/// An entry: recurring steps in order, and when all of them are due.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Entry {
+    /// Team whose jobs belong to its runs.
     pub team: String,
+    /// When its runs open.
     pub openings: Openings,
     pub(crate) due: After,
     pub(crate) steps: Vec<Step>,
-    /// Tells two versions of the entry apart.
-    pub(crate) print: String,
+    /// Distinguishes versions of the entry.
+    pub(crate) fingerprint: String,
 }
 
 /// Jobs of these classes, and when the step takes no more of them.
@@ -62,6 +66,7 @@
 /// The entries of a file, by name.
 #[derive(Debug, Clone, PartialEq, Default)]
 pub struct Calendar {
+    /// Entries by name.
     pub entries: BTreeMap<String, Entry>,
 }
 
@@ -117,7 +122,7 @@
         let due = After::parse(&due).map_err(|reason| self.error("due", reason))?;
         let mut steps: Vec<Step> = Vec::new();
         let mut seen: BTreeSet<String> = BTreeSet::new();
-        while steps.len() < MOST_STEPS {
+        while steps.len() < MAX_STEPS {
             let prefix = format!("step.{}.", steps.len() + 1);
             if !self.texts.keys().any(|field| field.starts_with(&prefix)) {
                 break;
@@ -136,7 +141,7 @@
         }
         if let Some(field) = self.texts.keys().next() {
             let reason = if field.starts_with("step.") {
-                format!("steps are numbered from 1 to {MOST_STEPS} without a gap")
+                format!("steps are numbered from 1 to {MAX_STEPS} without a gap")
             } else {
                 "is no field of an entry".into()
             };
@@ -147,7 +152,7 @@
             openings,
             due,
             steps,
-            print: format!("{:016x}", xxh3_64(text.as_bytes())),
+            fingerprint: format!("{:016x}", xxh3_64(text.as_bytes())),
         })
     }
 
@@ -155,13 +160,13 @@
         let field = |name: &str| format!("{prefix}{name}");
         let classes = self.need(&field("classes"))?;
         let classes: Vec<String> = classes.split(',').map(|c| c.trim().to_owned()).collect();
-        if classes.len() > MOST_CLASSES || classes.iter().any(String::is_empty) {
-            let reason = format!("must be up to {MOST_CLASSES} classes, with commas between");
+        if classes.len() > MAX_CLASSES || classes.iter().any(String::is_empty) {
+            let reason = format!("must be up to {MAX_CLASSES} classes, with commas between");
             return Err(self.error(&field("classes"), reason));
         }
         let count = self.read(&field("count"), |text| match text.parse::<u32>() {
-            Ok(count) if (1..=MOST_COUNT).contains(&count) => Ok(count),
-            _ => Err(format!("'{text}' must be a number from 1 to {MOST_COUNT}")),
+            Ok(count) if (1..=MAX_COUNT).contains(&count) => Ok(count),
+            _ => Err(format!("'{text}' must be a number from 1 to {MAX_COUNT}")),
         })?;
         let quiet_s = self.read(&field("quiet"), span)?;
         let until = self.read(&field("until"), After::parse)?;
@@ -187,7 +192,10 @@
 
 impl Calendar {
     /// Reads the entries from properties whose keys begin with [`PREFIX`]; others are
-    /// left alone. The error names the first key that can't be used, and why.
+    /// ignored.
+    ///
+    /// # Errors
+    /// The first key that can't be used, and why.
     pub fn parse(pairs: &BTreeMap<String, String>) -> Result<Calendar, EntryError> {
         let mut by_name: BTreeMap<&str, BTreeMap<&str, &str>> = BTreeMap::new();
         for (key, text) in pairs {
@@ -202,13 +210,13 @@
                 .split_once('.')
                 .ok_or_else(|| error("must be calendar.<name>.<field>"))?;
             let good = |c: char| c.is_ascii_lowercase() || c.is_ascii_digit() || c == '-';
-            if name.is_empty() || name.len() > MOST_NAME || !name.chars().all(good) {
+            if name.is_empty() || name.len() > MAX_NAME_BYTES || !name.chars().all(good) {
                 return Err(error(
                     "an entry's name is of small letters, digits and hyphens, 60 at most",
                 ));
             }
             by_name.entry(name).or_default().insert(field, text);
-            if by_name.len() > MOST_ENTRIES {
+            if by_name.len() > MAX_ENTRIES {
                 return Err(error("more than 256 entries"));
             }
         }
@@ -243,7 +251,10 @@
         Ok(())
     }
 
-    /// Entries of teams that the platform does not name take no jobs, ever.
+    /// Checks that all teams are known: entries of others would never take jobs.
+    ///
+    /// # Errors
+    /// Names the key of the first unknown team.
     pub fn check_teams(&self, known: impl Fn(&str) -> bool) -> Result<(), EntryError> {
         let unknown = self.entries.iter().find(|(_, e)| !known(&e.team));
         match unknown {
@@ -255,6 +266,7 @@
         }
     }
 
+    /// Whether there is no entry.
     pub fn is_empty(&self) -> bool {
         self.entries.is_empty()
     }
--- a/crates/umbersail-calendar/src/lib.rs
+++ b/crates/umbersail-calendar/src/lib.rs
@@ -25,14 +25,21 @@
 //! assert_eq!(evening.due(next.unwrap()) - next.unwrap(), (4 * 60 + 30) * 60_000);
 //! ```
 #![forbid(unsafe_code)]
+#![deny(missing_docs)]
 
-mod book;
 mod entry;
+mod event;
 mod record;
 mod run;
+mod settings;
+mod timestamp;
+mod tracker;
 mod when;
 
-pub use book::{Arrival, Book, Bounds, Moment, Note, RunKey, Turn, What, Write};
 pub use entry::{Calendar, Entry, EntryError, PREFIX};
+pub use event::{RunEvent, RunEventKind, RunKey};
 pub use record::{RunRecord, StepRecord};
+pub use settings::Settings;
+pub use timestamp::Timestamp;
+pub use tracker::{AcceptedJob, RecordWrite, RunTracker, TickOutcome};
 pub use when::{After, Openings, UnixMs};
--- a/crates/umbersail-calendar/src/record.rs
+++ b/crates/umbersail-calendar/src/record.rs
@@ -1,61 +1,78 @@
-//! What of a run is recorded, for a successor.
+//! The persisted record of a run, for a successor.
 
 use serde::{Deserialize, Serialize};
 
 use crate::when::UnixMs;
 
-/// A run as its leader records it. It holds its own steps: a controller whose file
-/// has another version of the entry, or none, goes on with these.
+/// Largest number of steps in a valid record.
+const MAX_STEPS: usize = 64;
+
+/// A run as its leader records it.
+///
+/// It contains its own steps: a controller whose file has another version of the
+/// entry, or none, continues with these. Field names are part of the stored format.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct RunRecord {
+    /// Team whose jobs belong to it.
     pub team: String,
+    /// Its opening time.
     pub opening_ms: UnixMs,
+    /// Its due time.
     pub due_ms: UnixMs,
-    /// Of the version of the entry that it was opened by.
+    /// Fingerprint of the version of the entry that opened it.
     pub print: String,
+    /// Its steps in order.
     pub steps: Vec<StepRecord>,
-    /// That it will be late has been said.
+    /// Whether its lateness has been reported.
     #[serde(default)]
     pub told_late: bool,
+    /// When it ended.
     #[serde(default)]
     pub ended_ms: Option<UnixMs>,
 }
 
+/// A step of a run.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize, Default)]
 pub struct StepRecord {
+    /// Classes of the jobs that belong to it.
     pub classes: Vec<String>,
+    /// It closes after this many jobs.
     #[serde(default)]
     pub count: Option<u32>,
+    /// It closes after this many seconds without a new job.
     #[serde(default)]
     pub quiet_s: Option<f64>,
-    /// It takes no jobs from here on in any case.
+    /// It closes at this time in any case.
     pub until_ms: UnixMs,
-    /// When it became the first step that is not finished.
+    /// When it became the first unfinished step.
     #[serde(default)]
     pub began_ms: Option<UnixMs>,
-    /// Jobs that have come, those cut off `unfinished` excepted.
+    /// Jobs that it has taken, except those cut off `unfinished`.
     #[serde(default)]
     pub came: u32,
-    /// Those of them that had not ended, as far as there is room for their names:
-    /// a successor counts a job twice if it does not know that it was counted.
+    /// Names of unfinished jobs among them, up to a limit: a successor must not count
+    /// a job twice.
     #[serde(default)]
     pub unfinished: Vec<String>,
+    /// When it closed.
     #[serde(default)]
     pub closed_ms: Option<UnixMs>,
+    /// When all of its jobs had ended.
     #[serde(default)]
     pub finished_ms: Option<UnixMs>,
-    /// How long it took in runs before, in seconds, and by how much that varied.
+    /// Mean duration in earlier runs, in seconds.
     #[serde(default)]
     pub mean_s: f64,
+    /// Mean deviation of that duration, in seconds.
     #[serde(default)]
     pub range_s: f64,
-    /// Those were seen, not only told by the entry.
+    /// Whether the duration was measured, not only configured.
     #[serde(default)]
     pub learned: bool,
 }
 
 impl RunRecord {
-    /// Why a recorded run can't be gone on with.
+    /// Validates the record; the error is the reason.
     pub(crate) fn check(&self) -> Result<(), &'static str> {
         let spans = |s: &StepRecord| {
             [s.mean_s, s.range_s, s.quiet_s.unwrap_or(0.0)]
@@ -63,7 +80,7 @@
                 .all(|v| v.is_finite() && *v >= 0.0)
         };
         match () {
-            () if self.steps.is_empty() || self.steps.len() > 64 => Err("it has no steps"),
+            () if self.steps.is_empty() || self.steps.len() > MAX_STEPS => Err("it has no steps"),
             () if self.due_ms < self.opening_ms => Err("it is due before it opens"),
             () if !self.steps.iter().all(spans) => Err("a span is no number of seconds"),
             () if self.steps.iter().any(|s| s.classes.is_empty()) => Err("a step has no class"),
--- /dev/null
+++ b/crates/umbersail-calendar/src/run/mod.rs
@@ -0,0 +1,226 @@
+//! One run of a calendar entry: its steps, the jobs in them and its record.
+
+mod deadlines;
+mod progress;
+
+use std::collections::{BTreeMap, BTreeSet};
+use std::rc::Rc;
+
+use crate::Timestamp;
+use crate::entry::Entry;
+use crate::record::{RunRecord, StepRecord};
+use crate::when::UnixMs;
+
+/// State of a step that is not recorded: a successor derives it again.
+#[derive(Debug, Clone, Default)]
+pub(crate) struct StepState {
+    /// Unfinished jobs, with the expected duration of their tasks in seconds.
+    pub members: BTreeMap<Rc<str>, f64>,
+    /// The longest of these durations.
+    pub longest_s: f64,
+    /// Jobs that fail on every machine, and since when on the steady clock.
+    pub failing: BTreeMap<Rc<str>, f64>,
+    /// Jobs that the record counts already.
+    pub counted: BTreeSet<String>,
+    /// When the step began, its last job came or we took over: its quiet time counts
+    /// from here.
+    pub last_activity_s: f64,
+    /// When its jobs should end.
+    pub deadline_ms: Option<UnixMs>,
+}
+
+#[derive(Debug, Clone)]
+pub(crate) struct Run {
+    pub record: RunRecord,
+    pub states: Vec<StepState>,
+    /// Number of leading steps that are recorded as finished.
+    pub recorded_steps: usize,
+    /// The next run of its entry has opened.
+    pub superseded: bool,
+    /// Its due time has passed: it holds back no jobs.
+    pub released: bool,
+    /// Version of its record, and the newest version that is stored.
+    pub version: u64,
+    pub written_version: u64,
+    pub dirty_since: Option<f64>,
+    /// When time alone may change its outlook.
+    pub next_check_ms: UnixMs,
+    pub urgent: bool,
+}
+
+impl Run {
+    /// Opens a run, with the durations learned in the previous one.
+    pub fn open(entry: &Entry, opening: UnixMs, before: Option<&Run>, at: Timestamp) -> Run {
+        let due_ms = entry.due(opening);
+        let steps = entry.steps.iter().enumerate().map(|(index, step)| {
+            let until = step.until.map(|u| entry.openings.after(opening, u));
+            let known = before
+                .and_then(|run| run.record.steps.get(index))
+                .filter(|known| known.learned && known.classes == step.classes);
+            StepRecord {
+                classes: step.classes.clone(),
+                count: step.count,
+                quiet_s: step.quiet_s,
+                until_ms: until.map_or(due_ms, |until| until.min(due_ms)),
+                mean_s: known.map_or(step.takes_s.unwrap_or(0.0), |k| k.mean_s),
+                range_s: known.map_or(0.0, |k| k.range_s),
+                learned: known.is_some(),
+                ..StepRecord::default()
+            }
+        });
+        let record = RunRecord {
+            team: entry.team.clone(),
+            opening_ms: opening,
+            due_ms,
+            print: entry.fingerprint.clone(),
+            steps: steps.collect(),
+            told_late: false,
+            ended_ms: None,
+        };
+        let mut run = Run::with_record(record, at);
+        run.begin_step(0, at);
+        run.mark_changed(at, true);
+        run
+    }
+
+    /// Takes over a run that a predecessor recorded.
+    pub fn inherit(mut record: RunRecord, at: Timestamp) -> Run {
+        let mut counted: Vec<BTreeSet<String>> = Vec::new();
+        for step in &mut record.steps {
+            counted.push(std::mem::take(&mut step.unfinished).into_iter().collect());
+        }
+        let mut run = Run::with_record(record, at);
+        for (state, counted) in run.states.iter_mut().zip(counted) {
+            state.counted = counted;
+        }
+        (run.version, run.written_version) = (1, 1);
+        run.recorded_steps = run.current();
+        run.begin_step(run.recorded_steps, at);
+        run
+    }
+
+    fn with_record(record: RunRecord, at: Timestamp) -> Run {
+        let state = StepState {
+            last_activity_s: at.steady_s,
+            ..StepState::default()
+        };
+        Run {
+            states: vec![state; record.steps.len()],
+            record,
+            recorded_steps: 0,
+            superseded: false,
+            released: false,
+            version: 0,
+            written_version: 0,
+            dirty_since: None,
+            next_check_ms: UnixMs::MAX,
+            urgent: false,
+        }
+    }
+
+    fn begin_step(&mut self, index: usize, at: Timestamp) {
+        if let Some(step) = self.record.steps.get_mut(index) {
+            step.began_ms.get_or_insert(at.unix_ms);
+            self.states[index].last_activity_s = at.steady_s;
+        }
+    }
+
+    /// Notes a change that a successor should know.
+    pub fn mark_changed(&mut self, at: Timestamp, urgent: bool) {
+        self.version += 1;
+        self.dirty_since.get_or_insert(at.steady_s);
+        self.urgent |= urgent;
+    }
+
+    /// Index of the first unfinished step.
+    pub fn current(&self) -> usize {
+        let steps = &self.record.steps;
+        let open = steps.iter().position(|s| s.finished_ms.is_none());
+        open.unwrap_or(steps.len())
+    }
+
+    pub fn is_over(&self) -> bool {
+        self.record.ended_ms.is_some()
+    }
+
+    /// The step that a job of this class, accepted at this time, belongs to.
+    ///
+    /// Clocks of nodes differ: a job that the leader saw before it closed the step may
+    /// bear a later time.
+    pub fn step_of(&self, class: &str, accepted_ms: UnixMs, skew_ms: u64) -> Option<usize> {
+        let steps = &self.record.steps;
+        let of = |s: &StepRecord| s.classes.iter().any(|c| c == class);
+        let index = steps.iter().position(of)?;
+        let step = &steps[index];
+        let last = |at: UnixMs| at.saturating_add(2 * skew_ms);
+        let closed = step.closed_ms.is_some_and(|at| accepted_ms > last(at));
+        (!self.is_over() && step.finished_ms.is_none() && !closed).then_some(index)
+    }
+
+    pub fn job_accepted(&mut self, at: Timestamp, index: usize, id: &Rc<str>, run_s: f64) {
+        let state = &mut self.states[index];
+        let run_s = if run_s.is_finite() { run_s } else { 0.0 };
+        if state.members.insert(id.clone(), run_s).is_some() {
+            return;
+        }
+        state.longest_s = state.longest_s.max(run_s);
+        state.last_activity_s = state.last_activity_s.max(at.steady_s);
+        let step = &mut self.record.steps[index];
+        // A closed step takes no more jobs: this one was counted before.
+        if !state.counted.remove(&**id) && step.closed_ms.is_none() {
+            step.came = step.came.saturating_add(1);
+        }
+        if step.count.is_some() && step.closed_ms.is_none() {
+            self.mark_changed(at, false);
+        }
+    }
+
+    pub fn job_ended(&mut self, at: Timestamp, index: usize, id: &str) {
+        let state = &mut self.states[index];
+        state.failing.remove(id);
+        let Some(run_s) = state.members.remove(id) else {
+            return;
+        };
+        if run_s >= state.longest_s {
+            state.longest_s = state.members.values().copied().fold(0.0, f64::max);
+        }
+        if self.record.steps[index].count.is_some() {
+            self.mark_changed(at, false);
+        }
+    }
+
+    /// Whether jobs of this step wait for an earlier step.
+    pub fn holds(&self, index: usize) -> bool {
+        index > self.recorded_steps && !self.released && !self.is_over()
+    }
+
+    /// The record to be stored, with at most `max_names` names of jobs.
+    pub fn to_record(&self, max_names: usize) -> RunRecord {
+        let mut record = self.record.clone();
+        let mut room = max_names;
+        for (step, state) in record.steps.iter_mut().zip(&self.states) {
+            if step.count.is_none() || step.closed_ms.is_some() {
+                continue;
+            }
+            let named = state.members.keys().take(room);
+            step.unfinished = named.map(|id| id.to_string()).collect();
+            room -= step.unfinished.len();
+            let cut = state.members.len() - step.unfinished.len();
+            step.came = step.came.saturating_sub(cut as u32);
+        }
+        record
+    }
+
+    /// The record of this version has been stored.
+    pub fn mark_written(&mut self, at: Timestamp, version: u64, finished: usize) {
+        self.written_version = self.written_version.max(version);
+        if self.written_version >= self.version {
+            self.dirty_since = None;
+            self.urgent = false;
+        }
+        if finished > self.recorded_steps {
+            self.recorded_steps = finished;
+            self.begin_step(finished, at);
+        }
+    }
+}
--- /dev/null
+++ b/crates/umbersail-calendar/src/run/progress.rs
@@ -0,0 +1,125 @@
+//! Progress of a run: steps close and finish, and the run ends.
+
+use super::Run;
+use crate::event::RunEventKind;
+use crate::timestamp::{millis, seconds_between};
+use crate::{Settings, Timestamp};
+
+/// Weight of the newest duration of a step in the moving averages.
+const SAMPLE_WEIGHT: f64 = 0.3;
+
+impl Run {
+    /// Advances the run. True if jobs were released because the run is due.
+    pub fn tick(
+        &mut self,
+        at: Timestamp,
+        settings: &Settings,
+        events: &mut Vec<RunEventKind>,
+    ) -> bool {
+        if self.is_over() {
+            return false;
+        }
+        let passed = at.unix_ms >= self.record.due_ms;
+        let lets_go = passed && !self.released;
+        if lets_go {
+            self.released = true;
+            let held = self.states[self.recorded_steps.min(self.states.len())..]
+                .iter()
+                .skip(1)
+                .map(|state| state.members.len())
+                .sum();
+            if held > 0 {
+                events.push(RunEventKind::Released { held });
+            }
+        }
+        self.close_steps(at, settings, events);
+        self.finish_step(at, settings, events);
+        let given_up = at.unix_ms
+            >= self
+                .record
+                .due_ms
+                .saturating_add(millis(settings.retention_s));
+        if self.current() == self.record.steps.len() || given_up {
+            self.end(at, events);
+        } else {
+            self.plan_deadlines(at, settings, events);
+        }
+        lets_go
+    }
+
+    pub fn end(&mut self, at: Timestamp, events: &mut Vec<RunEventKind>) {
+        let left = self.states.iter().map(|state| state.members.len()).sum();
+        events.push(RunEventKind::Ended {
+            late_s: at.unix_ms as f64 / 1000.0 - self.record.due_ms as f64 / 1000.0,
+            left,
+        });
+        self.record.ended_ms = Some(at.unix_ms);
+        self.mark_changed(at, true);
+    }
+
+    /// Closes steps that take no more jobs.
+    fn close_steps(&mut self, at: Timestamp, settings: &Settings, events: &mut Vec<RunEventKind>) {
+        let mut closed = Vec::new();
+        for (index, (step, state)) in self.record.steps.iter_mut().zip(&self.states).enumerate() {
+            if step.closed_ms.is_some() {
+                continue;
+            }
+            // Other nodes' clocks may be behind ours, and their jobs not yet seen.
+            let until = step.until_ms.saturating_add(settings.skew_ms);
+            let is_quiet = |quiet_s: f64| {
+                // Before a step can begin, a lack of jobs does not indicate its end.
+                index == self.recorded_steps && at.steady_s - state.last_activity_s >= quiet_s
+            };
+            let why = match () {
+                () if step.count.is_some_and(|count| step.came >= count) => "all have come",
+                () if at.unix_ms >= until => "its closing hour",
+                () if step.quiet_s.is_some_and(is_quiet) => "none came for its quiet time",
+                () if self.superseded => "the next run has opened",
+                () => continue,
+            };
+            step.closed_ms = Some(at.unix_ms);
+            let came = step.came;
+            closed.push(RunEventKind::Closed { index, why, came });
+        }
+        if !closed.is_empty() {
+            self.mark_changed(at, false);
+            events.append(&mut closed);
+        }
+    }
+
+    /// Finishes the current step if all of its jobs have ended. The next step begins
+    /// once that is recorded; otherwise a successor would hold it back again.
+    fn finish_step(&mut self, at: Timestamp, settings: &Settings, events: &mut Vec<RunEventKind>) {
+        let index = self.current();
+        if index != self.recorded_steps || index >= self.record.steps.len() {
+            return;
+        }
+        let state = &self.states[index];
+        let given_up = |since: &f64| at.steady_s - since >= settings.failing_grace_s;
+        let waited_for =
+            state.members.len() > state.failing.len() || !state.failing.values().all(given_up);
+        let step = &mut self.record.steps[index];
+        if step.closed_ms.is_none() || waited_for {
+            return;
+        }
+        step.finished_ms = Some(at.unix_ms);
+        step.unfinished.clear();
+        let took_s = seconds_between(step.began_ms.unwrap_or(at.unix_ms), at.unix_ms);
+        if step.came > 0 {
+            if step.learned {
+                step.range_s += SAMPLE_WEIGHT * ((took_s - step.mean_s).abs() - step.range_s);
+                step.mean_s += SAMPLE_WEIGHT * (took_s - step.mean_s);
+            } else {
+                (step.mean_s, step.range_s) = (took_s, took_s / 4.0);
+                step.learned = true;
+            }
+        }
+        events.push(RunEventKind::Finished {
+            index,
+            took_s,
+            came: step.came,
+            failing: state.members.keys().next().cloned(),
+        });
+        self.mark_changed(at, true);
+    }
+}
--- /dev/null
+++ b/crates/umbersail-calendar/src/tracker/opening.rs
@@ -0,0 +1,130 @@
+//! Opening of runs, and forgetting them.
+
+use std::rc::Rc;
+
+use super::{RunTracker, TickOutcome};
+use crate::Timestamp;
+use crate::entry::Entry;
+use crate::event::{RunEventKind, RunKey};
+use crate::run::Run;
+use crate::timestamp::seconds_between;
+use crate::when::UnixMs;
+
+impl RunTracker {
+    /// Opens the runs whose time has come.
+    pub(super) fn open_runs(&mut self, at: Timestamp, outcome: &mut TickOutcome) {
+        let calendar = self.calendar.clone();
+        if !std::mem::replace(&mut self.started, true) {
+            self.report_changed_entries(outcome);
+        }
+        let ahead = self.ahead_ms(at);
+        for (name, entry) in &calendar.entries {
+            if self.next.get(&**name).is_some_and(|next| ahead < *next) {
+                continue;
+            }
+            let name: Rc<str> = name.as_str().into();
+            let (last, next) = entry.openings.around(ahead);
+            self.next.insert(name.clone(), next.unwrap_or(UnixMs::MAX));
+            if let Some(opening) = last
+                && !self.is_covered(&name, entry, opening)
+            {
+                self.open_run(at, (name, opening), entry, outcome);
+            }
+        }
+    }
+
+    /// Reports inherited runs whose entry has changed or is gone.
+    fn report_changed_entries(&self, outcome: &mut TickOutcome) {
+        for (key, run) in self.runs.iter().filter(|(_, run)| !run.is_over()) {
+            let kind = match self.calendar.entries.get(&*key.0) {
+                None => RunEventKind::Removed,
+                Some(entry) if entry.fingerprint != run.record.print => RunEventKind::Changed,
+                Some(_) => continue,
+            };
+            outcome.report(key, kind);
+        }
+    }
+
+    /// Whether the newest run of the entry covers this opening. With another version of
+    /// the entry, the opening may be that run's, moved a little.
+    fn is_covered(&self, name: &Rc<str>, entry: &Entry, opening: UnixMs) -> bool {
+        self.newest(name).is_some_and(|(_, run)| {
+            let record = &run.record;
+            let is_changed = record.print != entry.fingerprint;
+            opening <= record.opening_ms || (is_changed && opening < record.due_ms)
+        })
+    }
+
+    fn open_run(&mut self, at: Timestamp, key: RunKey, entry: &Entry, outcome: &mut TickOutcome) {
+        let (name, opening) = &key;
+        if at.unix_ms >= entry.due(*opening) {
+            outcome.report(&key, RunEventKind::Missed);
+            return;
+        }
+        let late_s = seconds_between(*opening, at.unix_ms);
+        outcome.report(&key, RunEventKind::Opened { late_s });
+        let previous = self.newest(name).map(|(_, run)| run);
+        let run = Run::open(entry, *opening, previous, at);
+        self.supersede_earlier(at, &key, outcome);
+        self.runs.insert(key, run);
+        outcome.opened = true;
+    }
+
+    /// Marks earlier runs of the entry, and ends the oldest beyond the limit.
+    fn supersede_earlier(&mut self, at: Timestamp, key: &RunKey, outcome: &mut TickOutcome) {
+        let earlier = (key.0.clone(), 0)..key.clone();
+        let mut active = Vec::new();
+        for (key, run) in self.runs.range_mut(earlier).filter(|(_, r)| !r.is_over()) {
+            run.superseded = true;
+            active.push(key.clone());
+        }
+        let kept = self.settings.max_active_runs.max(1) - 1;
+        for key in active.iter().rev().skip(kept) {
+            let Some(run) = self.runs.get_mut(key) else {
+                continue;
+            };
+            let mut events = Vec::new();
+            run.end(at, &mut events);
+            outcome.released = true;
+            for kind in events {
+                outcome.report(key, kind);
+            }
+        }
+    }
+
+    /// Runs open this early: a node whose clock is ahead may already have accepted a
+    /// job for them.
+    pub(super) fn ahead_ms(&self, at: Timestamp) -> UnixMs {
+        at.unix_ms
+            .saturating_add(self.settings.skew_ms + self.settings.tick_ms)
+    }
+
+    fn newest(&self, entry: &Rc<str>) -> Option<(&RunKey, &Run)> {
+        let all = (entry.clone(), 0)..=(entry.clone(), UnixMs::MAX);
+        self.runs.range(all).next_back()
+    }
+
+    /// Forgets ended runs once a later one of their entry is recorded, which prevents
+    /// that they open again; runs without an entry after a while.
+    pub(super) fn forget(&mut self, at: Timestamp) {
+        let mut over: Vec<RunKey> = Vec::new();
+        for (key, run) in &self.runs {
+            let later = (key.0.clone(), key.1 + 1)..=(key.0.clone(), UnixMs::MAX);
+            let follows = (self.runs.range(later)).any(|(_, later)| later.written_version > 0);
+            let keep_ms = (self.settings.retention_s * 1000.0) as u64;
+            let old = !self.calendar.entries.contains_key(&*key.0)
+                && at.unix_ms >= run.record.due_ms.saturating_add(keep_ms);
+            if run.is_over() && run.written_version >= run.version && (follows || old) {
+                over.push(key.clone());
+            }
+        }
+        for key in over {
+            if let Some(run) = self.runs.remove(&key) {
+                for id in run.states.iter().flat_map(|state| state.members.keys()) {
+                    self.members.remove(id);
+                }
+            }
+            self.gone.insert(key);
+        }
+    }
+}
--- /dev/null
+++ b/crates/umbersail-calendar/src/tracker/recording.rs
@@ -0,0 +1,59 @@
+//! Records of runs that are to be stored.
+
+use super::RunTracker;
+use crate::Timestamp;
+use crate::event::RunKey;
+use crate::record::RunRecord;
+
+/// A record that is to be stored or removed.
+#[derive(Debug, Clone, PartialEq)]
+pub struct RecordWrite {
+    /// The run.
+    pub run: RunKey,
+    /// The new record; `None` to remove it.
+    pub record: Option<RunRecord>,
+    /// Jobs wait for it.
+    pub urgent: bool,
+    version: u64,
+}
+
+impl RunTracker {
+    /// Records that are due to be stored, those that jobs wait for first.
+    pub fn due_writes(&self, at: Timestamp) -> Vec<RecordWrite> {
+        let mut writes: Vec<RecordWrite> = Vec::new();
+        for (run, state) in &self.runs {
+            let waited = |since: f64| at.steady_s - since >= self.settings.write_delay_s;
+            if state.urgent || state.dirty_since.is_some_and(waited) {
+                writes.push(RecordWrite {
+                    run: run.clone(),
+                    record: Some(state.to_record(self.settings.max_names)),
+                    urgent: state.urgent,
+                    version: state.version,
+                });
+            }
+        }
+        writes.sort_by_key(|w| !w.urgent);
+        writes.extend(self.gone.iter().map(|run| RecordWrite {
+            run: run.clone(),
+            record: None,
+            urgent: false,
+            version: 0,
+        }));
+        writes
+    }
+
+    /// A write has been applied. Whether jobs that were held back may start.
+    pub fn mark_written(&mut self, at: Timestamp, write: &RecordWrite) -> bool {
+        let Some(record) = &write.record else {
+            self.gone.remove(&write.run);
+            return false;
+        };
+        let Some(run) = self.runs.get_mut(&write.run) else {
+            return false;
+        };
+        let open = record.steps.iter().position(|s| s.finished_ms.is_none());
+        let before = run.recorded_steps;
+        run.mark_written(at, write.version, open.unwrap_or(record.steps.len()));
+        run.recorded_steps > before
+    }
+}
--- a/crates/umbersail-calendar/src/when.rs
+++ b/crates/umbersail-calendar/src/when.rs
@@ -11,9 +11,9 @@
 /// Milliseconds of the time of day since 1970.
 pub type UnixMs = u64;
 
-/// The moment at which clocks in a zone show this. Skipped by them: as if they
-/// stood as before. Shown twice: the first time.
-fn moment_of(zone: Tz, local: NaiveDateTime) -> UnixMs {
+/// The time at which clocks in a zone show `local`. A skipped time counts as if the
+/// clocks had not been moved; of a repeated one the first counts.
+fn unix_time_of(zone: Tz, local: NaiveDateTime) -> UnixMs {
     let found = zone.from_local_datetime(&local).earliest();
     let at = found.map(|at| at.with_timezone(&Utc)).or_else(|| {
         let before = local.checked_sub_days(Days::new(1))?;
@@ -57,14 +57,14 @@
 /// A span such as `2h 30m`, in seconds.
 pub(crate) fn span(text: &str) -> Result<f64, String> {
     match humantime::parse_duration(text) {
-        Ok(span) if (1.0..=MOST_SPAN_S).contains(&span.as_secs_f64()) => Ok(span.as_secs_f64()),
+        Ok(span) if (1.0..=MAX_SPAN_S).contains(&span.as_secs_f64()) => Ok(span.as_secs_f64()),
         Ok(_) => Err(format!("'{text}' must be from 1s to 31days")),
         Err(_) => Err(format!("'{text}' is no span such as 2h 30m")),
     }
 }
 
-/// No run lasts longer: it would hold back jobs for as long.
-const MOST_SPAN_S: f64 = 31.0 * 86400.0;
+/// Longest span in seconds: a run may hold back jobs for as long.
+const MAX_SPAN_S: f64 = 31.0 * 86400.0;
 
 /// When the runs of an entry open.
 #[derive(Debug, Clone, PartialEq)]
@@ -130,11 +130,11 @@
         matches!(rule.get_freq(), Frequency::Hourly | Frequency::Minutely)
     }
 
-    /// The last opening at or before this moment, and the first one after it.
+    /// The last opening at or before this time, and the first one after it.
     pub fn around(&self, at: UnixMs) -> (Option<UnixMs>, Option<UnixMs>) {
         let mut last = None;
         for local in self.starting_near(at) {
-            let opening = moment_of(self.zone, local);
+            let opening = unix_time_of(self.zone, local);
             if opening > at {
                 return (last, Some(opening));
             }
@@ -169,7 +169,7 @@
         }
     }
 
-    /// The moment that follows an opening.
+    /// The time that follows an opening.
     pub fn after(&self, opening: UnixMs, after: After) -> UnixMs {
         match after {
             After::Span(ms) => opening.saturating_add(ms),
@@ -177,12 +177,12 @@
                 let Some(local) = local_of(self.zone, opening) else {
                     return opening;
                 };
-                let today = moment_of(self.zone, local.date().and_time(time));
+                let today = unix_time_of(self.zone, local.date().and_time(time));
                 if today > opening {
                     return today;
                 }
                 let next = local.date().checked_add_days(Days::new(1));
-                next.map_or(opening, |day| moment_of(self.zone, day.and_time(time)))
+                next.map_or(opening, |day| unix_time_of(self.zone, day.and_time(time)))
             }
         }
     }
--- a/crates/umbersail-calendar/tests/runs.rs
+++ b/crates/umbersail-calendar/tests/runs.rs
@@ -4,7 +4,9 @@
 use std::rc::Rc;
 
 use proptest::prelude::*;
-use umbersail_calendar::{Arrival, Book, Bounds, Calendar, Moment, RunKey, RunRecord, UnixMs};
+use umbersail_calendar::{
+    AcceptedJob, Calendar, RunKey, RunRecord, RunTracker, Settings, Timestamp, UnixMs,
+};
 
 const SKEW_MS: u64 = 500;
 
@@ -37,13 +39,13 @@
         .unwrap()
 }
 
-/// A state service with its records and jobs, and the book of the present leader.
+/// A state service with its records and jobs, and the tracker of the present leader.
 struct World {
     file: String,
     records: BTreeMap<RunKey, RunRecord>,
     jobs: BTreeMap<Rc<str>, (&'static str, UnixMs)>,
-    book: Book,
-    at: Moment,
+    tracker: RunTracker,
+    at: Timestamp,
     log: Vec<String>,
 }
 
@@ -53,8 +55,8 @@
             file: FILE.to_owned(),
             records: BTreeMap::new(),
             jobs: BTreeMap::new(),
-            book: Book::new(Rc::default(), BOUNDS),
-            at: Moment {
+            tracker: RunTracker::new(Rc::default(), SETTINGS),
+            at: Timestamp {
                 steady_s: 7.0,
                 unix_ms: start,
             },
@@ -68,54 +70,54 @@
     fn take_over(&mut self) {
         self.at.steady_s += 5000.0;
         let calendar = Calendar::parse(&pairs(&self.file)).unwrap();
-        self.book = Book::new(Rc::new(calendar), BOUNDS);
+        self.tracker = RunTracker::new(Rc::new(calendar), SETTINGS);
         for (key, record) in &self.records {
-            (self.book.inherit(self.at, &key.0, record.clone())).unwrap();
+            (self.tracker.inherit(self.at, &key.0, record.clone())).unwrap();
         }
         self.offer();
-        self.turn();
+        self.tick();
     }
 
     fn offer(&mut self) {
         for (id, (class, accepted_ms)) in &self.jobs {
-            let job = Arrival {
+            let job = AcceptedJob {
                 id,
                 team: "press",
                 class,
                 accepted_ms: *accepted_ms,
                 run_s: 20.0,
             };
-            self.book.came(self.at, job);
+            self.tracker.job_accepted(self.at, job);
         }
     }
 
-    fn turn(&mut self) {
-        let turn = self.book.turn(self.at);
-        for note in turn.notes {
-            self.log.push(note.what.to_string());
+    fn tick(&mut self) {
+        let outcome = self.tracker.tick(self.at);
+        for event in outcome.events {
+            self.log.push(event.kind.to_string());
         }
-        if turn.opened {
+        if outcome.opened {
             self.offer();
-            self.turn();
+            self.tick();
         }
     }
 
     /// Writes what is due, if the state service answers.
     fn write(&mut self) {
-        for write in self.book.writes(self.at) {
+        for write in self.tracker.due_writes(self.at) {
             match &write.record {
                 Some(record) => self.records.insert(write.run.clone(), record.clone()),
                 None => self.records.remove(&write.run),
             };
-            self.book.written(self.at, &write);
+            self.tracker.mark_written(self.at, &write);
         }
-        self.turn();
+        self.tick();
     }
 
     fn pass(&mut self, seconds: f64) {
         self.at.steady_s += seconds;
         self.at.unix_ms += (seconds * 1000.0) as u64;
-        self.turn();
+        self.tick();
     }
 
     fn settle(&mut self, seconds: f64) {
@@ -128,17 +130,17 @@
     fn submit(&mut self, id: &str, class: &'static str) {
         self.jobs.insert(id.into(), (class, self.at.unix_ms));
         self.offer();
-        self.turn();
+        self.tick();
     }
 
     fn end(&mut self, id: &str) {
         self.jobs.remove(id);
-        self.book.ended(self.at, id);
-        self.turn();
+        self.tracker.job_ended(self.at, id);
+        self.tick();
     }
 
     fn held(&self, id: &str) -> bool {
-        self.book.is_held(id)
+        self.tracker.is_held(id)
     }
 
     fn said(&self, text: &str) -> usize {
@@ -146,14 +148,14 @@
     }
 }
 
-const BOUNDS: Bounds = Bounds {
+const SETTINGS: Settings = Settings {
     skew_ms: SKEW_MS,
-    turn_ms: 0,
-    write_s: 1.0,
-    mistaken_s: 60.0,
-    keep_s: 86400.0,
-    runs_most: 3,
-    names_most: 100,
+    tick_ms: 0,
+    write_delay_s: 1.0,
+    failing_grace_s: 60.0,
+    retention_s: 86400.0,
+    max_active_runs: 3,
+    max_names: 100,
 };
 
 #[test]
@@ -356,13 +358,13 @@
         world.submit(id, class);
     }
     world.end("a");
-    world.book.failing(world.at, "b", true);
+    world.tracker.set_failing(world.at, "b", true);
     world.settle(30.0);
     // A try that ran longer clears it, and it is waited for anew.
-    world.book.failing(world.at, "b", false);
+    world.tracker.set_failing(world.at, "b", false);
     world.settle(40.0);
     assert!(world.held("c"));
-    world.book.failing(world.at, "b", true);
+    world.tracker.set_failing(world.at, "b", true);
     world.settle(59.0);
     assert!(world.held("c"));
     world.settle(1.0);
@@ -471,7 +473,7 @@
             .insert(id.into(), ("scan", world.at.unix_ms + 2 * SKEW_MS));
     }
     world.offer();
-    world.turn();
+    world.tick();
     assert_eq!(world.said("all have come"), 1);
     world.settle(1.0);
     world.take_over();
@@ -480,7 +482,7 @@
     assert!(world.held("c"));
     // At its closing hour jobs that clocks behind ours accepted are still of the step.
     world.at.unix_ms = opening() + 1_800_000 + SKEW_MS - 1;
-    world.turn();
+    world.tick();
     assert_eq!(world.said("step 2 takes no more"), 0);
     world.pass(0.001);
     assert_eq!(world.said("step 2 takes no more"), 1);
@@ -493,13 +495,13 @@
     world.submit("b", "scan");
     world.submit("c", "print");
     // Step 2 takes ten minutes, so until 22:50 the run may be in time.
-    let by = |world: &World, id| world.book.by_ms(id).unwrap() - opening();
+    let by = |world: &World, id| world.tracker.deadline_ms(id).unwrap() - opening();
     assert_eq!(by(&world, "a"), 3_000_000 - SKEW_MS);
     assert_eq!(by(&world, "c"), 3_600_000 - SKEW_MS);
     world.settle(2_999.0);
     assert_eq!(world.said("late"), 0);
-    let wakes_in_s = world.book.wakes_in_s(world.at);
-    assert!(wakes_in_s <= 1.0, "{wakes_in_s}");
+    let next_tick_in_s = world.tracker.next_tick_in_s(world.at);
+    assert!(next_tick_in_s <= 1.0, "{next_tick_in_s}");
     world.settle(2.0);
     assert_eq!(world.said("will be late by 1 s: step 1"), 1);
     world.take_over();
@@ -511,7 +513,7 @@
     world.settle(600.0);
     assert!(by(&world, "a") > 3_630_000);
     world.settle(3_600.0);
-    assert_eq!(world.book.by_ms("a"), None);
+    assert_eq!(world.tracker.deadline_ms("a"), None);
 }
 
 #[test]
@@ -523,7 +525,10 @@
         world.submit("c", "print");
         if night == 1 {
             // 100 s with a quarter of range twice.
-            assert_eq!(world.book.by_ms("a"), Some(world.due() - SKEW_MS - 150_000));
+            assert_eq!(
+                world.tracker.deadline_ms("a"),
+                Some(world.due() - SKEW_MS - 150_000)
+            );
         }
         world.end("a");
         world.end("b");
@@ -572,7 +577,7 @@
                     world.submit(id, ["scan", "sort", "print"][index % 3]);
                 }
                 2 => world.end(id),
-                3 => world.book.failing(world.at, id, index % 2 == 0),
+                3 => world.tracker.set_failing(world.at, id, index % 2 == 0),
                 4 => world.take_over(),
                 5 => world.write(),
                 _ => world.pass(seconds),
@@ -583,7 +588,7 @@
                 prop_assert!(!held || !past, "{id} is held after the due time");
                 prop_assert!(!held || !let_go.contains(id), "{id} is held again");
                 // Before it belonged to a run it was not let go, only unknown.
-                if world.jobs.contains_key(*id) && world.book.by_ms(id).is_some() && !held {
+                if world.jobs.contains_key(*id) && world.tracker.deadline_ms(id).is_some() && !held {
                     let_go.insert(id);
                 }
             }
--- a/crates/umbersail-control/src/engine/plans/calendar.rs
+++ b/crates/umbersail-control/src/engine/plans/calendar.rs
@@ -9,7 +9,8 @@
 
 use tracing::{info, warn};
 use umbersail_calendar::{
-    Arrival, Book as Runs, Bounds, Calendar, Moment, Note, RunKey, RunRecord, Write,
+    AcceptedJob, Calendar, RecordWrite, RunEvent, RunKey, RunRecord, RunTracker, Settings,
+    Timestamp,
 };
 use umbersail_wire::JobKind;
 
@@ -24,12 +25,12 @@
 
 /// The calendar of the block.
 pub(in crate::engine) struct Publishing {
-    runs: Runs,
+    runs: RunTracker,
     /// Records as they were put into the book of all plans and do not stand yet.
-    under_way: BTreeMap<RunKey, Write>,
-    /// A job came, ended or failed since the last turn.
+    under_way: BTreeMap<RunKey, RecordWrite>,
+    /// A job came, ended or failed since the last tick.
     stirred: bool,
-    next_turn: Time,
+    next_tick: Time,
     next_look: Time,
     /// Runs that can't be recorded, and that this has been said of.
     unrecorded: BTreeSet<RunKey>,
@@ -47,40 +48,40 @@
             warn!(reason = %e, "calendar left out");
             Calendar::default()
         });
-        let bounds = Bounds {
+        let settings = Settings {
             skew_ms: cfg.skew_ms.max(0.0) as u64,
-            turn_ms: (2000.0 * tuning.tick_s) as u64,
-            write_s: tuning.calendar_write_s,
-            mistaken_s: tuning.calendar_mistaken_s,
-            keep_s: tuning.calendar_keep_s,
-            runs_most: tuning.calendar_runs as usize,
-            names_most: tuning.calendar_names as usize,
+            tick_ms: (2000.0 * tuning.tick_s) as u64,
+            write_delay_s: tuning.calendar_write_s,
+            failing_grace_s: tuning.calendar_mistaken_s,
+            retention_s: tuning.calendar_keep_s,
+            max_active_runs: tuning.calendar_runs as usize,
+            max_names: tuning.calendar_names as usize,
         };
         Publishing {
-            runs: Runs::new(Rc::new(calendar), bounds),
+            runs: RunTracker::new(Rc::new(calendar), settings),
             under_way: BTreeMap::new(),
             stirred: true,
-            next_turn: f64::MIN,
+            next_tick: f64::MIN,
             next_look: f64::MIN,
             unrecorded: BTreeSet::new(),
         }
     }
 }
 
-fn tell(notes: &[Note]) {
-    for note in notes {
-        let (entry, opening) = (&*note.run.0, note.run.1);
-        if note.is_warning() {
-            warn!(entry, opening, "run {}", note.what);
+fn log_events(events: &[RunEvent]) {
+    for event in events {
+        let (entry, opening) = (&*event.run.0, event.run.1);
+        if event.is_warning() {
+            warn!(entry, opening, "run {}", event.kind);
         } else {
-            info!(entry, opening, "run {}", note.what);
+            info!(entry, opening, "run {}", event.kind);
         }
     }
 }
 
 impl Engine {
-    fn moment(&self, now: Time) -> Moment {
-        Moment {
+    fn timestamp(&self, now: Time) -> Timestamp {
+        Timestamp {
             steady_s: now,
             unix_ms: self.plans.unix_ms(now),
         }
@@ -88,7 +89,7 @@
 
     /// Goes on with the runs that a holder before us recorded.
     pub(super) fn inherit_runs(&mut self, now: Time) {
-        let at = self.moment(now);
+        let at = self.timestamp(now);
         for name in self.plans.book.names(KIND) {
             let entry = name
                 .strip_prefix(KIND)
@@ -115,7 +116,7 @@
         if self.plans.calendar.runs.is_empty() {
             return;
         }
-        let at = self.moment(now);
+        let at = self.timestamp(now);
         let Some(job) = self.jobs.get(id) else {
             return;
         };
@@ -125,14 +126,14 @@
         }
         let age_ms = ((now - job.submitted).max(0.0) * 1000.0) as u64;
         let run_s = self.run_s(job);
-        let arrival = Arrival {
+        let accepted = AcceptedJob {
             id,
             team: &job.spec.team,
             class: &job.spec.class,
             accepted_ms: at.unix_ms.saturating_sub(age_ms),
             run_s,
         };
-        if self.plans.calendar.runs.came(at, arrival) {
+        if self.plans.calendar.runs.job_accepted(at, accepted) {
             self.plans.calendar.stirred = true;
             self.apply_run(now, id);
         }
@@ -141,17 +142,17 @@
     /// A job is over.
     pub(super) fn job_left_run(&mut self, job: &Job) {
         let (now, _) = self.plans.wall;
-        let at = self.moment(now);
+        let at = self.timestamp(now);
         let calendar = &mut self.plans.calendar;
-        calendar.stirred |= calendar.runs.ended(at, &job.spec.id);
+        calendar.stirred |= calendar.runs.job_ended(at, &job.spec.id);
     }
 
     /// Whether a job is held back, and by when it should end.
     fn apply_run(&mut self, now: Time, id: &Name) {
-        let at = self.moment(now);
+        let at = self.timestamp(now);
         let runs = &self.plans.calendar.runs;
         let held = runs.is_held(id).then_some(HELD);
-        let due = runs.by_ms(id);
+        let due = runs.deadline_ms(id);
         let planned_due = due.map(|ms| now + (ms as f64 - at.unix_ms as f64) / 1000.0);
         let Some(job) = self.jobs.get_mut(id) else {
             return;
@@ -172,7 +173,7 @@
         if self.plans.calendar.runs.is_empty() {
             return;
         }
-        let at = self.moment(now);
+        let at = self.timestamp(now);
         let book = &self.plans.book;
         let stands = |run: &RunKey| book.is_recorded(&record_name(run));
         let calendar = &mut self.plans.calendar;
@@ -180,16 +181,16 @@
             .filter(|run| stands(run))
             .cloned()
             .collect();
-        let written: Vec<Write> = (done.iter())
+        let written: Vec<RecordWrite> = (done.iter())
             .filter_map(|run| calendar.under_way.remove(run))
             .collect();
         let mut released = false;
         for write in written {
-            released |= calendar.runs.written(at, &write);
+            released |= calendar.runs.mark_written(at, &write);
             calendar.unrecorded.remove(&write.run);
             calendar.stirred = true;
         }
-        if !calendar.stirred && now < calendar.next_turn {
+        if !calendar.stirred && now < calendar.next_tick {
             return;
         }
         calendar.stirred = false;
@@ -198,16 +199,16 @@
             calendar.next_look = now + self.cfg.tuning.calendar_look_s;
             self.look_at_members(at);
         }
-        let turn = self.plans.calendar.runs.turn(at);
-        tell(&turn.notes);
-        if turn.opened {
+        let outcome = self.plans.calendar.runs.tick(at);
+        log_events(&outcome.events);
+        if outcome.opened {
             let ids: Vec<Name> = self.jobs.keys().cloned().collect();
             for id in ids {
                 self.job_for_run(now, &id);
             }
         }
         self.record_runs(now, at);
-        if looks || released || turn.released {
+        if looks || released || outcome.released {
             let members: Vec<Name> = self.plans.calendar.runs.members().cloned().collect();
             for id in members {
                 self.apply_run(now, &id);
@@ -215,29 +216,29 @@
         }
         let calendar = &mut self.plans.calendar;
         let most_s = self.cfg.tuning.calendar_look_s;
-        calendar.next_turn = now + calendar.runs.wakes_in_s(at).min(most_s);
+        calendar.next_tick = now + calendar.runs.next_tick_in_s(at).min(most_s);
     }
 
     /// Jobs that fail wherever they run, and those that their users have cancelled:
     /// no step waits for them.
-    fn look_at_members(&mut self, at: Moment) {
+    fn look_at_members(&mut self, at: Timestamp) {
         let members: Vec<Name> = self.plans.calendar.runs.members().cloned().collect();
         for id in members {
             let runs = &mut self.plans.calendar.runs;
             match self.jobs.get(&id) {
-                Some(job) if !job.cancelled => runs.failing(at, &id, job.suspect),
-                _ => drop(runs.ended(at, &id)),
+                Some(job) if !job.cancelled => runs.set_failing(at, &id, job.suspect),
+                _ => drop(runs.job_ended(at, &id)),
             }
         }
     }
 
-    fn record_runs(&mut self, now: Time, at: Moment) {
-        for write in self.plans.calendar.runs.writes(at) {
+    fn record_runs(&mut self, now: Time, at: Timestamp) {
+        for write in self.plans.calendar.runs.due_writes(at) {
             let name = record_name(&write.run);
             let Some(record) = &write.record else {
                 self.plans.book.remove(now, &name);
                 self.plans.calendar.under_way.remove(&write.run);
-                self.plans.calendar.runs.written(at, &write);
+                self.plans.calendar.runs.mark_written(at, &write);
                 continue;
             };
             match self.plans.book.put(now, &name, VERSION, record) {
