--- a/crates/umbersail-http/src/client.rs
+++ b/crates/umbersail-http/src/client.rs
@@ -12,6 +12,7 @@
 /// other side has not executed the request.
 #[derive(Debug, Error, Clone, PartialEq, Eq)]
 pub enum ClientError {
+    /// The request was not sent.
     #[error("not sent: {0}")]
     NotSent(String),
     /// There is somebody who takes no connection.
@@ -20,11 +21,13 @@
     /// Nobody answers there, not even with a refusal.
     #[error("unreachable")]
     Unreachable,
+    /// There was no response in time.
     #[error("no answer: {0}")]
     NoAnswer(String),
     /// No answer either: the other side closed the connection.
     #[error("closed: {0}")]
     Closed(String),
+    /// The response violates the protocol.
     #[error("malformed answer: {0}")]
     Malformed(String),
 }
@@ -42,6 +45,7 @@
 /// Bounds of one client.
 #[derive(Debug, Clone)]
 pub struct ClientLimits {
+    /// Largest body of a response, in bytes.
     pub max_body_bytes: usize,
     /// Open connections to one address.
     pub max_per_address: usize,
@@ -50,6 +54,7 @@
     /// Connections in all, open exchanges and idle ones together: whoever has
     /// hundreds of addresses would use up the process's sockets.
     pub max_total: usize,
+    /// Seconds to open a connection.
     pub connect_s: f64,
 }
 
@@ -106,6 +111,7 @@
 }
 
 impl Client {
+    /// A client without connections.
     pub fn new(limits: ClientLimits) -> Client {
         Client {
             inner: Rc::new(ClientInner {
@@ -221,7 +227,9 @@
 /// An answer, whole.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Answer {
+    /// Status code.
     pub status: u16,
+    /// Body.
     pub body: Vec<u8>,
     /// Seconds after which to come back, if the other side says so.
     pub retry_after_s: Option<u32>,
--- a/crates/umbersail-http/src/lib.rs
+++ b/crates/umbersail-http/src/lib.rs
@@ -1,5 +1,6 @@
 //! HTTP/1.1 on `httparse`: a server and a pooled client, both bounded in
 //! bodies, connections and time.
+#![deny(missing_docs)]
 
 mod client;
 mod server;
--- a/crates/umbersail-http/src/server.rs
+++ b/crates/umbersail-http/src/server.rs
@@ -10,9 +10,11 @@
 /// One request, whole.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Request {
+    /// The method.
     pub method: String,
     /// The path with its query.
     pub target: String,
+    /// The body.
     pub body: Vec<u8>,
 }
 
@@ -26,13 +28,18 @@
 /// One response.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Response {
+    /// Status code.
     pub status: u16,
+    /// Body.
     pub body: Vec<u8>,
+    /// Value of the Retry-After header in seconds.
     pub retry_after_s: Option<u32>,
+    /// Whether the connection is closed afterwards.
     pub close: bool,
 }
 
 impl Response {
+    /// A response with a body.
     pub fn new(status: u16, body: Vec<u8>) -> Response {
         Response {
             status,
@@ -42,6 +49,7 @@
         }
     }
 
+    /// A response without a body.
     pub fn empty(status: u16) -> Response {
         Response::new(status, Vec::new())
     }
@@ -68,6 +76,7 @@
 /// Bounds of one listener.
 #[derive(Debug, Clone)]
 pub struct ServerLimits {
+    /// Largest body of a request, in bytes.
     pub max_body_bytes: usize,
     /// Connections in all.
     pub max_connections: usize,
@@ -76,6 +85,7 @@
     pub reserved: Rc<Cell<usize>>,
     /// Left to all others however many are kept.
     pub least_unreserved: usize,
+    /// Paths whose connections have reserved places.
     pub reserved_paths: Vec<String>,
     /// Without a request for this long, a connection is closed.
     pub idle_s: f64,
--- a/crates/umbersail-ledger/src/api.rs
+++ b/crates/umbersail-ledger/src/api.rs
@@ -14,20 +14,32 @@
 /// One request.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Call {
+    /// Reads a key.
     Get(String),
+    /// Lists keys.
     List {
+        /// Prefix of the keys.
         under: String,
+        /// Key after which the listing continues.
         from: Option<String>,
+        /// Largest number of items.
         most: usize,
     },
+    /// Executes a transaction.
     Txn(Txn<Value>),
+    /// Grants a lease.
     Grant(LeaseRequest),
+    /// Renews a lease.
     Renew(u64),
+    /// Ends a lease.
     End(u64),
     /// Answered by [`watched`], at once or later.
     Watch {
+        /// Prefix of the keys.
         under: String,
+        /// First revision of interest.
         from: u64,
+        /// Seconds to wait for a change.
         hold_s: f64,
     },
 }
--- a/crates/umbersail-ledger/src/lib.rs
+++ b/crates/umbersail-ledger/src/lib.rs
@@ -16,6 +16,7 @@
 //! assert_eq!(ledger.txn(0.0, &txn), Ok(Outcome::Applied { revision: 1 }));
 //! assert_eq!(ledger.txn(0.0, &txn), Ok(Outcome::Failed { keys: vec!["a/b".into()] }));
 //! ```
+#![deny(missing_docs)]
 
 pub mod api;
 mod limit;
@@ -39,10 +40,13 @@
 pub struct Bounds {
     /// Puts and deletes of one transaction; four times as many conditions.
     pub txn_ops: usize,
+    /// Bytes of one transaction.
     pub txn_bytes: usize,
+    /// Bytes of one value.
     pub value_bytes: usize,
     /// Items and bytes of one listing.
     pub list_items: usize,
+    /// Bytes of one listing.
     pub list_bytes: usize,
     /// Changes that a watch may still ask for.
     pub changes: usize,
@@ -64,8 +68,10 @@
 /// Why a request can't be executed as it is.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 pub enum Refusal {
+    /// The request violates the protocol.
     #[error("malformed: {0}")]
     Malformed(&'static str),
+    /// The lease does not exist or has expired.
     #[error("no such lease")]
     NoSuchLease,
     /// Changes from that revision on are not kept any more.
@@ -76,11 +82,14 @@
 /// What became of a transaction.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Outcome {
+    /// All puts and deletes were applied.
     Applied {
+        /// Revision of the store afterwards.
         revision: u64,
     },
     /// These keys did not have the version that was asked for.
     Failed {
+        /// The keys.
         keys: Vec<String>,
     },
 }
@@ -120,6 +129,7 @@
 }
 
 impl Ledger {
+    /// An empty store.
     pub fn new(bounds: Bounds) -> Ledger {
         Ledger {
             bounds,
@@ -137,10 +147,12 @@
         self.revision
     }
 
+    /// Number of keys.
     pub fn len(&self) -> usize {
         self.keys.len()
     }
 
+    /// Whether there are no keys.
     pub fn is_empty(&self) -> bool {
         self.keys.is_empty()
     }
--- a/crates/umbersail-pass/src/agenda.rs
+++ b/crates/umbersail-pass/src/agenda.rs
@@ -24,10 +24,12 @@
         Steps { most, done: 0 }
     }
 
+    /// Counts steps of work.
     pub fn spend(&mut self, steps: u64) {
         self.done += steps;
     }
 
+    /// Steps done so far.
     pub fn done(&self) -> u64 {
         self.done
     }
@@ -59,14 +61,17 @@
         }
     }
 
+    /// Takes the most urgent job that is not placed yet.
     pub fn next_waiting(&mut self) -> Option<J> {
         self.waiting.pop_front()
     }
 
+    /// Puts a job aside that found no room; it may evict later.
     pub fn block(&mut self, job: J) {
         self.blocked.push_back(job);
     }
 
+    /// Takes the next job that found no room.
     pub fn next_blocked(&mut self) -> Option<J> {
         self.blocked.pop_front()
     }
--- a/crates/umbersail-pass/src/lib.rs
+++ b/crates/umbersail-pass/src/lib.rs
@@ -21,6 +21,7 @@
 //! assert!(places.is_hopeless(&any, &shape(5.0)));
 //! assert!(!places.is_hopeless(&any, &shape(2.0)));
 //! ```
+#![deny(missing_docs)]
 
 mod agenda;
 mod cheapest;
--- a/crates/umbersail-pass/src/losers.rs
+++ b/crates/umbersail-pass/src/losers.rs
@@ -7,7 +7,9 @@
 /// How a job stands when it is asked for room: by tier, and by team.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Standing<T> {
+    /// Priority tier.
     pub tier: T,
+    /// Index of the team.
     pub team: Option<usize>,
 }
 
@@ -28,6 +30,7 @@
 }
 
 impl<T: Ord + Copy, J: Ord + Clone> Losers<T, J> {
+    /// Adds a job.
     pub fn insert(&mut self, standing: Standing<T>, job: J) {
         self.sets.entry(standing).or_default().insert(job);
     }
@@ -53,10 +56,12 @@
             .collect()
     }
 
+    /// Number of jobs.
     pub fn len(&self) -> usize {
         self.sets.values().map(OrdSet::len).sum()
     }
 
+    /// Whether there are no jobs.
     pub fn is_empty(&self) -> bool {
         self.sets.is_empty()
     }
--- a/crates/umbersail-pass/src/places.rs
+++ b/crates/umbersail-pass/src/places.rs
@@ -31,9 +31,13 @@
 /// What is known of a machine when it is added.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Spot<'a> {
+    /// Index of its machine type.
     pub type_index: usize,
+    /// Its zone.
     pub zone: &'a str,
+    /// Whether it is a spot machine.
     pub spot: bool,
+    /// Free resources.
     pub free: Shape,
     /// Seconds until its next report is due: launches travel in the reply.
     pub report_in_s: f64,
@@ -44,13 +48,19 @@
 /// A machine that takes tasks.
 #[derive(Debug, Clone)]
 pub struct Place<M> {
+    /// Name of the machine.
     pub machine: M,
+    /// Index of its machine type.
     pub type_index: usize,
     /// Index into [`Places::zone`].
     zone: usize,
+    /// Whether it is a spot machine.
     pub spot: bool,
+    /// Free resources.
     pub free: Shape,
+    /// Seconds until its next report is due.
     pub report_in_s: f64,
+    /// Whose pledges reserve it, one bit each; 0 if it is not reserved.
     pub pledges: u64,
     /// Where the images that it has stand.
     images: (usize, usize),
@@ -93,6 +103,7 @@
 }
 
 impl<M> Places<M> {
+    /// No machines.
     pub fn new() -> Places<M> {
         Places {
             places: Vec::new(),
@@ -136,14 +147,17 @@
         }
     }
 
+    /// Number of machines.
     pub fn len(&self) -> usize {
         self.places.len()
     }
 
+    /// Whether there are no machines.
     pub fn is_empty(&self) -> bool {
         self.places.is_empty()
     }
 
+    /// The machine at this index.
     pub fn get(&self, index: usize) -> &Place<M> {
         &self.places[index]
     }
--- a/crates/umbersail-policy/src/bitmap.rs
+++ b/crates/umbersail-policy/src/bitmap.rs
@@ -13,6 +13,7 @@
 pub struct BitmapError;
 
 impl Bitmap {
+    /// An empty set of numbers below `size`.
     pub fn new(size: u32) -> Bitmap {
         Bitmap {
             words: vec![0; size.div_ceil(64) as usize],
@@ -21,6 +22,7 @@
         }
     }
 
+    /// Whether the number is in the set.
     pub fn contains(&self, index: u32) -> bool {
         index < self.size && self.words[index as usize / 64] >> (index % 64) & 1 == 1
     }
@@ -35,10 +37,12 @@
         true
     }
 
+    /// How many numbers are in the set.
     pub fn count(&self) -> u32 {
         self.count
     }
 
+    /// Whether all numbers are in the set.
     pub fn is_full(&self) -> bool {
         self.count == self.size
     }
@@ -84,6 +88,7 @@
         ranges
     }
 
+    /// Reads the form that [`Bitmap::to_text`] writes.
     pub fn from_text(text: &str, size: u32) -> Result<Bitmap, BitmapError> {
         let mut out = Bitmap::new(size);
         if let Some(hex) = text.strip_prefix('#') {
--- a/crates/umbersail-policy/src/evict.rs
+++ b/crates/umbersail-policy/src/evict.rs
@@ -7,8 +7,11 @@
 /// A task that may be evicted.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Running<J> {
+    /// Its job.
     pub job: J,
+    /// Its number in the job.
     pub task: u32,
+    /// Resources that it uses.
     pub shape: Shape,
     /// Seconds of work lost by stopping it.
     pub price: f64,
@@ -17,20 +20,28 @@
 /// A machine that the blocked task may use, with what may be evicted there.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Host<M, J> {
+    /// The machine.
     pub machine: M,
+    /// Its free resources.
     pub free: Shape,
+    /// Tasks that may be evicted from it.
     pub running: Vec<Running<J>>,
 }
 
 /// The chosen set.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Selection<M, J> {
+    /// The machine that gets room.
     pub machine: M,
+    /// The tasks to evict, by job and number.
     pub tasks: Vec<(J, u32)>,
+    /// Seconds of work lost in all.
     pub price: f64,
+    /// Number of jobs that lose tasks.
     pub jobs: usize,
     /// The threshold alpha, and how many sets it was the median of.
     pub median: f64,
+    /// Number of candidate sets.
     pub sets: usize,
 }
 
--- a/crates/umbersail-policy/src/learn.rs
+++ b/crates/umbersail-policy/src/learn.rs
@@ -23,6 +23,7 @@
 pub struct Window {
     /// Jobs that it holds.
     pub jobs: f64,
+    /// The shortest window in seconds.
     pub least_s: f64,
 }
 
@@ -53,6 +54,7 @@
 }
 
 impl Learner {
+    /// Statistics of at most `most` classes; `weight` is that of the newest sample.
     pub fn new(most: usize, weight: f64, window: Window) -> Learner {
         Learner {
             classes: BTreeMap::new(),
@@ -62,10 +64,12 @@
         }
     }
 
+    /// Statistics of a class.
     pub fn get(&self, class: &str) -> Option<&ClassStats> {
         self.classes.get(class)
     }
 
+    /// All classes with their statistics.
     pub fn iter(&self) -> impl Iterator<Item = (&str, &ClassStats)> {
         self.classes.iter().map(|(k, v)| (k.as_str(), v))
     }
@@ -137,6 +141,7 @@
         }
     }
 
+    /// Expected run time in seconds, given the owner's estimate.
     pub fn run_s(&self, class: &str, estimate_s: f64) -> f64 {
         estimate_s * self.get(class).map_or(1.0, |s| s.ratio)
     }
--- a/crates/umbersail-policy/src/lib.rs
+++ b/crates/umbersail-policy/src/lib.rs
@@ -1,5 +1,6 @@
 //! Decisions without I/O and without a clock: what fits where, whom to evict,
 //! what to rent, and what a team may use.
+#![deny(missing_docs)]
 
 mod bitmap;
 mod evict;
--- a/crates/umbersail-policy/src/place.rs
+++ b/crates/umbersail-policy/src/place.rs
@@ -5,11 +5,17 @@
 /// A machine as placement sees it.
 #[derive(Debug, Clone, PartialEq)]
 pub struct MachineView<'a, M> {
+    /// The machine.
     pub machine: M,
+    /// Its type.
     pub machine_type: &'a MachineType,
+    /// Its zone.
     pub zone: &'a str,
+    /// Whether it is a spot machine.
     pub spot: bool,
+    /// Free resources.
     pub free: Shape,
+    /// Whether it has the task's image.
     pub has_image: bool,
     /// The image is on its way there for another task.
     pub fetching_image: bool,
@@ -20,7 +26,9 @@
 /// What placement wants to know of a task.
 #[derive(Debug, Clone, PartialEq)]
 pub struct TaskView<'a> {
+    /// The job.
     pub spec: &'a JobSpec,
+    /// Resources of one task.
     pub shape: Shape,
     /// CPUs of the smallest type that takes the task.
     pub smallest_cpus: f64,
@@ -100,9 +108,11 @@
 /// alike in it, and in their image, rank machines alike.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Wants {
+    /// Size of the image in GB.
     pub image_gb: f64,
     /// CPUs of the smallest type that takes the task.
     pub smallest_cpus: f64,
+    /// Whether it may run on a spot machine.
     pub spot: bool,
 }
 
--- a/crates/umbersail-policy/src/quota.rs
+++ b/crates/umbersail-policy/src/quota.rs
@@ -3,10 +3,15 @@
 /// A team's guarantee and limit; a limit of 0 means none.
 #[derive(Debug, Clone, PartialEq, Default)]
 pub struct TeamLimits {
+    /// Name of the team.
     pub name: String,
+    /// Guaranteed CPUs.
     pub cpus: f64,
+    /// Largest number of CPUs.
     pub cpus_max: f64,
+    /// Guaranteed GPUs.
     pub gpus: f64,
+    /// Largest number of GPUs.
     pub gpus_max: f64,
 }
 
@@ -14,10 +19,12 @@
 pub type Usage = Shape;
 
 impl TeamLimits {
+    /// Whether there is a limit.
     pub fn is_limited(&self) -> bool {
         self.cpus_max > 0.0 || self.gpus_max > 0.0
     }
 
+    /// Whether there is a guarantee.
     pub fn has_guarantee(&self) -> bool {
         self.cpus > 0.0 || self.gpus > 0.0
     }
--- a/crates/umbersail-policy/src/rent.rs
+++ b/crates/umbersail-policy/src/rent.rs
@@ -5,9 +5,13 @@
 /// Tasks of one shape that want machines.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Demand {
+    /// Resources of one task.
     pub shape: Shape,
+    /// Types that it may use; all if absent.
     pub types: Option<Vec<String>>,
+    /// Zone that it must use.
     pub zone: Option<String>,
+    /// Whether it may run on a spot machine.
     pub spot: bool,
     /// Tasks that run or wait.
     pub now: u32,
@@ -24,26 +28,37 @@
 /// A machine that is up or on its way.
 #[derive(Debug, Clone, PartialEq)]
 pub struct FleetMachine<M> {
+    /// The machine.
     pub machine: M,
+    /// Index of its type.
     pub type_index: usize,
+    /// Its zone.
     pub zone: String,
+    /// Whether it is a spot machine.
     pub spot: bool,
     /// Seconds since it last had a task, if it is up and empty.
     pub idle_s: Option<f64>,
 }
 
+/// Machines to rent.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Purchase {
+    /// Index of the type.
     pub type_index: usize,
+    /// The zone.
     pub zone: String,
+    /// Whether they are spot machines.
     pub spot: bool,
+    /// How many.
     pub count: u32,
 }
 
 /// What to rent, and what is idle beyond need.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Plan<M> {
+    /// Machines to rent.
     pub purchases: Vec<Purchase>,
+    /// Machines to return.
     pub surplus: Vec<M>,
 }
 
--- a/crates/umbersail-policy/src/shape.rs
+++ b/crates/umbersail-policy/src/shape.rs
@@ -3,8 +3,11 @@
 /// What a task takes of a machine, or what is left of one.
 #[derive(Debug, Clone, Copy, PartialEq, Default)]
 pub struct Shape {
+    /// CPUs.
     pub cpus: f64,
+    /// GPUs.
     pub gpus: f64,
+    /// Memory in GB.
     pub memory_gb: f64,
 }
 
@@ -12,6 +15,7 @@
 const ROUNDING: f64 = 1e-6;
 
 impl Shape {
+    /// Resources of one task of the job.
     pub fn of_task(spec: &JobSpec) -> Shape {
         Shape {
             cpus: spec.cpus,
@@ -20,6 +24,7 @@
         }
     }
 
+    /// Resources of a machine of this type.
     pub fn of_type(machine_type: &MachineType) -> Shape {
         Shape {
             cpus: machine_type.cpus,
@@ -28,6 +33,7 @@
         }
     }
 
+    /// Whether it fits into the free resources.
     pub fn fits_in(&self, room: &Shape) -> bool {
         self.cpus <= room.cpus + ROUNDING
             && self.gpus <= room.gpus + ROUNDING
@@ -49,12 +55,14 @@
             .min(1e6) as u32
     }
 
+    /// Adds another amount so many times.
     pub fn add(&mut self, other: &Shape, times: f64) {
         self.cpus += other.cpus * times;
         self.gpus += other.gpus * times;
         self.memory_gb += other.memory_gb * times;
     }
 
+    /// The sum with another amount taken so many times.
     pub fn plus(mut self, other: &Shape, times: f64) -> Shape {
         self.add(other, times);
         self
--- a/crates/umbersail-standby/src/lib.rs
+++ b/crates/umbersail-standby/src/lib.rs
@@ -15,6 +15,7 @@
 //! watchman.against(10.1, 412, Evidence::Replaced);
 //! assert_eq!(watchman.step(10.1, 0), Step::Replace(412));
 //! ```
+#![deny(missing_docs)]
 
 mod open;
 mod remnants;
--- a/crates/umbersail-standby/src/open.rs
+++ b/crates/umbersail-standby/src/open.rs
@@ -138,6 +138,7 @@
         *self != Opening::Shut
     }
 
+    /// Whether unrecorded starts are allowed now.
     pub fn is_open(&self) -> bool {
         *self == Opening::Open
     }
--- a/crates/umbersail-standby/src/remnants.rs
+++ b/crates/umbersail-standby/src/remnants.rs
@@ -58,14 +58,17 @@
         true
     }
 
+    /// Number of jobs.
     pub fn len(&self) -> usize {
         self.jobs.len()
     }
 
+    /// Whether there are no jobs.
     pub fn is_empty(&self) -> bool {
         self.jobs.is_empty()
     }
 
+    /// The jobs.
     pub fn jobs(&self) -> impl Iterator<Item = &J> {
         self.jobs.keys()
     }
--- a/crates/umbersail-standby/src/succession.rs
+++ b/crates/umbersail-standby/src/succession.rs
@@ -5,6 +5,7 @@
 /// A follower as the leader knows it.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Candidate {
+    /// Name of the controller.
     pub member: String,
     /// It answered us lately, and the state service answers it.
     pub able: bool,
@@ -80,6 +81,7 @@
         self.mean_s += LAG_WEIGHT * (late_s.max(0.0) - self.mean_s);
     }
 
+    /// Mean lag in seconds.
     pub fn mean_s(&self) -> f64 {
         self.mean_s
     }
--- a/crates/umbersail-standby/src/watchman.rs
+++ b/crates/umbersail-standby/src/watchman.rs
@@ -74,6 +74,7 @@
 }
 
 impl Watchman {
+    /// A detector that suspects nobody.
     pub fn new(patience: Patience) -> Watchman {
         Watchman {
             patience,
--- a/crates/umbersail-standby/src/word.rs
+++ b/crates/umbersail-standby/src/word.rs
@@ -18,7 +18,9 @@
 /// What may be told of the job.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Verdict<E> {
+    /// The job has ended.
     Ended(E),
+    /// The job has not ended.
     Unfinished,
     /// Nobody has seen it, or somebody may have told its end and forgotten it.
     Unknown,
--- a/crates/umbersail-tuning/src/lib.rs
+++ b/crates/umbersail-tuning/src/lib.rs
@@ -8,6 +8,7 @@
 //!
 //! Keys under [`PLAN_PREFIXES`] are entries of plans, handed on as they stand to the
 //! packages that understand them.
+#![deny(missing_docs)]
 
 use std::collections::BTreeMap;
 use std::io::Read;
@@ -25,18 +26,27 @@
 /// A properties file that can't be used.
 #[derive(Debug, Error, PartialEq)]
 pub enum TuningError {
+    /// The file is not a properties file.
     #[error("{0}")]
     Syntax(String),
+    /// A key is not known.
     #[error("key '{0}' is unknown")]
     UnknownKey(String),
+    /// A value is out of its range.
     #[error("key '{key}': '{value}' must be a number from {least} to {most} ({unit})")]
     Range {
+        /// The key.
         key: String,
+        /// The value.
         value: String,
+        /// The least valid value.
         least: f64,
+        /// The greatest valid value.
         most: f64,
+        /// The unit of the value.
         unit: &'static str,
     },
+    /// A key stands twice.
     #[error("key '{0}' stands twice")]
     Twice(String),
 }
@@ -44,11 +54,17 @@
 /// What an operator may want to know of one constant.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Constant {
+    /// Its key in the file.
     pub key: &'static str,
+    /// The default value.
     pub default: f64,
+    /// The least valid value.
     pub least: f64,
+    /// The greatest valid value.
     pub most: f64,
+    /// The unit.
     pub unit: &'static str,
+    /// Why it has this default.
     pub reason: &'static str,
 }
 
--- a/crates/umbersail-wire/src/jobs.rs
+++ b/crates/umbersail-wire/src/jobs.rs
@@ -15,52 +15,76 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Priority {
+    /// The lowest priority.
     Low,
+    /// The usual priority.
     Normal,
+    /// Precedes normal jobs.
     High,
+    /// The highest priority.
     Production,
 }
 
 /// A job as its user submits it, and as its record keeps it.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct JobSpec {
+    /// Name of the job.
     pub id: String,
+    /// Its class.
     #[serde(rename = "recipe")]
     pub class: String,
+    /// Its team.
     #[serde(rename = "crew")]
     pub team: String,
+    /// Array or service.
     #[serde(rename = "cut")]
     pub kind: JobKind,
+    /// Its priority.
     #[serde(rename = "urgency")]
     pub priority: Priority,
+    /// Number of tasks.
     #[serde(rename = "portions")]
     pub tasks: u32,
+    /// CPUs of a task.
     #[serde(rename = "cores")]
     pub cpus: f64,
+    /// GPUs of a task.
     #[serde(default)]
     pub gpus: Option<f64>,
+    /// Memory of a task in GB.
     #[serde(rename = "mem_gb")]
     pub memory_gb: f64,
+    /// Name of its image.
     #[serde(rename = "kit")]
     pub image: String,
+    /// Size of its image in GB.
     #[serde(rename = "size_gb")]
     pub image_gb: f64,
+    /// Machine types that it may use; all if absent.
     #[serde(rename = "breeds", default, skip_serializing_if = "Option::is_none")]
     pub types: Option<Vec<String>>,
+    /// Zone that it must use.
     #[serde(rename = "field", default, skip_serializing_if = "Option::is_none")]
     pub zone: Option<String>,
+    /// Whether all tasks must run in one zone.
     #[serde(rename = "together", default)]
     pub one_zone: Option<bool>,
+    /// Whether at most half of the tasks may run in one zone.
     #[serde(default)]
     pub spread: Option<bool>,
+    /// Whether it may run on spot machines.
     #[serde(rename = "borrowed", default)]
     pub spot: Option<bool>,
+    /// The owner's estimate of a task's run time in seconds.
     #[serde(rename = "cook_s")]
     pub estimate_s: f64,
+    /// Seconds between checkpoints; absent or 0 if it saves none.
     #[serde(rename = "stir_s", default)]
     pub checkpoint_s: Option<f64>,
+    /// Seconds that saving a checkpoint takes.
     #[serde(rename = "bottle_s", default)]
     pub save_s: Option<f64>,
+    /// Deadline in seconds after its submission.
     #[serde(rename = "serve_s", default, skip_serializing_if = "Option::is_none")]
     pub deadline_s: Option<f64>,
 }
@@ -131,26 +155,32 @@
         self.priority == Priority::Low && self.deadline_s.is_none()
     }
 
+    /// GPUs of a task; 0 if absent.
     pub fn gpus(&self) -> f64 {
         self.gpus.unwrap_or(0.0)
     }
 
+    /// Whether all tasks must run in one zone.
     pub fn one_zone(&self) -> bool {
         self.one_zone.unwrap_or(false)
     }
 
+    /// Whether at most half of the tasks may run in one zone.
     pub fn spread(&self) -> bool {
         self.spread.unwrap_or(false)
     }
 
+    /// Whether it may run on spot machines.
     pub fn spot(&self) -> bool {
         self.spot.unwrap_or(false)
     }
 
+    /// Seconds between checkpoints; 0 if there are none.
     pub fn checkpoint_s(&self) -> f64 {
         self.checkpoint_s.unwrap_or(0.0)
     }
 
+    /// Seconds that saving a checkpoint takes; 0 if absent.
     pub fn save_s(&self) -> f64 {
         self.save_s.unwrap_or(0.0)
     }
@@ -159,6 +189,7 @@
 /// Only the id of a submission, however broken the rest is.
 #[derive(Debug, Serialize, Deserialize)]
 pub struct JobIdOnly {
+    /// Name of the job.
     pub id: String,
 }
 
@@ -166,20 +197,28 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum JobStage {
+    /// No task runs.
     Queued,
+    /// Tasks run.
     Running,
+    /// All tasks are complete.
     Done,
+    /// It was cancelled.
     Cancelled,
 }
 
 /// The answer to submissions, polls and cancellations.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct JobStatus {
+    /// Name of the job.
     pub id: String,
+    /// Its state.
     #[serde(rename = "stage")]
     pub state: JobStage,
+    /// Number of tasks that are done.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub done: Option<u32>,
+    /// Number of running tasks.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub running: Option<u32>,
 }
--- a/crates/umbersail-wire/src/lib.rs
+++ b/crates/umbersail-wire/src/lib.rs
@@ -3,6 +3,7 @@
 //! The wire has names of its own for common things; they stand only here, as
 //! `serde` renames. Everything else in the project uses the field's standard
 //! terms. Clients written in Rust can use this package as it is.
+#![deny(missing_docs)]
 
 mod cloud;
 mod jobs;
@@ -23,19 +24,33 @@
 
 /// Paths of the service and of the systems that it uses.
 pub mod paths {
+    /// Jobs.
     pub const JOBS: &str = "/v2/runs";
+    /// Last part of the path that cancels a job.
     pub const CANCEL: &str = "abort";
+    /// Readiness of a node.
     pub const HEALTH: &str = "/ready";
+    /// Reports of workers.
     pub const REPORT: &str = "/v1/report";
+    /// Commands to a worker.
     pub const WORKER_COMMANDS: &str = "/orders";
+    /// Machine types of the cloud.
     pub const MACHINE_TYPES: &str = "/catalog";
+    /// Machines of the cloud.
     pub const MACHINES: &str = "/hosts";
+    /// Returns machines to the cloud.
     pub const DELETE_MACHINES: &str = "/hosts/delete";
+    /// Keys of the state service.
     pub const KEYS: &str = "/keys";
+    /// Transactions of the state service.
     pub const TXN: &str = "/multi";
+    /// Leases of the state service.
     pub const LEASES: &str = "/holds";
+    /// Last part of the path that renews a lease.
     pub const RENEW: &str = "renew";
+    /// Watches of the state service.
     pub const WATCH: &str = "/follow";
+    /// Greetings between controllers.
     pub const PEER_HELLO: &str = "/peer/hello";
     /// A hello whose answer waits until its receiver does not lead any more.
     pub const PEER_ATTEND: &str = "/peer/attend";
@@ -48,6 +63,7 @@
     /// A user's question on a job, and a cancellation, handed on by a node that the
     /// state service alone refuses. Their body names the job.
     pub const PEER_POLL: &str = "/peer/poll";
+    /// A cancellation, forwarded like a poll.
     pub const PEER_CANCEL: &str = "/peer/abort";
     /// What a controller knows of jobs, asked of all while the state service is out.
     pub const PEER_WORD: &str = "/peer/word";
@@ -56,8 +72,10 @@
 /// The bytes are not the message that was expected.
 #[derive(Debug, Error)]
 pub enum DecodeError {
+    /// The message is not a map.
     #[error("not a MessagePack map")]
     NotAMap,
+    /// A field is missing or invalid.
     #[error("{0}")]
     Invalid(#[from] rmp_serde::decode::Error),
 }
--- a/crates/umbersail-wire/src/peers.rs
+++ b/crates/umbersail-wire/src/peers.rs
@@ -5,21 +5,27 @@
 /// How far an unfinished job is.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct JobProgress {
+    /// Name of the job.
     pub id: String,
+    /// Number of tasks that are done.
     pub done: u32,
+    /// Number of running tasks.
     pub running: u32,
 }
 
 /// A machine that a controller answered in the leader's stead.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct KeptMachine {
+    /// Name of the machine.
     pub machine: String,
+    /// Milliseconds since the last reply to it.
     pub ago_ms: u64,
 }
 
 /// What controllers tell each other about once a second, both ways.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Hello {
+    /// Name of the sender.
     pub member: String,
     /// Differs for each start of the process.
     pub incarnation: u64,
@@ -27,6 +33,7 @@
     pub state_reachable: bool,
     /// Highest token that it knows, and who holds it.
     pub token: u64,
+    /// Name of the leader that it knows.
     pub leader: Option<String>,
     /// The leader's word on the number of machines.
     #[serde(default)]
@@ -77,13 +84,16 @@
 /// A leader asks a peer to agree that it starts tasks without a record.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct OpenRequest {
+    /// Name of the leader.
     pub member: String,
+    /// The leader's token.
     pub token: u64,
 }
 
 /// The peer's answer.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct OpenAnswer {
+    /// Whether the peer agrees.
     pub agreed: bool,
     /// Jobs that the peer lately read or recorded to be cancelled.
     #[serde(default)]
@@ -94,6 +104,7 @@
 /// of these jobs.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct WordRequest {
+    /// Names of the jobs.
     pub ids: Vec<String>,
 }
 
@@ -113,5 +124,6 @@
 pub struct WordAnswer {
     /// For how long this process remembers each end that it has told, milliseconds.
     pub remembers_ms: u64,
+    /// What it knows of each job.
     pub words: Vec<WordOn>,
 }
