--- a/crates/umbersail-tuning/src/lib.rs
+++ b/crates/umbersail-tuning/src/lib.rs
@@ -8,6 +8,7 @@
 //!
 //! Keys under [`PLAN_PREFIXES`] are entries of plans, handed on as they stand to the
 //! packages that understand them.
+#![deny(missing_docs)]
 
 use std::collections::BTreeMap;
 use std::io::Read;
@@ -25,18 +26,27 @@
 /// A properties file that can't be used.
 #[derive(Debug, Error, PartialEq)]
 pub enum TuningError {
+    /// The file is not a properties file.
     #[error("{0}")]
     Syntax(String),
+    /// A key is not known.
     #[error("key '{0}' is unknown")]
     UnknownKey(String),
+    /// A value is out of its range.
     #[error("key '{key}': '{value}' must be a number from {least} to {most} ({unit})")]
     Range {
+        /// The key.
         key: String,
+        /// The value.
         value: String,
+        /// The least valid value.
         least: f64,
+        /// The greatest valid value.
         most: f64,
+        /// The unit of the value.
         unit: &'static str,
     },
+    /// A key stands twice.
     #[error("key '{0}' stands twice")]
     Twice(String),
 }
@@ -44,11 +54,17 @@
 /// What an operator may want to know of one constant.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Constant {
+    /// Its key in the file.
     pub key: &'static str,
+    /// The default value.
     pub default: f64,
+    /// The least valid value.
     pub least: f64,
+    /// The greatest valid value.
     pub most: f64,
+    /// The unit.
     pub unit: &'static str,
+    /// Why it has this default.
     pub reason: &'static str,
 }
 
@@ -312,7 +328,7 @@
     images_hand_on, "images.hand_on", 0.0, 0.0..=1.0, "0 or 1",
         "1: launches name machines that hand the image on, for workers that can fetch from each other; others fetch from the store as ever";
     images_pieces, "images.pieces", 1.0, 0.0..=1.0, "0 or 1",
-        "1: workers hand on pieces of what they are still fetching, so that all begin at once; 0: whole images only, so that they begin in waves";
+        "1: workers hand on pieces of what they are still fetching, so that all begin at once; 0: whole images only, so that the rollout is staged";
     images_sources, "images.sources", 4.0, 1.0..=32.0, "machines",
         "Holders that one fetch is told of: one that is slow or dies leaves three";
     images_load, "images.load", 5.0, 1.0..=64.0, "fetches",
