--- a/crates/umbersail-control/src/leader.rs
+++ b/crates/umbersail-control/src/leader.rs
@@ -174,7 +174,10 @@
             sleep(0.3).await;
             return;
         };
-        match self.claim(lease, former).await {
+        self.claiming.set(true);
+        let elected = self.claim(lease, former).await;
+        self.claiming.set(false);
+        match elected {
             Some(elected) => self.lead(lease, asked_at, elected).await,
             None => {
                 self.state.end_lease(lease).await;
--- a/crates/umbersail-control/src/node.rs
+++ b/crates/umbersail-control/src/node.rs
@@ -234,6 +234,9 @@
     /// The version of a leader's key that is to be replaced.
     pub(crate) verdict: Cell<Option<u64>>,
     pub(crate) take_lead: Notify,
+    /// An election of ours is under way: what it says of starts without a record holds
+    /// only if we agree to none meanwhile.
+    pub(crate) claiming: Cell<bool>,
     /// The version of the newest leader's key that was read, and its process.
     pub(crate) elected: Cell<Option<(u64, u64)>>,
     /// Whom the leader named to lead after it.
@@ -362,6 +365,7 @@
             doubted: Notify::default(),
             verdict: Cell::default(),
             take_lead: Notify::default(),
+            claiming: Cell::default(),
             elected: Cell::default(),
             named: RefCell::default(),
             resigning: Cell::default(),
--- a/crates/umbersail-control/src/outage.rs
+++ b/crates/umbersail-control/src/outage.rs
@@ -137,7 +137,8 @@
     }
 
     /// A peer's part: agreed only if it leads as far as we know, and the state
-    /// service answers us no more than it.
+    /// service answers us no more than it. While an election of ours is under way
+    /// nothing is agreed to: it was sent by what we knew of such starts before.
     pub(crate) async fn agree_to_open(&self, body: &[u8]) -> Response {
         let Ok(request) = decode::<OpenRequest>(body) else {
             return Response::empty(400);
@@ -146,7 +147,7 @@
             let leader = node.leader.borrow();
             let named =
                 (leader.as_ref()).is_some_and(|(m, t)| *m == request.member && *t == request.token);
-            named && matches!(&*node.role.borrow(), Role::Following)
+            named && !node.claiming.get() && matches!(&*node.role.borrow(), Role::Following)
         };
         let mut agreed = false;
         if is_leader(self) {
--- a/crates/umbersail-control/tests/isolated.rs
+++ b/crates/umbersail-control/tests/isolated.rs
@@ -1,7 +1,11 @@
 //! Three controllers in a simulated world that are isolated, frozen, or back at once:
 //! what their workers and users are told meanwhile.
 
+#[path = "isolated/lost_answers.rs"]
+mod lost_answers;
 mod standin;
+#[path = "isolated/successors.rs"]
+mod successors;
 
 use std::cell::{Cell, RefCell};
 use std::future::Future;
--- a/crates/umbersail-control/tests/standin/mod.rs
+++ b/crates/umbersail-control/tests/standin/mod.rs
@@ -9,7 +9,7 @@
 use umbersail_ledger::api::{Call, watched};
 use umbersail_ledger::{Bounds, Ledger};
 use umbersail_runtime::{TcpListener, sleep, spawn};
-use umbersail_wire::{Catalogue, MachineList, MachineType, encode};
+use umbersail_wire::{Catalogue, Change, MachineList, MachineType, Txn, Value, encode};
 
 pub fn limits() -> ServerLimits {
     ServerLimits {
@@ -34,6 +34,22 @@
     ledger: RefCell<Ledger>,
     now: Cell<f64>,
     pub down: Cell<bool>,
+    /// The answer to the next transaction that changes such a key is held up.
+    pub held_answer: RefCell<Option<HeldAnswer>>,
+}
+
+/// An answer that comes late, or too late for whoever waits for it.
+pub struct HeldAnswer {
+    /// The transaction changes a key with this prefix.
+    pub prefix: &'static str,
+    pub for_s: f64,
+}
+
+fn changes_key(txn: &Txn<Value>, prefix: &str) -> bool {
+    let keys = txn.changes.iter().map(|change| match change {
+        Change::Put { key, .. } | Change::Delete { key } => key,
+    });
+    keys.into_iter().any(|key| key.starts_with(prefix))
 }
 
 impl StateService {
@@ -42,6 +58,7 @@
             ledger: RefCell::new(Ledger::new(Bounds::default())),
             now: Cell::new(0.0),
             down: Cell::new(false),
+            held_answer: RefCell::default(),
         });
         let inner = service.clone();
         spawn(async move {
@@ -97,12 +114,30 @@
                 from,
                 hold_s,
             }) => self.watch(&under, from, hold_s).await,
-            Ok(call) => call.execute(&mut self.ledger.borrow_mut(), self.now.get()),
+            Ok(call) => {
+                let reply = call.execute(&mut self.ledger.borrow_mut(), self.now.get());
+                if let Call::Txn(txn) = &call {
+                    self.hold_answer(txn).await;
+                }
+                reply
+            }
             Err(status) => (status, Vec::new()),
         };
         Response::new(status, body)
     }
 
+    /// Waits before an answer if it is the one to be held up; the transaction is carried
+    /// out already.
+    async fn hold_answer(&self, txn: &Txn<Value>) {
+        let held = self
+            .held_answer
+            .borrow_mut()
+            .take_if(|held| changes_key(txn, held.prefix));
+        if let Some(held) = held {
+            sleep(held.for_s).await;
+        }
+    }
+
     async fn watch(&self, under: &str, from: u64, hold_s: f64) -> (u16, Vec<u8>) {
         let mut waited = 0.0;
         loop {
