--- a/crates/umbersail-rehearsal/src/history.rs
+++ b/crates/umbersail-rehearsal/src/history.rs
@@ -121,6 +121,16 @@
         overtaken: Vec<String>,
         leader_changed: bool,
     },
+    /// A transaction was carried out and its answer lost: the keys that it asks about and
+    /// those that it puts and deletes, and whether it was applied or its conditions
+    /// failed.
+    LostAnswer {
+        controller: usize,
+        conditions: Vec<String>,
+        puts: Vec<String>,
+        deletes: Vec<String>,
+        applied: bool,
+    },
     /// The trouble took this machine, for so many seconds.
     Struck {
         machine: String,
--- a/crates/umbersail-rehearsal/src/judge/mod.rs
+++ b/crates/umbersail-rehearsal/src/judge/mod.rs
@@ -275,6 +275,7 @@
             | What::Trouble { .. }
             | What::OfRun { .. }
             | What::LateWrite { .. }
+            | What::LostAnswer { .. }
             | What::Struck { .. }
             | What::LateCommand { .. }
             | What::LateReport { .. }
--- a/crates/umbersail-rehearsal/src/ledger_host.rs
+++ b/crates/umbersail-rehearsal/src/ledger_host.rs
@@ -21,6 +21,8 @@
 
 /// Names the leader, as the controllers write it.
 const LEADER_KEY: &str = "leader";
+/// The answer to a transaction that was applied.
+const APPLIED: u16 = 200;
 /// The sender of a late transaction hears nothing for so long, in seconds: longer than
 /// any controller waits.
 const NO_ANSWER_S: f64 = 60.0;
@@ -59,6 +61,8 @@
     pub refused: RefCell<Vec<bool>>,
     /// Share of the transactions that get no answer and are carried out late.
     pub late: Cell<f64>,
+    /// Share of the transactions that are carried out and whose answer is lost.
+    pub unanswered: Cell<f64>,
     rng: RefCell<ChaCha8Rng>,
     history: History,
     /// Version of the leader's key whose election is in the history.
@@ -88,6 +92,7 @@
             slow_s: Cell::new(0.0),
             refused: RefCell::new(vec![false; controllers]),
             late: Cell::new(0.0),
+            unanswered: Cell::new(0.0),
             rng: RefCell::new(ChaCha8Rng::seed_from_u64(seed ^ 0x6c77_7269_7465)),
             history,
             elected: Cell::new(0),
@@ -186,6 +191,30 @@
         });
     }
 
+    /// Whether the answer to a transaction is to be lost.
+    fn loses_answer(&self) -> bool {
+        let share = self.unanswered.get();
+        share > 0.0 && self.rng.borrow_mut().random_bool(share)
+    }
+
+    /// Tells the history of a transaction whose sender hears nothing of it.
+    fn tell_lost_answer(&self, controller: usize, txn: &Txn<Value>, applied: bool) {
+        let (mut puts, mut deletes) = (Vec::new(), Vec::new());
+        for change in &txn.changes {
+            match change {
+                Change::Put { key, .. } => puts.push(key.clone()),
+                Change::Delete { key } => deletes.push(key.clone()),
+            }
+        }
+        self.history.add(What::LostAnswer {
+            controller,
+            conditions: txn.conditions.iter().map(|c| c.key.clone()).collect(),
+            puts,
+            deletes,
+            applied,
+        });
+    }
+
     async fn handle(self: Rc<Self>, controller: usize, request: Request) -> Response {
         if self.slow_s.get() > 0.0 {
             sleep(self.slow_s.get()).await;
@@ -228,6 +257,13 @@
             self.changed.raise();
             self.tell_election();
         }
+        if let Call::Txn(txn) = &call
+            && self.loses_answer()
+        {
+            self.tell_lost_answer(controller, txn, status == APPLIED);
+            sleep(NO_ANSWER_S).await;
+            return Response::empty(503);
+        }
         Response::new(status, body)
     }
 
--- a/crates/umbersail-rehearsal/src/night.rs
+++ b/crates/umbersail-rehearsal/src/night.rs
@@ -488,14 +488,16 @@
     ControllerFreezes,
     /// The clocks of `who` are off by `times` the bound on the time of day.
     ClockSkew,
-    /// Connections between controllers are refused.
+    /// New connections between controllers are refused; open ones go on.
     PeersRefused,
+    /// Controllers can't reach each other: packets between them are held.
+    ControllersApart,
     /// The state service is down.
     StateDown,
     /// The state service takes `times` 100 ms for each answer.
     StateSlow,
     /// A `share` of the transactions to the state service gets no answer and is carried
-    /// out 2 to 12 s later, each at a time of its own.
+    /// out 2 to 12 s later, each at a time of its own, or `at_once`.
     LateWrites,
     /// `zone` is cut off from everything.
     ZoneCut,
@@ -519,6 +521,7 @@
                 | ControllerSlow
                 | ClockSkew
                 | PeersRefused
+                | ControllersApart
                 | LateWrites
                 | ZoneCut
                 | ZonesApart
@@ -564,6 +567,9 @@
     #[serde(default)]
     #[schemars(range(min = 0.1, max = 3600.0))]
     pub to_s: Option<f64>,
+    /// Of late writes: they are carried out at once, and only the answer is lost.
+    #[serde(default)]
+    pub at_once: bool,
 }
 
 impl Failure {
@@ -879,6 +885,9 @@
         if matches!(what, CapacityShrinks | LateWrites) && failure.share.is_none() {
             return Err(("share", "is missing"));
         }
+        if failure.at_once && what != LateWrites {
+            return Err(("at_once", "is for late writes alone"));
+        }
         if matches!(what, ReportsLate | CommandsLate) {
             match (failure.from_s, failure.to_s) {
                 (None, _) => return Err(("from_s", "is missing")),
--- a/crates/umbersail-rehearsal/src/trouble.rs
+++ b/crates/umbersail-rehearsal/src/trouble.rs
@@ -374,6 +374,10 @@
                 let all = self.hosts(&self.whom(failure));
                 Some(self.cut(&all, &all, CutMode::Refuse))
             }
+            Trouble::ControllersApart => {
+                let all = self.hosts(&self.whom(failure));
+                Some(self.cut(&all, &all, CutMode::Hold))
+            }
             Trouble::StateDown => {
                 self.ledger.set_down(true);
                 Some(Box::new(|s| s.ledger.set_down(false)))
@@ -383,8 +387,17 @@
                 Some(Box::new(|s| s.ledger.slow_s.set(0.0)))
             }
             Trouble::LateWrites => {
-                self.ledger.late.set(failure.share.unwrap_or(0.0));
-                Some(Box::new(|s| s.ledger.late.set(0.0)))
+                let ledger = &self.ledger;
+                let share = match failure.at_once {
+                    true => &ledger.unanswered,
+                    false => &ledger.late,
+                };
+                share.set(failure.share.unwrap_or(0.0));
+                let at_once = failure.at_once;
+                Some(Box::new(move |s| match at_once {
+                    true => s.ledger.unanswered.set(0.0),
+                    false => s.ledger.late.set(0.0),
+                }))
             }
             Trouble::ZoneCut => {
                 let inside = self.zone_hosts(failure.zone.as_deref().unwrap_or(""));
--- a/crates/umbersail-rehearsal/tests/nights/gap.rs
+++ b/crates/umbersail-rehearsal/tests/nights/gap.rs
@@ -4,7 +4,9 @@
 
 use umbersail_rehearsal::{Night, Outcome};
 
-use crate::harness::{begins_at, cancelled_while_running, failure, keeps_the_rules, seeds, shop};
+use crate::harness::{
+    begins_at, cancelled_while_running, each, failure, keeps_the_rules, seeds, shop,
+};
 
 /// When the leader is refused, and when it and everybody else is from then on, seconds.
 const REFUSED_AT_S: f64 = 60.0;
@@ -77,3 +79,35 @@
         took_place(&keeps_the_rules(&night(&gap), &seeds(2)));
     }
 }
+
+/// Controllers between which nothing goes, on open connections neither.
+fn cut_apart() -> String {
+    failure("controllers-apart", REFUSED_AT_S - 1.0, 90.0, "")
+}
+
+/// The moment of service between the outages: how long it is, and from when on it is
+/// swept, in steps. A leader that is refused renews every 0.36 s and asks for changes
+/// every 0.3 s, so the moments of a sweep fall on each of them alone and on both.
+const MOMENT_S: f64 = 0.1;
+const MOMENT_FROM_S: f64 = 74.05;
+const STEP_S: f64 = 0.05;
+const STEPS: u32 = 6;
+
+#[test]
+fn a_leader_cut_from_its_peers_reads_what_was_cancelled_beside_its_renewal() {
+    // The same, and nobody can tell the leader of a cancellation: connections that were
+    // open go on when new ones are refused, so packets between controllers are held.
+    let moments: Vec<f64> = (0..STEPS)
+        .map(|n| MOMENT_FROM_S + STEP_S * f64::from(n))
+        .collect();
+    each(&moments, |back_at_s| {
+        let gap = refused(OUT_AT_S - REFUSED_AT_S)
+            + &out(OUT_AT_S, back_at_s - OUT_AT_S)
+            + &out(back_at_s + MOMENT_S, 60.0)
+            + &cut_apart();
+        let mut night = night(&gap);
+        night.length_s = OUT_AT_S + 1.0;
+        night.drain_s = 60.0;
+        took_place(&keeps_the_rules(&night, &seeds(1)));
+    });
+}
--- a/crates/umbersail-rehearsal/tests/nights/main.rs
+++ b/crates/umbersail-rehearsal/tests/nights/main.rs
@@ -7,6 +7,7 @@
 mod held_commands;
 mod late_writes;
 mod leader_cut;
+mod lost_answers;
 mod old_reports;
 mod pairs;
 mod small_arrays;
