--- a/crates/umbersail-rehearsal/src/fleet.rs
+++ b/crates/umbersail-rehearsal/src/fleet.rs
@@ -87,6 +87,8 @@
     pub late: LateReports,
     /// Direct commands that are held up, and for how long.
     pub late_commands: Cell<Option<Late>>,
+    /// Answers to direct commands that are held up.
+    pub late_answers: Cell<Option<Late>>,
     fronts: Vec<SocketAddr>,
     members: Vec<String>,
     hires: RefCell<BTreeMap<String, Vec<String>>>,
@@ -109,6 +111,7 @@
             bucket: RefCell::new(Bucket::new(night.cloud.rps, 2.0)),
             late: LateReports::new(seed, history.clone()),
             late_commands: Cell::new(None),
+            late_answers: Cell::new(None),
             world,
             history,
             night,
--- a/crates/umbersail-rehearsal/src/history.rs
+++ b/crates/umbersail-rehearsal/src/history.rs
@@ -76,6 +76,13 @@
         job: String,
         stage: JobStage,
     },
+    /// The controller that gave the answer to a cancellation; told where a script
+    /// chooses it.
+    CancelConfirmed {
+        job: String,
+        controller: usize,
+        stage: JobStage,
+    },
     Rented {
         machine: String,
         kind: String,
@@ -134,14 +141,24 @@
         held_s: f64,
         status: u16,
         how: Late,
+        /// The machine has seen a token of a later leader's.
+        from_former: bool,
+    },
+    /// The answer to a direct command was held up for so long after the command had
+    /// been carried out, or refused.
+    LateAnswer {
+        machine: String,
+        held_s: f64,
+        status: u16,
     },
     /// A copy of a report arrived at a controller, which answered with this status
-    /// (0: with none). Orders are (session, count): of the copy, and of the newest
+    /// (0: with none) after `took_s`. Orders are (session, count): of the copy, and of the newest
     /// report of the machine that had been answered by then.
     LateReport {
         machine: String,
         node: usize,
         status: u16,
+        took_s: f64,
         order: (u64, u64),
         newest: (u64, u64),
         /// Tasks that are active in the copy and not in the newest report.
--- a/crates/umbersail-rehearsal/src/judge/mod.rs
+++ b/crates/umbersail-rehearsal/src/judge/mod.rs
@@ -272,11 +272,13 @@
             What::Up { .. }
             | What::MachineGone { .. }
             | What::Elected { .. }
+            | What::CancelConfirmed { .. }
             | What::Trouble { .. }
             | What::OfRun { .. }
             | What::LateWrite { .. }
             | What::Struck { .. }
             | What::LateCommand { .. }
+            | What::LateAnswer { .. }
             | What::LateReport { .. }
             | What::StoreSent { .. } => {}
         }
--- a/crates/umbersail-rehearsal/src/late.rs
+++ b/crates/umbersail-rehearsal/src/late.rs
@@ -22,6 +22,8 @@
 /// Copies under way at once: what goes beyond is not copied, so that memory stays
 /// bounded on the largest fleets.
 const MOST: usize = 20_000;
+/// Copies of one machine's reports that are kept for the next leader.
+const KEPT: usize = 3;
 
 /// Which reports come again, and when.
 #[derive(Debug, Clone, Copy)]
@@ -60,6 +62,9 @@
 /// arrives whatever has become of the machine that sent the report.
 pub struct LateReports {
     late: Cell<Option<Late>>,
+    /// Copies are kept for the next leader, and come so long after its election.
+    for_next: Cell<Option<Late>>,
+    kept: RefCell<BTreeMap<String, Vec<Report>>>,
     host: Cell<Option<HostId>>,
     fronts: RefCell<Vec<SocketAddr>>,
     /// Taken up by the host's routine as soon as they are there.
@@ -76,6 +81,8 @@
     pub fn new(seed: u64, history: History) -> LateReports {
         LateReports {
             late: Cell::new(None),
+            for_next: Cell::new(None),
+            kept: RefCell::default(),
             host: Cell::new(None),
             fronts: RefCell::default(),
             new: Rc::default(),
@@ -95,6 +102,17 @@
     /// From now on reports are copied.
     pub fn begin(&self, world: &WorldHandle, fronts: &[SocketAddr], late: Late) {
         self.late.set(Some(late));
+        self.prepare(world, fronts);
+    }
+
+    /// From now on copies of reports are kept for the next leader.
+    pub fn begin_keeping(&self, world: &WorldHandle, fronts: &[SocketAddr], late: Late) {
+        self.for_next.set(Some(late));
+        self.prepare(world, fronts);
+    }
+
+    /// The host that copies come from.
+    fn prepare(&self, world: &WorldHandle, fronts: &[SocketAddr]) {
         if self.host.get().is_some() {
             return;
         }
@@ -111,15 +129,17 @@
             loop {
                 for copied in new.take() {
                     let (under_way, newest) = (under_way.clone(), newest.clone());
-                    let history = history.clone();
+                    let (history, spawned) = (history.clone(), clock.clone());
                     let wait = copied.due - clock.now();
                     spawn(async move {
                         sleep(wait.max(0.0)).await;
                         // As it was when the copy came, not when it was answered.
                         let came = compare(&copied, &newest.borrow());
+                        let sent = spawned.now();
                         let status = send(&copied).await;
                         if let Some(came) = came {
-                            history.add(came(status));
+                            let took_s = spawned.now() - sent;
+                            history.add(came(status, (took_s * 1e6).round() / 1e6));
                         }
                         under_way.set(under_way.get() - 1);
                     });
@@ -134,6 +154,51 @@
         self.late.set(None);
     }
 
+    /// No more copies are kept, and those that were are dropped.
+    pub fn end_keeping(&self) {
+        self.for_next.set(None);
+        self.kept.borrow_mut().clear();
+    }
+
+    /// Keeps the report for the next leader, in place of some other one of its machine
+    /// once there are enough.
+    fn keep(&self, report: &Report) {
+        let Some(late) = self.for_next.get() else {
+            return;
+        };
+        let mut rng = self.rng.borrow_mut();
+        if late.draw(&mut *rng).is_none() {
+            return;
+        }
+        let mut kept = self.kept.borrow_mut();
+        let copies = kept.entry(report.machine.clone()).or_default();
+        if copies.len() >= KEPT {
+            copies.swap_remove(rng.random_range(0..KEPT));
+        }
+        copies.push(report.clone());
+    }
+
+    /// A leader was elected: what was kept for it arrives, at all controllers at once.
+    pub fn deliver_kept(&self, now: f64) {
+        let Some(late) = self.for_next.get() else {
+            return;
+        };
+        let fronts = self.fronts.borrow();
+        for report in self.kept.take().into_values().flatten() {
+            let after_s = self.rng.borrow_mut().random_range(late.from_s..=late.to_s);
+            for (node, to) in fronts.iter().enumerate() {
+                self.new.borrow_mut().push(Copied {
+                    due: now + after_s,
+                    node,
+                    to: *to,
+                    report: report.clone(),
+                });
+                self.under_way.set(self.under_way.get() + 1);
+            }
+        }
+        self.wake.notify();
+    }
+
     /// A report was answered by one of the controllers.
     pub fn saw(&self, world: &WorldHandle, node: usize, report: &Report) {
         if self.host.get().is_none() {
@@ -141,6 +206,7 @@
         }
         let machine = report.machine.clone();
         self.newest.borrow_mut().insert(machine, report.clone());
+        self.keep(report);
         let Some(late) = self.late.get() else {
             return;
         };
@@ -172,7 +238,7 @@
 fn compare(
     copied: &Copied,
     newest: &BTreeMap<String, Report>,
-) -> Option<impl FnOnce(u16) -> What + use<>> {
+) -> Option<impl FnOnce(u16, f64) -> What + use<>> {
     let (copy, newest) = (&copied.report, newest.get(&copied.report.machine)?);
     let count = |of: &Report, is: &dyn Fn(&str) -> bool, exited: bool| {
         let tasks = of.tasks.iter();
@@ -187,10 +253,11 @@
     let (order, newest_order) = (copy.order(), newest.order());
     let ended = count(copy, &|task| !is_active(task), false);
     let begun = count(copy, &is_active, true);
-    Some(move |status| What::LateReport {
+    Some(move |status, took_s| What::LateReport {
         machine,
         node,
         status,
+        took_s,
         order,
         newest: newest_order,
         ended,
@@ -300,4 +367,42 @@
         let at = |n| seen.iter().filter(|(node, _)| *node == n).count();
         assert!(at(0) > 3 && at(2) > 3 && at(1) > at(0) + at(2), "{seen:?}");
     }
+
+    #[test]
+    fn copies_kept_for_the_next_leader_come_at_all_controllers_after_its_election() {
+        // Guards against copies that come without an election, or at one controller.
+        let simulation = Simulation::new(3, NetworkConfig::default());
+        let world = simulation.world();
+        let told = simulation.block_on(async move {
+            let at = Addresses { simulated: true };
+            let fronts: Vec<SocketAddr> = (0..3).map(|n| at.front(n)).collect();
+            let history = History::new(world.clone());
+            let late = LateReports::new(5, history.clone());
+            let kept = Late {
+                share: 1.0,
+                from_s: 0.0,
+                to_s: 2.0,
+            };
+            late.begin_keeping(&world, &fronts, kept);
+            (1..40).for_each(|seq| late.saw(&world, 1, &report(seq)));
+            sleep(20.0).await;
+            late.deliver_kept(world.now());
+            sleep(20.0).await;
+            late.deliver_kept(world.now());
+            sleep(20.0).await;
+            history.take()
+        });
+        let told = told.unwrap();
+        assert_eq!(told.len(), KEPT * 3);
+        for event in &told {
+            let What::LateReport { took_s, .. } = &event.what else {
+                panic!("{event:?}");
+            };
+            assert!((20.0..=22.0).contains(&(event.t - took_s)), "{event:?}");
+        }
+        for node in 0..3 {
+            let here = |e: &&crate::history::Event| matches!(e.what, What::LateReport { node: n, .. } if n == node);
+            assert_eq!(told.iter().filter(here).count(), KEPT);
+        }
+    }
 }
--- a/crates/umbersail-rehearsal/src/ledger_host.rs
+++ b/crates/umbersail-rehearsal/src/ledger_host.rs
@@ -63,6 +63,8 @@
     history: History,
     /// Version of the leader's key whose election is in the history.
     elected: Cell<u64>,
+    /// Called after each election.
+    on_election: RefCell<Vec<Box<dyn Fn()>>>,
 }
 
 impl LedgerHost {
@@ -91,6 +93,7 @@
             rng: RefCell::new(ChaCha8Rng::seed_from_u64(seed ^ 0x6c77_7269_7465)),
             history,
             elected: Cell::new(0),
+            on_election: RefCell::default(),
         })
     }
 
@@ -134,6 +137,11 @@
         member.1.as_str().map(str::to_owned)
     }
 
+    /// From now on the hook is called right after each election.
+    pub fn on_election(&self, hook: Box<dyn Fn()>) {
+        self.on_election.borrow_mut().push(hook);
+    }
+
     /// Adds an election to the history once the leader's key has been put anew.
     fn tell_election(&self) {
         let version = self.ledger.borrow().get("leader").map_or(0, |k| k.version);
@@ -142,6 +150,9 @@
         {
             self.elected.set(version);
             self.history.add(What::Elected { member });
+            for hook in self.on_election.borrow().iter() {
+                hook();
+            }
         }
     }
 
--- a/crates/umbersail-rehearsal/src/lib.rs
+++ b/crates/umbersail-rehearsal/src/lib.rs
@@ -18,6 +18,7 @@
 
 mod answers;
 mod bound;
+mod cancellations;
 pub mod experiment;
 mod fleet;
 pub mod history;
@@ -40,7 +41,7 @@
 
 pub use answers::{Answers, SILENT_S};
 pub use judge::{Breach, Figures, Reached, Rule, judge};
-pub use night::{BUNDLED, Failure, Night, NightError, Trouble, bundled};
+pub use night::{BUNDLED, Failure, Night, NightError, Team, Trouble, bundled};
 pub use play::{Outcome, PlayError, play, play_many, settings};
 pub use real::play_real;
 pub use runs::{Run, RunFigures, Step};
--- a/crates/umbersail-rehearsal/src/night.rs
+++ b/crates/umbersail-rehearsal/src/night.rs
@@ -362,6 +362,9 @@
     pub together: bool,
     #[serde(default)]
     pub spread: bool,
+    /// The only zone where its tasks may run.
+    #[serde(default)]
+    pub zone: Option<String>,
     /// Every job has `most` tasks.
     #[serde(default)]
     pub exactly: bool,
@@ -453,11 +456,23 @@
     MachinesDeaf,
     /// A `share` of the reports that were answered come again from `from_s` to
     /// `to_s` later, at the controller that they went to or at any other, whatever
-    /// has become of their machine.
+    /// has become of their machine. With `for_next`, some copies of each machine are kept
+    /// for the next leader, and come `from_s` to `to_s` after its election, at all
+    /// controllers.
     ReportsLate,
+    /// `count` machines, all of `zone` or a `share` of them reach no controller, while
+    /// direct commands reach them and are answered.
+    MachinesMute,
+    /// A `share` of the direct commands to workers is carried out at once, and its answer
+    /// is held up for `from_s` to `to_s`.
+    CommandAnswersLate,
     /// A `share` of the direct commands to workers is held up and carried out from
     /// `from_s` to `to_s` later, although whoever sent them has given up.
     CommandsLate,
+    /// Users cancel `count` running jobs, evenly over the time, at each controller that
+    /// `who` names in turn; those first that run on machines in trouble. A `share` of
+    /// them is of jobs of which nothing runs.
+    CancelSweep,
     /// A worker that runs a task dies in the middle of it.
     WorkerDiesMidJob,
     /// All machines of `zone` lose power and come back cold at the end.
@@ -559,11 +574,14 @@
     pub back_s: Option<f64>,
     /// Copies of reports, or commands that are held up, come so many seconds later.
     #[serde(default)]
-    #[schemars(range(min = 0.1, max = 3600.0))]
+    #[schemars(range(min = 0.0, max = 3600.0))]
     pub from_s: Option<f64>,
     #[serde(default)]
-    #[schemars(range(min = 0.1, max = 3600.0))]
+    #[schemars(range(min = 0.0, max = 3600.0))]
     pub to_s: Option<f64>,
+    /// Copies of reports are kept for the next leader.
+    #[serde(default)]
+    pub for_next: Option<bool>,
 }
 
 impl Failure {
@@ -585,7 +603,9 @@
             Trouble::MachinesStop | Trouble::WorkerDiesMidJob => self.back_s.unwrap_or(0.0),
             Trouble::SpotWave => 1.5 * night.workers.notice_s,
             Trouble::LateWrites => self.for_s + LATE_TO_S,
-            Trouble::ReportsLate | Trouble::CommandsLate => self.for_s + self.to_s.unwrap_or(0.0),
+            Trouble::ReportsLate | Trouble::CommandsLate | Trouble::CommandAnswersLate => {
+                self.for_s + self.to_s.unwrap_or(0.0)
+            }
             _ => self.for_s,
         };
         self.at_s + lasts_s
@@ -609,6 +629,12 @@
         ends.fold(0.0, f64::max)
     }
 
+    /// Whether users cancel at controllers of the script's choice.
+    pub(crate) fn sweeps_cancellations(&self) -> bool {
+        let sweeps = |f: &Failure| f.what == Trouble::CancelSweep;
+        self.failures.iter().any(sweeps)
+    }
+
     /// When it ends at the latest, in seconds.
     pub fn ends_s(&self) -> f64 {
         (self.length_s + self.drain_s).max(self.troubles_over_s() + GRACE_S)
@@ -771,7 +797,11 @@
             let Some(team) = self.teams.iter().find(|t| t.name == class.team) else {
                 return fail(at("team"), "no team has this name");
             };
-            let fits = |m: &MachineKind| class.cpus <= m.cpus && class.memory_gb <= m.memory_gb;
+            let is_there =
+                |m: &MachineKind| class.zone.as_ref().is_none_or(|z| m.zones.contains(z));
+            let fits = |m: &MachineKind| {
+                class.cpus <= m.cpus && class.memory_gb <= m.memory_gb && is_there(m)
+            };
             if !self.machines.iter().any(fits) {
                 return fail(at("cpus"), "a task fits no machine");
             }
@@ -879,7 +909,7 @@
         if matches!(what, CapacityShrinks | LateWrites) && failure.share.is_none() {
             return Err(("share", "is missing"));
         }
-        if matches!(what, ReportsLate | CommandsLate) {
+        if matches!(what, ReportsLate | CommandsLate | CommandAnswersLate) {
             match (failure.from_s, failure.to_s) {
                 (None, _) => return Err(("from_s", "is missing")),
                 (_, None) => return Err(("to_s", "is missing")),
@@ -889,6 +919,9 @@
                 _ => {}
             }
         }
+        if failure.for_next.is_some() && what != ReportsLate {
+            return Err(("for_next", "no reports are copied"));
+        }
         let ends = matches!(
             what,
             ControllerCrash | RollingRestart | MachinesStop | WorkerDiesMidJob
--- a/crates/umbersail-rehearsal/src/play.rs
+++ b/crates/umbersail-rehearsal/src/play.rs
@@ -272,6 +272,7 @@
         controllers,
         regional,
         rng: Stage::rng(seed),
+        struck: std::cell::RefCell::default(),
     });
     for failure in night.failures.clone() {
         spawn(stage.clone().play(failure));
--- a/crates/umbersail-rehearsal/src/trouble.rs
+++ b/crates/umbersail-rehearsal/src/trouble.rs
@@ -2,6 +2,7 @@
 //! undone.
 
 use std::cell::RefCell;
+use std::collections::BTreeSet;
 use std::rc::Rc;
 
 use rand::seq::IndexedRandom;
@@ -41,6 +42,8 @@
     /// Hosts that belong to no zone: state service, cloud, users.
     pub regional: [HostId; 3],
     pub rng: RefCell<ChaCha8Rng>,
+    /// Machines that a trouble took, and until when.
+    pub struck: RefCell<Vec<(String, f64)>>,
 }
 
 /// A trouble's name in night files.
@@ -143,6 +146,9 @@
         let mut rng = self.rng.borrow_mut();
         let victims: Vec<Rc<Machine>> = from.choose_multiple(&mut *rng, count).cloned().collect();
         for machine in &victims {
+            let until = self.world.now() + failure.for_s;
+            let struck = (machine.name.clone(), until);
+            self.struck.borrow_mut().push(struck);
             self.fleet.history.add(What::Struck {
                 machine: machine.name.clone(),
                 trouble: name_of(failure.what),
@@ -152,6 +158,22 @@
         victims
     }
 
+    /// The same failure with the number of machines that its zone or share makes.
+    fn with_count(&self, failure: &Failure) -> Failure {
+        let here = |m: &&Rc<Machine>| failure.zone.as_ref().is_none_or(|z| *z == m.zone);
+        let up = self.fleet.up().iter().filter(here).count();
+        let count = match (failure.count, failure.share, &failure.zone) {
+            (Some(count), ..) => Some(count),
+            (None, Some(share), _) => Some((share * up as f64).ceil() as usize),
+            (None, None, Some(_)) => Some(up),
+            (None, None, None) => None,
+        };
+        Failure {
+            count,
+            ..failure.clone()
+        }
+    }
+
     fn cut(&self, a: &[HostId], b: &[HostId], mode: CutMode) -> Undo {
         let cut = self.world.cut(a, b, mode);
         Box::new(move |stage| stage.world.heal(cut))
@@ -207,6 +229,47 @@
         }
     }
 
+    /// Asks users to cancel running jobs, evenly over the failure's time.
+    async fn sweep_cancellations(self: Rc<Self>, failure: Failure) {
+        let count = failure.count.unwrap_or(USUAL_COUNT).max(1);
+        let controllers = self.whom(&failure);
+        for controller in controllers.iter().cycle().take(count) {
+            let waits = (self.rng.borrow_mut()).random_bool(failure.share.unwrap_or(0.0));
+            if let Some(job) = self.job_to_cancel(waits) {
+                self.users.cancellations.ask(&job, *controller);
+            }
+            sleep(failure.for_s / count as f64).await;
+        }
+    }
+
+    /// A job whose user can be asked, drawn by lot: one that runs, on a machine in trouble
+    /// if there is any, or one of which nothing runs.
+    fn job_to_cancel(&self, waits: bool) -> Option<String> {
+        let now = self.world.now();
+        let struck = self.struck.borrow();
+        let is_struck = |m: &Machine| {
+            let its = |(name, until): &(String, f64)| *name == m.name && now < *until;
+            struck.iter().any(its)
+        };
+        let open: BTreeSet<String> = self.users.cancellations.open().into_iter().collect();
+        let (mut running, mut in_trouble) = (BTreeSet::new(), BTreeSet::new());
+        for machine in self.fleet.up() {
+            let mut jobs = machine.worker.running_jobs();
+            jobs.retain(|job| open.contains(job));
+            if is_struck(&machine) {
+                in_trouble.extend(jobs.iter().cloned());
+            }
+            running.extend(jobs);
+        }
+        let from = match in_trouble.is_empty() {
+            _ if waits => &open - &running,
+            true => running,
+            false => in_trouble,
+        };
+        let from: Vec<String> = from.into_iter().collect();
+        from.choose(&mut *self.rng.borrow_mut()).cloned()
+    }
+
     /// Does it; what must be undone comes back.
     fn begin(self: &Rc<Self>, failure: &Failure) -> Option<Undo> {
         let fleet = &self.fleet;
@@ -255,14 +318,39 @@
                     victims.iter().for_each(|m| m.worker.deaf.set(false));
                 }))
             }
+            Trouble::MachinesMute => {
+                let victims = self.victims(&self.with_count(failure), None);
+                victims.iter().for_each(|m| m.worker.mute.set(true));
+                Some(Box::new(move |_| {
+                    victims.iter().for_each(|m| m.worker.mute.set(false));
+                }))
+            }
+            Trouble::CommandAnswersLate => {
+                fleet.late_answers.set(Some(Late::of(failure)));
+                Some(Box::new(|s| s.fleet.late_answers.set(None)))
+            }
             Trouble::ReportsLate => {
-                (fleet.late).begin(&self.world, fleet.fronts(), Late::of(failure));
+                let late = Late::of(failure);
+                if failure.for_next == Some(true) {
+                    (fleet.late).begin_keeping(&self.world, fleet.fronts(), late);
+                    let fleet = fleet.clone();
+                    (self.ledger).on_election(Box::new(move || {
+                        fleet.late.deliver_kept(fleet.world.now());
+                    }));
+                    return Some(Box::new(|s| s.fleet.late.end_keeping()));
+                }
+                (fleet.late).begin(&self.world, fleet.fronts(), late);
                 Some(Box::new(|s| s.fleet.late.end()))
             }
             Trouble::CommandsLate => {
                 fleet.late_commands.set(Some(Late::of(failure)));
                 Some(Box::new(|s| s.fleet.late_commands.set(None)))
             }
+            Trouble::CancelSweep => {
+                self.world
+                    .spawn(self.clone().sweep_cancellations(failure.clone()));
+                Some(Box::new(|_| {}))
+            }
             Trouble::MachinesStop => {
                 self.stop_machines(failure);
                 None
--- a/crates/umbersail-rehearsal/src/users.rs
+++ b/crates/umbersail-rehearsal/src/users.rs
@@ -12,6 +12,7 @@
 use umbersail_runtime::{random, sleep, spawn};
 use umbersail_wire::{JobKind, JobSpec, JobStage, JobStatus, Priority, decode, encode, paths};
 
+use crate::cancellations::Cancellations;
 use crate::fleet::{Fleet, Truth};
 use crate::history::What;
 use crate::night::{self, Class};
@@ -127,6 +128,8 @@
     balancer: Rc<Balancer>,
     client: Client,
     node: Cell<Option<usize>>,
+    /// Who gave the newest answer.
+    answered_by: Cell<Option<usize>>,
 }
 
 impl Line {
@@ -136,9 +139,18 @@
             balancer: balancer.clone(),
             client: client(),
             node: Cell::new(None),
+            answered_by: Cell::new(None),
         }
     }
 
+    /// A line that the balancer has connected to this node.
+    fn to(fleet: &Rc<Fleet>, balancer: &Rc<Balancer>, node: usize) -> Line {
+        let line = Line::new(fleet, balancer);
+        balancer.health.borrow_mut()[node].open += 1;
+        line.node.set(Some(node));
+        line
+    }
+
     fn leave(&self) {
         if let Some(node) = self.node.take() {
             self.balancer.health.borrow_mut()[node].open -= 1;
@@ -183,6 +195,7 @@
             }
             match answer {
                 Ok(answer) => {
+                    self.answered_by.set(Some(node));
                     // The next request goes through the balancer anew.
                     if answer.closes {
                         self.leave();
@@ -220,6 +233,7 @@
     /// Users that still wait for their jobs.
     pub waiting: Cell<usize>,
     pub closed: Cell<bool>,
+    pub cancellations: Cancellations,
     /// Jobs of runs that their users know to be over.
     over: RefCell<BTreeSet<String>>,
 }
@@ -234,6 +248,7 @@
             numbers: Cell::new(0),
             waiting: Cell::new(0),
             closed: Cell::new(false),
+            cancellations: Cancellations::default(),
             over: RefCell::default(),
         })
     }
@@ -331,7 +346,7 @@
             image: format!("{}-{image}", class.name),
             image_gb: class.image_gb,
             types: None,
-            zone: None,
+            zone: class.zone.clone(),
             one_zone: Some(class.together),
             spread: Some(class.spread),
             spot: Some(class.spot),
@@ -388,7 +403,12 @@
         loop {
             let now = self.fleet.world.now();
             let next = cancel_at.map_or(poll_at, |at| at.min(poll_at));
-            sleep(next - now).await;
+            if let Some(node) = self.cancellations.wait(&job, next - now).await {
+                let line = Line::to(&self.fleet, &self.balancer, node);
+                if self.cancel(&line, &job).await {
+                    break;
+                }
+            }
             let now = self.fleet.world.now();
             if cancel_at.is_some_and(|at| now >= at) {
                 cancel_at = None;
@@ -512,6 +532,7 @@
                     job: job.into(),
                     stage,
                 });
+                self.note_confirmation(line, job, stage);
                 return true;
             }
             if self.fleet.world.now() - began > GIVE_UP_S {
@@ -521,6 +542,20 @@
         }
     }
 
+    /// Which controller confirmed a cancellation, for scripts that choose it.
+    fn note_confirmation(&self, line: &Line, job: &str, stage: JobStage) {
+        if let Some(controller) = line.answered_by.get()
+            && self.fleet.night.sweeps_cancellations()
+        {
+            let job = job.to_owned();
+            self.fleet.history.add(What::CancelConfirmed {
+                job,
+                controller,
+                stage,
+            });
+        }
+    }
+
     /// Users also ask about jobs that nobody has submitted.
     async fn ask_of_strangers(self: Rc<Self>) {
         let line = Line::new(&self.fleet, &self.balancer);
--- a/crates/umbersail-rehearsal/src/worker.rs
+++ b/crates/umbersail-rehearsal/src/worker.rs
@@ -3,7 +3,7 @@
 
 use std::cell::{Cell, RefCell};
 use std::cmp::Ordering;
-use std::collections::BTreeMap;
+use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
 use std::pin::pin;
 use std::rc::Rc;
@@ -27,6 +27,8 @@
 /// A command to a deaf worker is held so long, and then dropped: longer than any
 /// controller waits for an answer.
 const UNHEARD_S: f64 = 30.0;
+/// The bits of a token from here on up tell leaders apart.
+const GRANT_SHIFT: u32 = 16;
 /// Reports on a change come no more often than this.
 const CHANGE_S: f64 = 0.5;
 
@@ -74,6 +76,8 @@
     pub slow: Cell<f64>,
     /// Its reports arrive, and nothing reaches it.
     pub deaf: Cell<bool>,
+    /// Reaches no controller, and is reached.
+    pub mute: Cell<bool>,
     state: RefCell<State>,
     /// Raised whenever something changes.
     wake: Broadcast,
@@ -100,6 +104,7 @@
             faulty: Cell::new(false),
             slow: Cell::new(1.0),
             deaf: Cell::new(false),
+            mute: Cell::new(false),
             state: RefCell::new(State {
                 session: 0,
                 seq: 0,
@@ -139,7 +144,7 @@
                     };
                     match held.and_then(|late| random(|rng| late.draw(rng))) {
                         Some(held_s) => worker.direct_late(&fleet, &request, held_s).await,
-                        None => worker.direct(&fleet, &request),
+                        None => worker.direct_now(&fleet, &request).await,
                     }
                 })
             });
@@ -174,6 +179,13 @@
             .count()
     }
 
+    /// Jobs that have running tasks here.
+    pub fn running_jobs(&self) -> BTreeSet<String> {
+        let state = self.state.borrow();
+        let running = (state.tasks.iter()).filter(|(_, t)| t.state == TaskState::Running);
+        running.map(|((job, ..), _)| job.clone()).collect()
+    }
+
     /// The cloud takes the machine away in so many seconds.
     pub fn notice(&self, until: Option<f64>) {
         let mut state = self.state.borrow_mut();
@@ -473,26 +485,46 @@
         }
     }
 
+    /// Commands that arrive at once; the network may hold up their answer.
+    async fn direct_now(&self, fleet: &Fleet, request: &Request) -> Response {
+        let held = match request.path() {
+            paths::WORKER_COMMANDS => fleet.late_answers.get(),
+            _ => None,
+        };
+        let response = self.direct(fleet, request);
+        if let Some(held_s) = held.and_then(|late| random(|rng| late.draw(rng))) {
+            sleep(held_s).await;
+            fleet.history.add(What::LateAnswer {
+                machine: self.name.clone(),
+                held_s: (held_s * 1e6).round() / 1e6,
+                status: response.status,
+            });
+        }
+        response
+    }
+
     /// Commands that the network held up: whoever sent them has given up, as a rule.
     async fn direct_late(&self, fleet: &Fleet, request: &Request, held_s: f64) -> Response {
         sleep(held_s).await;
         self.expire(fleet);
         let how = decode::<DirectCommands>(&request.body).ok().map(|order| {
             let state = self.state.borrow();
-            match order.token.cmp(&state.token) {
+            let how = match order.token.cmp(&state.token) {
                 Ordering::Less => history::Late::StaleToken,
                 _ if order.session != state.session => history::Late::StaleSession,
                 Ordering::Equal => history::Late::SameToken,
                 Ordering::Greater => history::Late::HigherToken,
-            }
+            };
+            (how, order.token >> GRANT_SHIFT < state.token >> GRANT_SHIFT)
         });
         let response = self.direct(fleet, request);
-        if let Some(how) = how {
+        if let Some((how, from_former)) = how {
             fleet.history.add(What::LateCommand {
                 machine: self.name.clone(),
                 held_s: (held_s * 1e6).round() / 1e6,
                 status: response.status,
                 how,
+                from_former,
             });
         }
         response
@@ -654,6 +686,14 @@
                 state.changed = false;
                 (fleet.world.now(), state.session)
             };
+            if self.mute.get() {
+                // Refused at once, or never accepted.
+                client = Client::new(limits.clone());
+                node = (node + 1) % nodes.len();
+                let is_refused = random(|rng| rng.random_bool(0.5));
+                sleep(if is_refused { 0.0 } else { REPLY_S } + 1.0).await;
+                continue;
+            }
             let report = self.report(&fleet);
             let body = encode(&report);
             let reply = client
--- a/crates/umbersail-rehearsal/tests/nights/harness.rs
+++ b/crates/umbersail-rehearsal/tests/nights/harness.rs
@@ -80,6 +80,11 @@
 }
 
 impl Attempt {
+    /// The grant under which it was started.
+    pub fn grant(&self) -> u64 {
+        self.attempt >> 24
+    }
+
     pub fn is_on(&self, machine: &str, t: f64) -> bool {
         self.machine == machine && self.from < t && t < self.to
     }
@@ -177,6 +182,14 @@
     all
 }
 
+/// When the leader elected then had its first task started; infinite if it had none.
+pub fn first_start(attempts: &[Attempt], elected: f64) -> f64 {
+    let before = attempts.iter().filter(|a| a.from < elected);
+    let grant = before.map(Attempt::grant).max().unwrap_or(0);
+    let first = attempts.iter().find(|a| a.grant() > grant);
+    first.map_or(f64::INFINITY, |a| a.from)
+}
+
 /// The member elected last before then.
 pub fn leader_at(events: &[Event], t: f64) -> Option<&str> {
     let before = elections(events).into_iter().rev().find(|(at, _)| *at < t);
--- a/crates/umbersail-rehearsal/tests/nights/main.rs
+++ b/crates/umbersail-rehearsal/tests/nights/main.rs
@@ -10,5 +10,6 @@
 mod old_reports;
 mod pairs;
 mod small_arrays;
+mod teams_at_limits;
 mod unreachable;
 mod whole;
--- a/crates/umbersail-rehearsal/tests/nights/old_reports.rs
+++ b/crates/umbersail-rehearsal/tests/nights/old_reports.rs
@@ -25,6 +25,7 @@
                     newest,
                     ended: then,
                     begun,
+                    ..
                 } if order < newest => {
                     let mut note = |kind: &str| *met.entry(kind.to_owned()).or_default() += 1;
                     note("old");
