--- a/crates/umbersail-rehearsal/src/judge/mod.rs
+++ b/crates/umbersail-rehearsal/src/judge/mod.rs
@@ -272,12 +272,14 @@
             What::Up { .. }
             | What::MachineGone { .. }
             | What::Elected { .. }
+            | What::CancelConfirmed { .. }
             | What::Trouble { .. }
             | What::OfRun { .. }
             | What::LateWrite { .. }
             | What::LostAnswer { .. }
             | What::Struck { .. }
             | What::LateCommand { .. }
+            | What::LateAnswer { .. }
             | What::LateReport { .. }
             | What::StoreSent { .. } => {}
         }
--- a/crates/umbersail-rehearsal/tests/nights/pairs.rs
+++ b/crates/umbersail-rehearsal/tests/nights/pairs.rs
@@ -95,6 +95,7 @@
         from_s: copies.then_some(from_s),
         to_s: copies.then_some(to_s),
         at_once: false,
+        for_next: None,
     }
 }
 
