--- a/crates/umbersail-rehearsal/src/history.rs
+++ b/crates/umbersail-rehearsal/src/history.rs
@@ -89,6 +89,21 @@
         machine: String,
         why: String,
     },
+    /// A worker obeyed a launch: the task holds room on its machine from now on, and
+    /// starts once it has its image.
+    Launched {
+        machine: String,
+        job: String,
+        task: u32,
+        attempt: u64,
+    },
+    /// A task that was launched left its machine before it had its image.
+    Withdrawn {
+        machine: String,
+        job: String,
+        task: u32,
+        attempt: u64,
+    },
     Started {
         machine: String,
         job: String,
--- a/crates/umbersail-rehearsal/src/judge/mod.rs
+++ b/crates/umbersail-rehearsal/src/judge/mod.rs
@@ -17,6 +17,7 @@
 #[cfg(test)]
 mod tests;
 mod users;
+mod waiting;
 
 /// The rules of the protocol.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
@@ -35,6 +36,8 @@
     ForgottenAtEnd,
     /// Of our own: a job of a later step ran before the step before its own had ended.
     OutOfOrder,
+    /// Of our own: after all troubles it waited for long beside a machine with room.
+    LeftWaiting,
 }
 
 /// A rule that was broken, and by which event.
@@ -174,6 +177,10 @@
         let detail = format!("{job}: began before the step before its own had ended");
         judge.breach(Rule::OutOfOrder, t, events.len().saturating_sub(1), detail);
     }
+    for left in waiting::judged(night, events) {
+        let detail = format!("{}: waits although {} has room", left.job, left.machine);
+        judge.breach(Rule::LeftWaiting, left.t, left.event, detail);
+    }
     judge.finish(end, events.len().saturating_sub(1))
 }
 
@@ -276,6 +283,8 @@
             | What::OfRun { .. }
             | What::LateWrite { .. }
             | What::Struck { .. }
+            | What::Launched { .. }
+            | What::Withdrawn { .. }
             | What::LateCommand { .. }
             | What::LateReport { .. }
             | What::StoreSent { .. } => {}
--- /dev/null
+++ b/crates/umbersail-rehearsal/src/judge/waiting.rs
@@ -0,0 +1,666 @@
+//! Jobs that are left waiting although a machine has room for them: none may be, for
+//! long, once all troubles are over.
+
+use std::collections::{BTreeMap, BTreeSet};
+
+use umbersail_wire::JobSpec;
+
+use crate::history::{End, Event, What};
+use crate::night::Night;
+
+/// So many seconds a job may wait beside a machine with room for it.
+const LEFT_S: f64 = 90.0;
+/// Seconds that the sum of a night's ticks may be short of that by rounding.
+const ROUNDING_S: f64 = 1e-3;
+/// CPUs and gigabytes that may be missing by rounding.
+const ROUNDING: f64 = 1e-6;
+
+/// A job that was left waiting.
+#[derive(Debug, PartialEq)]
+pub(super) struct LeftWaiting {
+    pub job: String,
+    pub t: f64,
+    /// Index of the event at which it had waited too long.
+    pub event: usize,
+    /// A machine that had room for it then.
+    pub machine: String,
+}
+
+/// A task on a machine, or on its way there.
+type Place = (String, u32, String, u64);
+
+struct Machine {
+    kind: usize,
+    zone: String,
+    spot: bool,
+    is_up: bool,
+    /// A failure holds it out of use until then.
+    struck_until: f64,
+    cpus: f64,
+    gpus: f64,
+    memory_gb: f64,
+}
+
+/// The run of the calendar, and the step of it, that a job belongs to.
+type StepOf = (String, u64, usize);
+
+struct Job {
+    spec: JobSpec,
+    accepted: bool,
+    cancelled: bool,
+    /// One of its tasks failed: its calendar's later steps don't wait for it.
+    failed: bool,
+    done: BTreeSet<u32>,
+    /// Tasks that run, and tasks whose machines only fetch their images.
+    running: usize,
+    fetching: usize,
+    /// Since when it waits beside room.
+    since: Option<f64>,
+}
+
+impl Job {
+    fn is_complete(&self) -> bool {
+        self.done.len() >= self.spec.tasks as usize
+    }
+
+    fn waits(&self) -> bool {
+        self.accepted && !self.cancelled && !self.is_complete() && self.running == 0
+    }
+}
+
+/// Follows the machines' room and the jobs that wait for it.
+struct Tracker<'a> {
+    night: &'a Night,
+    machines: BTreeMap<String, Machine>,
+    jobs: BTreeMap<String, Job>,
+    steps: BTreeMap<String, StepOf>,
+    /// Where tasks hold room, and whether they run already.
+    places: BTreeMap<Place, bool>,
+    used: BTreeMap<String, f64>,
+    found: Vec<LeftWaiting>,
+}
+
+/// Jobs that were left waiting for [`LEFT_S`] after all troubles, from the history.
+pub(super) fn judged(night: &Night, events: &[Event]) -> Vec<LeftWaiting> {
+    let mut tracker = tracker(night);
+    let over_s = night.troubles_over_s();
+    for (index, event) in events.iter().enumerate() {
+        tracker.see(event);
+        if event.t >= over_s && matches!(event.what, What::Level { .. }) {
+            tracker.look(index, event.t);
+        }
+    }
+    tracker.found
+}
+
+fn tracker(night: &Night) -> Tracker<'_> {
+    Tracker {
+        night,
+        machines: BTreeMap::new(),
+        jobs: BTreeMap::new(),
+        steps: BTreeMap::new(),
+        places: BTreeMap::new(),
+        used: BTreeMap::new(),
+        found: Vec::new(),
+    }
+}
+
+impl Tracker<'_> {
+    fn see(&mut self, event: &Event) {
+        match &event.what {
+            What::OfRun {
+                run,
+                opens_s,
+                step,
+                job,
+            } => {
+                let step = (run.clone(), opens_s.to_bits(), *step);
+                self.steps.insert(job.clone(), step);
+            }
+            What::Asked { spec } => self.asked(spec),
+            What::Accepted { job, .. } => self.with(job, |j| j.accepted = true),
+            What::Refused { job, .. } | What::CancelAsked { job } => {
+                self.with(job, |j| j.cancelled = true);
+            }
+            What::Rented {
+                machine,
+                kind,
+                zone,
+                spot,
+            } => self.rented(machine, kind, zone, *spot),
+            What::Up { machine } => self.set_up(machine, true),
+            What::MachineGone { machine, .. } => self.set_up(machine, false),
+            What::Struck { machine, for_s, .. } => {
+                if let Some(here) = self.machines.get_mut(machine) {
+                    here.struck_until = here.struck_until.max(event.t + for_s);
+                }
+            }
+            What::Launched {
+                machine,
+                job,
+                task,
+                attempt,
+            } => self.hold((job.clone(), *task, machine.clone(), *attempt), false),
+            What::Started {
+                machine,
+                job,
+                task,
+                attempt,
+            } => self.hold((job.clone(), *task, machine.clone(), *attempt), true),
+            What::Withdrawn {
+                machine,
+                job,
+                task,
+                attempt,
+            } => self.release((job.clone(), *task, machine.clone(), *attempt)),
+            What::Ended {
+                machine,
+                job,
+                task,
+                attempt,
+                how,
+                ..
+            } => {
+                self.release((job.clone(), *task, machine.clone(), *attempt));
+                self.with(job, |j| match how {
+                    End::Done => drop(j.done.insert(*task)),
+                    End::Error => j.failed = true,
+                    _ => {}
+                });
+            }
+            _ => {}
+        }
+    }
+
+    fn with(&mut self, job: &str, change: impl FnOnce(&mut Job)) {
+        if let Some(job) = self.jobs.get_mut(job) {
+            change(job);
+        }
+    }
+
+    fn asked(&mut self, spec: &JobSpec) {
+        let job = Job {
+            spec: spec.clone(),
+            accepted: false,
+            cancelled: false,
+            failed: false,
+            done: BTreeSet::new(),
+            running: 0,
+            fetching: 0,
+            since: None,
+        };
+        self.jobs.entry(spec.id.clone()).or_insert(job);
+    }
+
+    fn rented(&mut self, name: &str, kind: &str, zone: &str, spot: bool) {
+        let kinds = &self.night.machines;
+        let Some(kind) = kinds.iter().position(|k| k.name == kind) else {
+            return;
+        };
+        let machine = Machine {
+            kind,
+            zone: zone.to_owned(),
+            spot,
+            is_up: false,
+            struck_until: 0.0,
+            cpus: 0.0,
+            gpus: 0.0,
+            memory_gb: 0.0,
+        };
+        self.machines.insert(name.to_owned(), machine);
+    }
+
+    fn set_up(&mut self, machine: &str, is_up: bool) {
+        if let Some(machine) = self.machines.get_mut(machine) {
+            machine.is_up = is_up;
+        }
+    }
+
+    /// The task holds room on its machine from now on, and runs there or not yet.
+    fn hold(&mut self, place: Place, runs: bool) {
+        let is_new = !self.places.contains_key(&place);
+        if is_new {
+            self.take_room(&place, 1.0);
+        }
+        let ran = self.places.insert(place.clone(), runs);
+        self.with(&place.0, |job| {
+            match ran {
+                Some(true) => job.running -= 1,
+                Some(false) => job.fetching -= 1,
+                None => {}
+            }
+            match runs {
+                true => job.running += 1,
+                false => job.fetching += 1,
+            }
+        });
+    }
+
+    fn release(&mut self, place: Place) {
+        let Some(ran) = self.places.remove(&place) else {
+            return;
+        };
+        self.take_room(&place, -1.0);
+        self.with(&place.0, |job| match ran {
+            true => job.running -= 1,
+            false => job.fetching -= 1,
+        });
+    }
+
+    fn take_room(&mut self, (job, _, machine, _): &Place, times: f64) {
+        let Some(spec) = self.jobs.get(job).map(|j| &j.spec) else {
+            return;
+        };
+        *self.used.entry(spec.team.clone()).or_default() += times * spec.cpus;
+        if let Some(machine) = self.machines.get_mut(machine) {
+            machine.cpus += times * spec.cpus;
+            machine.gpus += times * spec.gpus();
+            machine.memory_gb += times * spec.memory_gb;
+        }
+    }
+
+    /// Follows how long each job has waited beside room, and notes those that have for
+    /// too long: once for each wait.
+    fn look(&mut self, index: usize, t: f64) {
+        let mut rooms: BTreeMap<String, Option<String>> = BTreeMap::new();
+        let mut waits: Vec<(String, Option<f64>)> = Vec::new();
+        for (id, job) in &self.jobs {
+            let waits_beside = match job.waits() {
+                false => None,
+                // Its machine fetches the image: that is no wait for room, nor its end.
+                true if job.fetching > 0 => continue,
+                true if self.is_held(id, t) => None,
+                true => rooms
+                    .entry(wanted(&job.spec))
+                    .or_insert_with(|| self.room(&job.spec, t))
+                    .clone(),
+            };
+            let Some(machine) = waits_beside else {
+                if job.since.is_some() {
+                    waits.push((id.clone(), None));
+                }
+                continue;
+            };
+            let since = job.since.unwrap_or(t);
+            if t - since < LEFT_S - ROUNDING_S {
+                waits.push((id.clone(), Some(since)));
+                continue;
+            }
+            self.found.push(LeftWaiting {
+                job: id.clone(),
+                t,
+                event: index,
+                machine,
+            });
+            waits.push((id.clone(), None));
+        }
+        for (id, since) in waits {
+            self.with(&id, |job| job.since = since);
+        }
+    }
+
+    /// Whether the calendar holds the job back: a step before its own has not ended,
+    /// and its run is not due yet.
+    fn is_held(&self, id: &str, t: f64) -> bool {
+        let Some((run, opens, step)) = self.steps.get(id) else {
+            return false;
+        };
+        let due_s = self.night.runs.iter().find(|r| r.name == *run);
+        let due_s = due_s.map_or(0.0, |r| r.due_s) + f64::from_bits(*opens);
+        if !self.night.calendar || t > due_s + self.night.controllers.skew_ms / 1000.0 {
+            return false;
+        }
+        self.steps.iter().any(|(other, (of, opened, before))| {
+            let is_before = of == run && opened == opens && before < step;
+            let is_open = |j: &Job| !j.is_complete() && !j.cancelled && !j.failed;
+            is_before && self.jobs.get(other).is_some_and(is_open)
+        })
+    }
+
+    /// A machine with room for a task of the job, if its team's limit has room too.
+    fn room(&self, spec: &JobSpec, t: f64) -> Option<String> {
+        let used = self.used.get(&spec.team).copied().unwrap_or(0.0);
+        let team = self.night.teams.iter().find(|x| x.name == spec.team);
+        let most = team.map(|x| x.cpus_max).filter(|most| *most > 0.0);
+        if most.is_some_and(|most| used + spec.cpus > most + ROUNDING) {
+            return None;
+        }
+        let mut machines = self.machines.iter();
+        let found = machines.find(|(_, machine)| self.has_room(machine, spec, t));
+        found.map(|(name, _)| name.clone())
+    }
+
+    fn has_room(&self, machine: &Machine, spec: &JobSpec, t: f64) -> bool {
+        let kind = &self.night.machines[machine.kind];
+        let types = spec.types.as_ref();
+        let is_allowed = types.is_none_or(|types| types.contains(&kind.name))
+            && spec.zone.as_ref().is_none_or(|zone| *zone == machine.zone)
+            && (!machine.spot || spec.spot());
+        machine.is_up
+            && machine.struck_until <= t
+            && is_allowed
+            && machine.cpus + spec.cpus <= kind.cpus + ROUNDING
+            && machine.gpus + spec.gpus() <= kind.gpus + ROUNDING
+            && machine.memory_gb + spec.memory_gb <= kind.memory_gb + ROUNDING
+    }
+}
+
+/// What the job wants of machines and of its team, as a key: jobs with the same find
+/// room in the same places.
+fn wanted(spec: &JobSpec) -> String {
+    format!(
+        "{} {} {} {} {:?} {:?} {}",
+        spec.team,
+        spec.cpus,
+        spec.gpus(),
+        spec.memory_gb,
+        spec.types,
+        spec.zone,
+        spec.spot(),
+    )
+}
+
+#[cfg(test)]
+mod tests {
+    use super::*;
+    use crate::night::bundled;
+    use umbersail_wire::{JobKind, Priority};
+
+    /// What became of the one job of a small history, up to so many seconds.
+    struct Case {
+        spec: JobSpec,
+        cpus_max: f64,
+        /// What happens, and when; the machine "m1", in the north, and not a spot
+        /// machine, is up from the start.
+        then: Vec<(f64, What)>,
+        until_s: f64,
+    }
+
+    fn case(then: Vec<(f64, What)>) -> Case {
+        Case {
+            spec: spec(),
+            cpus_max: 0.0,
+            then,
+            until_s: 120.0,
+        }
+    }
+
+    fn spec() -> JobSpec {
+        JobSpec {
+            id: "req-1".into(),
+            class: "pages".into(),
+            team: "kitchen".into(),
+            kind: JobKind::Array,
+            priority: Priority::High,
+            tasks: 2,
+            cpus: 10.0,
+            gpus: None,
+            memory_gb: 1.0,
+            image: "i".into(),
+            image_gb: 1.0,
+            types: None,
+            zone: None,
+            one_zone: None,
+            spread: None,
+            spot: None,
+            estimate_s: 10.0,
+            checkpoint_s: None,
+            save_s: None,
+            deadline_s: Some(60.0),
+        }
+    }
+
+    /// A job of the same team that is neither accepted nor counted.
+    fn other() -> What {
+        let spec = Box::new(JobSpec {
+            id: "req-2".into(),
+            cpus: 8.0,
+            ..spec()
+        });
+        What::Asked { spec }
+    }
+
+    fn rented(machine: &str, zone: &str, spot: bool) -> What {
+        What::Rented {
+            machine: machine.into(),
+            kind: "box".into(),
+            zone: zone.into(),
+            spot,
+        }
+    }
+
+    fn launched(job: &str) -> What {
+        What::Launched {
+            machine: "m1".into(),
+            job: job.into(),
+            task: 0,
+            attempt: 1,
+        }
+    }
+
+    fn started(job: &str) -> What {
+        What::Started {
+            machine: "m1".into(),
+            job: job.into(),
+            task: 0,
+            attempt: 1,
+        }
+    }
+
+    fn withdrawn() -> What {
+        What::Withdrawn {
+            machine: "m1".into(),
+            job: "req-1".into(),
+            task: 0,
+            attempt: 1,
+        }
+    }
+
+    fn ended(how: End) -> What {
+        What::Ended {
+            machine: "m1".into(),
+            job: "req-1".into(),
+            task: 0,
+            attempt: 1,
+            how,
+            useful_s: 1.0,
+        }
+    }
+
+    /// When the job was found to have been left waiting; troubles end at 20 s.
+    fn left_at(case: Case) -> Vec<f64> {
+        let text = bundled("power-cut-south").unwrap();
+        let mut night = Night::parse("test", text).unwrap();
+        night.teams[0].cpus_max = case.cpus_max;
+        night.failures.truncate(1);
+        (night.failures[0].at_s, night.failures[0].back_s) = (20.0, None);
+        assert!((night.troubles_over_s() - 20.0).abs() < 1e-9);
+        let up = |machine: &str| What::Up {
+            machine: machine.into(),
+        };
+        let mut all = vec![
+            (0.0, rented("m1", "north", false)),
+            (0.0, up("m1")),
+            (
+                0.0,
+                What::Asked {
+                    spec: Box::new(case.spec),
+                },
+            ),
+            (
+                0.0,
+                What::Accepted {
+                    job: "req-1".into(),
+                    after_s: 0.1,
+                },
+            ),
+            (0.0, other()),
+        ];
+        all.extend(case.then);
+        for second in 1..=case.until_s as u32 {
+            let level = What::Level {
+                cpus: 0.0,
+                waiting: 0,
+                ordinary: 0,
+                spot: 0,
+                spent: 0.0,
+            };
+            all.push((f64::from(second), level));
+        }
+        all.sort_by(|a, b| a.0.total_cmp(&b.0));
+        let events = all.into_iter().map(|(t, what)| Event { t, what });
+        let events: Vec<Event> = events.collect();
+        judged(&night, &events).iter().map(|l| l.t).collect()
+    }
+
+    #[test]
+    fn a_job_beside_a_machine_with_room_was_left_waiting_90_s_after_all_troubles() {
+        assert_eq!(left_at(case(vec![])), [110.0]);
+        let short = Case {
+            until_s: 109.0,
+            ..case(vec![])
+        };
+        assert!(left_at(short).is_empty());
+    }
+
+    #[test]
+    fn the_wait_counts_from_when_nothing_of_the_job_is_on_a_machine() {
+        let lost = vec![
+            (1.0, launched("req-1")),
+            (2.0, started("req-1")),
+            (25.5, ended(End::Gone)),
+        ];
+        assert_eq!(left_at(case(lost.clone())), [116.0]);
+        let half_done = vec![
+            (1.0, launched("req-1")),
+            (2.0, started("req-1")),
+            (25.5, ended(End::Done)),
+        ];
+        assert_eq!(left_at(case(half_done)), [116.0]);
+        let runs = lost[..2].to_vec();
+        assert!(left_at(case(runs)).is_empty());
+    }
+
+    #[test]
+    fn a_fetch_is_no_wait_for_room_and_no_end_of_it() {
+        let fetches = vec![(1.0, launched("req-1"))];
+        assert!(left_at(case(fetches)).is_empty());
+        // It waits from 20 s on, is fetched for in vain, and waits again.
+        let given_up = vec![(30.0, launched("req-1")), (40.0, withdrawn())];
+        assert_eq!(left_at(case(given_up)), [110.0]);
+    }
+
+    #[test]
+    fn who_is_cancelled_refused_or_never_accepted_is_not_left_waiting() {
+        let asked = What::CancelAsked {
+            job: "req-1".into(),
+        };
+        assert!(left_at(case(vec![(50.0, asked)])).is_empty());
+        let refused = What::Refused {
+            job: "req-1".into(),
+            status: 0,
+        };
+        assert!(left_at(case(vec![(1.0, refused)])).is_empty());
+        // The other job, which nobody accepted, waits all along.
+        assert_eq!(left_at(case(vec![])).len(), 1);
+    }
+
+    #[test]
+    fn no_room_is_what_is_used_fetched_for_gone_struck_or_not_allowed() {
+        let used = vec![(1.0, launched("req-2")), (2.0, started("req-2"))];
+        assert!(left_at(case(used)).is_empty());
+        let fetched_for = vec![(1.0, launched("req-2"))];
+        assert!(left_at(case(fetched_for)).is_empty());
+        let gone = What::MachineGone {
+            machine: "m1".into(),
+            why: "deleted".into(),
+        };
+        assert!(left_at(case(vec![(50.0, gone)])).is_empty());
+        let struck = What::Struck {
+            machine: "m1".into(),
+            trouble: "machines-hang".into(),
+            for_s: 60.0,
+        };
+        assert!(left_at(case(vec![(10.0, struck)])).is_empty());
+        let not_allowed: [fn(&mut JobSpec); 4] = [
+            |spec| spec.zone = Some("south".into()),
+            |spec| spec.types = Some(vec!["chest".into()]),
+            |spec| spec.cpus = 17.0,
+            |spec| spec.memory_gb = 65.0,
+        ];
+        for change in not_allowed {
+            let mut elsewhere = case(vec![]);
+            change(&mut elsewhere.spec);
+            assert!(left_at(elsewhere).is_empty());
+        }
+    }
+
+    #[test]
+    fn spot_machines_have_room_for_jobs_that_may_use_them() {
+        let spot = |allowed| {
+            let mut spot = case(vec![(0.5, rented("m1", "north", true))]);
+            let up = What::Up {
+                machine: "m1".into(),
+            };
+            spot.then.push((0.6, up));
+            spot.spec.spot = Some(allowed);
+            spot
+        };
+        assert!(left_at(spot(false)).is_empty());
+        assert_eq!(left_at(spot(true)), [110.0]);
+    }
+
+    #[test]
+    fn a_team_at_its_limit_leaves_nobody_waiting() {
+        let limited = |cpus_max| Case {
+            cpus_max,
+            ..case(vec![(1.0, rented("m2", "north", false))])
+        };
+        assert_eq!(left_at(limited(10.0)), [110.0]);
+        assert!(left_at(limited(9.0)).is_empty());
+        let mut shared = limited(17.0);
+        shared.then.push((3.0, launched("req-2")));
+        assert!(left_at(shared).is_empty());
+    }
+
+    #[test]
+    fn the_calendar_holds_a_step_until_the_one_before_has_ended_or_all_is_due() {
+        let text = bundled("editions-by-the-hour").unwrap();
+        let mut night = Night::parse("test", text).unwrap();
+        night.failures.clear();
+        night.runs.truncate(1);
+        let run = &night.runs[0];
+        let (name, due_s) = (run.name.clone(), run.due_s);
+        let mut tracker = tracker(&night);
+        for (id, step) in [("req-1", 1), ("req-2", 0)] {
+            tracker.see(&Event {
+                t: 0.0,
+                what: What::OfRun {
+                    run: name.clone(),
+                    opens_s: 10.0,
+                    step,
+                    job: id.into(),
+                },
+            });
+            tracker.asked(&JobSpec {
+                id: id.into(),
+                tasks: 1,
+                ..spec()
+            });
+        }
+        assert!(tracker.is_held("req-1", 50.0) && !tracker.is_held("req-2", 50.0));
+        assert!(!tracker.is_held("req-1", 10.0 + due_s + 2.0));
+        tracker.see(&Event {
+            t: 60.0,
+            what: What::Ended {
+                machine: "m1".into(),
+                job: "req-2".into(),
+                task: 0,
+                attempt: 1,
+                how: End::Done,
+                useful_s: 1.0,
+            },
+        });
+        assert!(!tracker.is_held("req-1", 60.0));
+    }
+}
--- a/crates/umbersail-rehearsal/src/worker.rs
+++ b/crates/umbersail-rehearsal/src/worker.rs
@@ -380,6 +380,12 @@
         drop(state);
         self.wake.raise();
         if !ran {
+            fleet.history.add(What::Withdrawn {
+                machine: self.name.clone(),
+                job: key.0.clone(),
+                task: key.1,
+                attempt: key.2,
+            });
             return;
         }
         let id = (key.0.clone(), key.1);
@@ -582,6 +588,12 @@
         if refused.is_some() {
             return;
         }
+        fleet.history.add(What::Launched {
+            machine: self.name.clone(),
+            job: key.0.clone(),
+            task: key.1,
+            attempt: key.2,
+        });
         if here {
             drop(state);
             self.begin(fleet, &key);
