--- a/crates/umbersail-rehearsal/src/history.rs
+++ b/crates/umbersail-rehearsal/src/history.rs
@@ -82,6 +82,18 @@
         zone: String,
         spot: bool,
     },
+    /// The cloud's answer to a rental, which may come long after the machines.
+    RentalAnswered {
+        machines: Vec<String>,
+    },
+    /// A list of the cloud names the machine for the first time.
+    Listed {
+        machine: String,
+    },
+    /// A part of the grant that was written names the machine for the first time.
+    Granted {
+        machine: String,
+    },
     Up {
         machine: String,
     },
--- a/crates/umbersail-rehearsal/src/judge/mod.rs
+++ b/crates/umbersail-rehearsal/src/judge/mod.rs
@@ -283,6 +283,9 @@
             | What::OfRun { .. }
             | What::LateWrite { .. }
             | What::Struck { .. }
+            | What::RentalAnswered { .. }
+            | What::Listed { .. }
+            | What::Granted { .. }
             | What::Launched { .. }
             | What::Withdrawn { .. }
             | What::LateCommand { .. }
--- a/crates/umbersail-rehearsal/src/ledger_host.rs
+++ b/crates/umbersail-rehearsal/src/ledger_host.rs
@@ -16,6 +16,7 @@
 use umbersail_runtime::{Broadcast, TcpListener, WorldHandle, sleep, spawn};
 use umbersail_wire::{Change, Txn, Value, encode};
 
+use crate::grants::GrantWatch;
 use crate::history::{History, What};
 use crate::night::{LATE_FROM_S, LATE_TO_S, State};
 
@@ -63,6 +64,7 @@
     history: History,
     /// Version of the leader's key whose election is in the history.
     elected: Cell<u64>,
+    granted: GrantWatch,
 }
 
 impl LedgerHost {
@@ -91,6 +93,7 @@
             rng: RefCell::new(ChaCha8Rng::seed_from_u64(seed ^ 0x6c77_7269_7465)),
             history,
             elected: Cell::new(0),
+            granted: GrantWatch::default(),
         })
     }
 
@@ -177,10 +180,14 @@
         let overtaken = keys.iter().filter(is_changed).cloned().collect();
         let done = self.ledger.borrow_mut().txn(self.world.now(), &txn);
         self.changed.raise();
+        let applied = matches!(done, Ok(Outcome::Applied { .. }));
+        if applied {
+            self.granted.applied(&self.history, &txn);
+        }
         self.history.add(What::LateWrite {
             controller,
             keys,
-            applied: matches!(done, Ok(Outcome::Applied { .. })),
+            applied,
             overtaken,
             leader_changed: changed.contains(LEADER_KEY),
         });
@@ -227,6 +234,9 @@
         if self.ledger.borrow().revision() != before {
             self.changed.raise();
             self.tell_election();
+            if let Call::Txn(txn) = &call {
+                self.granted.applied(&self.history, txn);
+            }
         }
         Response::new(status, body)
     }
--- a/crates/umbersail-rehearsal/src/lib.rs
+++ b/crates/umbersail-rehearsal/src/lib.rs
@@ -20,6 +20,7 @@
 mod bound;
 pub mod experiment;
 mod fleet;
+mod grants;
 pub mod history;
 mod judge;
 mod late;
--- a/crates/umbersail-rehearsal/src/trouble.rs
+++ b/crates/umbersail-rehearsal/src/trouble.rs
@@ -220,6 +220,15 @@
                 fleet.knobs.boots_never.set(true);
                 Some(Box::new(|s| s.fleet.knobs.boots_never.set(false)))
             }
+            Trouble::BootsQuick => {
+                fleet.knobs.boots_quick.set(true);
+                Some(Box::new(|s| s.fleet.knobs.boots_quick.set(false)))
+            }
+            Trouble::RentalsLate => {
+                let late = Late::of(failure);
+                fleet.knobs.rentals_late.set(Some(late));
+                Some(Box::new(|s| s.fleet.knobs.rentals_late.set(None)))
+            }
             Trouble::Burst => {
                 let class = failure.class.clone().unwrap_or_default();
                 self.users.bursts.borrow_mut().insert(class.clone(), times);
--- a/crates/umbersail-rehearsal/tests/nights/main.rs
+++ b/crates/umbersail-rehearsal/tests/nights/main.rs
@@ -9,6 +9,7 @@
 mod leader_cut;
 mod old_reports;
 mod pairs;
+mod quick_machines;
 mod small_arrays;
 mod unreachable;
 mod whole;
