--- a/crates/umbersail-rehearsal/src/history.rs
+++ b/crates/umbersail-rehearsal/src/history.rs
@@ -89,6 +89,18 @@
         zone: String,
         spot: bool,
     },
+    /// The cloud's answer to a rental, which may come long after the machines.
+    RentalAnswered {
+        machines: Vec<String>,
+    },
+    /// A list of the cloud names the machine for the first time.
+    Listed {
+        machine: String,
+    },
+    /// A part of the grant that was written names the machine for the first time.
+    Granted {
+        machine: String,
+    },
     Up {
         machine: String,
     },
@@ -96,6 +108,21 @@
         machine: String,
         why: String,
     },
+    /// A worker obeyed a launch: the task holds room on its machine from now on, and
+    /// starts once it has its image.
+    Launched {
+        machine: String,
+        job: String,
+        task: u32,
+        attempt: u64,
+    },
+    /// A task that was launched left its machine before it had its image.
+    Withdrawn {
+        machine: String,
+        job: String,
+        task: u32,
+        attempt: u64,
+    },
     Started {
         machine: String,
         job: String,
--- a/crates/umbersail-rehearsal/src/ledger_host.rs
+++ b/crates/umbersail-rehearsal/src/ledger_host.rs
@@ -16,6 +16,7 @@
 use umbersail_runtime::{Broadcast, TcpListener, WorldHandle, sleep, spawn};
 use umbersail_wire::{Change, Txn, Value, encode};
 
+use crate::grants::GrantWatch;
 use crate::history::{History, What};
 use crate::night::{LATE_FROM_S, LATE_TO_S, State};
 
@@ -69,6 +70,7 @@
     elected: Cell<u64>,
     /// Called after each election.
     on_election: RefCell<Vec<Box<dyn Fn()>>>,
+    granted: GrantWatch,
 }
 
 impl LedgerHost {
@@ -99,6 +101,7 @@
             history,
             elected: Cell::new(0),
             on_election: RefCell::default(),
+            granted: GrantWatch::default(),
         })
     }
 
@@ -193,10 +196,14 @@
         let overtaken = keys.iter().filter(is_changed).cloned().collect();
         let done = self.ledger.borrow_mut().txn(self.world.now(), &txn);
         self.changed.raise();
+        let applied = matches!(done, Ok(Outcome::Applied { .. }));
+        if applied {
+            self.granted.applied(&self.history, &txn);
+        }
         self.history.add(What::LateWrite {
             controller,
             keys,
-            applied: matches!(done, Ok(Outcome::Applied { .. })),
+            applied,
             overtaken,
             leader_changed: changed.contains(LEADER_KEY),
         });
@@ -267,6 +274,9 @@
         if self.ledger.borrow().revision() != before {
             self.changed.raise();
             self.tell_election();
+            if let Call::Txn(txn) = &call {
+                self.granted.applied(&self.history, txn);
+            }
         }
         if let Call::Txn(txn) = &call
             && self.loses_answer()
--- a/crates/umbersail-rehearsal/src/lib.rs
+++ b/crates/umbersail-rehearsal/src/lib.rs
@@ -21,6 +21,7 @@
 mod cancellations;
 pub mod experiment;
 mod fleet;
+mod grants;
 pub mod history;
 mod judge;
 mod late;
--- a/crates/umbersail-rehearsal/src/night.rs
+++ b/crates/umbersail-rehearsal/src/night.rs
@@ -440,6 +440,11 @@
     BootsLate,
     /// New machines never come up.
     BootsNever,
+    /// New machines are up within one to two seconds.
+    BootsQuick,
+    /// A `share` of the rentals is carried out at once and answered from `from_s` to
+    /// `to_s` later.
+    RentalsLate,
     /// Jobs of `class` come `times` as often.
     Burst,
     /// `count` machines fail every task that they start.
@@ -918,7 +923,10 @@
         if failure.at_once && what != LateWrites {
             return Err(("at_once", "is for late writes alone"));
         }
-        if matches!(what, ReportsLate | CommandsLate | CommandAnswersLate) {
+        if matches!(
+            what,
+            ReportsLate | CommandsLate | CommandAnswersLate | RentalsLate
+        ) {
             match (failure.from_s, failure.to_s) {
                 (None, _) => return Err(("from_s", "is missing")),
                 (_, None) => return Err(("to_s", "is missing")),
--- a/crates/umbersail-rehearsal/tests/nights/main.rs
+++ b/crates/umbersail-rehearsal/tests/nights/main.rs
@@ -13,6 +13,7 @@
 mod old_reports;
 mod pairs;
 mod reports_for_successors;
+mod quick_machines;
 mod small_arrays;
 mod teams_at_limits;
 mod unreachable;
