--- a/crates/umbersail-rehearsal/src/history.rs
+++ b/crates/umbersail-rehearsal/src/history.rs
@@ -35,6 +35,14 @@
     StaleSession,
 }
 
+/// Which controller answered a question, and when the question was sent. Its answer came
+/// at the time of the event that tells it.
+#[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
+pub struct Question {
+    pub node: usize,
+    pub sent_s: f64,
+}
+
 /// One event; seconds and names as the night has them.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(tag = "what", rename_all = "snake_case")]
@@ -45,6 +53,8 @@
     Accepted {
         job: String,
         after_s: f64,
+        #[serde(default, skip_serializing_if = "Option::is_none")]
+        question: Option<Question>,
     },
     /// Not taken, for good: the status, or 0 after the last try.
     Refused {
@@ -62,12 +72,16 @@
         job: String,
         status: u16,
         stage: Option<JobStage>,
+        #[serde(default, skip_serializing_if = "Option::is_none")]
+        question: Option<Question>,
     },
     /// The answer to a repeated submission of an accepted job.
     Repeated {
         job: String,
         status: u16,
         stage: Option<JobStage>,
+        #[serde(default, skip_serializing_if = "Option::is_none")]
+        question: Option<Question>,
     },
     CancelAsked {
         job: String,
@@ -75,6 +89,15 @@
     CancelTold {
         job: String,
         stage: JobStage,
+        #[serde(default, skip_serializing_if = "Option::is_none")]
+        question: Option<Question>,
+    },
+    /// The answer to a cancellation was one of those that say that it can't be.
+    CancelRefused {
+        job: String,
+        status: u16,
+        #[serde(default, skip_serializing_if = "Option::is_none")]
+        question: Option<Question>,
     },
     Rented {
         machine: String,
@@ -188,11 +211,15 @@
     }
 
     pub fn add(&self, what: What) {
-        // To the microsecond, so that text and number are the same.
-        let t = (self.world.now() * 1e6).round() / 1e6;
+        let t = self.now_s();
         self.events.borrow_mut().push(Event { t, what });
     }
 
+    /// True time to the microsecond, so that text and number are the same.
+    pub fn now_s(&self) -> f64 {
+        (self.world.now() * 1e6).round() / 1e6
+    }
+
     pub fn take(&self) -> Vec<Event> {
         self.events.take()
     }
--- a/crates/umbersail-rehearsal/src/judge/mod.rs
+++ b/crates/umbersail-rehearsal/src/judge/mod.rs
@@ -7,12 +7,13 @@
 use umbersail_wire::{JobSpec, JobStage};
 
 use crate::answers::{Answers, Questions};
-use crate::history::{Event, What};
+use crate::history::{Event, Question, What};
 use crate::night::Night;
 use crate::runs::{self, RunFigures};
 use crate::served::Served;
 
 mod aims;
+mod monotonic;
 mod tasks;
 #[cfg(test)]
 mod tests;
@@ -33,6 +34,9 @@
     NothingRan,
     /// Of our own: once all troubles were over, nobody answered for it for long.
     ForgottenAtEnd,
+    /// Of our own: a question that was sent after another had been answered got an older
+    /// answer about the same job, at whatever controller.
+    OlderAnswer,
     /// Of our own: a job of a later step ran before the step before its own had ended.
     OutOfOrder,
 }
@@ -111,6 +115,7 @@
     cancel_asked: Option<f64>,
     cancel_told: Option<f64>,
     told: Option<JobStage>,
+    answers: monotonic::Answered,
     done_tasks: BTreeSet<u32>,
     /// When its last task had completed, and when its user was told.
     complete_at: Option<f64>,
@@ -142,6 +147,10 @@
     used: BTreeMap<String, f64>,
     answered_at: f64,
     questions: Questions,
+    /// Answers that are older than others if a task turns out to have run all along.
+    doubted: Vec<monotonic::Doubted>,
+    /// When a trouble last took a machine.
+    struck: BTreeMap<String, f64>,
     useful_cpu_s: f64,
     /// What useful work cost at nominal prices, for its share of the machines.
     useful_money: f64,
@@ -150,6 +159,28 @@
     figures: Figures,
 }
 
+/// An answer in the history: its event, when it was given, and to which question.
+#[derive(Clone, Copy)]
+struct Given {
+    event: usize,
+    t: f64,
+    sent_s: f64,
+}
+
+impl Given {
+    /// An older history does not say when questions were sent: each then follows all
+    /// answers before it.
+    fn new(event: usize, t: f64, question: Option<Question>) -> Given {
+        let sent_s = question.map_or(t, |q| q.sent_s);
+        Given { event, t, sent_s }
+    }
+
+    /// Whether the question was sent when an answer of that time had been given.
+    fn follows(&self, given_s: f64) -> bool {
+        self.sent_s >= given_s
+    }
+}
+
 /// Judges a night by its history.
 pub fn judge(night: &Night, events: &[Event]) -> Figures {
     let mut judge = Judge {
@@ -160,6 +191,8 @@
         used: BTreeMap::new(),
         answered_at: 0.0,
         questions: Questions::new(night.troubles_over_s()),
+        doubted: Vec::new(),
+        struck: BTreeMap::new(),
         useful_cpu_s: 0.0,
         useful_money: 0.0,
         spent_before: 0.0,
@@ -197,6 +230,7 @@
             }
             What::Accepted { job, .. } => {
                 self.job(job).accepted = Some(t);
+                self.job(job).answers.knows(t);
                 self.answered_at = t;
                 self.questions.heard(t, job);
             }
@@ -206,23 +240,47 @@
                     self.breach(Rule::Forgotten, t, index, detail);
                 }
             }
-            What::Polled { job, status, stage } => {
+            What::Polled {
+                job,
+                status,
+                stage,
+                question,
+            } => {
+                let given = Given::new(index, t, *question);
                 self.asked(index, t, job, *status == 404 || stage.is_some());
-                self.polled(index, t, job, *status, *stage);
+                self.polled(given, job, *status, *stage);
             }
-            What::Repeated { job, status, stage } => {
+            What::Repeated {
+                job,
+                status,
+                stage,
+                question,
+            } => {
+                let given = Given::new(index, t, *question);
                 if matches!(status, 400 | 422) {
                     let detail = format!("{job}: repeated submission answered {status}");
                     self.breach(Rule::Forgotten, t, index, detail);
                 }
+                if *status == 201 {
+                    self.accepted_anew(given, job);
+                }
                 if let Some(stage) = stage {
-                    self.told(index, t, job, *stage);
+                    self.told(given, job, *stage);
                 }
             }
             What::CancelAsked { job } => {
                 self.job(job).cancel_asked.get_or_insert(t);
             }
-            What::CancelTold { job, stage } => self.told(index, t, job, *stage),
+            What::CancelTold {
+                job,
+                stage,
+                question,
+            } => self.told(Given::new(index, t, *question), job, *stage),
+            What::CancelRefused {
+                job,
+                status,
+                question,
+            } => self.refused_cancel(Given::new(index, t, *question), job, *status),
             What::Rented {
                 machine,
                 kind,
@@ -261,6 +319,8 @@
                     }
                 }
                 self.ended(t, machine, job, *task, *how, *useful_s);
+                self.ran_all_along(machine, (job, *task, *attempt), *how);
+                self.job(job).answers.ended(t);
             }
             What::Level { spent, .. } => {
                 if t <= self.night.warm_up_s {
@@ -269,13 +329,15 @@
                 self.figures.spent = *spent - self.spent_before;
                 self.look_for_cancelled(index, t);
             }
+            What::Struck { machine, .. } => {
+                self.struck.insert(machine.clone(), t);
+            }
             What::Up { .. }
             | What::MachineGone { .. }
             | What::Elected { .. }
             | What::Trouble { .. }
             | What::OfRun { .. }
             | What::LateWrite { .. }
-            | What::Struck { .. }
             | What::LateCommand { .. }
             | What::LateReport { .. }
             | What::StoreSent { .. } => {}
--- a/crates/umbersail-rehearsal/tests/nights/harness.rs
+++ b/crates/umbersail-rehearsal/tests/nights/harness.rs
@@ -204,6 +204,7 @@
         What::CancelTold {
             job,
             stage: JobStage::Cancelled,
+            ..
         } if e.t > from && e.t < to && runs(job, e.t) => Some((e.t, job.as_str())),
         _ => None,
     });
