--- a/crates/umbersail-control/src/engine/mod.rs
+++ b/crates/umbersail-control/src/engine/mod.rs
@@ -385,11 +385,13 @@
         out
     }
 
-    /// Completed and running tasks of a job.
+    /// Completed and running tasks of a job. What an earlier holder started, by its record,
+    /// runs until its machine shows otherwise.
     pub fn counts(&self, id: &str) -> Option<(u32, u32)> {
         let job = self.jobs.get(id)?;
         let running = job.live.values().filter(|p| p.running_since.is_some());
-        Some((job.done.count(), running.count() as u32))
+        let inherited = job.limbo.len() - job.unrecorded_limbo();
+        Some((job.done.count(), (running.count() + inherited) as u32))
     }
 
     /// The same of all jobs, as far as `most` goes.
--- a/crates/umbersail-control/src/engine/tests/reports.rs
+++ b/crates/umbersail-control/src/engine/tests/reports.rs
@@ -316,3 +316,14 @@
     let told = converse(&mut engine, 12.0, &report, true).unwrap();
     assert!(starts(&told).is_empty(), "{told:?}");
 }
+
+#[test]
+fn what_an_earlier_holder_started_is_called_running_until_its_machine_shows_otherwise() {
+    // Guards against a job that runs all along and is called waiting after a change of
+    // leader, until its machines report.
+    let mut engine = after_crash(vec![team(0.0, 0.0)], spec("req-1", 3, 2.0));
+    assert_eq!(engine.counts("req-1"), Some((0, 2)));
+    let lapsed_s = (engine.cfg.keep_s() + LEASE_S) * 1.001 + 0.6;
+    engine.tick(lapsed_s);
+    assert_eq!(engine.counts("req-1"), Some((0, 0)));
+}
--- a/crates/umbersail-control/src/front.rs
+++ b/crates/umbersail-control/src/front.rs
@@ -10,8 +10,8 @@
 use umbersail_runtime::{Time, random, timeout};
 use umbersail_standby::Verdict;
 use umbersail_wire::{
-    JobIdOnly, JobKind, JobSpec, JobStage, JobStatus, Misdirected, Report, ReportReply, decode,
-    encode, is_job_id, paths,
+    JobIdOnly, JobKind, JobSpec, JobStage, JobStatus, Misdirected, Refusal, Report, ReportReply,
+    decode, encode, is_job_id, missing_field, paths,
 };
 
 use crate::engine::{TxnOutcome, cache_holds, epoch};
@@ -323,6 +323,21 @@
         fresh.then(|| heard.jobs.get(id).copied()).flatten()
     }
 
+    /// What the job's record says, or if it can't be read what the leader said last,
+    /// however old: a job that was called running is not called waiting for an outage.
+    async fn recorded_counts(&self, id: &str) -> (u32, u32) {
+        let key = run_key(id);
+        let record = self.state.get::<RunRecord>(&key, Urgency::Poll).await;
+        match record {
+            Ok(Some((run, _))) => (run.done_count, run.running_at_least()),
+            Ok(None) => (0, 0),
+            Err(_) => {
+                let heard = self.progress_heard.borrow();
+                heard.jobs.get(id).copied().unwrap_or_default()
+            }
+        }
+    }
+
     /// The counts are for display; a missing record means none.
     async fn unfinished(&self, id: &str, status: u16) -> Response {
         let counts = match &*self.role.borrow() {
@@ -331,14 +346,7 @@
         };
         let (done, running) = match counts {
             Some(counts) => counts,
-            None => match self
-                .state
-                .get::<RunRecord>(&run_key(id), Urgency::Poll)
-                .await
-            {
-                Ok(Some((run, _))) => (run.done_count, run.running),
-                _ => (0, 0),
-            },
+            None => self.recorded_counts(id).await,
         };
         let state = if running > 0 {
             JobStage::Running
@@ -373,7 +381,7 @@
 
     pub(crate) async fn submit(&self, body: &[u8]) -> Response {
         let refusal = match decode::<JobSpec>(body) {
-            Ok(spec) => match spec.check() {
+            Ok(spec) => match check_submission(&spec, body) {
                 Ok(()) => match self.never_runs(&spec) {
                     Some(Ok(reason)) => Err((422, spec.id, reason)),
                     Some(Err(())) => Err((503, spec.id, "machine types not known yet".into())),
@@ -383,7 +391,7 @@
             },
             Err(e) => match decode::<JobIdOnly>(body) {
                 Ok(only) => Err((400, only.id, e.to_string())),
-                Err(_) => return Response::empty(400),
+                Err(_) => return refused(400, &e.to_string()),
             },
         };
         let spec = match refusal {
@@ -445,7 +453,7 @@
         if status == 503 {
             self.retry()
         } else {
-            Response::empty(status)
+            refused(status, reason)
         }
     }
 
@@ -536,6 +544,22 @@
     decode::<JobSpec>(body).is_ok_and(|spec| spec.gives_way())
 }
 
+/// What is wrong with a submission whatever the machines and teams are.
+fn check_submission(spec: &JobSpec, body: &[u8]) -> Result<(), String> {
+    match missing_field(body) {
+        Some(field) => Err(format!("missing field `{field}`")),
+        None => spec.check(),
+    }
+}
+
+/// Refused for good, with the reason.
+fn refused(status: u16, reason: &str) -> Response {
+    let refusal = Refusal {
+        error: reason.to_owned(),
+    };
+    Response::new(status, encode(&refusal))
+}
+
 fn directed(member: String) -> Response {
     Response::new(
         421,
--- a/crates/umbersail-control/src/records.rs
+++ b/crates/umbersail-control/src/records.rs
@@ -131,6 +131,15 @@
     pub suspect: bool,
 }
 
+impl RunRecord {
+    /// Running tasks for display. The record is written before tasks start and seldom when
+    /// they do: one runs at least while a machine may hold one that is not done.
+    pub fn running_at_least(&self) -> u32 {
+        let may_run = !self.hosts.is_empty() && self.high > self.done_count;
+        self.running.max(u32::from(may_run))
+    }
+}
+
 // The signature is serde's.
 fn is_zero(count: &u32) -> bool {
     *count == 0
--- a/crates/umbersail-rehearsal/src/fleet.rs
+++ b/crates/umbersail-rehearsal/src/fleet.rs
@@ -23,6 +23,7 @@
 use crate::night::{MachineKind, Night};
 use crate::places::Addresses;
 use crate::store::StoreHost;
+use crate::user_troubles::Completions;
 use crate::worker::Worker;
 
 /// What only its tasks know of a job.
@@ -81,6 +82,8 @@
     pub spent: Cell<f64>,
     /// Jobs that nobody wants any more.
     pub cancelled: RefCell<BTreeSet<String>>,
+    /// Jobs whose last task completed.
+    pub completions: Completions,
     /// Where images come from, if it is one place for all.
     pub store: Option<Rc<StoreHost>>,
     /// Reports that come a second time.
@@ -123,6 +126,7 @@
             saved: RefCell::default(),
             spent: Cell::new(0.0),
             cancelled: RefCell::default(),
+            completions: Completions::default(),
             store,
             fronts,
             members,
@@ -149,6 +153,18 @@
         self.jobs.borrow().get(job).is_some_and(|j| j.mistaken)
     }
 
+    /// A task has its result: whether that was the last one is told to who watches.
+    pub fn has_result(&self, job: &str) {
+        if !self.completions.is_watched.get() {
+            return;
+        }
+        let tasks = self.jobs.borrow().get(job).map_or(0, |t| t.spec.tasks);
+        let range = (job.to_owned(), 0)..=(job.to_owned(), u32::MAX);
+        if self.results.borrow().range(range).count() == tasks as usize {
+            self.completions.add(job);
+        }
+    }
+
     /// How long a task runs on a machine of usual speed.
     pub fn run_s(&self, job: &str, task: u32) -> f64 {
         let jobs = self.jobs.borrow();
--- a/crates/umbersail-rehearsal/src/history.rs
+++ b/crates/umbersail-rehearsal/src/history.rs
@@ -99,6 +99,17 @@
         #[serde(default, skip_serializing_if = "Option::is_none")]
         question: Option<Question>,
     },
+    /// A submission that must not be accepted: what is wrong with it, the status that it
+    /// should get, the one that it got (0: no answer), and whether a reason came with it.
+    InvalidSubmission {
+        job: String,
+        defect: String,
+        wanted: u16,
+        status: u16,
+        says_why: bool,
+        node: usize,
+        sent_s: f64,
+    },
     Rented {
         machine: String,
         kind: String,
--- a/crates/umbersail-rehearsal/src/judge/mod.rs
+++ b/crates/umbersail-rehearsal/src/judge/mod.rs
@@ -37,6 +37,8 @@
     /// Of our own: a question that was sent after another had been answered got an older
     /// answer about the same job, at whatever controller.
     OlderAnswer,
+    /// Of our own: a submission was accepted that can't run or lacks a field.
+    AcceptedInvalid,
     /// Of our own: a job of a later step ran before the step before its own had ended.
     OutOfOrder,
 }
@@ -281,6 +283,15 @@
                 status,
                 question,
             } => self.refused_cancel(Given::new(index, t, *question), job, *status),
+            What::InvalidSubmission {
+                job,
+                defect,
+                status: status @ (200 | 201),
+                ..
+            } => {
+                let detail = format!("{job}: {defect}, and answered {status}");
+                self.breach(Rule::AcceptedInvalid, t, index, detail);
+            }
             What::Rented {
                 machine,
                 kind,
@@ -332,7 +343,8 @@
             What::Struck { machine, .. } => {
                 self.struck.insert(machine.clone(), t);
             }
-            What::Up { .. }
+            What::InvalidSubmission { .. }
+            | What::Up { .. }
             | What::MachineGone { .. }
             | What::Elected { .. }
             | What::Trouble { .. }
--- a/crates/umbersail-rehearsal/src/night.rs
+++ b/crates/umbersail-rehearsal/src/night.rs
@@ -497,6 +497,18 @@
     /// A `share` of the transactions to the state service gets no answer and is carried
     /// out 2 to 12 s later, each at a time of its own.
     LateWrites,
+    /// Users ask at all controllers within milliseconds, and repeat the submission, right
+    /// after a job was accepted, ended or was cancelled; or about `job` as it begins.
+    CloseLooks,
+    /// Users repeat submissions of unfinished jobs, cancel jobs that are done, and submit
+    /// what must not be accepted.
+    OddRequests,
+    /// A `share` of the jobs that end is cancelled as their last task ends, or from
+    /// `from_s` to `to_s` later.
+    CancelAtEnd,
+    /// Users cancel `count` jobs that have long to go, or `job`, within a moment; with
+    /// `hang_s` some of their machines hang that long.
+    CancelNow,
     /// `zone` is cut off from everything.
     ZoneCut,
     /// The zones can't reach each other; packets are held.
@@ -511,6 +523,7 @@
             self,
             MachinesCut
                 | MachinesHang
+                | CancelNow
                 | ControllerCut
                 | ControllerSilent
                 | ControllerCutFromState
@@ -564,6 +577,13 @@
     #[serde(default)]
     #[schemars(range(min = 0.1, max = 3600.0))]
     pub to_s: Option<f64>,
+    /// The only job that it is about.
+    #[serde(default)]
+    pub job: Option<String>,
+    /// Machines hang for so many seconds.
+    #[serde(default)]
+    #[schemars(range(min = 0.1, max = 3600.0))]
+    pub hang_s: Option<f64>,
 }
 
 impl Failure {
@@ -585,6 +605,7 @@
             Trouble::MachinesStop | Trouble::WorkerDiesMidJob => self.back_s.unwrap_or(0.0),
             Trouble::SpotWave => 1.5 * night.workers.notice_s,
             Trouble::LateWrites => self.for_s + LATE_TO_S,
+            Trouble::CancelNow => self.hang_s.unwrap_or(0.0),
             Trouble::ReportsLate | Trouble::CommandsLate => self.for_s + self.to_s.unwrap_or(0.0),
             _ => self.for_s,
         };
@@ -665,7 +686,12 @@
         for failure in &mut night.failures {
             quick(&mut failure.at_s);
             quick(&mut failure.for_s);
-            let waits = [&mut failure.back_s, &mut failure.from_s, &mut failure.to_s];
+            let waits = [
+                &mut failure.back_s,
+                &mut failure.from_s,
+                &mut failure.to_s,
+                &mut failure.hang_s,
+            ];
             waits.into_iter().flatten().for_each(quick);
         }
         let waits = umbersail_tuning::CONSTANTS.iter().filter(|c| c.unit == "s");
@@ -876,7 +902,7 @@
         {
             return Err(("times", "is missing"));
         }
-        if matches!(what, CapacityShrinks | LateWrites) && failure.share.is_none() {
+        if matches!(what, CapacityShrinks | LateWrites | CancelAtEnd) && failure.share.is_none() {
             return Err(("share", "is missing"));
         }
         if matches!(what, ReportsLate | CommandsLate) {
@@ -889,6 +915,15 @@
                 _ => {}
             }
         }
+        if what == CancelNow && failure.count.is_none() && failure.job.is_none() {
+            return Err(("count", "is missing"));
+        }
+        if failure.job.is_some() && !matches!(what, CancelNow | CloseLooks) {
+            return Err(("job", "it is about no single job"));
+        }
+        if failure.hang_s.is_some() && what != CancelNow {
+            return Err(("hang_s", "no machine hangs"));
+        }
         let ends = matches!(
             what,
             ControllerCrash | RollingRestart | MachinesStop | WorkerDiesMidJob
--- /dev/null
+++ b/crates/umbersail-rehearsal/src/odd_requests.rs
@@ -0,0 +1,220 @@
+//! Odd requests: repetitions of submissions, with the same content and with another,
+//! cancellations of jobs that are done, and submissions that no controller may accept.
+
+use std::rc::Rc;
+
+use rand::Rng;
+use rand::seq::IndexedRandom;
+use umbersail_runtime::sleep;
+use umbersail_wire::{JobSpec, Value, decode, encode, paths};
+
+use crate::history::What;
+use crate::users::Users;
+
+/// From one request to the next, in seconds.
+const PAUSE_S: std::ops::RangeInclusive<f64> = 0.05..=0.25;
+/// Users wait so long for an answer (PROTOCOL).
+const WAIT_S: f64 = 5.0;
+/// Ids of submissions that must not be accepted have this many digits and begin with 9:
+/// no job of a night has one.
+const INVALID_FROM: u64 = 9_000_000_000;
+const INVALID_TO: u64 = 9_999_999_999;
+/// More than any machine or team has, and still an amount.
+const HUGE: f64 = 1e6;
+/// No amount of anything.
+const ABSURD: f64 = 1e300;
+
+/// Fields that a submission must have (PROTOCOL: all that may not be null).
+pub const REQUIRED_FIELDS: [&str; 17] = [
+    "id", "recipe", "crew", "cut", "urgency", "portions", "cores", "gpus", "mem_gb", "kit",
+    "size_gb", "together", "spread", "borrowed", "cook_s", "stir_s", "bottle_s",
+];
+/// Fields that hold an amount or a count.
+const AMOUNTS: [&str; 8] = [
+    "portions", "cores", "gpus", "mem_gb", "size_gb", "cook_s", "stir_s", "bottle_s",
+];
+
+/// A submission that must not be accepted, and the status that says why.
+#[derive(Debug, Clone)]
+pub struct Invalid {
+    pub defect: String,
+    pub wanted: u16,
+    pub body: Vec<u8>,
+}
+
+fn set(body: &mut Value, field: &str, value: Value) {
+    if let Value::Map(fields) = body {
+        fields.retain(|(key, _)| key.as_str() != Some(field));
+        fields.push((field.into(), value));
+    }
+}
+
+fn without(body: &mut Value, field: &str) {
+    if let Value::Map(fields) = body {
+        fields.retain(|(key, _)| key.as_str() != Some(field));
+    }
+}
+
+/// Every kind of submission that can't be accepted, made from one that can.
+pub fn invalid_submissions(spec: &JobSpec) -> Vec<Invalid> {
+    let plain = JobSpec {
+        gpus: Some(spec.gpus()),
+        one_zone: Some(false),
+        spread: Some(false),
+        ..spec.clone()
+    };
+    let sound: Value = decode(&encode(&plain)).unwrap_or(Value::Nil);
+    let mut all = Vec::new();
+    let mut add = |defect: String, wanted: u16, change: &dyn Fn(&mut Value)| {
+        let mut body = sound.clone();
+        change(&mut body);
+        let body = encode(&body);
+        all.push(Invalid {
+            defect,
+            wanted,
+            body,
+        });
+    };
+    for field in REQUIRED_FIELDS {
+        add(format!("no {field}"), 400, &|b| without(b, field));
+        let of_another_type = Value::Array(vec![]);
+        add(format!("{field} is a list"), 400, &|b| {
+            set(b, field, of_another_type.clone())
+        });
+    }
+    for field in AMOUNTS {
+        add(format!("{field} is negative"), 400, &|b| {
+            set(b, field, Value::from(-1))
+        });
+        add(format!("{field} is absurd"), 400, &|b| {
+            set(b, field, Value::from(ABSURD))
+        });
+        add(format!("{field} is no number"), 400, &|b| {
+            set(b, field, Value::from(f64::NAN))
+        });
+    }
+    add("no task".into(), 400, &|b| {
+        set(b, "portions", Value::from(0))
+    });
+    add("too many tasks".into(), 400, &|b| {
+        set(b, "portions", Value::from(100_001))
+    });
+    add("an id of another form".into(), 400, &|b| {
+        set(b, "id", Value::from("job 7"))
+    });
+    add("an unknown kind".into(), 400, &|b| {
+        set(b, "cut", Value::from("odd"))
+    });
+    add("an unknown priority".into(), 400, &|b| {
+        set(b, "urgency", Value::from("odd"))
+    });
+    add("a list".into(), 400, &|b| {
+        *b = Value::Array(vec![Value::from(1)])
+    });
+    add("nothing at all".into(), 400, &|b| *b = Value::Nil);
+    add("an unknown team".into(), 422, &|b| {
+        set(b, "crew", Value::from("nobody"))
+    });
+    let unknown_type = Value::Array(vec![Value::from("no such type")]);
+    add("an unknown machine type".into(), 422, &|b| {
+        set(b, "breeds", unknown_type.clone())
+    });
+    add("no machine type".into(), 422, &|b| {
+        set(b, "breeds", Value::Array(vec![]))
+    });
+    add("an unknown zone".into(), 422, &|b| {
+        set(b, "field", Value::from("nowhere"))
+    });
+    for field in ["cores", "gpus", "mem_gb"] {
+        add(format!("too large in {field}"), 422, &|b| {
+            set(b, field, Value::from(HUGE))
+        });
+    }
+    all
+}
+
+impl Users {
+    /// Odd requests of all kinds, at each controller in turn, while the trouble lasts.
+    pub(crate) async fn send_odd_requests(self: Rc<Self>) {
+        let (mut count, mut defect) = (0, 0);
+        while self.troubles.sends_odd.get() {
+            let node = count % self.nodes().len();
+            // Each defect goes to all controllers, before the next does.
+            let is_last = node + 1 == self.nodes().len();
+            match (count / self.nodes().len()) % 6 {
+                0 => self.repeat_any(node, false).await,
+                1 => self.repeat_any(node, true).await,
+                2 => self.cancel_done(node).await,
+                _ => {
+                    self.submit_invalid(node, defect).await;
+                    defect += usize::from(is_last);
+                }
+            }
+            count += 1;
+            let pause = self.troubles.chance(|rng| rng.random_range(PAUSE_S));
+            sleep(pause).await;
+        }
+    }
+
+    /// A submission of an unfinished job comes again, as it was or with another content.
+    async fn repeat_any(&self, node: usize, changed: bool) {
+        let job = self.troubles.any_unfinished();
+        let Some(spec) = job.and_then(|job| self.spec_of(&job)) else {
+            return;
+        };
+        if !changed {
+            return self.repeat_at(node, &spec).await;
+        }
+        let id = spec.id.clone();
+        let bodies = invalid_submissions(&spec);
+        let names_it = |i: &&Invalid| {
+            decode::<umbersail_wire::JobIdOnly>(&i.body).is_ok_and(|only| only.id == id)
+        };
+        let bodies: Vec<&Invalid> = bodies.iter().filter(names_it).collect();
+        let Some(chosen) = self.troubles.chance(|rng| bodies.choose(rng).copied()) else {
+            return;
+        };
+        let told = self.ask_at(node, "POST", paths::JOBS, &chosen.body, WAIT_S);
+        if let Some(told) = told.await {
+            self.note_repeated(&id, &told);
+        }
+    }
+
+    /// A job that is done is cancelled: that must be answered with its end.
+    async fn cancel_done(&self, node: usize) {
+        let Some(job) = self.troubles.any_done() else {
+            return;
+        };
+        let target = format!("{}/{job}/{}", paths::JOBS, paths::CANCEL);
+        if let Some(told) = self.ask_at(node, "POST", &target, b"", WAIT_S).await {
+            self.note_cancel_answer(&job, &told);
+        }
+    }
+
+    async fn submit_invalid(&self, node: usize, defect: usize) {
+        let Some(mut spec) = self.any_spec() else {
+            return;
+        };
+        let number = self
+            .troubles
+            .chance(|rng| rng.random_range(INVALID_FROM..=INVALID_TO));
+        spec.id = format!("req-{number}");
+        let all = invalid_submissions(&spec);
+        let invalid = all[defect % all.len()].clone();
+        let sent_s = self.fleet().history.now_s();
+        let told = self
+            .ask_at(node, "POST", paths::JOBS, &invalid.body, WAIT_S)
+            .await;
+        self.note(What::InvalidSubmission {
+            job: spec.id,
+            defect: invalid.defect,
+            wanted: invalid.wanted,
+            status: told.as_ref().map_or(0, |told| told.answer.status),
+            says_why: told
+                .as_ref()
+                .is_some_and(|told| !told.answer.body.is_empty()),
+            node,
+            sent_s,
+        });
+    }
+}
--- a/crates/umbersail-rehearsal/src/trouble.rs
+++ b/crates/umbersail-rehearsal/src/trouble.rs
@@ -14,6 +14,7 @@
 use crate::late::Late;
 use crate::ledger_host::LedgerHost;
 use crate::night::{Failure, ROLL_S, Trouble};
+use crate::user_troubles::Order;
 use crate::users::Users;
 
 /// Machines that a trouble takes if it does not say how many.
@@ -44,7 +45,7 @@
 }
 
 /// A trouble's name in night files.
-fn name_of(trouble: Trouble) -> String {
+pub(crate) fn name_of(trouble: Trouble) -> String {
     let name = serde_json::to_value(trouble).unwrap_or_default();
     name.as_str().unwrap_or("").to_owned()
 }
@@ -386,6 +387,29 @@
                 self.ledger.late.set(failure.share.unwrap_or(0.0));
                 Some(Box::new(|s| s.ledger.late.set(0.0)))
             }
+            Trouble::CloseLooks => {
+                fleet.completions.is_watched.set(true);
+                match failure.job.clone() {
+                    Some(job) => self.users.troubles.order(Order::Look { job, after_s: 0.0 }),
+                    None => self.users.troubles.looks_closely.set(true),
+                }
+                Some(Box::new(|s| s.users.troubles.looks_closely.set(false)))
+            }
+            Trouble::OddRequests => {
+                self.users.troubles.sends_odd.set(true);
+                self.users.troubles.order(Order::SendOddRequests);
+                Some(Box::new(|s| s.users.troubles.sends_odd.set(false)))
+            }
+            Trouble::CancelAtEnd => {
+                fleet.completions.is_watched.set(true);
+                let late = Some(Late::of(failure));
+                self.users.troubles.cancelled_at_end.set(late);
+                Some(Box::new(|s| s.users.troubles.cancelled_at_end.set(None)))
+            }
+            Trouble::CancelNow => {
+                self.cancel_now(failure);
+                None
+            }
             Trouble::ZoneCut => {
                 let inside = self.zone_hosts(failure.zone.as_deref().unwrap_or(""));
                 let mut outside = self.all_hosts();
--- a/crates/umbersail-rehearsal/src/users.rs
+++ b/crates/umbersail-rehearsal/src/users.rs
@@ -15,6 +15,7 @@
 use crate::fleet::{Fleet, Truth};
 use crate::history::{Question, What};
 use crate::night::{self, Class};
+use crate::user_troubles::UserTroubles;
 
 /// A user waits so long for the answer to a submission, and to a poll.
 const SUBMIT_S: f64 = 5.0;
@@ -230,6 +231,7 @@
     /// Users that still wait for their jobs.
     pub waiting: Cell<usize>,
     pub closed: Cell<bool>,
+    pub troubles: UserTroubles,
     /// Jobs of runs that their users know to be over.
     over: RefCell<BTreeSet<String>>,
 }
@@ -244,6 +246,7 @@
             numbers: Cell::new(0),
             waiting: Cell::new(0),
             closed: Cell::new(false),
+            troubles: UserTroubles::new(seed),
             over: RefCell::default(),
         })
     }
@@ -258,6 +261,7 @@
             spawn(self.clone().submit_class(index));
         }
         self.submit_runs();
+        self.follow_troubles();
         spawn(self.clone().ask_of_strangers());
         std::future::pending::<()>().await;
     }
@@ -394,6 +398,7 @@
         }
         let accepted_at = self.fleet.world.now();
         let mut poll_at = accepted_at + self.around(5.0);
+        let cancels = self.troubles.cancels_at_once().or(cancels);
         let mut cancel_at = cancels.map(|after| accepted_at + after);
         loop {
             let now = self.fleet.world.now();
@@ -420,17 +425,33 @@
             sleep(self.around(20.0)).await;
             self.poll(&line, &job).await;
             let answer = line.ask("POST", paths::JOBS, &body, SUBMIT_S).await;
-            if let Some(told) = answer.filter(|told| told.answer.status < RETRIED_FROM) {
-                self.fleet.history.add(What::Repeated {
-                    job,
-                    status: told.answer.status,
-                    stage: stage(&told.answer),
-                    question: Some(told.question),
-                });
+            if let Some(told) = answer {
+                self.note_repeated(&job, &told);
             }
         }
     }
 
+    /// The answer to a repeated submission, if it says anything of the job.
+    pub(crate) fn note_repeated(&self, job: &str, told: &Told) {
+        if told.answer.status < RETRIED_FROM {
+            let stage = stage(&told.answer);
+            self.note_stage(job, stage);
+            self.note(What::Repeated {
+                job: job.into(),
+                status: told.answer.status,
+                stage,
+                question: Some(told.question),
+            });
+        }
+    }
+
+    /// Somebody was told this of the job.
+    fn note_stage(&self, job: &str, stage: Option<JobStage>) {
+        if let Some(stage @ (JobStage::Done | JobStage::Cancelled)) = stage {
+            self.troubles.is_over(job, stage);
+        }
+    }
+
     /// For those who submit the next step of a run.
     fn tell_over(&self, job: &str) {
         if !self.fleet.night.runs.is_empty() {
@@ -447,6 +468,27 @@
         self.fleet.night.clone()
     }
 
+    pub(crate) fn fleet(&self) -> &Rc<Fleet> {
+        &self.fleet
+    }
+
+    /// The controllers' addresses.
+    pub(crate) fn nodes(&self) -> &[SocketAddr] {
+        &self.balancer.nodes
+    }
+
+    /// What a job's user submitted.
+    pub(crate) fn spec_of(&self, job: &str) -> Option<JobSpec> {
+        let jobs = self.fleet.jobs.borrow();
+        jobs.get(job).map(|truth| truth.spec.clone())
+    }
+
+    /// The first submission of the night, by id.
+    pub(crate) fn any_spec(&self) -> Option<JobSpec> {
+        let jobs = self.fleet.jobs.borrow();
+        jobs.values().next().map(|truth| truth.spec.clone())
+    }
+
     pub(crate) fn now(&self) -> f64 {
         self.fleet.world.now()
     }
@@ -480,6 +522,7 @@
                         after_s: now - began,
                         question: Some(told.question),
                     });
+                    self.troubles.accepted(&spec.id);
                     return true;
                 }
                 Some(told) if matches!(told.answer.status, 400 | 422) => {
@@ -506,6 +549,7 @@
         let target = format!("{}/{job}", paths::JOBS);
         let answer = line.ask("GET", &target, b"", POLL_S).await;
         let stage = answer.as_ref().and_then(|told| stage(&told.answer));
+        self.note_stage(job, stage);
         self.fleet.history.add(What::Polled {
             job: job.into(),
             status: answer.as_ref().map_or(0, |told| told.answer.status),
@@ -520,6 +564,16 @@
         self.fleet
             .history
             .add(What::CancelAsked { job: job.into() });
+        self.repeat_cancel(line, job).await
+    }
+
+    /// A cancellation that was asked for elsewhere goes on through the balancer.
+    pub(crate) async fn cancel_through_balancer(&self, job: &str) -> bool {
+        let line = Line::new(&self.fleet, &self.balancer);
+        self.repeat_cancel(&line, job).await
+    }
+
+    async fn repeat_cancel(&self, line: &Line, job: &str) -> bool {
         let target = format!("{}/{job}/{}", paths::JOBS, paths::CANCEL);
         let began = self.fleet.world.now();
         loop {
@@ -539,8 +593,13 @@
     /// Whether the answer says that the job is over.
     pub(crate) fn note_cancel_answer(&self, job: &str, told: &Told) -> bool {
         let (status, question) = (told.answer.status, Some(told.question));
+        let stage = stage(&told.answer).filter(|_| status == 200);
+        self.note_stage(job, stage);
+        if stage == Some(JobStage::Cancelled) {
+            self.troubles.look(job);
+        }
         let job = job.to_owned();
-        match stage(&told.answer).filter(|_| status == 200) {
+        match stage {
             Some(stage @ (JobStage::Cancelled | JobStage::Done)) => {
                 self.note(What::CancelTold {
                     job,
--- a/crates/umbersail-rehearsal/src/worker.rs
+++ b/crates/umbersail-rehearsal/src/worker.rs
@@ -183,6 +183,16 @@
         self.wake.raise();
     }
 
+    /// Jobs whose tasks run here, and how long each goes on, in seconds.
+    pub fn running(&self, now: f64) -> Vec<(String, f64)> {
+        let state = self.state.borrow();
+        let runs = state
+            .tasks
+            .iter()
+            .filter(|(_, t)| t.state == TaskState::Running);
+        runs.map(|(key, t)| (key.0.clone(), t.due - now)).collect()
+    }
+
     /// Time that the machine hung is no run time.
     pub fn put_off(&self, seconds: f64) {
         let mut state = self.state.borrow_mut();
@@ -388,10 +398,11 @@
         let useful_s = match how {
             End::Done => {
                 fleet.saved.borrow_mut().remove(&id);
-                match fleet.results.borrow_mut().insert(id) {
-                    true => made,
-                    false => 0.0,
+                let is_new = fleet.results.borrow_mut().insert(id);
+                if is_new {
+                    fleet.has_result(&key.0);
                 }
+                if is_new { made } else { 0.0 }
             }
             End::Error => 0.0,
             _ if spec
--- a/crates/umbersail-rehearsal/tests/nights/pairs.rs
+++ b/crates/umbersail-rehearsal/tests/nights/pairs.rs
@@ -94,6 +94,8 @@
         back_s: ends.then_some(back_s),
         from_s: copies.then_some(from_s),
         to_s: copies.then_some(to_s),
+        job: None,
+        hang_s: None,
     }
 }
 
--- a/crates/umbersail-wire/src/jobs.rs
+++ b/crates/umbersail-wire/src/jobs.rs
@@ -1,5 +1,10 @@
+use std::collections::BTreeMap;
+
+use serde::de::IgnoredAny;
 use serde::{Deserialize, Serialize};
 
+use crate::decode;
+
 /// What a job's tasks are.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum JobKind {
@@ -156,6 +161,25 @@
     }
 }
 
+/// Fields that every submission has, though records of jobs may do without them.
+const SUBMITTED_FIELDS: [&str; 6] = [
+    "gpus", "together", "spread", "borrowed", "stir_s", "bottle_s",
+];
+
+/// The first field that a submission lacks and that a record need not have; what a record
+/// has to have is missed when it is decoded.
+pub fn missing_field(submission: &[u8]) -> Option<&'static str> {
+    let fields: BTreeMap<String, IgnoredAny> = decode(submission).ok()?;
+    let is_missing = |field: &&&str| !fields.contains_key(**field);
+    SUBMITTED_FIELDS.iter().find(is_missing).copied()
+}
+
+/// Why a submission is refused for good.
+#[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
+pub struct Refusal {
+    pub error: String,
+}
+
 /// Only the id of a submission, however broken the rest is.
 #[derive(Debug, Serialize, Deserialize)]
 pub struct JobIdOnly {
