--- a/crates/umbersail-control/src/engine/floor.rs
+++ b/crates/umbersail-control/src/engine/floor.rs
@@ -120,7 +120,10 @@
 
     /// A lifted job was placed with the task that makes it begin.
     pub(super) fn note_beginning(&mut self, id: &Name) {
-        let task = self.jobs.get(id).and_then(|j| j.live.keys().next().copied());
+        let task = self
+            .jobs
+            .get(id)
+            .and_then(|j| j.live.keys().next().copied());
         if let Some(task) = task {
             self.floor.beginning.insert(id.clone(), task);
         }
--- a/crates/umbersail-rehearsal/src/judge/waiting.rs
+++ b/crates/umbersail-rehearsal/src/judge/waiting.rs
@@ -523,6 +523,7 @@
                 What::Accepted {
                     job: "req-1".into(),
                     after_s: 0.1,
+                    question: None,
                 },
             ),
             (0.0, other()),
--- a/crates/umbersail-rehearsal/src/night.rs
+++ b/crates/umbersail-rehearsal/src/night.rs
@@ -519,6 +519,18 @@
     /// A `share` of the transactions to the state service gets no answer and is carried
     /// out 2 to 12 s later, each at a time of its own, or `at_once`.
     LateWrites,
+    /// Users ask at all controllers within milliseconds, and repeat the submission, right
+    /// after a job was accepted, ended or was cancelled; or about `job` as it begins.
+    CloseLooks,
+    /// Users repeat submissions of unfinished jobs, cancel jobs that are done, and submit
+    /// what must not be accepted.
+    OddRequests,
+    /// A `share` of the jobs that end is cancelled as their last task ends, or from
+    /// `from_s` to `to_s` later.
+    CancelAtEnd,
+    /// Users cancel `count` jobs that have long to go, or `job`, within a moment; with
+    /// `hang_s` some of their machines hang that long.
+    CancelNow,
     /// `zone` is cut off from everything.
     ZoneCut,
     /// The zones can't reach each other; packets are held.
@@ -533,6 +545,7 @@
             self,
             MachinesCut
                 | MachinesHang
+                | CancelNow
                 | ControllerCut
                 | ControllerSilent
                 | ControllerCutFromState
@@ -593,6 +606,13 @@
     /// Copies of reports are kept for the next leader.
     #[serde(default)]
     pub for_next: Option<bool>,
+    /// The only job that it is about.
+    #[serde(default)]
+    pub job: Option<String>,
+    /// Machines hang for so many seconds.
+    #[serde(default)]
+    #[schemars(range(min = 0.1, max = 3600.0))]
+    pub hang_s: Option<f64>,
 }
 
 impl Failure {
@@ -617,6 +637,7 @@
             Trouble::ReportsLate | Trouble::CommandsLate | Trouble::CommandAnswersLate => {
                 self.for_s + self.to_s.unwrap_or(0.0)
             }
+            Trouble::CancelNow => self.hang_s.unwrap_or(0.0),
             _ => self.for_s,
         };
         self.at_s + lasts_s
@@ -641,11 +662,6 @@
     }
 
     /// Whether users cancel at controllers of the script's choice.
-    pub(crate) fn sweeps_cancellations(&self) -> bool {
-        let sweeps = |f: &Failure| f.what == Trouble::CancelSweep;
-        self.failures.iter().any(sweeps)
-    }
-
     /// When it ends at the latest, in seconds.
     pub fn ends_s(&self) -> f64 {
         (self.length_s + self.drain_s).max(self.troubles_over_s() + GRACE_S)
@@ -702,7 +718,12 @@
         for failure in &mut night.failures {
             quick(&mut failure.at_s);
             quick(&mut failure.for_s);
-            let waits = [&mut failure.back_s, &mut failure.from_s, &mut failure.to_s];
+            let waits = [
+                &mut failure.back_s,
+                &mut failure.from_s,
+                &mut failure.to_s,
+                &mut failure.hang_s,
+            ];
             waits.into_iter().flatten().for_each(quick);
         }
         let waits = umbersail_tuning::CONSTANTS.iter().filter(|c| c.unit == "s");
@@ -917,7 +938,7 @@
         {
             return Err(("times", "is missing"));
         }
-        if matches!(what, CapacityShrinks | LateWrites) && failure.share.is_none() {
+        if matches!(what, CapacityShrinks | LateWrites | CancelAtEnd) && failure.share.is_none() {
             return Err(("share", "is missing"));
         }
         if failure.at_once && what != LateWrites {
@@ -939,6 +960,15 @@
         if failure.for_next.is_some() && what != ReportsLate {
             return Err(("for_next", "no reports are copied"));
         }
+        if what == CancelNow && failure.count.is_none() && failure.job.is_none() {
+            return Err(("count", "is missing"));
+        }
+        if failure.job.is_some() && !matches!(what, CancelNow | CloseLooks) {
+            return Err(("job", "it is about no single job"));
+        }
+        if failure.hang_s.is_some() && what != CancelNow {
+            return Err(("hang_s", "no machine hangs"));
+        }
         let ends = matches!(
             what,
             ControllerCrash | RollingRestart | MachinesStop | WorkerDiesMidJob
--- a/crates/umbersail-rehearsal/src/users.rs
+++ b/crates/umbersail-rehearsal/src/users.rs
@@ -14,12 +14,15 @@
 
 use crate::cancellations::Cancellations;
 use crate::fleet::{Fleet, Truth};
-use crate::history::What;
+use crate::history::{Question, What};
 use crate::night::{self, Class};
+use crate::user_troubles::UserTroubles;
 
 /// A user waits so long for the answer to a submission, and to a poll.
 const SUBMIT_S: f64 = 5.0;
 const POLL_S: f64 = 2.0;
+/// Answers from this status on say nothing of a job: they are asked for again.
+const RETRIED_FROM: u16 = 429;
 /// In all, a submission is repeated for this long.
 const GIVE_UP_S: f64 = 60.0;
 /// The load balancer asks another node if one does not accept within this.
@@ -122,14 +125,18 @@
     })
 }
 
+/// An answer and the question that it belongs to.
+pub(crate) struct Told {
+    pub answer: Answer,
+    pub question: Question,
+}
+
 /// One user's connection through the balancer.
 struct Line {
     fleet: Rc<Fleet>,
     balancer: Rc<Balancer>,
     client: Client,
     node: Cell<Option<usize>>,
-    /// Who gave the newest answer.
-    answered_by: Cell<Option<usize>>,
 }
 
 impl Line {
@@ -139,7 +146,6 @@
             balancer: balancer.clone(),
             client: client(),
             node: Cell::new(None),
-            answered_by: Cell::new(None),
         }
     }
 
@@ -158,7 +164,7 @@
     }
 
     /// One request; a node that takes no connection is passed over, twice.
-    async fn ask(&self, method: &str, target: &str, body: &[u8], wait_s: f64) -> Option<Answer> {
+    async fn ask(&self, method: &str, target: &str, body: &[u8], wait_s: f64) -> Option<Told> {
         let mut tried = Vec::new();
         for _ in 0..3 {
             let now = self.fleet.world.now();
@@ -179,6 +185,7 @@
                 }
             };
             let addr = self.balancer.nodes[node];
+            let sent_s = self.fleet.history.now_s();
             let answer = self.client.ask(addr, method, target, body, wait_s).await;
             let refused = matches!(
                 answer,
@@ -195,12 +202,12 @@
             }
             match answer {
                 Ok(answer) => {
-                    self.answered_by.set(Some(node));
                     // The next request goes through the balancer anew.
                     if answer.closes {
                         self.leave();
                     }
-                    return Some(answer);
+                    let question = Question { node, sent_s };
+                    return Some(Told { answer, question });
                 }
                 Err(_) if refused => {
                     tried.push(node);
@@ -234,6 +241,7 @@
     pub waiting: Cell<usize>,
     pub closed: Cell<bool>,
     pub cancellations: Cancellations,
+    pub troubles: UserTroubles,
     /// Jobs of runs that their users know to be over.
     over: RefCell<BTreeSet<String>>,
 }
@@ -249,6 +257,7 @@
             waiting: Cell::new(0),
             closed: Cell::new(false),
             cancellations: Cancellations::default(),
+            troubles: UserTroubles::new(seed),
             over: RefCell::default(),
         })
     }
@@ -263,6 +272,7 @@
             spawn(self.clone().submit_class(index));
         }
         self.submit_runs();
+        self.follow_troubles();
         spawn(self.clone().ask_of_strangers());
         std::future::pending::<()>().await;
     }
@@ -399,6 +409,7 @@
         }
         let accepted_at = self.fleet.world.now();
         let mut poll_at = accepted_at + self.around(5.0);
+        let cancels = self.troubles.cancels_at_once().or(cancels);
         let mut cancel_at = cancels.map(|after| accepted_at + after);
         loop {
             let now = self.fleet.world.now();
@@ -430,16 +441,33 @@
             sleep(self.around(20.0)).await;
             self.poll(&line, &job).await;
             let answer = line.ask("POST", paths::JOBS, &body, SUBMIT_S).await;
-            if let Some(answer) = answer.filter(|a| a.status < 429) {
-                self.fleet.history.add(What::Repeated {
-                    job,
-                    status: answer.status,
-                    stage: stage(&answer),
-                });
+            if let Some(told) = answer {
+                self.note_repeated(&job, &told);
             }
         }
     }
 
+    /// The answer to a repeated submission, if it says anything of the job.
+    pub(crate) fn note_repeated(&self, job: &str, told: &Told) {
+        if told.answer.status < RETRIED_FROM {
+            let stage = stage(&told.answer);
+            self.note_stage(job, stage);
+            self.note(What::Repeated {
+                job: job.into(),
+                status: told.answer.status,
+                stage,
+                question: Some(told.question),
+            });
+        }
+    }
+
+    /// Somebody was told this of the job.
+    fn note_stage(&self, job: &str, stage: Option<JobStage>) {
+        if let Some(stage @ (JobStage::Done | JobStage::Cancelled)) = stage {
+            self.troubles.is_over(job, stage);
+        }
+    }
+
     /// For those who submit the next step of a run.
     fn tell_over(&self, job: &str) {
         if !self.fleet.night.runs.is_empty() {
@@ -456,6 +484,27 @@
         self.fleet.night.clone()
     }
 
+    pub(crate) fn fleet(&self) -> &Rc<Fleet> {
+        &self.fleet
+    }
+
+    /// The controllers' addresses.
+    pub(crate) fn nodes(&self) -> &[SocketAddr] {
+        &self.balancer.nodes
+    }
+
+    /// What a job's user submitted.
+    pub(crate) fn spec_of(&self, job: &str) -> Option<JobSpec> {
+        let jobs = self.fleet.jobs.borrow();
+        jobs.get(job).map(|truth| truth.spec.clone())
+    }
+
+    /// The first submission of the night, by id.
+    pub(crate) fn any_spec(&self) -> Option<JobSpec> {
+        let jobs = self.fleet.jobs.borrow();
+        jobs.values().next().map(|truth| truth.spec.clone())
+    }
+
     pub(crate) fn now(&self) -> f64 {
         self.fleet.world.now()
     }
@@ -483,19 +532,26 @@
             let now = self.fleet.world.now();
             let job = spec.id.clone();
             match &answer {
-                Some(a) if a.status == 200 || a.status == 201 => {
-                    let after_s = now - began;
-                    self.fleet.history.add(What::Accepted { job, after_s });
+                Some(told) if matches!(told.answer.status, 200 | 201) => {
+                    self.fleet.history.add(What::Accepted {
+                        job,
+                        after_s: now - began,
+                        question: Some(told.question),
+                    });
+                    self.troubles.accepted(&spec.id);
                     return true;
                 }
-                Some(a) if a.status == 400 || a.status == 422 => {
-                    let status = a.status;
+                Some(told) if matches!(told.answer.status, 400 | 422) => {
+                    let status = told.answer.status;
                     self.fleet.history.add(What::Refused { job, status });
                     return false;
                 }
                 _ => {}
             }
-            let told = answer.and_then(|a| a.retry_after_s).unwrap_or(0).min(30);
+            let told = answer
+                .and_then(|told| told.answer.retry_after_s)
+                .unwrap_or(0)
+                .min(30);
             let pause = f64::from(told).max(self.around(1.1));
             if now + pause - began > GIVE_UP_S {
                 self.fleet.history.add(What::Refused { job, status: 0 });
@@ -508,11 +564,13 @@
     async fn poll(&self, line: &Line, job: &str) -> Option<JobStage> {
         let target = format!("{}/{job}", paths::JOBS);
         let answer = line.ask("GET", &target, b"", POLL_S).await;
-        let stage = answer.as_ref().and_then(stage);
+        let stage = answer.as_ref().and_then(|told| stage(&told.answer));
+        self.note_stage(job, stage);
         self.fleet.history.add(What::Polled {
             job: job.into(),
-            status: answer.map_or(0, |a| a.status),
+            status: answer.as_ref().map_or(0, |told| told.answer.status),
             stage,
+            question: answer.map(|told| told.question),
         });
         stage
     }
@@ -522,17 +580,23 @@
         self.fleet
             .history
             .add(What::CancelAsked { job: job.into() });
+        self.repeat_cancel(line, job).await
+    }
+
+    /// A cancellation that was asked for elsewhere goes on through the balancer.
+    pub(crate) async fn cancel_through_balancer(&self, job: &str) -> bool {
+        let line = Line::new(&self.fleet, &self.balancer);
+        self.repeat_cancel(&line, job).await
+    }
+
+    async fn repeat_cancel(&self, line: &Line, job: &str) -> bool {
         let target = format!("{}/{job}/{}", paths::JOBS, paths::CANCEL);
         let began = self.fleet.world.now();
         loop {
             let answer = line.ask("POST", &target, b"", SUBMIT_S).await;
-            let told = answer.as_ref().filter(|a| a.status == 200).and_then(stage);
-            if let Some(stage @ (JobStage::Cancelled | JobStage::Done)) = told {
-                self.fleet.history.add(What::CancelTold {
-                    job: job.into(),
-                    stage,
-                });
-                self.note_confirmation(line, job, stage);
+            if let Some(told) = answer
+                && self.note_cancel_answer(job, &told)
+            {
                 return true;
             }
             if self.fleet.world.now() - began > GIVE_UP_S {
@@ -542,17 +606,34 @@
         }
     }
 
-    /// Which controller confirmed a cancellation, for scripts that choose it.
-    fn note_confirmation(&self, line: &Line, job: &str, stage: JobStage) {
-        if let Some(controller) = line.answered_by.get()
-            && self.fleet.night.sweeps_cancellations()
-        {
-            let job = job.to_owned();
-            self.fleet.history.add(What::CancelConfirmed {
-                job,
-                controller,
-                stage,
-            });
+    /// Whether the answer says that the job is over.
+    pub(crate) fn note_cancel_answer(&self, job: &str, told: &Told) -> bool {
+        let (status, question) = (told.answer.status, Some(told.question));
+        let stage = stage(&told.answer).filter(|_| status == 200);
+        self.note_stage(job, stage);
+        if stage == Some(JobStage::Cancelled) {
+            self.troubles.look(job);
+        }
+        let job = job.to_owned();
+        match stage {
+            Some(stage @ (JobStage::Cancelled | JobStage::Done)) => {
+                self.note(What::CancelTold {
+                    job,
+                    stage,
+                    question,
+                });
+                true
+            }
+            _ => {
+                if (400..RETRIED_FROM).contains(&status) {
+                    self.note(What::CancelRefused {
+                        job,
+                        status,
+                        question,
+                    });
+                }
+                false
+            }
         }
     }
 
@@ -567,7 +648,7 @@
     }
 }
 
-fn stage(answer: &Answer) -> Option<JobStage> {
+pub(crate) fn stage(answer: &Answer) -> Option<JobStage> {
     decode::<JobStatus>(&answer.body)
         .ok()
         .map(|status| status.state)
--- a/crates/umbersail-rehearsal/tests/nights/cancellations_during_elections.rs
+++ b/crates/umbersail-rehearsal/tests/nights/cancellations_during_elections.rs
@@ -67,9 +67,9 @@
         }
         let starts = first_start(&all, elected);
         for event in events {
-            let What::CancelConfirmed {
-                controller,
+            let What::CancelTold {
                 stage: JobStage::Cancelled,
+                question: Some(question),
                 ..
             } = &event.what
             else {
@@ -82,7 +82,7 @@
                 t if (starts..starts + CLOSE_S).contains(&t) => Phase::After,
                 _ => continue,
             };
-            *met.entry((phase, *controller)).or_default() += 1;
+            *met.entry((phase, question.node)).or_default() += 1;
         }
     }
     met
@@ -114,6 +114,7 @@
             What::CancelTold {
                 job,
                 stage: JobStage::Cancelled,
+                ..
             } => Some((&**job, e.t)),
             _ => None,
         })
--- a/crates/umbersail-rehearsal/tests/nights/main.rs
+++ b/crates/umbersail-rehearsal/tests/nights/main.rs
@@ -1,20 +1,24 @@
 //! Whole nights with real controllers: of all kinds, and one file for each meeting of
 //! two troubles.
 
+mod bad_submissions;
 mod cancellations_during_elections;
+mod close_looks;
 mod gap;
 mod hand_overs;
 mod harness;
 mod held_commands;
+mod last_task;
 mod late_writes;
 mod leader_cut;
 mod lost_answers;
 mod mute_machines;
 mod old_reports;
 mod pairs;
-mod reports_for_successors;
 mod quick_machines;
+mod reports_for_successors;
 mod small_arrays;
+mod sweep;
 mod teams_at_limits;
 mod unreachable;
 mod whole;
--- a/crates/umbersail-rehearsal/tests/nights/pairs.rs
+++ b/crates/umbersail-rehearsal/tests/nights/pairs.rs
@@ -96,6 +96,8 @@
         to_s: copies.then_some(to_s),
         at_once: false,
         for_next: None,
+        job: None,
+        hang_s: None,
     }
 }
 
