--- a/crates/umbersail-control/tests/isolated/successors.rs
+++ b/crates/umbersail-control/tests/isolated/successors.rs
@@ -1,5 +1,8 @@
 //! Leaders that have a successor and hear of it late, or not at once.
 
+use futures::future::join_all;
+use umbersail_wire::{Hello, paths};
+
 use super::*;
 use crate::standin::HeldAnswer;
 
@@ -88,3 +91,76 @@
         });
     }
 }
+
+#[test]
+fn a_leader_that_thaws_answers_no_report_that_came_after_its_successors_greeting() {
+    // Guards against a frozen leader whose time is not over and that answers a queue of
+    // reports as it thaws, although the greeting of its successor stands before them.
+    const WORKERS: usize = 24;
+    in_scene(|scene| async move {
+        let leader = scene.leader().await;
+        let http = Rc::new(Client::new(ClientLimits {
+            max_body_bytes: 1 << 16,
+            max_per_address: WORKERS,
+            max_idle: WORKERS,
+            max_total: WORKERS + 1,
+            connect_s: 4.0,
+        }));
+        let reports = |seq: u64, token: u64| {
+            let all = (0..WORKERS).map(|n| {
+                let http = http.clone();
+                let mut report = new_report(&format!("host-{n:06}"));
+                (report.seq, report.token) = (seq, token);
+                async move {
+                    let body = encode(&report);
+                    let answer = http.ask(front(leader), "POST", paths::REPORT, &body, 9.0);
+                    let answer = answer.await.ok().filter(|a| a.status == 200)?;
+                    Some(decode::<ReportReply>(&answer.body).unwrap().token)
+                }
+            });
+            join_all(all)
+        };
+        let greeting = |successor: Option<(usize, u64)>| {
+            let http = http.clone();
+            let hello = Hello {
+                member: format!("n{}", (leader + 1) % NODES),
+                leader: successor.map(|(node, _)| format!("n{node}")),
+                token: successor.map_or(0, |(_, token)| token),
+                ..Hello::default()
+            };
+            async move {
+                let body = encode(&hello);
+                let answer = http.ask(back(leader), "POST", paths::PEER_HELLO, &body, 9.0);
+                answer.await.map_or(0, |a| a.status)
+            }
+        };
+        // Connections are open, and all workers have the leader's token.
+        assert_eq!(greeting(None).await, 200);
+        let tokens: Vec<u64> = reports(2, 0).await.into_iter().flatten().collect();
+        assert_eq!(tokens.len(), WORKERS);
+        let token = tokens[0];
+        assert_eq!(
+            reports(3, token).await.into_iter().flatten().count(),
+            WORKERS
+        );
+        scene.world.freeze(scene.nodes[leader]);
+        spawn({
+            let greeting = greeting(Some(((leader + 1) % NODES, u64::MAX)));
+            async move {
+                assert_eq!(greeting.await, 200);
+            }
+        });
+        sleep(0.2).await;
+        let told: Rc<RefCell<Option<Vec<Option<u64>>>>> = Rc::default();
+        let (tell, asked) = (told.clone(), reports(4, token));
+        spawn(async move {
+            let answers = asked.await;
+            *tell.borrow_mut() = Some(answers);
+        });
+        sleep(0.2).await;
+        scene.world.thaw(scene.nodes[leader]);
+        sleep(3.0).await;
+        let told = told.borrow_mut().take().expect("all have an answer");
+        assert_eq!(told.iter().flatten().count(), 0, "{told:?}");
+    });
+}
--- a/crates/umbersail-rehearsal/src/history.rs
+++ b/crates/umbersail-rehearsal/src/history.rs
@@ -131,6 +131,12 @@
         deletes: Vec<String>,
         applied: bool,
     },
+    /// While answers are lost: a transaction failed, since these keys did not have the
+    /// version that its sender took them to have.
+    Conflict {
+        controller: usize,
+        failed: Vec<String>,
+    },
     /// The trouble took this machine, for so many seconds.
     Struck {
         machine: String,
--- a/crates/umbersail-rehearsal/src/judge/mod.rs
+++ b/crates/umbersail-rehearsal/src/judge/mod.rs
@@ -276,6 +276,7 @@
             | What::OfRun { .. }
             | What::LateWrite { .. }
             | What::LostAnswer { .. }
+            | What::Conflict { .. }
             | What::Struck { .. }
             | What::LateCommand { .. }
             | What::LateReport { .. }
--- a/crates/umbersail-rehearsal/src/ledger_host.rs
+++ b/crates/umbersail-rehearsal/src/ledger_host.rs
@@ -14,15 +14,16 @@
 use umbersail_ledger::api::{Call, watched};
 use umbersail_ledger::{Bounds, Bucket, Ledger, Outcome};
 use umbersail_runtime::{Broadcast, TcpListener, WorldHandle, sleep, spawn};
-use umbersail_wire::{Change, Txn, Value, encode};
+use umbersail_wire::{Change, Txn, TxnResult, Value, decode, encode};
 
 use crate::history::{History, What};
 use crate::night::{LATE_FROM_S, LATE_TO_S, State};
 
 /// Names the leader, as the controllers write it.
 const LEADER_KEY: &str = "leader";
-/// The answer to a transaction that was applied.
+/// Answers to a transaction that was applied, and to one whose conditions failed.
 const APPLIED: u16 = 200;
+const CONFLICT: u16 = 409;
 /// The sender of a late transaction hears nothing for so long, in seconds: longer than
 /// any controller waits.
 const NO_ANSWER_S: f64 = 60.0;
@@ -215,6 +216,14 @@
         });
     }
 
+    /// Tells the history of a transaction whose conditions failed, by its answer.
+    fn tell_conflict(&self, controller: usize, body: &[u8]) {
+        if let Ok(result) = decode::<TxnResult>(body) {
+            let failed = result.failed;
+            self.history.add(What::Conflict { controller, failed });
+        }
+    }
+
     async fn handle(self: Rc<Self>, controller: usize, request: Request) -> Response {
         if self.slow_s.get() > 0.0 {
             sleep(self.slow_s.get()).await;
@@ -257,6 +266,9 @@
             self.changed.raise();
             self.tell_election();
         }
+        if self.unanswered.get() > 0.0 && status == CONFLICT && writes > 0.0 {
+            self.tell_conflict(controller, &body);
+        }
         if let Call::Txn(txn) = &call
             && self.loses_answer()
         {
