--- a/crates/umbersail-rehearsal/tests/nights/gap.rs
+++ b/crates/umbersail-rehearsal/tests/nights/gap.rs
@@ -2,6 +2,9 @@
 //! cancellations, then the service is out for everybody, for longer than a task of a
 //! cancelled job may live on.
 
+use std::sync::atomic::{AtomicUsize, Ordering};
+
+use umbersail_rehearsal::history::{Event, What};
 use umbersail_rehearsal::{Night, Outcome};
 
 use crate::harness::{
@@ -111,3 +114,72 @@
         took_place(&keeps_the_rules(&night, &seeds(1)));
     });
 }
+
+/// Nights of a sweep, each with the refusal 50 ms later than the one before; as many as
+/// there are seeds to be played.
+fn refusals_at() -> Vec<f64> {
+    let nights = seeds(4).into_iter();
+    nights.map(|n| REFUSED_AT_S + STEP_S * n as f64).collect()
+}
+
+/// The outage follows the refusal of the leader alone by so much, in seconds.
+const OUT_AFTER_S: f64 = 1.0;
+/// A cancellation this close to the refusal is at the very moment of it, seconds.
+const MOMENT_OF_REFUSAL_S: f64 = 0.3;
+
+#[test]
+fn what_is_cancelled_as_the_leader_is_refused_is_gone_in_time() {
+    // Guards against a leader that answers its workers for longer than it may, having
+    // missed by an instant what was cancelled, before an outage beyond `cancel_s`. Nobody
+    // else can tell it.
+    let met = AtomicUsize::new(0);
+    each(&refusals_at(), |refused_at_s| {
+        let out_at_s = refused_at_s + OUT_AFTER_S;
+        let gap = failure("state-refuses", *refused_at_s, 14.0, "who = \"leader\"")
+            + &out(out_at_s, 60.0)
+            + &cut_apart();
+        let mut night = night(&gap);
+        (night.length_s, night.drain_s) = (out_at_s + 1.0, 60.0);
+        for outcome in keeps_the_rules(&night, &[1]) {
+            let (from, to) = (
+                refused_at_s - MOMENT_OF_REFUSAL_S,
+                refused_at_s + MOMENT_OF_REFUSAL_S,
+            );
+            let cancelled = cancelled_while_running(&outcome.events, from, to);
+            met.fetch_add(cancelled.len(), Ordering::Relaxed);
+        }
+    });
+    let met = met.into_inner();
+    assert!(met > 0, "nothing was cancelled as the leader was refused");
+}
+
+/// The state service takes so long for an answer, for so long before the outage, seconds.
+const SLOW_FOR_S: f64 = 6.0;
+const SLOW: &str = "times = 10.0";
+
+/// Users cancel and ask while the service is slow, and then it is out.
+fn slow_then_out(more: &str, seeds: &[u64]) -> Vec<Outcome> {
+    let slow_at_s = OUT_AT_S - SLOW_FOR_S;
+    let slow = failure("state-slow", slow_at_s, SLOW_FOR_S, SLOW);
+    let mut night = night(&(slow + &out(OUT_AT_S, 60.0) + more));
+    (night.length_s, night.drain_s) = (OUT_AT_S + 1.0, 60.0);
+    let outcomes = keeps_the_rules(&night, seeds);
+    for outcome in &outcomes {
+        let cancelled = cancelled_while_running(&outcome.events, slow_at_s, OUT_AT_S).len();
+        assert!(cancelled >= 2, "seed {}: {cancelled}", outcome.seed);
+    }
+    outcomes
+}
+
+#[test]
+fn what_is_cancelled_at_a_slow_service_before_an_outage_is_gone_in_time() {
+    // Guards against what is confirmed while the leader's next watch is still on its way
+    // to a service that is out when it arrives; users ask all the while.
+    for outcome in slow_then_out("", &seeds(1)) {
+        let answered = |e: &&Event| matches!(&e.what, What::Polled { status: 200, .. });
+        let polls = outcome.events.iter().filter(answered);
+        let in_outage = polls.filter(|e| e.t > OUT_AT_S + 5.0 && e.t < OUT_AT_S + 60.0);
+        assert!(in_outage.count() > 0, "seed {}", outcome.seed);
+    }
+    slow_then_out(&cut_apart(), &seeds(3));
+}
