--- a/crates/umbersail-rehearsal/src/judge/mod.rs
+++ b/crates/umbersail-rehearsal/src/judge/mod.rs
@@ -363,6 +363,7 @@
             | What::Granted { .. }
             | What::Launched { .. }
             | What::Withdrawn { .. }
+            | What::Conflict { .. }
             | What::LateCommand { .. }
             | What::LateAnswer { .. }
             | What::LateReport { .. }
--- a/crates/umbersail-rehearsal/tests/nights/main.rs
+++ b/crates/umbersail-rehearsal/tests/nights/main.rs
@@ -4,6 +4,7 @@
 mod bad_submissions;
 mod cancellations_during_elections;
 mod close_looks;
+mod all_away;
 mod gap;
 mod hand_overs;
 mod harness;
@@ -13,6 +14,7 @@
 mod leader_cut;
 mod lost_answers;
 mod mute_machines;
+mod many_leaders;
 mod old_reports;
 mod pairs;
 mod quick_machines;
