--- a/crates/umbersail-rehearsal/tests/nights/main.rs
+++ b/crates/umbersail-rehearsal/tests/nights/main.rs
@@ -1,6 +1,7 @@
 //! Whole nights with real controllers: of all kinds, and one file for each meeting of
 //! two troubles.
 
+mod cancellations_during_elections;
 mod gap;
 mod hand_overs;
 mod harness;
