--- a/crates/umbersail-rehearsal/tests/nights/main.rs
+++ b/crates/umbersail-rehearsal/tests/nights/main.rs
@@ -10,6 +10,7 @@
 mod leader_cut;
 mod old_reports;
 mod pairs;
+mod reports_for_successors;
 mod small_arrays;
 mod teams_at_limits;
 mod unreachable;
