--- a/crates/umbersail-rehearsal/tests/nights/held_commands.rs
+++ b/crates/umbersail-rehearsal/tests/nights/held_commands.rs
@@ -31,12 +31,27 @@
             held_s,
             status,
             how,
+            ..
         } => Some((e.t, machine.as_str(), *held_s, *status, *how)),
         _ => None,
     };
     events.iter().filter_map(late).collect()
 }
 
+/// Commands of a leader that came after those of a later one had.
+fn of_former_leaders(events: &[Event]) -> usize {
+    let is_one = |e: &&Event| {
+        matches!(
+            &e.what,
+            What::LateCommand {
+                from_former: true,
+                ..
+            }
+        )
+    };
+    events.iter().filter(is_one).count()
+}
+
 #[test]
 fn a_command_held_for_seconds_reaches_a_machine_that_hung() {
     // Guards against a command of a former leader, or for a session that is over,
@@ -63,7 +78,9 @@
         );
     }
     let mut met: BTreeMap<(Late, When), usize> = BTreeMap::new();
+    let mut of_former = 0;
     for outcome in holds(&shop(150.0, &failures), &seeds(4)) {
+        of_former += of_former_leaders(&outcome.events);
         let hung = struck(&outcome.events, "machines-hang");
         for (t, machine, held_s, status, how) in late_commands(&outcome.events) {
             assert!((LEAST_S..=MOST_S).contains(&held_s));
@@ -82,7 +99,8 @@
             *met.entry((how, when)).or_default() += 1;
         }
     }
-    println!("{met:?}");
+    println!("{met:?}; {of_former} of leaders before");
+    assert!(of_former > 10, "{of_former}");
     for how in [Late::SameToken, Late::StaleToken, Late::StaleSession] {
         for when in [When::GivenUp, When::AfterAHang] {
             assert!(
--- a/crates/umbersail-rehearsal/tests/nights/main.rs
+++ b/crates/umbersail-rehearsal/tests/nights/main.rs
@@ -8,6 +8,7 @@
 mod held_commands;
 mod late_writes;
 mod leader_cut;
+mod mute_machines;
 mod old_reports;
 mod pairs;
 mod reports_for_successors;
