--- a/crates/umbersail-rehearsal/tests/nights/main.rs
+++ b/crates/umbersail-rehearsal/tests/nights/main.rs
@@ -16,3 +16,4 @@
 mod teams_at_limits;
 mod unreachable;
 mod whole;
+mod zones;
