--- a/crates/umbersail-control/src/engine/schedule.rs
+++ b/crates/umbersail-control/src/engine/schedule.rs
@@ -332,7 +332,8 @@
     }
 
     /// The zone that the job's present tasks fix, and how many each zone has.
-    /// Tasks in limbo count wherever they may be (rule 4).
+    /// Tasks in limbo count wherever they may be, and so do attempts of completed tasks
+    /// that an earlier holder left (rule 4).
     pub(super) fn zones_of(&self, job: &Job) -> (Option<String>, BTreeMap<String, u32>) {
         let mut zones: BTreeMap<String, u32> = BTreeMap::new();
         if !job.spec.one_zone() && !job.spec.spread() {
@@ -343,9 +344,10 @@
                 *zones.entry(machine.zone.clone()).or_default() += 1;
             }
         }
+        let unseen = job.limbo.len() as u32 + job.inherited_extra();
         for host in &job.inherited {
             if let Some(machine) = self.machines.get(host) {
-                *zones.entry(machine.zone.clone()).or_default() += job.limbo.len() as u32;
+                *zones.entry(machine.zone.clone()).or_default() += unseen;
             }
         }
         let only = job
--- a/crates/umbersail-control/src/engine/tests.rs
+++ b/crates/umbersail-control/src/engine/tests.rs
@@ -12,6 +12,7 @@
 mod plans;
 mod reports;
 mod reserve;
+mod zones;
 
 use std::rc::Rc;
 
--- /dev/null
+++ b/crates/umbersail-control/src/engine/tests/zones.rs
@@ -0,0 +1,26 @@
+//! Jobs whose tasks depend on each other's zones: what may still run counts.
+
+use super::*;
+
+#[test]
+fn an_attempt_of_a_completed_task_that_may_still_run_counts_for_its_zone() {
+    // Guards against wrong_place after a take-over: of a job whose tasks spread, one has
+    // completed, and another attempt of it may still be on a machine that was not heard.
+    let mut job = spec("req-1", 4, 2.0);
+    job.spread = Some(true);
+    let mut inheritance = inheritance_of(job);
+    let (run, _) = inheritance.jobs[0].run.as_mut().unwrap();
+    let mut done = umbersail_policy::Bitmap::new(4);
+    done.insert(0);
+    (run.high, run.done, run.done_count, run.extra) = (1, done.to_text(), 1, 1);
+    let config = config(vec![team(0.0, 0.0)], Tuning::default());
+    let mut engine = Engine::new(config, 0.0, 0, inheritance);
+    let mut same_zone = ready_worker(&mut engine, "m2", "a");
+    commit(&mut engine, 1.0);
+    let told = same_zone.turn(&mut engine, 2.0);
+    assert_eq!(
+        starts(&told).len(),
+        1,
+        "half of four, less the one: {told:?}"
+    );
+}
