--- a/crates/umbersail-rehearsal/src/history.rs
+++ b/crates/umbersail-rehearsal/src/history.rs
@@ -2,6 +2,7 @@
 //! keeps, in order of true time.
 
 use std::cell::RefCell;
+use std::collections::BTreeMap;
 use std::rc::Rc;
 
 use serde::{Deserialize, Serialize};
@@ -185,6 +186,16 @@
         spot: u32,
         spent: f64,
     },
+    /// Every ten seconds: what the state service has taken and holds.
+    State {
+        /// Puts and deletes so far that were applied, by the first part of their keys.
+        changes: BTreeMap<String, u64>,
+        /// Keys that stand, likewise.
+        standing: BTreeMap<String, u64>,
+        /// Requests so far, and those refused since they were too many.
+        requests: u64,
+        refused: u64,
+    },
     /// What the store of images has sent so far.
     StoreSent {
         gb: f64,
--- a/crates/umbersail-rehearsal/src/judge/mod.rs
+++ b/crates/umbersail-rehearsal/src/judge/mod.rs
@@ -286,6 +286,7 @@
             | What::RentalAnswered { .. }
             | What::Listed { .. }
             | What::Granted { .. }
+            | What::State { .. }
             | What::Launched { .. }
             | What::Withdrawn { .. }
             | What::LateCommand { .. }
--- a/crates/umbersail-rehearsal/src/ledger_host.rs
+++ b/crates/umbersail-rehearsal/src/ledger_host.rs
@@ -19,6 +19,7 @@
 use crate::grants::GrantWatch;
 use crate::history::{History, What};
 use crate::night::{LATE_FROM_S, LATE_TO_S, State};
+use crate::state_figures::StateFigures;
 
 /// Names the leader, as the controllers write it.
 const LEADER_KEY: &str = "leader";
@@ -65,6 +66,7 @@
     /// Version of the leader's key whose election is in the history.
     elected: Cell<u64>,
     granted: GrantWatch,
+    pub figures: StateFigures,
 }
 
 impl LedgerHost {
@@ -94,6 +96,7 @@
             history,
             elected: Cell::new(0),
             granted: GrantWatch::default(),
+            figures: StateFigures::default(),
         })
     }
 
@@ -182,6 +185,7 @@
         self.changed.raise();
         let applied = matches!(done, Ok(Outcome::Applied { .. }));
         if applied {
+            self.figures.applied(&txn);
             self.granted.applied(&self.history, &txn);
         }
         self.history.add(What::LateWrite {
@@ -201,7 +205,9 @@
             return Response::empty(503);
         }
         let now = self.world.now();
-        if !self.requests.borrow_mut().take(now, 1.0) {
+        let taken = self.requests.borrow_mut().take(now, 1.0);
+        self.figures.asked(!taken);
+        if !taken {
             return Response::empty(429);
         }
         let call = match Call::parse(&request.method, &request.target, &request.body) {
@@ -235,6 +241,7 @@
             self.changed.raise();
             self.tell_election();
             if let Call::Txn(txn) = &call {
+                self.figures.applied(txn);
                 self.granted.applied(&self.history, txn);
             }
         }
--- a/crates/umbersail-rehearsal/src/lib.rs
+++ b/crates/umbersail-rehearsal/src/lib.rs
@@ -33,6 +33,7 @@
 pub mod report;
 mod runs;
 mod served;
+mod state_figures;
 mod store;
 mod trouble;
 mod users;
--- a/crates/umbersail-rehearsal/src/night.rs
+++ b/crates/umbersail-rehearsal/src/night.rs
@@ -378,6 +378,11 @@
     #[serde(default = "Class::cancelled")]
     #[schemars(range(min = 0.0, max = 1.0))]
     pub cancelled: f64,
+    /// They do so within so many seconds of the acceptance; 0: between one second and
+    /// a minute after it.
+    #[serde(default)]
+    #[schemars(range(min = 0.0, max = 600.0))]
+    pub cancelled_within_s: f64,
 }
 
 impl Class {
@@ -652,6 +657,7 @@
                 &mut class.save_s,
                 &mut class.deadline_s,
                 &mut class.from_s,
+                &mut class.cancelled_within_s,
             ];
             waits.into_iter().for_each(quick);
         }
--- a/crates/umbersail-rehearsal/src/play.rs
+++ b/crates/umbersail-rehearsal/src/play.rs
@@ -25,6 +25,8 @@
 use crate::trouble::{Controller, Stage};
 use crate::users::{Balancer, Users};
 
+/// The history tells what the state service took and holds this often, in seconds.
+const STATE_TOLD_S: f64 = 10.0;
 /// Processor time of one step of a controller's routine on a whole core, in
 /// seconds: what such a step takes at the median on an ordinary machine.
 const STEP_S: f64 = 12e-6;
@@ -264,6 +266,7 @@
     world.start(regional[2], users.clone().run());
     fleet.begin();
     let controllers = begin(&world, &night);
+    let state = ledger.clone();
     let stage = Rc::new(Stage {
         world: world.clone(),
         fleet: fleet.clone(),
@@ -282,10 +285,15 @@
         spawn(store.clone().send_for_ever(world.clone(), history.clone()));
     }
     let most = night.ends_s();
+    let mut state_told_s = 0.0;
     loop {
         sleep(1.0).await;
         let now = world.now();
         level(&fleet);
+        if now >= state_told_s + STATE_TOLD_S {
+            state_told_s = now;
+            history.add(state.figures.told());
+        }
         // Nobody listens if no progress is shown.
         let _ = told.send(now);
         if now >= night.length_s {
--- /dev/null
+++ b/crates/umbersail-rehearsal/src/state_figures.rs
@@ -0,0 +1,53 @@
+//! What the state service takes and holds, counted by the first part of the keys.
+
+use std::cell::{Cell, RefCell};
+use std::collections::{BTreeMap, BTreeSet};
+
+use umbersail_wire::{Change, Txn, Value};
+
+use crate::history::What;
+
+/// Counts of one night so far.
+#[derive(Default)]
+pub struct StateFigures {
+    changes: RefCell<BTreeMap<String, u64>>,
+    standing: RefCell<BTreeMap<String, BTreeSet<String>>>,
+    requests: Cell<u64>,
+    refused: Cell<u64>,
+}
+
+impl StateFigures {
+    /// A request came, and whether it was refused for being one too many.
+    pub fn asked(&self, refused: bool) {
+        self.requests.set(self.requests.get() + 1);
+        self.refused.set(self.refused.get() + u64::from(refused));
+    }
+
+    /// A transaction was applied.
+    pub fn applied(&self, txn: &Txn<Value>) {
+        for change in &txn.changes {
+            let (Change::Put { key, .. } | Change::Delete { key }) = change;
+            let first = key.split('/').next().unwrap_or(key).to_owned();
+            *self.changes.borrow_mut().entry(first.clone()).or_default() += 1;
+            let mut standing = self.standing.borrow_mut();
+            let keys = standing.entry(first).or_default();
+            match change {
+                Change::Put { .. } => drop(keys.insert(key.clone())),
+                Change::Delete { .. } => drop(keys.remove(key)),
+            }
+        }
+    }
+
+    /// The figures so far, as the history has them.
+    pub fn told(&self) -> What {
+        let standing = self.standing.borrow();
+        let count =
+            |(first, keys): (&String, &BTreeSet<String>)| (first.clone(), keys.len() as u64);
+        What::State {
+            changes: self.changes.borrow().clone(),
+            standing: standing.iter().map(count).collect(),
+            requests: self.requests.get(),
+            refused: self.refused.get(),
+        }
+    }
+}
--- a/crates/umbersail-rehearsal/src/users.rs
+++ b/crates/umbersail-rehearsal/src/users.rs
@@ -371,7 +371,11 @@
             let mut rng = self.rng.borrow_mut();
             let share = class.map_or(0.0, |c| c.cancelled);
             let cancels = match rng.random_bool(share) {
-                true => Some(rng.random_range(1.0..60.0)),
+                true => {
+                    let soon = class.map_or(0.0, |c| c.cancelled_within_s);
+                    let range = if soon > 0.0 { 0.0..soon } else { 1.0..60.0 };
+                    Some(rng.random_range(range))
+                }
                 false if self.fleet.is_mistaken(&spec.id) => Some(rng.random_range(60.0..120.0)),
                 false => None,
             };
--- a/crates/umbersail-rehearsal/tests/nights/main.rs
+++ b/crates/umbersail-rehearsal/tests/nights/main.rs
@@ -8,6 +8,7 @@
 mod late_writes;
 mod leader_cut;
 mod old_reports;
+mod one_task_jobs;
 mod pairs;
 mod quick_machines;
 mod small_arrays;
