--- a/crates/umbersail-rehearsal/src/lib.rs
+++ b/crates/umbersail-rehearsal/src/lib.rs
@@ -42,7 +42,7 @@
 
 pub use answers::{Answers, SILENT_S};
 pub use judge::{Breach, Figures, Reached, Rule, judge};
-pub use night::{BUNDLED, Failure, Night, NightError, Trouble, bundled};
+pub use night::{BUNDLED, Failure, Night, NightError, Priority, Trouble, bundled};
 pub use play::{Outcome, PlayError, play, play_many, settings};
 pub use real::play_real;
 pub use runs::{Run, RunFigures, Step};
--- a/crates/umbersail-rehearsal/src/night.rs
+++ b/crates/umbersail-rehearsal/src/night.rs
@@ -507,6 +507,8 @@
     /// A `share` of the transactions to the state service gets no answer and is carried
     /// out 2 to 12 s later, each at a time of its own.
     LateWrites,
+    /// Every packet takes `times` ms longer, and a `share` is lost and sent again.
+    LinksSlow,
     /// `zone` is cut off from everything.
     ZoneCut,
     /// The zones can't reach each other; packets are held.
@@ -530,6 +532,7 @@
                 | ClockSkew
                 | PeersRefused
                 | LateWrites
+                | LinksSlow
                 | ZoneCut
                 | ZonesApart
         )
@@ -882,11 +885,14 @@
         }
         if matches!(
             what,
-            BootsLate | Burst | MachinesSlow | ControllerSlow | StateSlow | ClockSkew
+            BootsLate | Burst | MachinesSlow | ControllerSlow | StateSlow | ClockSkew | LinksSlow
         ) && failure.times.is_none()
         {
             return Err(("times", "is missing"));
         }
+        if what == LinksSlow && failure.share.is_some_and(|share| share >= 1.0) {
+            return Err(("share", "no packet would ever arrive"));
+        }
         if matches!(what, CapacityShrinks | LateWrites) && failure.share.is_none() {
             return Err(("share", "is missing"));
         }
--- a/crates/umbersail-rehearsal/src/trouble.rs
+++ b/crates/umbersail-rehearsal/src/trouble.rs
@@ -7,7 +7,7 @@
 use rand::seq::IndexedRandom;
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
-use umbersail_runtime::{CutMode, HostId, WorldHandle, sleep};
+use umbersail_runtime::{CutMode, HostId, NetworkConfig, WorldHandle, sleep};
 
 use crate::fleet::{Fleet, Machine};
 use crate::history::What;
@@ -395,6 +395,17 @@
                 self.ledger.late.set(failure.share.unwrap_or(0.0));
                 Some(Box::new(|s| s.ledger.late.set(0.0)))
             }
+            Trouble::LinksSlow => {
+                let usual = NetworkConfig::default();
+                self.world.set_network(NetworkConfig {
+                    latency_s: usual.latency_s + times / 1000.0,
+                    // Half of what is added varies.
+                    jitter_s: usual.jitter_s + times / 2000.0,
+                    loss: failure.share.unwrap_or(usual.loss),
+                    ..usual
+                });
+                Some(Box::new(move |s| s.world.set_network(usual)))
+            }
             Trouble::ZoneCut => {
                 let inside = self.zone_hosts(failure.zone.as_deref().unwrap_or(""));
                 let mut outside = self.all_hosts();
--- a/crates/umbersail-rehearsal/tests/nights/main.rs
+++ b/crates/umbersail-rehearsal/tests/nights/main.rs
@@ -9,6 +9,7 @@
 mod leader_cut;
 mod old_reports;
 mod one_task_jobs;
+mod overload;
 mod pairs;
 mod quick_machines;
 mod small_arrays;
--- a/crates/umbersail-runtime/src/sim.rs
+++ b/crates/umbersail-runtime/src/sim.rs
@@ -222,7 +222,7 @@
 
 pub(crate) struct Sim {
     now: Cell<Nanos>,
-    config: NetworkConfig,
+    config: Cell<NetworkConfig>,
     /// Time of day at the start, in milliseconds since the Unix epoch.
     epoch_ms: u64,
     seed: u64,
@@ -287,7 +287,7 @@
     }
 
     fn travel(&self) -> Nanos {
-        let config = self.config;
+        let config = self.config.get();
         let mut rng = self.rng.borrow_mut();
         let lot: f64 = rng.random_range(1e-9..1.0);
         let mut seconds = config.latency_s - config.jitter_s * lot.ln();
@@ -609,7 +609,7 @@
     pub fn new(seed: u64, config: NetworkConfig) -> Simulation {
         let sim = Sim {
             now: Cell::new(0),
-            config,
+            config: Cell::new(config),
             epoch_ms: EPOCH_MS,
             seed,
             rng: RefCell::new(ChaCha8Rng::seed_from_u64(seed)),
@@ -787,6 +787,13 @@
         }
     }
 
+    /// How packets travel from now on.
+    pub fn set_network(&self, config: NetworkConfig) {
+        if let Some(sim) = self.inner.simulated() {
+            sim.config.set(config);
+        }
+    }
+
     /// It computes so many times as slowly from now on; 1 is as it should.
     pub fn set_slow(&self, host: HostId, times: f64) {
         if let Some(sim) = self.inner.simulated() {
