--- a/crates/umbersail-rehearsal/src/judge/mod.rs
+++ b/crates/umbersail-rehearsal/src/judge/mod.rs
@@ -361,6 +361,7 @@
             | What::RentalAnswered { .. }
             | What::Listed { .. }
             | What::Granted { .. }
+            | What::State { .. }
             | What::Launched { .. }
             | What::Withdrawn { .. }
             | What::Conflict { .. }
--- a/crates/umbersail-rehearsal/src/ledger_host.rs
+++ b/crates/umbersail-rehearsal/src/ledger_host.rs
@@ -19,6 +19,7 @@
 use crate::grants::GrantWatch;
 use crate::history::{History, What};
 use crate::night::{LATE_FROM_S, LATE_TO_S, State};
+use crate::state_figures::StateFigures;
 
 /// Names the leader, as the controllers write it.
 const LEADER_KEY: &str = "leader";
@@ -72,6 +73,7 @@
     /// Called after each election.
     on_election: RefCell<Vec<Box<dyn Fn()>>>,
     granted: GrantWatch,
+    pub figures: StateFigures,
 }
 
 impl LedgerHost {
@@ -103,6 +105,7 @@
             elected: Cell::new(0),
             on_election: RefCell::default(),
             granted: GrantWatch::default(),
+            figures: StateFigures::default(),
         })
     }
 
@@ -199,6 +202,7 @@
         self.changed.raise();
         let applied = matches!(done, Ok(Outcome::Applied { .. }));
         if applied {
+            self.figures.applied(&txn);
             self.granted.applied(&self.history, &txn);
         }
         self.history.add(What::LateWrite {
@@ -250,7 +254,9 @@
             return Response::empty(503);
         }
         let now = self.world.now();
-        if !self.requests.borrow_mut().take(now, 1.0) {
+        let taken = self.requests.borrow_mut().take(now, 1.0);
+        self.figures.asked(!taken);
+        if !taken {
             return Response::empty(429);
         }
         let call = match Call::parse(&request.method, &request.target, &request.body) {
@@ -284,6 +290,7 @@
             self.changed.raise();
             self.tell_election();
             if let Call::Txn(txn) = &call {
+                self.figures.applied(txn);
                 self.granted.applied(&self.history, txn);
             }
         }
--- a/crates/umbersail-rehearsal/src/lib.rs
+++ b/crates/umbersail-rehearsal/src/lib.rs
@@ -37,6 +37,7 @@
 pub mod report;
 mod runs;
 mod served;
+mod state_figures;
 mod store;
 mod trouble;
 mod user_troubles;
@@ -46,7 +47,7 @@
 
 pub use answers::{Answers, SILENT_S};
 pub use judge::{Breach, Figures, Reached, Rule, judge};
-pub use night::{BUNDLED, Failure, Night, NightError, Team, Trouble, bundled};
+pub use night::{BUNDLED, Failure, Night, NightError, Priority, Team, Trouble, bundled};
 pub use odd_requests::{Invalid, REQUIRED_FIELDS, invalid_submissions};
 pub use play::{Outcome, PlayError, play, play_many, settings};
 pub use real::play_real;
--- a/crates/umbersail-rehearsal/src/night.rs
+++ b/crates/umbersail-rehearsal/src/night.rs
@@ -381,6 +381,11 @@
     #[serde(default = "Class::cancelled")]
     #[schemars(range(min = 0.0, max = 1.0))]
     pub cancelled: f64,
+    /// They do so within so many seconds of the acceptance; 0: between one second and
+    /// a minute after it.
+    #[serde(default)]
+    #[schemars(range(min = 0.0, max = 600.0))]
+    pub cancelled_within_s: f64,
 }
 
 impl Class {
@@ -531,6 +536,8 @@
     /// Users cancel `count` jobs that have long to go, or `job`, within a moment; with
     /// `hang_s` some of their machines hang that long.
     CancelNow,
+    /// Every packet takes `times` ms longer, and a `share` is lost and sent again.
+    LinksSlow,
     /// `zone` is cut off from everything.
     ZoneCut,
     /// The zones can't reach each other; packets are held.
@@ -556,6 +563,7 @@
                 | PeersRefused
                 | ControllersApart
                 | LateWrites
+                | LinksSlow
                 | ZoneCut
                 | ZonesApart
         )
@@ -700,6 +708,7 @@
                 &mut class.save_s,
                 &mut class.deadline_s,
                 &mut class.from_s,
+                &mut class.cancelled_within_s,
             ];
             waits.into_iter().for_each(quick);
         }
@@ -933,11 +942,14 @@
         }
         if matches!(
             what,
-            BootsLate | Burst | MachinesSlow | ControllerSlow | StateSlow | ClockSkew
+            BootsLate | Burst | MachinesSlow | ControllerSlow | StateSlow | ClockSkew | LinksSlow
         ) && failure.times.is_none()
         {
             return Err(("times", "is missing"));
         }
+        if what == LinksSlow && failure.share.is_some_and(|share| share >= 1.0) {
+            return Err(("share", "no packet would ever arrive"));
+        }
         if matches!(what, CapacityShrinks | LateWrites | CancelAtEnd) && failure.share.is_none() {
             return Err(("share", "is missing"));
         }
--- a/crates/umbersail-rehearsal/tests/nights/main.rs
+++ b/crates/umbersail-rehearsal/tests/nights/main.rs
@@ -1,11 +1,10 @@
 //! Whole nights with real controllers: of all kinds, and one file for each meeting of
 //! two troubles.
 
+mod all_away;
 mod bad_submissions;
 mod cancellations_during_elections;
 mod close_looks;
-mod all_away;
-mod cancellations_during_elections;
 mod gap;
 mod hand_overs;
 mod harness;
@@ -14,14 +13,13 @@
 mod late_writes;
 mod leader_cut;
 mod lost_answers;
-mod mute_machines;
 mod many_leaders;
-mod old_reports;
-mod pairs;
-mod quick_machines;
 mod mute_machines;
 mod old_reports;
+mod one_task_jobs;
+mod overload;
 mod pairs;
+mod quick_machines;
 mod reports_for_successors;
 mod small_arrays;
 mod sweep;
--- a/crates/umbersail-runtime/src/sim/mod.rs
+++ b/crates/umbersail-runtime/src/sim/mod.rs
@@ -47,7 +47,7 @@
 pub(crate) struct Sim {
     now: Cell<Nanos>,
     seed: u64,
-    network_config: NetworkConfig,
+    network_config: Cell<NetworkConfig>,
     network_rng: RefCell<ChaCha8Rng>,
     network: RefCell<Network>,
     hosts: RefCell<Vec<Host>>,
@@ -55,12 +55,17 @@
 }
 
 impl Sim {
+    /// Sets how packets travel from now on.
+    pub(crate) fn set_network_config(&self, config: NetworkConfig) {
+        self.network_config.set(config);
+    }
+
     /// A world without hosts.
     pub fn new(seed: u64, network_config: NetworkConfig) -> Sim {
         Sim {
             now: Cell::new(0),
             seed,
-            network_config,
+            network_config: Cell::new(network_config),
             network_rng: RefCell::new(ChaCha8Rng::seed_from_u64(seed)),
             network: RefCell::default(),
             hosts: RefCell::new(Vec::new()),
--- a/crates/umbersail-runtime/src/sim/randomness.rs
+++ b/crates/umbersail-runtime/src/sim/randomness.rs
@@ -28,7 +28,7 @@
 
     /// Draws the travel time of a packet, retransmissions included.
     pub(super) fn draw_travel_time(&self) -> Nanos {
-        let config = self.network_config;
+        let config = self.network_config.get();
         let mut rng = self.network_rng.borrow_mut();
         let sample: f64 = rng.random_range(1e-9..1.0);
         let mut seconds = config.latency_s - config.jitter_s * sample.ln();
--- a/crates/umbersail-runtime/src/world.rs
+++ b/crates/umbersail-runtime/src/world.rs
@@ -8,7 +8,7 @@
 use crate::clock::{Clock, SystemClock, Time};
 use crate::executor::{Inner, Runtime, World, current_world, with_current};
 use crate::routine_id::RoutineId;
-use crate::sim::{CutId, CutMode, EPOCH_MS, Host, HostId, HostSpec, WorkDone};
+use crate::sim::{CutId, CutMode, EPOCH_MS, Host, HostId, HostSpec, NetworkConfig, WorkDone};
 
 const NANOS_PER_SECOND: f64 = 1e9;
 const NANOS_PER_MILLISECOND: f64 = 1e6;
@@ -127,6 +127,13 @@
         self.update_host(host, |host| host.slowdown = times);
     }
 
+    /// Sets how packets travel from now on.
+    pub fn set_network(&self, config: NetworkConfig) {
+        if let Some(sim) = self.inner.simulated() {
+            sim.set_network_config(config);
+        }
+    }
+
     /// Processor time used by all hosts together, as [`WorldHandle::used_s`].
     pub fn used_by_all_s(&self) -> f64 {
         let sim = self.inner.simulated();
