--- a/crates/umbersail-control/tests/service.rs
+++ b/crates/umbersail-control/tests/service.rs
@@ -15,8 +15,8 @@
 use umbersail_runtime::{Routine, Runtime, SystemClock, sleep, spawn};
 use umbersail_tuning::Tuning;
 use umbersail_wire::{
-    Command, ExitCause, JobKind, JobSpec, JobStage, JobStatus, Misdirected, Priority, Report,
-    ReportReply, TaskReport, TaskState, decode, encode,
+    Command, ExitCause, JobKind, JobSpec, JobStage, JobStatus, Misdirected, Priority, Refusal,
+    Report, ReportReply, TaskReport, TaskState, Value, decode, encode,
 };
 
 /// A loopback address that no other test and no other run uses: asking the
@@ -271,6 +271,29 @@
     });
 }
 
+#[test]
+fn a_submission_that_lacks_a_field_is_refused_with_the_reason() {
+    // Guards against jobs that run as somebody guessed: only what may be null may be left out.
+    in_service(|service| async move {
+        let whole: Value = decode(&encode(&job("req-1"))).unwrap();
+        let fields = whole.as_map().unwrap().clone();
+        for (name, _) in &fields {
+            let mut lacking = fields.clone();
+            lacking.retain(|(key, _)| key != name);
+            let body = encode(&Value::Map(lacking));
+            for node in 0..2 {
+                let (status, answer) = service.ask(node, "POST", "/v2/runs", &body).await;
+                assert_eq!(status, 400, "without {name}");
+                let refusal: Refusal = decode(&answer).unwrap();
+                assert!(!refusal.error.is_empty(), "without {name}");
+            }
+        }
+        assert!(!service.state.has("jobs/req-1"));
+        let body = encode(&whole);
+        assert_eq!(service.ask(0, "POST", "/v2/runs", &body).await.0, 201);
+    });
+}
+
 #[test]
 fn bad_input_gets_its_answer_and_an_outage_is_told_at_once() {
     in_service(|service| async move {
--- a/crates/umbersail-rehearsal/tests/nights/sweep.rs
+++ b/crates/umbersail-rehearsal/tests/nights/sweep.rs
@@ -141,7 +141,11 @@
     fn assert_same_until(&self, outcome: &Outcome, at_s: f64) {
         let before = |events: &[Event]| -> Vec<Event> {
             let until_s = at_s - RESOLUTION_S;
-            events.iter().take_while(|e| e.t < until_s).cloned().collect()
+            events
+                .iter()
+                .take_while(|e| e.t < until_s)
+                .cloned()
+                .collect()
         };
         assert!(
             before(&self.events) == before(&outcome.events),
