--- a/crates/umbersail-rehearsal/tests/nights/main.rs
+++ b/crates/umbersail-rehearsal/tests/nights/main.rs
@@ -3,8 +3,8 @@
 
 mod all_away;
 mod bad_submissions;
-mod cancellations_during_elections;
 mod cancel_now;
+mod cancellations_during_elections;
 mod close_looks;
 mod gap;
 mod hand_overs;
