--- a/crates/umbersail-control/src/engine/delegates.rs
+++ b/crates/umbersail-control/src/engine/delegations.rs
@@ -1,13 +1,13 @@
-//! Peers that may answer workers in our stead (`keep.rs`), as far as it bears
-//! on when a machine has lapsed.
+//! The leader's delegations: which peers may renew workers' leases (`delegate.rs`), and
+//! until when, as far as it bears on when a machine has lapsed.
 
-use umbersail_wire::KeptMachine;
+use umbersail_wire::RenewedMachine;
 
 use super::{Engine, Time};
 
-/// One peer.
+/// A peer's authority to renew leases in our stead, and what it has reported.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub(super) struct Delegate {
+pub(super) struct Delegation {
     /// It answers nobody in our stead after this.
     until: Time,
     /// What it answered up to here is known to us.
@@ -17,8 +17,8 @@
     started: Time,
 }
 
-/// Jobs that are over which a peer is told of with our trust, at most: some kilobytes
-/// in each greeting. With more than that about nobody is entrusted, for a moment.
+/// Jobs that are over which a peer is told of with a delegation, at most: some kilobytes
+/// in each greeting. With more than that nothing is delegated, for a moment.
 const OVER_MOST: usize = 512;
 
 impl Engine {
@@ -34,31 +34,34 @@
     }
 
     /// This peer may answer in our stead until then.
-    pub fn entrust(&mut self, member: &str, until: Time) {
-        let delegate = self.delegates.entry(member.to_owned()).or_insert(Delegate {
-            until,
-            known_to: f64::MIN,
-            started: f64::MAX,
-        });
-        delegate.until = delegate.until.max(until);
+    pub fn delegate_to(&mut self, member: &str, until: Time) {
+        let delegation = self
+            .delegations
+            .entry(member.to_owned())
+            .or_insert(Delegation {
+                until,
+                known_to: f64::MIN,
+                started: f64::MAX,
+            });
+        delegation.until = delegation.until.max(until);
     }
 
     /// Asked at `asked_at`, a process that has run for `up_s` tells whom it
     /// answered in our stead.
-    pub fn kept_by(
+    pub fn renewed_by(
         &mut self,
         now: Time,
         member: &str,
         asked_at: Time,
         up_s: f64,
-        kept: &[KeptMachine],
+        renewed: &[RenewedMachine],
     ) {
         let drift = self.cfg.tuning.drift;
-        if let Some(delegate) = self.delegates.get_mut(member) {
-            delegate.known_to = asked_at;
-            delegate.started = now - up_s * (1.0 - drift);
+        if let Some(delegation) = self.delegations.get_mut(member) {
+            delegation.known_to = asked_at;
+            delegation.started = now - up_s * (1.0 - drift);
         }
-        for entry in kept {
+        for entry in renewed {
             let at = now - entry.ago_ms as f64 / 1000.0 * (1.0 - drift);
             if let Some(machine) = self.machines.get_mut(entry.machine.as_str()) {
                 machine.last_answer = Some(machine.last_answer.map_or(at, |known| known.max(at)));
@@ -69,14 +72,14 @@
     /// Whether a peer may have renewed, unknown to us, a lease that was last
     /// renewed `lease` before `end` as far as we know.
     ///
-    /// One peer may have kept the machine until another took that over: the second
-    /// one's word that it kept nothing counts only if it is from after the first
+    /// One peer may have renewed the machine's lease until another took that over: the second
+    /// one's word that it renewed nothing counts only if it is from after the first
     /// one's last possible answer and a lease.
-    pub(super) fn may_be_kept(&self, now: Time, end: Time, lease: f64) -> bool {
+    pub(super) fn may_be_renewed(&self, now: Time, end: Time, lease: f64) -> bool {
         let mut end = end;
         loop {
             let unknown = self
-                .delegates
+                .delegations
                 .values()
                 .filter(|d| d.until > end - lease && d.known_to < end.max(d.started + lease));
             let latest = unknown.map(|d| d.until + lease).reduce(f64::max);
@@ -88,7 +91,7 @@
     }
 
     /// Whether this peer answers in our stead just now.
-    pub fn is_entrusted(&self, now: Time, member: &str) -> bool {
-        self.delegates.get(member).is_some_and(|d| now < d.until)
+    pub fn is_delegate(&self, now: Time, member: &str) -> bool {
+        self.delegations.get(member).is_some_and(|d| now < d.until)
     }
 }
--- a/crates/umbersail-control/src/engine/mod.rs
+++ b/crates/umbersail-control/src/engine/mod.rs
@@ -4,7 +4,7 @@
 //! The safety argument is in `docs/design.md`; the numbers in comments here
 //! (rule 1 to 6) refer to it.
 
-mod delegates;
+mod delegations;
 mod evict;
 mod floor;
 mod grant;
@@ -31,7 +31,7 @@
 use umbersail_wire::{JobProgress, MachineType, Priority, RentRequest};
 
 use crate::records::{JobRecord, RunRecord};
-use delegates::Delegate;
+use delegations::Delegation;
 use floor::Floor;
 pub use grant::InheritedPart;
 use grant::Part;
@@ -97,8 +97,8 @@
 }
 
 impl EngineConfig {
-    pub fn keep_s(&self) -> f64 {
-        self.tuning.keep_s(self.cancel_s, self.lease_s)
+    pub fn renewal_s(&self) -> f64 {
+        self.tuning.renewal_s(self.cancel_s, self.lease_s)
     }
 }
 
@@ -170,7 +170,7 @@
     machines: BTreeMap<Name, Machine>,
     parts: Vec<Part>,
     /// Peers that may answer workers in our stead.
-    delegates: BTreeMap<String, Delegate>,
+    delegations: BTreeMap<String, Delegation>,
     /// Machines with launches that no reply has carried yet, and perhaps some
     /// more.
     untold: BTreeSet<Name>,
@@ -235,7 +235,7 @@
             jobs: BTreeMap::new(),
             machines: BTreeMap::new(),
             parts: Vec::new(),
-            delegates: BTreeMap::new(),
+            delegations: BTreeMap::new(),
             untold: BTreeSet::new(),
             cleared: BTreeSet::new(),
             remnants: Remnants::default(),
@@ -790,17 +790,17 @@
         let cfg = self.cfg.clone();
         let tuning = &cfg.tuning;
         let lease = cfg.lease_s * (1.0 + tuning.drift) + tuning.lapse_margin_s;
-        let silenced_at = self.elected_at + cfg.keep_s() * (1.0 + tuning.drift);
+        let silenced_at = self.elected_at + cfg.renewal_s() * (1.0 + tuning.drift);
         let mut lapsed = Vec::new();
         for (name, machine) in &self.machines {
             let holds = machine.inherited || machine.strangers || !machine.tasks.is_empty();
             if machine.lapsed || !holds {
                 continue;
             }
-            // An earlier holder stops keep_s after it lost the state service,
+            // An earlier holder stops renewal_s after it lost the state service,
             // which was before we were elected (rule 3).
             let end = machine.renewed_by(silenced_at) + lease;
-            if now > end && !self.may_be_kept(now, end, lease) {
+            if now > end && !self.may_be_renewed(now, end, lease) {
                 lapsed.push(name.clone());
             }
         }
--- a/crates/umbersail-control/src/engine/tests.rs
+++ b/crates/umbersail-control/src/engine/tests.rs
@@ -3,10 +3,10 @@
 
 mod calendar;
 mod cancelled;
+mod delegates;
 mod faults;
 mod floor;
 mod images;
-mod keepers;
 mod late;
 mod passes;
 mod plans;
@@ -473,7 +473,7 @@
     // Guards against ran_twice when the old leader is cut off together with
     // the machine and keeps its tasks alive.
     let mut engine = after_crash(vec![team(0.0, 0.0)], spec("req-1", 3, 2.0));
-    let keep = engine.cfg.keep_s();
+    let keep = engine.cfg.renewal_s();
     assert!(keep + LEASE_S < 40.0, "a cancellation told elsewhere holds");
     engine.tick(keep + LEASE_S);
     assert_eq!(engine.jobs["req-1"].limbo.len(), 2);
@@ -1302,19 +1302,19 @@
 
 /// A job's one task runs on m1, which was last answered by us at 3 s and has
 /// been silent since; bothy-1 may answer in our stead until 20 s.
-fn silent_with_a_keeper() -> Engine {
+fn silent_with_a_delegate() -> Engine {
     let mut engine = fresh(vec![team(0.0, 0.0)]);
     let mut worker = ready_worker(&mut engine, "m1", "a");
     accept(&mut engine, 1.0, spec("req-1", 1, 2.0));
     commit(&mut engine, 1.0);
     worker.turn(&mut engine, 2.0);
     worker.turn(&mut engine, 3.0);
-    engine.entrust("bothy-1", 20.0);
+    engine.delegate_to("bothy-1", 20.0);
     engine
 }
 
-fn kept(machine: &str, ago_ms: u64) -> umbersail_wire::KeptMachine {
-    umbersail_wire::KeptMachine {
+fn renewed(machine: &str, ago_ms: u64) -> umbersail_wire::RenewedMachine {
+    umbersail_wire::RenewedMachine {
         machine: machine.into(),
         ago_ms,
     }
@@ -1325,22 +1325,22 @@
     engine: &mut Engine,
     now: Time,
     up_s: f64,
-    kept: &[umbersail_wire::KeptMachine],
+    renewed: &[umbersail_wire::RenewedMachine],
 ) -> u32 {
-    engine.kept_by(now, "bothy-1", now - 0.1, up_s, kept);
+    engine.renewed_by(now, "bothy-1", now - 0.1, up_s, renewed);
     engine.tick(now);
     engine.jobs["req-1"].pending()
 }
 
 #[test]
-fn a_machine_that_a_peer_may_have_kept_has_not_lapsed() {
+fn a_machine_that_a_delegate_may_have_renewed_has_not_lapsed() {
     // Guards against ran_twice when the zones are apart: the worker's lease is
     // renewed by a peer of its zone, and we hear of neither.
-    let mut engine = silent_with_a_keeper();
+    let mut engine = silent_with_a_delegate();
     engine.tick(14.0);
     assert_eq!(engine.jobs["req-1"].pending(), 0, "silence is not proof");
     // What it told before the lease could have lapsed proves nothing either.
-    engine.kept_by(12.0, "bothy-1", 11.9, 100.0, &[]);
+    engine.renewed_by(12.0, "bothy-1", 11.9, 100.0, &[]);
     engine.tick(14.0);
     assert_eq!(engine.jobs["req-1"].pending(), 0);
     engine.tick(30.0);
@@ -1351,32 +1351,32 @@
 }
 
 #[test]
-fn a_peers_word_that_it_kept_nothing_settles_a_silent_machine() {
+fn a_delegates_report_of_no_renewal_settles_a_silent_machine() {
     // Guards against every hung machine holding up its tasks for as long as
-    // a peer might keep them.
-    let mut engine = silent_with_a_keeper();
+    // a peer might renew their leases.
+    let mut engine = silent_with_a_delegate();
     assert_eq!(waiting_once_told(&mut engine, 14.1, 100.0, &[]), 1);
 
-    let mut engine = silent_with_a_keeper();
+    let mut engine = silent_with_a_delegate();
     // Answered at 10 s.
     for (now, ago_ms, waiting) in [(14.1, 4100, 0), (20.3, 10_300, 0), (21.0, 11_000, 1)] {
-        let kept = [kept("m1", ago_ms)];
+        let kept = [renewed("m1", ago_ms)];
         assert_eq!(waiting_once_told(&mut engine, now, 100.0, &kept), waiting);
     }
 }
 
 #[test]
-fn a_machine_that_one_peer_kept_and_then_another_has_not_lapsed() {
+fn a_machine_renewed_by_one_delegate_and_then_another_has_not_lapsed() {
     // Guards against ran_twice where the leader hears of neither: one peer kept
     // the machine for its whole time, and another took it over after that one
     // had told us that it had kept nothing.
-    let mut engine = silent_with_a_keeper();
-    engine.entrust("bothy-2", 60.0);
-    engine.kept_by(15.0, "bothy-2", 14.9, 100.0, &[]);
+    let mut engine = silent_with_a_delegate();
+    engine.delegate_to("bothy-2", 60.0);
+    engine.renewed_by(15.0, "bothy-2", 14.9, 100.0, &[]);
     engine.tick(31.0);
     assert_eq!(engine.jobs["req-1"].pending(), 0);
     // Its word from after the first one's time and a lease settles it.
-    engine.kept_by(31.0, "bothy-2", 30.9, 100.0, &[]);
+    engine.renewed_by(31.0, "bothy-2", 30.9, 100.0, &[]);
     engine.tick(31.1);
     assert_eq!(engine.jobs["req-1"].pending(), 1);
 }
@@ -1438,10 +1438,10 @@
 }
 
 #[test]
-fn a_peer_that_has_started_anew_does_not_know_what_it_kept_before() {
+fn a_delegate_that_has_restarted_does_not_know_what_it_renewed_before() {
     // Guards against the word of a fresh process that its predecessor kept
     // nothing: that one may have answered until it ended.
-    let mut engine = silent_with_a_keeper();
+    let mut engine = silent_with_a_delegate();
     assert_eq!(waiting_once_told(&mut engine, 14.1, 4.1, &[]), 0);
     assert_eq!(waiting_once_told(&mut engine, 20.9, 10.9, &[]), 1);
 }
@@ -1451,7 +1451,7 @@
     // Guards against taking a machine for lapsed that got our token, and with
     // it a new lease, just before its old holder's time was over.
     let mut engine = after_crash(vec![team(0.0, 0.0)], spec("req-1", 3, 2.0));
-    let end = engine.cfg.keep_s() + LEASE_S;
+    let end = engine.cfg.renewal_s() + LEASE_S;
     let report = Worker::new("m1", "a").report();
     assert!(engine.report(end - 1.0, &report));
     engine.reply(end - 1.0, &report, true);
@@ -1467,7 +1467,7 @@
 fn fenced_directly(stale_word: bool) -> Engine {
     let mut engine = after_crash(vec![team(0.0, 0.0)], spec("req-1", 2, 2.0));
     if stale_word {
-        engine.kept_by(1.0, "bothy-1", 0.9, 100.0, &[kept("m1", 1000)]);
+        engine.renewed_by(1.0, "bothy-1", 0.9, 100.0, &[renewed("m1", 1000)]);
     }
     let mut worker = Worker::new("m1", "a");
     worker.token = token_of(TOKEN);
@@ -1485,7 +1485,7 @@
     let mut engine = fenced_directly(true);
     engine.tick(LEASE_S * 1.001 + 0.6);
     assert_eq!(engine.jobs["req-1"].pending(), 0, "answered until 9.5 s");
-    engine.kept_by(18.0, "bothy-1", 17.9, 100.0, &[kept("m1", 18_000)]);
+    engine.renewed_by(18.0, "bothy-1", 17.9, 100.0, &[renewed("m1", 18_000)]);
     engine.tick(19.4);
     assert_eq!(engine.jobs["req-1"].pending(), 0);
 }
--- a/crates/umbersail-control/src/engine/tests/cancelled.rs
+++ b/crates/umbersail-control/src/engine/tests/cancelled.rs
@@ -85,7 +85,7 @@
 }
 
 #[test]
-fn nobody_is_entrusted_while_starts_without_a_record_are_not_known() {
+fn nothing_is_delegated_while_starts_without_a_record_are_not_known() {
     // Guards against a task that no record tells of, of a job that was cancelled before
     // the election: neither we nor a peer would know what to stop.
     let mut left = inheritance_of(spec("req-1", 3, 2.0));
--- a/crates/umbersail-control/src/engine/tests/keepers.rs
+++ b/crates/umbersail-control/src/engine/tests/delegates.rs
@@ -1,17 +1,17 @@
 //! Several peers that answer workers in the leader's stead, in turn.
 
 use super::*;
-use crate::keep::Keeper;
+use crate::delegate::Delegate;
 
 /// The leader hears of the cancellation at this second.
 const CANCELLED_AT_S: u32 = 10;
 
 /// When the task of a cancelled job is told to stop, on a machine that goes on to the
-/// next of two keepers whenever one refuses it, or after so many reports, while the
+/// next of two delegates whenever one refuses it, or after so many reports, while the
 /// leader greets both and answers no report that they hand on. Also how long it was kept.
 fn told_to_stop(turn: u32) -> (Option<u32>, u32) {
     let cfg = config(vec![team(0.0, 0.0)], Tuning::default());
-    let keep_s = cfg.keep_s();
+    let renewal_s = cfg.renewal_s();
     let mut engine = fresh(vec![team(0.0, 0.0)]);
     let mut worker = ready_worker(&mut engine, "m1", "a");
     accept(&mut engine, 1.0, spec("req-1", 1, 2.0));
@@ -19,7 +19,7 @@
     worker.turn(&mut engine, 2.0);
     worker.turn(&mut engine, 3.0);
     assert_eq!(worker.tasks.len(), 1);
-    let mut keepers = [(); 2].map(|()| Keeper::new(LEASE_S, keep_s));
+    let mut delegates = [(); 2].map(|()| Delegate::new(LEASE_S, renewal_s));
     let (mut at, mut last, mut told) = (0, 0, None);
     for second in 4..80 {
         let now = f64::from(second);
@@ -30,13 +30,13 @@
             engine.job_dropped("req-1");
         }
         let over = engine.over_jobs().unwrap();
-        for keeper in &mut keepers {
-            keeper.entrusted(TOKEN, now + keep_s, &over);
+        for delegate in &mut delegates {
+            delegate.delegated(TOKEN, now + renewal_s, &over);
         }
         let report = worker.report();
-        if keepers[at].keeps(now, &report).is_some() {
+        if delegates[at].renew(now, &report).is_some() {
             last = second;
-            if stops(&keepers[at].stops(&report, |_| false)) > 0 {
+            if stops(&delegates[at].stops(&report, |_| false)) > 0 {
                 told.get_or_insert(second);
             }
         } else {
@@ -47,12 +47,12 @@
 }
 
 #[test]
-fn a_cancellation_reaches_a_machine_that_keepers_keep_in_turn() {
-    // Guards against a cancellation that never reaches a machine: each keeper counts
+fn a_cancellation_reaches_a_machine_that_delegates_renew_in_turn() {
+    // Guards against a cancellation that never reaches a machine: each delegate counts
     // the time without word of the leader from its own first answer, and forgets that
     // it kept the machine while another does, so that together they keep it for longer
     // than a cancellation may take.
-    let bound = config(vec![team(0.0, 0.0)], Tuning::default()).keep_s();
+    let bound = config(vec![team(0.0, 0.0)], Tuning::default()).renewal_s();
     for turn in [5, 12, 25] {
         let (told, last) = told_to_stop(turn);
         assert!(f64::from(last) > bound, "in turns of {turn} s: {last} s");
--- a/crates/umbersail-control/src/engine/tests/faults.rs
+++ b/crates/umbersail-control/src/engine/tests/faults.rs
@@ -1,4 +1,4 @@
-//! Random faults against real engines and keepers: nodes that crash, freeze
+//! Random faults against real engines and delegates: nodes that crash, freeze
 //! and are cut off, workers that hang, replies and transactions that are lost
 //! or come late, clocks that drift. The workers and the state service are
 //! scripted after the protocol and know the true time; they check, at every
@@ -18,14 +18,14 @@
 use rand::{Rng, SeedableRng};
 
 use super::*;
-use crate::keep::Keeper;
+use crate::delegate::Delegate;
 use crate::records::{GRANT_KEY, JOBS, JobRecord, LEADER_KEY, LeaderRecord, RUNS, over_key};
 use crate::records::{GrantRecord, Outcome, OverRecord, UNSETTLED_KEY, UnsettledRecord};
 use umbersail_standby::{OpenMemory, Opening};
 
 const NODES: usize = 3;
 const WORKERS: usize = 5;
-/// Long enough for two take-overs with the times to keep of both.
+/// Long enough for two take-overs with the renewal times of both.
 const NIGHT_S: f64 = 75.0;
 const STEP_S: f64 = 0.1;
 /// A worker gives a report up, and drops its reply, after this (PROTOCOL).
@@ -236,7 +236,7 @@
 struct Lead {
     engine: Engine,
     start_until: Time,
-    keep_until: Time,
+    renew_until: Time,
     superseded: bool,
     opening: Opening,
     /// What it has answered, and whose deletion it knows of.
@@ -251,7 +251,7 @@
     clock: Drifting,
     up: bool,
     started: Time,
-    keeper: Keeper,
+    delegate: Delegate,
     leader: Option<(usize, u64)>,
     memory: OpenMemory,
     lead: Option<Lead>,
@@ -413,7 +413,7 @@
                 clock,
                 up: true,
                 started: clock.at(0.0),
-                keeper: Keeper::new(LEASE_S, cfg.keep_s()),
+                delegate: Delegate::new(LEASE_S, cfg.renewal_s()),
                 leader: None,
                 memory: OpenMemory::default(),
                 lead: None,
@@ -620,7 +620,7 @@
             } else if !down && !member.up {
                 member.up = true;
                 member.started = member.clock.at(self.t);
-                member.keeper = Keeper::new(LEASE_S, self.cfg.keep_s());
+                member.delegate = Delegate::new(LEASE_S, self.cfg.renewal_s());
                 member.memory = OpenMemory::default();
             }
         }
@@ -674,7 +674,7 @@
             return;
         }
         member.leader = Some((leader, revision));
-        member.keeper.superseded(revision);
+        member.delegate.superseded(revision);
         if let Some(lead) = &mut member.lead
             && lead.engine.revision() < revision
         {
@@ -749,7 +749,7 @@
             lead.start_until = now + tuning.leader_ttl_s * (1.0 - tuning.drift) - 0.1;
             if is_read {
                 lead.engine.jobs_listed(now, unix_ms, jobs);
-                lead.keep_until = now + self.cfg.keep_s();
+                lead.renew_until = now + self.cfg.renewal_s();
             }
         }
     }
@@ -813,7 +813,7 @@
         self.members[node].lead = Some(Lead {
             engine,
             start_until: 0.0,
-            keep_until: 0.0,
+            renew_until: 0.0,
             superseded: false,
             opening: Opening::Shut,
             answered: BTreeSet::new(),
@@ -828,12 +828,12 @@
     fn tend_opening(&mut self, node: usize, now: Time) {
         let reachable = self.sees_state(node);
         let (t, open_s) = (self.t, self.cfg.tuning.open_s);
-        let keep_s = self.cfg.keep_s();
+        let renewal_s = self.cfg.renewal_s();
         let Some(lead) = &mut self.members[node].lead else {
             return;
         };
         let revision = lead.engine.revision();
-        let in_time = now < lead.keep_until.min(lead.keep_until - keep_s + open_s);
+        let in_time = now < lead.renew_until.min(lead.renew_until - renewal_s + open_s);
         match lead.opening {
             Opening::Shut if !reachable && in_time && !lead.superseded => {
                 lead.opening = Opening::Asking(Default::default());
@@ -1013,16 +1013,16 @@
     fn hello(&mut self, node: usize, to: usize) -> umbersail_wire::Hello {
         let now = self.members[node].clock.at(self.t);
         let member = &mut self.members[node];
-        let (mut keep_ms, mut over) = (None, vec![]);
+        let (mut renewal_ms, mut over) = (None, vec![]);
         if let Some(lead) = member
             .lead
             .as_mut()
-            .filter(|l| !l.superseded && l.keep_until > now)
+            .filter(|l| !l.superseded && l.renew_until > now)
             && let Some(jobs) = lead.engine.over_jobs()
         {
             over = jobs;
-            lead.engine.entrust(&name(to), lead.keep_until);
-            keep_ms = Some(((lead.keep_until - now) * 1000.0) as u64);
+            lead.engine.delegate_to(&name(to), lead.renew_until);
+            renewal_ms = Some(((lead.renew_until - now) * 1000.0) as u64);
         }
         umbersail_wire::Hello {
             member: name(node),
@@ -1032,10 +1032,10 @@
             leader: member.leader.map(|(leader, _)| name(leader)),
             machines: 0,
             progress: vec![],
-            keep_ms,
+            renewal_ms,
             over,
             up_ms: ((now - member.started) * 1000.0) as u64,
-            kept: member.keeper.kept(now),
+            renewed: member.delegate.renewed(now),
             leads: member.lead.is_some(),
             open: (member.lead.as_ref()).is_some_and(|l| l.opening.may_be_open()),
             recorded: member.memory.recorded(),
@@ -1051,12 +1051,12 @@
             self.hear_of_leader(node, leader[6..].parse().unwrap(), hello.token);
         }
         let member = &mut self.members[node];
-        if let Some(keep_ms) = hello
-            .keep_ms
+        if let Some(renewal_ms) = hello
+            .renewal_ms
             .filter(|_| hello.leader.as_ref() == Some(&hello.member))
         {
-            let until = asked + keep_ms as f64 / 1000.0 * (1.0 - drift);
-            member.keeper.entrusted(hello.token, until, &hello.over);
+            let until = asked + renewal_ms as f64 / 1000.0 * (1.0 - drift);
+            member.delegate.delegated(hello.token, until, &hello.over);
         }
         if hello.leads && hello.leader.as_ref() == Some(&hello.member) {
             member.memory.told(asked, hello.token, hello.open);
@@ -1068,7 +1068,7 @@
         if let Some(lead) = &mut member.lead {
             let up_s = hello.up_ms as f64 / 1000.0;
             lead.engine
-                .kept_by(now, &hello.member, asked, up_s, &hello.kept);
+                .renewed_by(now, &hello.member, asked, up_s, &hello.renewed);
         }
     }
 
@@ -1125,7 +1125,7 @@
         let held = host.worker.tasks.len();
         host.worker.obey(reply.token, &reply.commands);
         for started in &host.worker.tasks[held.min(host.worker.tasks.len())..] {
-            // Some outlast the time to keep, and what follows it.
+            // Some outlast the renewal time, and what follows it.
             let long = self.rng.random_bool(0.15);
             let end = t + self.rng.random_range(4.0..if long { 75.0 } else { 25.0 });
             host.ends
@@ -1303,8 +1303,8 @@
         }
         if self.members[node].lead.is_some() {
             let between = zone(node) != report.zone && may_direct && self.rng.random_bool(0.3);
-            let stand_in = (0..NODES).find(|n| zone(*n) == report.zone);
-            return Ok(match stand_in.filter(|_| between) {
+            let zone_delegate = (0..NODES).find(|n| zone(*n) == report.zone);
+            return Ok(match zone_delegate.filter(|_| between) {
                 Some(other) => Answer::Directed(other),
                 None => self.answer(node, report)?,
             });
@@ -1321,7 +1321,7 @@
             if matches!(answer, Answer::Reply(..)) {
                 // Or its answer is lost on the way, and the worker is kept.
                 if self.rng.random_bool(0.97) {
-                    self.members[node].keeper.handed_on(report);
+                    self.members[node].delegate.relayed(report);
                     return Ok(answer);
                 }
             } else {
@@ -1329,9 +1329,9 @@
             }
         }
         let now = self.members[node].clock.at(self.t);
-        let keeper = &mut self.members[node].keeper;
-        Ok(match keeper.keeps(now, report) {
-            Some(token) => Answer::Reply(token, keeper.stops(report, |_| false)),
+        let delegate = &mut self.members[node].delegate;
+        Ok(match delegate.renew(now, report) {
+            Some(token) => Answer::Reply(token, delegate.stops(report, |_| false)),
             None => Answer::Directed(leader),
         })
     }
@@ -1343,7 +1343,7 @@
             return Ok(Answer::Refused);
         };
         lead.superseded |= epoch(report.token) > lead.engine.revision();
-        if lead.superseded || now >= lead.keep_until || !lead.engine.report(now, report) {
+        if lead.superseded || now >= lead.renew_until || !lead.engine.report(now, report) {
             return Ok(Answer::Refused);
         }
         let machine = &report.machine;
--- a/crates/umbersail-control/src/engine/tests/reports.rs
+++ b/crates/umbersail-control/src/engine/tests/reports.rs
@@ -323,7 +323,7 @@
     // leader, until its machines report.
     let mut engine = after_crash(vec![team(0.0, 0.0)], spec("req-1", 3, 2.0));
     assert_eq!(engine.counts("req-1"), Some((0, 2)));
-    let lapsed_s = (engine.cfg.keep_s() + LEASE_S) * 1.001 + 0.6;
+    let lapsed_s = (engine.cfg.renewal_s() + LEASE_S) * 1.001 + 0.6;
     engine.tick(lapsed_s);
     assert_eq!(engine.counts("req-1"), Some((0, 0)));
 }
--- a/crates/umbersail-control/src/front.rs
+++ b/crates/umbersail-control/src/front.rs
@@ -102,7 +102,7 @@
             {
                 return directed(member);
             }
-            let response = match self.stand_in(&report) {
+            let response = match self.zone_delegate(&report) {
                 Some(member) if !comes_back() => return directed(member),
                 _ => self.take_report(body).await,
             };
@@ -231,8 +231,8 @@
             self.step_down.notify();
             return None;
         }
-        let keeps = now < leading.keep_until.get() && !leading.superseded.get();
-        keeps.then(|| leading.engine.revision())
+        let renews = now < leading.renew_until.get() && !leading.superseded.get();
+        renews.then(|| leading.engine.revision())
     }
 
     /// Whether our lease still covers the start of tasks (rule 2).
--- a/crates/umbersail-control/src/leader.rs
+++ b/crates/umbersail-control/src/leader.rs
@@ -235,22 +235,22 @@
         );
         let cfg = Rc::new(self.engine_config());
         let start_until = Rc::new(Cell::new(self.start_end(asked_at)));
-        let keep_until = Rc::new(Cell::new(asked_at + cfg.keep_s()));
+        let renew_until = Rc::new(Cell::new(asked_at + cfg.renewal_s()));
         let gone = Rc::new(Cell::new(false));
         let mut duties = Duties::default();
         duties.start(self.clone().renew(
             lease,
             token,
             start_until.clone(),
-            keep_until.clone(),
-            cfg.keep_s(),
+            renew_until.clone(),
+            cfg.renewal_s(),
             gone.clone(),
         ));
-        if let Some(read) = self.inherit(elected, &keep_until, &gone).await {
+        if let Some(read) = self.inherit(elected, &renew_until, &gone).await {
             let Inherited { inheritance, .. } = read;
             // What was cancelled since is not known yet (rule 2).
-            let known_until = read.jobs_read_at + cfg.keep_s();
-            keep_until.set(keep_until.get().min(known_until));
+            let known_until = read.jobs_read_at + cfg.renewal_s();
+            renew_until.set(renew_until.get().min(known_until));
             let now = self.clock.now();
             let engine = Engine::new(cfg, now, self.clock.unix_ms(), inheritance);
             info!(
@@ -262,7 +262,7 @@
             *self.role.borrow_mut() = Role::Leading(Box::new(Leading {
                 engine,
                 start_until,
-                keep_until: keep_until.clone(),
+                renew_until: renew_until.clone(),
                 followed: Cell::new(read.revision),
                 superseded: Cell::new(false),
             }));
@@ -273,7 +273,7 @@
             duties.start(self.clone().answer_doubts(token));
             duties.start(self.clone().tend_opening(token));
             self.changed.raise();
-            let reason = self.until_over(&keep_until, &gone).await;
+            let reason = self.until_over(&renew_until, &gone).await;
             warn!(token, reason, "leadership is over");
         }
         duties.end();
@@ -295,7 +295,7 @@
     }
 
     /// Why leadership ended, once it has.
-    async fn until_over(&self, keep_until: &Cell<Time>, gone: &Cell<bool>) -> &'static str {
+    async fn until_over(&self, renew_until: &Cell<Time>, gone: &Cell<bool>) -> &'static str {
         let mut deaf_since: Option<Time> = None;
         let mut paused = false;
         let elected_at = self.clock.now();
@@ -324,13 +324,13 @@
             }
             // We can't end our lease then: peers replace the key at our word.
             self.resign(self.is_refused_alone());
-            // Past the time to keep, reports are refused but the lease is still
+            // Past the renewal time, reports are refused but the lease is still
             // renewed: if that succeeds after an outage, nobody else can have
             // been elected, and the fleet goes on under the same token.
-            if now >= keep_until.get() && !paused {
+            if now >= renew_until.get() && !paused {
                 paused = true;
                 warn!("without the state service for too long: reports are refused");
-            } else if paused && now < keep_until.get() {
+            } else if paused && now < renew_until.get() {
                 paused = false;
                 info!("the state service is back: reports are answered");
             }
@@ -365,8 +365,8 @@
         lease: u64,
         token: u64,
         start_until: Rc<Cell<Time>>,
-        keep_until: Rc<Cell<Time>>,
-        keep_s: f64,
+        renew_until: Rc<Cell<Time>>,
+        renewal_s: f64,
         gone: Rc<Cell<bool>>,
     ) {
         loop {
@@ -395,7 +395,7 @@
                 Ok(()) if matches!(ours, TxnOutcome::Applied { .. }) => {
                     start_until.set(self.start_end(sent_at));
                     if known {
-                        keep_until.set(sent_at + keep_s);
+                        renew_until.set(sent_at + renewal_s);
                     }
                 }
                 Ok(()) => debug!("lease renewed, and not known whether the key is ours"),
@@ -413,11 +413,11 @@
     async fn inherit(
         &self,
         elected: Elected,
-        keep_until: &Cell<Time>,
+        renew_until: &Cell<Time>,
         gone: &Cell<bool>,
     ) -> Option<Inherited> {
         loop {
-            if gone.get() || self.clock.now() >= keep_until.get() {
+            if gone.get() || self.clock.now() >= renew_until.get() {
                 return None;
             }
             let read_at = self.clock.now();
--- a/crates/umbersail-control/src/lib.rs
+++ b/crates/umbersail-control/src/lib.rs
@@ -3,9 +3,9 @@
 
 mod cloud;
 mod crowd;
+mod delegate;
 pub mod engine;
 mod front;
-mod keep;
 mod leader;
 mod node;
 mod outage;
--- a/crates/umbersail-control/src/node.rs
+++ b/crates/umbersail-control/src/node.rs
@@ -17,8 +17,8 @@
 
 use crate::cloud::CloudClient;
 use crate::crowd::Crowd;
+use crate::delegate::Delegate;
 use crate::engine::{Engine, EngineConfig};
-use crate::keep::Keeper;
 use crate::polls::Polls;
 use crate::records::{
     CATALOGUE_KEY, CatalogueRecord, LEADER_KEY, LeaderRecord, Outcome, OverRecord,
@@ -40,7 +40,7 @@
     pub start_until: Rc<Cell<Time>>,
     /// Reports are answered before this time, not after: moved by a renewal only once
     /// all that was cancelled before the renewal was sent is known here (rule 2).
-    pub keep_until: Rc<Cell<Time>>,
+    pub renew_until: Rc<Cell<Time>>,
     /// The engine knows what was accepted and cancelled up to this revision.
     pub followed: Cell<u64>,
     pub superseded: Cell<bool>,
@@ -216,7 +216,7 @@
     pub(crate) outside_at: Cell<Time>,
     /// The last successor that we named while we led.
     pub(crate) last_standby: RefCell<Option<String>>,
-    pub(crate) keeper: RefCell<Keeper>,
+    pub(crate) delegate: RefCell<Delegate>,
     pub(crate) started_at: Time,
     pub(crate) progress_heard: RefCell<Heard>,
     pub(crate) crowd: RefCell<Crowd>,
@@ -343,9 +343,9 @@
             aways: RefCell::new(Detours::new(tuning.relay_again_s, tuning.relay_s)),
             outside_at: Cell::new(f64::MIN),
             last_standby: RefCell::default(),
-            keeper: RefCell::new(Keeper::new(
+            delegate: RefCell::new(Delegate::new(
                 facts.workers.lease_s,
-                tuning.keep_s(facts.workers.cancel_s, facts.workers.lease_s),
+                tuning.renewal_s(facts.workers.cancel_s, facts.workers.lease_s),
             )),
             started_at: clock.now(),
             progress_heard: RefCell::default(),
@@ -495,7 +495,7 @@
         }
         *leader = Some((member.to_owned(), token));
         drop(leader);
-        self.keeper.borrow_mut().superseded(token);
+        self.delegate.borrow_mut().superseded(token);
         self.watchman.borrow_mut().leader(self.clock.now(), token);
         if let Role::Leading(leading) = &*self.role.borrow()
             && leading.engine.revision() < token
--- a/crates/umbersail-control/src/outage.rs
+++ b/crates/umbersail-control/src/outage.rs
@@ -80,9 +80,9 @@
         match &*self.role.borrow() {
             Role::Leading(l) if !l.superseded.get() => {
                 let workers = &self.settings.facts.workers;
-                let keep_s = tuning.keep_s(workers.cancel_s, workers.lease_s);
-                let renewed = l.keep_until.get() - keep_s;
-                now < l.keep_until.get() && now < renewed + tuning.open_s
+                let renewal_s = tuning.renewal_s(workers.cancel_s, workers.lease_s);
+                let renewed = l.renew_until.get() - renewal_s;
+                now < l.renew_until.get() && now < renewed + tuning.open_s
             }
             _ => false,
         }
--- a/crates/umbersail-control/src/peers.rs
+++ b/crates/umbersail-control/src/peers.rs
@@ -36,11 +36,11 @@
             leader: leader.as_ref().map(|(name, _)| name.clone()),
             machines: 0,
             progress: Vec::new(),
-            keep_ms: None,
+            renewal_ms: None,
             over: Vec::new(),
             cancelled: self.lately_cancelled(),
             up_ms: ((now - self.started_at) * 1000.0) as u64,
-            kept: Vec::new(),
+            renewed: Vec::new(),
             leads: leading && !superseded && !self.resigning.get(),
             resigns: leading && self.resigning.get(),
             recorded: self.open_memory.borrow().recorded(),
@@ -83,16 +83,16 @@
             && !leading.superseded.get()
             && self.settings.peers.iter().any(|p| p.member == member)
         {
-            let until = leading.keep_until.get();
+            let until = leading.renew_until.get();
             if until > now
                 && let Some(over) = leading.engine.over_jobs()
             {
-                leading.engine.entrust(member, until);
-                hello.keep_ms = Some(((until - now) * 1000.0) as u64);
+                leading.engine.delegate_to(member, until);
+                hello.renewal_ms = Some(((until - now) * 1000.0) as u64);
                 hello.over = over;
             }
         }
-        hello.kept = self.keeper.borrow_mut().kept(now);
+        hello.renewed = self.delegate.borrow_mut().renewed(now);
         hello
     }
 
@@ -118,18 +118,18 @@
             let mut memory = self.open_memory.borrow_mut();
             memory.told_by_peer(token, former_self);
         }
-        if let Some(keep_ms) = hello.keep_ms
+        if let Some(renewal_ms) = hello.renewal_ms
             && hello.leader.as_deref() == Some(&*hello.member)
         {
-            let keep_s = keep_ms as f64 / 1000.0 * (1.0 - self.tuning.drift);
-            self.keeper
+            let renewal_s = renewal_ms as f64 / 1000.0 * (1.0 - self.tuning.drift);
+            self.delegate
                 .borrow_mut()
-                .entrusted(hello.token, asked_at + keep_s, &hello.over);
+                .delegated(hello.token, asked_at + renewal_s, &hello.over);
         }
         if let Role::Leading(leading) = &mut *self.role.borrow_mut() {
             let up_s = hello.up_ms as f64 / 1000.0;
             let engine = &mut leading.engine;
-            engine.kept_by(now, &hello.member, asked_at, up_s, &hello.kept);
+            engine.renewed_by(now, &hello.member, asked_at, up_s, &hello.renewed);
         }
     }
 
@@ -223,7 +223,7 @@
     /// Hands a worker's report on to the leader. The worker takes an answer with
     /// the leader's token from any node, and drops it if it comes too late, like
     /// any other. If the leader can't be reached, the worker's tasks are kept
-    /// alive in its stead, as far as it has entrusted us with that.
+    /// alive in its stead, as far as it has delegated that to us.
     ///
     /// `direct` is whether the worker may try the leader itself: where peers'
     /// connections are refused, that may do.
@@ -238,7 +238,7 @@
         if !silent {
             match self.ask_peer(leader, paths::PEER_REPORT, body).await {
                 Ok((200, body)) => {
-                    self.keeper.borrow_mut().handed_on(report);
+                    self.delegate.borrow_mut().relayed(report);
                     return Some(Response::new(200, body));
                 }
                 Ok(_) => return None,
@@ -253,10 +253,10 @@
             }
         }
         let now = self.clock.now();
-        let mut keeper = self.keeper.borrow_mut();
-        let token = keeper.keeps(now, report)?;
+        let mut delegate = self.delegate.borrow_mut();
+        let token = delegate.renew(now, report)?;
         let cache = self.cache.borrow();
-        let commands = keeper.stops(report, |id| cache.get(id).is_some());
+        let commands = delegate.stops(report, |id| cache.get(id).is_some());
         let reply = ReportReply { token, commands };
         Some(Response::new(200, encode(&reply)))
     }
@@ -268,7 +268,7 @@
         if !peer.silent && self.leader_name().as_deref() == Some(member) {
             info!(
                 leader = member,
-                "does not answer: its workers' tasks are kept alive"
+                "does not answer: a delegate renews its workers' leases"
             );
         }
         peer.silent = true;
@@ -287,8 +287,8 @@
                 .any(|p| p.member == leader && p.zone != zone)
     }
 
-    /// The leader's choice of a peer to stand between it and a worker.
-    pub(crate) fn stand_in(&self, report: &Report) -> Option<String> {
+    /// The leader's choice of a delegate in the worker's zone.
+    pub(crate) fn zone_delegate(&self, report: &Report) -> Option<String> {
         if self.tuning.zone_proxy == 0.0 || report.zone == self.settings.zone {
             return None;
         }
@@ -307,7 +307,7 @@
             .settings
             .peers
             .iter()
-            .filter(|p| p.zone == report.zone && leading.engine.is_entrusted(now, &p.member))
+            .filter(|p| p.zone == report.zone && leading.engine.is_delegate(now, &p.member))
             .filter(|p| {
                 let state = peers.get(&p.member);
                 state.is_some_and(|s| {
--- a/crates/umbersail-control/tests/service.rs
+++ b/crates/umbersail-control/tests/service.rs
@@ -511,7 +511,7 @@
 }
 
 #[test]
-fn a_stand_in_hands_on_its_zones_reports_and_keeps_the_tasks_for_its_time_only() {
+fn a_zone_delegate_relays_reports_and_renews_leases_for_its_time_only() {
     // Guards against losing all tasks of a zone that the leader can't reach,
     // and against keeping them for longer than a successor reckons with.
     let start = Service::start_in(["a", "b"], 1000.0, 11.0);
@@ -559,7 +559,7 @@
 }
 
 #[test]
-fn an_outage_longer_than_the_time_to_keep_changes_no_leader() {
+fn an_outage_longer_than_the_renewal_time_changes_no_leader() {
     // Guards against a needless take-over, and against answers of a holder
     // whose successor must be able to reckon with its silence.
     in_service(|service| async move {
--- a/crates/umbersail-tuning/src/lib.rs
+++ b/crates/umbersail-tuning/src/lib.rs
@@ -353,7 +353,7 @@
         "Runs are looked at this often, and as jobs come and end: a record is not waited for longer";
     calendar_mistaken_s, "calendar.mistaken_s", 60.0, 0.0..=86400.0, "s",
         "A job that has failed wherever it ran for this long is no longer waited for by the next step: its user cancels it after a minute or two";
-    calendar_keep_s, "calendar.keep_s", 86400.0, 0.0..=2678400.0, "s",
+    calendar_keep_s, "calendar.renewal_s", 86400.0, 0.0..=2678400.0, "s",
         "A run is given up so long after its due time, and one whose entry has gone is forgotten then";
     calendar_runs, "calendar.runs", 4.0, 1.0..=100.0, "runs",
         "Runs of one entry that are under way at once: one more, and the oldest is given up";
@@ -397,7 +397,7 @@
     /// How long a holder that lost the state service keeps answering, and a
     /// peer in its stead. With the workers' lease on top it stays under the time
     /// that a cancellation told by another node may take.
-    pub fn keep_s(&self, cancel_s: f64, lease_s: f64) -> f64 {
+    pub fn renewal_s(&self, cancel_s: f64, lease_s: f64) -> f64 {
         (cancel_s - lease_s - self.keep_margin_s).max(1.0)
     }
 
--- a/crates/umbersail-wire/src/peers.rs
+++ b/crates/umbersail-wire/src/peers.rs
@@ -13,9 +13,9 @@
     pub running: u32,
 }
 
-/// A machine that a controller answered in the leader's stead.
+/// A machine whose lease a delegate renewed in the leader's stead.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct KeptMachine {
+pub struct RenewedMachine {
     /// Name of the machine.
     pub machine: String,
     /// Milliseconds since the last reply to it.
@@ -43,8 +43,8 @@
     pub progress: Vec<JobProgress>,
     /// In an answer of the leader: for how long from its question on the other
     /// may answer workers in the leader's stead.
-    #[serde(default)]
-    pub keep_ms: Option<u64>,
+    #[serde(rename = "keep_ms", default)]
+    pub renewal_ms: Option<u64>,
     /// With that: jobs that are over of which tasks may still be about. Workers are told
     /// to stop those.
     #[serde(default)]
@@ -55,9 +55,9 @@
     /// How long the process has run.
     #[serde(default)]
     pub up_ms: u64,
-    /// Machines that it lately answered in the leader's stead.
-    #[serde(default)]
-    pub kept: Vec<KeptMachine>,
+    /// Machines whose leases it lately renewed in the leader's stead.
+    #[serde(rename = "kept", default)]
+    pub renewed: Vec<RenewedMachine>,
     /// It leads and may have started tasks that no record tells of.
     #[serde(default)]
     pub open: bool,
