--- a/crates/umbersail-control/src/engine/machine.rs
+++ b/crates/umbersail-control/src/engine/machine.rs
@@ -41,9 +41,9 @@
     /// a report of one that is gone.
     pub vouched: bool,
     pub hearing: Hearing,
-    /// Raised by each nudge; its epoch is always ours.
+    /// Raised by each increment; its epoch is always ours.
     pub token: u64,
-    pub nudged_at: Option<Time>,
+    pub token_incremented_at: Option<Time>,
     pub notice_until: Option<Time>,
     pub notice_handled: bool,
     pub quarantined: bool,
@@ -104,7 +104,7 @@
             vouched: true,
             hearing: Hearing::default(),
             token: 0,
-            nudged_at: None,
+            token_incremented_at: None,
             notice_until: None,
             notice_handled: false,
             quarantined: false,
--- a/crates/umbersail-control/src/engine/mod.rs
+++ b/crates/umbersail-control/src/engine/mod.rs
@@ -51,18 +51,18 @@
 /// Seconds on this process's steady clock.
 pub type Time = f64;
 
-/// Low bits of a token, which count the nudges of one machine; the bits above
-/// are the revision of the grant (rule 1).
-const NUDGE_BITS: u32 = 16;
+/// Low bits of a fencing token: the minor counter of one machine's increments. The
+/// bits above are the epoch, the revision of the grant (rule 1).
+const MINOR_COUNTER_BITS: u32 = 16;
 
 /// The part of a token that tells holders apart.
 pub fn epoch(token: u64) -> u64 {
-    token >> NUDGE_BITS
+    token >> MINOR_COUNTER_BITS
 }
 
 /// The least token of the holder whose grant has this revision.
 pub fn token_of(revision: u64) -> u64 {
-    revision << NUDGE_BITS
+    revision << MINOR_COUNTER_BITS
 }
 
 /// A launch may be told to a worker only if a successor would know that it may
@@ -328,7 +328,7 @@
     /// Machines with launches ready whose next report is not due soon. A
     /// token that it has not seen makes a worker report within half a second;
     /// the launches then go with the reply, as ever (rule 5).
-    pub fn nudges(&mut self, now: Time) -> Vec<Fencing> {
+    pub fn token_increments(&mut self, now: Time) -> Vec<Fencing> {
         let mut out = Vec::new();
         let pause = self.cfg.lease_s / 2.0 + 0.5;
         let mut told: Vec<Name> = Vec::new();
@@ -359,9 +359,11 @@
             if !ready
                 || !machine.fenced
                 || machine.hearing.is_deaf()
-                || due_in < self.cfg.tuning.nudge_s
+                || due_in < self.cfg.tuning.increment_s
                 || now - last < 0.0
-                || machine.nudged_at.is_some_and(|at| now - at < pause)
+                || machine
+                    .token_incremented_at
+                    .is_some_and(|at| now - at < pause)
             {
                 continue;
             }
@@ -370,7 +372,7 @@
                 // Its count is used up, after days: it waits for its reports.
                 continue;
             }
-            machine.nudged_at = Some(now);
+            machine.token_incremented_at = Some(now);
             machine.token = next;
             out.push(Fencing {
                 machine: name.to_string(),
--- a/crates/umbersail-control/src/engine/tests.rs
+++ b/crates/umbersail-control/src/engine/tests.rs
@@ -1127,21 +1127,24 @@
 }
 
 #[test]
-fn a_nudge_raises_only_the_machines_own_token_and_keeps_the_holder_apart() {
-    // Guards against nudges that overtake a successor's token, and against
-    // taking a nudged worker for one that saw another holder.
+fn a_token_increment_raises_only_the_machines_own_token_and_keeps_the_holder_apart() {
+    // Guards against increments that overtake a successor's token, and against
+    // taking a worker with an incremented token for one that saw another holder.
     let mut engine = fresh(vec![team(0.0, 0.0)]);
     let mut worker = ready_worker(&mut engine, "m1", "a");
     worker.turn(&mut engine, 1.0);
     accept(&mut engine, 1.1, spec("req-1", 1, 2.0));
     commit(&mut engine, 1.1);
-    let nudge = engine.nudges(1.1).remove(0);
-    assert_eq!(epoch(nudge.token), TOKEN);
-    assert!(nudge.token < token_of(TOKEN + 1));
-    assert!(engine.nudges(1.2).is_empty(), "at most once per half lease");
-    worker.token = nudge.token;
+    let increment = engine.token_increments(1.1).remove(0);
+    assert_eq!(epoch(increment.token), TOKEN);
+    assert!(increment.token < token_of(TOKEN + 1));
+    assert!(
+        engine.token_increments(1.2).is_empty(),
+        "at most once per half lease"
+    );
+    worker.token = increment.token;
     assert_eq!(starts(&worker.turn(&mut engine, 1.3)), ["req-1/0"]);
-    assert_eq!(engine.token_for("m1"), nudge.token);
+    assert_eq!(engine.token_for("m1"), increment.token);
     worker.turn(&mut engine, 2.0);
     assert_eq!(engine.counts("req-1"), Some((0, 1)));
     // The count never runs over into another holder's tokens.
@@ -1149,7 +1152,7 @@
     worker.turn(&mut engine, 20.0);
     accept(&mut engine, 20.1, spec("req-2", 1, 2.0));
     commit(&mut engine, 20.1);
-    assert!(engine.nudges(20.1).is_empty());
+    assert!(engine.token_increments(20.1).is_empty());
 }
 
 #[test]
--- a/crates/umbersail-control/src/engine/tests/faults.rs
+++ b/crates/umbersail-control/src/engine/tests/faults.rs
@@ -932,7 +932,7 @@
                 break;
             }
         }
-        let mut direct = engine.nudges(now);
+        let mut direct = engine.token_increments(now);
         direct.extend(engine.fence_targets(now));
         for order in direct {
             self.send_direct(node, &order);
--- a/crates/umbersail-control/src/leader.rs
+++ b/crates/umbersail-control/src/leader.rs
@@ -528,9 +528,9 @@
             if self.opening.borrow().is_open() && txn.is_none() {
                 // Nothing can be written, or need be: launches go without.
                 self.progress.raise();
-                let nudges = self.with_engine(token, |e| e.nudges(now));
-                for nudge in nudges.into_iter().flatten() {
-                    spawn(self.clone().bring_token(token, nudge));
+                let token_increments = self.with_engine(token, |e| e.token_increments(now));
+                for increment in token_increments.into_iter().flatten() {
+                    spawn(self.clone().bring_token(token, increment));
                 }
                 let wait = next.unwrap_or(tuning.write_delay_s.clamp(0.02, 0.1));
                 let woken = pin!(self.wake.notified());
@@ -557,15 +557,15 @@
                 }
                 let after = self.with_engine(token, |engine| {
                     engine.txn_done(now, pending, outcome);
-                    (engine.is_lost(), engine.nudges(now))
+                    (engine.is_lost(), engine.token_increments(now))
                 });
                 self.progress.raise();
-                let Some((false, nudges)) = after else {
+                let Some((false, token_increments)) = after else {
                     self.step_down.notify();
                     return;
                 };
-                for nudge in nudges {
-                    spawn(self.clone().bring_token(token, nudge));
+                for increment in token_increments {
+                    spawn(self.clone().bring_token(token, increment));
                 }
                 continue;
             }
--- a/crates/umbersail-tuning/src/lib.rs
+++ b/crates/umbersail-tuning/src/lib.rs
@@ -169,7 +169,7 @@
         "The order of waiting jobs serves further passes for this long unless a job begins to wait: slack shrinks for all of them alike";
     launch_hold_s, "schedule.launch_hold_s", 0.3, 0.0..=3.0, "s",
         "The reply to a report waits this long at most for a launch that is being planned or recorded: a pass and a write take less; the worker gives up after 4 s";
-    nudge_s, "schedule.nudge_s", 0.6, 0.1..=60.0, "s",
+    increment_s, "schedule.nudge_s", 0.6, 0.1..=60.0, "s",
         "A machine with a launch ready is made to report if its next report is further off than this: a worker reports half a second after the last one at the earliest";
     pool_share, "schedule.pool_share", 0.85, 0.1..=2.0, "share",
         "Share of the machines' CPUs reckoned with when jobs are chosen that can end in time: the rest goes to image fetches, places left over and what comes meanwhile";
