--- a/crates/umbersail-control/src/engine/tests/faults.rs
+++ b/crates/umbersail-control/src/engine/tests/faults.rs
@@ -58,7 +58,7 @@
     /// Down for a fraction of a second.
     Blinks,
     /// Takes the leader for dead, rightly or not, and replaces its key.
-    Doubts,
+    Suspicions,
     /// Many writes get no answer and are carried out late, after newer ones.
     LateWrites,
     /// The state service refuses whoever leads, alone and again and again for less
@@ -128,8 +128,8 @@
         Kind::Deleted,
         Kind::Deleted,
         Kind::Blinks,
-        Kind::Doubts,
-        Kind::Doubts,
+        Kind::Suspicions,
+        Kind::Suspicions,
         Kind::LateWrites,
         Kind::LateWrites,
         Kind::Gap,
@@ -706,8 +706,8 @@
                     self.members[node].memory.read(revision);
                     let leader = record.member[6..].parse().unwrap();
                     let ours = record.incarnation == self.members[node].started.to_bits();
-                    let doubts = self.is_on(Kind::Doubts, |f| f.node == node);
-                    if doubts && !ours && self.rng.random_bool(0.1) {
+                    let suspects = self.is_on(Kind::Suspicions, |f| f.node == node);
+                    if suspects && !ours && self.rng.random_bool(0.1) {
                         // That one may be well, and goes on until it hears of us
                         // or compares the key (rule 2).
                         self.claim(node, now);
--- a/crates/umbersail-control/src/engine/tests/late.rs
+++ b/crates/umbersail-control/src/engine/tests/late.rs
@@ -5,8 +5,8 @@
 
 use super::*;
 use crate::records::{
-    AliveRecord, LEADER_KEY, LeaderRecord, Outcome, OverRecord, acceptance, alive, cancellation,
-    catalogue, doubt, election, over_key, part_key, plan_key,
+    LEADER_KEY, LeaderRecord, LivenessRecord, Outcome, OverRecord, acceptance, cancellation,
+    catalogue, election, liveness, over_key, part_key, plan_key, suspicion,
 };
 
 type Sent = umbersail_wire::Txn<Record>;
@@ -427,8 +427,8 @@
     scene.apply(&again).unwrap();
     assert!(scene.version(UNSETTLED_KEY) > 0);
     scene.fails_late(&settled);
-    scene.fails_late(&doubt("bothy-0", second));
-    scene.fails_late(&alive(AliveRecord {
+    scene.fails_late(&suspicion("bothy-0", second));
+    scene.fails_late(&liveness(LivenessRecord {
         token: second,
         open: false,
         answers: 1,
--- a/crates/umbersail-control/src/leader.rs
+++ b/crates/umbersail-control/src/leader.rs
@@ -111,7 +111,7 @@
                         Either::Left((false, _)) => {}
                         // Its version in the transaction of our election makes
                         // certain that nobody else has replaced it (rule 1).
-                        Either::Right(_) if self.verdict.take() == Some(token) => {
+                        Either::Right(_) if self.confirmed_failure.take() == Some(token) => {
                             return Some(token);
                         }
                         Either::Right(_) => {}
--- a/crates/umbersail-control/src/node.rs
+++ b/crates/umbersail-control/src/node.rs
@@ -11,7 +11,7 @@
 use umbersail_runtime::{
     Broadcast, Clock, Notify, Routine, TcpListener, Time, random, sleep, spawn,
 };
-use umbersail_standby::{Lag, OpenMemory, Opening, Patience, Watchman};
+use umbersail_standby::{DetectorTimeouts, FailureDetector, Lag, OpenMemory, Opening};
 use umbersail_tuning::Tuning;
 use umbersail_wire::{MachineType, paths};
 
@@ -226,13 +226,13 @@
     pub(crate) wake: Notify,
     /// Raised when the leader has planned or recorded something.
     pub(crate) progress: Broadcast,
-    /// Wakes the leader's watchman: we may not be it any more.
+    /// Wakes the leader's failure detector: we may not be it any more.
     pub(crate) step_down: Notify,
     /// What speaks against the leader.
-    pub(crate) watchman: RefCell<Watchman>,
-    pub(crate) doubted: Notify,
+    pub(crate) failure_detector: RefCell<FailureDetector>,
+    pub(crate) suspected: Notify,
     /// The version of a leader's key that is to be replaced.
-    pub(crate) verdict: Cell<Option<u64>>,
+    pub(crate) confirmed_failure: Cell<Option<u64>>,
     pub(crate) take_lead: Notify,
     /// An election of ours is under way: what it says of starts without a record holds
     /// only if we agree to none meanwhile.
@@ -354,7 +354,7 @@
             wake: Notify::default(),
             progress: Broadcast::default(),
             step_down: Notify::default(),
-            watchman: RefCell::new(Watchman::new(Patience {
+            failure_detector: RefCell::new(FailureDetector::new(DetectorTimeouts {
                 rank_s: tuning.rank_s,
                 answer_s: tuning.answer_s,
                 silent_answer_s: tuning.silent_answer_s,
@@ -362,8 +362,8 @@
                 slack_s: tuning.answer_slack_s,
                 cleared_s: tuning.cleared_s,
             })),
-            doubted: Notify::default(),
-            verdict: Cell::default(),
+            suspected: Notify::default(),
+            confirmed_failure: Cell::default(),
             take_lead: Notify::default(),
             claiming: Cell::default(),
             elected: Cell::default(),
@@ -496,7 +496,9 @@
         *leader = Some((member.to_owned(), token));
         drop(leader);
         self.delegate.borrow_mut().superseded(token);
-        self.watchman.borrow_mut().leader(self.clock.now(), token);
+        self.failure_detector
+            .borrow_mut()
+            .leader(self.clock.now(), token);
         if let Role::Leading(leading) = &*self.role.borrow()
             && leading.engine.revision() < token
         {
--- a/crates/umbersail-control/src/peers.rs
+++ b/crates/umbersail-control/src/peers.rs
@@ -105,7 +105,7 @@
             peer.silent = false;
         }
         if hello.leads {
-            self.watchman.borrow_mut().well(hello.token);
+            self.failure_detector.borrow_mut().well(hello.token);
         }
         if (hello.leads || hello.resigns) && hello.leader.as_deref() == Some(&*hello.member) {
             let mut memory = self.open_memory.borrow_mut();
--- a/crates/umbersail-control/src/records.rs
+++ b/crates/umbersail-control/src/records.rs
@@ -11,9 +11,9 @@
 /// The machines of the block, in parts.
 pub const GRANT_PARTS: &str = "grants/fleet/";
 /// Followers that ask whether the leader lives, each under its name.
-pub const DOUBTS: &str = "doubts/";
+pub const SUSPICIONS: &str = "doubts/";
 /// The leader's answer to them: what counts is that it was written.
-pub const ALIVE_KEY: &str = "alive";
+pub const LIVENESS_KEY: &str = "alive";
 /// Stands while the leader has not accounted for all that a holder before it may
 /// have started without a record.
 pub const UNSETTLED_KEY: &str = "unsettled";
@@ -41,8 +41,8 @@
     format!("{GRANT_PARTS}{index}")
 }
 
-pub fn doubt_key(member: &str) -> String {
-    format!("{DOUBTS}{member}")
+pub fn suspicion_key(member: &str) -> String {
+    format!("{SUSPICIONS}{member}")
 }
 
 pub fn run_key(id: &str) -> String {
@@ -166,18 +166,18 @@
 
 /// A follower asks whether the leader whose key has this version lives.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct DoubtRecord {
+pub struct SuspicionRecord {
     pub token: u64,
 }
 
 /// The leader whose key has this version lives; whether it may have started tasks
 /// that no record tells of.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct AliveRecord {
+pub struct LivenessRecord {
     pub token: u64,
     #[serde(default = "unsaid")]
     pub open: bool,
-    /// The newest doubt that it had seen before it said so.
+    /// The newest suspicion that it had seen before it said so.
     #[serde(default)]
     pub answers: u64,
 }
@@ -226,8 +226,8 @@
     Run(RunRecord),
     Over(OverRecord),
     Catalogue(CatalogueRecord),
-    Doubt(DoubtRecord),
-    Alive(AliveRecord),
+    Suspicion(SuspicionRecord),
+    Liveness(LivenessRecord),
     Unsettled(UnsettledRecord),
     Plan(PlanRecord),
 }
@@ -333,12 +333,15 @@
 }
 
 /// Asks the leader whether it lives; one question more does no harm.
-pub fn doubt(member: &str, token: u64) -> Txn<Record> {
-    let record = Record::Doubt(DoubtRecord { token });
-    under(token, put(doubt_key(member), record))
+pub fn suspicion(member: &str, token: u64) -> Txn<Record> {
+    let record = Record::Suspicion(SuspicionRecord { token });
+    under(token, put(suspicion_key(member), record))
 }
 
-/// The leader's answer; it says to which doubt, so that a late one proves nothing newer.
-pub fn alive(record: AliveRecord) -> Txn<Record> {
-    under(record.token, put(ALIVE_KEY.into(), Record::Alive(record)))
+/// The leader's answer; it says to which suspicion, so that a late one proves nothing newer.
+pub fn liveness(record: LivenessRecord) -> Txn<Record> {
+    under(
+        record.token,
+        put(LIVENESS_KEY.into(), Record::Liveness(record)),
+    )
 }
--- a/crates/umbersail-control/src/standby.rs
+++ b/crates/umbersail-control/src/standby.rs
@@ -14,7 +14,7 @@
 
 use crate::engine::TxnOutcome;
 use crate::node::{Node, Role};
-use crate::records::{ALIVE_KEY, AliveRecord, DOUBTS, alive, doubt};
+use crate::records::{LIVENESS_KEY, LivenessRecord, SUSPICIONS, liveness, suspicion};
 use crate::settings::Peer;
 use crate::state::{StateError, Urgency};
 
@@ -75,7 +75,7 @@
     fn hear_attended(&self, token: u64, hello: &Hello) -> bool {
         self.hear(hello);
         if hello.leads && hello.token == token {
-            self.watchman.borrow_mut().well(token);
+            self.failure_detector.borrow_mut().well(token);
             return true;
         }
         let other = (self.elected.get())
@@ -109,9 +109,13 @@
     /// Something speaks against the leader whose key has this version.
     pub(crate) fn hold_against(&self, token: u64, evidence: Evidence) {
         let now = self.clock.now();
-        if self.watchman.borrow_mut().against(now, token, evidence) {
+        if self
+            .failure_detector
+            .borrow_mut()
+            .against(now, token, evidence)
+        {
             info!(token, ?evidence, "speaks against the leader");
-            self.doubted.notify();
+            self.suspected.notify();
         }
     }
 
@@ -129,7 +133,7 @@
     pub(crate) async fn weigh(self: Rc<Self>) {
         loop {
             let now = self.clock.now();
-            let step = self.watchman.borrow().step(now, self.rank());
+            let step = self.failure_detector.borrow().step(now, self.rank());
             let wait_s = match step {
                 Step::Rest => REST_S,
                 Step::Wait(until) => until - now,
@@ -142,17 +146,17 @@
                     AGAIN_S
                 }
             };
-            let _ = select(pin!(self.doubted.notified()), pin!(sleep(wait_s))).await;
+            let _ = select(pin!(self.suspected.notified()), pin!(sleep(wait_s))).await;
         }
     }
 
     /// Asks the leader through the state service whether it lives. A leader that
-    /// may start anything reaches that, and so do we, or there is no verdict.
+    /// may start anything reaches that, and so do we, or nothing is concluded.
     async fn ask_leader(&self) {
         let Some((_, token)) = self.leader_elsewhere() else {
             return;
         };
-        let txn = doubt(&self.settings.member, token);
+        let txn = suspicion(&self.settings.member, token);
         let put_at = self.clock.now();
         let TxnOutcome::Applied { revision } = self.state.txn(&txn, Urgency::Vital).await else {
             // Another leads already, or nobody can say anything just now.
@@ -160,10 +164,10 @@
             return;
         };
         let asked = self.clock.now();
-        let answer_s = self.watchman.borrow().answer_s(asked);
+        let answer_s = self.failure_detector.borrow().answer_s(asked);
         let answer = self
             .state
-            .watch::<AliveRecord>(ALIVE_KEY, revision, answer_s)
+            .watch::<LivenessRecord>(LIVENESS_KEY, revision, answer_s)
             .await;
         let now = self.clock.now();
         match answer {
@@ -172,29 +176,32 @@
                 // Its word is as good as in a greeting, if it answers our question:
                 // one written for an earlier question may come late (rule 3).
                 let words = result.events.iter().filter_map(|e| e.value.as_ref());
-                let ours = |a: &&AliveRecord| a.token == token && a.answers >= revision;
+                let ours = |a: &&LivenessRecord| a.token == token && a.answers >= revision;
                 for alive in words.filter(ours) {
                     let mut memory = self.open_memory.borrow_mut();
                     memory.told(put_at, token, alive.open);
                 }
-                self.watchman.borrow_mut().answered(now, token);
+                self.failure_detector.borrow_mut().answered(now, token);
             }
-            Ok(_) if self.watchman.borrow().unanswered(asked, now) => {
+            Ok(_) if self.failure_detector.borrow().unanswered(asked, now) => {
                 self.replace(token, "no answer, neither here nor by the state service");
             }
-            _ => debug!(token, "the state service is slow: no verdict on the leader"),
+            _ => debug!(
+                token,
+                "the state service is slow: no conclusion on the leader"
+            ),
         }
     }
 
     fn replace(&self, token: u64, reason: &str) {
         // It may have said something in the meantime, or another may lead.
         let rested = matches!(
-            self.watchman.borrow().step(self.clock.now(), 0),
+            self.failure_detector.borrow().step(self.clock.now(), 0),
             Step::Rest | Step::Wait(_)
         );
         if !rested && self.leader_elsewhere().is_some_and(|(_, t)| t == token) {
             info!(token, reason, "the leader is to be replaced");
-            self.verdict.set(Some(token));
+            self.confirmed_failure.set(Some(token));
             self.take_lead.notify();
         }
     }
@@ -204,14 +211,18 @@
         let mut from = token;
         loop {
             let hold_s = self.tuning.watch_hold_s;
-            match self.state.watch::<IgnoredAny>(DOUBTS, from, hold_s).await {
+            match self
+                .state
+                .watch::<IgnoredAny>(SUSPICIONS, from, hold_s)
+                .await
+            {
                 Ok(result) => {
                     from = from.max(result.revision);
                     let newest = result.events.iter().map(|e| e.version).max();
                     let Some(answers) = newest else {
                         continue;
                     };
-                    let txn = alive(AliveRecord {
+                    let txn = liveness(LivenessRecord {
                         token,
                         open: self.opening.borrow().may_be_open(),
                         answers,
@@ -225,7 +236,7 @@
                 Err(StateError::Gone) => {
                     let listed = self
                         .state
-                        .list::<IgnoredAny>(DOUBTS, Urgency::Patient)
+                        .list::<IgnoredAny>(SUSPICIONS, Urgency::Patient)
                         .await;
                     if let Ok((_, revision)) = listed {
                         from = revision;
--- a/crates/umbersail-standby/src/watchman.rs
+++ b/crates/umbersail-standby/src/failure_detector.rs
@@ -1,11 +1,11 @@
-//! When a follower replaces a leader that has not said a word against it.
+//! The failure detector: when a follower replaces a leader that has not resigned.
 
 use std::collections::VecDeque;
 
 /// Seconds on this process's steady clock.
 pub type Time = f64;
 
-/// Changes of leader that lengthen a follower's patience, and for how long, seconds.
+/// Changes of leader that lengthen a follower's timeouts, and for how long, seconds.
 const CHANGES_MOST: usize = 5;
 const CHANGES_S: Time = 30.0;
 
@@ -23,9 +23,9 @@
     Resigned,
 }
 
-/// Times that a watchman keeps to, in seconds.
+/// Timeouts of a failure detector, in seconds.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Patience {
+pub struct DetectorTimeouts {
     /// Between two followers that are not the one who was named.
     pub rank_s: f64,
     /// How long a question at the state service waits for the answer of a leader
@@ -55,15 +55,15 @@
     Replace(u64),
 }
 
-/// What one follower holds against its leader.
+/// One follower's suspicion of its leader.
 ///
-/// A wrong verdict breaks no rule: the key is replaced at its version, so one
+/// A false suspicion breaks no rule: the key is replaced at its version, so one
 /// node at most succeeds a leader, and a leader that is replaced has all its
 /// writes refused (rule 1). It costs a change of leader, though; so evidence that
 /// a filter or a slow network could give is checked through the state service.
 #[derive(Debug)]
-pub struct Watchman {
-    patience: Patience,
+pub struct FailureDetector {
+    timeouts: DetectorTimeouts,
     /// The version of the leader's key.
     token: u64,
     heard_at: Time,
@@ -73,11 +73,11 @@
     cleared_until: Time,
 }
 
-impl Watchman {
+impl FailureDetector {
     /// A detector that suspects nobody.
-    pub fn new(patience: Patience) -> Watchman {
-        Watchman {
-            patience,
+    pub fn new(timeouts: DetectorTimeouts) -> FailureDetector {
+        FailureDetector {
+            timeouts,
             token: 0,
             heard_at: f64::MIN,
             changes: VecDeque::new(),
@@ -86,7 +86,7 @@
         }
     }
 
-    /// This key is the leader's now; what was held against another is void.
+    /// This key is the leader's now; suspicion of another is void.
     pub fn leader(&mut self, now: Time, token: u64) {
         if token > self.token {
             self.token = token;
@@ -105,7 +105,7 @@
         if token != self.token || token == 0 {
             return false;
         }
-        if evidence == Evidence::Silent && now - self.heard_at < self.patience.settle_s {
+        if evidence == Evidence::Silent && now - self.heard_at < self.timeouts.settle_s {
             return false;
         }
         match self.evidence {
@@ -133,7 +133,7 @@
     pub fn answered(&mut self, now: Time, token: u64) {
         if token == self.token {
             self.evidence = None;
-            self.cleared_until = now + self.patience.cleared_s;
+            self.cleared_until = now + self.timeouts.cleared_s;
         }
     }
 
@@ -143,7 +143,7 @@
     pub fn unanswered(&self, asked: Time, now: Time) -> bool {
         let took = now - asked;
         let answer_s = self.answer_s(asked);
-        took >= answer_s * 0.9 && took <= answer_s + self.patience.slack_s
+        took >= answer_s * 0.9 && took <= answer_s + self.timeouts.slack_s
     }
 
     /// How long a question that is put now waits for an answer, seconds. Twice as
@@ -152,8 +152,8 @@
     /// is still replaced.
     pub fn answer_s(&self, now: Time) -> f64 {
         let once = match self.evidence {
-            Some((Evidence::Silent, _)) => self.patience.silent_answer_s,
-            _ => self.patience.answer_s,
+            Some((Evidence::Silent, _)) => self.timeouts.silent_answer_s,
+            _ => self.timeouts.answer_s,
         };
         let recent = self.changes.iter().filter(|at| now - **at < CHANGES_S);
         let doublings = recent.count().saturating_sub(1);
@@ -166,7 +166,7 @@
         let Some((evidence, since)) = self.evidence else {
             return Step::Rest;
         };
-        let turn = since + rank as f64 * self.patience.rank_s;
+        let turn = since + rank as f64 * self.timeouts.rank_s;
         if now < turn {
             return Step::Wait(turn);
         }
@@ -184,8 +184,8 @@
 mod tests {
     use super::*;
 
-    fn watchman() -> Watchman {
-        let mut watchman = Watchman::new(Patience {
+    fn failure_detector() -> FailureDetector {
+        let mut failure_detector = FailureDetector::new(DetectorTimeouts {
             rank_s: 0.4,
             answer_s: 0.5,
             silent_answer_s: 1.0,
@@ -193,15 +193,15 @@
             slack_s: 0.4,
             cleared_s: 5.0,
         });
-        watchman.leader(0.0, 7);
-        watchman
+        failure_detector.leader(0.0, 7);
+        failure_detector
     }
 
     #[test]
     fn a_leader_that_answers_by_another_way_keeps_the_lead() {
         // Guards against a lead that changes hands while connections between
         // controllers are refused and the leader is well.
-        let mut w = watchman();
+        let mut w = failure_detector();
         assert_eq!(w.step(0.0, 0), Step::Rest);
         assert!(w.against(1.0, 7, Evidence::Closed));
         assert!(!w.against(1.1, 7, Evidence::Closed));
@@ -223,7 +223,7 @@
     fn a_slow_state_service_or_a_freeze_of_our_own_proves_nothing() {
         // Guards against a follower that stood still, wakes, and takes the lead
         // from a healthy leader for the answers that it missed.
-        let mut w = watchman();
+        let mut w = failure_detector();
         assert!(w.unanswered(1.0, 1.55));
         assert!(!w.unanswered(1.0, 1.2));
         assert!(!w.unanswered(1.0, 9.0));
@@ -238,7 +238,7 @@
         // Guards against slow controllers that refuse each other's connections and
         // replace one another every few seconds; and against a second end soon
         // after a first that nobody notices.
-        let mut w = watchman();
+        let mut w = failure_detector();
         w.against(1.0, 7, Evidence::Closed);
         assert_eq!(w.answer_s(1.0), 0.5);
         w.leader(1.5, 9);
@@ -255,7 +255,7 @@
     #[test]
     fn what_was_held_against_a_former_leader_is_void() {
         // Guards against two nodes that play ping-pong.
-        let mut w = watchman();
+        let mut w = failure_detector();
         w.against(1.0, 7, Evidence::Replaced);
         w.leader(1.5, 9);
         assert_eq!(w.step(2.0, 0), Step::Rest);
--- a/crates/umbersail-standby/src/lib.rs
+++ b/crates/umbersail-standby/src/lib.rs
@@ -2,29 +2,29 @@
 //! without I/O and without a clock.
 //!
 //! ```
-//! use umbersail_standby::{Evidence, Patience, Step, Watchman};
+//! use umbersail_standby::{Evidence, DetectorTimeouts, Step, FailureDetector};
 //!
-//! let patience = Patience { rank_s: 0.4, answer_s: 0.5, silent_answer_s: 1.2,
+//! let timeouts = DetectorTimeouts { rank_s: 0.4, answer_s: 0.5, silent_answer_s: 1.2,
 //!     settle_s: 6.0, slack_s: 0.4, cleared_s: 5.0 };
-//! let mut watchman = Watchman::new(patience);
-//! watchman.leader(0.0, 412);
+//! let mut failure_detector = FailureDetector::new(timeouts);
+//! failure_detector.leader(0.0, 412);
 //! // Its connection was closed: perhaps it has ended, perhaps a filter did that.
-//! watchman.against(10.0, 412, Evidence::Closed);
-//! assert_eq!(watchman.step(10.0, 0), Step::Ask);
+//! failure_detector.against(10.0, 412, Evidence::Closed);
+//! assert_eq!(failure_detector.step(10.0, 0), Step::Ask);
 //! // Another process answers in its place: that proves it.
-//! watchman.against(10.1, 412, Evidence::Replaced);
-//! assert_eq!(watchman.step(10.1, 0), Step::Replace(412));
+//! failure_detector.against(10.1, 412, Evidence::Replaced);
+//! assert_eq!(failure_detector.step(10.1, 0), Step::Replace(412));
 //! ```
 #![deny(missing_docs)]
 
+mod failure_detector;
 mod open;
 mod remnants;
 mod succession;
-mod watchman;
 mod word;
 
+pub use failure_detector::{DetectorTimeouts, Evidence, FailureDetector, Step, Time};
 pub use open::{OpenMemory, Opening};
 pub use remnants::{Order, Remnant, Remnants};
 pub use succession::{Candidate, HandOver, Lag, hands_over, next_leader};
-pub use watchman::{Evidence, Patience, Step, Time, Watchman};
 pub use word::{Verdict, Word, verdict};
--- a/crates/umbersail-standby/src/open.rs
+++ b/crates/umbersail-standby/src/open.rs
@@ -7,7 +7,7 @@
 
 use std::collections::BTreeSet;
 
-use crate::watchman::Time;
+use crate::failure_detector::Time;
 
 /// What one controller knows of the holder's starts without a record.
 #[derive(Debug, Clone, Copy, PartialEq)]
--- a/crates/umbersail-standby/src/succession.rs
+++ b/crates/umbersail-standby/src/succession.rs
@@ -1,6 +1,6 @@
 //! Who shall lead next, and when a leader asks for it itself.
 
-use crate::watchman::Time;
+use crate::failure_detector::Time;
 
 /// A follower as the leader knows it.
 #[derive(Debug, Clone, PartialEq)]
--- a/crates/umbersail-standby/src/word.rs
+++ b/crates/umbersail-standby/src/word.rs
@@ -1,6 +1,6 @@
 //! What all controllers together know of a job while the state service can't be asked.
 
-use crate::watchman::Time;
+use crate::failure_detector::Time;
 
 /// What one controller says of a job, by the asker's clock.
 #[derive(Debug, Clone, Copy, PartialEq)]
