--- a/crates/umbersail-control/src/word.rs
+++ b/crates/umbersail-control/src/all_replica_read.rs
@@ -8,8 +8,11 @@
 use futures::future::join_all;
 use umbersail_http::Response;
 use umbersail_runtime::{Broadcast, Time, sleep, spawn};
-use umbersail_standby::{Verdict, Word, verdict};
-use umbersail_wire::{JobStage, JobStatus, WordAnswer, WordOn, WordRequest, decode, encode, paths};
+use umbersail_standby::{ReadOutcome, ReplicaAnswer, read_outcome};
+use umbersail_wire::{
+    JobStage, JobStatus, ReplicaReadAnswer, ReplicaReadEntry, ReplicaReadRequest, decode, encode,
+    paths,
+};
 
 use crate::node::Node;
 use crate::records::{Outcome, OverRecord};
@@ -25,26 +28,26 @@
 #[derive(Default)]
 struct Round {
     jobs: RefCell<BTreeSet<String>>,
-    verdicts: RefCell<BTreeMap<String, Verdict<OverRecord>>>,
+    outcomes: RefCell<BTreeMap<String, ReadOutcome<OverRecord>>>,
     over: Cell<bool>,
     done: Broadcast,
 }
 
 /// The round that gathers, and whether one is under way.
 #[derive(Default)]
-pub(crate) struct Words {
+pub(crate) struct AllReplicaReads {
     gathering: RefCell<Option<Rc<Round>>>,
     under_way: Cell<bool>,
 }
 
 impl Node {
-    /// What all controllers together know of a job (rule 6).
-    pub(crate) async fn word_of_all(self: &Rc<Self>, id: &str) -> Verdict<OverRecord> {
+    /// Reads a job from all replicas (rule 6).
+    pub(crate) async fn all_replica_read(self: &Rc<Self>, id: &str) -> ReadOutcome<OverRecord> {
         if !self.all_answer() {
-            return Verdict::Unknown;
+            return ReadOutcome::Unknown;
         }
         let round = {
-            let mut gathering = self.words.gathering.borrow_mut();
+            let mut gathering = self.all_replica_reads.gathering.borrow_mut();
             let round = gathering.get_or_insert_with(|| {
                 let round = Rc::new(Round::default());
                 // A routine of its own: whoever asked first may hang up.
@@ -53,7 +56,7 @@
             });
             let mut jobs = round.jobs.borrow_mut();
             if jobs.len() >= JOBS_MOST && !jobs.contains(id) {
-                return Verdict::Unknown;
+                return ReadOutcome::Unknown;
             }
             jobs.insert(id.to_owned());
             round.clone()
@@ -61,8 +64,8 @@
         while !round.over.get() {
             round.done.raised().await;
         }
-        let verdicts = round.verdicts.borrow();
-        verdicts.get(id).copied().unwrap_or(Verdict::Unknown)
+        let outcomes = round.outcomes.borrow();
+        outcomes.get(id).copied().unwrap_or(ReadOutcome::Unknown)
     }
 
     /// Whether each peer has answered us lately: with one away nothing can be said,
@@ -80,48 +83,53 @@
 
     async fn ask_all(self: Rc<Self>, round: Rc<Round>) {
         sleep(GATHER_S).await;
-        while self.words.under_way.get() {
+        while self.all_replica_reads.under_way.get() {
             sleep(GATHER_S).await;
         }
-        self.words.under_way.set(true);
+        self.all_replica_reads.under_way.set(true);
         // Whoever asks from here on is too late for these answers.
-        *self.words.gathering.borrow_mut() = None;
+        *self.all_replica_reads.gathering.borrow_mut() = None;
         let jobs: Vec<String> = round.jobs.borrow().iter().cloned().collect();
         let peers = self.settings.peers.iter();
         let answers = join_all(peers.map(|peer| self.ask_one(peer, &jobs))).await;
-        let ours = self.own_words(&jobs);
-        let all: Option<Vec<Vec<Word<OverRecord>>>> =
+        let ours = self.own_answers(&jobs);
+        let all: Option<Vec<Vec<ReplicaAnswer<OverRecord>>>> =
             answers.into_iter().chain([Some(ours)]).collect();
         if let Some(all) = all {
-            let mut verdicts = round.verdicts.borrow_mut();
+            let mut outcomes = round.outcomes.borrow_mut();
             for (index, id) in jobs.into_iter().enumerate() {
-                let words: Vec<Word<OverRecord>> = all.iter().map(|words| words[index]).collect();
-                let verdict = verdict(&words);
-                if let Verdict::Ended(over) = verdict {
+                let answers: Vec<ReplicaAnswer<OverRecord>> =
+                    all.iter().map(|answers| answers[index]).collect();
+                let outcome = read_outcome(&answers);
+                if let ReadOutcome::Ended(over) = outcome {
                     self.remember_end(&id, over);
                 }
-                verdicts.insert(id, verdict);
+                outcomes.insert(id, outcome);
             }
         }
-        self.words.under_way.set(false);
+        self.all_replica_reads.under_way.set(false);
         round.over.set(true);
         round.done.raise();
     }
 
-    /// One peer's words, in the order of the jobs; none if it does not answer in time.
-    async fn ask_one(&self, peer: &Peer, jobs: &[String]) -> Option<Vec<Word<OverRecord>>> {
-        let body = encode(&WordRequest { ids: jobs.into() });
+    /// One peer's answers, in the order of the jobs; none if it does not answer in time.
+    async fn ask_one(
+        &self,
+        peer: &Peer,
+        jobs: &[String],
+    ) -> Option<Vec<ReplicaAnswer<OverRecord>>> {
+        let body = encode(&ReplicaReadRequest { ids: jobs.into() });
         let asked_at = self.clock.now();
         let wait_s = self.tuning.peer_timeout_s;
         let answer = self
             .peer_http
-            .request(peer.addr, "POST", paths::PEER_WORD, &body, wait_s)
+            .request(peer.addr, "POST", paths::PEER_REPLICA_READ, &body, wait_s)
             .await;
         let Ok((200, body)) = answer else {
             return None;
         };
-        let answer: WordAnswer = decode(&body).ok()?;
-        if answer.words.len() != jobs.len() {
+        let answer: ReplicaReadAnswer = decode(&body).ok()?;
+        if answer.jobs.len() != jobs.len() {
             return None;
         }
         let now = self.clock.now();
@@ -130,46 +138,46 @@
         // or before, whenever between question and answer it spoke.
         let seen = |ago_ms: u64| asked_at - ago_ms as f64 / 1000.0 * (1.0 + drift);
         let remembers_from = now - answer.remembers_ms as f64 / 1000.0 * (1.0 - drift);
-        let word = |on: WordOn| Word {
+        let replica_answer = |on: ReplicaReadEntry| ReplicaAnswer {
             ended: on.ended.as_ref().and_then(end_of),
             unfinished_at: on.unfinished_ago_ms.map(seen),
             remembers_from,
         };
-        Some(answer.words.into_iter().map(word).collect())
+        Some(answer.jobs.into_iter().map(replica_answer).collect())
     }
 
-    fn own_words(&self, jobs: &[String]) -> Vec<Word<OverRecord>> {
+    fn own_answers(&self, jobs: &[String]) -> Vec<ReplicaAnswer<OverRecord>> {
         let cache = self.cache.borrow();
-        let word = |id: &String| Word {
+        let replica_answer = |id: &String| ReplicaAnswer {
             ended: cache.get(id),
             unfinished_at: self.polls.unfinished_at(id),
             remembers_from: cache.complete_from().max(self.started_at),
         };
-        jobs.iter().map(word).collect()
+        jobs.iter().map(replica_answer).collect()
     }
 
     /// A peer asks what we know.
-    pub(crate) fn give_word(&self, body: &[u8]) -> Response {
-        let Ok(request) = decode::<WordRequest>(body) else {
+    pub(crate) fn answer_replica_read(&self, body: &[u8]) -> Response {
+        let Ok(request) = decode::<ReplicaReadRequest>(body) else {
             return Response::empty(400);
         };
         let now = self.clock.now();
         let ago_ms = |at: Time| ((now - at).max(0.0) * 1000.0) as u64;
-        let words = self.own_words(&request.ids);
-        let from = (words.first()).map_or(now, |word| word.remembers_from);
-        let on = |(id, word): (&String, &Word<OverRecord>)| WordOn {
-            ended: word.ended.map(|over| JobStatus {
+        let answers = self.own_answers(&request.ids);
+        let from = (answers.first()).map_or(now, |answer| answer.remembers_from);
+        let on = |(id, answer): (&String, &ReplicaAnswer<OverRecord>)| ReplicaReadEntry {
+            ended: answer.ended.map(|over| JobStatus {
                 id: id.clone(),
                 state: stage_of(over),
                 done: Some(over.done),
                 running: None,
             }),
             // Rounded up: it was seen no later than that.
-            unfinished_ago_ms: word.unfinished_at.map(|at| ago_ms(at) + 1),
+            unfinished_ago_ms: answer.unfinished_at.map(|at| ago_ms(at) + 1),
         };
-        let answer = WordAnswer {
+        let answer = ReplicaReadAnswer {
             remembers_ms: ago_ms(from),
-            words: request.ids.iter().zip(&words).map(on).collect(),
+            jobs: request.ids.iter().zip(&answers).map(on).collect(),
         };
         Response::new(200, encode(&answer))
     }
--- a/crates/umbersail-control/src/front.rs
+++ b/crates/umbersail-control/src/front.rs
@@ -8,12 +8,13 @@
 use umbersail_http::{Request, Response};
 use umbersail_policy::Shape;
 use umbersail_runtime::{Time, random, timeout};
-use umbersail_standby::Verdict;
+use umbersail_standby::ReadOutcome;
 use umbersail_wire::{
     JobIdOnly, JobKind, JobSpec, JobStage, JobStatus, Misdirected, Refusal, Report, ReportReply,
     decode, encode, is_job_id, missing_field, paths,
 };
 
+use crate::all_replica_read::stage_of;
 use crate::engine::{TxnOutcome, cache_holds, epoch};
 use crate::node::{Node, Role};
 use crate::polls::Seen;
@@ -21,7 +22,6 @@
     JobRecord, Outcome, OverRecord, RunRecord, acceptance, cancellation, job_key, over_key, run_key,
 };
 use crate::state::{StateError, Urgency};
-use crate::word::stage_of;
 
 /// What the state service holds of a job, read after the request arrived.
 enum Found {
@@ -278,10 +278,10 @@
         if let Some(answer) = self.relay_question(paths::PEER_POLL, id).await {
             return answer;
         }
-        match self.word_of_all(id).await {
-            Verdict::Ended(over) => ended(id, over),
-            Verdict::Unfinished => self.unfinished(id, 200).await,
-            Verdict::Unknown => response,
+        match self.all_replica_read(id).await {
+            ReadOutcome::Ended(over) => ended(id, over),
+            ReadOutcome::Unfinished => self.unfinished(id, 200).await,
+            ReadOutcome::Unknown => response,
         }
     }
 
--- a/crates/umbersail-control/src/lib.rs
+++ b/crates/umbersail-control/src/lib.rs
@@ -1,6 +1,7 @@
 //! The controller: leadership, the machine block's engine, the front door,
 //! and the clients of the state service and the cloud.
 
+mod all_replica_read;
 mod cloud;
 mod crowd;
 mod delegate;
@@ -16,7 +17,6 @@
 pub mod settings;
 mod standby;
 mod state;
-mod word;
 
 pub use node::run;
 pub use plans::{PlanError, PlannedEntry, check_plans, planned_entries, recorded_plans};
--- a/crates/umbersail-control/src/node.rs
+++ b/crates/umbersail-control/src/node.rs
@@ -15,6 +15,7 @@
 use umbersail_tuning::Tuning;
 use umbersail_wire::{MachineType, paths};
 
+use crate::all_replica_read::AllReplicaReads;
 use crate::cloud::CloudClient;
 use crate::crowd::Crowd;
 use crate::delegate::Delegate;
@@ -25,7 +26,6 @@
 };
 use crate::settings::Settings;
 use crate::state::{StateClient, Urgency};
-use crate::word::Words;
 
 /// What this node is just now.
 pub(crate) enum Role {
@@ -207,7 +207,7 @@
     pub(crate) peers: RefCell<BTreeMap<String, PeerState>>,
     pub(crate) cache: RefCell<TerminalCache>,
     pub(crate) polls: Polls,
-    pub(crate) words: Words,
+    pub(crate) all_replica_reads: AllReplicaReads,
     pub(crate) detours: RefCell<Detours>,
     /// Workers that we sent to other nodes because we are isolated, or lead no more.
     pub(crate) aways: RefCell<Detours>,
@@ -337,7 +337,7 @@
             types: RefCell::new(Vec::new()),
             peers: RefCell::new(BTreeMap::new()),
             polls: Polls::default(),
-            words: Words::default(),
+            all_replica_reads: AllReplicaReads::default(),
             cache: RefCell::new(TerminalCache::new(tuning.terminal_cache as usize)),
             detours: RefCell::new(Detours::new(tuning.relay_again_s, tuning.relay_s)),
             aways: RefCell::new(Detours::new(tuning.relay_again_s, tuning.relay_s)),
--- a/crates/umbersail-control/src/peers.rs
+++ b/crates/umbersail-control/src/peers.rs
@@ -191,7 +191,7 @@
                 };
             }
             ("POST", paths::PEER_ATTEND) => return self.attended(&request.body).await,
-            ("POST", paths::PEER_WORD) => return self.give_word(&request.body),
+            ("POST", paths::PEER_REPLICA_READ) => return self.answer_replica_read(&request.body),
             ("POST", paths::PEER_OPEN) => return self.agree_to_open(&request.body).await,
             (
                 _,
@@ -201,7 +201,7 @@
                 | paths::PEER_ATTEND
                 | paths::PEER_POLL
                 | paths::PEER_CANCEL
-                | paths::PEER_WORD
+                | paths::PEER_REPLICA_READ
                 | paths::PEER_OPEN,
             ) => {
                 return Response::empty(405);
--- a/crates/umbersail-standby/src/word.rs
+++ b/crates/umbersail-standby/src/all_replica_read.rs
@@ -1,10 +1,10 @@
-//! What all controllers together know of a job while the state service can't be asked.
+//! All-replica reads of a job while the state service can't be asked.
 
 use crate::failure_detector::Time;
 
-/// What one controller says of a job, by the asker's clock.
+/// One replica's answer on a job, by the asker's clock.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Word<E> {
+pub struct ReplicaAnswer<E> {
     /// How it has ended, if this controller has read or recorded that.
     pub ended: Option<E>,
     /// The state service showed it unfinished at this moment or later.
@@ -17,7 +17,7 @@
 
 /// What may be told of the job.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Verdict<E> {
+pub enum ReadOutcome<E> {
     /// The job has ended.
     Ended(E),
     /// The job has not ended.
@@ -26,7 +26,7 @@
     Unknown,
 }
 
-/// The verdict of the words of **all** controllers, our own among them, each given
+/// The outcome of the answers of **all** controllers, our own among them, each given
 /// after the question was put.
 ///
 /// A job's end is told only by a controller that has read or recorded it, and no
@@ -34,18 +34,18 @@
 /// remembers all that it has told since that moment, and none remembers this end,
 /// nobody has told it (rule 6). That holds whether or not the state service answers
 /// some of them.
-pub fn verdict<E: Copy>(words: &[Word<E>]) -> Verdict<E> {
-    if let Some(end) = words.iter().find_map(|w| w.ended) {
-        return Verdict::Ended(end);
+pub fn read_outcome<E: Copy>(answers: &[ReplicaAnswer<E>]) -> ReadOutcome<E> {
+    if let Some(end) = answers.iter().find_map(|w| w.ended) {
+        return ReadOutcome::Ended(end);
     }
-    let seen = words.iter().filter_map(|w| w.unfinished_at);
+    let seen = answers.iter().filter_map(|w| w.unfinished_at);
     let Some(seen) = seen.reduce(f64::max) else {
-        return Verdict::Unknown;
+        return ReadOutcome::Unknown;
     };
-    if words.iter().all(|w| w.remembers_from < seen) {
-        Verdict::Unfinished
+    if answers.iter().all(|w| w.remembers_from < seen) {
+        ReadOutcome::Unfinished
     } else {
-        Verdict::Unknown
+        ReadOutcome::Unknown
     }
 }
 
@@ -57,21 +57,24 @@
     fn a_job_is_unfinished_only_if_everybody_remembers_enough_and_no_end() {
         // Guards against an older answer than another node has given: by one that was
         // restarted since, one that has forgotten, or one that has told the end.
-        let word = |ended, unfinished_at, remembers_from| Word {
+        let replica_answer = |ended, unfinished_at, remembers_from| ReplicaAnswer {
             ended,
             unfinished_at,
             remembers_from,
         };
-        let ours = word(None, Some(50.0), 0.0);
-        assert_eq!(verdict::<u8>(&[ours]), Verdict::Unfinished);
-        let restarted = word(None, None, 60.0);
-        assert_eq!(verdict(&[ours, restarted]), Verdict::Unknown);
+        let ours = replica_answer(None, Some(50.0), 0.0);
+        assert_eq!(read_outcome::<u8>(&[ours]), ReadOutcome::Unfinished);
+        let restarted = replica_answer(None, None, 60.0);
+        assert_eq!(read_outcome(&[ours, restarted]), ReadOutcome::Unknown);
         // It has read the job itself since.
-        let restarted = word(None, Some(61.0), 60.0);
-        assert_eq!(verdict(&[ours, restarted]), Verdict::Unfinished);
-        let knows = word(Some(7), None, 60.0);
-        assert_eq!(verdict(&[ours, knows]), Verdict::Ended(7));
-        let strangers = [word(None, None, 0.0), word(None, None, 0.0)];
-        assert_eq!(verdict(&strangers), Verdict::Unknown);
+        let restarted = replica_answer(None, Some(61.0), 60.0);
+        assert_eq!(read_outcome(&[ours, restarted]), ReadOutcome::Unfinished);
+        let knows = replica_answer(Some(7), None, 60.0);
+        assert_eq!(read_outcome(&[ours, knows]), ReadOutcome::Ended(7));
+        let strangers = [
+            replica_answer(None, None, 0.0),
+            replica_answer(None, None, 0.0),
+        ];
+        assert_eq!(read_outcome(&strangers), ReadOutcome::Unknown);
     }
 }
--- a/crates/umbersail-standby/src/lib.rs
+++ b/crates/umbersail-standby/src/lib.rs
@@ -17,14 +17,14 @@
 //! ```
 #![deny(missing_docs)]
 
+mod all_replica_read;
 mod failure_detector;
 mod open;
 mod remnants;
 mod succession;
-mod word;
 
+pub use all_replica_read::{ReadOutcome, ReplicaAnswer, read_outcome};
 pub use failure_detector::{DetectorTimeouts, Evidence, FailureDetector, Step, Time};
 pub use open::{OpenMemory, Opening};
 pub use remnants::{Order, Remnant, Remnants};
 pub use succession::{Candidate, HandOver, Lag, hands_over, next_leader};
-pub use word::{Verdict, Word, verdict};
--- a/crates/umbersail-wire/src/lib.rs
+++ b/crates/umbersail-wire/src/lib.rs
@@ -66,7 +66,7 @@
     /// A cancellation, forwarded like a poll.
     pub const PEER_CANCEL: &str = "/peer/abort";
     /// What a controller knows of jobs, asked of all while the state service is out.
-    pub const PEER_WORD: &str = "/peer/word";
+    pub const PEER_REPLICA_READ: &str = "/peer/word";
 }
 
 /// The bytes are not the message that was expected.
--- a/crates/umbersail-wire/src/peers.rs
+++ b/crates/umbersail-wire/src/peers.rs
@@ -103,14 +103,14 @@
 /// A controller that the state service does not answer asks every other what it knows
 /// of these jobs.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct WordRequest {
+pub struct ReplicaReadRequest {
     /// Names of the jobs.
     pub ids: Vec<String>,
 }
 
-/// One controller's word on a job.
+/// One replica's answer on a job.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct WordOn {
+pub struct ReplicaReadEntry {
     /// How it has ended, if this controller has read or recorded that.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub ended: Option<JobStatus>,
@@ -121,9 +121,10 @@
 
 /// The answer, in the order of the question.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct WordAnswer {
+pub struct ReplicaReadAnswer {
     /// For how long this process remembers each end that it has told, milliseconds.
     pub remembers_ms: u64,
     /// What it knows of each job.
-    pub words: Vec<WordOn>,
+    #[serde(rename = "words")]
+    pub jobs: Vec<ReplicaReadEntry>,
 }
