--- a/crates/umbersail-control/src/engine/machine.rs
+++ b/crates/umbersail-control/src/engine/machine.rs
@@ -5,7 +5,7 @@
 use umbersail_policy::Shape;
 use umbersail_wire::Priority;
 
-use super::hearing::Hearing;
+use super::reachability::Reachability;
 use super::{Name, Time};
 
 /// Room that an eviction makes, kept for the job that asked for it.
@@ -40,7 +40,7 @@
     /// Listed, rented, in the grant, or has shown our token: not a late copy of
     /// a report of one that is gone.
     pub vouched: bool,
-    pub hearing: Hearing,
+    pub reachability: Reachability,
     /// Raised by each increment; its epoch is always ours.
     pub token: u64,
     pub token_incremented_at: Option<Time>,
@@ -102,7 +102,7 @@
             last_answer: None,
             lapsed: false,
             vouched: true,
-            hearing: Hearing::default(),
+            reachability: Reachability::default(),
             token: 0,
             token_incremented_at: None,
             notice_until: None,
@@ -160,7 +160,7 @@
             && self.accused_at.is_none()
             && self.notice_until.is_none()
             && self.delete_reason.is_none()
-            && !self.hearing.is_deaf()
+            && !self.reachability.is_unreachable()
             && self.silent_for(now) < silent_after
     }
 
--- a/crates/umbersail-control/src/engine/mod.rs
+++ b/crates/umbersail-control/src/engine/mod.rs
@@ -8,11 +8,11 @@
 mod evict;
 mod floor;
 mod grant;
-mod hearing;
 mod job;
 mod machine;
 mod order;
 mod plans;
+mod reachability;
 mod rental;
 mod report;
 mod schedule;
@@ -358,7 +358,7 @@
             let due_in = last + self.cfg.report_s - now;
             if !ready
                 || !machine.fenced
-                || machine.hearing.is_deaf()
+                || machine.reachability.is_unreachable()
                 || due_in < self.cfg.tuning.increment_s
                 || now - last < 0.0
                 || machine
--- a/crates/umbersail-control/src/engine/plans/images.rs
+++ b/crates/umbersail-control/src/engine/plans/images.rs
@@ -188,7 +188,7 @@
             return at_once;
         };
         let machines = &self.machines;
-        // Neither deaf nor noticed nor about to lapse.
+        // Neither unreachable nor noticed nor about to lapse.
         let usable = |m: &Name| {
             let holder = machines.get(m);
             holder.is_some_and(|m| m.addr.is_some() && m.takes_tasks(now, silent_after))
--- a/crates/umbersail-control/src/engine/plans/reserve.rs
+++ b/crates/umbersail-control/src/engine/plans/reserve.rs
@@ -316,7 +316,8 @@
             return Standing::Coming;
         };
         let silent = now - report > self.cfg.tuning.reserve_out_s;
-        let out = silent || (machine.hearing.is_deaf() && !self.is_unheard());
+        let out =
+            silent || (machine.reachability.is_unreachable() && !self.is_mostly_unreachable());
         if out || machine.quarantined || machine.notice_until.is_some() {
             return Standing::Out;
         }
--- a/crates/umbersail-control/src/engine/hearing.rs
+++ b/crates/umbersail-control/src/engine/reachability.rs
@@ -1,4 +1,5 @@
-//! Whether our answers reach a machine, by what its reports show of them.
+//! Reachability: whether our answers reach a machine, by what its reports show of them.
+//! One whose reports arrive while it receives nothing has a one-way partition.
 //!
 //! A machine whose reports arrive while answers and commands don't reach it looks
 //! empty and well, and would draw launches for ever. What it was told and does not
@@ -28,20 +29,20 @@
 
 /// What is known of one machine.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
-pub(crate) struct Hearing {
+pub(crate) struct Reachability {
     told: Option<Told>,
     signs: u32,
     last_sign: Option<Time>,
-    deaf_since: Option<Time>,
+    unreachable_since: Option<Time>,
 }
 
-impl Hearing {
-    pub fn is_deaf(&self) -> bool {
-        self.deaf_since.is_some()
+impl Reachability {
+    pub fn is_unreachable(&self) -> bool {
+        self.unreachable_since.is_some()
     }
 
-    pub fn deaf_since(&self) -> Option<Time> {
-        self.deaf_since
+    pub fn unreachable_since(&self) -> Option<Time> {
+        self.unreachable_since
     }
 
     /// The report was answered, with this token.
@@ -64,9 +65,9 @@
     }
 
     /// A newer report in turn. `launches`: some that it was told were taken up
-    /// (true) or none of them (false). True while it has to show that it hears: a
+    /// (true) or none of them (false). True while it has to show that answers reach it: a
     /// raised token in the next answer lets it.
-    pub fn listen(
+    pub fn observe(
         &mut self,
         now: Time,
         cfg: &EngineConfig,
@@ -80,31 +81,31 @@
         // Not by a token of another holder, which is lower than any of ours.
         let took_up = report.token > told.shown && report.token >= told.token;
         if took_up || launches == Some(true) {
-            *self = Hearing {
+            *self = Reachability {
                 told: self.told,
-                ..Hearing::default()
+                ..Reachability::default()
             };
             return false;
         }
         let pause = now - told.at;
         let token_missed = told.token > told.shown.max(report.token);
-        // Had it heard the answer, its lease would have held for longer.
+        // Had it received the answer, its lease would have held for longer.
         let session_missed = report.session > told.session && pause < cfg.lease_s - REPLY_S;
         let first = !std::mem::replace(&mut told.judged, true);
         let missed = token_missed || launches == Some(false) || session_missed;
-        if !(missed && first) || pause < tuning.deaf_gap_s {
+        if !(missed && first) || pause < tuning.unreachable_gap_s {
             return self.signs > 0;
         }
         if self
             .last_sign
-            .is_some_and(|at| now - at > tuning.deaf_fade_s)
+            .is_some_and(|at| now - at > tuning.unreachable_fade_s)
         {
             self.signs = 0;
         }
         self.signs += 1;
         self.last_sign = Some(now);
-        if self.signs >= tuning.deaf_signs as u32 {
-            self.deaf_since.get_or_insert(now);
+        if self.signs >= tuning.unreachable_signs as u32 {
+            self.unreachable_since.get_or_insert(now);
         }
         true
     }
--- a/crates/umbersail-control/src/engine/rental.rs
+++ b/crates/umbersail-control/src/engine/rental.rs
@@ -214,20 +214,26 @@
     /// Machines that don't come up, and silent ones that nobody explains.
     fn condemn(&mut self, now: Time) {
         let tuning = self.cfg.tuning.clone();
-        let unheard = self.is_unheard();
+        let mostly_unreachable = self.is_mostly_unreachable();
         let mut late = Vec::new();
         for (name, machine) in &mut self.machines {
             if machine.delete_reason.is_some() {
                 continue;
             }
             if let Some(report) = machine.last_report {
-                let deaf_s = machine.hearing.deaf_since().map_or(0.0, |at| now - at);
+                let unreachable_s = machine
+                    .reachability
+                    .unreachable_since()
+                    .map_or(0.0, |at| now - at);
                 if now - report > tuning.vanish_s {
                     machine.delete_reason = Some("silent for too long");
                 } else if !machine.vouched && now - report > 2.0 * self.cfg.lease_s {
                     // The deletion of one that is gone already does nothing.
                     machine.delete_reason = Some("heard of by an old report only");
-                } else if deaf_s > tuning.deaf_delete_s && machine.tasks.is_empty() && !unheard {
+                } else if unreachable_s > tuning.unreachable_delete_s
+                    && machine.tasks.is_empty()
+                    && !mostly_unreachable
+                {
                     machine.delete_reason = Some("hears nothing");
                 }
                 continue;
@@ -253,12 +259,15 @@
 
     /// Whether so many machines hear nothing that it is us: none is given back
     /// or replaced for it.
-    pub(super) fn is_unheard(&self) -> bool {
+    pub(super) fn is_mostly_unreachable(&self) -> bool {
         let up = self.machines.values().filter(|m| m.last_report.is_some());
-        let (deaf, all) = up.fold((0, 0), |(deaf, all), m| {
-            (deaf + usize::from(m.hearing.is_deaf()), all + 1)
+        let (unreachable, all) = up.fold((0, 0), |(unreachable, all), m| {
+            (
+                unreachable + usize::from(m.reachability.is_unreachable()),
+                all + 1,
+            )
         });
-        deaf > 1 && 2 * deaf > all
+        unreachable > 1 && 2 * unreachable > all
     }
 
     fn plan(&mut self, now: Time) -> Vec<RentRequest> {
@@ -307,7 +316,7 @@
             ));
         }
         demands.extend(self.planned_demands(now));
-        let unheard = self.is_unheard();
+        let mostly_unreachable = self.is_mostly_unreachable();
         let fleet: Vec<FleetMachine<Name>> = self
             .machines
             .values()
@@ -316,7 +325,7 @@
                     && m.notice_until.is_none()
                     && m.pledges == 0
                     && m.vouched
-                    && (unheard || !m.hearing.is_deaf())
+                    && (mostly_unreachable || !m.reachability.is_unreachable())
                     && (m.last_report.is_none() || m.silent_for(now) < 2.0 * self.cfg.lease_s)
             })
             .filter_map(|m| {
--- a/crates/umbersail-control/src/engine/report.rs
+++ b/crates/umbersail-control/src/engine/report.rs
@@ -71,7 +71,7 @@
         if let Some(machine) = self.machines.get_mut(&name) {
             machine.last_answer = Some(now);
             let told = machine.token.max(token);
-            machine.hearing.answered(now, report, told);
+            machine.reachability.answered(now, report, told);
         }
         commands
     }
@@ -200,11 +200,11 @@
             return;
         };
         if !in_turn {
-            machine.hearing.commanded(report);
+            machine.reachability.commanded(report);
             return;
         }
-        let known = machine.hearing.deaf_since();
-        if machine.hearing.listen(now, &cfg, report, launches)
+        let known = machine.reachability.unreachable_since();
+        if machine.reachability.observe(now, &cfg, report, launches)
             && report.token >= machine.token
             && epoch(report.token) == epoch(self.token)
             && epoch(report.token + 1) == epoch(self.token)
@@ -212,7 +212,7 @@
             // Nothing that it could show is under way to it: a token to tell by.
             machine.token = report.token + 1;
         }
-        match (known, machine.hearing.deaf_since()) {
+        match (known, machine.reachability.unreachable_since()) {
             (None, Some(_)) => {
                 info!(machine = &**name, "hears nothing: gets no work");
                 self.schedule_wanted = true;
@@ -637,7 +637,7 @@
             }
         }
         let machine = &self.machines[name];
-        if !may_start || !machine.recorded || machine.hearing.is_deaf() {
+        if !may_start || !machine.recorded || machine.reachability.is_unreachable() {
             return commands;
         }
         let open = self.open;
--- a/crates/umbersail-control/src/engine/schedule.rs
+++ b/crates/umbersail-control/src/engine/schedule.rs
@@ -224,7 +224,7 @@
             }
             if machine.delete_reason.is_none()
                 && machine.notice_until.is_none()
-                && !machine.hearing.is_deaf()
+                && !machine.reachability.is_unreachable()
             {
                 fleet.cpus[index][usize::from(machine.spot)] += room.cpus;
             }
@@ -688,8 +688,8 @@
         for machine in self.machines.values_mut() {
             let leaving = machine.notice_until;
             let silent = machine.silent_for(now) >= silent_after;
-            let deaf = machine.hearing.is_deaf();
-            if leaving.is_none() && !silent && !deaf && machine.delete_reason.is_none() {
+            let unreachable = machine.reachability.is_unreachable();
+            if leaving.is_none() && !silent && !unreachable && machine.delete_reason.is_none() {
                 continue;
             }
             for (id, task) in &machine.tasks {
--- a/crates/umbersail-control/src/engine/tests/faults.rs
+++ b/crates/umbersail-control/src/engine/tests/faults.rs
@@ -4,7 +4,7 @@
 //! scripted after the protocol and know the true time; they check, at every
 //! launch, that no worker whose lease could still run holds that task or may
 //! yet be told to start it, that the team's limit holds, and that nothing of a
-//! cancelled job lives on. Machines go deaf, are deleted and make room for new
+//! cancelled job lives on. Machines become unreachable, are deleted and make room for new
 //! ones, and copies of reports come again, at any node: none may be answered by
 //! the leader that took it, nor bring back a machine that is gone.
 //!
@@ -50,7 +50,7 @@
     /// long, with one worker only, which reaches nobody else.
     Isolated,
     /// Its reports arrive, and neither answers nor commands reach it.
-    WorkerDeaf,
+    WorkerUnreachable,
     /// What it reports is delivered again, seconds to well over a lease later.
     ReportsCopied,
     /// Deleted; another machine comes in its stead.
@@ -122,7 +122,7 @@
         Kind::PeersCut,
         Kind::Isolated,
         Kind::Isolated,
-        Kind::WorkerDeaf,
+        Kind::WorkerUnreachable,
         Kind::ReportsCopied,
         Kind::ReportsCopied,
         Kind::Deleted,
@@ -539,8 +539,8 @@
             .map(Fault::end)
     }
 
-    fn is_deaf(&self, host: usize) -> bool {
-        self.is_on(Kind::WorkerDeaf, |f| f.worker == host)
+    fn is_unreachable(&self, host: usize) -> bool {
+        self.is_on(Kind::WorkerUnreachable, |f| f.worker == host)
     }
 
     fn peers_cut(&self, a: usize, b: usize) -> bool {
@@ -942,7 +942,10 @@
     fn send_direct(&mut self, node: usize, order: &Fencing) {
         let index: usize = order.machine[1..].parse().unwrap();
         let host = index % WORKERS;
-        if self.hosts[host].worker.name != order.machine || self.is_deaf(host) || self.gone(host) {
+        if self.hosts[host].worker.name != order.machine
+            || self.is_unreachable(host)
+            || self.gone(host)
+        {
             return;
         }
         let (token, session) = (order.token, order.session.max(1));
@@ -979,10 +982,10 @@
     /// A worker executes an empty direct command, if it may.
     fn command(&mut self, host: usize, token: u64, session: u64) -> Report {
         let t = self.t;
-        let deaf = self.is_deaf(host);
+        let unreachable = self.is_unreachable(host);
         let host = &mut self.hosts[host];
         host.expire(t);
-        if session == host.worker.session && !deaf {
+        if session == host.worker.session && !unreachable {
             host.worker.token = host.worker.token.max(token);
         }
         host.worker.report()
@@ -1207,8 +1210,8 @@
                 for task in starts(&commands) {
                     self.check_start(index, &task)?;
                 }
-                let lost =
-                    self.is_on(Kind::RepliesLost, |f| f.worker == index) || self.is_deaf(index);
+                let lost = self.is_on(Kind::RepliesLost, |f| f.worker == index)
+                    || self.is_unreachable(index);
                 if lost || self.rng.random_bool(0.02) {
                     self.give_up(index, REPLY_S + 1.0);
                     return Ok(());
@@ -1230,7 +1233,7 @@
                     commands,
                 });
             }
-            Answer::Directed(_) if self.is_deaf(index) => self.give_up(index, REPLY_S + 1.0),
+            Answer::Directed(_) if self.is_unreachable(index) => self.give_up(index, REPLY_S + 1.0),
             Answer::Directed(to) => {
                 self.hosts[index].node = to;
                 self.hosts[index].next_report = t + 0.2;
--- a/crates/umbersail-control/src/engine/tests/reports.rs
+++ b/crates/umbersail-control/src/engine/tests/reports.rs
@@ -59,12 +59,12 @@
     // Guards against work that goes again and again where it never begins, and
     // against a machine that is kept, and counted on, for nothing.
     let mut engine = fresh(vec![team(0.0, 0.0)]);
-    let mut deaf = ready_worker(&mut engine, "m1", "a");
+    let mut unreachable = ready_worker(&mut engine, "m1", "a");
     let mut other = ready_worker(&mut engine, "m2", "a");
     accept(&mut engine, 1.0, spec("req-1", 2, 8.0));
     commit(&mut engine, 1.0);
     assert_eq!(starts(&other.turn(&mut engine, 1.5)).len(), 1);
-    let told = rounds_unheard(&mut deaf, &mut engine, 2.0, 4);
+    let told = rounds_unheard(&mut unreachable, &mut engine, 2.0, 4);
     assert!((1..=2).contains(&told), "{told} launches");
     assert!(rents(&mut engine, 18.0), "counted as room");
     // Elsewhere its task goes on.
@@ -77,7 +77,7 @@
     commit(&mut engine, 18.6);
     assert_eq!(starts(&other.turn(&mut engine, 19.0)).len(), 1);
 
-    assert_eq!(rounds_unheard(&mut deaf, &mut engine, 22.0, 8), 0);
+    assert_eq!(rounds_unheard(&mut unreachable, &mut engine, 22.0, 8), 0);
     other.turn(&mut engine, 60.0);
     let deletes = CloudAction::Delete(vec!["m1".into()]);
     assert!(engine.cloud_actions(60.0).contains(&deletes));
@@ -104,7 +104,7 @@
 }
 
 #[test]
-fn replies_lost_far_apart_or_in_one_burst_make_no_machine_deaf() {
+fn replies_lost_far_apart_or_in_one_burst_make_no_machine_unreachable() {
     // Guards against a sound machine taken out of use: for one lost reply, for
     // two that have nothing to do with each other, and after a freeze of ours,
     // whose queue is answered at once and to nobody.
@@ -302,7 +302,7 @@
 }
 
 #[test]
-fn what_was_planned_on_a_machine_found_deaf_is_not_told_in_that_very_answer() {
+fn what_was_planned_on_a_machine_found_unreachable_is_not_told_in_that_very_answer() {
     // Guards against a launch that goes where nothing is heard, since it was planned
     // before the report that shows it.
     let mut engine = fresh(vec![team(0.0, 0.0)]);
--- a/crates/umbersail-control/src/leader.rs
+++ b/crates/umbersail-control/src/leader.rs
@@ -296,7 +296,7 @@
 
     /// Why leadership ended, once it has.
     async fn until_over(&self, renew_until: &Cell<Time>, gone: &Cell<bool>) -> &'static str {
-        let mut deaf_since: Option<Time> = None;
+        let mut unreachable_since: Option<Time> = None;
         let mut paused = false;
         let elected_at = self.clock.now();
         loop {
@@ -337,12 +337,12 @@
             // Workers that reach nobody else but not us would lose their
             // tasks: somebody whom they reach shall lead.
             if all >= 2 && live == 0 && self.a_peer_could_lead(now) {
-                let since = *deaf_since.get_or_insert(now);
+                let since = *unreachable_since.get_or_insert(now);
                 if now - since > self.settings.facts.workers.lease_s * 0.3 {
                     return "no worker reaches this node";
                 }
             } else {
-                deaf_since = None;
+                unreachable_since = None;
             }
         }
     }
--- a/crates/umbersail-tuning/src/lib.rs
+++ b/crates/umbersail-tuning/src/lib.rs
@@ -197,14 +197,14 @@
         "A machine that missed this many reports gets no new tasks";
     vanish_s, "machines.vanish_s", 90.0, 5.0..=3600.0, "s",
         "A silent machine is deleted after this long: its tasks are lapsed long before, a dead one is listed as failed after about 30 s";
-    deaf_signs, "machines.deaf_signs", 2.0, 1.0..=100.0, "signs",
+    unreachable_signs, "machines.deaf_signs", 2.0, 1.0..=100.0, "signs",
         "A machine that showed so often that an answer did not reach it gets no new tasks: one reply may be lost anywhere";
-    deaf_gap_s, "machines.deaf_gap_s", 0.5, 0.0..=60.0, "s",
+    unreachable_gap_s, "machines.deaf_gap_s", 0.5, 0.0..=60.0, "s",
         "A report that comes sooner after our answer is no sign: workers that lose an answer wait for 1 to 5 s, and a queue that comes at once after a freeze was sent before it";
-    deaf_fade_s, "machines.deaf_fade_s", 60.0, 1.0..=3600.0, "s",
+    unreachable_fade_s, "machines.deaf_fade_s", 60.0, 1.0..=3600.0, "s",
         "A sign counts for this long: two replies lost a minute apart have nothing to do with each other";
-    deaf_delete_s, "machines.deaf_delete_s", 45.0, 1.0..=3600.0, "s",
-        "A machine that stays deaf is deleted after this long: about a boot, so what replaces it is up by then, and most cuts are over";
+    unreachable_delete_s, "machines.deaf_delete_s", 45.0, 1.0..=3600.0, "s",
+        "A machine that stays unreachable is deleted after this long: about a boot, so what replaces it is up by then, and most cuts are over";
     gone_names, "machines.gone_names", 4096.0, 16.0..=100000.0, "names",
         "Deleted machines whose late reports and list entries are known as such: some hours of a large fleet, 200 KiB";
     boot_patience, "machines.boot_patience", 3.0, 1.1..=20.0, "times startup_s",
