--- a/crates/umbersail-control/src/engine/delegations.rs
+++ b/crates/umbersail-control/src/engine/delegations.rs
@@ -28,9 +28,9 @@
     /// nobody may answer in our stead.
     pub fn over_jobs(&self) -> Option<Vec<String>> {
         let cancelled = self.jobs.iter().filter(|(_, job)| job.cancelled);
-        let ids = cancelled.map(|(id, _)| id).chain(self.remnants.jobs());
+        let ids = cancelled.map(|(id, _)| id).chain(self.orphaned_jobs.jobs());
         let over: Vec<String> = ids.take(OVER_MOST + 1).map(|id| id.to_string()).collect();
-        (!self.unsettled && over.len() <= OVER_MOST).then_some(over)
+        (!self.recovery_pending && over.len() <= OVER_MOST).then_some(over)
     }
 
     /// This peer may answer in our stead until then.
--- a/crates/umbersail-control/src/engine/floor.rs
+++ b/crates/umbersail-control/src/engine/floor.rs
@@ -57,7 +57,7 @@
 impl Job {
     /// Nothing of it has run, and nothing is on its way to.
     pub(super) fn is_unbegun(&self) -> bool {
-        self.live.is_empty() && self.limbo.is_empty() && !self.has_begun
+        self.live.is_empty() && self.recovery_pending.is_empty() && !self.has_begun
     }
 
     /// Where one task is says nothing on where the others may be.
--- a/crates/umbersail-control/src/engine/job.rs
+++ b/crates/umbersail-control/src/engine/job.rs
@@ -52,8 +52,8 @@
     pub returned: BTreeSet<u32>,
     pub live: BTreeMap<u32, Placement>,
     /// Started by an earlier holder and not yet seen: as good as running.
-    pub limbo: BTreeSet<u32>,
-    /// Machines that may hold the tasks in limbo.
+    pub recovery_pending: BTreeSet<u32>,
+    /// Machines that may hold the tasks whose recovery is pending.
     pub inherited: BTreeSet<Name>,
     /// The holder before us may have started any of its tasks, on any machine,
     /// without a record.
@@ -129,7 +129,7 @@
             next: high,
             returned: BTreeSet::new(),
             live: BTreeMap::new(),
-            limbo: (0..high).filter(|t| !done.contains(*t)).collect(),
+            recovery_pending: (0..high).filter(|t| !done.contains(*t)).collect(),
             inherited: hosts.clone(),
             anywhere: false,
             extra: run.extra,
@@ -162,14 +162,14 @@
             done,
             spec,
         };
-        job.settle_limbo();
+        job.finish_recovery();
         job
     }
 
-    /// Once no machine can hold them, tasks in limbo are free to start.
-    pub fn settle_limbo(&mut self) {
+    /// Once no machine can hold them, tasks whose recovery is pending are free to start.
+    pub fn finish_recovery(&mut self) {
         if self.inherited.is_empty() && !self.anywhere {
-            self.returned.append(&mut self.limbo);
+            self.returned.append(&mut self.recovery_pending);
         }
     }
 
@@ -186,16 +186,17 @@
             return;
         }
         self.anywhere = true;
-        self.limbo.append(&mut self.returned);
+        self.recovery_pending.append(&mut self.returned);
         let never = self.next..self.spec.tasks;
-        self.limbo.extend(never.filter(|t| !self.done.contains(*t)));
+        self.recovery_pending
+            .extend(never.filter(|t| !self.done.contains(*t)));
         self.next = self.spec.tasks;
     }
 
-    /// Tasks in limbo that no record tells of.
-    pub fn unrecorded_limbo(&self) -> usize {
+    /// Tasks whose recovery is pending that no record tells of.
+    pub fn unrecorded_recovery_pending(&self) -> usize {
         if self.anywhere {
-            self.limbo.range(self.recorded_high..).count()
+            self.recovery_pending.range(self.recorded_high..).count()
         } else {
             0
         }
@@ -288,7 +289,7 @@
 
     /// Tasks that use, or must be assumed to use, machines.
     pub fn occupied(&self) -> usize {
-        self.live.len() + self.limbo.len() + self.inherited_extra() as usize
+        self.live.len() + self.recovery_pending.len() + self.inherited_extra() as usize
     }
 
     /// Attempts of completed tasks that an earlier holder left, as long as a
--- a/crates/umbersail-control/src/engine/mod.rs
+++ b/crates/umbersail-control/src/engine/mod.rs
@@ -26,7 +26,7 @@
 use tracing::{info, warn};
 use umbersail_pass::Losers;
 use umbersail_policy::{Learner, Served, Shape, TeamLimits, Window};
-use umbersail_standby::{Remnant, Remnants};
+use umbersail_standby::{OrphanedAttempts, OrphanedJobs};
 use umbersail_tuning::Tuning;
 use umbersail_wire::{JobProgress, MachineType, Priority, RentRequest};
 
@@ -179,12 +179,12 @@
     cleared: BTreeSet<Name>,
     /// Jobs that are over whose attempts may still be about: their progress
     /// stands until they are gone (rule 4).
-    remnants: Remnants<Name, Name>,
+    orphaned_jobs: OrphanedJobs<Name, Name>,
     whole_machines: bool,
     /// Machines that may hold tasks that no record tells of.
     open_inherited: BTreeSet<Name>,
     /// A record says that something may run that none tells of.
-    unsettled: bool,
+    recovery_pending: bool,
     /// Tasks may be started before they are recorded.
     open: bool,
     attempts: u64,
@@ -207,7 +207,7 @@
     may_wait: bool,
     /// Who may lose a task, as jobs come and go.
     losers: Losers<Priority, Name>,
-    /// Jobs with tasks in limbo, by the machines that may hold them.
+    /// Jobs with tasks whose recovery is pending, by the machines that may hold them.
     inherited_by: BTreeMap<Name, Vec<Name>>,
     /// No waiting job's task is smaller than this in any amount.
     least_shape: Shape,
@@ -238,10 +238,10 @@
             delegations: BTreeMap::new(),
             untold: BTreeSet::new(),
             cleared: BTreeSet::new(),
-            remnants: Remnants::default(),
+            orphaned_jobs: OrphanedJobs::default(),
             whole_machines: inheritance.whole_machines,
             open_inherited: BTreeSet::new(),
-            unsettled: inheritance.open_before,
+            recovery_pending: inheritance.open_before,
             open: false,
             attempts: 0,
             requests: 0,
@@ -284,7 +284,7 @@
             engine.inherit_part(now, part);
         }
         for (id, run) in inheritance.over {
-            engine.inherit_remnant(&id, run);
+            engine.inherit_orphaned_attempts(&id, run);
         }
         // In the order in which they came, which tells the rate of each class.
         let mut jobs = inheritance.jobs;
@@ -303,7 +303,7 @@
             if !engine.open_inherited.is_empty() {
                 job.may_run_anywhere();
             }
-            job.settle_limbo();
+            job.finish_recovery();
             for machine in &job.inherited {
                 let holders = engine.inherited_by.entry(machine.clone()).or_default();
                 holders.push(id.clone());
@@ -392,7 +392,7 @@
     pub fn counts(&self, id: &str) -> Option<(u32, u32)> {
         let job = self.jobs.get(id)?;
         let running = job.live.values().filter(|p| p.running_since.is_some());
-        let inherited = job.limbo.len() - job.unrecorded_limbo();
+        let inherited = job.recovery_pending.len() - job.unrecorded_recovery_pending();
         Some((job.done.count(), (running.count() + inherited) as u32))
     }
 
@@ -586,7 +586,10 @@
     /// progress may go (rule 4).
     fn drop_if_over(&mut self, id: &Name) {
         let gone = |j: &Job| {
-            j.cancelled && j.live.is_empty() && j.limbo.is_empty() && j.inherited_extra() == 0
+            j.cancelled
+                && j.live.is_empty()
+                && j.recovery_pending.is_empty()
+                && j.inherited_extra() == 0
         };
         if self.jobs.get(id).is_some_and(gone)
             && let Some(job) = self.remove_job(id)
@@ -598,11 +601,11 @@
 
     /// Progress of a job that was over before we were elected: what it did not
     /// hold as completed may still run on the machines that it names.
-    fn inherit_remnant(&mut self, id: &str, run: RunRecord) {
+    fn inherit_orphaned_attempts(&mut self, id: &str, run: RunRecord) {
         let name: Name = id.into();
         let teams = &self.cfg.teams;
         let known = |m: &&String| self.machines.contains_key(m.as_str());
-        let remnant = Remnant {
+        let orphaned_attempts = OrphanedAttempts {
             team: teams.iter().position(|t| t.name == run.team),
             shape: run.size.map(|(cpus, gpus, memory_gb)| Shape {
                 cpus,
@@ -614,7 +617,7 @@
                 .map(|m| (m.as_str().into(), None))
                 .collect(),
         };
-        if !self.remnants.insert(name.clone(), remnant) {
+        if !self.orphaned_jobs.insert(name.clone(), orphaned_attempts) {
             self.cleared.insert(name);
         }
     }
@@ -676,7 +679,7 @@
             if let Some(job) = self.jobs.get_mut(&id)
                 && job.inherited.remove(name)
             {
-                job.settle_limbo();
+                job.finish_recovery();
                 self.drop_if_over(&id);
             }
         }
@@ -707,7 +710,7 @@
         let mut ended = Vec::new();
         for (id, job) in &mut self.jobs {
             job.anywhere = false;
-            job.settle_limbo();
+            job.finish_recovery();
             ended.push(id.clone());
         }
         for id in ended {
@@ -736,7 +739,7 @@
             self.return_task(&id, task);
         }
         self.account(name);
-        self.cleared.extend(self.remnants.gone(name));
+        self.cleared.extend(self.orphaned_jobs.gone(name));
         if let Some(machine) = self.machines.get_mut(name) {
             machine.strangers = false;
             machine.unsized_strangers = false;
--- a/crates/umbersail-control/src/engine/report.rs
+++ b/crates/umbersail-control/src/engine/report.rs
@@ -281,13 +281,14 @@
                 None if entry.state != TaskState::Exited => {
                     let id: Name = id.into();
                     strangers = true;
-                    unsized_strangers |= !self.remnants.counts(&id);
+                    unsized_strangers |= !self.orphaned_jobs.counts(&id);
                     over.insert(id);
                 }
                 None => {}
             }
         }
-        let settled = (self.remnants).shown(name, report.order(), in_turn, |id| over.contains(id));
+        let settled =
+            (self.orphaned_jobs).shown(name, report.order(), in_turn, |id| over.contains(id));
         self.cleared.extend(settled);
         if let Some(machine) = self.machines.get_mut(name) {
             if machine.strangers && !strangers {
@@ -333,7 +334,7 @@
                 // is gone it counts (rule 4), even if the task has completed
                 // elsewhere in the meantime and it is of no use any more.
                 let useless = job.cancelled || job.done.contains(task);
-                job.limbo.remove(&task);
+                job.recovery_pending.remove(&task);
                 job.returned.remove(&task);
                 job.live.insert(
                     task,
@@ -418,7 +419,7 @@
         }
         job.last_progress = now;
         job.begins(now, false);
-        job.limbo.remove(&task);
+        job.recovery_pending.remove(&task);
         job.returned.remove(&task);
         job.touch(now);
         // Here and not at its end: that may be seen in the watch first.
--- a/crates/umbersail-control/src/engine/schedule.rs
+++ b/crates/umbersail-control/src/engine/schedule.rs
@@ -264,11 +264,11 @@
             || (machine.inherited
                 && (self.whole_machines
                     || self.open_inherited.contains(&machine.name)
-                    || self.remnants.is_unsized_at(&machine.name)))
+                    || self.orphaned_jobs.is_unsized_at(&machine.name)))
     }
 
     /// What each team's tasks use. Unaccounted ones count as present (rule 4):
-    /// tasks in limbo and attempts of jobs already over by their own size, known
+    /// tasks whose recovery is pending and attempts of jobs already over by their own size, known
     /// from records that stand for as long as one may be about; and for limited
     /// teams every machine by its whole size that may hold what no record tells.
     pub(super) fn team_usage(&self, unaccounted: &Shape) -> Vec<Usage> {
@@ -276,11 +276,11 @@
         for job in self.jobs.values() {
             if let Some(team) = job.team {
                 // What no record tells of is on machines that count whole.
-                let counted = job.occupied() - job.unrecorded_limbo();
+                let counted = job.occupied() - job.unrecorded_recovery_pending();
                 usage[team].add(&job.shape, counted as f64);
             }
         }
-        self.remnants.add_to(&mut usage);
+        self.orphaned_jobs.add_to(&mut usage);
         for (team, used) in self.cfg.teams.iter().zip(&mut usage) {
             if team.is_limited() {
                 used.add(unaccounted, 1.0);
@@ -332,7 +332,7 @@
     }
 
     /// The zone that the job's present tasks fix, and how many each zone has.
-    /// Tasks in limbo count wherever they may be, and so do attempts of completed tasks
+    /// Tasks whose recovery is pending count wherever they may be, and so do attempts of completed tasks
     /// that an earlier holder left (rule 4).
     pub(super) fn zones_of(&self, job: &Job) -> (Option<String>, BTreeMap<String, u32>) {
         let mut zones: BTreeMap<String, u32> = BTreeMap::new();
@@ -344,7 +344,7 @@
                 *zones.entry(machine.zone.clone()).or_default() += 1;
             }
         }
-        let unseen = job.limbo.len() as u32 + job.inherited_extra();
+        let unseen = job.recovery_pending.len() as u32 + job.inherited_extra();
         for host in &job.inherited {
             if let Some(machine) = self.machines.get(host) {
                 *zones.entry(machine.zone.clone()).or_default() += unseen;
--- a/crates/umbersail-control/src/engine/tests.rs
+++ b/crates/umbersail-control/src/engine/tests.rs
@@ -25,7 +25,7 @@
 
 use super::*;
 use crate::records::{
-    GRANT_PARTS, GrantPart, GrantedMachine, Record, UNSETTLED_KEY, job_key, run_key,
+    GRANT_PARTS, GrantPart, GrantedMachine, RECOVERY_PENDING_KEY, Record, job_key, run_key,
 };
 
 const TOKEN: u64 = 100;
@@ -476,9 +476,9 @@
     let keep = engine.cfg.renewal_s();
     assert!(keep + LEASE_S < 40.0, "a cancellation told elsewhere holds");
     engine.tick(keep + LEASE_S);
-    assert_eq!(engine.jobs["req-1"].limbo.len(), 2);
+    assert_eq!(engine.jobs["req-1"].recovery_pending.len(), 2);
     engine.tick((keep + LEASE_S) * 1.001 + 0.6);
-    assert_eq!(engine.jobs["req-1"].limbo.len(), 0);
+    assert_eq!(engine.jobs["req-1"].recovery_pending.len(), 0);
     assert_eq!(engine.jobs["req-1"].pending(), 3);
 }
 
@@ -541,13 +541,13 @@
 
 #[test]
 fn a_limit_counts_what_may_still_run_after_a_take_over() {
-    // Guards against quota: tasks in limbo use room, and just they.
+    // Guards against quota: tasks whose recovery is pending use room, and just they.
     let mut engine = after_crash(vec![team(0.0, 10.0)], spec("req-1", 3, 2.0));
     let mut other = ready_worker(&mut engine, "m2", "a");
     accept(&mut engine, 1.0, spec("req-2", 4, 2.0));
     commit(&mut engine, 1.0);
     let told = starts(&other.turn(&mut engine, 2.0)).len();
-    assert_eq!(told, 3, "10 CPUs by 2, less two in limbo");
+    assert_eq!(told, 3, "10 CPUs by 2, less two whose recovery is pending");
     let mut old = Worker::new("m1", "a");
     old.turn(&mut engine, 2.0);
     old.turn(&mut engine, 2.5);
@@ -559,7 +559,11 @@
 
 /// What a new leader finds of a job of four that was cancelled or has ended: two
 /// of its tasks were done, the rest may run on m1.
-fn with_remnant(limit: f64, whole_machines: bool, size: Option<(f64, f64, f64)>) -> Engine {
+fn with_orphaned_attempts(
+    limit: f64,
+    whole_machines: bool,
+    size: Option<(f64, f64, f64)>,
+) -> Engine {
     let run = RunRecord {
         high: 4,
         done_count: 2,
@@ -583,7 +587,7 @@
     // a take-over until most machines have shown the token.
     let size = Some((2.0, 0.0, 1.0));
     for (whole, size, first) in [(false, size, 1), (true, size, 0), (false, None, 0)] {
-        let mut engine = with_remnant(8.0, whole, size);
+        let mut engine = with_orphaned_attempts(8.0, whole, size);
         let mut other = ready_worker(&mut engine, "m2", "a");
         accept(&mut engine, 1.0, spec("req-2", 4, 2.0));
         commit(&mut engine, 1.0);
@@ -1410,7 +1414,8 @@
         matches!(c, Change::Put { value: Record::Run(run), .. }
             if run.high == 4 && run.hosts.iter().any(|h| h == "m1"))
     };
-    let settles = |c: &Change<Record>| matches!(c, Change::Delete { key } if key == UNSETTLED_KEY);
+    let settles =
+        |c: &Change<Record>| matches!(c, Change::Delete { key } if key == RECOVERY_PENDING_KEY);
     assert!(at(&names_it).is_some() && at(&names_it) < at(&settles));
     let told =
         starts(&other.turn(&mut engine, 2.7)).len() + starts(&old.turn(&mut engine, 3.1)).len();
@@ -1459,9 +1464,9 @@
     assert!(engine.report(end - 1.0, &report));
     engine.reply(end - 1.0, &report, true);
     engine.tick(end * 1.001 + 0.6);
-    assert_eq!(engine.jobs["req-1"].limbo.len(), 2);
+    assert_eq!(engine.jobs["req-1"].recovery_pending.len(), 2);
     engine.tick(end - 1.0 + LEASE_S * 1.001 + 0.6);
-    assert_eq!(engine.jobs["req-1"].limbo.len(), 0);
+    assert_eq!(engine.jobs["req-1"].recovery_pending.len(), 0);
 }
 
 /// After a take-over, m1 shows our token with its two tasks at 9.5 s, by direct
@@ -1585,7 +1590,7 @@
     engine.listing(3.0, &[listed("m2")]);
     assert!(deletes(&mut engine, 3.0));
     assert_eq!(
-        engine.jobs["req-1"].limbo.len(),
+        engine.jobs["req-1"].recovery_pending.len(),
         2,
         "only the answer proves it"
     );
--- a/crates/umbersail-control/src/engine/tests/faults.rs
+++ b/crates/umbersail-control/src/engine/tests/faults.rs
@@ -20,7 +20,9 @@
 use super::*;
 use crate::delegate::Delegate;
 use crate::records::{GRANT_KEY, JOBS, JobRecord, LEADER_KEY, LeaderRecord, RUNS, over_key};
-use crate::records::{GrantRecord, Outcome, OverRecord, UNSETTLED_KEY, UnsettledRecord};
+use crate::records::{
+    GrantRecord, Outcome, OverRecord, RECOVERY_PENDING_KEY, RecoveryPendingRecord,
+};
 use umbersail_standby::{OpenMemory, Opening};
 
 const NODES: usize = 3;
@@ -771,7 +773,7 @@
         };
         let grant = GrantRecord {
             holder: name(node),
-            keeps_remnants: true,
+            keeps_orphaned_attempts: true,
             plans: false,
         };
         let put = |key: &str, value| Change::Put {
@@ -781,15 +783,15 @@
         };
         let before = self.store.version(GRANT_KEY);
         let open = before > 0 && self.members[node].memory.may_be_open(before);
-        let open_before = open || self.store.version(UNSETTLED_KEY) > 0;
+        let open_before = open || self.store.version(RECOVERY_PENDING_KEY) > 0;
         let mut changes = vec![
             put(LEADER_KEY, Record::Leader(leader)),
             put(GRANT_KEY, Record::Grant(grant)),
         ];
         if open_before {
             let member = name(node);
-            let record = Record::Unsettled(UnsettledRecord { member });
-            changes.push(put(UNSETTLED_KEY, record));
+            let record = Record::RecoveryPending(RecoveryPendingRecord { member });
+            changes.push(put(RECOVERY_PENDING_KEY, record));
         }
         let condition = |key: &str| umbersail_wire::Condition {
             key: key.into(),
--- a/crates/umbersail-control/src/engine/tests/late.rs
+++ b/crates/umbersail-control/src/engine/tests/late.rs
@@ -420,12 +420,12 @@
     assert_eq!(
         settled.changes,
         [Change::Delete {
-            key: UNSETTLED_KEY.into()
+            key: RECOVERY_PENDING_KEY.into()
         }]
     );
     let again = scene.election("bothy-2", true);
     scene.apply(&again).unwrap();
-    assert!(scene.version(UNSETTLED_KEY) > 0);
+    assert!(scene.version(RECOVERY_PENDING_KEY) > 0);
     scene.fails_late(&settled);
     scene.fails_late(&suspicion("bothy-0", second));
     scene.fails_late(&liveness(LivenessRecord {
--- a/crates/umbersail-control/src/engine/write.rs
+++ b/crates/umbersail-control/src/engine/write.rs
@@ -5,15 +5,15 @@
 
 use tracing::info;
 use umbersail_policy::{Bitmap, TeamLimits};
-use umbersail_standby::Remnant;
+use umbersail_standby::OrphanedAttempts;
 use umbersail_wire::{Change, Condition, TaskState, Txn, Value};
 
 use super::grant::WrittenPart;
 use super::plans::WrittenPlan;
 use super::{Engine, Job, Name, Placement, Time};
 use crate::records::{
-    GRANT_PARTS, JOBS, LEADER_KEY, Outcome, OverRecord, PLANS, RUNS, Record, RunRecord,
-    UNSETTLED_KEY, job_key, over_key, run_key,
+    GRANT_PARTS, JOBS, LEADER_KEY, Outcome, OverRecord, PLANS, RECOVERY_PENDING_KEY, RUNS, Record,
+    RunRecord, job_key, over_key, run_key,
 };
 
 /// What a transaction writes of one job, to be remembered once it stands.
@@ -101,7 +101,7 @@
     /// Attempts of a completed job that are still about become strangers and are
     /// stopped. They count from now on, not from the next report, and until their
     /// machines show that they are gone (rule 4).
-    fn leave_remnant(&mut self, id: &Name, job: &Job) {
+    fn record_orphaned_attempts(&mut self, id: &Name, job: &Job) {
         let mut machines: BTreeMap<Name, Option<(u64, u64)>> = BTreeMap::new();
         if job.inherited_extra() > 0 {
             machines.extend(job.inherited.iter().map(|m| (m.clone(), None)));
@@ -115,9 +115,9 @@
                 }
             }
         }
-        self.remnants.insert(
+        self.orphaned_jobs.insert(
             id.clone(),
-            Remnant {
+            OrphanedAttempts {
                 team: job.team,
                 shape: Some(job.shape),
                 attempts: job.extra(),
@@ -284,9 +284,9 @@
                 written.push(Written::Cleared(id.clone()));
             }
         }
-        if self.unsettled && txn.changes.len() < self.cfg.txn_ops && self.is_settled() {
+        if self.recovery_pending && txn.changes.len() < self.cfg.txn_ops && self.is_settled() {
             txn.changes.push(Change::Delete {
-                key: UNSETTLED_KEY.into(),
+                key: RECOVERY_PENDING_KEY.into(),
             });
             written.push(Written::Settled);
         }
@@ -368,7 +368,7 @@
                 }
                 Written::Settled => {
                     info!("nothing runs that no record tells of");
-                    self.unsettled = false;
+                    self.recovery_pending = false;
                 }
                 Written::Cleared(id) => {
                     self.cleared.remove(&id);
@@ -385,7 +385,7 @@
                             evictions = job.evictions,
                             "done"
                         );
-                        self.leave_remnant(&id, &job);
+                        self.record_orphaned_attempts(&id, &job);
                     }
                 }
             }
--- a/crates/umbersail-control/src/leader.rs
+++ b/crates/umbersail-control/src/leader.rs
@@ -23,7 +23,7 @@
 use crate::node::{Duties, Leading, Node, Role};
 use crate::records::{
     CATALOGUE_KEY, GRANT_KEY, GRANT_PARTS, GrantPart, GrantRecord, JOBS, JobRecord, LEADER_KEY,
-    LeaderRecord, OVER, PLANS, RUNS, Record, RunRecord, UNSETTLED_KEY, catalogue, election,
+    LeaderRecord, OVER, PLANS, RECOVERY_PENDING_KEY, RUNS, Record, RunRecord, catalogue, election,
     job_key, part_key, plan_key, run_key,
 };
 use crate::state::{StateError, Urgency};
@@ -194,19 +194,21 @@
             .get::<GrantRecord>(GRANT_KEY, Urgency::Vital)
             .await
             .ok()?;
-        let whole_machines = found.as_ref().is_some_and(|(g, _)| !g.keeps_remnants);
+        let whole_machines = found
+            .as_ref()
+            .is_some_and(|(g, _)| !g.keeps_orphaned_attempts);
         // Without any, nobody needs to look for some.
         let plans = self.tuning.has_plans() || found.as_ref().is_some_and(|(grant, _)| grant.plans);
         let version = found.map_or(0, |(_, version)| version);
         // Written by an election only, which the grant's version excludes.
-        let unsettled = self
+        let recovery_pending = self
             .state
-            .get::<IgnoredAny>(UNSETTLED_KEY, Urgency::Vital)
+            .get::<IgnoredAny>(RECOVERY_PENDING_KEY, Urgency::Vital)
             .await
             .ok()?
             .is_some();
         let open = version > 0 && self.open_memory.borrow().may_be_open(version);
-        let open_before = open || unsettled;
+        let open_before = open || recovery_pending;
         let leader = LeaderRecord {
             member: self.settings.member.clone(),
             incarnation: self.incarnation,
--- a/crates/umbersail-control/src/records.rs
+++ b/crates/umbersail-control/src/records.rs
@@ -16,7 +16,7 @@
 pub const LIVENESS_KEY: &str = "alive";
 /// Stands while the leader has not accounted for all that a holder before it may
 /// have started without a record.
-pub const UNSETTLED_KEY: &str = "unsettled";
+pub const RECOVERY_PENDING_KEY: &str = "unsettled";
 /// The machine types, for nodes that start while the cloud does not answer.
 pub const CATALOGUE_KEY: &str = "catalogue";
 /// Unfinished jobs, as accepted.
@@ -66,8 +66,8 @@
     /// The holder keeps a job's progress for as long as attempts of it may be
     /// about, and says there what they take. A build that did not leaves a
     /// successor machines that count by their whole size (rule 4).
-    #[serde(default)]
-    pub keeps_remnants: bool,
+    #[serde(rename = "keeps_remnants", default)]
+    pub keeps_orphaned_attempts: bool,
     /// Plans are recorded, or may be by this holder: a successor reads them before it
     /// starts anything, whatever its own settings.
     #[serde(default, skip_serializing_if = "std::ops::Not::not")]
@@ -189,7 +189,7 @@
 
 /// The leader that has to account for starts without a record.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct UnsettledRecord {
+pub struct RecoveryPendingRecord {
     pub member: String,
 }
 
@@ -228,7 +228,7 @@
     Catalogue(CatalogueRecord),
     Suspicion(SuspicionRecord),
     Liveness(LivenessRecord),
-    Unsettled(UnsettledRecord),
+    RecoveryPending(RecoveryPendingRecord),
     Plan(PlanRecord),
 }
 
@@ -287,12 +287,12 @@
     lease: u64,
     former: u64,
     (grant_version, plans): (u64, bool),
-    unsettled: bool,
+    recovery_pending: bool,
 ) -> Txn<Record> {
     let member = leader.member.clone();
     let grant = GrantRecord {
         holder: member.clone(),
-        keeps_remnants: true,
+        keeps_orphaned_attempts: true,
         plans,
     };
     let condition = |key: &str, version| Condition {
@@ -307,9 +307,9 @@
         },
         put(GRANT_KEY.into(), Record::Grant(grant)),
     ];
-    if unsettled {
-        let record = Record::Unsettled(UnsettledRecord { member });
-        changes.push(put(UNSETTLED_KEY.into(), record));
+    if recovery_pending {
+        let record = Record::RecoveryPending(RecoveryPendingRecord { member });
+        changes.push(put(RECOVERY_PENDING_KEY.into(), record));
     }
     Txn {
         conditions: vec![
--- a/crates/umbersail-standby/src/lib.rs
+++ b/crates/umbersail-standby/src/lib.rs
@@ -20,11 +20,11 @@
 mod all_replica_read;
 mod failure_detector;
 mod open;
-mod remnants;
+mod orphaned_attempts;
 mod succession;
 
 pub use all_replica_read::{ReadOutcome, ReplicaAnswer, read_outcome};
 pub use failure_detector::{DetectorTimeouts, Evidence, FailureDetector, Step, Time};
 pub use open::{OpenMemory, Opening};
-pub use remnants::{Order, Remnant, Remnants};
+pub use orphaned_attempts::{Order, OrphanedAttempts, OrphanedJobs};
 pub use succession::{Candidate, HandOver, Lag, hands_over, next_leader};
--- a/crates/umbersail-standby/src/remnants.rs
+++ b/crates/umbersail-standby/src/orphaned_attempts.rs
@@ -9,7 +9,7 @@
 
 /// A job that is over whose attempts may still be about.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Remnant<M> {
+pub struct OrphanedAttempts<M> {
     /// Index of its team.
     pub team: Option<usize>,
     /// What each attempt takes; absent where the record does not say.
@@ -28,33 +28,33 @@
 /// takes over finds it, and so no machine needs to count by its whole size
 /// (rule 4).
 #[derive(Debug, Clone)]
-pub struct Remnants<J, M> {
-    jobs: BTreeMap<J, Remnant<M>>,
+pub struct OrphanedJobs<J, M> {
+    jobs: BTreeMap<J, OrphanedAttempts<M>>,
     by_machine: BTreeMap<M, Vec<J>>,
 }
 
-impl<J, M> Default for Remnants<J, M> {
+impl<J, M> Default for OrphanedJobs<J, M> {
     fn default() -> Self {
-        Remnants {
+        OrphanedJobs {
             jobs: BTreeMap::new(),
             by_machine: BTreeMap::new(),
         }
     }
 }
 
-impl<J: Ord + Clone, M: Ord + Clone> Remnants<J, M> {
+impl<J: Ord + Clone, M: Ord + Clone> OrphanedJobs<J, M> {
     /// Takes in what is left of a job; false if nothing is, and its record may go.
-    pub fn insert(&mut self, job: J, remnant: Remnant<M>) -> bool {
-        if remnant.attempts == 0 || remnant.machines.is_empty() {
+    pub fn insert(&mut self, job: J, orphaned_attempts: OrphanedAttempts<M>) -> bool {
+        if orphaned_attempts.attempts == 0 || orphaned_attempts.machines.is_empty() {
             return false;
         }
-        for machine in remnant.machines.keys() {
+        for machine in orphaned_attempts.machines.keys() {
             let jobs = self.by_machine.entry(machine.clone()).or_default();
             if !jobs.contains(&job) {
                 jobs.push(job.clone());
             }
         }
-        self.jobs.insert(job, remnant);
+        self.jobs.insert(job, orphaned_attempts);
         true
     }
 
@@ -112,15 +112,15 @@
         };
         let mut settled = Vec::new();
         jobs.retain(|job| {
-            let Some(remnant) = self.jobs.get_mut(job) else {
+            let Some(orphaned_attempts) = self.jobs.get_mut(job) else {
                 return false;
             };
-            let after = remnant.machines.get(machine).copied().flatten();
+            let after = orphaned_attempts.machines.get(machine).copied().flatten();
             if !leaves(job, after) {
                 return true;
             }
-            remnant.machines.remove(machine);
-            if remnant.machines.is_empty() {
+            orphaned_attempts.machines.remove(machine);
+            if orphaned_attempts.machines.is_empty() {
                 settled.push(job.clone());
             }
             false
@@ -136,12 +136,12 @@
 
     /// Adds what may still run to its team's use.
     pub fn add_to(&self, usage: &mut [Usage]) {
-        for remnant in self.jobs.values() {
+        for orphaned_attempts in self.jobs.values() {
             if let (Some(shape), Some(used)) = (
-                remnant.shape,
-                remnant.team.and_then(|team| usage.get_mut(team)),
+                orphaned_attempts.shape,
+                orphaned_attempts.team.and_then(|team| usage.get_mut(team)),
             ) {
-                used.add(&shape, f64::from(remnant.attempts));
+                used.add(&shape, f64::from(orphaned_attempts.attempts));
             }
         }
     }
@@ -151,8 +151,11 @@
 mod tests {
     use super::*;
 
-    fn remnant(attempts: u32, machines: &[(&'static str, Option<Order>)]) -> Remnant<&'static str> {
-        Remnant {
+    fn orphaned_attempts(
+        attempts: u32,
+        machines: &[(&'static str, Option<Order>)],
+    ) -> OrphanedAttempts<&'static str> {
+        OrphanedAttempts {
             team: Some(0),
             shape: Some(Shape {
                 cpus: 2.0,
@@ -165,13 +168,16 @@
     }
 
     #[test]
-    fn a_remnant_counts_until_its_last_machine_has_shown_that_nothing_is_left() {
+    fn orphaned_attempts_count_until_their_last_machine_has_shown_that_nothing_is_left() {
         // Guards against a team's limit broken by a cancelled job's tasks on
         // machines that a new leader has not heard of yet.
-        let mut left: Remnants<&str, &str> = Remnants::default();
-        assert!(!left.insert("none", remnant(0, &[("m1", None)])));
-        assert!(left.insert("job", remnant(3, &[("m1", None), ("m2", Some((1, 5)))])));
-        let used = |left: &Remnants<&str, &str>| {
+        let mut left: OrphanedJobs<&str, &str> = OrphanedJobs::default();
+        assert!(!left.insert("none", orphaned_attempts(0, &[("m1", None)])));
+        assert!(left.insert(
+            "job",
+            orphaned_attempts(3, &[("m1", None), ("m2", Some((1, 5)))])
+        ));
+        let used = |left: &OrphanedJobs<&str, &str>| {
             let mut usage = [Usage::default()];
             left.add_to(&mut usage);
             usage[0].cpus
@@ -191,10 +197,10 @@
     #[test]
     fn a_record_without_size_closes_its_machines_by_their_whole_size() {
         // Guards against records of an older build, which did not say it.
-        let mut left: Remnants<&str, &str> = Remnants::default();
-        let unsized_one = Remnant {
+        let mut left: OrphanedJobs<&str, &str> = OrphanedJobs::default();
+        let unsized_one = OrphanedAttempts {
             shape: None,
-            ..remnant(1, &[("m1", None)])
+            ..orphaned_attempts(1, &[("m1", None)])
         };
         left.insert("old", unsized_one);
         assert!(left.is_unsized_at(&"m1") && !left.is_unsized_at(&"m2"));
