--- a/crates/umbersail-control/src/engine/order.rs
+++ b/crates/umbersail-control/src/engine/order.rs
@@ -181,18 +181,24 @@
                 pools.entry(self.pool(w.job)).or_default().push(index);
             }
         }
-        // What runs, by tier: looked at once and not for each pool.
+        // What runs, by tier and by team: looked at once and not for each pool.
         let mut occupied: BTreeMap<Priority, f64> = BTreeMap::new();
+        let mut by_team: BTreeMap<(usize, Priority), f64> = BTreeMap::new();
         if !pools.is_empty() {
             for job in self.jobs.values() {
-                *occupied.entry(job.spec.priority).or_default() +=
-                    job.occupied() as f64 * job.shape.cpus;
+                let cpus = job.occupied() as f64 * job.shape.cpus;
+                *occupied.entry(job.spec.priority).or_default() += cpus;
+                if let Some(team) = job.team {
+                    *by_team.entry((team, job.spec.priority)).or_default() += cpus;
+                }
             }
         }
         let owed_share = self.cfg.tuning.floor_share;
         for (pool, members) in pools {
             let owed = members.iter().any(|i| waiting[*i].owed);
-            let cpus = self.pool_cpus(&pool, fleet, &occupied, owed);
+            let teams = members.iter().map(|i| waiting[*i].job.team).collect();
+            let allowed = self.allowed_cpus(pool.tier, &teams, &by_team);
+            let cpus = self.pool_cpus(&pool, fleet, &occupied, owed).min(allowed);
             if cpus <= 0.0 {
                 continue;
             }
@@ -241,6 +247,29 @@
         }
     }
 
+    /// CPUs that the limits of these teams leave to a tier, less what their upper tiers
+    /// use; infinite if one of them has no limit.
+    fn allowed_cpus(
+        &self,
+        tier: Priority,
+        teams: &BTreeSet<Option<usize>>,
+        occupied: &BTreeMap<(usize, Priority), f64>,
+    ) -> f64 {
+        let allowed = teams.iter().map(|team| {
+            let limited = team.filter(|t| self.cfg.teams[*t].cpus_max > 0.0);
+            let Some(team) = limited else {
+                return f64::INFINITY;
+            };
+            let of_team = occupied.range((team, Priority::Low)..=(team, Priority::Production));
+            let above: f64 = of_team
+                .filter(|((_, used_by), _)| *used_by > tier)
+                .map(|(_, cpus)| cpus)
+                .sum();
+            (self.cfg.teams[team].cpus_max - above).max(0.0)
+        });
+        allowed.sum()
+    }
+
     /// CPUs of a pool's machines, up or coming, less what upper tiers use that
     /// does not go elsewhere; where somebody is owed no less than what may be
     /// kept for those.
--- a/crates/umbersail-control/src/engine/tests/floor.rs
+++ b/crates/umbersail-control/src/engine/tests/floor.rs
@@ -237,3 +237,53 @@
     let cfg = config(vec![team(0.0, 0.0)], tuning);
     Engine::new(cfg, 0.0, 0, empty_inheritance())
 }
+
+#[test]
+fn who_can_be_in_time_is_reckoned_within_the_teams_limit() {
+    // Guards against a choice for machines that the team may not use: of its jobs of two
+    // tasks each begins in time and ends too late. Four places of eight are allowed, which
+    // fall free one after the other; the owner's estimates are right.
+    const TASK_S: u32 = 60;
+    const APART_S: u32 = 15;
+    const JOBS: usize = 48;
+    const STEP_S: f64 = 10.0;
+    let mut engine = fresh(vec![team(0.0, 4.0)]);
+    let mut worker = ready_worker(&mut engine, "m1", "a");
+    let due_s = |n: usize| 150.0 + STEP_S * n as f64;
+    for n in 0..JOBS {
+        let spec = JobSpec {
+            deadline_s: Some(due_s(n)),
+            estimate_s: f64::from(TASK_S),
+            ..spec(&format!("job-{n:03}"), 2, 1.0)
+        };
+        engine.job_accepted(1.0, 1000, record(spec), 70);
+    }
+    let mut ends: BTreeMap<String, u32> = BTreeMap::new();
+    let mut in_time = 0;
+    for second in 2..600 {
+        let now = f64::from(second);
+        let over = ends.extract_if(.., |_, end| second >= *end);
+        for (task, _) in over {
+            worker.exit(&task, None, ExitCause::Done);
+        }
+        for task in starts(&worker.turn(&mut engine, now)) {
+            let run_s = match second < APART_S {
+                true => APART_S * (1 + ends.len() as u32),
+                false => TASK_S,
+            };
+            ends.insert(task, second + run_s);
+        }
+        let before: Vec<_> = engine.jobs.keys().cloned().collect();
+        engine.tick(now);
+        commit(&mut engine, now);
+        for id in before.iter().filter(|id| !engine.jobs.contains_key(*id)) {
+            let number: usize = id[4..].parse().unwrap();
+            in_time += usize::from(now <= 1.0 + due_s(number));
+        }
+    }
+    eprintln!(
+        "IN TIME {in_time} of {JOBS}, done {}",
+        JOBS - engine.jobs.len()
+    );
+    assert!(in_time >= 11, "{in_time} of {JOBS} jobs in time");
+}
--- a/crates/umbersail-control/src/engine/tests/passes.rs
+++ b/crates/umbersail-control/src/engine/tests/passes.rs
@@ -75,10 +75,7 @@
             }
             let upper = self.jobs.values().filter(|j| j.spec.priority > tier);
             let above: f64 = upper.map(|j| j.occupied() as f64 * j.shape.cpus).sum();
-            let cpus = (inside - (above - outside).max(0.0)) * self.cfg.tuning.pool_share;
-            if cpus <= 0.0 {
-                continue;
-            }
+            let of_machines = (inside - (above - outside).max(0.0)) * self.cfg.tuning.pool_share;
             let key = (tier, types, spot);
             let members: Vec<&Name> = ids
                 .iter()
@@ -89,6 +86,10 @@
                     pool(j) == key && j.spec.deadline_s.is_some() && !last
                 })
                 .collect();
+            let cpus = of_machines.min(self.plain_allowed_cpus(tier, &members));
+            if cpus <= 0.0 {
+                continue;
+            }
             let due = |id: &Name, times: f64| {
                 let j = &self.jobs[id];
                 let later = (times - 1.0) * j.spec.deadline_s.unwrap();
@@ -142,6 +143,25 @@
         order.into_iter().map(|(.., id)| id).collect()
     }
 
+    /// What the limits of the members' teams leave beside those teams' upper tiers.
+    fn plain_allowed_cpus(&self, tier: Priority, members: &[&Name]) -> f64 {
+        let mut allowed = 0.0;
+        for (index, team) in self.cfg.teams.iter().enumerate() {
+            let is_its = |id: &&&Name| self.jobs[**id].team == Some(index);
+            if !members.iter().any(|id| is_its(&id)) {
+                continue;
+            }
+            if team.cpus_max == 0.0 {
+                return f64::INFINITY;
+            }
+            let upper = |j: &&Job| j.team == Some(index) && j.spec.priority > tier;
+            let jobs = self.jobs.values().filter(upper);
+            let above: f64 = jobs.map(|j| j.occupied() as f64 * j.shape.cpus).sum();
+            allowed += (team.cpus_max - above).max(0.0);
+        }
+        allowed
+    }
+
     fn plain_place(&mut self, now: Time, id: &Name, usage: &mut [Usage], order: &[Name]) -> bool {
         let job = &self.jobs[id];
         let mut quota = job
