--- a/crates/umbersail-control/src/engine/tests/cancelled.rs
+++ b/crates/umbersail-control/src/engine/tests/cancelled.rs
@@ -103,3 +103,45 @@
     commit(&mut engine, 3.0);
     assert!(engine.over_jobs().is_some());
 }
+
+#[test]
+fn a_cancellation_against_a_launch_in_flight_ends_in_a_stop() {
+    // Guards against ran_cancelled: the launch may arrive after the
+    // cancellation was told.
+    let mut engine = fresh(vec![team(0.0, 0.0)]);
+    let mut worker = ready_worker(&mut engine, "m1", "a");
+    accept(&mut engine, 1.0, spec("req-1", 2, 8.0));
+    commit(&mut engine, 1.0);
+    let report = worker.report();
+    let in_flight = converse(&mut engine, 2.0, &report, true).unwrap();
+    assert_eq!(starts(&in_flight).len(), 1);
+    engine.job_dropped("req-1");
+    assert_eq!(engine.job_count(), 1, "one task may be there");
+    worker.obey(token_of(TOKEN), &in_flight);
+    assert_eq!(stops(&worker.turn(&mut engine, 3.0)), 1);
+    worker.turn(&mut engine, 4.0);
+    assert_eq!(engine.job_count(), 0);
+    assert!(worker.tasks.is_empty(), "reaped: {:?}", worker.tasks);
+}
+
+#[test]
+fn tasks_of_jobs_that_are_over_are_stopped_and_keep_their_machine_closed() {
+    // Guards against ran_cancelled and quota after a take-over: the new
+    // leader never heard of a job that was cancelled before.
+    let mut engine = fresh(vec![team(0.0, 0.0)]);
+    let mut worker = ready_worker(&mut engine, "m1", "a");
+    worker.tasks.push(TaskReport {
+        task: "req-9/0".into(),
+        attempt: 3,
+        state: TaskState::Running,
+        cause: None,
+        saved: None,
+    });
+    accept(&mut engine, 1.0, spec("req-1", 1, 1.0));
+    commit(&mut engine, 1.0);
+    let told = worker.turn(&mut engine, 1.5);
+    assert_eq!(stops(&told), 1);
+    assert!(engine.machines["m1"].strangers);
+    worker.turn(&mut engine, 2.0);
+    assert!(!engine.machines["m1"].strangers);
+}
--- /dev/null
+++ b/crates/umbersail-control/src/engine/tests/fixtures.rs
@@ -0,0 +1,299 @@
+//! What the tests of the engine share: a configuration, jobs, scripted workers and
+//! state services, and what a successor finds.
+
+use super::*;
+
+pub(super) const TOKEN: u64 = 100;
+pub(super) const LEASE_S: f64 = 10.0;
+
+pub(super) const LEADER: &str = crate::records::LEADER_KEY;
+
+pub(super) fn machine_type() -> MachineType {
+    MachineType {
+        name: "m8".into(),
+        cpus: 8.0,
+        gpus: 0.0,
+        memory_gb: 32.0,
+        cache_gb: 50.0,
+        fetch_gb_per_s: 0.5,
+        price: 1.0,
+        spot_price: Some(0.3),
+        boot_s: 30.0,
+        zones: vec!["a".into(), "b".into()],
+    }
+}
+
+pub(super) fn config(teams: Vec<TeamLimits>, tuning: Tuning) -> Rc<EngineConfig> {
+    Rc::new(EngineConfig {
+        member: "bothy-0".into(),
+        teams,
+        start_aims: [("aimed".to_owned(), 8.0)].into(),
+        guarantee_aim: None,
+        late_aims: [("c".to_owned(), 1.5)].into(),
+        report_s: 1.0,
+        lease_s: LEASE_S,
+        cancel_s: 40.0,
+        list_lag_s: 4.0,
+        txn_ops: 20,
+        value_bytes: 32 * 1024,
+        skew_ms: 500.0,
+        slice_steps: u64::MAX,
+        tuning: Rc::new(tuning),
+    })
+}
+
+pub(super) fn team(cpus: f64, cpus_max: f64) -> TeamLimits {
+    TeamLimits {
+        name: "t".into(),
+        cpus,
+        cpus_max,
+        ..TeamLimits::default()
+    }
+}
+
+pub(super) fn spec(id: &str, tasks: u32, cpus: f64) -> JobSpec {
+    JobSpec {
+        id: id.into(),
+        class: "c".into(),
+        team: "t".into(),
+        kind: JobKind::Array,
+        priority: Priority::Normal,
+        tasks,
+        cpus,
+        gpus: None,
+        memory_gb: 1.0,
+        image: "i".into(),
+        image_gb: 1.0,
+        types: None,
+        zone: None,
+        one_zone: None,
+        spread: None,
+        spot: Some(true),
+        estimate_s: 20.0,
+        checkpoint_s: None,
+        save_s: None,
+        deadline_s: None,
+    }
+}
+
+pub(super) fn record(spec: JobSpec) -> JobRecord {
+    JobRecord {
+        spec,
+        accepted_ms: 0,
+    }
+}
+
+/// A worker as the protocol describes it, driven by hand.
+pub(super) struct Worker {
+    pub(super) name: String,
+    pub(super) zone: String,
+    pub(super) session: u64,
+    pub(super) seq: u64,
+    pub(super) token: u64,
+    pub(super) tasks: Vec<TaskReport>,
+}
+
+impl Worker {
+    pub(super) fn new(name: &str, zone: &str) -> Worker {
+        Worker {
+            name: name.into(),
+            zone: zone.into(),
+            session: 1,
+            seq: 0,
+            token: 0,
+            tasks: vec![],
+        }
+    }
+
+    pub(super) fn report(&mut self) -> Report {
+        self.seq += 1;
+        Report {
+            machine: self.name.clone(),
+            addr: "127.0.0.1:9".into(),
+            machine_type: "m8".into(),
+            zone: self.zone.clone(),
+            spot: Some(false),
+            session: self.session,
+            seq: self.seq,
+            token: self.token,
+            notice_s: None,
+            tasks: self.tasks.clone(),
+        }
+    }
+
+    pub(super) fn obey(&mut self, token: u64, commands: &[Command]) {
+        self.token = self.token.max(token);
+        for command in commands {
+            match command {
+                Command::Start { task, attempt, .. } => self.tasks.push(TaskReport {
+                    task: task.clone(),
+                    attempt: *attempt,
+                    state: TaskState::Running,
+                    cause: None,
+                    saved: None,
+                }),
+                Command::Stop { task, attempt, .. } => {
+                    self.exit(task, Some(*attempt), ExitCause::Stopped);
+                }
+                Command::Forget { task, attempt } => self
+                    .tasks
+                    .retain(|t| !(t.task == *task && t.attempt == *attempt)),
+            }
+        }
+    }
+
+    pub(super) fn exit(&mut self, task: &str, attempt: Option<u64>, cause: ExitCause) {
+        for t in &mut self.tasks {
+            if t.task == task && attempt.is_none_or(|a| a == t.attempt) {
+                t.state = TaskState::Exited;
+                t.cause = Some(cause);
+            }
+        }
+    }
+
+    /// Reports and obeys; returns what it was told.
+    pub(super) fn turn(&mut self, engine: &mut Engine, now: Time) -> Vec<Command> {
+        let report = self.report();
+        let commands = converse(engine, now, &report, true).unwrap_or_default();
+        self.obey(engine.token_for(&self.name), &commands);
+        commands
+    }
+}
+
+/// A report and the reply to it, as the front door makes them.
+pub(super) fn converse(
+    engine: &mut Engine,
+    now: Time,
+    report: &Report,
+    may_start: bool,
+) -> Option<Vec<Command>> {
+    engine
+        .report(now, report)
+        .then(|| engine.reply(now, report, may_start))
+}
+
+pub(super) fn starts(commands: &[Command]) -> Vec<String> {
+    commands
+        .iter()
+        .filter_map(|c| match c {
+            Command::Start { task, .. } => Some(task.clone()),
+            _ => None,
+        })
+        .collect()
+}
+
+pub(super) fn stops(commands: &[Command]) -> usize {
+    commands
+        .iter()
+        .filter(|c| matches!(c, Command::Stop { .. }))
+        .count()
+}
+
+pub(super) fn empty_inheritance() -> Inheritance {
+    Inheritance {
+        revision: TOKEN,
+        leader_version: TOKEN,
+        parts: vec![],
+        over: vec![],
+        whole_machines: false,
+        open_before: false,
+        jobs: vec![],
+        types: vec![machine_type()],
+        plans: Vec::new(),
+    }
+}
+
+pub(super) fn fresh(teams: Vec<TeamLimits>) -> Engine {
+    Engine::new(
+        config(teams, Tuning::default()),
+        0.0,
+        0,
+        empty_inheritance(),
+    )
+}
+
+/// What a leader finds whose predecessor started tasks 0 and 1 of a job of
+/// three on machine m1, and may have started more there.
+pub(super) fn after_crash(teams: Vec<TeamLimits>, job: JobSpec) -> Engine {
+    let config = config(teams, Tuning::default());
+    Engine::new(config, 0.0, 0, inheritance_of(job))
+}
+
+pub(super) fn inheritance_of(job: JobSpec) -> Inheritance {
+    let run = RunRecord {
+        high: 2,
+        hosts: vec!["m1".into()],
+        ..RunRecord::default()
+    };
+    Inheritance {
+        parts: vec![InheritedPart {
+            index: 0,
+            version: 40,
+            part: GrantPart {
+                machines: vec![GrantedMachine {
+                    name: "m1".into(),
+                    machine_type: "m8".into(),
+                    zone: "a".into(),
+                    spot: false,
+                    addr: "127.0.0.1:9".into(),
+                }],
+            },
+        }],
+        jobs: vec![InheritedJob {
+            record: record(job),
+            version: 50,
+            run: Some((run, 60)),
+        }],
+        ..empty_inheritance()
+    }
+}
+
+/// Writes all that is due, as a state service that answers would.
+pub(super) fn commit(engine: &mut Engine, now: Time) -> Vec<Change<Record>> {
+    let mut all = Vec::new();
+    let mut revision = 1000 + (now * 100.0) as u64;
+    engine.schedule(now);
+    while let Some(pending) = engine.next_txn(now + 1.0, 20, 20) {
+        revision += 1;
+        all.extend(pending.txn.changes.clone());
+        engine.txn_done(now, pending, TxnOutcome::Applied { revision });
+    }
+    all
+}
+
+/// A worker that is up, fenced and in the grant.
+pub(super) fn ready_worker(engine: &mut Engine, name: &str, zone: &str) -> Worker {
+    let mut worker = Worker::new(name, zone);
+    worker.turn(engine, 0.0);
+    worker.turn(engine, 0.5);
+    commit(engine, 0.5);
+    worker
+}
+
+pub(super) fn running(task: &str, attempt: u64) -> TaskReport {
+    TaskReport {
+        task: task.into(),
+        attempt,
+        state: TaskState::Running,
+        cause: None,
+        saved: None,
+    }
+}
+
+/// A machine as the cloud lists it.
+pub(super) fn listed(id: &str) -> ListedMachine {
+    ListedMachine {
+        id: id.into(),
+        addr: None,
+        machine_type: "m8".into(),
+        zone: "a".into(),
+        spot: None,
+        state: MachineState::Running,
+        age_s: 100.0,
+    }
+}
+
+pub(super) fn accept(engine: &mut Engine, now: Time, spec: JobSpec) {
+    engine.job_accepted(now, (now * 1000.0) as u64, record(spec), 70);
+    engine.schedule(now);
+}
--- /dev/null
+++ b/crates/umbersail-control/src/engine/tests/writes.rs
@@ -0,0 +1,212 @@
+//! Transactions on the state service: their conditions, answers that are missing, sizes
+//! and the budget of changes.
+
+use super::*;
+
+#[test]
+fn a_write_without_answer_is_read_before_anything_is_started_on_it() {
+    // Guards against a late transaction: ours may be applied after our next.
+    let mut engine = fresh(vec![team(0.0, 0.0)]);
+    let mut worker = ready_worker(&mut engine, "m1", "a");
+    accept(&mut engine, 1.0, spec("req-1", 1, 2.0));
+    let pending = engine.next_txn(1.0, 20, 20).unwrap();
+    assert!(
+        pending
+            .txn
+            .conditions
+            .iter()
+            .any(|c| c.key == LEADER && c.version == TOKEN)
+    );
+    assert!(
+        pending
+            .txn
+            .conditions
+            .iter()
+            .any(|c| c.key == run_key("req-1") && c.version == 0)
+    );
+    engine.txn_done(1.0, pending, TxnOutcome::Unknown);
+    assert_eq!(engine.unknown_versions().0, ["req-1"]);
+    assert!(engine.next_txn(2.0, 20, 20).is_none(), "first the read");
+    assert_eq!(starts(&worker.turn(&mut engine, 2.0)).len(), 0);
+    engine.version_read("req-1", true, 90);
+    let pending = engine.next_txn(2.0, 20, 20).unwrap();
+    assert!(
+        pending
+            .txn
+            .conditions
+            .iter()
+            .any(|c| c.key == run_key("req-1") && c.version == 90)
+    );
+    engine.txn_done(2.0, pending, TxnOutcome::Applied { revision: 91 });
+    assert_eq!(starts(&worker.turn(&mut engine, 3.0)).len(), 1);
+}
+
+#[test]
+fn a_write_refused_for_the_leaders_key_ends_leadership() {
+    // Guards against two leaders: the state service has the last word.
+    let mut engine = fresh(vec![team(0.0, 0.0)]);
+    ready_worker(&mut engine, "m1", "a");
+    accept(&mut engine, 1.0, spec("req-1", 1, 2.0));
+    let pending = engine.next_txn(1.0, 20, 20).unwrap();
+    let failed = vec![LEADER.to_owned()];
+    engine.txn_done(1.0, pending, TxnOutcome::Conflict { failed });
+    assert!(engine.is_lost());
+    assert!(engine.next_txn(2.0, 20, 20).is_none());
+}
+
+#[test]
+fn a_record_that_drops_a_host_is_not_relied_on_for_it_while_under_way() {
+    // Guards against a launch on a machine that the record is just losing.
+    let mut engine = fresh(vec![team(0.0, 0.0)]);
+    let mut worker = ready_worker(&mut engine, "m1", "a");
+    accept(&mut engine, 1.0, spec("req-1", 3, 8.0));
+    commit(&mut engine, 1.0);
+    worker.turn(&mut engine, 2.0);
+    worker.exit("req-1/0", None, ExitCause::Done);
+    worker.turn(&mut engine, 3.0);
+    // The end of task 0 is written with no host left ...
+    let pending = engine.next_txn(4.0, 20, 20).unwrap();
+    // ... and meanwhile task 1 is placed on the same machine.
+    engine.schedule(4.0);
+    assert_eq!(starts(&worker.turn(&mut engine, 4.0)).len(), 0);
+    engine.txn_done(4.1, pending, TxnOutcome::Applied { revision: 2000 });
+    commit(&mut engine, 4.2);
+    assert_eq!(starts(&worker.turn(&mut engine, 5.0)), ["req-1/1"]);
+}
+
+#[test]
+fn records_of_what_gives_way_leave_half_of_the_bucket_to_others() {
+    // Guards against launches of jobs with deadlines behind a guest's thousands of
+    // single tasks: with 25 changes a second they came 12 s late.
+    let mut engine = fresh(vec![team(0.0, 0.0)]);
+    let mut worker = ready_worker(&mut engine, "m1", "a");
+    for i in 0..20 {
+        let mut guest = spec(&format!("req-{i:02}"), 1, 0.1);
+        guest.priority = Priority::Low;
+        accept(&mut engine, 1.0, guest);
+    }
+    accept(&mut engine, 1.5, spec("req-99", 1, 2.0));
+    let pending = engine.next_txn(2.0, 12, 6).unwrap();
+    let first = match &pending.txn.changes[0] {
+        Change::Put { key, .. } | Change::Delete { key } => key.clone(),
+    };
+    assert_eq!(first, "runs/req-99", "younger, and first");
+    assert!(pending.txn.changes.len() <= 6);
+    engine.txn_done(2.0, pending, TxnOutcome::Applied { revision: 2000 });
+    assert!(
+        engine.next_txn(2.1, 6, 0).is_none(),
+        "guests leave the rest"
+    );
+    commit(&mut engine, 3.0);
+    assert_eq!(starts(&worker.turn(&mut engine, 4.0)).len(), 21);
+}
+
+#[test]
+fn the_record_of_a_large_fleet_stays_within_the_bounds_of_a_value_and_a_transaction() {
+    // Guards against a fleet that outgrows one value: nothing could be started
+    // any more, and each new machine would cost a write of all of them.
+    let mut engine = fresh(vec![team(0.0, 0.0)]);
+    let name = |i: usize| format!("host-{i:06}");
+    for i in 0..600 {
+        Worker::new(&name(i), "a").turn(&mut engine, 0.0);
+    }
+    let mut workers: Vec<Worker> = (0..600).map(|i| Worker::new(&name(i), "a")).collect();
+    for worker in &mut workers {
+        worker.seq = 1;
+        worker.token = token_of(TOKEN);
+        worker.turn(&mut engine, 0.5);
+    }
+    let mut largest = 0;
+    while let Some(pending) = engine.next_txn(1.0, 20, 20) {
+        let bytes = umbersail_wire::encode(&pending.txn).len();
+        assert!(
+            bytes < 48 * 1024 && pending.txn.changes.len() <= 20,
+            "{bytes}"
+        );
+        for change in &pending.txn.changes {
+            largest = largest.max(umbersail_wire::encode(change).len());
+        }
+        engine.txn_done(1.0, pending, TxnOutcome::Applied { revision: 1000 });
+    }
+    assert!(largest > 0 && largest < 16 * 1024, "{largest}");
+    assert!(engine.machines.values().all(|m| m.recorded));
+
+    // One more machine: one part is written, and no other.
+    ready_worker_at(&mut engine, "host-000600", 2.0);
+    let pending = engine.next_txn(2.5, 20, 20).unwrap();
+    assert_eq!(pending.txn.changes.len(), 1);
+    engine.txn_done(2.5, pending, TxnOutcome::Unknown);
+    assert!(!engine.machines["host-000600"].recorded);
+    assert!(engine.next_txn(2.5, 20, 20).is_none(), "to be read before");
+    let (_, parts) = engine.unknown_versions();
+    engine.part_read(parts[0], 1001);
+    assert!(engine.next_txn(2.6, 20, 20).is_some());
+}
+
+fn ready_worker_at(engine: &mut Engine, name: &str, now: Time) {
+    let mut worker = Worker::new(name, "a");
+    worker.turn(engine, now);
+    worker.turn(engine, now + 0.5);
+}
+
+#[test]
+fn the_largest_array_on_a_large_fleet_keeps_its_record_within_the_bound() {
+    // Guards against a record that the state service refuses: it would hold up
+    // every other write of the leader with it.
+    let mut engine = fresh(vec![team(0.0, 0.0)]);
+    for i in 0..600 {
+        ready_worker_at(&mut engine, &format!("host-{i:06}"), 0.0);
+    }
+    commit(&mut engine, 0.6);
+    accept(&mut engine, 1.0, spec("req-1", 100_000, 8.0));
+    let job = engine.jobs.get_mut("req-1").unwrap();
+    for task in (10_000..100_000).step_by(2) {
+        job.done.insert(task);
+    }
+    let placed = job.live.len();
+    assert!(placed > 250 && placed < 600, "{placed}");
+    let changes = commit(&mut engine, 1.0);
+    let largest = changes
+        .iter()
+        .map(|c| umbersail_wire::encode(c).len())
+        .max();
+    assert!(
+        largest.is_some_and(|bytes| bytes > 25_000 && bytes < 32 * 1024),
+        "{largest:?}"
+    );
+}
+
+#[test]
+fn a_launch_is_written_at_once_while_progress_waits_for_budget_to_spare() {
+    // Guards against launches that wait until the budget takes a large
+    // transaction, behind records that nobody waits for.
+    let mut engine = fresh(vec![team(0.0, 0.0)]);
+    let mut worker = ready_worker(&mut engine, "m1", "a");
+    accept(&mut engine, 1.0, spec("req-1", 2, 2.0));
+    commit(&mut engine, 1.0);
+    worker.turn(&mut engine, 2.0);
+    worker.exit("req-1/0", None, ExitCause::Done);
+    worker.turn(&mut engine, 3.0);
+    assert!(engine.next_txn(4.0, 20, 0).is_none(), "progress can wait");
+    accept(&mut engine, 4.0, spec("req-2", 1, 2.0));
+    let launch = engine.next_txn(4.0, 0, 0).unwrap();
+    assert!(
+        matches!(&launch.txn.changes[..], [Change::Put { key, .. }] if *key == run_key("req-2"))
+    );
+    engine.txn_done(4.0, launch, TxnOutcome::Applied { revision: 2000 });
+
+    // An end goes without the removal of its progress, which follows later.
+    worker.exit("req-1/1", None, ExitCause::Done);
+    worker.turn(&mut engine, 5.0);
+    let end = engine.next_txn(5.0, 2, 0).unwrap();
+    assert_eq!(end.txn.changes.len(), 2);
+    engine.txn_done(5.0, end, TxnOutcome::Applied { revision: 2001 });
+    assert!(engine.next_txn(5.0, 20, 0).is_none());
+    let rest = engine.next_txn(5.0, 20, 5).unwrap();
+    assert!(
+        rest.txn
+            .changes
+            .iter()
+            .any(|c| matches!(c, Change::Delete { key } if *key == run_key("req-1")))
+    );
+}
