--- a/crates/umbersail-control/src/engine/floor.rs
+++ b/crates/umbersail-control/src/engine/floor.rs
@@ -97,8 +97,9 @@
         let fleet_cpus = fleet.cpus.iter().flatten().sum::<f64>();
         let mut out = Vec::new();
         for (tier, (ids, unbegun)) in by_tier.into_iter().rev() {
-            let teams = unbegun.iter().map(|u| u.group).collect();
-            let share_cpus = fleet_cpus.min(self.limit_cpus(&teams)) * tuning.floor_share;
+            let teams: BTreeSet<_> = unbegun.iter().map(|u| u.group).collect();
+            let limits: f64 = teams.into_iter().map(|team| self.limit_cpus(team)).sum();
+            let share_cpus = fleet_cpus.min(limits) * tuning.floor_share;
             let busy_cpus = self.beginning_cpus(tier);
             let of_tier = lifted(&unbegun, tuning.floor_near_s, share_cpus, busy_cpus);
             out.extend(of_tier.into_iter().map(|index| Lifted {
@@ -109,19 +110,6 @@
         out
     }
 
-    /// CPUs that these teams may use together; infinite if one of them has no limit.
-    fn limit_cpus(&self, teams: &BTreeSet<Option<usize>>) -> f64 {
-        let limit = |team: &Option<usize>| {
-            let cpus_max = team.map_or(0.0, |t| self.cfg.teams[t].cpus_max);
-            if cpus_max > 0.0 {
-                cpus_max
-            } else {
-                f64::INFINITY
-            }
-        };
-        teams.iter().map(limit).sum()
-    }
-
     /// CPUs of a tier's tasks that run, or are about to, because their jobs were
     /// lifted to begin.
     fn beginning_cpus(&self, tier: Priority) -> f64 {
--- a/crates/umbersail-control/src/engine/order.rs
+++ b/crates/umbersail-control/src/engine/order.rs
@@ -247,6 +247,15 @@
         }
     }
 
+    /// CPUs that a team may use at once; infinite without a limit.
+    pub(super) fn limit_cpus(&self, team: Option<usize>) -> f64 {
+        let limit = team.map_or(0.0, |t| self.cfg.teams[t].cpus_max);
+        match limit > 0.0 {
+            true => limit,
+            false => f64::INFINITY,
+        }
+    }
+
     /// CPUs that the limits of these teams leave to a tier, less what their upper tiers
     /// use; infinite if one of them has no limit.
     fn allowed_cpus(
@@ -256,16 +265,12 @@
         occupied: &BTreeMap<(usize, Priority), f64>,
     ) -> f64 {
         let allowed = teams.iter().map(|team| {
-            let limited = team.filter(|t| self.cfg.teams[*t].cpus_max > 0.0);
-            let Some(team) = limited else {
-                return f64::INFINITY;
-            };
-            let of_team = occupied.range((team, Priority::Low)..=(team, Priority::Production));
-            let above: f64 = of_team
-                .filter(|((_, used_by), _)| *used_by > tier)
-                .map(|(_, cpus)| cpus)
-                .sum();
-            (self.cfg.teams[team].cpus_max - above).max(0.0)
+            let above = team.map_or(0.0, |team| {
+                let of_team = occupied.range((team, Priority::Low)..=(team, Priority::Production));
+                let upper = of_team.filter(|((_, used_in), _)| *used_in > tier);
+                upper.map(|(_, cpus)| cpus).sum()
+            });
+            (self.limit_cpus(*team) - above).max(0.0)
         });
         allowed.sum()
     }
--- a/crates/umbersail-control/src/engine/rental.rs
+++ b/crates/umbersail-control/src/engine/rental.rs
@@ -446,17 +446,8 @@
     /// Tasks that run or wait, by class and shape, as far as their teams'
     /// limits let them run at once.
     fn demands(&self, now: Time, mut kept: Option<&mut KeptRoom<'_>>) -> Vec<(String, Demand)> {
-        let mut left: Vec<f64> = self
-            .cfg
-            .teams
-            .iter()
-            .map(|t| {
-                if t.cpus_max > 0.0 {
-                    t.cpus_max
-                } else {
-                    f64::MAX
-                }
-            })
+        let mut left: Vec<f64> = (0..self.cfg.teams.len())
+            .map(|team| self.limit_cpus(Some(team)))
             .collect();
         let mut jobs: Vec<_> = self.jobs.iter().filter(|(_, j)| !j.cancelled).collect();
         jobs.sort_by(|(_, a), (_, b)| {
