--- a/crates/umbersail-control/src/all_replica_read.rs
+++ b/crates/umbersail-control/src/all_replica_read.rs
@@ -20,9 +20,9 @@
 
 /// How long a poll waits for others to be asked about with it, in seconds.
 const GATHER_S: f64 = 0.05;
-/// Jobs asked about at once. More polls than that are refused: at 50 ms for a round
-/// that is thousands a second.
-const JOBS_MOST: usize = 256;
+/// Upper bound on jobs read in one round, some 50 KiB in the request and four times that
+/// in an answer; polls of further jobs are refused until the next round.
+const MAX_JOBS_PER_ROUND: usize = 4096;
 
 /// Jobs that are asked about together.
 #[derive(Default)]
@@ -55,7 +55,7 @@
                 round
             });
             let mut jobs = round.jobs.borrow_mut();
-            if jobs.len() >= JOBS_MOST && !jobs.contains(id) {
+            if jobs.len() >= MAX_JOBS_PER_ROUND && !jobs.contains(id) {
                 return ReadOutcome::Unknown;
             }
             jobs.insert(id.to_owned());
--- a/crates/umbersail-control/src/delegate.rs
+++ b/crates/umbersail-control/src/delegate.rs
@@ -5,18 +5,21 @@
 //! may answer itself, and takes no machine for lapsed before each of them has
 //! told that it did not answer it, or can't do so any more (rule 3).
 
-use std::collections::{BTreeMap, BTreeSet};
+use std::collections::{BTreeMap, BTreeSet, VecDeque};
+use std::rc::Rc;
 
 use umbersail_runtime::Time;
 use umbersail_wire::{Command, RenewedMachine, Report, TaskState};
 
 use crate::engine::{epoch, split_task};
 
-/// Machines that are remembered at most; no further one is renewed.
-const RENEWALS_MAX: usize = 2000;
-/// Jobs that are over which are remembered at most beside the leader's newest word on
-/// them: they change with every cancellation, and old ones are of no use.
-const OVER_JOBS_MAX: usize = 4096;
+/// Upper bound on tracked renewals, in machines; reports of further machines are not
+/// answered. Twice a fleet of 4,000 machines, some 100 bytes each.
+const MAX_RENEWALS: usize = 8192;
+/// Upper bound on jobs known to be over, in jobs. Above it the leader's newest list
+/// replaces the earlier ones, which only matter until the leader has told of the same
+/// jobs again.
+const MAX_OVER_JOBS: usize = 16_384;
 
 /// When a machine was answered in the leader's stead.
 #[derive(Debug, Clone, Copy)]
@@ -41,7 +44,10 @@
     /// Jobs that are over, as the leader told with its delegation: whoever is answered in
     /// its stead is told to stop them, as the leader would tell it (rule 2).
     over: BTreeSet<String>,
-    renewals: BTreeMap<String, Renewal>,
+    renewals: BTreeMap<Rc<str>, Renewal>,
+    /// Every renewal with its time, the oldest first, so that expiry costs what has
+    /// expired and not the size of the fleet.
+    expiry: VecDeque<(Time, Rc<str>)>,
 }
 
 impl Delegate {
@@ -52,6 +58,7 @@
             delegation: None,
             over: BTreeSet::new(),
             renewals: BTreeMap::new(),
+            expiry: VecDeque::new(),
         }
     }
 
@@ -62,7 +69,7 @@
             .delegation
             .is_none_or(|(known, end)| revision > known || (revision == known && until > end));
         // What is over stays so: an older word adds to a newer one.
-        if newer && self.over.len() + over.len() > OVER_JOBS_MAX {
+        if newer && self.over.len() + over.len() > MAX_OVER_JOBS {
             self.over.clear();
         }
         self.over.extend(over.iter().cloned());
@@ -86,18 +93,9 @@
         if now >= until || epoch(report.token) != revision {
             return None;
         }
-        self.forget(now);
-        if self.renewals.len() >= RENEWALS_MAX && !self.renewals.contains_key(&report.machine) {
-            return None;
-        }
-        let renewal = self
-            .renewals
-            .entry(report.machine.clone())
-            .or_insert(Renewal {
-                first: None,
-                last: now,
-                order: (0, 0),
-            });
+        self.expire(now);
+        let name = self.track(now, &report.machine)?;
+        let renewal = self.renewals.get_mut(&name)?;
         if report.order() <= renewal.order {
             return None;
         }
@@ -106,9 +104,29 @@
             return None;
         }
         renewal.last = now;
+        self.expiry.push_back((now, name));
         Some(report.token)
     }
 
+    /// The tracked name of a machine, entered if it is new; none beyond the bound.
+    fn track(&mut self, now: Time, machine: &str) -> Option<Rc<str>> {
+        if let Some((name, _)) = self.renewals.get_key_value(machine) {
+            return Some(name.clone());
+        }
+        if self.renewals.len() >= MAX_RENEWALS {
+            return None;
+        }
+        let name: Rc<str> = machine.into();
+        let renewal = Renewal {
+            first: None,
+            last: now,
+            order: (0, 0),
+        };
+        self.renewals.insert(name.clone(), renewal);
+        self.expiry.push_back((now, name.clone()));
+        Some(name)
+    }
+
     /// What a worker answered in the leader's stead is told: to stop tasks of jobs that
     /// are over, by the leader's word or by what `ended` knows. Stopping what is over
     /// harms nothing; that it is told with every answer is what lets a cancellation
@@ -128,7 +146,7 @@
     /// renewed the machine on, late or a copy, brings its worker no word: whoever
     /// waited for that answer has given up.
     pub fn relayed(&mut self, report: &Report) {
-        if let Some(renewal) = self.renewals.get_mut(&report.machine)
+        if let Some(renewal) = self.renewals.get_mut(report.machine.as_str())
             && report.order() > renewal.order
         {
             renewal.first = None;
@@ -138,20 +156,28 @@
     /// Machines answered within the last two leases: who was answered longer
     /// ago has lapsed, or was answered by somebody else since.
     pub fn renewed(&mut self, now: Time) -> Vec<RenewedMachine> {
-        self.forget(now);
+        self.expire(now);
         let renewals = self.renewals.iter();
         renewals
             .map(|(machine, renewal)| RenewedMachine {
-                machine: machine.clone(),
+                machine: machine.to_string(),
                 ago_ms: ((now - renewal.last).max(0.0) * 1000.0) as u64,
             })
             .collect()
     }
 
-    fn forget(&mut self, now: Time) {
-        let most_s = 2.0 * self.lease_s;
-        self.renewals
-            .retain(|_, renewal| now - renewal.last < most_s);
+    /// Drops machines whose last renewal is two leases ago.
+    fn expire(&mut self, now: Time) {
+        let max_age_s = 2.0 * self.lease_s;
+        while let Some((at, name)) = self.expiry.front()
+            && now - at >= max_age_s
+        {
+            let is_last = |renewal: &Renewal| renewal.last <= *at;
+            if self.renewals.get(name).is_some_and(is_last) {
+                self.renewals.remove(name);
+            }
+            self.expiry.pop_front();
+        }
     }
 }
 
--- a/crates/umbersail-control/src/delegate/tests.rs
+++ b/crates/umbersail-control/src/delegate/tests.rs
@@ -134,3 +134,24 @@
     delegate.delegated(7, 60.0, &["req-3".into()]);
     assert_eq!(stopped(&delegate), ["req-1/0", "req-2/0", "req-3/0"]);
 }
+
+#[test]
+fn every_machine_of_a_fleet_of_4000_is_renewed_and_told_of() {
+    // Guards against a bound below the fleet: machines beyond it lost their tasks
+    // whenever the leader could not be reached.
+    let machines = 4000;
+    let mut delegate = Delegate::new(10.0, 100.0);
+    delegate.delegated(7, 100.0, &[]);
+    for round in 1..=20u64 {
+        for machine in 0..machines {
+            let name = format!("host-{machine:06}");
+            let renewed = delegate.renew(round as f64, &nth(round, &name, token_of(7)));
+            assert!(renewed.is_some(), "{name} in round {round}");
+        }
+    }
+    assert_eq!(delegate.renewed(21.0).len(), machines);
+    // All but what was renewed last has expired, and nothing is left behind.
+    assert_eq!(delegate.renewed(39.9).len(), machines);
+    assert!(delegate.renewed(40.0).is_empty());
+    assert!(delegate.renewals.is_empty() && delegate.expiry.is_empty());
+}
--- a/crates/umbersail-control/src/engine/delegations.rs
+++ b/crates/umbersail-control/src/engine/delegations.rs
@@ -17,9 +17,10 @@
     started: Time,
 }
 
-/// Jobs that are over which a peer is told of with a delegation, at most: some kilobytes
-/// in each greeting. With more than that nothing is delegated, for a moment.
-const OVER_MOST: usize = 512;
+/// Upper bound on the jobs that a peer is told of with a delegation: some 50 KiB in each
+/// answer to a greeting, a burst of cancellations of a fleet of 4,000 machines. With more
+/// jobs than that nothing is delegated until some of them are gone.
+const MAX_OVER_JOBS: usize = 4096;
 
 impl Engine {
     /// Jobs that are over of which tasks may still be about: whoever answers workers
@@ -29,8 +30,11 @@
     pub fn over_jobs(&self) -> Option<Vec<String>> {
         let cancelled = self.jobs.iter().filter(|(_, job)| job.cancelled);
         let ids = cancelled.map(|(id, _)| id).chain(self.orphaned_jobs.jobs());
-        let over: Vec<String> = ids.take(OVER_MOST + 1).map(|id| id.to_string()).collect();
-        (!self.recovery_pending && over.len() <= OVER_MOST).then_some(over)
+        let over: Vec<String> = ids
+            .take(MAX_OVER_JOBS + 1)
+            .map(|id| id.to_string())
+            .collect();
+        (!self.recovery_pending && over.len() <= MAX_OVER_JOBS).then_some(over)
     }
 
     /// This peer may answer in our stead until then.
--- a/crates/umbersail-control/src/engine/plans/reserve.rs
+++ b/crates/umbersail-control/src/engine/plans/reserve.rs
@@ -22,8 +22,9 @@
 /// borrowers among a machine's pledges.
 pub(crate) const HOLDERS_MOST: usize = 32;
 const OWN: u64 = (1 << HOLDERS_MOST) - 1;
-/// Rentals whose first report is awaited, at most.
-const BOOTING_MOST: usize = 4096;
+/// Upper bound on rentals whose first report is awaited; the boot times of further ones
+/// are not learned from. Twice a fleet of 4,000 machines that is rented at once.
+const MAX_BOOTING: usize = 8192;
 
 /// Reservations as this leader has them.
 pub(in crate::engine) struct Reserving {
@@ -683,7 +684,7 @@
     /// We rented these: how long they take to come up is learned.
     pub(in crate::engine) fn boots_begin(&mut self, now: Time, names: &[String]) {
         let reserve = &mut self.plans.reserve;
-        if reserve.entries.is_empty() || reserve.booting.len() >= BOOTING_MOST {
+        if reserve.entries.is_empty() || reserve.booting.len() >= MAX_BOOTING {
             return;
         }
         for name in names {
--- a/crates/umbersail-control/src/engine/tests/delegates.rs
+++ b/crates/umbersail-control/src/engine/tests/delegates.rs
@@ -63,3 +63,25 @@
         );
     }
 }
+
+#[test]
+fn a_burst_of_cancellations_on_a_fleet_of_4000_leaves_delegations_in_force() {
+    // Guards against a fleet whose delegates may answer nobody while it is busiest:
+    // above the bound the leader delegates nothing.
+    let mut engine = fresh(vec![team(0.0, 0.0)]);
+    for job in 0..4000 {
+        let accepted = record(spec(&format!("req-{job:06}"), 1, 2.0));
+        engine.job_accepted(1.0, 1000, accepted, 70);
+    }
+    ready_worker(&mut engine, "m1", "a");
+    for job in 0..4000 {
+        let id = format!("req-{job:06}");
+        let name = engine.jobs.get_key_value(id.as_str()).unwrap().0.clone();
+        // One task of each may still be about, on a machine not heard of yet.
+        let held = engine.jobs.get_mut(id.as_str()).unwrap();
+        held.recovery_pending.insert(0);
+        held.inherited.insert("m1".into());
+        engine.job_dropped(&name);
+    }
+    assert_eq!(engine.over_jobs().map(|over| over.len()), Some(4000));
+}
--- a/crates/umbersail-control/src/node.rs
+++ b/crates/umbersail-control/src/node.rs
@@ -91,6 +91,9 @@
 const STATE_CONNECTIONS: usize = 48;
 const CLOUD_CONNECTIONS: usize = 4;
 const PEER_CONNECTIONS_BESIDE: usize = 8;
+/// One connection to each peer for so many sockets: 61 of 3,051, enough for 600 reports a
+/// second that wait 0.1 s each.
+const SOCKETS_PER_PEER_CONNECTION: usize = 50;
 /// Connections to workers, however few sockets there are.
 const OUTGOING_LEAST: f64 = 16.0;
 /// Listening sockets, the event loop, logs.
@@ -99,9 +102,13 @@
 /// How often a state service that is out of reach is asked for, seconds.
 const SILENT_PROBE_S: Time = 0.3;
 
-/// Workers remembered at most. A larger fleet has them forgotten now and then: who
-/// can't reach the leader is then helped anew.
-const DETOURS_MOST: usize = 1024;
+/// Upper bound on remembered workers, some 50 bytes each: twice a fleet of 4,000. Above
+/// it all are forgotten, and a worker that can't reach the leader is helped anew.
+const MAX_DETOURS: usize = 8192;
+/// Upper bound on a message between controllers, in bytes. The largest is a delegate's
+/// answer that lists every machine it renewed: some 40 bytes for each of 4,000 machines,
+/// beside the ids of thousands of jobs.
+const MAX_PEER_BODY_BYTES: usize = 1 << 20;
 
 impl Detours {
     fn new(again_s: Time, help_s: Time) -> Detours {
@@ -126,7 +133,7 @@
             _ if left => helped,
             _ => Detour::Directed(now),
         };
-        if self.machines.len() >= DETOURS_MOST && !self.machines.contains_key(machine) {
+        if self.machines.len() >= MAX_DETOURS && !self.machines.contains_key(machine) {
             self.machines.clear();
         }
         self.machines.insert(machine.to_owned(), next);
@@ -312,6 +319,7 @@
             tuning.cloud_timeout_s,
         );
         let sockets = facts.resources.max_sockets as f64;
+        let to_peer = connections_to_peer(&tuning, &settings);
         let node = Rc::new(Node {
             tuning: Rc::new(tuning.clone()),
             state,
@@ -326,10 +334,10 @@
             ),
             // Reports are handed on to one peer, many at a time.
             peer_http: client(
-                128 << 10,
-                tuning.peer_connections as usize,
-                tuning.peer_connections as usize,
-                PEER_CONNECTIONS_BESIDE + tuning.peer_connections as usize,
+                MAX_PEER_BODY_BYTES,
+                to_peer,
+                to_peer,
+                PEER_CONNECTIONS_BESIDE + to_peer,
             ),
             incarnation: random(|rng| rng.random()),
             role: RefCell::new(Role::Following),
@@ -402,7 +410,7 @@
     fn server_limits(&self) -> (ServerLimits, ServerLimits) {
         let sockets = self.settings.facts.resources.max_sockets as f64;
         let tuning = &self.tuning;
-        let to_peer = tuning.peer_connections as usize;
+        let to_peer = connections_to_peer(tuning, &self.settings);
         let from_peers = self.settings.peers.len() * to_peer + 8;
         let elsewhere = STATE_CONNECTIONS
             + CLOUD_CONNECTIONS
@@ -425,6 +433,7 @@
             send_s: tuning.receive_s,
         };
         let back = ServerLimits {
+            max_body_bytes: MAX_PEER_BODY_BYTES,
             max_connections: from_peers,
             reserved: Rc::default(),
             least_unreserved: 0,
@@ -628,6 +637,13 @@
     }
 }
 
+/// Connections from one controller to another: reports that are handed on wait there,
+/// and how many come grows with the fleet, as the sockets do.
+fn connections_to_peer(tuning: &Tuning, settings: &Settings) -> usize {
+    let by_sockets = settings.facts.resources.max_sockets / SOCKETS_PER_PEER_CONNECTION;
+    by_sockets.max(tuning.peer_connections as usize)
+}
+
 /// Routines that end together.
 #[derive(Default)]
 pub(crate) struct Duties(Vec<Routine>);
@@ -646,6 +662,8 @@
 
 #[cfg(test)]
 mod tests {
+    use umbersail_wire::{Hello, JobProgress, RenewedMachine, encode};
+
     use super::*;
 
     #[test]
@@ -673,13 +691,51 @@
         assert!(detours.takes("m1", true, 100.0));
     }
 
+    #[test]
+    fn every_worker_of_a_fleet_of_4000_is_remembered() {
+        let mut detours = Detours::new(8.0, 20.0);
+        let names: Vec<String> = (0..4000).map(|n| format!("m{n}")).collect();
+        for name in &names {
+            assert!(!detours.takes(name, false, 0.0));
+        }
+        for name in &names {
+            assert!(detours.takes(name, false, 5.0), "{name} was forgotten");
+        }
+    }
+
+    #[test]
+    fn what_controllers_tell_each_other_of_a_fleet_of_4000_fits_a_message() {
+        // Guards against an answer beyond the bound, which is dropped whole: the leader
+        // would take machines for lapsed that its delegate keeps renewing.
+        let id = |n: u64| format!("req-{n:09}");
+        let hello = Hello {
+            over: (0..4096).map(id).collect(),
+            cancelled: (0..1024).map(id).collect(),
+            renewed: (0..6000)
+                .map(|n| RenewedMachine {
+                    machine: format!("host-{n:09}"),
+                    ago_ms: 20_000,
+                })
+                .collect(),
+            progress: (0..500)
+                .map(|n| JobProgress {
+                    id: id(n),
+                    done: 70_000,
+                    running: 70_000,
+                })
+                .collect(),
+            ..Hello::default()
+        };
+        assert!(encode(&hello).len() <= MAX_PEER_BODY_BYTES);
+    }
+
     #[test]
     fn a_worker_is_not_sent_back_and_forth_by_a_memory_that_is_full() {
         let mut detours = Detours::new(8.0, 20.0);
-        for n in 0..=DETOURS_MOST {
+        for n in 0..=MAX_DETOURS {
             assert!(detours.takes(&format!("m{n}"), true, 0.0));
         }
-        assert!(detours.machines.len() <= DETOURS_MOST);
+        assert!(detours.machines.len() <= MAX_DETOURS);
         assert!(
             detours.takes("m0", true, 1.0),
             "forgotten, and helped again"
--- a/crates/umbersail-control/src/peers.rs
+++ b/crates/umbersail-control/src/peers.rs
@@ -13,8 +13,9 @@
 use crate::settings::Peer;
 use crate::standby::evidence_of;
 
-/// Jobs told of in a greeting as lately cancelled, at most: a kilobyte.
-const CANCELLED_MOST: usize = 64;
+/// Upper bound on jobs told of in a greeting as lately cancelled: some 12 KiB, a burst of
+/// cancellations on a fleet of 4,000 machines. The newest go first.
+const MAX_CANCELLED: usize = 1024;
 
 impl Node {
     pub(crate) fn hello(&self) -> Hello {
@@ -58,7 +59,7 @@
     pub(crate) fn lately_cancelled(&self) -> Vec<String> {
         let since = self.clock.now() - self.settings.facts.workers.cancel_s;
         let cache = self.cache.borrow();
-        let newest = cache.cancelled_since(since).take(CANCELLED_MOST);
+        let newest = cache.cancelled_since(since).take(MAX_CANCELLED);
         newest.cloned().collect()
     }
 
--- a/crates/umbersail-control/src/polls.rs
+++ b/crates/umbersail-control/src/polls.rs
@@ -18,8 +18,9 @@
 const GATHER_S: f64 = 0.05;
 /// Conditions of a transaction for each of its changes, by the protocol.
 const CONDITIONS_PER_CHANGE: usize = 4;
-/// Versions remembered at most; a job that is forgotten is read once more.
-const VERSIONS_MOST: usize = 4096;
+/// Upper bound on remembered versions, some 60 bytes each: the unfinished jobs of a fleet
+/// of 4,000 machines several times over. A job that is forgotten is read once more.
+const MAX_VERSIONS: usize = 16_384;
 
 /// What a comparison showed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -54,7 +55,7 @@
     /// The job was unfinished, and its key had this version, by a request sent at `at`.
     pub fn saw(&self, id: &str, version: u64, at: Time) {
         let mut versions = self.versions.borrow_mut();
-        if versions.len() >= VERSIONS_MOST && !versions.contains_key(id) {
+        if versions.len() >= MAX_VERSIONS && !versions.contains_key(id) {
             versions.pop_first();
         }
         versions.insert(id.to_owned(), (version, at));
--- a/crates/umbersail-http/src/server.rs
+++ b/crates/umbersail-http/src/server.rs
@@ -63,11 +63,22 @@
     }
 }
 
+/// Of all connections, one in so many is kept free of connections that wait for their
+/// next request.
+const FREE_SHARE: usize = 8;
+
 impl ServerLimits {
     fn max_unreserved(&self) -> usize {
         let left = self.max_connections.saturating_sub(self.reserved.get());
         left.max(self.least_unreserved)
     }
+
+    /// Connections that may wait for their next request. Beyond that each is closed with
+    /// its response, so that more clients than connections are served in turn: kept open
+    /// between requests, they would shut the rest out.
+    fn max_kept(&self) -> usize {
+        self.max_connections - self.max_connections / FREE_SHARE
+    }
 }
 
 /// Answers requests.
@@ -198,7 +209,8 @@
                     (Response::retry(503, 1), true)
                 } else {
                     let response = handler(request).await;
-                    let close = framing.close || response.close;
+                    let is_full = connection.counts.all.get() > limits.max_kept();
+                    let close = framing.close || response.close || is_full;
                     (response, close)
                 }
             }
@@ -371,6 +383,45 @@
         assert!(!got.contains("<closed>"), "{got}");
     }
 
+    #[test]
+    fn more_clients_than_connections_are_served_in_turn() {
+        // Guards against workers that are shut out, and lose their leases, because the
+        // connections of others stay open from one heartbeat to the next.
+        let runtime = Runtime::new().unwrap();
+        let (served, kept) = runtime
+            .block_on(async {
+                let listener = TcpListener::bind("127.0.0.1:0".parse().unwrap()).unwrap();
+                let addr = listener.local_addr().unwrap();
+                let handler: Handler =
+                    Rc::new(|_| Box::pin(async { Response::new(200, b"ok".to_vec()) }));
+                spawn(serve(listener, limits(), handler));
+                let mut clients = Vec::new();
+                let mut served = 0;
+                for _ in 0..3 * limits().max_connections {
+                    let mut stream = TcpStream::connect(addr).await.unwrap();
+                    stream
+                        .write_all(b"POST /v1/report HTTP/1.1\r\nContent-Length: 0\r\n\r\n")
+                        .await
+                        .unwrap();
+                    let mut chunk = [0u8; 1024];
+                    let read = timeout(1.0, stream.read(&mut chunk)).await;
+                    let answer = read.unwrap().unwrap();
+                    served += usize::from(chunk[..answer].starts_with(b"HTTP/1.1 200"));
+                    clients.push(stream);
+                    sleep(0.005).await;
+                }
+                let kept = clients
+                    .iter_mut()
+                    .map(TcpStream::is_quiet)
+                    .filter(|quiet| *quiet)
+                    .count();
+                (served, kept)
+            })
+            .unwrap();
+        assert_eq!(served, 3 * limits().max_connections);
+        assert_eq!(kept, limits().max_kept(), "the first ones stay open");
+    }
+
     #[test]
     fn oversized_and_malformed_messages_are_refused_and_closed() {
         let big = exchange(vec![b"POST / HTTP/1.1\r\nContent-Length: 65\r\n\r\n"]);
--- a/crates/umbersail-tuning/src/lib.rs
+++ b/crates/umbersail-tuning/src/lib.rs
@@ -205,8 +205,8 @@
         "A sign counts for this long: two replies lost a minute apart have nothing to do with each other";
     unreachable_delete_s, "machines.deaf_delete_s", 45.0, 1.0..=3600.0, "s",
         "A machine that stays unreachable is deleted after this long: about a boot, so what replaces it is up by then, and most cuts are over";
-    gone_names, "machines.gone_names", 4096.0, 16.0..=100000.0, "names",
-        "Deleted machines whose late reports and list entries are known as such: some hours of a large fleet, 200 KiB";
+    gone_names, "machines.gone_names", 16384.0, 16.0..=100000.0, "names",
+        "Deleted machines whose late reports and list entries are known as such: a fleet of 4,000 machines replaced four times, 800 KiB";
     boot_patience, "machines.boot_patience", 3.0, 1.1..=20.0, "times startup_s",
         "Boots take up to 1.5 times startup_s, a few several times as long, some never end";
     boot_patience_s, "machines.boot_patience_s", 10.0, 0.0..=600.0, "s",
@@ -305,15 +305,15 @@
         "Left to users however many machines there are";
     outgoing_share, "workers.outgoing_share", 0.05, 0.01..=0.3, "share of sockets",
         "Connections to workers, idle ones included: with one kept for each of hundreds of workers the front door would run out";
-    peer_connections, "peers.connections", 24.0, 2.0..=1000.0, "connections",
-        "From one controller to another: reports of a zone are handed on a hundred a second at most, each waiting for some 0.1 s";
+    peer_connections, "peers.connections", 24.0, 2.0..=10000.0, "connections",
+        "From one controller to another at the least; one for each 50 sockets where that is more: reports of a zone are handed on, each waiting for some 0.1 s";
     idle_connection_s, "front.idle_connection_s", 60.0, 1.0..=3600.0, "s",
         "Users poll every 5 s and workers report every few; a connection silent for longer is abandoned";
     receive_s, "front.receive_s", 10.0, 0.5..=120.0, "s",
         "From the first to the last byte of a request";
     max_body_bytes, "front.max_body_bytes", 65536.0, 1024.0..=65536.0, "bytes",
         "The protocol's limit";
-    terminal_cache, "front.terminal_cache", 4096.0, 0.0..=100000.0, "jobs",
+    terminal_cache, "front.terminal_cache", 16384.0, 0.0..=100000.0, "jobs",
         "Ends of jobs kept in memory, some 100 bytes each: for repeated polls, and as what a controller remembers to have told while the state service is out";
     status_s, "log.status_s", 15.0, 1.0..=3600.0, "s",
         "The leader logs one line on machines and waiting work this often";
