--- a/crates/umbersail-control/benches/passes.rs
+++ b/crates/umbersail-control/benches/scheduling_cycle.rs
@@ -1,4 +1,4 @@
-//! What a pass, a search for victims, a report and a take-over cost, by waiting
+//! What a cycle, a search for victims, a report and a take-over cost, by waiting
 //! tasks and machines.
 
 use std::collections::BTreeMap;
@@ -259,14 +259,14 @@
     took
 }
 
-fn passes(c: &mut Criterion) {
-    let mut group = c.benchmark_group("pass");
+fn cycles(c: &mut Criterion) {
+    let mut group = c.benchmark_group("cycle");
     group.sample_size(10);
     group.warm_up_time(Duration::from_millis(200));
     group.measurement_time(Duration::from_millis(800));
     for (waiting, machines) in SIZES {
         let size = format!("{waiting}-{machines}");
-        // Nothing has room: the pass of a backlog.
+        // Nothing has room: the cycle of a backlog.
         let mut full = Bench::machines(machines);
         full.fill(0);
         full.wait(waiting);
@@ -434,5 +434,5 @@
     group.finish();
 }
 
-criterion_group!(benches, passes, reports, take_over);
+criterion_group!(benches, cycles, reports, take_over);
 criterion_main!(benches);
--- a/crates/umbersail-control/src/engine/evict.rs
+++ b/crates/umbersail-control/src/engine/evict.rs
@@ -4,7 +4,7 @@
 
 use imbl::OrdSet;
 use tracing::info;
-use umbersail_pass::{Reach, Standing};
+use umbersail_cycle::{Locality, PreemptionClass};
 use umbersail_policy::{Host, Running, Shape, Usage, select_victims, type_allowed};
 use umbersail_wire::{Priority, TaskState};
 
@@ -14,25 +14,25 @@
 /// What may be lost, gathered once in a slice for all blocked jobs that stand
 /// alike.
 #[derive(Default)]
-pub(super) struct Prey {
-    herds: Vec<Herd>,
+pub(super) struct EvictionCandidates {
+    groups: Vec<CandidateGroup>,
     /// Machines and tasks looked at so far.
     pub looked: u64,
 }
 
-/// For winners of one standing.
-struct Herd {
-    of: (Standing<Priority>, bool),
+/// For winners of one class.
+struct CandidateGroup {
+    of: (PreemptionClass<Priority>, bool),
     /// Machines by name, with the tasks there that may be lost.
     machines: Vec<(Name, Vec<(Name, u32)>)>,
     /// Reaches in which none of them lies.
-    barren: Vec<Reach>,
+    exhausted: Vec<Locality>,
     looked: u64,
 }
 
 impl Engine {
     /// Whether the job could ever lose a task: if not, no search looks at it.
-    pub(super) fn may_ever_lose(&self, job: &Job) -> bool {
+    pub(super) fn is_ever_preemptible(&self, job: &Job) -> bool {
         let tuning = &self.cfg.tuning;
         !job.is_service()
             && !job.is_spared(tuning.evict_loser_limit)
@@ -49,7 +49,7 @@
         now: Time,
         id: &Name,
         usage: &mut [Usage],
-        prey: &mut Prey,
+        searched: &mut EvictionCandidates,
     ) -> bool {
         let tuning = self.cfg.tuning.clone();
         let Some(job) = self.jobs.get(id).filter(|j| j.waits()) else {
@@ -66,25 +66,31 @@
         if !reclaim && job.spec.priority == Priority::Low {
             return false;
         }
-        let standing = job.standing();
-        let losers = self.losers.to(standing, reclaim);
-        if losers.is_empty() || (!reclaim && self.can_rent_in_time(now, job)) {
+        let class = job.preemption_class();
+        let preemptible = self.preemptible.to(class, reclaim);
+        if preemptible.is_empty() || (!reclaim && self.can_rent_in_time(now, job)) {
             return false;
         }
-        let reach = self.reach_where(job, |_, t| job.shape.fits_in(&Shape::of_type(t)));
-        let herd = match prey.herds.iter().position(|h| h.of == (standing, reclaim)) {
-            Some(herd) => herd,
+        let locality = self.locality_where(job, |_, t| job.shape.fits_in(&Shape::of_type(t)));
+        let group = match searched
+            .groups
+            .iter()
+            .position(|h| h.of == (class, reclaim))
+        {
+            Some(group) => group,
             None => {
-                let herd = self.herd(job, reclaim, usage, &losers);
-                prey.looked += herd.looked;
-                prey.herds.push(herd);
-                prey.herds.len() - 1
+                let group = self.group(job, reclaim, usage, &preemptible);
+                searched.looked += group.looked;
+                searched.groups.push(group);
+                searched.groups.len() - 1
             }
         };
-        let Herd {
-            machines, barren, ..
-        } = &mut prey.herds[herd];
-        if barren.contains(&reach) {
+        let CandidateGroup {
+            machines,
+            exhausted,
+            ..
+        } = &mut searched.groups[group];
+        if exhausted.contains(&locality) {
             return false;
         }
         let silent_after = self.silent_after();
@@ -95,7 +101,7 @@
             let machine = self.machines.get(name)?;
             let index = machine.type_index?;
             if !machine.takes_tasks(now, silent_after)
-                || !reach.has(index, &machine.zone, machine.spot, machine.pledges)
+                || !locality.has(index, &machine.zone, machine.spot, machine.reservations)
             {
                 return None;
             }
@@ -125,10 +131,10 @@
             })
         });
         let choice = select_victims(&job.shape, candidates, tuning.evict_sets as usize);
-        prey.looked += looked;
+        searched.looked += looked;
         if hosts == 0 {
             // Who may lose, where, only becomes less while this slice lasts.
-            barren.push(reach);
+            exhausted.push(locality);
             return false;
         }
         let Some(choice) = choice else {
@@ -145,7 +151,7 @@
             reason = if reclaim { "the team's guarantee" } else { "upper tier, no room and none to rent in time" },
             "evicts"
         );
-        let tier = standing.tier;
+        let tier = class.tier;
         let mut saving_s: f64 = 0.0;
         for (name, task) in &choice.tasks {
             if self.forgo(name, *task, usage) {
@@ -155,7 +161,7 @@
                 victim.evictions += 1;
                 victim.touch(now);
                 if victim.is_spared(tuning.evict_loser_limit) {
-                    self.losers.remove(victim.standing(), name);
+                    self.preemptible.remove(victim.preemption_class(), name);
                 }
                 let (evictions, save_s, saves) = (
                     victim.evictions,
@@ -199,11 +205,17 @@
         true
     }
 
-    /// The tasks that may be lost to a job of this standing, by machine.
-    fn herd(&self, winner: &Job, reclaim: bool, usage: &[Usage], losers: &[OrdSet<Name>]) -> Herd {
+    /// The tasks that may be lost to a job of this class, by machine.
+    fn group(
+        &self,
+        winner: &Job,
+        reclaim: bool,
+        usage: &[Usage],
+        preemptible: &[OrdSet<Name>],
+    ) -> CandidateGroup {
         let mut machines: BTreeMap<Name, Vec<(Name, u32)>> = BTreeMap::new();
         let mut looked = 0;
-        for id in losers.iter().flatten() {
+        for id in preemptible.iter().flatten() {
             looked += 1;
             let Some(victim) = self.jobs.get(id) else {
                 continue;
@@ -220,10 +232,10 @@
         for tasks in machines.values_mut() {
             tasks.sort();
         }
-        Herd {
-            of: (winner.standing(), reclaim),
+        CandidateGroup {
+            of: (winner.preemption_class(), reclaim),
             machines: machines.into_iter().collect(),
-            barren: Vec::new(),
+            exhausted: Vec::new(),
             looked,
         }
     }
--- a/crates/umbersail-control/src/engine/floor.rs
+++ b/crates/umbersail-control/src/engine/floor.rs
@@ -2,7 +2,7 @@
 //!
 //! Nothing of it is recorded. Since when a job waits, and whether anything of it may
 //! have begun, follow from its own record and that of its progress, so a successor
-//! finds the same debt. The floor plans as any pass does: no place is kept or taken
+//! finds the same debt. The floor plans as any cycle does: no place is kept or taken
 //! on a machine that does not take tasks, a launch is told only once its record
 //! stands, and every machine that could hold the task is accounted for (rules 3 and
 //! 4). It stops nobody.
@@ -13,16 +13,16 @@
 use umbersail_policy::{Shape, Unbegun, Usage, free_in_s, lifted, quota_room};
 use umbersail_wire::Priority;
 
-use super::schedule::Survey;
+use super::schedule::ClusterSnapshot;
 use super::{Engine, Job, Name, Time};
 
-/// Places that one order may begin to keep: each looks at every machine.
+/// CandidateSlots that one order may begin to keep: each looks at every machine.
 const KEEP_PER_ORDER: usize = 4;
 
-/// What the floor holds from one pass to the next.
+/// What the floor holds from one cycle to the next.
 #[derive(Default)]
 pub(super) struct Floor {
-    /// Places kept, in the order in which they were given; bounded by the share of
+    /// CandidateSlots kept, in the order in which they were given; bounded by the share of
     /// each type that may be kept.
     kept: Vec<Kept>,
     /// Whom it lifts by the newest order, and whether it is owed in full; bounded by
@@ -74,7 +74,12 @@
 impl Engine {
     /// Of the jobs that wait, those of which nothing has begun for so long that they
     /// go first in their tier, each with one task.
-    pub(super) fn lift(&self, now: Time, waiting: &[&Name], fleet: &Survey) -> Vec<Lifted> {
+    pub(super) fn lift(
+        &self,
+        now: Time,
+        waiting: &[&Name],
+        fleet: &ClusterSnapshot,
+    ) -> Vec<Lifted> {
         let tuning = &self.cfg.tuning;
         let mut by_tier: BTreeMap<Priority, (Vec<&Name>, Vec<Unbegun<_>>)> = BTreeMap::new();
         for id in waiting {
@@ -142,7 +147,7 @@
         lifted: Vec<Lifted>,
         reserved: &BTreeMap<Priority, Vec<f64>>,
         usage: &[Usage],
-        fleet: &Survey,
+        fleet: &ClusterSnapshot,
     ) {
         let jobs = &self.jobs;
         self.floor
@@ -229,7 +234,7 @@
         owed: bool,
         reserved: &[f64],
         kept: &[Kept],
-        fleet: &Survey,
+        fleet: &ClusterSnapshot,
     ) -> Option<Kept> {
         let job = self.jobs.get(id)?;
         let share = self.cfg.tuning.floor_share;
@@ -237,7 +242,7 @@
         for k in kept {
             held[k.type_index] += k.cpus;
         }
-        let reach = self.reach(job, reserved);
+        let locality = self.locality(job, reserved);
         let silent_after = self.silent_after();
         let mut best: Option<(f64, Kept)> = None;
         for machine in self.machines.values() {
@@ -247,7 +252,7 @@
             let room = Shape::of_type(&self.types[index]);
             let most = fleet.cpus[index].iter().sum::<f64>() * share;
             if !job.shape.fits_in(&room)
-                || !reach.has(index, &machine.zone, machine.spot, machine.pledges)
+                || !locality.has(index, &machine.zone, machine.spot, machine.reservations)
                 || !machine.takes_tasks(now, silent_after)
                 || job.error_machines.contains(&machine.name)
                 || (held[index] > 0.0 && held[index] + job.shape.cpus > most)
@@ -307,7 +312,7 @@
         now: Time,
         reserved: &BTreeMap<Priority, Vec<f64>>,
         usage: &mut [Usage],
-        fleet: &mut Survey,
+        fleet: &mut ClusterSnapshot,
     ) -> u64 {
         let kept = std::mem::take(&mut self.floor.kept);
         if kept.is_empty() {
@@ -330,11 +335,11 @@
             let Some(reserved) = reserved.get(&job.spec.priority).filter(|_| room > 0) else {
                 continue;
             };
-            let reach = self.reach(job, reserved);
+            let locality = self.locality(job, reserved);
             let others = |m: &Name| kept.iter().any(|k| k.machine == *m);
             let allowed =
                 |m: &Name| !job.error_machines.contains(m) && (*m == place.machine || !others(m));
-            let found = fleet.places.fitting(&reach, &job.shape, allowed);
+            let found = fleet.places.fitting(&locality, &job.shape, allowed);
             let own = |index: &&usize| fleet.places.get(**index).machine == place.machine;
             let Some(&index) = found.iter().find(own).or(found.first()) else {
                 if !guaranteed {
--- a/crates/umbersail-control/src/engine/job.rs
+++ b/crates/umbersail-control/src/engine/job.rs
@@ -1,6 +1,6 @@
 use std::collections::{BTreeMap, BTreeSet};
 
-use umbersail_pass::{ImageKey, Standing};
+use umbersail_cycle::{ImageKey, PreemptionClass};
 use umbersail_policy::{Bitmap, Shape};
 use umbersail_wire::{JobKind, JobSpec, Priority, TaskState};
 
@@ -82,7 +82,7 @@
     /// When a plan wants it complete, if that is sooner than its own deadline.
     pub planned_due: Option<Time>,
     /// Plans whose kept machines it may use, one bit each.
-    pub pledges: u64,
+    pub reservations: u64,
     pub last_progress: Time,
     /// Something of it has run.
     pub has_begun: bool,
@@ -147,7 +147,7 @@
             blocked: "not yet looked at",
             held: None,
             planned_due: None,
-            pledges: 0,
+            reservations: 0,
             last_progress: submitted,
             has_begun: run.running > 0 || done.count() > 0,
             began_s: None,
@@ -229,7 +229,7 @@
         }
     }
 
-    /// Of those, how many the next pass may place.
+    /// Of those, how many the next cycle may place.
     pub fn startable(&self) -> u32 {
         if self.held.is_some() {
             0
@@ -247,7 +247,7 @@
         self.suspect && self.backoff_s > first_backoff_s
     }
 
-    /// Whether the next pass may place something of it.
+    /// Whether the next cycle may place something of it.
     pub fn waits(&self) -> bool {
         self.startable() > 0 && self.backoff_until.is_none() && !self.ending
     }
@@ -264,8 +264,8 @@
         None
     }
 
-    pub fn standing(&self) -> Standing<Priority> {
-        Standing {
+    pub fn preemption_class(&self) -> PreemptionClass<Priority> {
+        PreemptionClass {
             tier: self.spec.priority,
             team: self.team,
         }
--- a/crates/umbersail-control/src/engine/machine.rs
+++ b/crates/umbersail-control/src/engine/machine.rs
@@ -1,7 +1,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
 
-use umbersail_pass::ImageKey;
+use umbersail_cycle::ImageKey;
 use umbersail_policy::Shape;
 use umbersail_wire::Priority;
 
@@ -56,7 +56,7 @@
     /// not filled before the others are.
     pub claim: Option<Claim>,
     /// Plans that keep it for their own, one bit each: others keep off.
-    pub pledges: u64,
+    pub reservations: u64,
     pub tasks: BTreeSet<(Name, u32)>,
     /// Shows active tasks of jobs that are over; they are being stopped.
     pub strangers: bool,
@@ -112,7 +112,7 @@
             accused_at: None,
             used: Shape::default(),
             claim: None,
-            pledges: 0,
+            reservations: 0,
             tasks: BTreeSet::new(),
             strangers: false,
             unsized_strangers: false,
--- a/crates/umbersail-control/src/engine/mod.rs
+++ b/crates/umbersail-control/src/engine/mod.rs
@@ -24,7 +24,7 @@
 use std::rc::Rc;
 
 use tracing::{info, warn};
-use umbersail_pass::Losers;
+use umbersail_cycle::PreemptibleJobs;
 use umbersail_policy::{Learner, Served, Shape, TeamLimits, Window};
 use umbersail_standby::{OrphanedAttempts, OrphanedJobs};
 use umbersail_tuning::Tuning;
@@ -37,13 +37,13 @@
 use grant::Part;
 pub(crate) use job::{Job, Placement, Stop};
 pub(crate) use machine::Machine;
-use order::KeptOrder;
+use order::CachedPriorityOrder;
 pub use plans::InheritedPlan;
 use plans::Plans;
 pub(crate) use plans::cache_holds;
 pub(crate) use plans::reserve_facts;
 pub(crate) use report::split_task;
-use schedule::Pass;
+use schedule::SchedulingCycle;
 pub use write::{PendingTxn, TxnOutcome};
 
 /// Names of jobs and machines are shared by many tables.
@@ -91,7 +91,7 @@
     pub value_bytes: usize,
     /// Bound of the error of any node's time of day, in milliseconds.
     pub skew_ms: f64,
-    /// Steps of a pass after which reports and users come first.
+    /// Steps of a cycle after which reports and users come first.
     pub slice_steps: u64,
     pub tuning: Rc<Tuning>,
 }
@@ -198,20 +198,20 @@
     last_rental: Time,
     txn_in_flight: bool,
     schedule_wanted: bool,
-    /// What is left of a pass that was cut short.
-    agenda: Option<Pass>,
-    kept_order: Option<KeptOrder>,
+    /// What is left of a cycle that was cut short.
+    unfinished_cycle: Option<SchedulingCycle>,
+    cached_order: Option<CachedPriorityOrder>,
     floor: Floor,
     served: Served,
-    /// False once a pass has found nothing waiting.
+    /// False once a cycle has found nothing waiting.
     may_wait: bool,
     /// Who may lose a task, as jobs come and go.
-    losers: Losers<Priority, Name>,
+    preemptible: PreemptibleJobs<Priority, Name>,
     /// Jobs with tasks whose recovery is pending, by the machines that may hold them.
     inherited_by: BTreeMap<Name, Vec<Name>>,
     /// No waiting job's task is smaller than this in any amount.
     least_shape: Shape,
-    /// Work of passes since it was last asked for.
+    /// Work of cycles since it was last asked for.
     steps: u64,
     /// Jobs wait for a place with their image, for a moment only.
     awaiting: bool,
@@ -259,15 +259,15 @@
             last_rental: now,
             txn_in_flight: false,
             schedule_wanted: true,
-            agenda: None,
-            kept_order: None,
+            unfinished_cycle: None,
+            cached_order: None,
             floor: Floor::default(),
             served: Served::new(
                 2 * tuning.class_limit as usize,
                 tuning.floor_window_jobs as usize,
             ),
             may_wait: true,
-            losers: Losers::default(),
+            preemptible: PreemptibleJobs::default(),
             inherited_by: BTreeMap::new(),
             least_shape: Shape::default(),
             steps: 0,
@@ -466,8 +466,8 @@
                 umbersail_policy::smallest_cpus(&job.spec, &self.types).unwrap_or(f64::MAX);
         }
         // What stands in them is by type, and types may have moved.
-        self.agenda = None;
-        self.kept_order = None;
+        self.unfinished_cycle = None;
+        self.cached_order = None;
         self.floor = Floor::default();
         self.schedule_wanted = true;
     }
@@ -517,8 +517,8 @@
             );
         }
         let job = Job::new(record.spec, version, now - age_s, team, smallest, run);
-        if self.may_ever_lose(&job) {
-            self.losers.insert(job.standing(), id.clone());
+        if self.is_ever_preemptible(&job) {
+            self.preemptible.insert(job.preemption_class(), id.clone());
         }
         self.jobs.insert(id.clone(), job);
         self.plan_for_job(now, &id);
@@ -625,14 +625,14 @@
     fn remove_job(&mut self, id: &Name) -> Option<Job> {
         let job = self.jobs.remove(id)?;
         self.job_left_plans(&job);
-        self.losers.remove(job.standing(), id);
+        self.preemptible.remove(job.preemption_class(), id);
         Some(job)
     }
 
-    /// Something may wait that did not: it has a place in the next pass's order.
+    /// Something may wait that did not: it has a place in the next cycle's order.
     fn begins_to_wait(&mut self) {
         self.may_wait = true;
-        self.kept_order = None;
+        self.cached_order = None;
         self.schedule_wanted = true;
     }
 
--- a/crates/umbersail-control/src/engine/order.rs
+++ b/crates/umbersail-control/src/engine/order.rs
@@ -7,12 +7,12 @@
 use umbersail_wire::{MachineType, Priority};
 
 use super::floor::Lifted;
-use super::schedule::Survey;
+use super::schedule::ClusterSnapshot;
 use super::{Engine, Job, Name, Time};
 
-/// The order of a pass, which the next passes take as it is for a moment.
+/// The order of a cycle, which the next cycles take as it is for a moment.
 #[derive(Debug, Clone)]
-pub(super) struct KeptOrder {
+pub(super) struct CachedPriorityOrder {
     pub at: Time,
     pub jobs: Vector<Name>,
     /// By tier and type of machine, the largest "smallest type" among the waiting
@@ -21,14 +21,26 @@
     pub reserved: BTreeMap<Priority, Vec<f64>>,
 }
 
-/// Not yet held faulty, tier, guaranteed, lifted by the floor, can still start in
-/// time, how it stands to its deadline.
-type Rank = (bool, Priority, bool, bool, bool, Standing);
+/// Position in the priority order, from the most to the least significant field; the
+/// greater position goes first.
+#[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
+struct QueuePosition {
+    /// Not retried after repeated failures: those go last.
+    trusted: bool,
+    tier: Priority,
+    /// Within its team's guarantee.
+    guaranteed: bool,
+    /// Put first in its tier by the starvation guard.
+    boosted: bool,
+    /// Can still meet its objective on starting.
+    fresh: bool,
+    outlook: DeadlineOutlook,
+}
 
 /// Whether a job can end in time beside the others that wait; the later one
 /// goes first.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-enum Standing {
+enum DeadlineOutlook {
     Late,
     /// Late, but while it still counts.
     Soon,
@@ -40,7 +52,7 @@
     id: &'a Name,
     job: &'a Job,
     slack_s: Option<f64>,
-    standing: Standing,
+    outlook: DeadlineOutlook,
     /// Its class, team or size has been served too little.
     owed: bool,
 }
@@ -107,14 +119,14 @@
 
     /// Most urgent first: tier, then what a guarantee covers, then what the floor
     /// lifts, then what can still start in time, then what can end in time or soon
-    /// after (see `standings`), by the time it must start. What fails again and again
+    /// after (see `deadline_outlooks`), by the time it must start. What fails again and again
     /// is last. Who is lifted to begin comes a second time, in its own place; and
     /// who is lifted.
     pub(super) fn waiting_order(
         &self,
         now: Time,
         usage: &[Usage],
-        fleet: &Survey,
+        fleet: &ClusterSnapshot,
     ) -> (Vec<Name>, Vec<Lifted>) {
         let owed_from = self.owed_from();
         let waiting: Vec<Waiting> = self
@@ -125,36 +137,34 @@
                 id,
                 job,
                 slack_s: self.slack_s(now, job),
-                standing: Standing::InTime,
+                outlook: DeadlineOutlook::InTime,
                 owed: self.is_owed(job, &owed_from),
             })
             .collect();
-        let waiting = self.standings(waiting, fleet);
+        let waiting = self.deadline_outlooks(waiting, fleet);
         let ids: Vec<&Name> = waiting.iter().map(|w| w.id).collect();
         let mut lifted = self.lift(now, &ids, fleet);
         let begins: BTreeSet<Name> = lifted.iter().map(|l| l.job.clone()).collect();
         // Below a tier that is owed itself nobody is lifted for a share.
         let owing = waiting.iter().filter(|w| w.owed);
         let owing = owing.map(|w| w.job.spec.priority).max();
-        let mut order: Vec<(Rank, f64, &Name)> = Vec::with_capacity(waiting.len());
+        let mut order: Vec<(QueuePosition, f64, &Name)> = Vec::with_capacity(waiting.len());
         for w in &waiting {
             let guaranteed = self.is_guaranteed(w.job, usage);
             let tier = w.job.spec.priority;
-            let owed = w.owed && w.standing == Standing::InTime && Some(tier) == owing;
-            let rank = |lifted| {
-                (
-                    !self.goes_last(w.job),
-                    tier,
-                    guaranteed,
-                    lifted,
-                    self.is_fresh(now, w.job, guaranteed),
-                    w.standing,
-                )
+            let owed = w.owed && w.outlook == DeadlineOutlook::InTime && Some(tier) == owing;
+            let position = |boosted| QueuePosition {
+                trusted: !self.goes_last(w.job),
+                tier,
+                guaranteed,
+                boosted,
+                fresh: self.is_fresh(now, w.job, guaranteed),
+                outlook: w.outlook,
             };
             let slack = w.slack_s.unwrap_or(1e9 - (now - w.job.submitted));
-            order.push((rank(owed), slack, w.id));
+            order.push((position(owed), slack, w.id));
             if begins.contains(w.id) {
-                order.push((rank(true), slack, w.id));
+                order.push((position(true), slack, w.id));
             }
             if owed {
                 lifted.push(Lifted {
@@ -174,7 +184,11 @@
 
     /// Of the jobs that want the same machines, as many as can end by their
     /// deadlines; of the rest, as many as can end while that still counts.
-    fn standings<'a>(&self, mut waiting: Vec<Waiting<'a>>, fleet: &Survey) -> Vec<Waiting<'a>> {
+    fn deadline_outlooks<'a>(
+        &self,
+        mut waiting: Vec<Waiting<'a>>,
+        fleet: &ClusterSnapshot,
+    ) -> Vec<Waiting<'a>> {
         let mut pools: BTreeMap<Pool, Vec<usize>> = BTreeMap::new();
         for (index, w) in waiting.iter().enumerate() {
             if w.slack_s.is_some() && !self.goes_last(w.job) {
@@ -229,7 +243,11 @@
                 .collect();
             let (soon, _) = most_in_time(&second, busy_s, owed_share);
             for (index, soon) in late.into_iter().zip(soon) {
-                waiting[index].standing = if soon { Standing::Soon } else { Standing::Late };
+                waiting[index].outlook = if soon {
+                    DeadlineOutlook::Soon
+                } else {
+                    DeadlineOutlook::Late
+                };
             }
         }
         waiting
@@ -281,7 +299,7 @@
     fn pool_cpus(
         &self,
         pool: &Pool,
-        fleet: &Survey,
+        fleet: &ClusterSnapshot,
         occupied: &BTreeMap<Priority, f64>,
         owed: bool,
     ) -> f64 {
@@ -312,33 +330,33 @@
     /// job has begun to wait since. What moves in it by time alone moves slowly.
     pub(super) fn is_order_fresh(&self, now: Time) -> bool {
         let moment = 0.0..self.cfg.tuning.order_keep_s;
-        let kept = self.kept_order.as_ref();
+        let kept = self.cached_order.as_ref();
         kept.is_some_and(|kept| moment.contains(&(now - kept.at)))
     }
 
-    /// The order of a pass with what it reserves.
-    pub(super) fn order_of_pass(
+    /// The order of a cycle with what it reserves.
+    pub(super) fn order_of_cycle(
         &mut self,
         now: Time,
         usage: &[Usage],
-        fleet: &Survey,
-    ) -> KeptOrder {
-        if let Some(kept) = &self.kept_order {
+        fleet: &ClusterSnapshot,
+    ) -> CachedPriorityOrder {
+        if let Some(kept) = &self.cached_order {
             return kept.clone();
         }
         let (jobs, lifted) = self.waiting_order(now, usage, fleet);
         let jobs: Vector<Name> = jobs.into_iter().collect();
-        let order = KeptOrder {
+        let order = CachedPriorityOrder {
             at: now,
             reserved: self.reserved_types(&jobs),
             jobs,
         };
         self.renew_floor(now, lifted, &order.reserved, usage, fleet);
-        self.kept_order = Some(order.clone());
+        self.cached_order = Some(order.clone());
         order
     }
 
-    /// See [`KeptOrder::reserved`].
+    /// See [`CachedPriorityOrder::reserved`].
     fn reserved_types(&self, waiting: &Vector<Name>) -> BTreeMap<Priority, Vec<f64>> {
         let none = vec![0.0; self.types.len()];
         let mut by_tier: BTreeMap<Priority, Vec<f64>> = BTreeMap::new();
--- a/crates/umbersail-control/src/engine/plans/calendar.rs
+++ b/crates/umbersail-control/src/engine/plans/calendar.rs
@@ -1,6 +1,6 @@
 //! The publishing calendar in the engine: which jobs wait for an earlier step of their
 //! run, and by when they should end. It starts and stops nothing itself: a job held back
-//! has no task that a pass may place, and what of it runs goes on (rules 3 and 5 stand
+//! has no task that a cycle may place, and what of it runs goes on (rules 3 and 5 stand
 //! as they are). What lets a step begin is recorded first, like all that a successor has
 //! to know (rule 6).
 
--- a/crates/umbersail-control/src/engine/plans/images.rs
+++ b/crates/umbersail-control/src/engine/plans/images.rs
@@ -8,8 +8,8 @@
 use std::rc::Rc;
 
 use tracing::{debug, info, warn};
+use umbersail_cycle::ImageKey;
 use umbersail_images::{CacheView, Decision, FetchPriority, FetchRequest, ImageRecord, Settings};
-use umbersail_pass::ImageKey;
 use umbersail_policy::names_type;
 use umbersail_tuning::Tuning;
 use umbersail_wire::{JobSpec, MachineType, Priority, Report, TaskState};
@@ -137,7 +137,7 @@
         rate_gb_s: types.get(machine.type_index?)?.fetch_gb_per_s,
         machine: &machine.name,
         zone: &machine.zone,
-        // Passes place the most urgent first, and number attempts as they do.
+        // Cycles place the most urgent first, and number attempts as they do.
         priority: FetchPriority {
             tier: tier(job.spec.priority),
             order: attempt,
--- a/crates/umbersail-control/src/engine/plans/reserve.rs
+++ b/crates/umbersail-control/src/engine/plans/reserve.rs
@@ -19,7 +19,7 @@
 /// Names of records: this and the entry's name.
 const KIND: &str = "reserve";
 /// Entries that hold machines at once: each has one bit for its own work and one for
-/// borrowers among a machine's pledges.
+/// borrowers among a machine's reservations.
 pub(crate) const HOLDERS_MOST: usize = 32;
 const OWN: u64 = (1 << HOLDERS_MOST) - 1;
 /// Upper bound on rentals whose first report is awaited; the boot times of further ones
@@ -117,7 +117,7 @@
     pub fn serve(&mut self, engine: &Engine, job: &Job, tasks: u32) -> u32 {
         let kept = |p: &&super::super::Placement| {
             let machine = engine.machines.get(&p.machine);
-            machine.is_some_and(|m| m.pledges != 0)
+            machine.is_some_and(|m| m.reservations != 0)
         };
         let there = job.live.values().filter(kept).count() as u32;
         let own = engine.plans.reserve.own_bits(job);
@@ -130,7 +130,7 @@
                 if waiting == 0 {
                     break;
                 }
-                if machine.pledges & own == 0 || !engine.takes(job, machine) {
+                if machine.reservations & own == 0 || !engine.takes(job, machine) {
                     continue;
                 }
                 let slots = job.shape.slots_in(room).min(waiting);
@@ -152,7 +152,10 @@
         };
         let bits = reserve.bits.iter().filter(|(name, _)| named(name));
         let bits = bits.fold(0, |all, (_, bit)| all | bit);
-        let rooms = self.rooms.iter().filter(|(m, _, _)| m.pledges & bits != 0);
+        let rooms = self
+            .rooms
+            .iter()
+            .filter(|(m, _, _)| m.reservations & bits != 0);
         rooms.map(|(_, _, room)| shape.slots_in(room)).sum()
     }
 }
@@ -196,7 +199,7 @@
         if let Some(job) = self.jobs.get(id) {
             let own = self.plans.reserve.own_bits(job);
             if let Some(job) = self.jobs.get_mut(id) {
-                job.pledges = own;
+                job.reservations = own;
             }
         }
     }
@@ -256,7 +259,7 @@
         let idle_s = self.cfg.tuning.reserve_adopt_idle_s;
         let mut free = BTreeMap::new();
         for (name, machine) in &self.machines {
-            if machine.pledges == 0
+            if machine.reservations == 0
                 && !machines.contains_key(&**name)
                 && is_empty(machine)
                 && now - machine.idle_since >= idle_s
@@ -418,13 +421,13 @@
         }
         let mut changed = false;
         for (name, machine) in &mut self.machines {
-            let pledges = kept.get(&**name).copied().unwrap_or(0);
-            changed |= std::mem::replace(&mut machine.pledges, pledges) != pledges;
+            let reservations = kept.get(&**name).copied().unwrap_or(0);
+            changed |= std::mem::replace(&mut machine.reservations, reservations) != reservations;
         }
         self.plans.reserve.bits = bits;
-        let pledges = self.pledges_of_jobs(now);
-        for (job, pledges) in self.jobs.values_mut().zip(pledges) {
-            changed |= std::mem::replace(&mut job.pledges, pledges) != pledges;
+        let reservations = self.pledges_of_jobs(now);
+        for (job, reservations) in self.jobs.values_mut().zip(reservations) {
+            changed |= std::mem::replace(&mut job.reservations, reservations) != reservations;
         }
         if changed {
             self.begins_to_wait();
@@ -440,13 +443,13 @@
         let mut wait = 0;
         for (job, own) in self.jobs.values().zip(&own) {
             if *own & !wait != 0 && waits_for_room(job) {
-                let takes = |m: &&Machine| m.pledges & own != 0 && self.takes(job, m);
+                let takes = |m: &&Machine| m.reservations & own != 0 && self.takes(job, m);
                 for machine in self.machines.values().filter(takes) {
-                    wait |= machine.pledges & own;
+                    wait |= machine.reservations & own;
                 }
             }
         }
-        let mut pledges = Vec::with_capacity(own.len());
+        let mut reservations = Vec::with_capacity(own.len());
         for (job, own) in self.jobs.values().zip(own) {
             let mut all = own;
             if job.startable() > 0 {
@@ -463,9 +466,9 @@
                     }
                 }
             }
-            pledges.push(all);
+            reservations.push(all);
         }
-        pledges
+        reservations
     }
 
     /// Stops borrowers where the work that a machine is held for waits and finds no room
@@ -483,7 +486,7 @@
             let Some(index) = machine.type_index else {
                 continue;
             };
-            if machine.pledges == 0 || !machine.takes_tasks(now, silent_after) {
+            if machine.reservations == 0 || !machine.takes_tasks(now, silent_after) {
                 continue;
             }
             let mut room = Shape::of_type(&self.types[index]).plus(&machine.used, -1.0);
@@ -495,10 +498,10 @@
                 };
                 if placement.stop.is_some() {
                     room.add(&job.shape, 1.0);
-                } else if job.pledges & machine.pledges & OWN == 0
+                } else if job.reservations & machine.reservations & OWN == 0
                     && reserve.records.iter().any(|(entry, record)| {
                         let bit = reserve.bits.get(entry).copied().unwrap_or(0);
-                        machine.pledges & bit != 0
+                        machine.reservations & bit != 0
                             && !record.terms.borrow.classes.contains(&job.spec.class)
                             && self.borrower(now, job, &[]).gives_back(&record.terms)
                     })
@@ -515,7 +518,7 @@
         let mut own: Vec<&Job> = self
             .jobs
             .values()
-            .filter(|j| j.pledges & OWN != 0 && waits_for_room(j))
+            .filter(|j| j.reservations & OWN != 0 && waits_for_room(j))
             .collect();
         own.sort_by(|a, b| {
             let tiers = b.spec.priority.cmp(&a.spec.priority);
@@ -525,7 +528,7 @@
             let mut wanted = job.startable();
             let may = |name: &Name| {
                 let machine = &self.machines[name];
-                machine.pledges & job.pledges & OWN != 0 && self.takes(job, machine)
+                machine.reservations & job.reservations & OWN != 0 && self.takes(job, machine)
             };
             for with_borrowers in [false, true] {
                 for (name, room) in &mut rooms {
@@ -588,7 +591,7 @@
         if self.plans.reserve.bits.is_empty() {
             return None;
         }
-        let kept = self.machines.values().filter(|m| m.pledges != 0);
+        let kept = self.machines.values().filter(|m| m.reservations != 0);
         let rooms = kept.filter_map(|machine| {
             let index = machine.type_index?;
             let gone = machine.delete_reason.is_some() || machine.notice_until.is_some();
--- a/crates/umbersail-control/src/engine/rental.rs
+++ b/crates/umbersail-control/src/engine/rental.rs
@@ -323,7 +323,7 @@
             .filter(|m| {
                 m.delete_reason.is_none()
                     && m.notice_until.is_none()
-                    && m.pledges == 0
+                    && m.reservations == 0
                     && m.vouched
                     && (mostly_unreachable || !m.reachability.is_unreachable())
                     && (m.last_report.is_none() || m.silent_for(now) < 2.0 * self.cfg.lease_s)
@@ -364,7 +364,7 @@
         for name in plan.surplus {
             if let Some(machine) = self.machines.get_mut(&name)
                 && machine.tasks.is_empty()
-                && machine.pledges == 0
+                && machine.reservations == 0
                 && !self.plans.images.keeps(&name)
             {
                 let cpus = machine.type_index.map_or(0.0, |i| self.types[i].cpus);
--- a/crates/umbersail-control/src/engine/schedule.rs
+++ b/crates/umbersail-control/src/engine/schedule.rs
@@ -1,32 +1,34 @@
-//! Which waiting task goes where: a pass, in slices that end.
+//! Which waiting task goes where: a cycle, in slices that end.
 
 use std::collections::{BTreeMap, BTreeSet};
 
 use tracing::debug;
-use umbersail_pass::{Agenda, Cheapest, ImageKey, Places, Rankings, Reach, Spot, Steps};
+use umbersail_cycle::{
+    CandidateSlots, Cheapest, CycleQueue, ImageKey, Locality, Rankings, Slot, Steps,
+};
 use umbersail_policy::{
     MachineView, PlaceWeights, Shape, TaskView, Usage, Wants, cost_of, names_type, placement_cost,
     quota_room,
 };
 use umbersail_wire::{MachineType, Priority};
 
-use super::evict::Prey;
+use super::evict::EvictionCandidates;
 use super::{Engine, Job, Name, Placement, Stop, Time};
 
-/// How often a blocked job may be looked at for eviction in one pass.
-pub(super) const EVICTIONS_PER_PASS: usize = 4;
+/// How often a blocked job may be looked at for eviction in one cycle.
+pub(super) const MAX_EVICTIONS_PER_CYCLE: usize = 4;
 
-/// A pass that is under way.
-pub(super) struct Pass {
-    agenda: Agenda<Name>,
+/// A cycle that is under way.
+pub(super) struct SchedulingCycle {
+    queue: CycleQueue<Name>,
     reserved: BTreeMap<Priority, Vec<f64>>,
 }
 
-/// The fleet as one slice of a pass sees it, from one walk over the machines.
+/// The fleet as one slice of a cycle sees it, from one walk over the machines.
 #[derive(Default)]
-pub(super) struct Survey {
-    pub places: Places<Name>,
-    /// Places kept for the winners of evictions, and from which tier on.
+pub(super) struct ClusterSnapshot {
+    pub places: CandidateSlots<Name>,
+    /// CandidateSlots kept for the winners of evictions, and from which tier on.
     claimed: Vec<(Priority, usize)>,
     /// Machines that may hold tasks of jobs already over (rule 4).
     unaccounted: Shape,
@@ -35,13 +37,13 @@
     /// How many machines that take tasks have an image, by type; counted once
     /// somebody asks.
     with_image: Option<BTreeMap<(ImageKey, usize), usize>>,
-    /// Places as jobs rank them that are alike, and how many that took to look at.
-    rankings: Option<Rankings<Alike>>,
+    /// CandidateSlots as jobs rank them that are key, and how many that took to look at.
+    rankings: Option<Rankings<RankingKey>>,
     ranked: u64,
 }
 
-impl Survey {
-    /// Places looked at so far.
+impl ClusterSnapshot {
+    /// CandidateSlots looked at so far.
     fn looked(&self) -> u64 {
         self.places.looked() + self.ranked
     }
@@ -55,23 +57,23 @@
     }
 }
 
-/// What one slice of a pass works with.
-struct Slice<'a> {
+/// What one slice of a cycle works with.
+struct CycleSlice<'a> {
     usage: &'a mut [Usage],
-    fleet: &'a mut Survey,
+    fleet: &'a mut ClusterSnapshot,
     reserved: &'a [f64],
 }
 
-/// What jobs have in common that rank places alike.
+/// What jobs have in common that rank places key.
 #[derive(Debug, Clone, PartialEq)]
-struct Alike {
+struct RankingKey {
     image: ImageKey,
     wants: Wants,
-    reach: Reach,
+    locality: Locality,
 }
 
 /// Where a job's tasks go.
-struct Choice {
+struct PlacementDecision {
     wanted: u32,
     quota: u32,
     awaits_image: bool,
@@ -79,7 +81,7 @@
     places: Vec<(usize, u32)>,
 }
 
-impl Choice {
+impl PlacementDecision {
     /// So many tasks at most go there, unless the job's record can name no more
     /// machines. How many do.
     fn take(
@@ -109,86 +111,86 @@
 }
 
 impl Engine {
-    /// True if something changed that may let a task start, or if a pass was
+    /// True if something changed that may let a task start, or if a cycle was
     /// cut short.
     pub fn wants_schedule(&self) -> bool {
-        self.schedule_wanted || self.agenda.is_some()
+        self.schedule_wanted || self.unfinished_cycle.is_some()
     }
 
-    /// Whether a pass was cut short: it goes on without waiting for its turn.
-    pub fn is_mid_pass(&self) -> bool {
-        self.agenda.is_some()
+    /// Whether a cycle was cut short: it goes on without waiting for its turn.
+    pub fn is_mid_cycle(&self) -> bool {
+        self.unfinished_cycle.is_some()
     }
 
-    /// The work done in passes since this was last asked, in steps of about one
+    /// The work done in cycles since this was last asked, in steps of about one
     /// look at one machine.
     pub fn take_steps(&mut self) -> u64 {
         std::mem::take(&mut self.steps)
     }
 
-    /// Places waiting tasks; launches follow with the machines' next reports.
+    /// CandidateSlots waiting tasks; launches follow with the machines' next reports.
     ///
-    /// A pass ends after [`super::EngineConfig::slice_steps`] and goes on with the next
+    /// A cycle ends after [`super::EngineConfig::slice_steps`] and goes on with the next
     /// call where it was, so that reports, renewals and users wait for a slice
     /// and not for a whole fleet. Upper tiers and the most urgent jobs are placed
     /// in the first slice. Each slice looks at the fleet anew: what was reported
     /// or cancelled in between holds (rules 3 and 4).
     pub fn schedule(&mut self, now: Time) {
         let mut steps = Steps::new(self.cfg.slice_steps);
-        if self.agenda.is_none() && !self.is_order_fresh(now) {
-            self.kept_order = None;
+        if self.unfinished_cycle.is_none() && !self.is_order_fresh(now) {
+            self.cached_order = None;
             self.least_shape = self.least_waiting();
         }
-        let mut fleet = self.survey(now);
+        let mut fleet = self.cluster_snapshot(now);
         let mut usage = self.team_usage(&fleet.unaccounted);
-        let mut pass = match self.agenda.take() {
-            Some(pass) => pass,
+        let mut cycle = match self.unfinished_cycle.take() {
+            Some(cycle) => cycle,
             None => {
                 self.schedule_wanted = false;
-                let order = self.order_of_pass(now, &usage, &fleet);
+                let order = self.order_of_cycle(now, &usage, &fleet);
                 self.may_wait = !order.jobs.is_empty();
-                Pass {
-                    agenda: Agenda::new(order.jobs),
+                SchedulingCycle {
+                    queue: CycleQueue::new(order.jobs),
                     reserved: order.reserved,
                 }
             }
         };
         let looked = fleet.looked();
-        let placed = self.serve_floor(now, &pass.reserved, &mut usage, &mut fleet);
+        let placed = self.serve_floor(now, &cycle.reserved, &mut usage, &mut fleet);
         steps.spend(fleet.looked() - looked + placed * Steps::TASK);
         while !steps.is_over()
-            && let Some(id) = pass.agenda.next_waiting()
+            && let Some(id) = cycle.queue.next_waiting()
         {
             let Some(tier) = self.jobs.get(&id).map(|j| j.spec.priority) else {
                 continue;
             };
             let looked = fleet.looked();
-            let mut slice = Slice {
+            let mut slice = CycleSlice {
                 usage: &mut usage,
                 fleet: &mut fleet,
-                reserved: &pass.reserved[&tier],
+                reserved: &cycle.reserved[&tier],
             };
             let (placed, blocked) = self.place_job(now, &id, &mut slice);
             if blocked {
-                pass.agenda.block(id);
+                cycle.queue.block(id);
             }
             steps.spend(Steps::JOB + fleet.looked() - looked + placed * Steps::TASK);
         }
-        let mut prey = Prey::default();
-        while !steps.is_over() && pass.agenda.evicting < EVICTIONS_PER_PASS {
-            let Some(id) = pass.agenda.next_blocked() else {
+        let mut candidates_seen = EvictionCandidates::default();
+        while !steps.is_over() && cycle.queue.evicting < MAX_EVICTIONS_PER_CYCLE {
+            let Some(id) = cycle.queue.next_blocked() else {
                 break;
             };
             steps.spend(Steps::JOB);
-            let looked = prey.looked;
-            if self.evict_for(now, &id, &mut usage, &mut prey) {
-                pass.agenda.evicting += 1;
+            let looked = candidates_seen.looked;
+            if self.evict_for(now, &id, &mut usage, &mut candidates_seen) {
+                cycle.queue.evicting += 1;
             }
-            steps.spend(prey.looked - looked);
+            steps.spend(candidates_seen.looked - looked);
         }
         self.steps += steps.done() + self.machines.len() as u64;
-        if steps.is_over() && !pass.agenda.is_done(EVICTIONS_PER_PASS) {
-            self.agenda = Some(pass);
+        if steps.is_over() && !cycle.queue.is_done(MAX_EVICTIONS_PER_CYCLE) {
+            self.unfinished_cycle = Some(cycle);
         }
     }
 
@@ -208,11 +210,11 @@
     }
 
     /// One walk over the machines for all that a slice wants to know of them.
-    fn survey(&self, now: Time) -> Survey {
+    fn cluster_snapshot(&self, now: Time) -> ClusterSnapshot {
         let silent_after = self.silent_after();
-        let mut fleet = Survey {
+        let mut fleet = ClusterSnapshot {
             cpus: vec![[0.0; 2]; self.types.len()],
-            ..Survey::default()
+            ..ClusterSnapshot::default()
         };
         for machine in self.machines.values() {
             let Some(index) = machine.type_index else {
@@ -234,13 +236,13 @@
             if !self.least_shape.fits_in(&free) || !machine.takes_tasks(now, silent_after) {
                 continue;
             }
-            let spot = Spot {
+            let spot = Slot {
                 type_index: index,
                 zone: &machine.zone,
                 spot: machine.spot,
                 free,
                 report_in_s: (self.cfg.report_s - machine.silent_for(now)).max(0.0),
-                pledges: machine.pledges,
+                reservations: machine.reservations,
             };
             fleet
                 .places
@@ -292,7 +294,7 @@
     /// Whether the job does better to wait for a place where its image is: it
     /// would start too late after a fetch, and in time if such a place falls
     /// free within the time that is left.
-    fn awaits_image(&self, now: Time, job: &Job, slice: &mut Slice<'_>) -> bool {
+    fn awaits_image(&self, now: Time, job: &Job, slice: &mut CycleSlice<'_>) -> bool {
         if !self.fetch_is_late(now, job, slice.usage) {
             return false;
         }
@@ -360,39 +362,39 @@
 
     /// The machines that the job's tasks may use now: types that waiting larger
     /// work can't do without are closed to it.
-    pub(super) fn reach(&self, job: &Job, reserved: &[f64]) -> Reach {
+    pub(super) fn locality(&self, job: &Job, reserved: &[f64]) -> Locality {
         let least = job.smallest_cpus + 1e-6;
-        self.reach_where(job, |index, t| {
+        self.locality_where(job, |index, t| {
             t.cpus <= least || reserved.get(index).is_some_and(|most| *most <= least)
         })
     }
 
     /// The machines that the job allows, of types that `open` takes.
-    pub(super) fn reach_where(
+    pub(super) fn locality_where(
         &self,
         job: &Job,
         open: impl Fn(usize, &MachineType) -> bool,
-    ) -> Reach {
+    ) -> Locality {
         let types = self.types.iter().enumerate();
-        Reach {
+        Locality {
             types: types
                 .map(|(index, t)| names_type(&job.spec, &t.name) && open(index, t))
                 .collect(),
             zone: job.spec.zone.clone(),
             spot: job.spec.spot(),
-            pledges: job.pledges,
+            reservations: job.reservations,
         }
     }
 
-    /// Places what fits of one job. How many tasks were placed, and whether some
+    /// CandidateSlots what fits of one job. How many tasks were placed, and whether some
     /// are left that a machine might take if there were room.
-    fn place_job(&mut self, now: Time, id: &Name, slice: &mut Slice<'_>) -> (u64, bool) {
+    fn place_job(&mut self, now: Time, id: &Name, slice: &mut CycleSlice<'_>) -> (u64, bool) {
         let Some(job) = self.jobs.get(id).filter(|j| j.waits()) else {
             return (0, false);
         };
         // Tiers come in turn, so what is kept from this one is kept from the rest.
         let tier = job.spec.priority;
-        let Survey {
+        let ClusterSnapshot {
             places, claimed, ..
         } = &mut *slice.fleet;
         let waits = |job: &Name| self.jobs.get(job).is_some_and(Job::waits);
@@ -411,37 +413,37 @@
             self.set_blocked(id, "the team's limit");
             return (0, false);
         }
-        let reach = self.reach(job, slice.reserved);
+        let locality = self.locality(job, slice.reserved);
         // A job comes twice if the floor lifts it: first for the task with which
         // it begins, then in its own place.
         let begins = self.is_lifted_to_begin(id, job);
         let wanted = job.startable().min(if begins { 1 } else { u32::MAX });
-        let mut choice = Choice {
+        let mut choice = PlacementDecision {
             wanted,
             quota,
             awaits_image: false,
             places: Vec::new(),
         };
-        if !slice.fleet.places.is_hopeless(&reach, &job.shape) {
+        if !slice.fleet.places.is_hopeless(&locality, &job.shape) {
             let plain = !job.spec.one_zone()
                 && !job.spec.spread()
                 && job.error_machines.is_empty()
                 && !self.fetch_is_late(now, job, slice.usage);
             if plain {
-                self.choose_alike(job, reach, slice, &mut choice);
+                self.decide_by_ranking(job, locality, slice, &mut choice);
             } else {
-                self.choose(now, job, &reach, slice, &mut choice);
+                self.decide(now, job, &locality, slice, &mut choice);
             }
         }
         let (shape, image) = (job.shape, job.image);
-        let Survey {
+        let ClusterSnapshot {
             places, rankings, ..
         } = &mut *slice.fleet;
         let mut chosen: Vec<(Name, u32)> = Vec::new();
         for (index, n) in choice.places {
             places.take(index, &shape, n, image);
             if let Some(rankings) = rankings {
-                rankings.taken(index, |alike, index| self.rank(places, alike, index));
+                rankings.taken(index, |key, index| self.rank(places, key, index));
             }
             chosen.push((places.get(index).machine.clone(), n));
         }
@@ -455,7 +457,7 @@
         if begins && placed > 0 {
             self.note_beginning(id);
         }
-        let Choice {
+        let PlacementDecision {
             wanted,
             quota,
             awaits_image,
@@ -486,25 +488,25 @@
         }
     }
 
-    /// What a place costs those who rank alike, if any task may go there.
-    fn rank(&self, places: &Places<Name>, alike: &Alike, index: usize) -> Option<f64> {
+    /// What a place costs those who rank key, if any task may go there.
+    fn rank(&self, places: &CandidateSlots<Name>, key: &RankingKey, index: usize) -> Option<f64> {
         let place = places.get(index);
         let zone = places.zone(index);
-        if !alike
-            .reach
-            .has(place.type_index, zone, place.spot, place.pledges)
+        if !key
+            .locality
+            .has(place.type_index, zone, place.spot, place.reservations)
             || !self.least_shape.fits_in(&place.free)
         {
             return None;
         }
-        let view = self.view(places, index, alike.image);
-        let kept = self.kept_cost(place.pledges, alike.reach.pledges);
-        Some(cost_of(&alike.wants, &view, self.weights()) + kept)
+        let view = self.view(places, index, key.image);
+        let kept = self.kept_cost(place.reservations, key.locality.reservations);
+        Some(cost_of(&key.wants, &view, self.weights()) + kept)
     }
 
     fn view<'a>(
         &'a self,
-        places: &'a Places<Name>,
+        places: &'a CandidateSlots<Name>,
         index: usize,
         image: ImageKey,
     ) -> MachineView<'a, ()> {
@@ -533,26 +535,32 @@
         })
     }
 
-    /// Places for a job with no wishes but its reach: it goes on in the ranking
-    /// where the jobs before it that rank alike have left it.
-    fn choose_alike(&self, job: &Job, reach: Reach, slice: &mut Slice<'_>, choice: &mut Choice) {
-        let Survey {
+    /// CandidateSlots for a job with no wishes but its locality: it goes on in the ranking
+    /// where the jobs before it that rank key have left it.
+    fn decide_by_ranking(
+        &self,
+        job: &Job,
+        locality: Locality,
+        slice: &mut CycleSlice<'_>,
+        choice: &mut PlacementDecision,
+    ) {
+        let ClusterSnapshot {
             places,
             rankings,
             ranked,
             ..
         } = &mut *slice.fleet;
         let rankings = rankings.get_or_insert_with(|| Rankings::new(places.len()));
-        let alike = Alike {
+        let key = RankingKey {
             image: job.image,
             wants: Wants {
                 image_gb: job.spec.image_gb,
                 smallest_cpus: job.smallest_cpus,
                 spot: job.spec.spot(),
             },
-            reach: reach.clone(),
+            locality: locality.clone(),
         };
-        *ranked += rankings.open(alike, |alike, index| self.rank(places, alike, index));
+        *ranked += rankings.open(key, |key, index| self.rank(places, key, index));
         let mut hosts = self.more_hosts(job);
         let mut fits = false;
         *ranked += rankings.visit(|index| {
@@ -570,23 +578,23 @@
             choice.wanted > 0 && choice.quota > 0
         });
         if !fits {
-            places.missed(&reach, &job.shape);
+            places.missed(&locality, &job.shape);
         }
     }
 
-    /// Places for any job.
-    fn choose(
+    /// CandidateSlots for any job.
+    fn decide(
         &self,
         now: Time,
         job: &Job,
-        reach: &Reach,
-        slice: &mut Slice<'_>,
-        choice: &mut Choice,
+        locality: &Locality,
+        slice: &mut CycleSlice<'_>,
+        choice: &mut PlacementDecision,
     ) {
         let shape = job.shape;
         let allowed = |machine: &Name| !job.error_machines.contains(machine);
-        let mut found = slice.fleet.places.fitting(reach, &shape, allowed);
-        let has_image = |places: &Places<Name>, place| places.image(place, job.image).0;
+        let mut found = slice.fleet.places.fitting(locality, &shape, allowed);
+        let has_image = |places: &CandidateSlots<Name>, place| places.image(place, job.image).0;
         choice.awaits_image = found.iter().any(|p| !has_image(&slice.fleet.places, *p))
             && self.awaits_image(now, job, slice);
         let places = &slice.fleet.places;
@@ -617,7 +625,7 @@
         let offers = found.iter().filter_map(|&index| {
             let view = self.view(places, index, job.image);
             let (cost, slots) = placement_cost(&task, &view, weights)?;
-            let kept = self.kept_cost(places.get(index).pledges, job.pledges);
+            let kept = self.kept_cost(places.get(index).reservations, job.reservations);
             Some((cost + kept, index, slots))
         });
         let zone_limit = job.spec.tasks.div_ceil(2);
--- a/crates/umbersail-control/src/engine/tests.rs
+++ b/crates/umbersail-control/src/engine/tests.rs
@@ -3,6 +3,7 @@
 
 mod calendar;
 mod cancelled;
+mod cycles;
 mod delegates;
 mod evictions;
 mod failures;
@@ -15,7 +16,6 @@
 mod leases;
 mod limits;
 mod machines;
-mod passes;
 mod placement;
 mod plans;
 mod reports;
--- a/crates/umbersail-control/src/engine/tests/calendar.rs
+++ b/crates/umbersail-control/src/engine/tests/calendar.rs
@@ -149,7 +149,7 @@
         }
     }
 
-    /// Half a second: a tick, a pass, records, and reports with their answers.
+    /// Half a second: a tick, a cycle, records, and reports with their answers.
     fn step(&mut self) {
         self.now += 0.5;
         self.engine.set_wall(self.now, wall(self.now));
--- a/crates/umbersail-control/src/engine/tests/passes.rs
+++ b/crates/umbersail-control/src/engine/tests/cycles.rs
@@ -1,4 +1,4 @@
-//! A pass against its plain definition, and passes that are cut short.
+//! A cycle against its plain definition, and cycles that are cut short.
 
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngAlgorithm, TestRng, TestRunner};
@@ -11,9 +11,9 @@
 
 use super::*;
 use crate::engine::machine::Claim;
-use crate::engine::schedule::EVICTIONS_PER_PASS;
+use crate::engine::schedule::MAX_EVICTIONS_PER_CYCLE;
 
-/// The plain definition of a pass: every job looks at every machine, and every
+/// The plain definition of a cycle: every job looks at every machine, and every
 /// blocked one at every task.
 impl Engine {
     fn plain_schedule(&mut self, now: Time) {
@@ -31,7 +31,7 @@
         }
         let mut worth = 0;
         for id in blocked {
-            if worth < EVICTIONS_PER_PASS && self.plain_evict(now, &id, &mut usage) {
+            if worth < MAX_EVICTIONS_PER_CYCLE && self.plain_evict(now, &id, &mut usage) {
                 worth += 1;
             }
         }
@@ -377,7 +377,7 @@
     engine.jobs.iter().map(job).collect()
 }
 
-/// Writes all that is due, without a pass.
+/// Writes all that is due, without a cycle.
 fn write(engine: &mut Engine, now: Time) {
     let mut revision = 1000 + (now * 100.0) as u64;
     while let Some(pending) = engine.next_txn(now + 2.0, 20, 20) {
@@ -408,8 +408,8 @@
     }
 }
 
-/// Plays a random cluster three ways at once: plainly, in whole passes, and in
-/// passes cut into slices of one step. How much was placed and evicted.
+/// Plays a random cluster three ways at once: plainly, in whole cycles, and in
+/// cycles cut into slices of one step. How much was placed and evicted.
 fn play(seed: u64) -> Result<(usize, usize), TestCaseError> {
     let mut rng = StdRng::seed_from_u64(seed);
     let mut large = machine_type();
@@ -494,12 +494,12 @@
         engines[0].plain_schedule(now);
         engines[1].schedule(now);
         engines[2].schedule(now);
-        while engines[2].is_mid_pass() {
+        while engines[2].is_mid_cycle() {
             engines[2].schedule(now);
         }
         let plain = picture(&engines[0]);
-        prop_assert_eq!(&plain, &picture(&engines[1]), "whole pass at {}", now);
-        prop_assert_eq!(&plain, &picture(&engines[2]), "sliced pass at {}", now);
+        prop_assert_eq!(&plain, &picture(&engines[1]), "whole cycle at {}", now);
+        prop_assert_eq!(&plain, &picture(&engines[2]), "sliced cycle at {}", now);
         placed = placed.max(plain.iter().map(|(_, live, ..)| live.len()).sum());
         evicted += plain
             .iter()
@@ -511,7 +511,7 @@
 }
 
 #[test]
-fn a_pass_chooses_the_places_and_victims_of_its_plain_definition() {
+fn a_cycle_chooses_the_places_and_victims_of_its_plain_definition() {
     // Guards against an index that forgets somebody: a job that never gets its
     // place, or a victim that the design's rule would not have chosen.
     let cases = std::env::var("UMBERSAIL_CASES").ok();
@@ -567,11 +567,11 @@
     engine.job_accepted(now, (now * 1000.0) as u64, record(spec), 70);
 }
 
-/// Passes until one is whole; how many slices that took.
+/// Cycles until one is whole; how many slices that took.
 fn whole(engine: &mut Engine, now: Time) -> usize {
     engine.schedule(now);
     let mut slices = 1;
-    while engine.is_mid_pass() {
+    while engine.is_mid_cycle() {
         engine.schedule(now);
         slices += 1;
     }
@@ -592,7 +592,7 @@
 #[test]
 fn blocked_jobs_without_a_candidate_cost_a_look_each() {
     // Guards against what the fleets showed: blocked jobs times running tasks,
-    // in each pass, to find that nobody may be evicted.
+    // in each cycle, to find that nobody may be evicted.
     let (mut engine, mut workers) = fleet(u64::MAX, 500);
     come(&mut engine, 1.0, tier("req-run", Priority::High, 2000, 2.0));
     engine.schedule(1.0);
@@ -646,7 +646,7 @@
 }
 
 #[test]
-fn a_candidate_that_turns_unpreemptable_between_two_passes_is_spared() {
+fn a_candidate_that_turns_unpreemptable_between_two_cycles_is_spared() {
     // Guards against an index that is right when it is made and not when used.
     type Turn = fn(&mut Engine);
     let turns: [(&str, u32, Turn); 4] = [
@@ -675,8 +675,8 @@
 }
 
 #[test]
-fn a_pass_cut_short_takes_in_what_happens_meanwhile() {
-    // Guards against a pass that goes on by an old picture: a job cancelled in
+fn a_cycle_cut_short_takes_in_what_happens_meanwhile() {
+    // Guards against a cycle that goes on by an old picture: a job cancelled in
     // the middle would start (ran_cancelled), a report would wait for all of it.
     let (mut engine, mut workers) = fleet(300, 4);
     come(&mut engine, 1.0, tier("req-0", Priority::High, 12, 2.0));
@@ -684,19 +684,19 @@
     come(&mut engine, 1.0, tier("req-2", Priority::Low, 40, 2.0));
     engine.schedule(1.0);
     assert!(
-        engine.is_mid_pass(),
+        engine.is_mid_cycle(),
         "the slice was over after the first job"
     );
     assert_eq!(engine.jobs["req-0"].live.len(), 12);
     engine.job_dropped("req-1");
-    // What the slice placed is recorded and launched before the pass goes on.
+    // What the slice placed is recorded and launched before the cycle goes on.
     write(&mut engine, 1.0);
     let told: usize = workers
         .iter_mut()
         .map(|w| starts(&w.turn(&mut engine, 1.1)).len())
         .sum();
-    assert_eq!((told, engine.is_mid_pass()), (12, true));
-    // A worker reports an end: the rest of this pass uses the room.
+    assert_eq!((told, engine.is_mid_cycle()), (12, true));
+    // A worker reports an end: the rest of this cycle uses the room.
     let ended = workers[0].tasks[0].task.clone();
     workers[0].exit(&ended, None, ExitCause::Done);
     workers[0].turn(&mut engine, 1.15);
@@ -710,14 +710,14 @@
 }
 
 #[test]
-fn a_take_over_in_the_middle_of_a_pass_starts_nothing_twice_and_forgets_nothing() {
+fn a_take_over_in_the_middle_of_a_cycle_starts_nothing_twice_and_forgets_nothing() {
     let (mut engine, mut workers) = fleet(300, 4);
     let first = tier("req-0", Priority::High, 12, 2.0);
     let second = tier("req-1", Priority::Low, 4, 2.0);
     come(&mut engine, 1.0, first.clone());
     come(&mut engine, 1.0, second.clone());
     engine.schedule(1.0);
-    assert!(engine.is_mid_pass());
+    assert!(engine.is_mid_cycle());
     let pending = engine.next_txn(1.0, 20, 20).unwrap();
     let run = pending.txn.changes.iter().find_map(|c| match c {
         Change::Put {
@@ -773,7 +773,7 @@
     assert_eq!(
         successor.jobs["req-1"].live.len(),
         4,
-        "what the pass had not reached"
+        "what the cycle had not reached"
     );
 }
 
@@ -791,7 +791,7 @@
         );
     }
     let (mut slices, mut most) = (0, 0);
-    while slices == 0 || engine.is_mid_pass() {
+    while slices == 0 || engine.is_mid_cycle() {
         engine.schedule(1.0);
         slices += 1;
         most = most.max(engine.take_steps());
--- a/crates/umbersail-control/src/engine/tests/reports.rs
+++ b/crates/umbersail-control/src/engine/tests/reports.rs
@@ -8,7 +8,7 @@
     if !engine.report(now, &report) {
         return vec![];
     }
-    // The reply waits for what the pass that this report wakes places.
+    // The reply waits for what the cycle that this report wakes places.
     commit(engine, now);
     starts(&engine.reply(now, &report, true))
 }
--- a/crates/umbersail-control/src/engine/tests/reserve.rs
+++ b/crates/umbersail-control/src/engine/tests/reserve.rs
@@ -176,7 +176,11 @@
     let mut third = place.elect(4.0);
     place.round(&mut third, 4.0);
     assert_eq!(
-        third.machines.values().filter(|m| m.pledges != 0).count(),
+        third
+            .machines
+            .values()
+            .filter(|m| m.reservations != 0)
+            .count(),
         HELD
     );
     assert_eq!(place.machines, HELD);
@@ -203,7 +207,7 @@
         }
         engine.cloud_actions(now);
     }
-    let returned = |m: &&Machine| m.delete_reason.is_some() && m.pledges != 0;
+    let returned = |m: &&Machine| m.delete_reason.is_some() && m.reservations != 0;
     assert_eq!(engine.machines.values().filter(returned).count(), 0);
 }
 
@@ -270,7 +274,13 @@
     // Guards against a window served by machines that are there by name only.
     let mut place = Place::new(entries(""));
     let (mut engine, mut workers) = place.opened();
-    let kept = |engine: &Engine| engine.machines.values().filter(|m| m.pledges != 0).count();
+    let kept = |engine: &Engine| {
+        engine
+            .machines
+            .values()
+            .filter(|m| m.reservations != 0)
+            .count()
+    };
     for now in [10.0, 20.0] {
         for worker in &mut workers[1..] {
             worker.turn(&mut engine, now);
@@ -327,6 +337,6 @@
             place.round(&mut engine, now);
         }
         prop_assert_eq!(place.machines, HELD);
-        prop_assert_eq!(engine.machines.values().filter(|m| m.pledges != 0).count(), HELD);
+        prop_assert_eq!(engine.machines.values().filter(|m| m.reservations != 0).count(), HELD);
     });
 }
--- a/crates/umbersail-control/src/leader.rs
+++ b/crates/umbersail-control/src/leader.rs
@@ -489,7 +489,7 @@
 
     /// Turns what is known into placements and records.
     async fn pump(self: Rc<Self>, token: u64) {
-        let mut last_pass = f64::MIN;
+        let mut last_cycle = f64::MIN;
         let mut last_tick = f64::MIN;
         loop {
             let now = self.clock.now();
@@ -502,16 +502,16 @@
                     engine.tick(now);
                     self.keep_sockets_for(engine.machine_count());
                 }
-                let due = now - last_pass >= tuning.pass_interval_s;
-                if engine.is_mid_pass() || (engine.wants_schedule() && due) {
-                    last_pass = now;
+                let due = now - last_cycle >= tuning.cycle_interval_s;
+                if engine.is_mid_cycle() || (engine.wants_schedule() && due) {
+                    last_cycle = now;
                     engine.schedule(now);
                     charge(engine.take_steps() as f64 * tuning.step_ns * 1e-9);
                     self.progress.raise();
                 }
-                let next = match (engine.is_mid_pass(), engine.wants_schedule()) {
+                let next = match (engine.is_mid_cycle(), engine.wants_schedule()) {
                     (true, _) => Some(tuning.slice_pause_s),
-                    (false, true) => Some(tuning.pass_interval_s),
+                    (false, true) => Some(tuning.cycle_interval_s),
                     (false, false) => None,
                 };
                 if self.opening.borrow().is_open() && self.state.failing_since().is_some() {
--- a/crates/umbersail-pass/src/cheapest.rs
+++ b/crates/umbersail-cycle/src/cheapest.rs
@@ -3,29 +3,29 @@
 use std::cmp::Ordering;
 use std::collections::BinaryHeap;
 
-/// A place at a cost, with a number of the holder's own.
+/// A slot at a cost, with a number of the holder's own.
 #[derive(Debug, Clone, Copy)]
-pub(crate) struct Offer {
+pub(crate) struct PricedSlot {
     pub cost: f64,
     pub index: usize,
     pub note: u32,
 }
 
-impl PartialEq for Offer {
+impl PartialEq for PricedSlot {
     fn eq(&self, other: &Self) -> bool {
         self.cmp(other) == Ordering::Equal
     }
 }
 
-impl Eq for Offer {}
+impl Eq for PricedSlot {}
 
-impl PartialOrd for Offer {
+impl PartialOrd for PricedSlot {
     fn partial_cmp(&self, other: &Self) -> Option<Ordering> {
         Some(self.cmp(other))
     }
 }
 
-impl Ord for Offer {
+impl Ord for PricedSlot {
     /// The cheapest is the greatest; of equal ones that which stands first.
     fn cmp(&self, other: &Self) -> Ordering {
         let by_cost = other.cost.total_cmp(&self.cost);
@@ -33,15 +33,15 @@
     }
 }
 
-/// Yields (index, slots) by cost, then by index. Most jobs take a few places of
+/// Yields (index, slots) by cost, then by index. Most jobs take a few slots of
 /// thousands: those are found in n + k log n, without sorting the rest.
 #[derive(Debug)]
-pub struct Cheapest(BinaryHeap<Offer>);
+pub struct Cheapest(BinaryHeap<PricedSlot>);
 
 impl Cheapest {
     /// Of offers (cost, index, slots); costs in any unit.
     pub fn new(offers: impl IntoIterator<Item = (f64, usize, u32)>) -> Cheapest {
-        let offer = |(cost, index, note)| Offer { cost, index, note };
+        let offer = |(cost, index, note)| PricedSlot { cost, index, note };
         Cheapest(offers.into_iter().map(offer).collect::<Vec<_>>().into())
     }
 }
--- /dev/null
+++ b/crates/umbersail-cycle/src/lib.rs
@@ -0,0 +1,49 @@
+//! What a scheduling cycle works on, so that it costs what changed: slots with
+//! room, who may lose a task, and what is left of a cycle that was cut short.
+//!
+//! Pure state, no I/O and no clock. Nothing here decides who goes first, where a
+//! task goes or who is evicted; that is `umbersail-policy`. What is kept here
+//! only spares it looks that would find nothing.
+//!
+//! ```
+//! use umbersail_cycle::{ImageKey, CandidateSlots, Locality, Slot};
+//! use umbersail_policy::Shape;
+//!
+//! let shape = |cpus| Shape { cpus, gpus: 0.0, memory_gb: 1.0 };
+//! let mut slots: CandidateSlots<&str> = CandidateSlots::new();
+//! slots.push("m1", Slot { type_index: 0, zone: "a", spot: true, free: shape(8.0), report_in_s: 0.4, reservations: 0 }, &[]);
+//!
+//! let any = Locality { types: vec![true], zone: None, spot: true, reservations: 0 };
+//! assert_eq!(slots.fitting(&any, &shape(6.0), |_| true), [0]);
+//! slots.take(0, &shape(6.0), 1, ImageKey::of("img-07"));
+//! assert!(slots.fitting(&any, &shape(4.0), |_| true).is_empty());
+//! // From here on nobody looks again for 4 CPUs or more within this locality.
+//! assert!(slots.is_hopeless(&any, &shape(5.0)));
+//! assert!(!slots.is_hopeless(&any, &shape(2.0)));
+//! ```
+#![deny(missing_docs)]
+
+mod cheapest;
+mod preemptible;
+mod queue;
+mod rankings;
+mod slots;
+
+pub use cheapest::Cheapest;
+pub use preemptible::{PreemptibleJobs, PreemptionClass};
+pub use queue::{CycleQueue, Steps};
+pub use rankings::Rankings;
+pub use slots::{CandidateSlot, CandidateSlots, Locality, Slot};
+
+/// A name of an image in eight bytes: placement compares it with what each
+/// machine has, thousands of times in a cycle. XXH3 of the name's bytes; two
+/// names that collide would cost a needless fetch, nothing else.
+#[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
+pub struct ImageKey(u64);
+
+impl ImageKey {
+    /// The key of an image's name.
+    pub fn of(name: &str) -> ImageKey {
+        ImageKey(xxhash_rust::xxh3::xxh3_64(name.as_bytes()))
+    }
+}
--- a/crates/umbersail-pass/src/agenda.rs
+++ b/crates/umbersail-cycle/src/queue.rs
@@ -1,4 +1,4 @@
-//! What is left of a pass: it is done in slices, and what came in between goes
+//! What is left of a cycle: it is done in slices, and what came in between goes
 //! first.
 
 use std::collections::VecDeque;
@@ -6,7 +6,7 @@
 use imbl::Vector;
 
 /// The work of a slice, counted rather than timed, so that the same input is cut
-/// at the same place. One step is about one look at one machine.
+/// at the same slot. One step is about one look at one machine.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Steps {
     most: u64,
@@ -35,26 +35,26 @@
     }
 
     /// Whether the slice is over. What was begun is finished: a slice does at
-    /// least one thing, so a pass always ends.
+    /// least one thing, so a cycle always ends.
     pub fn is_over(&self) -> bool {
         self.done >= self.most
     }
 }
 
-/// Jobs that a pass has yet to place, most urgent first, and those that found no
+/// Jobs that a cycle has yet to slot, most urgent first, and those that found no
 /// room and may evict once all have been placed.
 #[derive(Debug, Clone)]
-pub struct Agenda<J: Clone> {
+pub struct CycleQueue<J: Clone> {
     waiting: Vector<J>,
     blocked: VecDeque<J>,
     /// Evictions that have been worth their time.
     pub evicting: usize,
 }
 
-impl<J: Clone> Agenda<J> {
-    /// A pass over these, most urgent first.
-    pub fn new(order: Vector<J>) -> Agenda<J> {
-        Agenda {
+impl<J: Clone> CycleQueue<J> {
+    /// A cycle over these, most urgent first.
+    pub fn new(order: Vector<J>) -> CycleQueue<J> {
+        CycleQueue {
             waiting: order,
             blocked: VecDeque::new(),
             evicting: 0,
@@ -77,8 +77,8 @@
     }
 
     /// Whether nothing is left to do with so many evictions at most.
-    pub fn is_done(&self, evictions_most: usize) -> bool {
-        self.waiting.is_empty() && (self.blocked.is_empty() || self.evicting >= evictions_most)
+    pub fn is_done(&self, max_evictions: usize) -> bool {
+        self.waiting.is_empty() && (self.blocked.is_empty() || self.evicting >= max_evictions)
     }
 }
 
@@ -87,29 +87,29 @@
     use super::*;
 
     #[test]
-    fn a_cut_pass_goes_on_where_it_was_and_the_order_it_came_from_stays_whole() {
-        // Guards against a pass that starts anew after each slice: the jobs at
+    fn a_cut_cycle_goes_on_where_it_was_and_the_order_it_came_from_stays_whole() {
+        // Guards against a cycle that starts anew after each slice: the jobs at
         // the end of a long order would never be looked at.
         let order: Vector<u32> = (0..10).collect();
-        let mut agenda = Agenda::new(order.clone());
+        let mut queue = CycleQueue::new(order.clone());
         let mut seen = Vec::new();
         let mut slices = 0;
         loop {
             slices += 1;
             let mut steps = Steps::new(3 * Steps::JOB);
             while !steps.is_over()
-                && let Some(job) = agenda.next_waiting()
+                && let Some(job) = queue.next_waiting()
             {
                 steps.spend(Steps::JOB);
                 seen.push(job);
             }
-            if agenda.is_done(0) {
+            if queue.is_done(0) {
                 break;
             }
         }
         assert_eq!((seen, slices), ((0..10).collect(), 4));
-        agenda.block(3);
-        assert!(!agenda.is_done(1) && agenda.is_done(0));
+        queue.block(3);
+        assert!(!queue.is_done(1) && queue.is_done(0));
         assert_eq!(order.len(), 10);
         let mut none = Steps::new(0);
         assert!(none.is_over());
--- a/crates/umbersail-pass/src/rankings.rs
+++ b/crates/umbersail-cycle/src/rankings.rs
@@ -1,34 +1,34 @@
-//! Rankings of places that serve one job after the other, where they rank alike.
+//! Rankings of slots that serve one job after the other, where they rank alike.
 
 use std::collections::BinaryHeap;
 
-use crate::cheapest::Offer;
+use crate::cheapest::PricedSlot;
 
 /// Rankings kept at once; the oldest goes first.
-const RANKINGS_MOST: usize = 32;
+const MAX_RANKINGS: usize = 32;
 
-/// Rankings by what jobs have in common when they rank places: a place that one
+/// Rankings by what jobs have in common when they rank slots: a slot that one
 /// of them takes is ranked anew in each, the others stay where they are, so many
-/// jobs alike cost one look at each place and not one each.
+/// jobs alike cost one look at each slot and not one each.
 #[derive(Debug)]
 pub struct Rankings<K> {
-    /// Offers note the version of their place.
-    rankings: Vec<(K, BinaryHeap<Offer>)>,
-    /// How often each place was taken.
+    /// Offers note the version of their slot.
+    rankings: Vec<(K, BinaryHeap<PricedSlot>)>,
+    /// How often each slot was taken.
     versions: Vec<u32>,
 }
 
 impl<K: PartialEq> Rankings<K> {
-    /// For so many places.
-    pub fn new(places: usize) -> Rankings<K> {
+    /// For so many slots.
+    pub fn new(slots: usize) -> Rankings<K> {
         Rankings {
             rankings: Vec::new(),
-            versions: vec![0; places],
+            versions: vec![0; slots],
         }
     }
 
     /// The ranking of those who rank like `key`, made if there is none. `cost`
-    /// tells what a place costs, if it may be taken at all. How many places were
+    /// tells what a slot costs, if it may be taken at all. How many slots were
     /// looked at for it.
     pub fn open(&mut self, key: K, mut cost: impl FnMut(&K, usize) -> Option<f64>) -> u64 {
         if let Some(at) = self.rankings.iter().position(|(k, _)| *k == key) {
@@ -38,22 +38,22 @@
         }
         let offer = |(index, version): (usize, &u32)| {
             let cost = cost(&key, index)?;
-            Some(Offer {
+            Some(PricedSlot {
                 cost,
                 index,
                 note: *version,
             })
         };
-        let offers: Vec<Offer> = self.versions.iter().enumerate().filter_map(offer).collect();
-        if self.rankings.len() >= RANKINGS_MOST {
+        let offers: Vec<PricedSlot> = self.versions.iter().enumerate().filter_map(offer).collect();
+        if self.rankings.len() >= MAX_RANKINGS {
             self.rankings.remove(0);
         }
         self.rankings.push((key, offers.into()));
         self.versions.len() as u64
     }
 
-    /// Places of the ranking opened last, from the cheapest on, as far as `visit`
-    /// wants them: it tells whether to go on. Those visited keep their place in
+    /// CandidateSlots of the ranking opened last, from the cheapest on, as far as `visit`
+    /// wants them: it tells whether to go on. Those visited keep their slot in
     /// the ranking. How many were looked at.
     pub fn visit(&mut self, mut visit: impl FnMut(usize) -> bool) -> u64 {
         let Some((_, heap)) = self.rankings.last_mut() else {
@@ -75,13 +75,13 @@
         looked
     }
 
-    /// A place has less room, and an image on its way: it is ranked anew.
+    /// A slot has less room, and an image on its way: it is ranked anew.
     pub fn taken(&mut self, index: usize, mut cost: impl FnMut(&K, usize) -> Option<f64>) {
         self.versions[index] += 1;
         let version = self.versions[index];
         for (key, heap) in &mut self.rankings {
             if let Some(cost) = cost(key, index) {
-                heap.push(Offer {
+                heap.push(PricedSlot {
                     cost,
                     index,
                     note: version,
@@ -97,7 +97,7 @@
 
     #[test]
     fn a_place_that_was_taken_is_ranked_anew_for_everybody() {
-        // Guards against an old offer: a place would be thought cheap, or empty.
+        // Guards against an old offer: a slot would be thought cheap, or empty.
         let mut costs = [3.0, 1.0, 2.0];
         let mut rankings: Rankings<f64> = Rankings::new(3);
         let order = |rankings: &mut Rankings<f64>| {
--- a/crates/umbersail-pass/src/places.rs
+++ b/crates/umbersail-cycle/src/slots.rs
@@ -1,4 +1,4 @@
-//! Machines with room, gathered once for a pass and searched by many jobs.
+//! Machines with room, gathered once for a cycle and searched by many jobs.
 
 use umbersail_policy::Shape;
 
@@ -6,31 +6,31 @@
 
 /// Which machines a job's tasks may use at all.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Reach {
+pub struct Locality {
     /// By index of the machine type; what lies beyond the end is not allowed.
     pub types: Vec<bool>,
     /// The only zone, or any.
     pub zone: Option<String>,
     /// Whether spot machines will do.
     pub spot: bool,
-    /// Pledges that the job may use, one bit each.
-    pub pledges: u64,
+    /// Reservations that the job may use, one bit each.
+    pub reservations: u64,
 }
 
-impl Reach {
-    /// Whether a machine of this type, zone and kind, kept for these pledges, is
+impl Locality {
+    /// Whether a machine of this type, zone and kind, kept for these reservations, is
     /// within it.
-    pub fn has(&self, type_index: usize, zone: &str, spot: bool, pledges: u64) -> bool {
+    pub fn has(&self, type_index: usize, zone: &str, spot: bool, reservations: u64) -> bool {
         self.types.get(type_index) == Some(&true)
             && (!spot || self.spot)
-            && (pledges == 0 || pledges & self.pledges != 0)
+            && (reservations == 0 || reservations & self.reservations != 0)
             && self.zone.as_ref().is_none_or(|z| z == zone)
     }
 }
 
 /// What is known of a machine when it is added.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Spot<'a> {
+pub struct Slot<'a> {
     /// Index of its machine type.
     pub type_index: usize,
     /// Its zone.
@@ -41,18 +41,18 @@
     pub free: Shape,
     /// Seconds until its next report is due: launches travel in the reply.
     pub report_in_s: f64,
-    /// Whose pledges keep it, one bit each; none: it is anybody's.
-    pub pledges: u64,
+    /// Whose reservations keep it, one bit each; none: it is anybody's.
+    pub reservations: u64,
 }
 
 /// A machine that takes tasks.
 #[derive(Debug, Clone)]
-pub struct Place<M> {
+pub struct CandidateSlot<M> {
     /// Name of the machine.
     pub machine: M,
     /// Index of its machine type.
     pub type_index: usize,
-    /// Index into [`Places::zone`].
+    /// Index into [`CandidateSlots::zone`].
     zone: usize,
     /// Whether it is a spot machine.
     pub spot: bool,
@@ -60,8 +60,8 @@
     pub free: Shape,
     /// Seconds until its next report is due.
     pub report_in_s: f64,
-    /// Whose pledges reserve it, one bit each; 0 if it is not reserved.
-    pub pledges: u64,
+    /// Whose reservations reserve it, one bit each; 0 if it is not reserved.
+    pub reservations: u64,
     /// Where the images that it has stand.
     images: (usize, usize),
     /// Images on their way there.
@@ -71,13 +71,13 @@
 /// A search that found nothing: nothing as large is looked for again.
 #[derive(Debug, Clone)]
 struct Miss {
-    reach: Reach,
+    locality: Locality,
     shape: Shape,
 }
 
 /// Searches remembered as hopeless. Each is smaller than, or reaches elsewhere
 /// than, all the others, so a few serve thousands of jobs.
-const MISSES_MOST: usize = 64;
+const MAX_MISSES: usize = 64;
 
 /// No larger in any amount. Without the allowance for rounding that a fit has:
 /// what is larger by a rounding may fit where the other does not.
@@ -85,28 +85,28 @@
     a.cpus <= b.cpus && a.gpus <= b.gpus && a.memory_gb <= b.memory_gb
 }
 
-/// Machines with room as one pass sees them. Room only shrinks while it lives,
+/// Machines with room as one cycle sees them. Room only shrinks while it lives,
 /// so what was hopeless once stays hopeless.
 #[derive(Debug)]
-pub struct Places<M> {
-    places: Vec<Place<M>>,
+pub struct CandidateSlots<M> {
+    slots: Vec<CandidateSlot<M>>,
     zones: Vec<String>,
     images: Vec<ImageKey>,
     misses: Vec<Miss>,
     looked: u64,
 }
 
-impl<M> Default for Places<M> {
+impl<M> Default for CandidateSlots<M> {
     fn default() -> Self {
-        Places::new()
+        CandidateSlots::new()
     }
 }
 
-impl<M> Places<M> {
+impl<M> CandidateSlots<M> {
     /// No machines.
-    pub fn new() -> Places<M> {
-        Places {
-            places: Vec::new(),
+    pub fn new() -> CandidateSlots<M> {
+        CandidateSlots {
+            slots: Vec::new(),
             zones: Vec::new(),
             images: Vec::new(),
             misses: Vec::new(),
@@ -115,9 +115,9 @@
     }
 
     /// Adds a machine. `images` are those it has; the ones on their way there
-    /// follow with [`Places::fetching`]. Equal placements go to the one added
+    /// follow with [`CandidateSlots::fetching`]. Equal placements go to the one added
     /// first.
-    pub fn push(&mut self, machine: M, spot: Spot<'_>, images: &[ImageKey]) {
+    pub fn push(&mut self, machine: M, spot: Slot<'_>, images: &[ImageKey]) {
         let zone = match self.zones.iter().position(|z| z == spot.zone) {
             Some(zone) => zone,
             None => {
@@ -127,14 +127,14 @@
         };
         let start = self.images.len();
         self.images.extend_from_slice(images);
-        self.places.push(Place {
+        self.slots.push(CandidateSlot {
             machine,
             type_index: spot.type_index,
             zone,
             spot: spot.spot,
             free: spot.free,
             report_in_s: spot.report_in_s,
-            pledges: spot.pledges,
+            reservations: spot.reservations,
             images: (start, self.images.len()),
             coming: Vec::new(),
         });
@@ -142,100 +142,100 @@
 
     /// An image that is on its way to the machine added last.
     pub fn fetching(&mut self, image: ImageKey) {
-        if let Some(place) = self.places.last_mut() {
-            place.coming.push(image);
+        if let Some(slot) = self.slots.last_mut() {
+            slot.coming.push(image);
         }
     }
 
     /// Number of machines.
     pub fn len(&self) -> usize {
-        self.places.len()
+        self.slots.len()
     }
 
     /// Whether there are no machines.
     pub fn is_empty(&self) -> bool {
-        self.places.is_empty()
+        self.slots.is_empty()
     }
 
     /// The machine at this index.
-    pub fn get(&self, index: usize) -> &Place<M> {
-        &self.places[index]
+    pub fn get(&self, index: usize) -> &CandidateSlot<M> {
+        &self.slots[index]
     }
 
-    /// The zone of a place.
+    /// The zone of a slot.
     pub fn zone(&self, index: usize) -> &str {
-        &self.zones[self.places[index].zone]
+        &self.zones[self.slots[index].zone]
     }
 
     /// Whether the image is there, and whether it is on its way.
     pub fn image(&self, index: usize, image: ImageKey) -> (bool, bool) {
-        let place = &self.places[index];
-        let there = self.images[place.images.0..place.images.1].contains(&image);
-        (there, !there && place.coming.contains(&image))
+        let slot = &self.slots[index];
+        let there = self.images[slot.images.0..slot.images.1].contains(&image);
+        (there, !there && slot.coming.contains(&image))
     }
 
-    /// Places looked at so far.
+    /// CandidateSlots looked at so far.
     pub fn looked(&self) -> u64 {
         self.looked
     }
 
     /// Whether a search has shown already that nothing so large has room. True
-    /// only if [`Places::fitting`] would be empty.
-    pub fn is_hopeless(&self, reach: &Reach, shape: &Shape) -> bool {
+    /// only if [`CandidateSlots::fitting`] would be empty.
+    pub fn is_hopeless(&self, locality: &Locality, shape: &Shape) -> bool {
         self.misses
             .iter()
-            .any(|m| is_within(&m.shape, shape) && m.reach == *reach)
+            .any(|m| is_within(&m.shape, shape) && m.locality == *locality)
     }
 
-    /// Places within reach that take a task of this shape, in the order in which
+    /// CandidateSlots within locality that take a task of this shape, in the order in which
     /// they were added. `allowed` leaves machines out for reasons of the job's
     /// own, which say nothing about other jobs.
     pub fn fitting(
         &mut self,
-        reach: &Reach,
+        locality: &Locality,
         shape: &Shape,
         mut allowed: impl FnMut(&M) -> bool,
     ) -> Vec<usize> {
-        self.looked += self.places.len() as u64;
+        self.looked += self.slots.len() as u64;
         let (mut found, mut barred) = (Vec::new(), false);
-        for (index, place) in self.places.iter().enumerate() {
-            if !shape.fits_in(&place.free)
-                || !reach.has(
-                    place.type_index,
-                    &self.zones[place.zone],
-                    place.spot,
-                    place.pledges,
+        for (index, slot) in self.slots.iter().enumerate() {
+            if !shape.fits_in(&slot.free)
+                || !locality.has(
+                    slot.type_index,
+                    &self.zones[slot.zone],
+                    slot.spot,
+                    slot.reservations,
                 )
             {
                 continue;
             }
-            if allowed(&place.machine) {
+            if allowed(&slot.machine) {
                 found.push(index);
             } else {
                 barred = true;
             }
         }
         if found.is_empty() && !barred {
-            self.missed(reach, shape);
+            self.missed(locality, shape);
         }
         found
     }
 
-    /// A search of the caller's own found no place within reach for this shape.
-    pub fn missed(&mut self, reach: &Reach, shape: &Shape) {
+    /// A search of the caller's own found no slot within locality for this shape.
+    pub fn missed(&mut self, locality: &Locality, shape: &Shape) {
         self.misses
-            .retain(|m| m.reach != *reach || !is_within(shape, &m.shape));
-        if self.misses.len() < MISSES_MOST {
+            .retain(|m| m.locality != *locality || !is_within(shape, &m.shape));
+        if self.misses.len() < MAX_MISSES {
             self.misses.push(Miss {
-                reach: reach.clone(),
+                locality: locality.clone(),
                 shape: *shape,
             });
         }
     }
 
-    /// Nothing more goes there in this pass.
+    /// Nothing more goes there in this cycle.
     pub fn close(&mut self, index: usize) {
-        let free = &mut self.places[index].free;
+        let free = &mut self.slots[index].free;
         for amount in [&mut free.cpus, &mut free.gpus, &mut free.memory_gb] {
             *amount = amount.min(0.0) - 1.0;
         }
@@ -243,10 +243,10 @@
 
     /// So many tasks go there, and their image with them.
     pub fn take(&mut self, index: usize, shape: &Shape, times: u32, image: ImageKey) {
-        let place = &mut self.places[index];
-        place.free.add(shape, -f64::from(times));
-        if !place.coming.contains(&image) {
-            place.coming.push(image);
+        let slot = &mut self.slots[index];
+        slot.free.add(shape, -f64::from(times));
+        if !slot.coming.contains(&image) {
+            slot.coming.push(image);
         }
     }
 }
--- a/crates/umbersail-rehearsal/tests/nights/teams_at_limits.rs
+++ b/crates/umbersail-rehearsal/tests/nights/teams_at_limits.rs
@@ -25,7 +25,7 @@
 const NEAR_TASKS: f64 = 5.0;
 /// A moment, in seconds.
 const MOMENT_S: f64 = 0.001;
-/// From a report that shows room to a start there: reports, a pass, records and what a
+/// From a report that shows room to a start there: reports, a cycle, records and what a
 /// machine fetches.
 const START_S: f64 = 6.0;
 
--- a/crates/umbersail-tuning/src/lib.rs
+++ b/crates/umbersail-tuning/src/lib.rs
@@ -157,18 +157,18 @@
         "Spot prices move slowly";
     rent_interval_s, "rental.interval_s", 1.0, 0.1..=60.0, "s",
         "How often rental is reconsidered: well below any boot time";
-    pass_interval_s, "schedule.interval_s", 0.05, 0.0..=5.0, "s",
-        "Placement passes are at least this far apart, so that a burst of reports costs one pass";
+    cycle_interval_s, "schedule.interval_s", 0.05, 0.0..=5.0, "s",
+        "Scheduling cycles are at least this far apart, so that a burst of reports costs one cycle";
     slice_s, "schedule.slice_s", 0.05, 0.001..=5.0, "s",
-        "A pass is cut short after the processor time that the controller's share gives in this long: reports, renewals and users come first, then it goes on";
+        "A cycle is cut short after the processor time that the controller's share gives in this long: reports, renewals and users come first, then it goes on";
     slice_pause_s, "schedule.slice_pause_s", 0.01, 0.0..=5.0, "s",
-        "Between two slices of a pass, for what came in meanwhile";
+        "Between two slices of a cycle, for what came in meanwhile";
     step_ns, "schedule.step_ns", 20.0, 1.0..=10000.0, "ns",
-        "What a step of a pass takes on a whole core: about one look at one machine, measured by the bench of passes";
+        "What a step of a cycle takes on a whole core: about one look at one machine, measured by the bench of scheduling cycles";
     order_keep_s, "schedule.order_keep_s", 0.2, 0.0..=5.0, "s",
-        "The order of waiting jobs serves further passes for this long unless a job begins to wait: slack shrinks for all of them alike";
+        "The order of waiting jobs serves further cycles for this long unless a job begins to wait: slack shrinks for all of them alike";
     launch_hold_s, "schedule.launch_hold_s", 0.3, 0.0..=3.0, "s",
-        "The reply to a report waits this long at most for a launch that is being planned or recorded: a pass and a write take less; the worker gives up after 4 s";
+        "The reply to a report waits this long at most for a launch that is being planned or recorded: a cycle and a write take less; the worker gives up after 4 s";
     increment_s, "schedule.nudge_s", 0.6, 0.1..=60.0, "s",
         "A machine with a launch ready is made to report if its next report is further off than this: a worker reports half a second after the last one at the earliest";
     pool_share, "schedule.pool_share", 0.85, 0.1..=2.0, "share",
