--- a/crates/umbersail-control/src/engine/mod.rs
+++ b/crates/umbersail-control/src/engine/mod.rs
@@ -6,7 +6,6 @@
 
 mod delegations;
 mod evict;
-mod floor;
 mod grant;
 mod job;
 mod machine;
@@ -16,6 +15,7 @@
 mod rental;
 mod report;
 mod schedule;
+mod starvation_guard;
 #[cfg(test)]
 mod tests;
 mod write;
@@ -25,14 +25,13 @@
 
 use tracing::{info, warn};
 use umbersail_cycle::PreemptibleJobs;
-use umbersail_policy::{Learner, Served, Shape, TeamLimits, Window};
+use umbersail_policy::{Learner, ServiceHistory, Shape, TeamLimits, Window};
 use umbersail_standby::{OrphanedAttempts, OrphanedJobs};
 use umbersail_tuning::Tuning;
 use umbersail_wire::{JobProgress, MachineType, Priority, RentRequest};
 
 use crate::records::{JobRecord, RunRecord};
 use delegations::Delegation;
-use floor::Floor;
 pub use grant::InheritedPart;
 use grant::Part;
 pub(crate) use job::{Job, Placement, Stop};
@@ -44,6 +43,7 @@
 pub(crate) use plans::reserve_facts;
 pub(crate) use report::split_task;
 use schedule::SchedulingCycle;
+use starvation_guard::StarvationGuard;
 pub use write::{PendingTxn, TxnOutcome};
 
 /// Names of jobs and machines are shared by many tables.
@@ -201,8 +201,8 @@
     /// What is left of a cycle that was cut short.
     unfinished_cycle: Option<SchedulingCycle>,
     cached_order: Option<CachedPriorityOrder>,
-    floor: Floor,
-    served: Served,
+    starvation_guard: StarvationGuard,
+    served: ServiceHistory,
     /// False once a cycle has found nothing waiting.
     may_wait: bool,
     /// Who may lose a task, as jobs come and go.
@@ -261,10 +261,10 @@
             schedule_wanted: true,
             unfinished_cycle: None,
             cached_order: None,
-            floor: Floor::default(),
-            served: Served::new(
+            starvation_guard: StarvationGuard::default(),
+            served: ServiceHistory::new(
                 2 * tuning.class_limit as usize,
-                tuning.floor_window_jobs as usize,
+                tuning.service_window_jobs as usize,
             ),
             may_wait: true,
             preemptible: PreemptibleJobs::default(),
@@ -468,7 +468,7 @@
         // What stands in them is by type, and types may have moved.
         self.unfinished_cycle = None;
         self.cached_order = None;
-        self.floor = Floor::default();
+        self.starvation_guard = StarvationGuard::default();
         self.schedule_wanted = true;
     }
 
@@ -522,7 +522,7 @@
         }
         self.jobs.insert(id.clone(), job);
         self.plan_for_job(now, &id);
-        self.begins_to_wait();
+        self.note_waiting();
     }
 
     /// The watch shows an accepted job.
@@ -630,7 +630,7 @@
     }
 
     /// Something may wait that did not: it has a place in the next cycle's order.
-    fn begins_to_wait(&mut self) {
+    fn note_waiting(&mut self) {
         self.may_wait = true;
         self.cached_order = None;
         self.schedule_wanted = true;
@@ -658,7 +658,7 @@
             && !job.done.contains(task)
         {
             job.returned.insert(task);
-            self.begins_to_wait();
+            self.note_waiting();
         }
         self.drop_if_over(id);
     }
@@ -683,7 +683,7 @@
                 self.drop_if_over(&id);
             }
         }
-        self.begins_to_wait();
+        self.note_waiting();
     }
 
     /// Whether tasks may be started before they are recorded, from now on.
@@ -851,7 +851,7 @@
             }
         }
         if rested {
-            self.begins_to_wait();
+            self.note_waiting();
         }
     }
 
--- a/crates/umbersail-control/src/engine/order.rs
+++ b/crates/umbersail-control/src/engine/order.rs
@@ -6,8 +6,8 @@
 use umbersail_policy::{Due, Shape, Usage, most_in_time, names_type};
 use umbersail_wire::{MachineType, Priority};
 
-use super::floor::Lifted;
 use super::schedule::ClusterSnapshot;
+use super::starvation_guard::BoostedJob;
 use super::{Engine, Job, Name, Time};
 
 /// The order of a cycle, which the next cycles take as it is for a moment.
@@ -54,7 +54,7 @@
     slack_s: Option<f64>,
     outlook: DeadlineOutlook,
     /// Its class, team or size has been served too little.
-    owed: bool,
+    underserved: bool,
 }
 
 /// Jobs that compete for the same machines.
@@ -117,18 +117,18 @@
             .is_some_and(|within| now - job.submitted < within)
     }
 
-    /// Most urgent first: tier, then what a guarantee covers, then what the floor
-    /// lifts, then what can still start in time, then what can end in time or soon
+    /// Most urgent first: tier, then what a guarantee covers, then what the starvation guard
+    /// boosts, then what can still start in time, then what can end in time or soon
     /// after (see `deadline_outlooks`), by the time it must start. What fails again and again
-    /// is last. Who is lifted to begin comes a second time, in its own place; and
-    /// who is lifted.
+    /// is last. Who is boosted to begin comes a second time, in its own place; and
+    /// who is boosted.
     pub(super) fn waiting_order(
         &self,
         now: Time,
         usage: &[Usage],
         fleet: &ClusterSnapshot,
-    ) -> (Vec<Name>, Vec<Lifted>) {
-        let owed_from = self.owed_from();
+    ) -> (Vec<Name>, Vec<BoostedJob>) {
+        let underserved_from = self.underserved_from();
         let waiting: Vec<Waiting> = self
             .jobs
             .iter()
@@ -138,21 +138,23 @@
                 job,
                 slack_s: self.slack_s(now, job),
                 outlook: DeadlineOutlook::InTime,
-                owed: self.is_owed(job, &owed_from),
+                underserved: self.is_underserved(job, &underserved_from),
             })
             .collect();
         let waiting = self.deadline_outlooks(waiting, fleet);
         let ids: Vec<&Name> = waiting.iter().map(|w| w.id).collect();
-        let mut lifted = self.lift(now, &ids, fleet);
-        let begins: BTreeSet<Name> = lifted.iter().map(|l| l.job.clone()).collect();
-        // Below a tier that is owed itself nobody is lifted for a share.
-        let owing = waiting.iter().filter(|w| w.owed);
-        let owing = owing.map(|w| w.job.spec.priority).max();
+        let mut boosted = self.boost(now, &ids, fleet);
+        let begins: BTreeSet<Name> = boosted.iter().map(|l| l.job.clone()).collect();
+        // Below a tier that is underserved itself nobody is boosted for a share.
+        let underserved_tier = waiting.iter().filter(|w| w.underserved);
+        let underserved_tier = underserved_tier.map(|w| w.job.spec.priority).max();
         let mut order: Vec<(QueuePosition, f64, &Name)> = Vec::with_capacity(waiting.len());
         for w in &waiting {
             let guaranteed = self.is_guaranteed(w.job, usage);
             let tier = w.job.spec.priority;
-            let owed = w.owed && w.outlook == DeadlineOutlook::InTime && Some(tier) == owing;
+            let underserved = w.underserved
+                && w.outlook == DeadlineOutlook::InTime
+                && Some(tier) == underserved_tier;
             let position = |boosted| QueuePosition {
                 trusted: !self.goes_last(w.job),
                 tier,
@@ -162,20 +164,20 @@
                 outlook: w.outlook,
             };
             let slack = w.slack_s.unwrap_or(1e9 - (now - w.job.submitted));
-            order.push((position(owed), slack, w.id));
+            order.push((position(underserved), slack, w.id));
             if begins.contains(w.id) {
                 order.push((position(true), slack, w.id));
             }
-            if owed {
-                lifted.push(Lifted {
+            if underserved {
+                boosted.push(BoostedJob {
                     job: w.id.clone(),
-                    owed,
+                    underserved,
                 });
             }
         }
         order.sort_by(|a, b| b.0.cmp(&a.0).then(a.1.total_cmp(&b.1)).then(a.2.cmp(b.2)));
         let order = order.into_iter().map(|(.., id)| id.clone()).collect();
-        (order, lifted)
+        (order, boosted)
     }
 
     pub(super) fn goes_last(&self, job: &Job) -> bool {
@@ -207,28 +209,33 @@
                 }
             }
         }
-        let owed_share = self.cfg.tuning.floor_share;
+        let underserved_share = self.cfg.tuning.starvation_cpu_share;
         for (pool, members) in pools {
-            let owed = members.iter().any(|i| waiting[*i].owed);
+            let underserved = members.iter().any(|i| waiting[*i].underserved);
             let teams = members.iter().map(|i| waiting[*i].job.team).collect();
             let allowed = self.allowed_cpus(pool.tier, &teams, &by_team);
-            let cpus = self.pool_cpus(&pool, fleet, &occupied, owed).min(allowed);
+            let cpus = self
+                .pool_cpus(&pool, fleet, &occupied, underserved)
+                .min(allowed);
             if cpus <= 0.0 {
                 continue;
             }
             let due = |index: &usize, times: f64| {
                 let Waiting {
-                    job, slack_s, owed, ..
+                    job,
+                    slack_s,
+                    underserved,
+                    ..
                 } = &waiting[*index];
                 let later = (times - 1.0) * job.spec.deadline_s.unwrap_or(0.0);
                 Due {
                     slack_s: slack_s.unwrap_or(0.0) + later,
                     work_s: f64::from(job.pending()) * job.shape.cpus * self.run_s(job) / cpus,
-                    owed: *owed,
+                    underserved: *underserved,
                 }
             };
             let first: Vec<Due> = members.iter().map(|i| due(i, 1.0)).collect();
-            let (in_time, busy_s) = most_in_time(&first, 0.0, owed_share);
+            let (in_time, busy_s) = most_in_time(&first, 0.0, underserved_share);
             let late: Vec<usize> = members
                 .iter()
                 .zip(&in_time)
@@ -241,7 +248,7 @@
                     due(i, self.cfg.late_aims.get(class).copied().unwrap_or(1.0))
                 })
                 .collect();
-            let (soon, _) = most_in_time(&second, busy_s, owed_share);
+            let (soon, _) = most_in_time(&second, busy_s, underserved_share);
             for (index, soon) in late.into_iter().zip(soon) {
                 waiting[index].outlook = if soon {
                     DeadlineOutlook::Soon
@@ -294,14 +301,14 @@
     }
 
     /// CPUs of a pool's machines, up or coming, less what upper tiers use that
-    /// does not go elsewhere; where somebody is owed no less than what may be
+    /// does not go elsewhere; where somebody is underserved no less than what may be
     /// kept for those.
     fn pool_cpus(
         &self,
         pool: &Pool,
         fleet: &ClusterSnapshot,
         occupied: &BTreeMap<Priority, f64>,
-        owed: bool,
+        underserved: bool,
     ) -> f64 {
         let (mut inside, mut outside) = (0.0, 0.0);
         for (&takes, &[ordinary, spot]) in pool.types.iter().zip(&fleet.cpus) {
@@ -318,8 +325,8 @@
             .filter(|(tier, _)| **tier > pool.tier)
             .map(|(_, cpus)| cpus)
             .sum();
-        let least = if owed {
-            inside * self.cfg.tuning.floor_share
+        let least = if underserved {
+            inside * self.cfg.tuning.starvation_cpu_share
         } else {
             f64::NEG_INFINITY
         };
@@ -344,14 +351,14 @@
         if let Some(kept) = &self.cached_order {
             return kept.clone();
         }
-        let (jobs, lifted) = self.waiting_order(now, usage, fleet);
+        let (jobs, boosted) = self.waiting_order(now, usage, fleet);
         let jobs: Vector<Name> = jobs.into_iter().collect();
         let order = CachedPriorityOrder {
             at: now,
             reserved: self.reserved_types(&jobs),
             jobs,
         };
-        self.renew_floor(now, lifted, &order.reserved, usage, fleet);
+        self.renew_starvation_guard(now, boosted, &order.reserved, usage, fleet);
         self.cached_order = Some(order.clone());
         order
     }
--- a/crates/umbersail-control/src/engine/plans/calendar.rs
+++ b/crates/umbersail-control/src/engine/plans/calendar.rs
@@ -164,7 +164,7 @@
             job.blocked = reason;
         } else if released {
             job.blocked = "not yet looked at";
-            self.begins_to_wait();
+            self.note_waiting();
         }
     }
 
--- a/crates/umbersail-control/src/engine/plans/reserve.rs
+++ b/crates/umbersail-control/src/engine/plans/reserve.rs
@@ -430,7 +430,7 @@
             changed |= std::mem::replace(&mut job.reservations, reservations) != reservations;
         }
         if changed {
-            self.begins_to_wait();
+            self.note_waiting();
         }
     }
 
--- a/crates/umbersail-control/src/engine/rental.rs
+++ b/crates/umbersail-control/src/engine/rental.rs
@@ -476,8 +476,8 @@
                 continue;
             }
             let turns = self.turns(now, job);
-            // The task with which a lifted job begins does not wait for a turn.
-            let begins = u32::from(waiting > 0 && self.is_lifted_to_begin(id, job)).min(tasks);
+            // The task with which a boosted job begins does not wait for a turn.
+            let begins = u32::from(waiting > 0 && self.is_boosted_to_start(id, job)).min(tasks);
             // By what tells demands apart: every job may have a shape of its own.
             let bits = |amount: f64| amount.to_bits();
             let key = (
--- a/crates/umbersail-control/src/engine/report.rs
+++ b/crates/umbersail-control/src/engine/report.rs
@@ -383,14 +383,14 @@
                 "runs"
             );
             if let Some(waited_s) = job.begins(now, ours)
-                && waited_s >= self.cfg.tuning.floor_near_s
+                && waited_s >= self.cfg.tuning.starvation_wait_s
             {
                 info!(
                     job = &**id,
                     class = job.spec.class,
                     cpus = job.size(),
                     waited_s = waited_s as u64,
-                    "begins late"
+                    "starts late"
                 );
             }
             let (image, size) = (job.image, job.spec.image_gb);
--- a/crates/umbersail-control/src/engine/schedule.rs
+++ b/crates/umbersail-control/src/engine/schedule.rs
@@ -156,7 +156,7 @@
             }
         };
         let looked = fleet.looked();
-        let placed = self.serve_floor(now, &cycle.reserved, &mut usage, &mut fleet);
+        let placed = self.fill_held_slots(now, &cycle.reserved, &mut usage, &mut fleet);
         steps.spend(fleet.looked() - looked + placed * Steps::TASK);
         while !steps.is_over()
             && let Some(id) = cycle.queue.next_waiting()
@@ -414,9 +414,9 @@
             return (0, false);
         }
         let locality = self.locality(job, slice.reserved);
-        // A job comes twice if the floor lifts it: first for the task with which
+        // A job comes twice if the starvation guard boosts it: first for the task with which
         // it begins, then in its own place.
-        let begins = self.is_lifted_to_begin(id, job);
+        let begins = self.is_boosted_to_start(id, job);
         let wanted = job.startable().min(if begins { 1 } else { u32::MAX });
         let mut choice = PlacementDecision {
             wanted,
@@ -455,7 +455,7 @@
             }
         }
         if begins && placed > 0 {
-            self.note_beginning(id);
+            self.note_starting(id);
         }
         let PlacementDecision {
             wanted,
--- a/crates/umbersail-control/src/engine/floor.rs
+++ b/crates/umbersail-control/src/engine/starvation_guard.rs
@@ -1,8 +1,8 @@
-//! The floor under the order of starts: whom it lifts, and the places kept for them.
+//! The starvation guard of the priority order: whom it boosts, and the places held_slots for them.
 //!
 //! Nothing of it is recorded. Since when a job waits, and whether anything of it may
 //! have begun, follow from its own record and that of its progress, so a successor
-//! finds the same debt. The floor plans as any cycle does: no place is kept or taken
+//! finds the same debt. The starvation guard plans as any cycle does: no place is held_slots or taken
 //! on a machine that does not take tasks, a launch is told only once its record
 //! stands, and every machine that could hold the task is accounted for (rules 3 and
 //! 4). It stops nobody.
@@ -10,53 +10,53 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 use tracing::info;
-use umbersail_policy::{Shape, Unbegun, Usage, free_in_s, lifted, quota_room};
+use umbersail_policy::{Shape, UnstartedJob, Usage, boosted_jobs, free_in_s, quota_room};
 use umbersail_wire::Priority;
 
 use super::schedule::ClusterSnapshot;
 use super::{Engine, Job, Name, Time};
 
 /// CandidateSlots that one order may begin to keep: each looks at every machine.
-const KEEP_PER_ORDER: usize = 4;
+const MAX_NEW_HELD_SLOTS: usize = 4;
 
-/// What the floor holds from one cycle to the next.
+/// What the starvation guard holds from one cycle to the next.
 #[derive(Default)]
-pub(super) struct Floor {
-    /// CandidateSlots kept, in the order in which they were given; bounded by the share of
-    /// each type that may be kept.
-    kept: Vec<Kept>,
-    /// Whom it lifts by the newest order, and whether it is owed in full; bounded by
+pub(super) struct StarvationGuard {
+    /// CandidateSlots held_slots, in the order in which they were given; bounded by the share of
+    /// each type that may be held_slots.
+    held_slots: Vec<HeldSlot>,
+    /// Whom it boosts by the newest order, and whether it is underserved in full; bounded by
     /// the share of the fleet that those take.
-    lifted: BTreeMap<Name, bool>,
-    /// Jobs that began by being lifted, with the task that made them begin, until
+    boosted: BTreeMap<Name, bool>,
+    /// Jobs that began by being boosted, with the task that made them begin, until
     /// that task ends; bounded by the same share. A successor starts with none.
-    beginning: BTreeMap<Name, u32>,
+    starting: BTreeMap<Name, u32>,
 }
 
 /// Room on a machine that falls free for one task of a job.
 #[derive(Debug, Clone, PartialEq)]
-struct Kept {
+struct HeldSlot {
     job: Name,
     machine: Name,
     type_index: usize,
     cpus: f64,
-    owed: bool,
+    underserved: bool,
     /// Then the room should have been free for long: another is chosen.
     until: Time,
 }
 
 /// A job that goes first in its tier.
 #[derive(Debug, Clone, PartialEq)]
-pub(super) struct Lifted {
+pub(super) struct BoostedJob {
     pub job: Name,
     /// Its class, team or size is served too little: all its tasks go first, not
     /// only the one with which it begins.
-    pub owed: bool,
+    pub underserved: bool,
 }
 
 impl Job {
     /// Nothing of it has run, and nothing is on its way to.
-    pub(super) fn is_unbegun(&self) -> bool {
+    pub(super) fn is_unstarted(&self) -> bool {
         self.live.is_empty() && self.recovery_pending.is_empty() && !self.has_begun
     }
 
@@ -74,91 +74,95 @@
 impl Engine {
     /// Of the jobs that wait, those of which nothing has begun for so long that they
     /// go first in their tier, each with one task.
-    pub(super) fn lift(
+    pub(super) fn boost(
         &self,
         now: Time,
         waiting: &[&Name],
         fleet: &ClusterSnapshot,
-    ) -> Vec<Lifted> {
+    ) -> Vec<BoostedJob> {
         let tuning = &self.cfg.tuning;
-        let mut by_tier: BTreeMap<Priority, (Vec<&Name>, Vec<Unbegun<_>>)> = BTreeMap::new();
+        let mut by_tier: BTreeMap<Priority, (Vec<&Name>, Vec<UnstartedJob<_>>)> = BTreeMap::new();
         for id in waiting {
             let Some(job) = self.jobs.get(*id) else {
                 continue;
             };
             let waited_s = now - job.submitted;
-            if !job.is_unbegun() || waited_s < tuning.floor_near_s || self.goes_last(job) {
+            if !job.is_unstarted() || waited_s < tuning.starvation_wait_s || self.goes_last(job) {
                 continue;
             }
-            let unbegun = Unbegun {
+            let unstarted = UnstartedJob {
                 group: job.team,
                 waited_s,
                 cpus: job.shape.cpus,
             };
             let (ids, members) = by_tier.entry(job.spec.priority).or_default();
             ids.push(id);
-            members.push(unbegun);
+            members.push(unstarted);
         }
         let fleet_cpus = fleet.cpus.iter().flatten().sum::<f64>();
         let mut out = Vec::new();
-        for (tier, (ids, unbegun)) in by_tier.into_iter().rev() {
-            let teams: BTreeSet<_> = unbegun.iter().map(|u| u.group).collect();
+        for (tier, (ids, unstarted)) in by_tier.into_iter().rev() {
+            let teams: BTreeSet<_> = unstarted.iter().map(|u| u.group).collect();
             let limits: f64 = teams.into_iter().map(|team| self.limit_cpus(team)).sum();
-            let share_cpus = fleet_cpus.min(limits) * tuning.floor_share;
-            let busy_cpus = self.beginning_cpus(tier);
-            let of_tier = lifted(&unbegun, tuning.floor_near_s, share_cpus, busy_cpus);
-            out.extend(of_tier.into_iter().map(|index| Lifted {
+            let share_cpus = fleet_cpus.min(limits) * tuning.starvation_cpu_share;
+            let busy_cpus = self.starting_cpus(tier);
+            let of_tier = boosted_jobs(&unstarted, tuning.starvation_wait_s, share_cpus, busy_cpus);
+            out.extend(of_tier.into_iter().map(|index| BoostedJob {
                 job: ids[index].clone(),
-                owed: false,
+                underserved: false,
             }));
         }
         out
     }
 
     /// CPUs of a tier's tasks that run, or are about to, because their jobs were
-    /// lifted to begin.
-    fn beginning_cpus(&self, tier: Priority) -> f64 {
+    /// boosted to begin.
+    fn starting_cpus(&self, tier: Priority) -> f64 {
         let cpus = |(id, task): (&Name, &u32)| {
             let job = self.jobs.get(id)?;
             let counts = job.spec.priority == tier && job.live.contains_key(task);
             counts.then_some(job.shape.cpus)
         };
-        self.floor.beginning.iter().filter_map(cpus).sum()
+        self.starvation_guard.starting.iter().filter_map(cpus).sum()
     }
 
-    /// A lifted job was placed with the task that makes it begin.
-    pub(super) fn note_beginning(&mut self, id: &Name) {
+    /// A boosted job was placed with the task that makes it begin.
+    pub(super) fn note_starting(&mut self, id: &Name) {
         let task = self
             .jobs
             .get(id)
             .and_then(|j| j.live.keys().next().copied());
         if let Some(task) = task {
-            self.floor.beginning.insert(id.clone(), task);
+            self.starvation_guard.starting.insert(id.clone(), task);
         }
     }
 
-    /// A new order: whom it lifts, and places for those of them that have none. What
+    /// A new order: whom it boosts, and places for those of them that have none. What
     /// an upper tier's tasks fill again one by one never falls free for a large
-    /// task of a lower tier, so a kept place is closed to all others. The lowest
-    /// tier goes first among its own, and has nothing kept from others.
-    pub(super) fn renew_floor(
+    /// task of a lower tier, so a held_slots place is closed to all others. The lowest
+    /// tier goes first among its own, and has nothing held_slots from others.
+    pub(super) fn renew_starvation_guard(
         &mut self,
         now: Time,
-        lifted: Vec<Lifted>,
+        boosted: Vec<BoostedJob>,
         reserved: &BTreeMap<Priority, Vec<f64>>,
         usage: &[Usage],
         fleet: &ClusterSnapshot,
     ) {
         let jobs = &self.jobs;
-        self.floor
-            .beginning
+        self.starvation_guard
+            .starting
             .retain(|id, task| jobs.get(id).is_some_and(|j| j.live.contains_key(task)));
-        self.floor.lifted.clear();
-        for Lifted { job, owed } in &lifted {
-            *self.floor.lifted.entry(job.clone()).or_default() |= owed;
+        self.starvation_guard.boosted.clear();
+        for BoostedJob { job, underserved } in &boosted {
+            *self
+                .starvation_guard
+                .boosted
+                .entry(job.clone())
+                .or_default() |= underserved;
         }
-        let mut kept = std::mem::take(&mut self.floor.kept);
-        kept.retain(|k| self.is_kept(now, k));
+        let mut held_slots = std::mem::take(&mut self.starvation_guard.held_slots);
+        held_slots.retain(|k| self.is_held(now, k));
         // What is about as small as all that goes before it takes any place that falls
         // free: for that to go first is enough.
         let mut least: BTreeMap<Priority, f64> = BTreeMap::new();
@@ -167,17 +171,21 @@
             *least = least.min(job.shape.cpus);
         }
         let mut new = 0;
-        for Lifted { job: id, owed } in &lifted {
-            if new >= KEEP_PER_ORDER {
+        for BoostedJob {
+            job: id,
+            underserved,
+        } in &boosted
+        {
+            if new >= MAX_NEW_HELD_SLOTS {
                 break;
             }
             let Some(job) = self.jobs.get(id) else {
                 continue;
             };
-            let has = kept.iter().filter(|k| k.job == *id).count() as u32;
+            let has = held_slots.iter().filter(|k| k.job == *id).count() as u32;
             let most = match () {
-                () if *owed && job.is_loose() => job.startable(),
-                () => u32::from(job.is_unbegun()),
+                () if *underserved && job.is_loose() => job.startable(),
+                () => u32::from(job.is_unstarted()),
             };
             let tier = job.spec.priority;
             let barred = tier == Priority::Low
@@ -196,33 +204,33 @@
             };
             new += 1;
             self.steps += self.machines.len() as u64;
-            if let Some(place) = self.soonest(now, id, *owed, reserved, &kept, fleet) {
-                if !owed {
+            if let Some(place) = self.soonest(now, id, *underserved, reserved, &held_slots, fleet) {
+                if !underserved {
                     info!(
                         job = &**id,
                         machine = &*place.machine,
                         waited_s = (now - job.submitted) as u64,
                         cpus = job.shape.cpus,
-                        "a place is kept until it begins"
+                        "a place is held_slots until it begins"
                     );
                 }
-                kept.push(place);
+                held_slots.push(place);
             }
         }
-        self.floor.kept = kept;
+        self.starvation_guard.held_slots = held_slots;
     }
 
-    /// Whether a place is kept any longer.
-    fn is_kept(&self, now: Time, kept: &Kept) -> bool {
-        let job = self.jobs.get(&kept.job).filter(|j| j.waits());
-        let machine = self.machines.get(&kept.machine);
-        now < kept.until
+    /// Whether a place is held_slots any longer.
+    fn is_held(&self, now: Time, held_slots: &HeldSlot) -> bool {
+        let job = self.jobs.get(&held_slots.job).filter(|j| j.waits());
+        let machine = self.machines.get(&held_slots.machine);
+        now < held_slots.until
             && machine.is_some_and(|m| m.takes_tasks(now, self.silent_after()))
             && job.is_some_and(|j| {
                 // Chosen once, it is not given up for a moment in which the choice
                 // of who is in time falls on others.
                 let in_time = || self.slack_s(now, j).is_some_and(|s| s >= 0.0);
-                j.is_unbegun() || (kept.owed && j.is_loose() && in_time())
+                j.is_unstarted() || (held_slots.underserved && j.is_loose() && in_time())
             })
     }
 
@@ -231,20 +239,20 @@
         &self,
         now: Time,
         id: &Name,
-        owed: bool,
+        underserved: bool,
         reserved: &[f64],
-        kept: &[Kept],
+        held_slots: &[HeldSlot],
         fleet: &ClusterSnapshot,
-    ) -> Option<Kept> {
+    ) -> Option<HeldSlot> {
         let job = self.jobs.get(id)?;
-        let share = self.cfg.tuning.floor_share;
+        let share = self.cfg.tuning.starvation_cpu_share;
         let mut held = vec![0.0; self.types.len()];
-        for k in kept {
+        for k in held_slots {
             held[k.type_index] += k.cpus;
         }
         let locality = self.locality(job, reserved);
         let silent_after = self.silent_after();
-        let mut best: Option<(f64, Kept)> = None;
+        let mut best: Option<(f64, HeldSlot)> = None;
         for machine in self.machines.values() {
             let Some(index) = machine.type_index else {
                 continue;
@@ -261,7 +269,7 @@
                 continue;
             }
             let mut others = Shape::default();
-            for k in kept.iter().filter(|k| k.machine == machine.name) {
+            for k in held_slots.iter().filter(|k| k.machine == machine.name) {
                 if let Some(other) = self.jobs.get(&k.job) {
                     others.add(&other.shape, 1.0);
                 }
@@ -290,12 +298,12 @@
                 continue;
             };
             if best.as_ref().is_none_or(|(least, _)| wait_s < *least) {
-                let place = Kept {
+                let place = HeldSlot {
                     job: id.clone(),
                     machine: machine.name.clone(),
                     type_index: index,
                     cpus: job.shape.cpus,
-                    owed,
+                    underserved,
                     until: now + 2.0 * wait_s + self.cfg.lease_s,
                 };
                 best = Some((wait_s, place));
@@ -304,26 +312,26 @@
         best.map(|(_, place)| place)
     }
 
-    /// Before a slice: what has its kept place free is placed, and the others'
+    /// Before a slice: what has its held_slots place free is placed, and the others'
     /// places are closed to all. A job whose team's guarantee covers it waits for no
     /// other team, so nothing is closed while one does. How many were placed.
-    pub(super) fn serve_floor(
+    pub(super) fn fill_held_slots(
         &mut self,
         now: Time,
         reserved: &BTreeMap<Priority, Vec<f64>>,
         usage: &mut [Usage],
         fleet: &mut ClusterSnapshot,
     ) -> u64 {
-        let kept = std::mem::take(&mut self.floor.kept);
-        if kept.is_empty() {
+        let held_slots = std::mem::take(&mut self.starvation_guard.held_slots);
+        if held_slots.is_empty() {
             return 0;
         }
         let guaranteed = self.cfg.teams.iter().any(|t| t.has_guarantee())
             && (self.jobs.values()).any(|j| j.waits() && self.is_guaranteed(j, usage));
         let mut left = Vec::new();
         let mut placed = 0;
-        for place in &kept {
-            if !self.is_kept(now, place) {
+        for place in &held_slots {
+            if !self.is_held(now, place) {
                 continue;
             }
             let Some(job) = self.jobs.get(&place.job) else {
@@ -336,7 +344,7 @@
                 continue;
             };
             let locality = self.locality(job, reserved);
-            let others = |m: &Name| kept.iter().any(|k| k.machine == *m);
+            let others = |m: &Name| held_slots.iter().any(|k| k.machine == *m);
             let allowed =
                 |m: &Name| !job.error_machines.contains(m) && (*m == place.machine || !others(m));
             let found = fleet.places.fitting(&locality, &job.shape, allowed);
@@ -349,21 +357,21 @@
                 continue;
             };
             let machine = fleet.places.get(index).machine.clone();
-            let begins = job.is_unbegun();
+            let begins = job.is_unstarted();
             fleet.places.take(index, &job.shape, 1, job.image);
             self.place(now, &place.job, &machine, usage);
             if begins {
-                self.note_beginning(&place.job);
+                self.note_starting(&place.job);
             }
             placed += 1;
         }
-        self.floor.kept = left;
+        self.starvation_guard.held_slots = left;
         placed
     }
 
-    /// Whether the floor lifts this job for the one task with which it begins.
-    pub(super) fn is_lifted_to_begin(&self, id: &Name, job: &Job) -> bool {
-        job.is_unbegun() && self.floor.lifted.get(id) == Some(&false)
+    /// Whether the starvation guard boosts this job for the one task with which it begins.
+    pub(super) fn is_boosted_to_start(&self, id: &Name, job: &Job) -> bool {
+        job.is_unstarted() && self.starvation_guard.boosted.get(id) == Some(&false)
     }
 
     /// Jobs with a deadline that can't be in time any more: each counts once against
@@ -398,19 +406,22 @@
         }
     }
 
-    /// From which size on jobs are owed, by class and team.
-    pub(super) fn owed_from(&self) -> BTreeMap<String, f64> {
+    /// From which size on jobs are underserved, by class and team.
+    pub(super) fn underserved_from(&self) -> BTreeMap<String, f64> {
         let tuning = &self.cfg.tuning;
-        let least = tuning.floor_least_jobs as usize;
-        let from = |name: &str| self.served.owed_from(name, tuning.floor_served, least);
+        let least = tuning.service_min_jobs as usize;
+        let from = |name: &str| {
+            self.served
+                .underserved_from(name, tuning.underserved_share_below, least)
+        };
         let names = self.served.names();
         names
             .filter_map(|name| Some((name.to_owned(), from(name)?)))
             .collect()
     }
 
-    /// Whether the job's class, size or team is owed.
-    pub(super) fn is_owed(&self, job: &Job, from: &BTreeMap<String, f64>) -> bool {
+    /// Whether the job's class, size or team is underserved.
+    pub(super) fn is_underserved(&self, job: &Job, from: &BTreeMap<String, f64>) -> bool {
         let size = job.size();
         !from.is_empty()
             && job.spec.deadline_s.is_some()
--- a/crates/umbersail-control/src/engine/tests/cycles.rs
+++ b/crates/umbersail-control/src/engine/tests/cycles.rs
@@ -97,7 +97,7 @@
                 Due {
                     slack_s: self.slack_s(now, j).unwrap() + later,
                     work_s: work / cpus,
-                    owed: false,
+                    underserved: false,
                 }
             };
             let first: Vec<Due> = members.iter().map(|id| due(id, 1.0)).collect();
--- a/crates/umbersail-control/src/engine/tests/reserve.rs
+++ b/crates/umbersail-control/src/engine/tests/reserve.rs
@@ -249,7 +249,7 @@
 }
 
 #[test]
-fn what_has_waited_for_the_floor_is_lent_an_idle_machine_and_that_one_replaced() {
+fn what_has_waited_for_the_starvation_limit_is_lent_an_idle_machine_and_that_one_replaced() {
     // Guards against a reservation that keeps a job waiting for ever.
     let mut place = Place::new(entries(""));
     let (mut engine, mut workers) = place.opened();
--- a/crates/umbersail-control/src/engine/tests/floor.rs
+++ b/crates/umbersail-control/src/engine/tests/starvation_guard.rs
@@ -1,4 +1,4 @@
-//! The floor against upper tiers that never rest, and over a take-over.
+//! The starvation guard against upper tiers that never rest, and over a take-over.
 
 use super::*;
 
@@ -52,7 +52,7 @@
         "{first:?}"
     );
     assert_eq!(told, 1, "what has begun waits in its own place");
-    // Its first task ends: the upper tier goes first again, the floor owes nothing.
+    // Its first task ends: the upper tier goes first again, the starvation guard owes nothing.
     worker.exit("large/0", None, ExitCause::Done);
     let (first, _) = play(&mut engine, &mut worker, 240, 500, "large/");
     assert_eq!(first, None);
@@ -60,7 +60,7 @@
 
 #[test]
 fn in_a_lasting_overload_jobs_that_have_begun_are_also_completed() {
-    // Guards against a floor that begins one job after the other and completes none:
+    // Guards against a starvation guard that begins one job after the other and completes none:
     // four places that fall free one after the other, tasks of a minute, and forty
     // jobs of two tasks that are all late.
     const TASK_S: u32 = 60;
@@ -95,16 +95,16 @@
         commit(&mut engine, now);
     }
     let done = JOBS - engine.jobs.len();
-    let unbegun = engine.jobs.values().filter(|j| j.is_unbegun()).count();
+    let unstarted = engine.jobs.values().filter(|j| j.is_unstarted()).count();
     // Places for 18 jobs; every fourth goes to a job that has not begun.
     assert!(done >= 14, "{done} of {JOBS} jobs are done");
-    assert!(unbegun <= 22, "{unbegun} of {JOBS} have not begun");
+    assert!(unstarted <= 22, "{unstarted} of {JOBS} have not begun");
 }
 
 #[test]
 fn a_successor_finds_the_debt_that_was_and_none_that_was_paid() {
     // Guards against a debt that a take-over forgets, or pays twice.
-    let mut lifted = Vec::new();
+    let mut boosted = Vec::new();
     for running in [0, 1] {
         let inherited = |spec: JobSpec, run| InheritedJob {
             record: record(spec),
@@ -130,9 +130,9 @@
         );
         let mut worker = ready_worker(&mut engine, "m1", "a");
         let (first, _) = play(&mut engine, &mut worker, 1, 90, "large/");
-        lifted.push(first.is_some());
+        boosted.push(first.is_some());
     }
-    assert_eq!(lifted, [true, false]);
+    assert_eq!(boosted, [true, false]);
 }
 
 #[test]
@@ -231,7 +231,7 @@
 /// default none are.
 fn served(share: f64) -> Engine {
     let tuning = Tuning {
-        floor_served: share,
+        underserved_share_below: share,
         ..Tuning::default()
     };
     let cfg = config(vec![team(0.0, 0.0)], tuning);
--- a/crates/umbersail-policy/src/lib.rs
+++ b/crates/umbersail-policy/src/lib.rs
@@ -5,18 +5,17 @@
 mod bitmap;
 mod evict;
 mod first_fit;
-mod floor;
 mod learn;
 mod order;
 mod place;
 mod quota;
 mod rent;
 mod shape;
+mod starvation;
 
 pub use bitmap::{Bitmap, BitmapError};
 pub use evict::{Host, Preference, Running, Selection, candidate_sets, choose, select_victims};
 pub use first_fit::FirstFit;
-pub use floor::{Served, Unbegun, free_in_s, lifted};
 pub use learn::{ClassStats, Learner, Window};
 pub use order::{Due, most_in_time};
 pub use place::{
@@ -26,3 +25,4 @@
 pub use quota::{TeamLimits, Usage, quota_room};
 pub use rent::{Demand, FleetMachine, IdleLimits, Plan, Purchase, plan_rental};
 pub use shape::Shape;
+pub use starvation::{ServiceHistory, UnstartedJob, boosted_jobs, free_in_s};
--- a/crates/umbersail-policy/src/order.rs
+++ b/crates/umbersail-policy/src/order.rs
@@ -9,7 +9,7 @@
     /// Seconds that the machines it may use need for what it waits with.
     pub work_s: f64,
     /// Its class, team or size has been served too little: it gives way last.
-    pub owed: bool,
+    pub underserved: bool,
 }
 
 #[derive(Debug, PartialEq)]
@@ -39,25 +39,25 @@
 /// by the time they must start, and whenever one would come too late, the one
 /// with the most work of those before it gives way (Moore and Hodgson). By
 /// deadline alone, an overload makes every job come just too late. Of those who
-/// are owed, as many as come in time with `owed_share` of the machines give way to
+/// are underserved, as many as come in time with `underserved_share` of the machines give way to
 /// nobody: by work alone the largest never end in time.
 ///
 /// `busy_s` is how long the machines are taken by what goes before all of
 /// them. Returns who is served in time, in the order given, and the seconds
 /// that those take together with `busy_s`.
-pub fn most_in_time(jobs: &[Due], busy_s: f64, owed_share: f64) -> (Vec<bool>, f64) {
-    let owed: Vec<usize> = (0..jobs.len()).filter(|i| jobs[*i].owed).collect();
+pub fn most_in_time(jobs: &[Due], busy_s: f64, underserved_share: f64) -> (Vec<bool>, f64) {
+    let underserved: Vec<usize> = (0..jobs.len()).filter(|i| jobs[*i].underserved).collect();
     let mut firm = vec![false; jobs.len()];
-    if !owed.is_empty() && owed_share > 0.0 {
-        let alone: Vec<Due> = owed
+    if !underserved.is_empty() && underserved_share > 0.0 {
+        let alone: Vec<Due> = underserved
             .iter()
             .map(|i| Due {
-                work_s: jobs[*i].work_s / owed_share,
+                work_s: jobs[*i].work_s / underserved_share,
                 ..jobs[*i]
             })
             .collect();
         let (kept, _) = give_way(&alone, &vec![false; alone.len()], busy_s);
-        for (index, kept) in owed.into_iter().zip(kept) {
+        for (index, kept) in underserved.into_iter().zip(kept) {
             firm[index] = kept;
         }
     }
@@ -101,7 +101,7 @@
         Due {
             slack_s,
             work_s,
-            owed: false,
+            underserved: false,
         }
     }
 
@@ -130,18 +130,18 @@
         // Guards against a class whose largest jobs are never in time: they have
         // the most work, so by work alone each of them gives way.
         let mut jobs = [due(10.0, 9.0), due(11.0, 2.0), due(12.0, 3.0)];
-        jobs[0].owed = true;
+        jobs[0].underserved = true;
         assert_eq!(most_in_time(&jobs, 0.0, 1.0).0, [true, true, false]);
         // It gets no more than its share of the machines.
         assert_eq!(most_in_time(&jobs, 0.0, 0.5).0, [false, true, true]);
-        jobs[1].owed = true;
-        jobs[2].owed = true;
+        jobs[1].underserved = true;
+        jobs[2].underserved = true;
         assert_eq!(most_in_time(&jobs, 0.0, 1.0).0, [false, true, true]);
-        // What can't be in time takes no one's place for being owed.
+        // What can't be in time takes no one's place for being underserved.
         let late = [
             due(4.0, 3.0),
             Due {
-                owed: true,
+                underserved: true,
                 ..due(5.0, 9.0)
             },
         ];
--- a/crates/umbersail-policy/src/floor.rs
+++ b/crates/umbersail-policy/src/starvation.rs
@@ -1,10 +1,10 @@
-//! The floor under the order of starts: no job waits without end for being large.
+//! The starvation guard of the priority order: no job waits without end for being large.
 
 use std::collections::{BTreeMap, VecDeque};
 
-/// A job of which nothing has begun, as the floor sees it.
+/// A job of which nothing has begun, as the starvation guard sees it.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Unbegun<G> {
+pub struct UnstartedJob<G> {
     /// Who takes turns: whoever floods waits behind its own.
     pub group: G,
     /// Seconds since it was first accepted.
@@ -13,15 +13,15 @@
     pub cpus: f64,
 }
 
-/// Which of these the floor lifts, in the order given: those that have waited for
+/// Which of these the starvation guard boosts, in the order given: those that have waited for
 /// `near_s`, the groups in turn and in each the longest waiting first, as far as
-/// `share_cpus` go less the `busy_cpus` that tasks lifted before still take: else in a
+/// `share_cpus` go less the `busy_cpus` that tasks boosted before still take: else in a
 /// lasting overload every place would begin another job and none would end. The
 /// first always if none of those runs, however small the share: else the largest
 /// task of all would wait for ever. One task each, so a job of many small tasks
 /// gains no more than a small job.
-pub fn lifted<G: Ord>(
-    jobs: &[Unbegun<G>],
+pub fn boosted_jobs<G: Ord>(
+    jobs: &[UnstartedJob<G>],
     near_s: f64,
     share_cpus: f64,
     busy_cpus: f64,
@@ -52,7 +52,7 @@
     chosen
 }
 
-fn longest_first<G>(jobs: &[Unbegun<G>], a: usize, b: usize) -> std::cmp::Ordering {
+fn longest_first<G>(jobs: &[UnstartedJob<G>], a: usize, b: usize) -> std::cmp::Ordering {
     let waited = |index: usize| jobs[index].waited_s;
     waited(b).total_cmp(&waited(a)).then(a.cmp(&b))
 }
@@ -75,23 +75,23 @@
 
 /// How a job fared against its deadline.
 #[derive(Debug, Clone, Copy, PartialEq)]
-struct Fate {
+struct DeadlineOutcome {
     size: f64,
     in_time: bool,
 }
 
 /// Who of late was served in time, by class and size and by team, in bounded memory.
 #[derive(Debug)]
-pub struct Served {
-    groups: BTreeMap<String, VecDeque<Fate>>,
+pub struct ServiceHistory {
+    groups: BTreeMap<String, VecDeque<DeadlineOutcome>>,
     most: usize,
     window: usize,
 }
 
-impl Served {
+impl ServiceHistory {
     /// For so many names at most, of each the last `window` jobs.
-    pub fn new(most: usize, window: usize) -> Served {
-        Served {
+    pub fn new(most: usize, window: usize) -> ServiceHistory {
+        ServiceHistory {
             groups: BTreeMap::new(),
             most: most.max(1),
             window: window.max(1),
@@ -107,11 +107,11 @@
             }
             self.groups.insert(name.to_owned(), VecDeque::new());
         }
-        if let Some(fates) = self.groups.get_mut(name) {
-            if fates.len() >= self.window {
-                fates.pop_front();
+        if let Some(outcomes) = self.groups.get_mut(name) {
+            if outcomes.len() >= self.window {
+                outcomes.pop_front();
             }
-            fates.push_back(Fate { size, in_time });
+            outcomes.push_back(DeadlineOutcome { size, in_time });
         }
     }
 
@@ -120,18 +120,18 @@
         self.groups.keys().map(String::as_str)
     }
 
-    /// From which size on jobs by this name are owed, if any are: fewer than `near`
+    /// From which size on jobs by this name are underserved, if any are: fewer than `near`
     /// of all were served, or of the largest quarter or tenth. Silent until
     /// `least` such jobs are known.
-    pub fn owed_from(&self, name: &str, near: f64, least: usize) -> Option<f64> {
-        let fates = self.groups.get(name)?;
-        let mut sizes: Vec<f64> = fates.iter().map(|f| f.size).collect();
+    pub fn underserved_from(&self, name: &str, near: f64, least: usize) -> Option<f64> {
+        let outcomes = self.groups.get(name)?;
+        let mut sizes: Vec<f64> = outcomes.iter().map(|f| f.size).collect();
         sizes.sort_by(|a, b| b.total_cmp(a));
         [1.0, 0.25, 0.1].iter().find_map(|part| {
             let count = (sizes.len() as f64 * part).ceil() as usize;
             let from = *sizes.get(count.max(1) - 1)?;
             // Those at the edge that are alike belong together.
-            let of: Vec<&Fate> = fates.iter().filter(|f| f.size >= from).collect();
+            let of: Vec<&DeadlineOutcome> = outcomes.iter().filter(|f| f.size >= from).collect();
             let in_time = of.iter().filter(|f| f.in_time).count();
             let few = of.len() >= least && (in_time as f64) < near * of.len() as f64;
             few.then_some(if *part < 1.0 { from } else { 0.0 })
@@ -143,8 +143,8 @@
 mod tests {
     use super::*;
 
-    fn unbegun(group: u32, waited_s: f64, cpus: f64) -> Unbegun<u32> {
-        Unbegun {
+    fn unstarted(group: u32, waited_s: f64, cpus: f64) -> UnstartedJob<u32> {
+        UnstartedJob {
             group,
             waited_s,
             cpus,
@@ -155,25 +155,25 @@
     fn a_flood_of_small_jobs_takes_turns_with_the_one_large_job_of_another() {
         // Guards against debt by number: a guest's hundreds of jobs, each as old
         // as the large one, would all go before it.
-        let mut jobs: Vec<Unbegun<u32>> = (0..300).map(|_| unbegun(1, 150.0, 1.0)).collect();
-        jobs.push(unbegun(2, 149.0, 32.0));
-        let chosen = lifted(&jobs, 140.0, 64.0, 0.0);
+        let mut jobs: Vec<UnstartedJob<u32>> = (0..300).map(|_| unstarted(1, 150.0, 1.0)).collect();
+        jobs.push(unstarted(2, 149.0, 32.0));
+        let chosen = boosted_jobs(&jobs, 140.0, 64.0, 0.0);
         assert_eq!(chosen[..2], [0, 300]);
         assert_eq!(chosen.len(), 33, "no more than there is room for");
-        assert_eq!(lifted(&jobs, 151.0, 64.0, 0.0), []);
-        // However little room, the first is lifted, and the longest waiting is first.
-        let jobs = [unbegun(2, 150.0, 32.0), unbegun(2, 200.0, 64.0)];
-        assert_eq!(lifted(&jobs, 140.0, 1.0, 0.0), [1]);
+        assert_eq!(boosted_jobs(&jobs, 151.0, 64.0, 0.0), []);
+        // However little room, the first is boosted, and the longest waiting is first.
+        let jobs = [unstarted(2, 150.0, 32.0), unstarted(2, 200.0, 64.0)];
+        assert_eq!(boosted_jobs(&jobs, 140.0, 1.0, 0.0), [1]);
     }
 
     #[test]
     fn what_was_lifted_and_still_runs_counts_against_the_share() {
         // Guards against a share that is given anew with every order.
-        let jobs: Vec<Unbegun<u32>> = (0..9).map(|_| unbegun(1, 150.0, 8.0)).collect();
-        assert_eq!(lifted(&jobs, 140.0, 32.0, 0.0).len(), 4);
-        assert_eq!(lifted(&jobs, 140.0, 32.0, 16.0).len(), 2);
-        assert_eq!(lifted(&jobs, 140.0, 32.0, 32.0), []);
-        assert_eq!(lifted(&jobs, 140.0, 4.0, 8.0), [], "one runs already");
+        let jobs: Vec<UnstartedJob<u32>> = (0..9).map(|_| unstarted(1, 150.0, 8.0)).collect();
+        assert_eq!(boosted_jobs(&jobs, 140.0, 32.0, 0.0).len(), 4);
+        assert_eq!(boosted_jobs(&jobs, 140.0, 32.0, 16.0).len(), 2);
+        assert_eq!(boosted_jobs(&jobs, 140.0, 32.0, 32.0), []);
+        assert_eq!(boosted_jobs(&jobs, 140.0, 4.0, 8.0), [], "one runs already");
     }
 
     #[test]
@@ -187,7 +187,7 @@
 
     #[test]
     fn the_largest_of_a_class_near_half_though_the_class_is_not() {
-        let mut served = Served::new(2, 32);
+        let mut served = ServiceHistory::new(2, 32);
         for i in 0..24 {
             served.ended("c", 2.0, true);
             if i % 3 == 0 {
@@ -195,21 +195,25 @@
             }
         }
         assert_eq!(
-            served.owed_from("c", 0.55, 4),
+            served.underserved_from("c", 0.55, 4),
             Some(64.0),
             "25 of all 32 were served, and one of the largest 8"
         );
-        assert_eq!(served.owed_from("c", 0.55, 9), None, "too few to tell");
-        // Old fates give way, and a name too many is not counted.
+        assert_eq!(
+            served.underserved_from("c", 0.55, 9),
+            None,
+            "too few to tell"
+        );
+        // Old outcomes give way, and a name too many is not counted.
         for name in ["c", "d", "e"] {
             (0..32).for_each(|_| served.ended(name, 64.0, name == "c"));
         }
-        assert_eq!(served.owed_from("c", 0.55, 4), None);
+        assert_eq!(served.underserved_from("c", 0.55, 4), None);
         assert_eq!(
-            served.owed_from("d", 0.55, 4),
+            served.underserved_from("d", 0.55, 4),
             Some(0.0),
             "all of the class"
         );
-        assert_eq!(served.owed_from("e", 0.55, 4), None);
+        assert_eq!(served.underserved_from("e", 0.55, 4), None);
     }
 }
--- a/crates/umbersail-tuning/src/lib.rs
+++ b/crates/umbersail-tuning/src/lib.rs
@@ -173,15 +173,15 @@
         "A machine with a launch ready is made to report if its next report is further off than this: a worker reports half a second after the last one at the earliest";
     pool_share, "schedule.pool_share", 0.85, 0.1..=2.0, "share",
         "Share of the machines' CPUs reckoned with when jobs are chosen that can end in time: the rest goes to image fetches, places left over and what comes meanwhile";
-    floor_near_s, "floor.near_s", 120.0, 0.0..=3600.0, "s",
+    starvation_wait_s, "floor.near_s", 120.0, 0.0..=3600.0, "s",
         "A job of which nothing has begun for this long goes first in its tier with one task, and a place is kept for it: users expect a start within 240 s, a place large enough may take a minute to fall free, and a machine that is lost meanwhile a lease";
-    floor_share, "floor.share", 0.3, 0.0..=1.0, "share",
+    starvation_cpu_share, "floor.share", 0.3, 0.0..=1.0, "share",
         "Share of the CPUs of each machine type that may be kept free for such jobs at once, and of the machines for which those served too little go before others";
-    floor_served, "floor.served", 0.0, 0.0..=1.0, "share",
+    underserved_share_below, "floor.served", 0.0, 0.0..=1.0, "share",
         "A class, a team or the largest of a class of which less than this was served in time goes first where it still can be in time. 0, never: tried at 0.6, the places kept for it cost upper tiers their starts and won the largest nothing";
-    floor_window_jobs, "floor.window_jobs", 40.0, 4.0..=1000.0, "jobs",
+    service_window_jobs, "floor.window_jobs", 40.0, 4.0..=1000.0, "jobs",
         "Jobs of a class or team by which that is judged: its largest tenth must be a few";
-    floor_least_jobs, "floor.least_jobs", 4.0, 1.0..=1000.0, "jobs",
+    service_min_jobs, "floor.least_jobs", 4.0, 1.0..=1000.0, "jobs",
         "With fewer such jobs known a share says little";
     tick_s, "schedule.tick_s", 0.5, 0.05..=10.0, "s",
         "Duties without an event of their own (lapse, notices, back-off) are looked at this often";
