--- /dev/null
+++ b/crates/umbersail-control/tests/golden_records.rs
@@ -0,0 +1,220 @@
+//! Every record keeps its bytes and its key: what this build stores is what the build in
+//! production stores, and what that one stored is read as what it was.
+//!
+//! `golden/records.txt` holds the bytes as the build in production wrote them, a line for
+//! each record. A line changes only together with a plan for mixed builds.
+
+use std::collections::BTreeMap;
+use std::fmt::Debug;
+
+use serde::de::DeserializeOwned;
+use umbersail_control::records::{
+    CATALOGUE_KEY, CatalogueRecord, GRANT_KEY, GrantPart, GrantRecord, GrantedMachine, JobRecord,
+    LEADER_KEY, LIVENESS_KEY, LeaderRecord, LivenessRecord, Outcome, OverRecord, PlanRecord,
+    RECOVERY_PENDING_KEY, Record, RecoveryPendingRecord, RunRecord, SuspicionRecord, job_key,
+    over_key, part_key, plan_key, run_key, suspicion_key,
+};
+use umbersail_wire::{JobKind, JobSpec, MachineType, Priority, Value, decode, encode};
+
+const GOLDEN: &str = include_str!("golden/records.txt");
+
+fn job() -> JobSpec {
+    JobSpec {
+        id: "req-000412".into(),
+        class: "train".into(),
+        team: "vision".into(),
+        kind: JobKind::Array,
+        priority: Priority::Production,
+        tasks: 16,
+        cpus: 8.0,
+        gpus: Some(1.0),
+        memory_gb: 64.0,
+        image: "img-07".into(),
+        image_gb: 6.2,
+        types: Some(vec!["g8".into()]),
+        zone: None,
+        one_zone: Some(true),
+        spread: Some(false),
+        spot: Some(true),
+        estimate_s: 240.0,
+        checkpoint_s: Some(30.0),
+        save_s: Some(4.0),
+        deadline_s: Some(900.0),
+    }
+}
+
+fn run() -> RunRecord {
+    RunRecord {
+        high: 7,
+        done: "b:0f".into(),
+        hosts: vec!["host-1".into(), "host-2".into()],
+        evictions: 2,
+        done_count: 4,
+        running: 3,
+        extra: 1,
+        team: "vision".into(),
+        size: Some((8.0, 1.0, 64.0)),
+        suspect: true,
+    }
+}
+
+fn machine_type() -> MachineType {
+    MachineType {
+        name: "g8".into(),
+        cpus: 96.0,
+        gpus: 8.0,
+        memory_gb: 768.0,
+        cache_gb: 200.0,
+        fetch_gb_per_s: 1.0,
+        price: 12.0,
+        spot_price: None,
+        boot_s: 45.0,
+        zones: vec!["a".into()],
+    }
+}
+
+/// Each record with its name in the golden file and its key.
+fn records() -> Vec<(&'static str, String, Record)> {
+    let over = |outcome| Record::Over(OverRecord { outcome, done: 16 });
+    let member = || "bothy-1".to_owned();
+    vec![
+        (
+            "leader",
+            LEADER_KEY.into(),
+            Record::Leader(LeaderRecord {
+                member: member(),
+                incarnation: 7,
+            }),
+        ),
+        (
+            "grant",
+            GRANT_KEY.into(),
+            Record::Grant(GrantRecord {
+                holder: member(),
+                keeps_orphaned_attempts: true,
+                plans: true,
+            }),
+        ),
+        (
+            "grant_without_plans",
+            GRANT_KEY.into(),
+            Record::Grant(GrantRecord {
+                holder: member(),
+                ..GrantRecord::default()
+            }),
+        ),
+        (
+            "grant_part",
+            part_key(3),
+            Record::GrantPart(GrantPart {
+                machines: vec![GrantedMachine {
+                    name: "host-1".into(),
+                    machine_type: "g8".into(),
+                    zone: "a".into(),
+                    spot: true,
+                    addr: "10.1.0.1:9000".into(),
+                }],
+            }),
+        ),
+        (
+            "job",
+            job_key("req-000412"),
+            Record::Job(JobRecord {
+                spec: job(),
+                accepted_ms: 1_700_000_000_123,
+            }),
+        ),
+        ("run", run_key("req-000412"), Record::Run(run())),
+        (
+            "run_of_nothing",
+            run_key("req-000413"),
+            Record::Run(RunRecord::default()),
+        ),
+        ("over_done", over_key("req-000412"), over(Outcome::Done)),
+        (
+            "over_cancelled",
+            over_key("req-000412"),
+            over(Outcome::Cancelled),
+        ),
+        (
+            "catalogue",
+            CATALOGUE_KEY.into(),
+            Record::Catalogue(CatalogueRecord {
+                types: vec![machine_type()],
+            }),
+        ),
+        (
+            "suspicion",
+            suspicion_key("bothy-1"),
+            Record::Suspicion(SuspicionRecord { token: 41 }),
+        ),
+        (
+            "liveness",
+            LIVENESS_KEY.into(),
+            Record::Liveness(LivenessRecord {
+                token: 41,
+                open: false,
+                answers: 40,
+            }),
+        ),
+        (
+            "recovery_pending",
+            RECOVERY_PENDING_KEY.into(),
+            Record::RecoveryPending(RecoveryPendingRecord { member: member() }),
+        ),
+        (
+            "plan",
+            plan_key("reserve/fair"),
+            Record::Plan(PlanRecord {
+                version: 1,
+                plan: Value::from("plan"),
+                gone: false,
+            }),
+        ),
+        (
+            "plan_tombstone",
+            plan_key("reserve/fair"),
+            Record::Plan(PlanRecord::tombstone()),
+        ),
+    ]
+}
+
+#[test]
+fn records_keep_their_keys_and_bytes() {
+    let mut lines: BTreeMap<&str, &str> =
+        GOLDEN.lines().filter_map(|l| l.split_once(' ')).collect();
+    let mut differing = Vec::new();
+    for (name, key, record) in records() {
+        let bytes: String = encode(&record).iter().map(|b| format!("{b:02x}")).collect();
+        let written = format!("{key} {bytes}");
+        if lines.remove(name) != Some(&*written) {
+            differing.push(format!("{name} {written}"));
+        }
+    }
+    assert!(differing.is_empty(), "\n{}", differing.join("\n"));
+    assert!(lines.is_empty(), "not compared: {:?}", lines.keys());
+}
+
+/// Reads back what was stored as the type that its readers expect.
+fn assert_reads<T: DeserializeOwned + PartialEq + Debug>(record: &Record, expected: &T) {
+    assert_eq!(&decode::<T>(&encode(record)).unwrap(), expected);
+}
+
+#[test]
+fn records_are_read_as_they_were_written() {
+    for (_, _, record) in records() {
+        match &record {
+            Record::Leader(expected) => assert_reads(&record, expected),
+            Record::Grant(expected) => assert_reads(&record, expected),
+            Record::GrantPart(expected) => assert_reads(&record, expected),
+            Record::Job(expected) => assert_reads(&record, expected),
+            Record::Run(expected) => assert_reads(&record, expected),
+            Record::Over(expected) => assert_reads(&record, expected),
+            Record::Catalogue(expected) => assert_reads(&record, expected),
+            Record::Suspicion(expected) => assert_reads(&record, expected),
+            Record::Liveness(expected) => assert_reads(&record, expected),
+            Record::RecoveryPending(expected) => assert_reads(&record, expected),
+            Record::Plan(expected) => assert_reads(&record, expected),
+        }
+    }
+}
--- a/crates/umbersail-wire/src/jobs.rs
+++ b/crates/umbersail-wire/src/jobs.rs
@@ -212,7 +212,7 @@
 }
 
 /// Only the id of a submission, however broken the rest is.
-#[derive(Debug, Serialize, Deserialize)]
+#[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct JobIdOnly {
     /// Name of the job.
     pub id: String,
