--- a/crates/umbersail-control/benches/scheduling_cycle.rs
+++ b/crates/umbersail-control/benches/scheduling_cycle.rs
@@ -119,7 +119,7 @@
             jobs: vec![],
             over: vec![],
             whole_machines: false,
-            open_before: false,
+            predecessor_degraded: false,
             types: vec![machine_type()],
             plans: Vec::new(),
         };
@@ -403,7 +403,7 @@
                 jobs: running.chain(idle).collect(),
                 over: vec![],
                 whole_machines: false,
-                open_before: false,
+                predecessor_degraded: false,
                 types: vec![machine_type()],
                 plans: Vec::new(),
             }
--- a/crates/umbersail-control/src/all_replica_read.rs
+++ b/crates/umbersail-control/src/all_replica_read.rs
@@ -26,7 +26,7 @@
 
 /// Jobs that are asked about together.
 #[derive(Default)]
-struct Round {
+struct ReadBatch {
     jobs: RefCell<BTreeSet<String>>,
     outcomes: RefCell<BTreeMap<String, ReadOutcome<OverRecord>>>,
     over: Cell<bool>,
@@ -36,7 +36,7 @@
 /// The round that gathers, and whether one is under way.
 #[derive(Default)]
 pub(crate) struct AllReplicaReads {
-    gathering: RefCell<Option<Rc<Round>>>,
+    open_batch: RefCell<Option<Rc<ReadBatch>>>,
     under_way: Cell<bool>,
 }
 
@@ -47,11 +47,11 @@
             return ReadOutcome::Unknown;
         }
         let round = {
-            let mut gathering = self.all_replica_reads.gathering.borrow_mut();
-            let round = gathering.get_or_insert_with(|| {
-                let round = Rc::new(Round::default());
+            let mut open_batch = self.all_replica_reads.open_batch.borrow_mut();
+            let round = open_batch.get_or_insert_with(|| {
+                let round = Rc::new(ReadBatch::default());
                 // A routine of its own: whoever asked first may hang up.
-                spawn(self.clone().ask_all(round.clone()));
+                spawn(self.clone().read_all(round.clone()));
                 round
             });
             let mut jobs = round.jobs.borrow_mut();
@@ -81,17 +81,17 @@
         })
     }
 
-    async fn ask_all(self: Rc<Self>, round: Rc<Round>) {
+    async fn read_all(self: Rc<Self>, round: Rc<ReadBatch>) {
         sleep(GATHER_S).await;
         while self.all_replica_reads.under_way.get() {
             sleep(GATHER_S).await;
         }
         self.all_replica_reads.under_way.set(true);
         // Whoever asks from here on is too late for these answers.
-        *self.all_replica_reads.gathering.borrow_mut() = None;
+        *self.all_replica_reads.open_batch.borrow_mut() = None;
         let jobs: Vec<String> = round.jobs.borrow().iter().cloned().collect();
         let peers = self.settings.peers.iter();
-        let answers = join_all(peers.map(|peer| self.ask_one(peer, &jobs))).await;
+        let answers = join_all(peers.map(|peer| self.read_one(peer, &jobs))).await;
         let ours = self.own_answers(&jobs);
         let all: Option<Vec<Vec<ReplicaAnswer<OverRecord>>>> =
             answers.into_iter().chain([Some(ours)]).collect();
@@ -113,7 +113,7 @@
     }
 
     /// One peer's answers, in the order of the jobs; none if it does not answer in time.
-    async fn ask_one(
+    async fn read_one(
         &self,
         peer: &Peer,
         jobs: &[String],
--- a/crates/umbersail-control/src/cloud.rs
+++ b/crates/umbersail-control/src/cloud.rs
@@ -13,7 +13,7 @@
     paths,
 };
 
-use crate::state::Budget;
+use crate::state::TokenBucket;
 
 /// What came of a rental request.
 #[derive(Debug, Clone, PartialEq, Eq)]
@@ -33,7 +33,7 @@
     http: Client,
     addr: SocketAddr,
     clock: Rc<dyn Clock>,
-    budget: RefCell<Budget>,
+    budget: RefCell<TokenBucket>,
     timeout_s: f64,
     malformed: Cell<u64>,
 }
@@ -51,7 +51,7 @@
                 http,
                 addr,
                 clock,
-                budget: RefCell::new(Budget::new(rps)),
+                budget: RefCell::new(TokenBucket::new(rps)),
                 timeout_s,
                 malformed: Cell::new(0),
             }),
--- a/crates/umbersail-control/src/outage.rs
+++ b/crates/umbersail-control/src/degraded_mode.rs
@@ -8,8 +8,8 @@
 use tracing::{debug, info};
 use umbersail_http::Response;
 use umbersail_runtime::{Time, sleep};
-use umbersail_standby::Opening;
-use umbersail_wire::{OpenAnswer, OpenRequest, decode, encode, paths};
+use umbersail_standby::DegradedMode;
+use umbersail_wire::{DegradedModeAnswer, DegradedModeRequest, decode, encode, paths};
 
 use crate::node::{Node, Role};
 use crate::records::LEADER_KEY;
@@ -21,57 +21,57 @@
 const LOOK_S: Time = 0.1;
 const REFUSED_S: Time = 1.0;
 /// Jobs with starts that are not recorded for which nothing is held up long.
-const UNRECORDED_FEW: usize = 8;
+const FEW_UNRECORDED: usize = 8;
 
 impl Node {
     /// Opens and shuts as the state service goes and comes back.
-    pub(crate) async fn tend_opening(self: Rc<Self>, token: u64) {
+    pub(crate) async fn run_degraded_mode(self: Rc<Self>, token: u64) {
         let mut back_at: Option<Time> = None;
         loop {
             sleep(LOOK_S).await;
             let now = self.clock.now();
-            let state = self.opening.borrow().clone();
+            let state = self.degraded_mode.borrow().clone();
             let wanted = if self.state_is_out(now) {
                 back_at = None;
-                self.wants_open(now, token)
+                self.wants_degraded_mode(now, token)
             } else {
                 // Records of what was started and of what has ended meanwhile
                 // take a while: until most are written, starts go on without.
                 let back_s = now - *back_at.get_or_insert(now);
-                state == Opening::Open
+                state == DegradedMode::Open
                     && self.is_in_time(now)
-                    && back_s < self.tuning.open_catch_up_s
-                    && self.with_engine(token, |e| e.unrecorded_jobs() > UNRECORDED_FEW)
+                    && back_s < self.tuning.degraded_mode_catch_up_s
+                    && self.with_engine(token, |e| e.unrecorded_jobs() > FEW_UNRECORDED)
                         == Some(true)
             };
-            if state == Opening::Shut && wanted && !self.ask_to_open(token).await {
+            if state == DegradedMode::Shut && wanted && !self.request_degraded_mode(token).await {
                 sleep(REFUSED_S).await;
             }
-            if state == Opening::Open && !wanted {
+            if state == DegradedMode::Open && !wanted {
                 info!("starts without a record are over");
-                self.opening.borrow_mut().close();
-                self.with_engine(token, |e| e.set_open(false));
+                self.degraded_mode.borrow_mut().close();
+                self.with_engine(token, |e| e.set_degraded(false));
                 self.wake.notify();
             }
             let recorded = || self.with_engine(token, |e| e.unrecorded_jobs()) == Some(0);
-            if state == Opening::Closing && recorded() {
+            if state == DegradedMode::Closing && recorded() {
                 info!("all that was started is recorded");
-                self.opening.borrow_mut().recorded();
+                self.degraded_mode.borrow_mut().recorded();
             }
         }
     }
 
     /// Whether tasks should be started without a record just now: the state
     /// service answers nothing, something waits, and our time is not over.
-    fn wants_open(&self, now: Time, token: u64) -> bool {
+    fn wants_degraded_mode(&self, now: Time, token: u64) -> bool {
         self.state_is_out(now)
             && self.is_in_time(now)
-            && (self.opening.borrow().is_open()
-                || self.with_engine(token, |e| e.waits_openly()) == Some(true))
+            && (self.degraded_mode.borrow().is_open()
+                || self.with_engine(token, |e| e.has_waiting_for_degraded_mode()) == Some(true))
     }
 
     fn state_is_out(&self, now: Time) -> bool {
-        let after_s = self.tuning.open_after_s;
+        let after_s = self.tuning.degraded_mode_after_s;
         (self.state.failing_since()).is_some_and(|at| now - at >= after_s)
     }
 
@@ -82,7 +82,7 @@
                 let workers = &self.settings.facts.workers;
                 let renewal_s = tuning.renewal_s(workers.cancel_s, workers.lease_s);
                 let renewed = l.renew_until.get() - renewal_s;
-                now < l.renew_until.get() && now < renewed + tuning.open_s
+                now < l.renew_until.get() && now < renewed + tuning.degraded_mode_s
             }
             _ => false,
         }
@@ -90,44 +90,44 @@
 
     /// Asks all peers; true if every one of them agrees. While they are asked we
     /// say that we may be open, so that none who agreed takes it for over.
-    async fn ask_to_open(&self, token: u64) -> bool {
-        *self.opening.borrow_mut() = Opening::Asking(BTreeSet::new());
+    async fn request_degraded_mode(&self, token: u64) -> bool {
+        *self.degraded_mode.borrow_mut() = DegradedMode::Asking(BTreeSet::new());
         let peers = &self.settings.peers;
         if peers.is_empty() {
-            *self.opening.borrow_mut() = Opening::Open;
+            *self.degraded_mode.borrow_mut() = DegradedMode::Open;
         }
-        join_all(peers.iter().map(|peer| self.ask_one_to_open(token, peer))).await;
+        join_all(peers.iter().map(|peer| self.request_agreement(token, peer))).await;
         let now = self.clock.now();
-        if !self.wants_open(now, token) || !self.opening.borrow().is_open() {
+        if !self.wants_degraded_mode(now, token) || !self.degraded_mode.borrow().is_open() {
             // Whoever agreed hears with our next greeting that nothing came of it.
-            *self.opening.borrow_mut() = Opening::Shut;
+            *self.degraded_mode.borrow_mut() = DegradedMode::Shut;
             return false;
         }
         info!("starts without a record, with all peers' agreement: the state service is out");
-        self.with_engine(token, |e| e.set_open(true));
+        self.with_engine(token, |e| e.set_degraded(true));
         self.wake.notify();
         true
     }
 
-    async fn ask_one_to_open(&self, token: u64, peer: &Peer) {
-        let body = encode(&OpenRequest {
+    async fn request_agreement(&self, token: u64, peer: &Peer) {
+        let body = encode(&DegradedModeRequest {
             member: self.settings.member.clone(),
             token,
         });
         let wait_s = self.tuning.peer_timeout_s;
         let answer = self
             .peer_http
-            .request(peer.addr, "POST", paths::PEER_OPEN, &body, wait_s)
+            .request(peer.addr, "POST", paths::PEER_DEGRADED_MODE, &body, wait_s)
             .await;
         let answer = match &answer {
-            Ok((200, body)) => decode::<OpenAnswer>(body).ok(),
+            Ok((200, body)) => decode::<DegradedModeAnswer>(body).ok(),
             _ => None,
         };
         if let Some(answer) = answer.filter(|a| a.agreed) {
             // Before anything is started on the strength of its agreement.
-            self.hear_cancelled(&answer.cancelled);
+            self.on_cancelled_jobs(&answer.cancelled);
             let peers = self.settings.peers.len();
-            self.opening.borrow_mut().agreed(&peer.member, peers);
+            self.degraded_mode.borrow_mut().agreed(&peer.member, peers);
         } else {
             debug!(
                 peer = peer.member,
@@ -139,15 +139,15 @@
     /// A peer's part: agreed only if it leads as far as we know, and the state
     /// service answers us no more than it. While an election of ours is under way
     /// nothing is agreed to: it was sent by what we knew of such starts before.
-    pub(crate) async fn agree_to_open(&self, body: &[u8]) -> Response {
-        let Ok(request) = decode::<OpenRequest>(body) else {
+    pub(crate) async fn answer_degraded_mode_request(&self, body: &[u8]) -> Response {
+        let Ok(request) = decode::<DegradedModeRequest>(body) else {
             return Response::empty(400);
         };
         let is_leader = |node: &Node| {
             let leader = node.leader.borrow();
             let named =
                 (leader.as_ref()).is_some_and(|(m, t)| *m == request.member && *t == request.token);
-            named && !node.claiming.get() && matches!(&*node.role.borrow(), Role::Following)
+            named && !node.campaigning.get() && matches!(&*node.role.borrow(), Role::Following)
         };
         let mut agreed = false;
         if is_leader(self) {
@@ -161,11 +161,11 @@
             );
             if is_leader(self) {
                 let now = self.clock.now();
-                let mut memory = self.open_memory.borrow_mut();
+                let mut memory = self.degraded_mode_record.borrow_mut();
                 agreed = memory.agrees(now, request.token, request.token, out);
             }
         }
         let cancelled = self.lately_cancelled();
-        Response::new(200, encode(&OpenAnswer { agreed, cancelled }))
+        Response::new(200, encode(&DegradedModeAnswer { agreed, cancelled }))
     }
 }
--- a/crates/umbersail-control/src/engine/job.rs
+++ b/crates/umbersail-control/src/engine/job.rs
@@ -176,13 +176,13 @@
     /// Whether its tasks may be started before a record tells of them. Where one
     /// task's place depends on the others' they may not: a successor would have
     /// to know where those are.
-    pub fn is_openable(&self) -> bool {
+    pub fn may_start_unrecorded(&self) -> bool {
         !self.is_service() && !self.spec.one_zone() && !self.spec.spread()
     }
 
     /// Every task that is not completed may have been started, on any machine.
     pub fn may_run_anywhere(&mut self) {
-        if !self.is_openable() {
+        if !self.may_start_unrecorded() {
             return;
         }
         self.anywhere = true;
--- a/crates/umbersail-control/src/engine/mod.rs
+++ b/crates/umbersail-control/src/engine/mod.rs
@@ -68,7 +68,7 @@
 /// A launch may be told to a worker only if a successor would know that it may
 /// have been: by its record, or by its word to the holder that started without.
 fn may_launch(job: &Job, task: u32, machine: &Name, open: bool) -> bool {
-    job.is_recorded(task, machine) || (open && job.is_openable())
+    job.is_recorded(task, machine) || (open && job.may_start_unrecorded())
 }
 
 /// What the engine knows of its deployment.
@@ -116,7 +116,7 @@
     pub whole_machines: bool,
     /// A holder before us may have started tasks that no record tells of, and
     /// not all machines have been accounted for since (rule 3).
-    pub open_before: bool,
+    pub predecessor_degraded: bool,
     pub types: Vec<MachineType>,
     pub plans: Vec<InheritedPlan>,
 }
@@ -182,7 +182,7 @@
     orphaned_jobs: OrphanedJobs<Name, Name>,
     whole_machines: bool,
     /// Machines that may hold tasks that no record tells of.
-    open_inherited: BTreeSet<Name>,
+    unaccounted_machines: BTreeSet<Name>,
     /// A record says that something may run that none tells of.
     recovery_pending: bool,
     /// Tasks may be started before they are recorded.
@@ -240,8 +240,8 @@
             cleared: BTreeSet::new(),
             orphaned_jobs: OrphanedJobs::default(),
             whole_machines: inheritance.whole_machines,
-            open_inherited: BTreeSet::new(),
-            recovery_pending: inheritance.open_before,
+            unaccounted_machines: BTreeSet::new(),
+            recovery_pending: inheritance.predecessor_degraded,
             open: false,
             attempts: 0,
             requests: 0,
@@ -295,12 +295,12 @@
         // A host that the grant no longer names was proven empty before it
         // was taken off, so only named ones can hold anything.
         let known = &engine.machines;
-        if inheritance.open_before {
-            engine.open_inherited = known.keys().cloned().collect();
+        if inheritance.predecessor_degraded {
+            engine.unaccounted_machines = known.keys().cloned().collect();
         }
         for (id, job) in &mut engine.jobs {
             job.inherited.retain(|m| known.contains_key(m));
-            if !engine.open_inherited.is_empty() {
+            if !engine.unaccounted_machines.is_empty() {
                 job.may_run_anywhere();
             }
             job.finish_recovery();
@@ -672,7 +672,7 @@
             }
             machine.inherited = false;
         }
-        self.settle_open(name);
+        self.settle_unrecorded(name);
         // By machine, since a new leader hears of thousands of machines within
         // a second and has thousands of jobs.
         for id in self.inherited_by.remove(name).unwrap_or_default() {
@@ -687,7 +687,7 @@
     }
 
     /// Whether tasks may be started before they are recorded, from now on.
-    pub fn set_open(&mut self, open: bool) {
+    pub fn set_degraded(&mut self, open: bool) {
         self.open = open;
     }
 
@@ -697,14 +697,16 @@
     }
 
     /// Whether tasks wait that might be started without a record.
-    pub fn waits_openly(&self) -> bool {
-        self.jobs.values().any(|j| j.waits() && j.is_openable())
+    pub fn has_waiting_for_degraded_mode(&self) -> bool {
+        self.jobs
+            .values()
+            .any(|j| j.waits() && j.may_start_unrecorded())
     }
 
     /// The machine is accounted for: once all are, nothing can run that no
     /// record tells of.
-    fn settle_open(&mut self, name: &Name) {
-        if !self.open_inherited.remove(name) || !self.open_inherited.is_empty() {
+    fn settle_unrecorded(&mut self, name: &Name) {
+        if !self.unaccounted_machines.remove(name) || !self.unaccounted_machines.is_empty() {
             return;
         }
         let mut ended = Vec::new();
@@ -723,7 +725,7 @@
     /// are accounted for is not enough: a successor finds only what is recorded,
     /// not what we saw in their reports.
     fn is_settled(&self) -> bool {
-        self.open_inherited.is_empty()
+        self.unaccounted_machines.is_empty()
             && self.unrecorded_jobs() == 0
             && !self.machines.values().any(|m| m.unsized_strangers)
     }
@@ -786,7 +788,7 @@
         out
     }
 
-    /// Duties that no event brings up.
+    /// TaskGroup that no event brings up.
     pub fn tick(&mut self, now: Time) {
         if now >= self.next_status {
             self.next_status = now + self.cfg.tuning.status_s;
--- a/crates/umbersail-control/src/engine/schedule.rs
+++ b/crates/umbersail-control/src/engine/schedule.rs
@@ -265,7 +265,7 @@
         machine.unsized_strangers
             || (machine.inherited
                 && (self.whole_machines
-                    || self.open_inherited.contains(&machine.name)
+                    || self.unaccounted_machines.contains(&machine.name)
                     || self.orphaned_jobs.is_unsized_at(&machine.name)))
     }
 
@@ -535,7 +535,7 @@
         })
     }
 
-    /// CandidateSlots for a job with no wishes but its locality: it goes on in the ranking
+    /// Candidate slots for a job with no wishes but its locality: it goes on in the ranking
     /// where the jobs before it that rank key have left it.
     fn decide_by_ranking(
         &self,
--- a/crates/umbersail-control/src/engine/starvation_guard.rs
+++ b/crates/umbersail-control/src/engine/starvation_guard.rs
@@ -1,8 +1,8 @@
-//! The starvation guard of the priority order: whom it boosts, and the places held_slots for them.
+//! The starvation guard of the priority order: whom it boosts, and the slots held for them.
 //!
 //! Nothing of it is recorded. Since when a job waits, and whether anything of it may
 //! have begun, follow from its own record and that of its progress, so a successor
-//! finds the same debt. The starvation guard plans as any cycle does: no place is held_slots or taken
+//! finds the same debt. The starvation guard plans as any cycle does: no place is held or taken
 //! on a machine that does not take tasks, a launch is told only once its record
 //! stands, and every machine that could hold the task is accounted for (rules 3 and
 //! 4). It stops nobody.
@@ -22,8 +22,8 @@
 /// What the starvation guard holds from one cycle to the next.
 #[derive(Default)]
 pub(super) struct StarvationGuard {
-    /// CandidateSlots held_slots, in the order in which they were given; bounded by the share of
-    /// each type that may be held_slots.
+    /// Held slots, in the order in which they were given; bounded by the share of
+    /// each type that may be held.
     held_slots: Vec<HeldSlot>,
     /// Whom it boosts by the newest order, and whether it is underserved in full; bounded by
     /// the share of the fleet that those take.
@@ -139,8 +139,8 @@
 
     /// A new order: whom it boosts, and places for those of them that have none. What
     /// an upper tier's tasks fill again one by one never falls free for a large
-    /// task of a lower tier, so a held_slots place is closed to all others. The lowest
-    /// tier goes first among its own, and has nothing held_slots from others.
+    /// task of a lower tier, so a held place is closed to all others. The lowest
+    /// tier goes first among its own, and has nothing held from others.
     pub(super) fn renew_starvation_guard(
         &mut self,
         now: Time,
@@ -211,7 +211,7 @@
                         machine = &*place.machine,
                         waited_s = (now - job.submitted) as u64,
                         cpus = job.shape.cpus,
-                        "a place is held_slots until it begins"
+                        "a slot is held until it starts"
                     );
                 }
                 held_slots.push(place);
@@ -220,7 +220,7 @@
         self.starvation_guard.held_slots = held_slots;
     }
 
-    /// Whether a place is held_slots any longer.
+    /// Whether a place is held any longer.
     fn is_held(&self, now: Time, held_slots: &HeldSlot) -> bool {
         let job = self.jobs.get(&held_slots.job).filter(|j| j.waits());
         let machine = self.machines.get(&held_slots.machine);
@@ -312,7 +312,7 @@
         best.map(|(_, place)| place)
     }
 
-    /// Before a slice: what has its held_slots place free is placed, and the others'
+    /// Before a slice: what has its held place free is placed, and the others'
     /// places are closed to all. A job whose team's guarantee covers it waits for no
     /// other team, so nothing is closed while one does. How many were placed.
     pub(super) fn fill_held_slots(
--- a/crates/umbersail-control/src/engine/tests/cancelled.rs
+++ b/crates/umbersail-control/src/engine/tests/cancelled.rs
@@ -89,7 +89,7 @@
     // Guards against a task that no record tells of, of a job that was cancelled before
     // the election: neither we nor a peer would know what to stop.
     let mut left = inheritance_of(spec("req-1", 3, 2.0));
-    left.open_before = true;
+    left.predecessor_degraded = true;
     let mut engine = Engine::new(
         config(vec![team(0.0, 0.0)], Tuning::default()),
         0.0,
--- a/crates/umbersail-control/src/engine/tests/faults.rs
+++ b/crates/umbersail-control/src/engine/tests/faults.rs
@@ -23,7 +23,7 @@
 use crate::records::{
     GrantRecord, Outcome, OverRecord, RECOVERY_PENDING_KEY, RecoveryPendingRecord,
 };
-use umbersail_standby::{OpenMemory, Opening};
+use umbersail_standby::{DegradedMode, DegradedModeRecord};
 
 const NODES: usize = 3;
 const WORKERS: usize = 5;
@@ -240,7 +240,7 @@
     start_until: Time,
     renew_until: Time,
     superseded: bool,
-    opening: Opening,
+    degraded_mode: DegradedMode,
     /// What it has answered, and whose deletion it knows of.
     answered: BTreeSet<(String, (u64, u64))>,
     deleted: BTreeSet<String>,
@@ -255,7 +255,7 @@
     started: Time,
     delegate: Delegate,
     leader: Option<(usize, u64)>,
-    memory: OpenMemory,
+    memory: DegradedModeRecord,
     lead: Option<Lead>,
     next_duty: f64,
     next_greeting: f64,
@@ -345,7 +345,7 @@
                 .filter_map(|id| Some((id.to_owned(), run(id)?.0)))
                 .collect(),
             whole_machines: false,
-            open_before: false,
+            predecessor_degraded: false,
             jobs: known,
             types: vec![machine_type()],
             plans: Vec::new(),
@@ -417,7 +417,7 @@
                 started: clock.at(0.0),
                 delegate: Delegate::new(LEASE_S, cfg.renewal_s()),
                 leader: None,
-                memory: OpenMemory::default(),
+                memory: DegradedModeRecord::default(),
                 lead: None,
                 next_duty: rng.random_range(0.0..0.5),
                 next_greeting: rng.random_range(0.0..1.0),
@@ -478,7 +478,7 @@
                 self.store.keys.remove(LEADER_KEY);
             }
             for node in 0..NODES {
-                self.duties(node);
+                self.tasks(node);
                 self.check_ghosts(node)?;
             }
             for host in 0..WORKERS {
@@ -623,7 +623,7 @@
                 member.up = true;
                 member.started = member.clock.at(self.t);
                 member.delegate = Delegate::new(LEASE_S, self.cfg.renewal_s());
-                member.memory = OpenMemory::default();
+                member.memory = DegradedModeRecord::default();
             }
         }
     }
@@ -662,7 +662,7 @@
                 }
                 Late::Hello { to, asked, hello } => {
                     if self.members[to].up && !self.is_on(Kind::Freeze, |f| f.node == to) {
-                        self.hear_answer(to, asked, &hello);
+                        self.on_hello_reply(to, asked, &hello);
                     }
                 }
             }
@@ -670,7 +670,7 @@
         Ok(())
     }
 
-    fn hear_of_leader(&mut self, node: usize, leader: usize, revision: u64) {
+    fn observe_leader(&mut self, node: usize, leader: usize, revision: u64) {
         let member = &mut self.members[node];
         if member.leader.is_some_and(|(_, known)| known >= revision) {
             return;
@@ -685,7 +685,7 @@
     }
 
     /// What a node does about twice a second, and its greetings.
-    fn duties(&mut self, node: usize) {
+    fn tasks(&mut self, node: usize) {
         let frozen = self.is_on(Kind::Freeze, |f| f.node == node);
         if !self.members[node].up || frozen {
             return;
@@ -717,7 +717,7 @@
                         // Of our former self, whose end nobody need wait for.
                         self.claim(node, now);
                     } else {
-                        self.hear_of_leader(node, leader, revision);
+                        self.observe_leader(node, leader, revision);
                         let leads = |l: &Lead| l.engine.revision() == revision;
                         if ours && self.members[node].lead.as_ref().is_some_and(leads) {
                             self.renew(node, now);
@@ -733,10 +733,10 @@
             lead.superseded || lead.engine.is_lost() || gone
         });
         if over && let Some(lead) = self.members[node].lead.take() {
-            let (revision, open) = (lead.engine.revision(), lead.opening.may_be_open());
+            let (revision, open) = (lead.engine.revision(), lead.degraded_mode.may_be_open());
             self.members[node].memory.held(now, revision, open);
         }
-        self.tend_opening(node, now);
+        self.run_degraded_mode(node, now);
         self.tend(node, now);
     }
 
@@ -783,12 +783,12 @@
         };
         let before = self.store.version(GRANT_KEY);
         let open = before > 0 && self.members[node].memory.may_be_open(before);
-        let open_before = open || self.store.version(RECOVERY_PENDING_KEY) > 0;
+        let predecessor_degraded = open || self.store.version(RECOVERY_PENDING_KEY) > 0;
         let mut changes = vec![
             put(LEADER_KEY, Record::Leader(leader)),
             put(GRANT_KEY, Record::Grant(grant)),
         ];
-        if open_before {
+        if predecessor_degraded {
             let member = name(node);
             let record = Record::RecoveryPending(RecoveryPendingRecord { member });
             changes.push(put(RECOVERY_PENDING_KEY, record));
@@ -810,43 +810,46 @@
         self.elections += 1;
         let revision = self.store.revision;
         let mut inheritance = self.store.inheritance(revision);
-        inheritance.open_before = open_before;
+        inheritance.predecessor_degraded = predecessor_degraded;
         let engine = Engine::new(self.cfg.clone(), now, self.unix_ms(), inheritance);
         self.members[node].lead = Some(Lead {
             engine,
             start_until: 0.0,
             renew_until: 0.0,
             superseded: false,
-            opening: Opening::Shut,
+            degraded_mode: DegradedMode::Shut,
             answered: BTreeSet::new(),
             deleted: BTreeSet::new(),
             delivers: None,
         });
         self.renew(node, now);
-        self.hear_of_leader(node, node, revision);
+        self.observe_leader(node, node, revision);
     }
 
-    /// What `Node::tend_opening` does, with everybody's agreement at once.
-    fn tend_opening(&mut self, node: usize, now: Time) {
+    /// What `Node::run_degraded_mode` does, with everybody's agreement at once.
+    fn run_degraded_mode(&mut self, node: usize, now: Time) {
         let reachable = self.sees_state(node);
-        let (t, open_s) = (self.t, self.cfg.tuning.open_s);
+        let (t, degraded_mode_s) = (self.t, self.cfg.tuning.degraded_mode_s);
         let renewal_s = self.cfg.renewal_s();
         let Some(lead) = &mut self.members[node].lead else {
             return;
         };
         let revision = lead.engine.revision();
-        let in_time = now < lead.renew_until.min(lead.renew_until - renewal_s + open_s);
-        match lead.opening {
-            Opening::Shut if !reachable && in_time && !lead.superseded => {
-                lead.opening = Opening::Asking(Default::default());
+        let in_time = now
+            < lead
+                .renew_until
+                .min(lead.renew_until - renewal_s + degraded_mode_s);
+        match lead.degraded_mode {
+            DegradedMode::Shut if !reachable && in_time && !lead.superseded => {
+                lead.degraded_mode = DegradedMode::Asking(Default::default());
             }
-            Opening::Open if reachable || !in_time => {
-                lead.opening.close();
-                lead.engine.set_open(false);
+            DegradedMode::Open if reachable || !in_time => {
+                lead.degraded_mode.close();
+                lead.engine.set_degraded(false);
                 return;
             }
-            Opening::Closing if lead.engine.unrecorded_jobs() == 0 => {
-                lead.opening.recorded();
+            DegradedMode::Closing if lead.engine.unrecorded_jobs() == 0 => {
+                lead.degraded_mode.recorded();
                 return;
             }
             _ => return,
@@ -866,15 +869,15 @@
                 .as_mut()
                 .filter(|_| agreed && answered)
             {
-                lead.opening.agreed(&name(peer), NODES - 1);
+                lead.degraded_mode.agreed(&name(peer), NODES - 1);
             }
         }
         if let Some(lead) = &mut self.members[node].lead {
-            if lead.opening.is_open() {
-                lead.engine.set_open(true);
+            if lead.degraded_mode.is_open() {
+                lead.engine.set_degraded(true);
                 self.opened += 1;
             } else {
-                lead.opening = Opening::Shut;
+                lead.degraded_mode = DegradedMode::Shut;
             }
         }
     }
@@ -1001,7 +1004,7 @@
         let hello = self.hello(peer, node);
         let greeting = self.members[node].leader;
         if let Some((leader, revision)) = greeting {
-            self.hear_of_leader(peer, leader, revision);
+            self.observe_leader(peer, leader, revision);
         }
         let after = self.rng.random_range(0.0..1.5);
         self.late.push((
@@ -1042,18 +1045,18 @@
             up_ms: ((now - member.started) * 1000.0) as u64,
             renewed: member.delegate.renewed(now),
             leads: member.lead.is_some(),
-            open: (member.lead.as_ref()).is_some_and(|l| l.opening.may_be_open()),
+            open: (member.lead.as_ref()).is_some_and(|l| l.degraded_mode.may_be_open()),
             recorded: member.memory.recorded(),
             ..umbersail_wire::Hello::default()
         }
     }
 
-    /// What `Node::hear_answer` does.
-    fn hear_answer(&mut self, node: usize, asked: Time, hello: &umbersail_wire::Hello) {
+    /// What `Node::on_hello_reply` does.
+    fn on_hello_reply(&mut self, node: usize, asked: Time, hello: &umbersail_wire::Hello) {
         let drift = self.cfg.tuning.drift;
         let now = self.members[node].clock.at(self.t);
         if let Some(leader) = &hello.leader {
-            self.hear_of_leader(node, leader[6..].parse().unwrap(), hello.token);
+            self.observe_leader(node, leader[6..].parse().unwrap(), hello.token);
         }
         let member = &mut self.members[node];
         if let Some(renewal_ms) = hello
@@ -1066,7 +1069,7 @@
         if hello.leads && hello.leader.as_ref() == Some(&hello.member) {
             member.memory.told(asked, hello.token, hello.open);
         } else if let Some(token) = hello.recorded {
-            // Of its own former process only (`OpenMemory::told_by_peer`).
+            // Of its own former process only (`DegradedModeRecord::told_by_peer`).
             let former_self = member.leader == Some((node, token)) && member.lead.is_none();
             member.memory.told_by_peer(token, former_self);
         }
@@ -1358,7 +1361,7 @@
         if lead.deleted.contains(machine) {
             return Err(format!("{t:.1}: {machine} is deleted and counted on"));
         }
-        let may_start = lead.opening.is_open() || now < lead.start_until;
+        let may_start = lead.degraded_mode.is_open() || now < lead.start_until;
         let commands = lead.engine.reply(now, report, may_start);
         Ok(Answer::Reply(
             lead.engine.token_for(&report.machine),
--- a/crates/umbersail-control/src/engine/tests/fixtures.rs
+++ b/crates/umbersail-control/src/engine/tests/fixtures.rs
@@ -196,7 +196,7 @@
         parts: vec![],
         over: vec![],
         whole_machines: false,
-        open_before: false,
+        predecessor_degraded: false,
         jobs: vec![],
         types: vec![machine_type()],
         plans: Vec::new(),
--- a/crates/umbersail-control/src/engine/tests/late.rs
+++ b/crates/umbersail-control/src/engine/tests/late.rs
@@ -58,14 +58,14 @@
     }
 
     /// An election as `member` would send it now.
-    fn election(&mut self, member: &str, open_before: bool) -> Sent {
+    fn election(&mut self, member: &str, predecessor_degraded: bool) -> Sent {
         let lease = self.ledger.grant(self.now, 8000).unwrap();
         let leader = LeaderRecord {
             member: member.into(),
             incarnation: 1,
         };
         let (former, grant) = (self.version(LEADER_KEY), self.version("grants/fleet"));
-        election(leader, lease, former, (grant, false), open_before)
+        election(leader, lease, former, (grant, false), predecessor_degraded)
     }
 
     fn elect(&mut self, member: &str) -> Option<u64> {
@@ -412,7 +412,7 @@
         Inheritance {
             revision: second,
             leader_version: second,
-            open_before: true,
+            predecessor_degraded: true,
             ..empty_inheritance()
         },
     );
--- a/crates/umbersail-control/src/engine/tests/launches.rs
+++ b/crates/umbersail-control/src/engine/tests/launches.rs
@@ -139,13 +139,13 @@
     accept(&mut engine, 1.0, spread);
     engine.schedule(1.0);
     assert_eq!(starts(&worker.turn(&mut engine, 1.5)).len(), 0);
-    assert!(engine.waits_openly() || engine.unrecorded_jobs() == 0);
-    engine.set_open(true);
+    assert!(engine.has_waiting_for_degraded_mode() || engine.unrecorded_jobs() == 0);
+    engine.set_degraded(true);
     let told = starts(&worker.turn(&mut engine, 2.0));
     assert_eq!(told, ["req-1/0", "req-1/1"]);
     assert_eq!(engine.unrecorded_jobs(), 1);
     worker.turn(&mut engine, 2.5);
-    engine.set_open(false);
+    engine.set_degraded(false);
     commit(&mut engine, 3.0);
     assert_eq!(engine.unrecorded_jobs(), 0);
 }
--- a/crates/umbersail-control/src/engine/tests/takeovers.rs
+++ b/crates/umbersail-control/src/engine/tests/takeovers.rs
@@ -84,7 +84,7 @@
     // Guards against ran_twice: a leader saw in a report what its predecessor had
     // started without a record, wrote nothing of it, and ended.
     let mut found = inheritance_of(spec("req-1", 4, 2.0));
-    found.open_before = true;
+    found.predecessor_degraded = true;
     let config = config(vec![team(0.0, 0.0)], Tuning::default());
     let mut engine = Engine::new(config, 0.0, 0, found);
     let mut other = ready_worker(&mut engine, "m2", "a");
--- a/crates/umbersail-control/src/engine/write.rs
+++ b/crates/umbersail-control/src/engine/write.rs
@@ -75,7 +75,7 @@
     End,
     /// Either of work that gives way: a guest's thousands of single tasks would take
     /// all that can be written, so they leave half of the bucket to others.
-    GivesWay,
+    BestEffort,
     /// Nobody waits: results stay with their workers until they are recorded.
     Progress,
 }
@@ -158,7 +158,7 @@
                     return None;
                 };
                 let due = match due {
-                    Due::Launch | Due::End if j.spec.gives_way() => Due::GivesWay,
+                    Due::Launch | Due::End if j.spec.is_best_effort() => Due::BestEffort,
                     due => due,
                 };
                 Some((due, since, id.clone()))
@@ -182,12 +182,12 @@
         bytes += parts.iter().map(WrittenPart::bytes).sum::<usize>();
         let mut written = Vec::new();
         for (due, _, id) in due {
-            let most = if matches!(due, Due::Progress | Due::GivesWay) {
+            let most = if matches!(due, Due::Progress | Due::BestEffort) {
                 most.min(spare)
             } else {
                 most
             };
-            if due == Due::GivesWay && spare < 2 {
+            if due == Due::BestEffort && spare < 2 {
                 break;
             }
             if txn.changes.len() + 2 > most && !txn.changes.is_empty() {
--- a/crates/umbersail-control/src/front.rs
+++ b/crates/umbersail-control/src/front.rs
@@ -17,14 +17,14 @@
 use crate::all_replica_read::stage_of;
 use crate::engine::{TxnOutcome, cache_holds, epoch};
 use crate::node::{Node, Role};
-use crate::polls::Seen;
+use crate::polls::PollOutcome;
 use crate::records::{
     JobRecord, Outcome, OverRecord, RunRecord, acceptance, cancellation, job_key, over_key, run_key,
 };
 use crate::state::{StateError, Urgency};
 
 /// What the state service holds of a job, read after the request arrived.
-enum Found {
+enum JobLookup {
     Unfinished(u64),
     Over(OverRecord),
     Nothing,
@@ -38,11 +38,11 @@
         match (method, path) {
             ("POST", paths::REPORT) => self.on_report(&request.body).await,
             ("POST", paths::JOBS) => {
-                self.outside_at.set(self.clock.now());
+                self.outside_heard_at.set(self.clock.now());
                 self.submit_or_relay(&request.body).await
             }
             ("GET", paths::HEALTH) => {
-                self.outside_at.set(self.clock.now());
+                self.outside_heard_at.set(self.clock.now());
                 Response::empty(if self.is_ready() { 200 } else { 503 })
             }
             (_, paths::REPORT | paths::JOBS | paths::HEALTH) => Response::empty(405),
@@ -53,7 +53,7 @@
                 else {
                     return Response::empty(404);
                 };
-                self.outside_at.set(self.clock.now());
+                self.outside_heard_at.set(self.clock.now());
                 match (method, rest.split_once('/')) {
                     ("GET", None) => self.poll_or_relay(rest).await,
                     ("POST", Some((id, paths::CANCEL))) => self.cancel_or_relay(id).await,
@@ -66,15 +66,16 @@
 
     /// Refused at once, with when to come back: those who are turned away together
     /// come back one after the other.
-    fn retry(&self) -> Response {
+    fn retry_later(&self) -> Response {
         let now = self.clock.now();
         let peers = self.settings.peers.len() as f64 + 1.0;
         let capacity = self.settings.facts.state.write_rps / peers;
         let draw = random(|rng| rng.random_range(0.0..1.0));
         let least_s = self.tuning.retry_after_s;
-        let mut crowd = self.crowd.borrow_mut();
-        crowd.refused(now);
-        let mut response = Response::retry(503, crowd.back_in_s(capacity, least_s, draw));
+        let mut retry_backoff = self.retry_backoff.borrow_mut();
+        retry_backoff.refused(now);
+        let mut response =
+            Response::retry(503, retry_backoff.retry_after_s(capacity, least_s, draw));
         // Asked again on the same connection we could say nothing else; on a new one
         // the balancer picks a node that can.
         response.close = !self.is_ready();
@@ -92,13 +93,17 @@
         };
         let now = self.clock.now();
         if report.zone != self.settings.zone {
-            self.outside_at.set(now);
+            self.outside_heard_at.set(now);
         }
-        let detours = &self.detours;
-        let comes_back = || detours.borrow_mut().takes(&report.machine, false, now);
+        let redirects = &self.redirects;
+        let comes_back = || {
+            redirects
+                .borrow_mut()
+                .is_returning(&report.machine, false, now)
+        };
         if matches!(&*self.role.borrow(), Role::Leading(_)) {
             if self.is_isolated_alone(now)
-                && let Some(member) = self.sent_away(&report, now)
+                && let Some(member) = self.hand_off_target(&report, now)
             {
                 return directed(member);
             }
@@ -107,7 +112,7 @@
                 _ => self.take_report(body).await,
             };
             if self.has_successor()
-                && let Some(member) = self.sent_away(&report, now)
+                && let Some(member) = self.hand_off_target(&report, now)
             {
                 return directed(member);
             }
@@ -117,7 +122,7 @@
             .leader_name()
             .filter(|leader| *leader != self.settings.member)
         else {
-            return match self.sent_away(&report, now) {
+            return match self.hand_off_target(&report, now) {
                 Some(member) => directed(member),
                 None => Response::empty(503),
             };
@@ -125,21 +130,25 @@
         // It reaches the leader itself, as far as we can tell, and is not to be kept
         // by us, who have no commands for it. One that comes back is.
         if self.is_isolated_alone(now)
-            && !self.aways.borrow_mut().takes(&report.machine, false, now)
+            && !self
+                .handed_off
+                .borrow_mut()
+                .is_returning(&report.machine, false, now)
         {
             return directed(leader);
         }
-        let between = self.stands_between(&leader, &report.zone);
+        let between = self.is_zone_proxy(&leader, &report.zone);
         let cut_off = self.peers.borrow().get(&leader).is_some_and(|p| p.silent);
         if between || cut_off {
             let direct = || !comes_back();
             if let Some(response) = self.relay(&leader, &report, body, direct).await {
                 return response;
             }
-        } else if detours
-            .borrow_mut()
-            .takes(&report.machine, self.has_left(&report), now)
-            && let Some(response) = self.relay(&leader, &report, body, || false).await
+        } else if redirects.borrow_mut().is_returning(
+            &report.machine,
+            self.has_seen_leader_token(&report),
+            now,
+        ) && let Some(response) = self.relay(&leader, &report, body, || false).await
         {
             return response;
         }
@@ -150,9 +159,9 @@
     /// the successor that we named, who leads now or answers it in our stead for as
     /// long as we might (rule 2), with no difference to what is known of its tasks
     /// (rule 3). A worker that comes back found nobody; it is not sent again.
-    fn sent_away(&self, report: &Report, now: Time) -> Option<String> {
-        let next = self.last_standby.borrow().clone()?;
-        let comes_back = (self.aways.borrow_mut()).takes(&report.machine, false, now);
+    fn hand_off_target(&self, report: &Report, now: Time) -> Option<String> {
+        let next = self.last_designated.borrow().clone()?;
+        let comes_back = (self.handed_off.borrow_mut()).is_returning(&report.machine, false, now);
         (!comes_back).then_some(next)
     }
 
@@ -163,7 +172,7 @@
 
     /// Whether the worker has shown the leader's token: it was answered there, and
     /// is here because it can't go on there.
-    fn has_left(&self, report: &Report) -> bool {
+    fn has_seen_leader_token(&self, report: &Report) -> bool {
         let leader = self.leader.borrow();
         (leader.as_ref()).is_some_and(|(_, revision)| epoch(report.token) == *revision)
     }
@@ -237,27 +246,27 @@
 
     /// Whether our lease still covers the start of tasks (rule 2).
     fn may_start(&self, now: Time) -> bool {
-        let open = self.opening.borrow().is_open();
+        let open = self.degraded_mode.borrow().is_open();
         matches!(&*self.role.borrow(), Role::Leading(l) if open || now < l.start_until.get())
     }
 
     /// Jobs first: a job goes from there to `over/` and never back, so not
     /// found in this order means that it was never accepted.
-    async fn find(&self, id: &str, urgency: Urgency) -> Result<Found, StateError> {
+    async fn find(&self, id: &str, urgency: Urgency) -> Result<JobLookup, StateError> {
         if let Some(over) = self.cache.borrow().get(id) {
-            return Ok(Found::Over(over));
+            return Ok(JobLookup::Over(over));
         }
         let sent_at = self.clock.now();
         if let Some((_, version)) = self.state.get::<IgnoredAny>(&job_key(id), urgency).await? {
-            self.polls.saw(id, version, sent_at);
-            return Ok(Found::Unfinished(version));
+            self.polls.record_version(id, version, sent_at);
+            return Ok(JobLookup::Unfinished(version));
         }
         match self.state.get::<OverRecord>(&over_key(id), urgency).await? {
             Some((over, _)) => {
                 self.remember_end(id, over);
-                Ok(Found::Over(over))
+                Ok(JobLookup::Over(over))
             }
-            None => Ok(Found::Nothing),
+            None => Ok(JobLookup::Nothing),
         }
     }
 
@@ -275,7 +284,7 @@
         if response.status != 503 {
             return response;
         }
-        if let Some(answer) = self.relay_question(paths::PEER_POLL, id).await {
+        if let Some(answer) = self.relay_job_request(paths::PEER_POLL, id).await {
             return answer;
         }
         match self.all_replica_read(id).await {
@@ -288,7 +297,7 @@
     async fn cancel_or_relay(&self, id: &str) -> Response {
         let response = self.cancel(id).await;
         match response.status {
-            503 => (self.relay_question(paths::PEER_CANCEL, id).await).unwrap_or(response),
+            503 => (self.relay_job_request(paths::PEER_CANCEL, id).await).unwrap_or(response),
             _ => response,
         }
     }
@@ -300,25 +309,25 @@
         if let Some(over) = self.cache.borrow().get(id) {
             return ended(id, over);
         }
-        match self.still_unfinished(id).await {
-            Seen::Unfinished => return self.unfinished(id, 200).await,
-            Seen::Unanswered => return self.retry(),
-            Seen::Unknown => {}
+        match self.compare_version(id).await {
+            PollOutcome::Unfinished => return self.unfinished(id, 200).await,
+            PollOutcome::Unanswered => return self.retry_later(),
+            PollOutcome::Unknown => {}
         }
         match self.find(id, Urgency::Poll).await {
-            Ok(Found::Unfinished(..)) => self.unfinished(id, 200).await,
-            Ok(Found::Over(over)) => ended(id, over),
-            Ok(Found::Nothing) => Response::empty(404),
+            Ok(JobLookup::Unfinished(..)) => self.unfinished(id, 200).await,
+            Ok(JobLookup::Over(over)) => ended(id, over),
+            Ok(JobLookup::Nothing) => Response::empty(404),
             Err(e) => {
                 debug!(job = id, reason = %e, "poll not answered");
-                self.retry()
+                self.retry_later()
             }
         }
     }
 
     /// What the leader said of a job, if that is no older than a display may be.
     fn heard_counts(&self, id: &str) -> Option<(u32, u32)> {
-        let heard = self.progress_heard.borrow();
+        let heard = self.reported_progress.borrow();
         let fresh = self.clock.now() - heard.at? < self.tuning.heard_fresh_s;
         fresh.then(|| heard.jobs.get(id).copied()).flatten()
     }
@@ -332,7 +341,7 @@
             Ok(Some((run, _))) => (run.done_count, run.running_at_least()),
             Ok(None) => (0, 0),
             Err(_) => {
-                let heard = self.progress_heard.borrow();
+                let heard = self.reported_progress.borrow();
                 heard.jobs.get(id).copied().unwrap_or_default()
             }
         }
@@ -362,7 +371,7 @@
         if !self.state.has_room(1.0) {
             // The leader's share of the limits is the largest.
             if let Some(leader) = self.leader_name()
-                && !is_patient(body)
+                && !is_best_effort_submission(body)
                 && let Some(response) = self.relay_submission(&leader, body).await
             {
                 return response;
@@ -371,7 +380,7 @@
         }
         let response = self.submit(body).await;
         if response.status == 503
-            && let Some(helper) = self.helper(is_patient(body))
+            && let Some(helper) = self.helper(is_best_effort_submission(body))
             && let Some(taken) = self.relay_submission(&helper, body).await
         {
             return taken;
@@ -402,8 +411,8 @@
         let (class, team) = (spec.class.clone(), spec.team.clone());
         let (tasks, cpus) = (spec.tasks, spec.cpus);
         // A flood of what can wait must not use up what others are accepted with.
-        let urgency = if spec.gives_way() {
-            Urgency::Spare
+        let urgency = if spec.is_best_effort() {
+            Urgency::BestEffort
         } else {
             Urgency::Prompt
         };
@@ -419,14 +428,14 @@
         match self.state.txn(&txn, urgency).await {
             // Rule 6: told only now that the state service holds it.
             TxnOutcome::Applied { revision } => {
-                self.polls.saw(&id, revision, sent_at);
+                self.polls.record_version(&id, revision, sent_at);
                 info!(job = id, class, team, tasks, cpus, "accepted");
                 status_body(201, &id, JobStage::Queued, None)
             }
             TxnOutcome::Conflict { .. } => match self.find(&id, Urgency::Prompt).await {
-                Ok(Found::Unfinished(..)) => self.unfinished(&id, 200).await,
-                Ok(Found::Over(over)) => ended(&id, over),
-                _ => self.retry(),
+                Ok(JobLookup::Unfinished(..)) => self.unfinished(&id, 200).await,
+                Ok(JobLookup::Over(over)) => ended(&id, over),
+                _ => self.retry_later(),
             },
             TxnOutcome::NotExecuted | TxnOutcome::Unknown => {
                 info!(
@@ -434,7 +443,7 @@
                     reason = "the state service can't take it",
                     "submission refused"
                 );
-                self.retry()
+                self.retry_later()
             }
         }
     }
@@ -443,15 +452,15 @@
     async fn refuse(&self, status: u16, id: &str, reason: &str) -> Response {
         if is_job_id(id) {
             match self.find(id, Urgency::Prompt).await {
-                Ok(Found::Unfinished(..)) => return self.unfinished(id, 200).await,
-                Ok(Found::Over(over)) => return ended(id, over),
-                Ok(Found::Nothing) => {}
-                Err(_) => return self.retry(),
+                Ok(JobLookup::Unfinished(..)) => return self.unfinished(id, 200).await,
+                Ok(JobLookup::Over(over)) => return ended(id, over),
+                Ok(JobLookup::Nothing) => {}
+                Err(_) => return self.retry_later(),
             }
         }
         info!(job = id, status, reason, "submission refused");
         if status == 503 {
-            self.retry()
+            self.retry_later()
         } else {
             refused(status, reason)
         }
@@ -511,7 +520,7 @@
         // A conflict means that the job moved on since it was read.
         for _ in 0..3 {
             match self.find(id, Urgency::Prompt).await {
-                Ok(Found::Unfinished(version)) => {
+                Ok(JobLookup::Unfinished(version)) => {
                     // The job's progress stays until the leader knows that
                     // nothing of it runs: a successor counts it (rule 4).
                     let over = OverRecord {
@@ -526,22 +535,22 @@
                             return ended(id, over);
                         }
                         TxnOutcome::Conflict { .. } => {}
-                        _ => return self.retry(),
+                        _ => return self.retry_later(),
                     }
                 }
-                Ok(Found::Over(over)) => return ended(id, over),
-                Ok(Found::Nothing) => return Response::empty(404),
-                Err(_) => return self.retry(),
+                Ok(JobLookup::Over(over)) => return ended(id, over),
+                Ok(JobLookup::Nothing) => return Response::empty(404),
+                Err(_) => return self.retry_later(),
             }
         }
-        self.retry()
+        self.retry_later()
     }
 }
 
 /// Whether a submission is of work that gives way: the leader, whose writes are
 /// launches and ends, is not asked to take it.
-fn is_patient(body: &[u8]) -> bool {
-    decode::<JobSpec>(body).is_ok_and(|spec| spec.gives_way())
+fn is_best_effort_submission(body: &[u8]) -> bool {
+    decode::<JobSpec>(body).is_ok_and(|spec| spec.is_best_effort())
 }
 
 /// What is wrong with a submission whatever the machines and teams are.
--- a/crates/umbersail-control/src/leader.rs
+++ b/crates/umbersail-control/src/leader.rs
@@ -1,4 +1,4 @@
-//! Leadership: how it is won and lost, and the duties that come with it.
+//! Leadership: how it is won and lost, and the tasks that come with it.
 
 use std::cell::Cell;
 use std::collections::BTreeMap;
@@ -20,7 +20,7 @@
     CloudAction, Engine, Fencing, Inheritance, InheritedJob, InheritedPart, InheritedPlan,
     TxnOutcome,
 };
-use crate::node::{Duties, Leading, Node, Role};
+use crate::node::{Leading, Node, Role, TaskGroup};
 use crate::records::{
     CATALOGUE_KEY, GRANT_KEY, GRANT_PARTS, GrantPart, GrantRecord, JOBS, JobRecord, LEADER_KEY,
     LeaderRecord, OVER, PLANS, RECOVERY_PENDING_KEY, RUNS, Record, RunRecord, catalogue, election,
@@ -57,7 +57,7 @@
     /// The holder before us kept no progress of jobs that are over (rule 4).
     whole_machines: bool,
     /// A holder before us may have started tasks that no record tells of.
-    open_before: bool,
+    predecessor_degraded: bool,
     /// Plans may be recorded.
     plans: bool,
 }
@@ -98,15 +98,15 @@
                 .await;
             match found {
                 Ok(Some((record, token))) => {
-                    self.open_memory.borrow_mut().read(token);
+                    self.degraded_mode_record.borrow_mut().read(token);
                     if is_former_self(&record, &self.settings.member, self.incarnation) {
                         info!(token, "the leader's key is of our former self: taken over");
                         return Some(token);
                     }
-                    self.hear_of_leader(&record.member, token);
+                    self.observe_leader(&record.member, token);
                     self.elected.set(Some((token, record.incarnation)));
                     let ended = pin!(self.wait_for_end(token));
-                    match select(ended, pin!(self.take_lead.notified())).await {
+                    match select(ended, pin!(self.campaign_requested.notified())).await {
                         Either::Left((true, _)) => return None,
                         Either::Left((false, _)) => {}
                         // Its version in the transaction of our election makes
@@ -153,13 +153,13 @@
     }
 
     /// Tries once to become the leader; if it does, leads until that is over.
-    pub(crate) async fn try_to_lead(self: Rc<Self>, former: Option<u64>) {
+    pub(crate) async fn campaign(self: Rc<Self>, former: Option<u64>) {
         if self.types.borrow().is_empty() {
             sleep(0.3).await;
             return;
         }
         let now = self.clock.now();
-        if now < self.shy_until.get() && self.a_peer_could_lead(now) {
+        if now < self.step_down_backoff_until.get() && self.a_peer_could_lead(now) {
             sleep(0.3).await;
             return;
         }
@@ -167,18 +167,18 @@
             // Apart from one another, or all try at once and waste writes; the one
             // that is to lead goes first.
             let jitter = random(|rng| rng.random_range(0.0..0.05));
-            sleep(self.rank() as f64 * 0.1 + jitter).await;
+            sleep(self.campaign_rank() as f64 * 0.1 + jitter).await;
         }
         let asked_at = self.clock.now();
         let Ok(lease) = self.state.grant_lease(self.tuning.leader_ttl_s).await else {
             sleep(0.3).await;
             return;
         };
-        self.claiming.set(true);
-        let elected = self.claim(lease, former).await;
-        self.claiming.set(false);
+        self.campaigning.set(true);
+        let elected = self.commit_election(lease, former).await;
+        self.campaigning.set(false);
         match elected {
-            Some(elected) => self.lead(lease, asked_at, elected).await,
+            Some(elected) => self.run_term(lease, asked_at, elected).await,
             None => {
                 self.state.end_lease(lease).await;
                 sleep(0.1).await;
@@ -188,7 +188,7 @@
 
     /// One transaction makes us the leader and moves the block here; its
     /// revision is the block's token (rule 1).
-    async fn claim(&self, lease: u64, former: Option<u64>) -> Option<Elected> {
+    async fn commit_election(&self, lease: u64, former: Option<u64>) -> Option<Elected> {
         let found = self
             .state
             .get::<GrantRecord>(GRANT_KEY, Urgency::Vital)
@@ -207,18 +207,24 @@
             .await
             .ok()?
             .is_some();
-        let open = version > 0 && self.open_memory.borrow().may_be_open(version);
-        let open_before = open || recovery_pending;
+        let open = version > 0 && self.degraded_mode_record.borrow().may_be_open(version);
+        let predecessor_degraded = open || recovery_pending;
         let leader = LeaderRecord {
             member: self.settings.member.clone(),
             incarnation: self.incarnation,
         };
         let grant = (version, plans);
-        let txn = election(leader, lease, former.unwrap_or(0), grant, open_before);
+        let txn = election(
+            leader,
+            lease,
+            former.unwrap_or(0),
+            grant,
+            predecessor_degraded,
+        );
         match self.state.txn(&txn, Urgency::Vital).await {
             TxnOutcome::Applied { revision } => Some(Elected {
                 token: revision,
-                open_before,
+                predecessor_degraded,
                 whole_machines,
                 plans,
             }),
@@ -226,21 +232,21 @@
         }
     }
 
-    async fn lead(self: Rc<Self>, lease: u64, asked_at: Time, elected: Elected) {
+    async fn run_term(self: Rc<Self>, lease: u64, asked_at: Time, elected: Elected) {
         let token = elected.token;
         self.share_limits(true);
-        self.hear_of_leader(&self.settings.member, token);
+        self.observe_leader(&self.settings.member, token);
         info!(
             token,
-            open_before = elected.open_before,
+            predecessor_degraded = elected.predecessor_degraded,
             "takes over as leader"
         );
         let cfg = Rc::new(self.engine_config());
         let start_until = Rc::new(Cell::new(self.start_end(asked_at)));
         let renew_until = Rc::new(Cell::new(asked_at + cfg.renewal_s()));
         let gone = Rc::new(Cell::new(false));
-        let mut duties = Duties::default();
-        duties.start(self.clone().renew(
+        let mut tasks = TaskGroup::default();
+        tasks.start(self.clone().keep_lease(
             lease,
             token,
             start_until.clone(),
@@ -248,7 +254,7 @@
             cfg.renewal_s(),
             gone.clone(),
         ));
-        if let Some(read) = self.inherit(elected, &renew_until, &gone).await {
+        if let Some(read) = self.read_predecessor(elected, &renew_until, &gone).await {
             let Inherited { inheritance, .. } = read;
             // What was cancelled since is not known yet (rule 2).
             let known_until = read.jobs_read_at + cfg.renewal_s();
@@ -268,24 +274,24 @@
                 followed: Cell::new(read.revision),
                 superseded: Cell::new(false),
             }));
-            duties.start(self.clone().pump(token));
-            duties.start(self.clone().watch_jobs(token));
-            duties.start(self.clone().tend_cloud(token));
-            duties.start(self.clone().fence(token));
-            duties.start(self.clone().answer_doubts(token));
-            duties.start(self.clone().tend_opening(token));
+            tasks.start(self.clone().run_scheduler(token));
+            tasks.start(self.clone().watch_jobs(token));
+            tasks.start(self.clone().run_cloud(token));
+            tasks.start(self.clone().run_fencing(token));
+            tasks.start(self.clone().answer_suspicions(token));
+            tasks.start(self.clone().run_degraded_mode(token));
             self.changed.raise();
-            let reason = self.until_over(&renew_until, &gone).await;
+            let reason = self.wait_for_term_end(&renew_until, &gone).await;
             warn!(token, reason, "leadership is over");
         }
-        duties.end();
+        tasks.end();
         // What we know of our own starts, should we succeed ourselves.
-        let open = std::mem::take(&mut *self.opening.borrow_mut()).may_be_open();
-        self.open_memory
+        let open = std::mem::take(&mut *self.degraded_mode.borrow_mut()).may_be_open();
+        self.degraded_mode_record
             .borrow_mut()
             .held(self.clock.now(), token, open);
         *self.role.borrow_mut() = Role::Following;
-        self.resign(false);
+        self.set_resigning(false);
         self.changed.raise();
         self.share_limits(false);
         self.state.end_lease(lease).await;
@@ -297,7 +303,7 @@
     }
 
     /// Why leadership ended, once it has.
-    async fn until_over(&self, renew_until: &Cell<Time>, gone: &Cell<bool>) -> &'static str {
+    async fn wait_for_term_end(&self, renew_until: &Cell<Time>, gone: &Cell<bool>) -> &'static str {
         let mut unreachable_since: Option<Time> = None;
         let mut paused = false;
         let elected_at = self.clock.now();
@@ -320,12 +326,13 @@
             if gone.get() {
                 return "the lease ended, or the leader's key is not ours";
             }
-            if self.computes_late(elected_at) {
-                self.shy_until.set(now + self.tuning.hand_over_after_s);
+            if self.is_overloaded(elected_at) {
+                self.step_down_backoff_until
+                    .set(now + self.tuning.hand_over_after_s);
                 return "computes late: hands over";
             }
             // We can't end our lease then: peers replace the key at our word.
-            self.resign(self.is_refused_alone());
+            self.set_resigning(self.is_isolated_from_state());
             // Past the renewal time, reports are refused but the lease is still
             // renewed: if that succeeds after an outage, nobody else can have
             // been elected, and the fleet goes on under the same token.
@@ -362,7 +369,7 @@
     /// replace it: a comparison does, and both must succeed. For the time to answer
     /// workers, what was cancelled up to then must have been read, too: the watch may
     /// be silent, in an outage or behind a cut, while renewals succeed (rule 2).
-    async fn renew(
+    async fn keep_lease(
         self: Rc<Self>,
         lease: u64,
         token: u64,
@@ -384,7 +391,7 @@
             };
             let renewed = self.state.renew_lease(lease, self.tuning.leader_renew_s);
             let ours = self.state.txn(&ours, Urgency::Vital);
-            let (renewed, ours, known) = join3(renewed, ours, self.catch_up(token)).await;
+            let (renewed, ours, known) = join3(renewed, ours, self.read_job_changes(token)).await;
             // Without an engine nobody is answered, and what it will know is reckoned
             // when it is there.
             let known = known || self.followed(token).is_none();
@@ -412,7 +419,7 @@
     }
 
     /// Reads what the predecessor left: jobs, their progress, the catalogue.
-    async fn inherit(
+    async fn read_predecessor(
         &self,
         elected: Elected,
         renew_until: &Cell<Time>,
@@ -458,7 +465,7 @@
                 .map(|pair| {
                     let run = progress.remove(&pair.value.spec.id);
                     let id = &pair.value.spec.id;
-                    self.polls.saw(id, pair.version, read_at);
+                    self.polls.record_version(id, pair.version, read_at);
                     InheritedJob {
                         record: pair.value,
                         version: pair.version,
@@ -475,7 +482,7 @@
                     .map(|(id, (run, _))| (id, run))
                     .collect(),
                 whole_machines: elected.whole_machines,
-                open_before: elected.open_before,
+                predecessor_degraded: elected.predecessor_degraded,
                 types: self.types.borrow().clone(),
                 plans: plans.into_iter().map(inherited_plan).collect(),
             };
@@ -488,7 +495,7 @@
     }
 
     /// Turns what is known into placements and records.
-    async fn pump(self: Rc<Self>, token: u64) {
+    async fn run_scheduler(self: Rc<Self>, token: u64) {
         let mut last_cycle = f64::MIN;
         let mut last_tick = f64::MIN;
         loop {
@@ -514,7 +521,7 @@
                     (false, true) => Some(tuning.cycle_interval_s),
                     (false, false) => None,
                 };
-                if self.opening.borrow().is_open() && self.state.failing_since().is_some() {
+                if self.degraded_mode.borrow().is_open() && self.state.failing_since().is_some() {
                     return (None, Default::default(), Vec::new(), next);
                 }
                 (
@@ -527,7 +534,7 @@
             let Some((txn, (jobs, parts), plans, next)) = step else {
                 return;
             };
-            if self.opening.borrow().is_open() && txn.is_none() {
+            if self.degraded_mode.borrow().is_open() && txn.is_none() {
                 // Nothing can be written, or need be: launches go without.
                 self.progress.raise();
                 let token_increments = self.with_engine(token, |e| e.token_increments(now));
@@ -653,7 +660,7 @@
     /// Tells the engine of jobs accepted and cancelled, in the order of revisions,
     /// whichever answer comes first. The changes must be all since a revision that
     /// the engine knew when they were asked for.
-    fn take_changes(&self, token: u64, result: WatchResult<JobRecord>) {
+    fn apply_job_changes(&self, token: u64, result: WatchResult<JobRecord>) {
         let Some(followed) = self.followed(token) else {
             return;
         };
@@ -674,13 +681,13 @@
     }
 
     /// Reads what was accepted and cancelled up to now; false if that is not known.
-    async fn catch_up(&self, token: u64) -> bool {
+    async fn read_job_changes(&self, token: u64) -> bool {
         let Some(from) = self.followed(token) else {
             return false;
         };
         match self.state.changes::<JobRecord>(JOBS, from).await {
             Ok(result) => {
-                self.take_changes(token, result);
+                self.apply_job_changes(token, result);
                 true
             }
             Err(e) => {
@@ -695,7 +702,7 @@
         while let Some(from) = self.followed(token) {
             let hold_s = self.tuning.watch_hold_s;
             match self.state.watch::<JobRecord>(JOBS, from, hold_s).await {
-                Ok(result) => self.take_changes(token, result),
+                Ok(result) => self.apply_job_changes(token, result),
                 Err(StateError::Gone) => self.list_jobs(token).await,
                 Err(_) => sleep(0.3).await,
             }
@@ -726,7 +733,7 @@
     }
 
     /// Lists, rents and returns machines.
-    async fn tend_cloud(self: Rc<Self>, token: u64) {
+    async fn run_cloud(self: Rc<Self>, token: u64) {
         let mut listed_at = f64::MIN;
         let mut catalogue_at = f64::MIN;
         let mut catalogue_recorded = false;
@@ -768,7 +775,7 @@
                 return;
             };
             for action in actions {
-                self.act(token, action).await;
+                self.execute(token, action).await;
             }
             sleep(self.tuning.rent_interval_s).await;
         }
@@ -789,7 +796,7 @@
         )
     }
 
-    async fn act(&self, token: u64, action: CloudAction) {
+    async fn execute(&self, token: u64, action: CloudAction) {
         match action {
             CloudAction::Delete(names) => {
                 let gone = self.cloud.delete(&names).await;
@@ -816,7 +823,7 @@
 
     /// Brings our token to the machines that the predecessor held, so that
     /// answers of the predecessor are dropped, and gets a fresh report.
-    async fn fence(self: Rc<Self>, token: u64) {
+    async fn run_fencing(self: Rc<Self>, token: u64) {
         loop {
             let now = self.clock.now();
             let Some(targets) = self.with_engine(token, |e| e.fence_targets(now)) else {
--- a/crates/umbersail-control/src/lib.rs
+++ b/crates/umbersail-control/src/lib.rs
@@ -3,17 +3,17 @@
 
 mod all_replica_read;
 mod cloud;
-mod crowd;
+mod degraded_mode;
 mod delegate;
 pub mod engine;
 mod front;
 mod leader;
 mod node;
-mod outage;
 mod peers;
 mod plans;
 mod polls;
 pub mod records;
+mod retry_backoff;
 pub mod settings;
 mod standby;
 mod state;
--- a/crates/umbersail-control/src/node.rs
+++ b/crates/umbersail-control/src/node.rs
@@ -1,4 +1,4 @@
-//! One controller process: its clients, its role, and its long-lived duties.
+//! One controller process: its clients, its role, and its long-lived tasks.
 
 use std::cell::{Cell, RefCell};
 use std::collections::{BTreeMap, VecDeque};
@@ -11,19 +11,19 @@
 use umbersail_runtime::{
     Broadcast, Clock, Notify, Routine, TcpListener, Time, random, sleep, spawn,
 };
-use umbersail_standby::{DetectorTimeouts, FailureDetector, Lag, OpenMemory, Opening};
+use umbersail_standby::{DegradedMode, DegradedModeRecord, DetectorTimeouts, FailureDetector, Lag};
 use umbersail_tuning::Tuning;
 use umbersail_wire::{MachineType, paths};
 
 use crate::all_replica_read::AllReplicaReads;
 use crate::cloud::CloudClient;
-use crate::crowd::Crowd;
 use crate::delegate::Delegate;
 use crate::engine::{Engine, EngineConfig};
-use crate::polls::Polls;
+use crate::polls::BatchedPolls;
 use crate::records::{
     CATALOGUE_KEY, CatalogueRecord, LEADER_KEY, LeaderRecord, Outcome, OverRecord,
 };
+use crate::retry_backoff::RetryBackoff;
 use crate::settings::Settings;
 use crate::state::{StateClient, Urgency};
 
@@ -66,22 +66,22 @@
 
 /// The leader's newest word on unfinished jobs: tasks done and running.
 #[derive(Debug, Default)]
-pub(crate) struct Heard {
+pub(crate) struct ReportedProgress {
     pub at: Option<Time>,
     pub jobs: BTreeMap<String, (u32, u32)>,
 }
 
 /// Workers that can't reach the leader: they came back although they were directed
 /// there, or have shown its token and come to another node all the same.
-pub(crate) struct Detours {
+pub(crate) struct RedirectTracker {
     /// When each was last directed, or until when it is helped.
-    machines: BTreeMap<String, Detour>,
+    machines: BTreeMap<String, Redirect>,
     again_s: Time,
     help_s: Time,
 }
 
 #[derive(Debug, Clone, Copy)]
-enum Detour {
+enum Redirect {
     Directed(Time),
     Until(Time),
 }
@@ -90,29 +90,29 @@
 /// that hand on reports to one of them.
 const STATE_CONNECTIONS: usize = 48;
 const CLOUD_CONNECTIONS: usize = 4;
-const PEER_CONNECTIONS_BESIDE: usize = 8;
+const EXTRA_PEER_CONNECTIONS: usize = 8;
 /// One connection to each peer for so many sockets: 61 of 3,051, enough for 600 reports a
 /// second that wait 0.1 s each.
 const SOCKETS_PER_PEER_CONNECTION: usize = 50;
 /// Connections to workers, however few sockets there are.
-const OUTGOING_LEAST: f64 = 16.0;
+const MIN_OUTGOING: f64 = 16.0;
 /// Listening sockets, the event loop, logs.
-const SOCKETS_BESIDE: usize = 12;
+const RESERVED_SOCKETS: usize = 12;
 
 /// How often a state service that is out of reach is asked for, seconds.
 const SILENT_PROBE_S: Time = 0.3;
 
 /// Upper bound on remembered workers, some 50 bytes each: twice a fleet of 4,000. Above
 /// it all are forgotten, and a worker that can't reach the leader is helped anew.
-const MAX_DETOURS: usize = 8192;
+const MAX_REDIRECTS: usize = 8192;
 /// Upper bound on a message between controllers, in bytes. The largest is a delegate's
 /// answer that lists every machine it renewed: some 40 bytes for each of 4,000 machines,
 /// beside the ids of thousands of jobs.
 const MAX_PEER_BODY_BYTES: usize = 1 << 20;
 
-impl Detours {
-    fn new(again_s: Time, help_s: Time) -> Detours {
-        Detours {
+impl RedirectTracker {
+    fn new(again_s: Time, help_s: Time) -> RedirectTracker {
+        RedirectTracker {
             machines: BTreeMap::new(),
             again_s,
             help_s,
@@ -123,21 +123,21 @@
     /// the leader has answered it before, and it comes here. Sent back to a leader
     /// that drops all from it without a word, its lease would be over before it came
     /// again: it waits 4 s for an answer there, a second before, and a second after.
-    pub fn takes(&mut self, machine: &str, left: bool, now: Time) -> bool {
-        let helped = Detour::Until(now + self.help_s);
+    pub fn is_returning(&mut self, machine: &str, left: bool, now: Time) -> bool {
+        let helped = Redirect::Until(now + self.help_s);
         let next = match self.machines.get(machine) {
-            Some(Detour::Until(end)) if now < *end => return true,
+            Some(Redirect::Until(end)) if now < *end => return true,
             // The leader may be back.
-            Some(Detour::Until(end)) if now - end < self.again_s => Detour::Directed(now),
-            Some(Detour::Directed(at)) if now - at < self.again_s => helped,
+            Some(Redirect::Until(end)) if now - end < self.again_s => Redirect::Directed(now),
+            Some(Redirect::Directed(at)) if now - at < self.again_s => helped,
             _ if left => helped,
-            _ => Detour::Directed(now),
+            _ => Redirect::Directed(now),
         };
-        if self.machines.len() >= MAX_DETOURS && !self.machines.contains_key(machine) {
+        if self.machines.len() >= MAX_REDIRECTS && !self.machines.contains_key(machine) {
             self.machines.clear();
         }
         self.machines.insert(machine.to_owned(), next);
-        matches!(next, Detour::Until(_))
+        matches!(next, Redirect::Until(_))
     }
 }
 
@@ -213,23 +213,23 @@
     pub(crate) types: RefCell<Vec<MachineType>>,
     pub(crate) peers: RefCell<BTreeMap<String, PeerState>>,
     pub(crate) cache: RefCell<TerminalCache>,
-    pub(crate) polls: Polls,
+    pub(crate) polls: BatchedPolls,
     pub(crate) all_replica_reads: AllReplicaReads,
-    pub(crate) detours: RefCell<Detours>,
+    pub(crate) redirects: RefCell<RedirectTracker>,
     /// Workers that we sent to other nodes because we are isolated, or lead no more.
-    pub(crate) aways: RefCell<Detours>,
+    pub(crate) handed_off: RefCell<RedirectTracker>,
     /// When somebody was last heard of whom a cut of our zone would keep from us: the
     /// balancer, a user, a worker of another zone.
-    pub(crate) outside_at: Cell<Time>,
+    pub(crate) outside_heard_at: Cell<Time>,
     /// The last successor that we named while we led.
-    pub(crate) last_standby: RefCell<Option<String>>,
+    pub(crate) last_designated: RefCell<Option<String>>,
     pub(crate) delegate: RefCell<Delegate>,
     pub(crate) started_at: Time,
-    pub(crate) progress_heard: RefCell<Heard>,
-    pub(crate) crowd: RefCell<Crowd>,
+    pub(crate) reported_progress: RefCell<ReportedProgress>,
+    pub(crate) retry_backoff: RefCell<RetryBackoff>,
     /// Front connections kept for workers, by the number of machines.
     pub(crate) reserved_sockets: Rc<Cell<usize>>,
-    /// Wakes the leader's pump.
+    /// Wakes the leader's scheduler.
     pub(crate) wake: Notify,
     /// Raised when the leader has planned or recorded something.
     pub(crate) progress: Broadcast,
@@ -240,22 +240,22 @@
     pub(crate) suspected: Notify,
     /// The version of a leader's key that is to be replaced.
     pub(crate) confirmed_failure: Cell<Option<u64>>,
-    pub(crate) take_lead: Notify,
+    pub(crate) campaign_requested: Notify,
     /// An election of ours is under way: what it says of starts without a record holds
     /// only if we agree to none meanwhile.
-    pub(crate) claiming: Cell<bool>,
+    pub(crate) campaigning: Cell<bool>,
     /// The version of the newest leader's key that was read, and its process.
     pub(crate) elected: Cell<Option<(u64, u64)>>,
     /// Whom the leader named to lead after it.
-    pub(crate) named: RefCell<Option<String>>,
+    pub(crate) designated_successor: RefCell<Option<String>>,
     /// We lead, and want another to.
     pub(crate) resigning: Cell<bool>,
     /// Having handed the lead over, we don't take it back before then.
-    pub(crate) shy_until: Cell<Time>,
+    pub(crate) step_down_backoff_until: Cell<Time>,
     pub(crate) lag: Cell<Lag>,
     /// What we know of a holder's starts without a record, and our own.
-    pub(crate) open_memory: RefCell<OpenMemory>,
-    pub(crate) opening: RefCell<Opening>,
+    pub(crate) degraded_mode_record: RefCell<DegradedModeRecord>,
+    pub(crate) degraded_mode: RefCell<DegradedMode>,
     /// Raised when we begin or cease to lead, or want another to.
     pub(crate) changed: Broadcast,
 }
@@ -281,13 +281,13 @@
     spawn(serve(back, back_limits, back_handler));
     spawn(node.clone().learn_types());
     spawn(node.clone().probe_state());
-    spawn(node.clone().watch_lag());
-    spawn(node.clone().attend());
-    spawn(node.clone().weigh());
+    spawn(node.clone().measure_lag());
+    spawn(node.clone().watch_leader());
+    spawn(node.clone().run_failure_detector());
     for peer in node.settings.peers.clone() {
-        spawn(node.clone().greet(peer));
+        spawn(node.clone().exchange_hellos(peer));
     }
-    match node.lead_or_follow().await {}
+    match node.run_elections().await {}
 }
 
 impl Node {
@@ -330,34 +330,34 @@
                 128 << 10,
                 40,
                 2,
-                (sockets * tuning.outgoing_share).max(OUTGOING_LEAST) as usize,
+                (sockets * tuning.outgoing_share).max(MIN_OUTGOING) as usize,
             ),
             // Reports are handed on to one peer, many at a time.
             peer_http: client(
                 MAX_PEER_BODY_BYTES,
                 to_peer,
                 to_peer,
-                PEER_CONNECTIONS_BESIDE + to_peer,
+                EXTRA_PEER_CONNECTIONS + to_peer,
             ),
             incarnation: random(|rng| rng.random()),
             role: RefCell::new(Role::Following),
             leader: RefCell::new(None),
             types: RefCell::new(Vec::new()),
             peers: RefCell::new(BTreeMap::new()),
-            polls: Polls::default(),
+            polls: BatchedPolls::default(),
             all_replica_reads: AllReplicaReads::default(),
             cache: RefCell::new(TerminalCache::new(tuning.terminal_cache as usize)),
-            detours: RefCell::new(Detours::new(tuning.relay_again_s, tuning.relay_s)),
-            aways: RefCell::new(Detours::new(tuning.relay_again_s, tuning.relay_s)),
-            outside_at: Cell::new(f64::MIN),
-            last_standby: RefCell::default(),
+            redirects: RefCell::new(RedirectTracker::new(tuning.relay_again_s, tuning.relay_s)),
+            handed_off: RefCell::new(RedirectTracker::new(tuning.relay_again_s, tuning.relay_s)),
+            outside_heard_at: Cell::new(f64::MIN),
+            last_designated: RefCell::default(),
             delegate: RefCell::new(Delegate::new(
                 facts.workers.lease_s,
                 tuning.renewal_s(facts.workers.cancel_s, facts.workers.lease_s),
             )),
             started_at: clock.now(),
-            progress_heard: RefCell::default(),
-            crowd: RefCell::default(),
+            reported_progress: RefCell::default(),
+            retry_backoff: RefCell::default(),
             reserved_sockets: Rc::default(),
             wake: Notify::default(),
             progress: Broadcast::default(),
@@ -372,15 +372,15 @@
             })),
             suspected: Notify::default(),
             confirmed_failure: Cell::default(),
-            take_lead: Notify::default(),
-            claiming: Cell::default(),
+            campaign_requested: Notify::default(),
+            campaigning: Cell::default(),
             elected: Cell::default(),
-            named: RefCell::default(),
+            designated_successor: RefCell::default(),
             resigning: Cell::default(),
-            shy_until: Cell::new(f64::MIN),
+            step_down_backoff_until: Cell::new(f64::MIN),
             lag: Cell::default(),
-            open_memory: RefCell::default(),
-            opening: RefCell::default(),
+            degraded_mode_record: RefCell::default(),
+            degraded_mode: RefCell::default(),
             changed: Broadcast::default(),
             clock,
             settings,
@@ -414,11 +414,11 @@
         let from_peers = self.settings.peers.len() * to_peer + 8;
         let elsewhere = STATE_CONNECTIONS
             + CLOUD_CONNECTIONS
-            + PEER_CONNECTIONS_BESIDE
+            + EXTRA_PEER_CONNECTIONS
             + to_peer
             + from_peers
-            + (sockets * tuning.outgoing_share).max(OUTGOING_LEAST) as usize
-            + SOCKETS_BESIDE;
+            + (sockets * tuning.outgoing_share).max(MIN_OUTGOING) as usize
+            + RESERVED_SOCKETS;
         let most = (sockets * tuning.front_total_share) as usize;
         let least = (sockets * tuning.front_users_least_share) as usize;
         let left = (sockets as usize).saturating_sub(elsewhere);
@@ -494,7 +494,7 @@
     }
 
     /// Takes in word of a leader; an older one than known is ignored.
-    pub(crate) fn hear_of_leader(&self, member: &str, token: u64) {
+    pub(crate) fn observe_leader(&self, member: &str, token: u64) {
         let mut leader = self.leader.borrow_mut();
         if leader.as_ref().is_some_and(|(_, known)| *known >= token) {
             return;
@@ -525,7 +525,7 @@
     }
 
     /// Whether no peer has been heard of lately, though there are some.
-    fn is_apart(&self, now: Time) -> bool {
+    fn hears_no_peer(&self, now: Time) -> bool {
         let lately = |at: Time| now - at < self.tuning.isolated_s;
         !self.settings.peers.is_empty()
             && !(self.peers.borrow().values()).any(|p| p.heard_at.is_some_and(lately))
@@ -535,14 +535,14 @@
     /// anything, nor any peer: then others lead, or soon will.
     pub(crate) fn is_isolated(&self, now: Time) -> bool {
         let silent = self.state.silent_since();
-        silent.is_some_and(|at| now - at >= self.tuning.isolated_s) && self.is_apart(now)
+        silent.is_some_and(|at| now - at >= self.tuning.isolated_s) && self.hears_no_peer(now)
     }
 
     /// Whether it is only us whom the rest does not reach: isolated, and not by a cut
     /// of our zone, which would keep the balancer from us too. Our workers then reach
     /// the other nodes, and are better off there.
     pub(crate) fn is_isolated_alone(&self, now: Time) -> bool {
-        self.is_isolated(now) && now - self.outside_at.get() < self.tuning.outside_s
+        self.is_isolated(now) && now - self.outside_heard_at.get() < self.tuning.outside_s
     }
 
     /// A node that alone is blind takes itself out; when all are blind alike,
@@ -560,12 +560,14 @@
             // and the balancer need not wait for it afterwards.
             let refused = self.state.silent_since().is_none() && self.state.is_heard();
             let reached = |p: &PeerState| p.state_reachable;
-            return refused && !self.is_apart(now) && !self.peers.borrow().values().any(reached);
+            return refused
+                && !self.hears_no_peer(now)
+                && !self.peers.borrow().values().any(reached);
         };
         // Nobody can say whether the state service refuses others too; that takes
         // longer, so that no short outage among controllers that are apart counts.
         let refused_s = 2.0 * self.tuning.blind_s;
-        if self.is_isolated(now) || self.is_apart(now) && now - last_answer >= refused_s {
+        if self.is_isolated(now) || self.hears_no_peer(now) && now - last_answer >= refused_s {
             return false;
         }
         // A peer's word counts only if it is clearly newer than our own last
@@ -629,10 +631,10 @@
         }
     }
 
-    async fn lead_or_follow(self: Rc<Self>) -> std::convert::Infallible {
+    async fn run_elections(self: Rc<Self>) -> std::convert::Infallible {
         loop {
             let former = self.clone().follow().await;
-            self.clone().try_to_lead(former).await;
+            self.clone().campaign(former).await;
         }
     }
 }
@@ -646,9 +648,9 @@
 
 /// Routines that end together.
 #[derive(Default)]
-pub(crate) struct Duties(Vec<Routine>);
+pub(crate) struct TaskGroup(Vec<Routine>);
 
-impl Duties {
+impl TaskGroup {
     pub fn start(&mut self, duty: impl Future<Output = ()> + 'static) {
         self.0.push(spawn(duty));
     }
@@ -670,36 +672,48 @@
     fn a_worker_that_comes_back_is_helped_for_a_while_and_then_sent_on_again() {
         // Guards against losing all tasks while workers reach every node but
         // the leader and nobody can be elected.
-        let mut detours = Detours::new(8.0, 20.0);
-        assert!(!detours.takes("m1", false, 0.0));
-        assert!(!detours.takes("m2", false, 1.0));
-        assert!(detours.takes("m1", false, 5.0));
-        assert!(detours.takes("m1", false, 24.0));
-        assert!(!detours.takes("m1", false, 26.0), "the leader may be back");
-        assert!(!detours.takes("m2", false, 60.0), "that was long ago");
+        let mut redirects = RedirectTracker::new(8.0, 20.0);
+        assert!(!redirects.is_returning("m1", false, 0.0));
+        assert!(!redirects.is_returning("m2", false, 1.0));
+        assert!(redirects.is_returning("m1", false, 5.0));
+        assert!(redirects.is_returning("m1", false, 24.0));
+        assert!(
+            !redirects.is_returning("m1", false, 26.0),
+            "the leader may be back"
+        );
+        assert!(
+            !redirects.is_returning("m2", false, 60.0),
+            "that was long ago"
+        );
     }
 
     #[test]
     fn a_worker_that_leaves_the_leader_that_answered_it_is_helped_at_once() {
         // Guards against leases that lapse while a leader loses the workers alone:
         // each try at it cost up to 5 s of a lease of 10 s.
-        let mut detours = Detours::new(8.0, 20.0);
-        assert!(detours.takes("m1", true, 0.0));
-        assert!(detours.takes("m1", true, 19.0));
-        assert!(!detours.takes("m1", true, 20.5), "the leader may be back");
-        assert!(detours.takes("m1", true, 25.0), "it is not");
-        assert!(detours.takes("m1", true, 100.0));
+        let mut redirects = RedirectTracker::new(8.0, 20.0);
+        assert!(redirects.is_returning("m1", true, 0.0));
+        assert!(redirects.is_returning("m1", true, 19.0));
+        assert!(
+            !redirects.is_returning("m1", true, 20.5),
+            "the leader may be back"
+        );
+        assert!(redirects.is_returning("m1", true, 25.0), "it is not");
+        assert!(redirects.is_returning("m1", true, 100.0));
     }
 
     #[test]
     fn every_worker_of_a_fleet_of_4000_is_remembered() {
-        let mut detours = Detours::new(8.0, 20.0);
+        let mut redirects = RedirectTracker::new(8.0, 20.0);
         let names: Vec<String> = (0..4000).map(|n| format!("m{n}")).collect();
         for name in &names {
-            assert!(!detours.takes(name, false, 0.0));
+            assert!(!redirects.is_returning(name, false, 0.0));
         }
         for name in &names {
-            assert!(detours.takes(name, false, 5.0), "{name} was forgotten");
+            assert!(
+                redirects.is_returning(name, false, 5.0),
+                "{name} was forgotten"
+            );
         }
     }
 
@@ -731,13 +745,13 @@
 
     #[test]
     fn a_worker_is_not_sent_back_and_forth_by_a_memory_that_is_full() {
-        let mut detours = Detours::new(8.0, 20.0);
-        for n in 0..=MAX_DETOURS {
-            assert!(detours.takes(&format!("m{n}"), true, 0.0));
+        let mut redirects = RedirectTracker::new(8.0, 20.0);
+        for n in 0..=MAX_REDIRECTS {
+            assert!(redirects.is_returning(&format!("m{n}"), true, 0.0));
         }
-        assert!(detours.machines.len() <= MAX_DETOURS);
+        assert!(redirects.machines.len() <= MAX_REDIRECTS);
         assert!(
-            detours.takes("m0", true, 1.0),
+            redirects.is_returning("m0", true, 1.0),
             "forgotten, and helped again"
         );
     }
--- a/crates/umbersail-control/src/peers.rs
+++ b/crates/umbersail-control/src/peers.rs
@@ -9,7 +9,7 @@
 use umbersail_wire::{Hello, JobIdOnly, Report, ReportReply, decode, encode, paths};
 
 use crate::engine::epoch;
-use crate::node::{Heard, Node, Role};
+use crate::node::{Node, ReportedProgress, Role};
 use crate::settings::Peer;
 use crate::standby::evidence_of;
 
@@ -26,7 +26,7 @@
         };
         let standby = leading.then(|| self.successor()).flatten();
         if let Some(next) = &standby {
-            *self.last_standby.borrow_mut() = Some(next.member.clone());
+            *self.last_designated.borrow_mut() = Some(next.member.clone());
         }
         let leader = self.leader.borrow();
         Hello {
@@ -44,8 +44,8 @@
             renewed: Vec::new(),
             leads: leading && !superseded && !self.resigning.get(),
             resigns: leading && self.resigning.get(),
-            recorded: self.open_memory.borrow().recorded(),
-            open: leading && self.opening.borrow().may_be_open(),
+            recorded: self.degraded_mode_record.borrow().recorded(),
+            open: leading && self.degraded_mode.borrow().may_be_open(),
             standby: standby.map(|s| s.member),
             lag_ms: (self.lag.get().mean_s() * 1000.0) as u64,
             state_ago_ms: (self.state.last_answer())
@@ -65,7 +65,7 @@
 
     /// A peer has read or recorded that these jobs are cancelled, which is final: as
     /// the leader we start nothing more of them and stop what runs (rule 6).
-    pub(crate) fn hear_cancelled(&self, ids: &[String]) {
+    pub(crate) fn on_cancelled_jobs(&self, ids: &[String]) {
         if let Role::Leading(leading) = &mut *self.role.borrow_mut() {
             ids.iter().for_each(|id| leading.engine.job_dropped(id));
         }
@@ -77,7 +77,7 @@
     /// What we say when a peer has greeted us: whom we answered in the leader's
     /// stead, and as the leader, for how long the peer may do so. Both are
     /// told in answers only, since only who asked knows when that was.
-    fn answer(&self, member: &str) -> Hello {
+    fn hello_reply(&self, member: &str) -> Hello {
         let mut hello = self.hello();
         let now = self.clock.now();
         if let Role::Leading(leading) = &mut *self.role.borrow_mut()
@@ -98,8 +98,8 @@
     }
 
     /// A peer's answer to a greeting sent at `asked_at`.
-    fn hear_answer(&self, asked_at: Time, hello: &Hello) {
-        self.hear(hello);
+    fn on_hello_reply(&self, asked_at: Time, hello: &Hello) {
+        self.on_hello(hello);
         let now = self.clock.now();
         if let Some(peer) = self.peers.borrow_mut().get_mut(&hello.member) {
             peer.answered_at = Some(now);
@@ -109,14 +109,14 @@
             self.failure_detector.borrow_mut().well(hello.token);
         }
         if (hello.leads || hello.resigns) && hello.leader.as_deref() == Some(&*hello.member) {
-            let mut memory = self.open_memory.borrow_mut();
+            let mut memory = self.degraded_mode_record.borrow_mut();
             memory.told(asked_at, hello.token, hello.open);
         } else if let Some(token) = hello.recorded {
             // As good as the leader's own word if that was our former process (rule 3).
             let former_self = (self.leader.borrow().as_ref())
                 .is_some_and(|(name, t)| *name == self.settings.member && *t == token)
                 && matches!(&*self.role.borrow(), Role::Following);
-            let mut memory = self.open_memory.borrow_mut();
+            let mut memory = self.degraded_mode_record.borrow_mut();
             memory.told_by_peer(token, former_self);
         }
         if let Some(renewal_ms) = hello.renewal_ms
@@ -136,7 +136,7 @@
 
     /// What we say of our own accord: a leader adds how far the jobs are, so
     /// that the others need not read it for each poll.
-    fn greeting(&self) -> Hello {
+    fn hello_with_progress(&self) -> Hello {
         let mut hello = self.hello();
         if let Role::Leading(leading) = &*self.role.borrow() {
             hello.machines = leading.engine.machine_count();
@@ -145,21 +145,21 @@
         hello
     }
 
-    pub(crate) fn hear(&self, hello: &Hello) {
+    pub(crate) fn on_hello(&self, hello: &Hello) {
         if !self.settings.peers.iter().any(|p| p.member == hello.member) {
             return;
         }
         if let Some(leader) = &hello.leader {
-            self.hear_of_leader(leader, hello.token);
+            self.observe_leader(leader, hello.token);
         }
-        self.hear_cancelled(&hello.cancelled);
+        self.on_cancelled_jobs(&hello.cancelled);
         if hello.leader.as_deref() == Some(&*hello.member)
             && self.leader_name().as_deref() == Some(&*hello.member)
             && hello.machines > 0
         {
             self.keep_sockets_for(hello.machines);
             let jobs = hello.progress.iter();
-            *self.progress_heard.borrow_mut() = Heard {
+            *self.reported_progress.borrow_mut() = ReportedProgress {
                 at: Some(self.clock.now()),
                 jobs: jobs.map(|p| (p.id.clone(), (p.done, p.running))).collect(),
             };
@@ -174,7 +174,7 @@
         peer.state_answer_at = hello.state_ago_ms.map(|ago| now - ago as f64 / 1000.0);
         drop(peers);
         if (hello.leads || hello.resigns) && self.leader_name().as_deref() == Some(&*hello.member) {
-            *self.named.borrow_mut() = hello.standby.clone();
+            *self.designated_successor.borrow_mut() = hello.standby.clone();
         }
     }
 
@@ -191,19 +191,23 @@
                     Err(_) => Response::empty(400),
                 };
             }
-            ("POST", paths::PEER_ATTEND) => return self.attended(&request.body).await,
+            ("POST", paths::PEER_WATCH_LEADER) => {
+                return self.handle_leader_watch(&request.body).await;
+            }
             ("POST", paths::PEER_REPLICA_READ) => return self.answer_replica_read(&request.body),
-            ("POST", paths::PEER_OPEN) => return self.agree_to_open(&request.body).await,
+            ("POST", paths::PEER_DEGRADED_MODE) => {
+                return self.answer_degraded_mode_request(&request.body).await;
+            }
             (
                 _,
                 paths::PEER_HELLO
                 | paths::PEER_REPORT
                 | paths::PEER_SUBMIT
-                | paths::PEER_ATTEND
+                | paths::PEER_WATCH_LEADER
                 | paths::PEER_POLL
                 | paths::PEER_CANCEL
                 | paths::PEER_REPLICA_READ
-                | paths::PEER_OPEN,
+                | paths::PEER_DEGRADED_MODE,
             ) => {
                 return Response::empty(405);
             }
@@ -211,8 +215,8 @@
         }
         match decode::<Hello>(&request.body) {
             Ok(hello) => {
-                self.hear(&hello);
-                Response::new(200, encode(&self.answer(&hello.member)))
+                self.on_hello(&hello);
+                Response::new(200, encode(&self.hello_reply(&hello.member)))
             }
             Err(e) => {
                 warn!(reason = %e, "malformed hello of a peer");
@@ -237,7 +241,10 @@
     ) -> Option<Response> {
         let silent = self.peers.borrow().get(leader).is_some_and(|p| p.silent);
         if !silent {
-            match self.ask_peer(leader, paths::PEER_REPORT, body).await {
+            match self
+                .request_from_peer(leader, paths::PEER_REPORT, body)
+                .await
+            {
                 Ok((200, body)) => {
                     self.delegate.borrow_mut().relayed(report);
                     return Some(Response::new(200, body));
@@ -250,7 +257,7 @@
                 }
                 // All that may wait for it do so already.
                 Err(ClientError::NotSent(_)) => {}
-                Err(_) => self.fell_silent(leader),
+                Err(_) => self.mark_silent(leader),
             }
         }
         let now = self.clock.now();
@@ -263,7 +270,7 @@
     }
 
     /// A peer did not answer in time.
-    fn fell_silent(&self, member: &str) {
+    fn mark_silent(&self, member: &str) {
         let mut peers = self.peers.borrow_mut();
         let peer = peers.entry(member.to_owned()).or_default();
         if !peer.silent && self.leader_name().as_deref() == Some(member) {
@@ -278,7 +285,7 @@
     /// Whether this node stands between the leader and a worker: it is in the
     /// worker's zone and the leader is not, so that a cut between the zones does
     /// not take the worker's tasks.
-    pub(crate) fn stands_between(&self, leader: &str, zone: &str) -> bool {
+    pub(crate) fn is_zone_proxy(&self, leader: &str, zone: &str) -> bool {
         self.tuning.zone_proxy > 0.0
             && self.settings.zone == zone
             && self
@@ -324,7 +331,11 @@
     /// Hands a submission on to a peer. Without an answer it may have been
     /// accepted; the user asks again.
     pub(crate) async fn relay_submission(&self, peer: &str, body: &[u8]) -> Option<Response> {
-        match self.ask_peer(peer, paths::PEER_SUBMIT, body).await.ok()? {
+        match self
+            .request_from_peer(peer, paths::PEER_SUBMIT, body)
+            .await
+            .ok()?
+        {
             (429 | 500.., _) => None,
             (status, body) => Some(Response::new(status, body)),
         }
@@ -332,13 +343,13 @@
 
     /// Hands a user's question on a job, or a cancellation, on to a peer, if the state
     /// service refuses us alone: the peer reads for it anew (rule 6).
-    pub(crate) async fn relay_question(&self, path: &str, id: &str) -> Option<Response> {
-        if !self.is_refused_alone() {
+    pub(crate) async fn relay_job_request(&self, path: &str, id: &str) -> Option<Response> {
+        if !self.is_isolated_from_state() {
             return None;
         }
         let helper = self.helper(true).or_else(|| self.helper(false))?;
         let body = encode(&JobIdOnly { id: id.into() });
-        match self.ask_peer(&helper, path, &body).await.ok()? {
+        match self.request_from_peer(&helper, path, &body).await.ok()? {
             (status @ (200 | 404), body) => Some(Response::new(status, body)),
             _ => None,
         }
@@ -346,7 +357,7 @@
 
     /// A peer that the state service lately answered: for what gives way any but the
     /// leader, else the leader if it is one.
-    pub(crate) fn helper(&self, gives_way: bool) -> Option<String> {
+    pub(crate) fn helper(&self, is_best_effort: bool) -> Option<String> {
         let now = self.clock.now();
         let fresh_s = 3.0 * self.tuning.peer_interval_s;
         let peers = self.peers.borrow();
@@ -356,7 +367,7 @@
             })
         };
         let leader = self.leader_name();
-        if gives_way {
+        if is_best_effort {
             let others = peers.keys().filter(|n| Some(*n) != leader.as_ref());
             let others: Vec<&String> = others.filter(|n| able(n)).collect();
             let any = random(|rng| rng.random_range(0..others.len().max(1)));
@@ -367,7 +378,7 @@
             .or_else(|| peers.keys().find(|name| able(name)).cloned())
     }
 
-    async fn ask_peer(
+    async fn request_from_peer(
         &self,
         member: &str,
         path: &str,
@@ -383,10 +394,10 @@
     }
 
     /// Says hello to one peer for ever.
-    pub(crate) async fn greet(self: Rc<Self>, peer: Peer) {
+    pub(crate) async fn exchange_hellos(self: Rc<Self>, peer: Peer) {
         let mut reachable = true;
         loop {
-            let body = encode(&self.greeting());
+            let body = encode(&self.hello_with_progress());
             let asked_at = self.clock.now();
             let answer = self
                 .peer_http
@@ -401,7 +412,7 @@
             let heard = match answer {
                 Ok((200, body)) => match decode::<Hello>(&body) {
                     Ok(hello) => {
-                        self.hear_answer(asked_at, &hello);
+                        self.on_hello_reply(asked_at, &hello);
                         true
                     }
                     Err(e) => {
@@ -410,12 +421,12 @@
                     }
                 },
                 Err(e @ (ClientError::NoAnswer(_) | ClientError::Unreachable)) => {
-                    self.fell_silent(&peer.member);
-                    self.doubt_if_leader(&peer.member, &e);
+                    self.mark_silent(&peer.member);
+                    self.suspect_if_leader(&peer.member, &e);
                     false
                 }
                 Err(e @ (ClientError::Closed(_) | ClientError::Refused(_))) => {
-                    self.doubt_if_leader(&peer.member, &e);
+                    self.suspect_if_leader(&peer.member, &e);
                     false
                 }
                 _ => false,
@@ -434,11 +445,11 @@
         }
     }
 
-    fn doubt_if_leader(&self, member: &str, error: &ClientError) {
+    fn suspect_if_leader(&self, member: &str, error: &ClientError) {
         let token = match &*self.leader.borrow() {
             Some((leader, token)) if leader == member => *token,
             _ => return,
         };
-        self.hold_against(token, evidence_of(error));
+        self.suspect(token, evidence_of(error));
     }
 }
--- a/crates/umbersail-control/src/plans.rs
+++ b/crates/umbersail-control/src/plans.rs
@@ -75,12 +75,12 @@
         .map_err(|e| refused(e.key, e.reason))?;
     let runs = calendar.entries.iter().map(|(name, entry)| {
         let (last, next) = entry.openings.around(now_ms);
-        let open = last.filter(|opening| entry.due(*opening) > now_ms);
+        let open = last.filter(|degraded_mode| entry.due(*degraded_mode) > now_ms);
         PlannedEntry {
             name: format!("calendar {name}"),
             team: entry.team.clone(),
             steps: entry.steps().map(<[String]>::to_vec).collect(),
-            next_ms: (open.or(next)).map(|opening| (opening, entry.due(opening))),
+            next_ms: (open.or(next)).map(|degraded_mode| (degraded_mode, entry.due(degraded_mode))),
         }
     });
     let windows = reservations.iter().map(|entry| PlannedEntry {
--- a/crates/umbersail-control/src/polls.rs
+++ b/crates/umbersail-control/src/polls.rs
@@ -24,7 +24,7 @@
 
 /// What a comparison showed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(crate) enum Seen {
+pub(crate) enum PollOutcome {
     /// The key has the version at which the job was seen unfinished.
     Unfinished,
     /// It has not, or the version was not known: it must be read.
@@ -33,9 +33,9 @@
     Unanswered,
 }
 
-/// Polls that are compared in one request.
+/// BatchedPolls that are compared in one request.
 #[derive(Default)]
-struct Round {
+struct PollBatch {
     versions: RefCell<BTreeMap<String, u64>>,
     /// Jobs whose keys have moved, once it is over; none if it had no answer.
     moved: RefCell<Option<BTreeSet<String>>>,
@@ -46,14 +46,14 @@
 /// Versions at which jobs were seen unfinished, and when at the earliest; and the round
 /// that gathers.
 #[derive(Default)]
-pub(crate) struct Polls {
+pub(crate) struct BatchedPolls {
     versions: RefCell<BTreeMap<String, (u64, Time)>>,
-    gathering: RefCell<Option<Rc<Round>>>,
+    open_batch: RefCell<Option<Rc<PollBatch>>>,
 }
 
-impl Polls {
+impl BatchedPolls {
     /// The job was unfinished, and its key had this version, by a request sent at `at`.
-    pub fn saw(&self, id: &str, version: u64, at: Time) {
+    pub fn record_version(&self, id: &str, version: u64, at: Time) {
         let mut versions = self.versions.borrow_mut();
         if versions.len() >= MAX_VERSIONS && !versions.contains_key(id) {
             versions.pop_first();
@@ -76,49 +76,49 @@
     /// Whether the job is still unfinished, by a comparison made after this was
     /// asked (rule 6): many polls share one request, since each job's key never
     /// changes before its end.
-    pub(crate) async fn still_unfinished(self: &Rc<Self>, id: &str) -> Seen {
+    pub(crate) async fn compare_version(self: &Rc<Self>, id: &str) -> PollOutcome {
         let Some((version, _)) = self.polls.versions.borrow().get(id).copied() else {
-            return Seen::Unknown;
+            return PollOutcome::Unknown;
         };
-        let round = self.join_round(id, version);
+        let round = self.join_batch(id, version);
         while !round.over.get() {
             round.done.raised().await;
         }
         match &*round.moved.borrow() {
             Some(moved) if moved.contains(id) => {
                 self.polls.forget(id);
-                Seen::Unknown
+                PollOutcome::Unknown
             }
-            Some(_) => Seen::Unfinished,
-            None => Seen::Unanswered,
+            Some(_) => PollOutcome::Unfinished,
+            None => PollOutcome::Unanswered,
         }
     }
 
-    fn join_round(self: &Rc<Self>, id: &str, version: u64) -> Rc<Round> {
+    fn join_batch(self: &Rc<Self>, id: &str, version: u64) -> Rc<PollBatch> {
         let most = CONDITIONS_PER_CHANGE * self.settings.facts.state.txn_ops;
-        let mut gathering = self.polls.gathering.borrow_mut();
-        let full = |round: &Rc<Round>| round.versions.borrow().len() >= most;
-        let round = match gathering.take().filter(|round| !full(round)) {
+        let mut open_batch = self.polls.open_batch.borrow_mut();
+        let full = |round: &Rc<PollBatch>| round.versions.borrow().len() >= most;
+        let round = match open_batch.take().filter(|round| !full(round)) {
             Some(round) => round,
             None => {
-                let round = Rc::new(Round::default());
+                let round = Rc::new(PollBatch::default());
                 // A routine of its own: whoever asked first may hang up.
                 spawn(self.clone().compare(round.clone()));
                 round
             }
         };
         round.versions.borrow_mut().insert(id.to_owned(), version);
-        *gathering = Some(round.clone());
+        *open_batch = Some(round.clone());
         round
     }
 
-    async fn compare(self: Rc<Self>, round: Rc<Round>) {
+    async fn compare(self: Rc<Self>, round: Rc<PollBatch>) {
         sleep(GATHER_S).await;
         {
             // Whoever asks from here on is too late for this comparison.
-            let mut gathering = self.polls.gathering.borrow_mut();
-            if gathering.as_ref().is_some_and(|g| Rc::ptr_eq(g, &round)) {
-                *gathering = None;
+            let mut open_batch = self.polls.open_batch.borrow_mut();
+            if open_batch.as_ref().is_some_and(|g| Rc::ptr_eq(g, &round)) {
+                *open_batch = None;
             }
         }
         let mut left = round.versions.borrow().clone();
@@ -139,7 +139,7 @@
             match self.state.txn(&txn, Urgency::Poll).await {
                 TxnOutcome::Applied { .. } => {
                     for (id, version) in &left {
-                        self.polls.saw(id, *version, sent_at);
+                        self.polls.record_version(id, *version, sent_at);
                     }
                     break true;
                 }
--- a/crates/umbersail-control/src/crowd.rs
+++ b/crates/umbersail-control/src/retry_backoff.rs
@@ -9,12 +9,12 @@
 
 /// How many were refused lately.
 #[derive(Debug, Default)]
-pub(crate) struct Crowd {
+pub(crate) struct RetryBackoff {
     refused: f64,
     at: Time,
 }
 
-impl Crowd {
+impl RetryBackoff {
     /// One more was refused.
     pub fn refused(&mut self, now: Time) {
         let passed = (now - self.at).max(0.0);
@@ -24,7 +24,7 @@
 
     /// Whole seconds after which to come back: from the least on, spread over the
     /// time in which all who were refused can be served. `draw` is from 0 to 1.
-    pub fn back_in_s(&self, served_per_s: f64, least_s: f64, draw: f64) -> u32 {
+    pub fn retry_after_s(&self, served_per_s: f64, least_s: f64, draw: f64) -> u32 {
         let spread_s = self.refused / served_per_s.max(0.1);
         (least_s + draw * spread_s).clamp(1.0, LONGEST_S) as u32
     }
@@ -38,16 +38,28 @@
     fn a_storm_comes_back_over_the_time_in_which_it_can_be_served() {
         // Guards against refusals that gather everybody in the same second, where
         // most are refused again.
-        let mut crowd = Crowd::default();
-        crowd.refused(100.0);
-        assert_eq!(crowd.back_in_s(10.0, 1.0, 0.99), 1, "one alone comes soon");
+        let mut retry_backoff = RetryBackoff::default();
+        retry_backoff.refused(100.0);
+        assert_eq!(
+            retry_backoff.retry_after_s(10.0, 1.0, 0.99),
+            1,
+            "one alone comes soon"
+        );
         for _ in 0..200 {
-            crowd.refused(101.0);
+            retry_backoff.refused(101.0);
         }
-        assert_eq!(crowd.back_in_s(10.0, 1.0, 0.0), 1);
-        assert_eq!(crowd.back_in_s(10.0, 1.0, 0.5), 11);
-        assert_eq!(crowd.back_in_s(0.0, 1.0, 0.9), 30, "never longer");
-        crowd.refused(140.0);
-        assert_eq!(crowd.back_in_s(10.0, 1.0, 0.99), 1, "that was long ago");
+        assert_eq!(retry_backoff.retry_after_s(10.0, 1.0, 0.0), 1);
+        assert_eq!(retry_backoff.retry_after_s(10.0, 1.0, 0.5), 11);
+        assert_eq!(
+            retry_backoff.retry_after_s(0.0, 1.0, 0.9),
+            30,
+            "never longer"
+        );
+        retry_backoff.refused(140.0);
+        assert_eq!(
+            retry_backoff.retry_after_s(10.0, 1.0, 0.99),
+            1,
+            "that was long ago"
+        );
     }
 }
--- a/crates/umbersail-control/src/standby.rs
+++ b/crates/umbersail-control/src/standby.rs
@@ -27,13 +27,13 @@
 
 impl Node {
     /// Whether this node leads and means to go on.
-    fn leads(&self) -> bool {
+    fn is_leading(&self) -> bool {
         matches!(&*self.role.borrow(), Role::Leading(l) if !l.superseded.get())
             && !self.resigning.get()
     }
 
     /// Another node that leads as far as we know, and the version of its key.
-    fn leader_elsewhere(&self) -> Option<(Peer, u64)> {
+    fn remote_leader(&self) -> Option<(Peer, u64)> {
         let (member, token) = self.leader.borrow().clone()?;
         let peer = self.settings.peers.iter().find(|p| p.member == member)?;
         Some((peer.clone(), token))
@@ -41,17 +41,17 @@
 
     /// Keeps a question open at the leader: it ends when the leader's process
     /// does, and is answered when the leader wants another to lead.
-    pub(crate) async fn attend(self: Rc<Self>) {
+    pub(crate) async fn watch_leader(self: Rc<Self>) {
         loop {
-            let Some((peer, token)) = self.leader_elsewhere() else {
+            let Some((peer, token)) = self.remote_leader() else {
                 sleep(AGAIN_S).await;
                 continue;
             };
             let body = encode(&self.hello());
-            let wait_s = self.tuning.attend_s + self.tuning.peer_timeout_s;
+            let wait_s = self.tuning.leader_watch_s + self.tuning.peer_timeout_s;
             let answer = self
                 .peer_http
-                .request(peer.addr, "POST", paths::PEER_ATTEND, &body, wait_s)
+                .request(peer.addr, "POST", paths::PEER_WATCH_LEADER, &body, wait_s)
                 .await;
             match answer {
                 Ok((200, body)) => {
@@ -59,21 +59,21 @@
                         sleep(REST_S).await;
                         continue;
                     };
-                    if self.hear_attended(token, &hello) {
+                    if self.on_leader_watch_reply(token, &hello) {
                         continue;
                     }
                 }
                 // An older build: what its greetings tell must do.
                 Ok(_) => sleep(REST_S).await,
-                Err(e) => self.hold_against(token, evidence_of(&e)),
+                Err(e) => self.suspect(token, evidence_of(&e)),
             }
             sleep(AGAIN_S).await;
         }
     }
 
     /// The answer to such a question; true if its sender leads under this token.
-    fn hear_attended(&self, token: u64, hello: &Hello) -> bool {
-        self.hear(hello);
+    fn on_leader_watch_reply(&self, token: u64, hello: &Hello) -> bool {
+        self.on_hello(hello);
         if hello.leads && hello.token == token {
             self.failure_detector.borrow_mut().well(token);
             return true;
@@ -81,23 +81,23 @@
         let other = (self.elected.get())
             .is_some_and(|(of, incarnation)| of == token && incarnation != hello.incarnation);
         if other {
-            self.hold_against(token, Evidence::Replaced);
+            self.suspect(token, Evidence::Replaced);
         } else if hello.resigns && hello.token == token {
-            self.hold_against(token, Evidence::Resigned);
+            self.suspect(token, Evidence::Resigned);
         }
         false
     }
 
     /// The leader's part of that question.
-    pub(crate) async fn attended(&self, body: &[u8]) -> Response {
+    pub(crate) async fn handle_leader_watch(&self, body: &[u8]) -> Response {
         let Ok(hello) = decode::<Hello>(body) else {
             return Response::empty(400);
         };
-        self.hear(&hello);
-        let until = self.clock.now() + self.tuning.attend_s;
+        self.on_hello(&hello);
+        let until = self.clock.now() + self.tuning.leader_watch_s;
         loop {
             let now = self.clock.now();
-            if !self.leads() || now >= until {
+            if !self.is_leading() || now >= until {
                 break;
             }
             // Out of time, or something has changed: looked at again either way.
@@ -107,7 +107,7 @@
     }
 
     /// Something speaks against the leader whose key has this version.
-    pub(crate) fn hold_against(&self, token: u64, evidence: Evidence) {
+    pub(crate) fn suspect(&self, token: u64, evidence: Evidence) {
         let now = self.clock.now();
         if self
             .failure_detector
@@ -120,9 +120,9 @@
     }
 
     /// 0 for the one whom the leader named; the others in the order of names.
-    pub(crate) fn rank(&self) -> usize {
-        let named = self.named.borrow();
-        if named.as_deref() == Some(&*self.settings.member) {
+    pub(crate) fn campaign_rank(&self) -> usize {
+        let designated_successor = self.designated_successor.borrow();
+        if designated_successor.as_deref() == Some(&*self.settings.member) {
             return 0;
         }
         let before = |p: &&Peer| p.member < self.settings.member;
@@ -130,19 +130,25 @@
     }
 
     /// Weighs what speaks against the leader, for ever.
-    pub(crate) async fn weigh(self: Rc<Self>) {
+    pub(crate) async fn run_failure_detector(self: Rc<Self>) {
         loop {
             let now = self.clock.now();
-            let step = self.failure_detector.borrow().step(now, self.rank());
+            let step = self
+                .failure_detector
+                .borrow()
+                .step(now, self.campaign_rank());
             let wait_s = match step {
                 Step::Rest => REST_S,
                 Step::Wait(until) => until - now,
                 Step::Ask => {
-                    self.ask_leader().await;
+                    self.probe_leader().await;
                     0.05
                 }
                 Step::Replace(token) => {
-                    self.replace(token, "its own word, or another process in its place");
+                    self.confirm_leader_failure(
+                        token,
+                        "its own word, or another process in its place",
+                    );
                     AGAIN_S
                 }
             };
@@ -152,8 +158,8 @@
 
     /// Asks the leader through the state service whether it lives. A leader that
     /// may start anything reaches that, and so do we, or nothing is concluded.
-    async fn ask_leader(&self) {
-        let Some((_, token)) = self.leader_elsewhere() else {
+    async fn probe_leader(&self) {
+        let Some((_, token)) = self.remote_leader() else {
             return;
         };
         let txn = suspicion(&self.settings.member, token);
@@ -178,13 +184,16 @@
                 let words = result.events.iter().filter_map(|e| e.value.as_ref());
                 let ours = |a: &&LivenessRecord| a.token == token && a.answers >= revision;
                 for alive in words.filter(ours) {
-                    let mut memory = self.open_memory.borrow_mut();
+                    let mut memory = self.degraded_mode_record.borrow_mut();
                     memory.told(put_at, token, alive.open);
                 }
                 self.failure_detector.borrow_mut().answered(now, token);
             }
             Ok(_) if self.failure_detector.borrow().unanswered(asked, now) => {
-                self.replace(token, "no answer, neither here nor by the state service");
+                self.confirm_leader_failure(
+                    token,
+                    "no answer, neither here nor by the state service",
+                );
             }
             _ => debug!(
                 token,
@@ -193,21 +202,21 @@
         }
     }
 
-    fn replace(&self, token: u64, reason: &str) {
+    fn confirm_leader_failure(&self, token: u64, reason: &str) {
         // It may have said something in the meantime, or another may lead.
         let rested = matches!(
             self.failure_detector.borrow().step(self.clock.now(), 0),
             Step::Rest | Step::Wait(_)
         );
-        if !rested && self.leader_elsewhere().is_some_and(|(_, t)| t == token) {
+        if !rested && self.remote_leader().is_some_and(|(_, t)| t == token) {
             info!(token, reason, "the leader is to be replaced");
             self.confirmed_failure.set(Some(token));
-            self.take_lead.notify();
+            self.campaign_requested.notify();
         }
     }
 
     /// The leader answers whoever asks by the state service whether it lives.
-    pub(crate) async fn answer_doubts(self: Rc<Self>, token: u64) {
+    pub(crate) async fn answer_suspicions(self: Rc<Self>, token: u64) {
         let mut from = token;
         loop {
             let hold_s = self.tuning.watch_hold_s;
@@ -224,12 +233,12 @@
                     };
                     let txn = liveness(LivenessRecord {
                         token,
-                        open: self.opening.borrow().may_be_open(),
+                        open: self.degraded_mode.borrow().may_be_open(),
                         answers,
                     });
                     let outcome = self.state.txn(&txn, Urgency::Vital).await;
                     if matches!(outcome, TxnOutcome::Conflict { .. }) {
-                        self.is_replaced();
+                        self.mark_superseded();
                         return;
                     }
                 }
@@ -248,7 +257,7 @@
     }
 
     /// The leader's key is not ours any more.
-    pub(crate) fn is_replaced(&self) {
+    pub(crate) fn mark_superseded(&self) {
         if let Role::Leading(leading) = &*self.role.borrow() {
             leading.superseded.set(true);
         }
@@ -258,7 +267,7 @@
 
     /// Looks how late timers fire, for ever: a node short of processor time shows
     /// it there first.
-    pub(crate) async fn watch_lag(self: Rc<Self>) {
+    pub(crate) async fn measure_lag(self: Rc<Self>) {
         loop {
             let at = self.clock.now();
             sleep(LAG_LOOK_S).await;
@@ -292,7 +301,7 @@
     }
 
     /// Whether we compute so late that another does better to lead.
-    pub(crate) fn computes_late(&self, elected: Time) -> bool {
+    pub(crate) fn is_overloaded(&self, elected: Time) -> bool {
         let bounds = HandOver {
             lag_s: self.tuning.hand_over_lag_s,
             after_s: self.tuning.hand_over_after_s,
@@ -304,7 +313,7 @@
 
     /// Whether the state service refuses us while it answers a peer: that peer had
     /// an answer clearly after our last one.
-    pub(crate) fn is_refused_alone(&self) -> bool {
+    pub(crate) fn is_isolated_from_state(&self) -> bool {
         let now = self.clock.now();
         let patience_s = self.tuning.refused_s;
         let Some(last) = self.state.last_answer() else {
@@ -316,7 +325,7 @@
     }
 
     /// Says, while we lead, whether we want another to lead.
-    pub(crate) fn resign(&self, resigns: bool) {
+    pub(crate) fn set_resigning(&self, resigns: bool) {
         if self.resigning.replace(resigns) != resigns {
             if resigns {
                 info!("the state service answers others and not us: another is to lead");
--- a/crates/umbersail-control/src/state.rs
+++ b/crates/umbersail-control/src/state.rs
@@ -35,15 +35,15 @@
 
 /// A bucket of requests that refills at a rate; urgent calls may overdraw it.
 #[derive(Debug)]
-pub struct Budget {
+pub struct TokenBucket {
     rate: f64,
     level: f64,
     at: Time,
 }
 
-impl Budget {
-    pub fn new(rate: f64) -> Budget {
-        Budget {
+impl TokenBucket {
+    pub fn new(rate: f64) -> TokenBucket {
+        TokenBucket {
             rate,
             level: rate,
             at: 0.0,
@@ -101,7 +101,7 @@
     Prompt,
     /// Like `Prompt`, for what gives way to all else: overdraws no writes, and leaves a
     /// leader half of them for launches. Polls can't keep it out.
-    Spare,
+    BestEffort,
 }
 
 #[derive(Clone)]
@@ -113,8 +113,8 @@
     http: Client,
     addr: SocketAddr,
     clock: Rc<dyn Clock>,
-    requests: RefCell<Budget>,
-    writes: RefCell<Budget>,
+    requests: RefCell<TokenBucket>,
+    writes: RefCell<TokenBucket>,
     timeout_s: f64,
     last_answer: Cell<Option<Time>>,
     /// Since when requests have failed, with no answer in between.
@@ -144,8 +144,8 @@
                 http,
                 addr,
                 clock,
-                requests: RefCell::new(Budget::new(rps)),
-                writes: RefCell::new(Budget::new(write_rps)),
+                requests: RefCell::new(TokenBucket::new(rps)),
+                writes: RefCell::new(TokenBucket::new(write_rps)),
                 timeout_s,
                 last_answer: Cell::new(None),
                 failing_since: Cell::new(None),
@@ -255,7 +255,7 @@
         let admitted = match urgency {
             Urgency::Vital => true,
             Urgency::Prompt => room,
-            Urgency::Spare => room && budget.level - kept >= writes,
+            Urgency::BestEffort => room && budget.level - kept >= writes,
             Urgency::Patient | Urgency::Poll => false,
         };
         if admitted {
@@ -263,7 +263,7 @@
             budget.force(now, writes);
             return true;
         }
-        if urgency == Urgency::Spare {
+        if urgency == Urgency::BestEffort {
             return false;
         }
         if !requests.take(now, 1.0) {
@@ -323,11 +323,11 @@
     }
 
     fn read<T: DeserializeOwned>(&self, what: &str, body: &[u8]) -> Result<T, StateError> {
-        decode(body).map_err(|e| self.strange(what, &e.to_string()))
+        decode(body).map_err(|e| self.malformed_answer(what, &e.to_string()))
     }
 
     /// A malformed answer is logged, counted and taken for none.
-    fn strange(&self, what: &str, reason: &str) -> StateError {
+    fn malformed_answer(&self, what: &str, reason: &str) -> StateError {
         let count = self.inner.malformed.get() + 1;
         self.inner.malformed.set(count);
         warn!(what, reason, count, "malformed answer of the state service");
@@ -348,7 +348,7 @@
                 Ok(Some((pair.value, pair.version)))
             }
             (404, _) => Ok(None),
-            (status, _) => Err(self.strange("key", &format!("status {status}"))),
+            (status, _) => Err(self.malformed_answer("key", &format!("status {status}"))),
         }
     }
 
@@ -381,7 +381,9 @@
                         return Ok((items, revision.unwrap_or(0)));
                     }
                 }
-                (status, _) => return Err(self.strange("list", &format!("status {status}"))),
+                (status, _) => {
+                    return Err(self.malformed_answer("list", &format!("status {status}")));
+                }
             }
         }
     }
@@ -430,7 +432,7 @@
             .await?
         {
             (200, body) => Ok(self.read::<LeaseGranted>("lease", &body)?.lease),
-            (status, _) => Err(self.strange("lease", &format!("status {status}"))),
+            (status, _) => Err(self.malformed_answer("lease", &format!("status {status}"))),
         }
     }
 
@@ -440,7 +442,7 @@
         match self.call("POST", &target, b"", timeout_s).await? {
             (200, _) => Ok(()),
             (404, _) => Err(StateError::Gone),
-            (status, _) => Err(self.strange("renewal", &format!("status {status}"))),
+            (status, _) => Err(self.malformed_answer("renewal", &format!("status {status}"))),
         }
     }
 
@@ -490,7 +492,7 @@
         match self.call("GET", &target, b"", timeout_s).await? {
             (200, body) => self.read("watch", &body),
             (410, _) => Err(StateError::Gone),
-            (status, _) => Err(self.strange("watch", &format!("status {status}"))),
+            (status, _) => Err(self.malformed_answer("watch", &format!("status {status}"))),
         }
     }
 }
@@ -501,7 +503,7 @@
 
     #[test]
     fn a_budget_refills_and_may_be_overdrawn_by_vital_calls_only() {
-        let mut budget = Budget::new(10.0);
+        let mut budget = TokenBucket::new(10.0);
         assert!((0..10).all(|_| budget.take(0.0, 1.0)));
         assert!(!budget.take(0.0, 1.0));
         budget.force(0.0, 5.0);
--- a/crates/umbersail-cycle/src/slots.rs
+++ b/crates/umbersail-cycle/src/slots.rs
@@ -187,7 +187,7 @@
             .any(|m| is_within(&m.shape, shape) && m.locality == *locality)
     }
 
-    /// CandidateSlots within locality that take a task of this shape, in the order in which
+    /// Slots within locality that take a task of this shape, in the order in which
     /// they were added. `allowed` leaves machines out for reasons of the job's
     /// own, which say nothing about other jobs.
     pub fn fitting(
--- a/crates/umbersail-standby/src/open.rs
+++ b/crates/umbersail-standby/src/degraded_mode.rs
@@ -21,7 +21,7 @@
 
 /// The memory of a controller that may succeed the holder.
 #[derive(Debug, Clone, Default, PartialEq)]
-pub struct OpenMemory {
+pub struct DegradedModeRecord {
     /// The holder's token.
     token: u64,
     known: Option<Known>,
@@ -29,7 +29,7 @@
     first: Option<u64>,
 }
 
-impl OpenMemory {
+impl DegradedModeRecord {
     /// The state service shows this holder's token, read by this process. Whoever
     /// is elected after that needs this process's agreement, from its first moment
     /// on. A peer's word on who holds is no such proof: it may be old.
@@ -119,7 +119,7 @@
 
 /// The holder's side.
 #[derive(Debug, Clone, Default, PartialEq)]
-pub enum Opening {
+pub enum DegradedMode {
     /// All that was started is recorded.
     #[default]
     Shut,
@@ -131,24 +131,24 @@
     Closing,
 }
 
-impl Opening {
+impl DegradedMode {
     /// What others are told: whether something may have been started that is not
     /// recorded. Also while they are asked: who agreed must not take it for closed.
     pub fn may_be_open(&self) -> bool {
-        *self != Opening::Shut
+        *self != DegradedMode::Shut
     }
 
     /// Whether unrecorded starts are allowed now.
     pub fn is_open(&self) -> bool {
-        *self == Opening::Open
+        *self == DegradedMode::Open
     }
 
     /// A peer has agreed. Once all of them have, tasks may be started.
     pub fn agreed(&mut self, member: &str, peers: usize) {
-        if let Opening::Asking(agreed) = self {
+        if let DegradedMode::Asking(agreed) = self {
             agreed.insert(member.to_owned());
             if agreed.len() == peers {
-                *self = Opening::Open;
+                *self = DegradedMode::Open;
             }
         }
     }
@@ -156,16 +156,16 @@
     /// The state service answers again, or the time to start is over.
     pub fn close(&mut self) {
         match self {
-            Opening::Asking(_) => *self = Opening::Shut,
-            Opening::Open => *self = Opening::Closing,
-            Opening::Shut | Opening::Closing => {}
+            DegradedMode::Asking(_) => *self = DegradedMode::Shut,
+            DegradedMode::Open => *self = DegradedMode::Closing,
+            DegradedMode::Shut | DegradedMode::Closing => {}
         }
     }
 
     /// All that was started is recorded.
     pub fn recorded(&mut self) {
-        if *self == Opening::Closing {
-            *self = Opening::Shut;
+        if *self == DegradedMode::Closing {
+            *self = DegradedMode::Shut;
         }
     }
 }
@@ -179,7 +179,7 @@
         // Guards against a successor that starts what its predecessor started
         // without a record: one that lost its memory, one whose agreement was
         // overtaken by an older answer, one that knows of another holder only.
-        let mut memory = OpenMemory::default();
+        let mut memory = DegradedModeRecord::default();
         assert!(memory.may_be_open(7));
         memory.told(1.0, 7, false);
         assert!(!memory.may_be_open(7) && memory.may_be_open(8));
@@ -206,7 +206,7 @@
     fn a_peers_word_from_before_its_own_agreement_undoes_none_of_ours() {
         // Guards against two peers that talk each other out of what both agreed to: one
         // asks between the two agreements, and the other's answer is of before its own.
-        let (mut early, mut late) = (OpenMemory::default(), OpenMemory::default());
+        let (mut early, mut late) = (DegradedModeRecord::default(), DegradedModeRecord::default());
         for memory in [&mut early, &mut late] {
             memory.read(7);
             memory.told(1.0, 7, false);
@@ -219,7 +219,7 @@
         early.told_by_peer(7, true);
         assert!(early.may_be_open(7), "it has agreed itself");
         // A process that took the place of one that agreed knows nothing of that.
-        let mut anew = OpenMemory::default();
+        let mut anew = DegradedModeRecord::default();
         anew.told_by_peer(7, false);
         assert!(anew.may_be_open(7));
         // Unless the holder was its own former process, which is dead.
@@ -232,7 +232,7 @@
         // Guards against starts that wait for every machine after each change of
         // leader while controllers can't reach each other; and against trust by a
         // process that a holder's agreement with its predecessor is older than.
-        let mut memory = OpenMemory::default();
+        let mut memory = DegradedModeRecord::default();
         memory.read(7);
         memory.read(9);
         assert!(memory.may_be_open(7), "it may have been elected before us");
@@ -253,7 +253,7 @@
     fn a_process_that_has_read_no_holder_agrees_with_none() {
         // Guards against a process that was elected, started a task and ended: its next
         // one hears of the holder before it, and would agree that this one starts it too.
-        let mut memory = OpenMemory::default();
+        let mut memory = DegradedModeRecord::default();
         memory.told(1.0, 7, false);
         assert!(!memory.agrees(2.0, 7, 7, true));
         memory.read(8);
@@ -266,14 +266,14 @@
         // Guards against an election that was sent before its sender agreed with the
         // holder, had no answer, and is carried out once the holder has started tasks
         // without a record: nobody leads under it, and it says that all is recorded.
-        let mut agreed = OpenMemory::default();
+        let mut agreed = DegradedModeRecord::default();
         agreed.read(7);
         agreed.told(1.0, 7, false);
         assert!(!agreed.may_be_open(8));
         assert!(agreed.agrees(2.0, 7, 7, true));
         assert!(agreed.may_be_open(8));
         // A process that took the place of one that agreed.
-        let mut anew = OpenMemory::default();
+        let mut anew = DegradedModeRecord::default();
         anew.read(7);
         assert!(anew.may_be_open(8));
         anew.told(3.0, 8, false);
@@ -283,20 +283,20 @@
     #[test]
     fn a_holder_opens_once_all_have_agreed_and_shuts_once_all_is_recorded() {
         // Guards against starts that a peer who may succeed does not know of.
-        let mut opening = Opening::Asking(BTreeSet::new());
-        opening.agreed("b", 2);
-        opening.agreed("b", 2);
-        assert!(!opening.is_open() && opening.may_be_open());
-        let mut refused = opening.clone();
+        let mut degraded_mode = DegradedMode::Asking(BTreeSet::new());
+        degraded_mode.agreed("b", 2);
+        degraded_mode.agreed("b", 2);
+        assert!(!degraded_mode.is_open() && degraded_mode.may_be_open());
+        let mut refused = degraded_mode.clone();
         refused.close();
-        assert_eq!(refused, Opening::Shut);
-        opening.agreed("c", 2);
-        assert!(opening.is_open());
-        opening.recorded();
-        assert!(opening.is_open());
-        opening.close();
-        assert!(opening.may_be_open() && !opening.is_open());
-        opening.recorded();
-        assert_eq!(opening, Opening::Shut);
+        assert_eq!(refused, DegradedMode::Shut);
+        degraded_mode.agreed("c", 2);
+        assert!(degraded_mode.is_open());
+        degraded_mode.recorded();
+        assert!(degraded_mode.is_open());
+        degraded_mode.close();
+        assert!(degraded_mode.may_be_open() && !degraded_mode.is_open());
+        degraded_mode.recorded();
+        assert_eq!(degraded_mode, DegradedMode::Shut);
     }
 }
--- a/crates/umbersail-standby/src/lib.rs
+++ b/crates/umbersail-standby/src/lib.rs
@@ -18,13 +18,13 @@
 #![deny(missing_docs)]
 
 mod all_replica_read;
+mod degraded_mode;
 mod failure_detector;
-mod open;
 mod orphaned_attempts;
 mod succession;
 
 pub use all_replica_read::{ReadOutcome, ReplicaAnswer, read_outcome};
+pub use degraded_mode::{DegradedMode, DegradedModeRecord};
 pub use failure_detector::{DetectorTimeouts, Evidence, FailureDetector, Step, Time};
-pub use open::{OpenMemory, Opening};
 pub use orphaned_attempts::{Order, OrphanedAttempts, OrphanedJobs};
 pub use succession::{Candidate, HandOver, Lag, hands_over, next_leader};
--- a/crates/umbersail-standby/tests/model/main.rs
+++ b/crates/umbersail-standby/tests/model/main.rs
@@ -7,7 +7,7 @@
 //! while it runs on the other. Requests for agreement, the agreement, the arrival of
 //! its reply and greetings are separate steps, and a write without a reply may be
 //! applied after newer ones. What controllers know of unrecorded starts is kept by
-//! the real `OpenMemory`. Each injected fault must be found.
+//! the real `DegradedModeRecord`. Each injected fault must be found.
 
 mod degraded_mode;
 mod election;
--- a/crates/umbersail-standby/tests/model/memory.rs
+++ b/crates/umbersail-standby/tests/model/memory.rs
@@ -2,7 +2,7 @@
 
 use std::hash::{Hash, Hasher};
 
-use umbersail_standby::OpenMemory;
+use umbersail_standby::DegradedModeRecord;
 
 use crate::state::TOKEN_LIMIT;
 
@@ -16,20 +16,20 @@
 /// and how many tokens are no newer than the first that it read.
 #[derive(Debug, Clone)]
 pub struct Memory {
-    pub real: OpenMemory,
+    pub real: DegradedModeRecord,
     pub fingerprint: (u8, u8, u8),
 }
 
 impl Default for Memory {
     fn default() -> Memory {
-        let real = OpenMemory::default();
+        let real = DegradedModeRecord::default();
         let fingerprint = fingerprint(&real);
         Memory { real, fingerprint }
     }
 }
 
 /// Derives the fingerprint from what the memory replies to probes.
-fn fingerprint(memory: &OpenMemory) -> (u8, u8, u8) {
+fn fingerprint(memory: &DegradedModeRecord) -> (u8, u8, u8) {
     let told = |asked: f64| {
         let mut probe = memory.clone();
         (0..=TOKEN_LIMIT).find(|token| {
@@ -54,7 +54,7 @@
 }
 
 impl Memory {
-    pub fn update<R>(&mut self, update: impl FnOnce(&mut OpenMemory) -> R) -> R {
+    pub fn update<R>(&mut self, update: impl FnOnce(&mut DegradedModeRecord) -> R) -> R {
         let result = update(&mut self.real);
         self.fingerprint = fingerprint(&self.real);
         result
--- a/crates/umbersail-tuning/src/lib.rs
+++ b/crates/umbersail-tuning/src/lib.rs
@@ -105,7 +105,7 @@
         "State lease of the leader: take-over waits for it, a process short of processor time must still renew it";
     leader_renew_s, "leader.renew_s", 0.9, 0.1..=20.0, "s",
         "Renewal interval: three tries within the lease";
-    attend_s, "standby.attend_s", 5.0, 0.5..=50.0, "s",
+    leader_watch_s, "standby.attend_s", 5.0, 0.5..=50.0, "s",
         "A follower keeps a question open at the leader for this long: it ends with the leader's process, and costs a packet each way";
     leader_greet_s, "standby.greet_s", 0.5, 0.1..=30.0, "s",
         "Followers greet the leader this often: a leader that stands still closes no connection";
@@ -123,11 +123,11 @@
         "Silence this soon after an election is not held against a leader: a take-over is its busiest time";
     refused_s, "standby.refused_s", 1.2, 0.2..=60.0, "s",
         "A leader without an answer of the state service for this long, while a peer had one, wants that peer to lead";
-    open_after_s, "outage.open_after_s", 0.5, 0.1..=60.0, "s",
+    degraded_mode_after_s, "outage.open_after_s", 0.5, 0.1..=60.0, "s",
         "Without an answer of the state service for this long a leader with waiting work asks its peers to agree that it starts without a record";
-    open_s, "outage.open_s", 20.0, 0.0..=600.0, "s",
+    degraded_mode_s, "outage.open_s", 20.0, 0.0..=600.0, "s",
         "A leader starts tasks without a record for this long after its last renewal at most, the design's lease of a block; 0: never";
-    open_catch_up_s, "outage.catch_up_s", 10.0, 0.0..=600.0, "s",
+    degraded_mode_catch_up_s, "outage.catch_up_s", 10.0, 0.0..=600.0, "s",
         "After an outage starts go on without a record for this long at most, until the records of what was started and has ended in it are written";
     write_share_leader, "state.write_share_leader", 0.65, 0.05..=1.0, "share",
         "Share of the state service's changes that the leader uses: a job is accepted by one change of a follower, and takes several of the leader's";
--- a/crates/umbersail-wire/src/jobs.rs
+++ b/crates/umbersail-wire/src/jobs.rs
@@ -156,7 +156,7 @@
 
     /// Work of the lowest priority that nobody expects by a certain time: where
     /// something is scarce it leaves what there is to others.
-    pub fn gives_way(&self) -> bool {
+    pub fn is_best_effort(&self) -> bool {
         self.priority == Priority::Low && self.deadline_s.is_none()
     }
 
--- a/crates/umbersail-wire/src/lib.rs
+++ b/crates/umbersail-wire/src/lib.rs
@@ -53,9 +53,9 @@
     /// Greetings between controllers.
     pub const PEER_HELLO: &str = "/peer/hello";
     /// A hello whose answer waits until its receiver does not lead any more.
-    pub const PEER_ATTEND: &str = "/peer/attend";
+    pub const PEER_WATCH_LEADER: &str = "/peer/watch_leader";
     /// The leader asks to start tasks without a record while the state service is out.
-    pub const PEER_OPEN: &str = "/peer/open";
+    pub const PEER_DEGRADED_MODE: &str = "/peer/open";
     /// A worker's report, handed on by a node that it can reach.
     pub const PEER_REPORT: &str = "/peer/report";
     /// A submission handed on by a node that can't have it recorded itself.
--- a/crates/umbersail-wire/src/peers.rs
+++ b/crates/umbersail-wire/src/peers.rs
@@ -83,7 +83,7 @@
 
 /// A leader asks a peer to agree that it starts tasks without a record.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct OpenRequest {
+pub struct DegradedModeRequest {
     /// Name of the leader.
     pub member: String,
     /// The leader's token.
@@ -92,7 +92,7 @@
 
 /// The peer's answer.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct OpenAnswer {
+pub struct DegradedModeAnswer {
     /// Whether the peer agrees.
     pub agreed: bool,
     /// Jobs that the peer lately read or recorded to be cancelled.
--- a/crates/umbersail-wire/tests/golden_messages.rs
+++ b/crates/umbersail-wire/tests/golden_messages.rs
@@ -10,10 +10,10 @@
 use serde::Serialize;
 use serde::de::DeserializeOwned;
 use umbersail_wire::{
-    Catalogue, Change, Command, Condition, DirectCommands, ExitCause, Hello, JobIdOnly, JobKind,
-    JobProgress, JobSpec, JobStage, JobStatus, KeyList, KeyValue, LeaseGranted, LeaseRequest,
-    ListedMachine, MachineList, MachineNames, MachineState, MachineType, Misdirected, OpenAnswer,
-    OpenRequest, Priority, Refusal, RenewedMachine, RentRequest, ReplicaReadAnswer,
+    Catalogue, Change, Command, Condition, DegradedModeAnswer, DegradedModeRequest, DirectCommands,
+    ExitCause, Hello, JobIdOnly, JobKind, JobProgress, JobSpec, JobStage, JobStatus, KeyList,
+    KeyValue, LeaseGranted, LeaseRequest, ListedMachine, MachineList, MachineNames, MachineState,
+    MachineType, Misdirected, Priority, Refusal, RenewedMachine, RentRequest, ReplicaReadAnswer,
     ReplicaReadEntry, ReplicaReadRequest, Report, ReportReply, TaskReport, TaskState, Txn,
     TxnResult, Value, WatchEvent, WatchResult, decode, encode,
 };
@@ -385,14 +385,14 @@
     golden.check("hello_of_nobody", Hello::default());
     golden.check(
         "degraded_mode_request",
-        OpenRequest {
+        DegradedModeRequest {
             member: "bothy-1".into(),
             token: 12,
         },
     );
     golden.check(
         "degraded_mode_answer",
-        OpenAnswer {
+        DegradedModeAnswer {
             agreed: true,
             cancelled: vec!["req-3".into()],
         },
