--- a/crates/umbersail-control/src/engine/evict.rs
+++ b/crates/umbersail-control/src/engine/evict.rs
@@ -9,7 +9,7 @@
 use umbersail_wire::{Priority, TaskState};
 
 use super::machine::Claim;
-use super::{Engine, Job, Name, Placement, Stop, Time};
+use super::{Engine, Job, JobId, MachineId, Placement, Stop, Time};
 
 /// What may be lost, gathered once in a slice for all blocked jobs that stand
 /// alike.
@@ -24,7 +24,7 @@
 struct CandidateGroup {
     of: (PreemptionClass<Priority>, bool),
     /// Machines by name, with the tasks there that may be lost.
-    machines: Vec<(Name, Vec<(Name, u32)>)>,
+    machines: Vec<(MachineId, Vec<(JobId, u32)>)>,
     /// Reaches in which none of them lies.
     exhausted: Vec<Locality>,
     looked: u64,
@@ -47,7 +47,7 @@
     pub(super) fn evict_for(
         &mut self,
         now: Time,
-        id: &Name,
+        id: &JobId,
         usage: &mut [Usage],
         searched: &mut EvictionCandidates,
     ) -> bool {
@@ -106,7 +106,7 @@
                 return None;
             }
             looked += tasks.len() as u64;
-            let running: Vec<Running<Name>> = tasks
+            let running: Vec<Running<JobId>> = tasks
                 .iter()
                 .filter_map(|(other, task)| {
                     let victim = self.jobs.get(other)?;
@@ -193,7 +193,7 @@
     /// Lets a task wait again that no worker has been told of, if it is one. No
     /// worker could obey a stop: the task would stay planned, and hold its place,
     /// until the next leader.
-    pub(super) fn forgo(&mut self, id: &Name, task: u32, usage: &mut [Usage]) -> bool {
+    pub(super) fn forgo(&mut self, id: &JobId, task: u32, usage: &mut [Usage]) -> bool {
         let untold = |job: &&Job| job.live.get(&task).is_some_and(|p| !p.told());
         let Some(job) = self.jobs.get(id).filter(untold) else {
             return false;
@@ -211,9 +211,9 @@
         winner: &Job,
         reclaim: bool,
         usage: &[Usage],
-        preemptible: &[OrdSet<Name>],
+        preemptible: &[OrdSet<JobId>],
     ) -> CandidateGroup {
-        let mut machines: BTreeMap<Name, Vec<(Name, u32)>> = BTreeMap::new();
+        let mut machines: BTreeMap<MachineId, Vec<(JobId, u32)>> = BTreeMap::new();
         let mut looked = 0;
         for id in preemptible.iter().flatten() {
             looked += 1;
--- a/crates/umbersail-control/src/engine/grant.rs
+++ b/crates/umbersail-control/src/engine/grant.rs
@@ -11,7 +11,7 @@
 use umbersail_wire::{Change, Condition, Txn};
 
 use super::write::TXN_BYTES;
-use super::{Engine, Machine, Name};
+use super::{Engine, Machine, MachineId};
 use crate::records::{GrantPart, GrantedMachine, Record, part_key};
 
 /// One part as it should be and as the state service holds it.
@@ -20,8 +20,8 @@
     /// 0: it does not exist; absent: unknown, to be read before it is written.
     version: Option<u64>,
     /// Machines that belong here and are not proven gone.
-    members: BTreeSet<Name>,
-    recorded: BTreeSet<Name>,
+    members: BTreeSet<MachineId>,
+    recorded: BTreeSet<MachineId>,
     /// Has members that are not recorded, or a write of it had no answer. Kept
     /// rather than compared: it is asked for with every report.
     due: bool,
@@ -38,7 +38,7 @@
 #[derive(Debug, Clone)]
 pub(super) struct WrittenPart {
     index: usize,
-    members: BTreeSet<Name>,
+    members: BTreeSet<MachineId>,
 }
 
 /// What one machine takes in a part, names and frame included, as the state
@@ -61,7 +61,7 @@
             });
         }
         for granted in &found.part.machines {
-            let name: Name = granted.name.as_str().into();
+            let name: MachineId = granted.name.as_str().into();
             let mut machine = Machine::new(
                 name.clone(),
                 self.type_index(&granted.machine_type),
@@ -82,7 +82,7 @@
     }
 
     /// The machine is to be recorded before anything starts on it.
-    pub(super) fn assign_part(&mut self, name: &Name) {
+    pub(super) fn assign_part(&mut self, name: &MachineId) {
         let most = self.cfg.tuning.grant_part_machines as usize;
         let Some(machine) = self.machines.get_mut(name) else {
             return;
@@ -106,7 +106,7 @@
     }
 
     /// The machine is proven gone; its part forgets it with its next write.
-    pub(super) fn leave_part(&mut self, name: &Name, part: Option<usize>) {
+    pub(super) fn leave_part(&mut self, name: &MachineId, part: Option<usize>) {
         if let Some(part) = part {
             self.parts[part].members.remove(name);
         }
--- a/crates/umbersail-control/src/engine/job.rs
+++ b/crates/umbersail-control/src/engine/job.rs
@@ -4,7 +4,7 @@
 use umbersail_policy::{Bitmap, Shape};
 use umbersail_wire::{JobKind, JobSpec, Priority, TaskState};
 
-use super::{Name, Time};
+use super::{MachineId, Time};
 use crate::records::RunRecord;
 
 /// A stop order; it goes out once the record of the eviction stands.
@@ -18,7 +18,7 @@
 /// One attempt at a task, on one machine.
 #[derive(Debug, Clone, PartialEq)]
 pub(crate) struct Placement {
-    pub machine: Name,
+    pub machine: MachineId,
     pub attempt: u64,
     /// (session, seq) of the report whose reply carried the launch.
     pub ordered: Option<(u64, u64)>,
@@ -54,7 +54,7 @@
     /// Started by an earlier holder and not yet seen: as good as running.
     pub recovery_pending: BTreeSet<u32>,
     /// Machines that may hold the tasks whose recovery is pending.
-    pub inherited: BTreeSet<Name>,
+    pub inherited: BTreeSet<MachineId>,
     /// The holder before us may have started any of its tasks, on any machine,
     /// without a record.
     pub anywhere: bool,
@@ -65,9 +65,9 @@
     pub evictions: u32,
     /// Errors since the last success, and the machines they happened on.
     pub errors: u32,
-    pub failed_on: BTreeSet<Name>,
+    pub failed_on: BTreeSet<MachineId>,
     /// Machines that failed it at any time: it keeps off them.
-    pub error_machines: BTreeSet<Name>,
+    pub error_machines: BTreeSet<MachineId>,
     /// Failed on every machine that it tried: submitted with a mistake, as far as
     /// one can tell. One task at a time finds out whether it still does.
     pub suspect: bool,
@@ -94,7 +94,7 @@
     // What the state service holds.
     pub run_version: Option<u64>,
     pub recorded_high: u32,
-    pub recorded_hosts: BTreeSet<Name>,
+    pub recorded_hosts: BTreeSet<MachineId>,
     pub recorded_done: Bitmap,
     pub recorded_evictions: u32,
     pub dirty_since: Option<Time>,
@@ -118,7 +118,7 @@
             Bitmap::new(spec.tasks)
         });
         let high = run.high.min(spec.tasks);
-        let hosts: BTreeSet<Name> = run.hosts.iter().map(|h| h.as_str().into()).collect();
+        let hosts: BTreeSet<MachineId> = run.hosts.iter().map(|h| h.as_str().into()).collect();
         let mut job = Job {
             shape: Shape::of_task(&spec),
             image: ImageKey::of(&spec.image),
@@ -309,11 +309,11 @@
     }
 
     /// A launch may be told to a worker only if a successor would know of it.
-    pub fn is_recorded(&self, task: u32, machine: &Name) -> bool {
+    pub fn is_recorded(&self, task: u32, machine: &MachineId) -> bool {
         task < self.recorded_high && self.recorded_hosts.contains(machine)
     }
 
-    pub fn hosts(&self) -> BTreeSet<Name> {
+    pub fn hosts(&self) -> BTreeSet<MachineId> {
         self.live
             .values()
             .map(|p| p.machine.clone())
--- a/crates/umbersail-control/src/engine/machine.rs
+++ b/crates/umbersail-control/src/engine/machine.rs
@@ -6,18 +6,18 @@
 use umbersail_wire::Priority;
 
 use super::reachability::Reachability;
-use super::{Name, Time};
+use super::{JobId, MachineId, Time};
 
 /// Room that an eviction makes, kept for the job that asked for it.
 #[derive(Debug, Clone, PartialEq)]
 pub(crate) struct Claim {
-    pub winner: Name,
+    pub winner: JobId,
     pub tier: Priority,
     pub until: Time,
 }
 
 pub(crate) struct Machine {
-    pub name: Name,
+    pub name: MachineId,
     /// Absent while the catalogue does not know the type.
     pub type_index: Option<usize>,
     pub zone: String,
@@ -48,7 +48,7 @@
     pub notice_handled: bool,
     pub quarantined: bool,
     /// Errors since the last success here, by the job that met them.
-    pub errors: BTreeMap<Name, u32>,
+    pub errors: BTreeMap<JobId, u32>,
     /// Since when they are enough to hold it for faulty.
     pub accused_at: Option<Time>,
     pub used: Shape,
@@ -57,7 +57,7 @@
     pub claim: Option<Claim>,
     /// Plans that keep it for their own, one bit each: others keep off.
     pub reservations: u64,
-    pub tasks: BTreeSet<(Name, u32)>,
+    pub tasks: BTreeSet<(JobId, u32)>,
     /// Shows active tasks of jobs that are over; they are being stopped.
     pub strangers: bool,
     /// Among them some that nothing says the size of: they count by the whole
@@ -82,7 +82,7 @@
 
 impl Machine {
     pub fn new(
-        name: Name,
+        name: MachineId,
         type_index: Option<usize>,
         zone: String,
         spot: bool,
@@ -175,7 +175,7 @@
         self.accused_at = None;
     }
 
-    pub fn hold(&mut self, id: &Name, task: u32, shape: &Shape, image: ImageKey) {
+    pub fn hold(&mut self, id: &JobId, task: u32, shape: &Shape, image: ImageKey) {
         if self.tasks.insert((id.clone(), task)) {
             self.used.add(shape, 1.0);
             match self.image_uses.iter_mut().find(|(key, _)| *key == image) {
@@ -185,7 +185,7 @@
         }
     }
 
-    pub fn release(&mut self, id: &Name, task: u32, shape: &Shape, image: ImageKey) {
+    pub fn release(&mut self, id: &JobId, task: u32, shape: &Shape, image: ImageKey) {
         if self.tasks.remove(&(id.clone(), task)) {
             self.used.add(shape, -1.0);
             for (key, uses) in &mut self.image_uses {
--- a/crates/umbersail-control/src/engine/mod.rs
+++ b/crates/umbersail-control/src/engine/mod.rs
@@ -7,6 +7,7 @@
 mod delegations;
 mod evict;
 mod grant;
+mod ids;
 mod job;
 mod machine;
 mod order;
@@ -34,6 +35,7 @@
 use delegations::Delegation;
 pub use grant::InheritedPart;
 use grant::Part;
+pub use ids::{JobId, MachineId};
 pub(crate) use job::{Job, Placement, Stop};
 pub(crate) use machine::Machine;
 use order::CachedPriorityOrder;
@@ -46,8 +48,6 @@
 use starvation_guard::StarvationGuard;
 pub use write::{PendingTxn, TxnOutcome};
 
-/// Names of jobs and machines are shared by many tables.
-pub type Name = Rc<str>;
 /// Seconds on this process's steady clock.
 pub type Time = f64;
 
@@ -67,7 +67,7 @@
 
 /// A launch may be told to a worker only if a successor would know that it may
 /// have been: by its record, or by its word to the holder that started without.
-fn may_launch(job: &Job, task: u32, machine: &Name, open: bool) -> bool {
+fn may_launch(job: &Job, task: u32, machine: &MachineId, open: bool) -> bool {
     job.is_recorded(task, machine) || (open && job.may_start_unrecorded())
 }
 
@@ -166,23 +166,23 @@
     leader_version: u64,
     elected_at: Time,
     types: Vec<MachineType>,
-    jobs: BTreeMap<Name, Job>,
-    machines: BTreeMap<Name, Machine>,
+    jobs: BTreeMap<JobId, Job>,
+    machines: BTreeMap<MachineId, Machine>,
     parts: Vec<Part>,
     /// Peers that may answer workers in our stead.
     delegations: BTreeMap<String, Delegation>,
     /// Machines with launches that no reply has carried yet, and perhaps some
     /// more.
-    untold: BTreeSet<Name>,
+    untold: BTreeSet<MachineId>,
     /// Jobs that are over whose progress still stands: removed when there is
     /// time for it.
-    cleared: BTreeSet<Name>,
+    cleared: BTreeSet<JobId>,
     /// Jobs that are over whose attempts may still be about: their progress
     /// stands until they are gone (rule 4).
-    orphaned_jobs: OrphanedJobs<Name, Name>,
+    orphaned_jobs: OrphanedJobs<JobId, MachineId>,
     whole_machines: bool,
     /// Machines that may hold tasks that no record tells of.
-    unaccounted_machines: BTreeSet<Name>,
+    unaccounted_machines: BTreeSet<MachineId>,
     /// A record says that something may run that none tells of.
     recovery_pending: bool,
     /// Tasks may be started before they are recorded.
@@ -206,9 +206,9 @@
     /// False once a cycle has found nothing waiting.
     may_wait: bool,
     /// Who may lose a task, as jobs come and go.
-    preemptible: PreemptibleJobs<Priority, Name>,
+    preemptible: PreemptibleJobs<Priority, JobId>,
     /// Jobs with tasks whose recovery is pending, by the machines that may hold them.
-    inherited_by: BTreeMap<Name, Vec<Name>>,
+    inherited_by: BTreeMap<MachineId, Vec<JobId>>,
     /// No waiting job's task is smaller than this in any amount.
     least_shape: Shape,
     /// Work of cycles since it was last asked for.
@@ -220,8 +220,8 @@
     plans: Plans,
     /// Machines whose deletion was answered, the newest last: names that never
     /// come back, whatever a late list or report shows.
-    deleted: VecDeque<Name>,
-    gone: BTreeSet<Name>,
+    deleted: VecDeque<MachineId>,
+    gone: BTreeSet<MachineId>,
 }
 
 impl Engine {
@@ -331,7 +331,7 @@
     pub fn token_increments(&mut self, now: Time) -> Vec<Fencing> {
         let mut out = Vec::new();
         let pause = self.cfg.lease_s / 2.0 + 0.5;
-        let mut told: Vec<Name> = Vec::new();
+        let mut told: Vec<MachineId> = Vec::new();
         for name in &self.untold {
             let Some(machine) = self.machines.get_mut(name) else {
                 told.push(name.clone());
@@ -481,7 +481,7 @@
         run: Option<(RunRecord, u64)>,
     ) {
         self.plans.images.narrow(&mut record.spec, &self.types);
-        let id: Name = record.spec.id.as_str().into();
+        let id: JobId = record.spec.id.as_str().into();
         let age_s = unix_ms.saturating_sub(record.accepted_ms) as f64 / 1000.0;
         let smallest =
             umbersail_policy::smallest_cpus(&record.spec, &self.types).unwrap_or(f64::MAX);
@@ -558,7 +558,7 @@
             .filter(|(_, p)| !p.told())
             .map(|(t, _)| *t)
             .collect();
-        let id: Name = id.into();
+        let id: JobId = id.into();
         for task in planned {
             self.remove_placement(&id, task);
         }
@@ -571,7 +571,7 @@
         for (record, version) in listed {
             self.job_accepted(now, unix_ms, record, version);
         }
-        let gone: Vec<Name> = self
+        let gone: Vec<JobId> = self
             .jobs
             .keys()
             .filter(|id| !present.contains(&***id))
@@ -584,7 +584,7 @@
 
     /// A cancelled job counts until nothing of it can run any more; then its
     /// progress may go (rule 4).
-    fn drop_if_over(&mut self, id: &Name) {
+    fn drop_if_over(&mut self, id: &JobId) {
         let gone = |j: &Job| {
             j.cancelled
                 && j.live.is_empty()
@@ -602,7 +602,7 @@
     /// Progress of a job that was over before we were elected: what it did not
     /// hold as completed may still run on the machines that it names.
     fn inherit_orphaned_attempts(&mut self, id: &str, run: RunRecord) {
-        let name: Name = id.into();
+        let name: JobId = id.into();
         let teams = &self.cfg.teams;
         let known = |m: &&String| self.machines.contains_key(m.as_str());
         let orphaned_attempts = OrphanedAttempts {
@@ -622,7 +622,7 @@
         }
     }
 
-    fn remove_job(&mut self, id: &Name) -> Option<Job> {
+    fn remove_job(&mut self, id: &JobId) -> Option<Job> {
         let job = self.jobs.remove(id)?;
         self.job_left_plans(&job);
         self.preemptible.remove(job.preemption_class(), id);
@@ -637,7 +637,7 @@
     }
 
     /// Takes a task off its machine; what becomes of it is up to the caller.
-    fn remove_placement(&mut self, id: &Name, task: u32) -> Option<Placement> {
+    fn remove_placement(&mut self, id: &JobId, task: u32) -> Option<Placement> {
         let job = self.jobs.get_mut(id)?;
         let placement = job.live.remove(&task)?;
         if let Some(machine) = self.machines.get_mut(&placement.machine) {
@@ -651,7 +651,7 @@
     }
 
     /// The task is on no machine any more and has not completed.
-    fn return_task(&mut self, id: &Name, task: u32) {
+    fn return_task(&mut self, id: &JobId, task: u32) {
         self.remove_placement(id, task);
         if let Some(job) = self.jobs.get_mut(id)
             && !job.cancelled
@@ -665,7 +665,7 @@
 
     /// Nothing of ours or of an earlier holder is on this machine except what
     /// its newest report shows (rule 3).
-    fn account(&mut self, name: &Name) {
+    fn account(&mut self, name: &MachineId) {
         if let Some(machine) = self.machines.get_mut(name) {
             if !machine.inherited {
                 return;
@@ -705,7 +705,7 @@
 
     /// The machine is accounted for: once all are, nothing can run that no
     /// record tells of.
-    fn settle_unrecorded(&mut self, name: &Name) {
+    fn settle_unrecorded(&mut self, name: &MachineId) {
         if !self.unaccounted_machines.remove(name) || !self.unaccounted_machines.is_empty() {
             return;
         }
@@ -731,8 +731,8 @@
     }
 
     /// The machine holds nothing any more: lapsed, failed or deleted.
-    fn clear_machine(&mut self, name: &Name) {
-        let tasks: Vec<(Name, u32)> = self
+    fn clear_machine(&mut self, name: &MachineId) {
+        let tasks: Vec<(JobId, u32)> = self
             .machines
             .get(name)
             .map(|m| m.tasks.iter().cloned().collect())
--- a/crates/umbersail-control/src/engine/order.rs
+++ b/crates/umbersail-control/src/engine/order.rs
@@ -8,13 +8,13 @@
 
 use super::schedule::ClusterSnapshot;
 use super::starvation_guard::BoostedJob;
-use super::{Engine, Job, Name, Time};
+use super::{Engine, Job, JobId, Time};
 
 /// The order of a cycle, which the next cycles take as it is for a moment.
 #[derive(Debug, Clone)]
 pub(super) struct CachedPriorityOrder {
     pub at: Time,
-    pub jobs: Vector<Name>,
+    pub jobs: Vector<JobId>,
     /// By tier and type of machine, the largest "smallest type" among the waiting
     /// jobs of this tier or above that it takes: smaller tasks keep off. A lower
     /// tier's large task reserves nothing against an upper tier.
@@ -49,7 +49,7 @@
 
 /// A waiting job in the order of placement.
 struct Waiting<'a> {
-    id: &'a Name,
+    id: &'a JobId,
     job: &'a Job,
     slack_s: Option<f64>,
     outlook: DeadlineOutlook,
@@ -127,7 +127,7 @@
         now: Time,
         usage: &[Usage],
         fleet: &ClusterSnapshot,
-    ) -> (Vec<Name>, Vec<BoostedJob>) {
+    ) -> (Vec<JobId>, Vec<BoostedJob>) {
         let underserved_from = self.underserved_from();
         let waiting: Vec<Waiting> = self
             .jobs
@@ -142,13 +142,13 @@
             })
             .collect();
         let waiting = self.deadline_outlooks(waiting, fleet);
-        let ids: Vec<&Name> = waiting.iter().map(|w| w.id).collect();
+        let ids: Vec<&JobId> = waiting.iter().map(|w| w.id).collect();
         let mut boosted = self.boost(now, &ids, fleet);
-        let begins: BTreeSet<Name> = boosted.iter().map(|l| l.job.clone()).collect();
+        let begins: BTreeSet<JobId> = boosted.iter().map(|l| l.job.clone()).collect();
         // Below a tier that is underserved itself nobody is boosted for a share.
         let underserved_tier = waiting.iter().filter(|w| w.underserved);
         let underserved_tier = underserved_tier.map(|w| w.job.spec.priority).max();
-        let mut order: Vec<(QueuePosition, f64, &Name)> = Vec::with_capacity(waiting.len());
+        let mut order: Vec<(QueuePosition, f64, &JobId)> = Vec::with_capacity(waiting.len());
         for w in &waiting {
             let guaranteed = self.is_guaranteed(w.job, usage);
             let tier = w.job.spec.priority;
@@ -352,7 +352,7 @@
             return kept.clone();
         }
         let (jobs, boosted) = self.waiting_order(now, usage, fleet);
-        let jobs: Vector<Name> = jobs.into_iter().collect();
+        let jobs: Vector<JobId> = jobs.into_iter().collect();
         let order = CachedPriorityOrder {
             at: now,
             reserved: self.reserved_types(&jobs),
@@ -364,7 +364,7 @@
     }
 
     /// See [`CachedPriorityOrder::reserved`].
-    fn reserved_types(&self, waiting: &Vector<Name>) -> BTreeMap<Priority, Vec<f64>> {
+    fn reserved_types(&self, waiting: &Vector<JobId>) -> BTreeMap<Priority, Vec<f64>> {
         let none = vec![0.0; self.types.len()];
         let mut by_tier: BTreeMap<Priority, Vec<f64>> = BTreeMap::new();
         for job in waiting.iter().filter_map(|id| self.jobs.get(id)) {
--- a/crates/umbersail-control/src/engine/plans/calendar.rs
+++ b/crates/umbersail-control/src/engine/plans/calendar.rs
@@ -14,7 +14,7 @@
 };
 use umbersail_wire::JobKind;
 
-use super::super::{Engine, EngineConfig, Job, Name, Time};
+use super::super::{Engine, EngineConfig, Job, JobId, Time};
 
 /// What the names of its records begin with, and their version.
 pub(super) const KIND: &str = "calendar";
@@ -111,8 +111,14 @@
         }
     }
 
+    /// Jobs that belong to runs under way.
+    fn calendar_members(&self) -> Vec<JobId> {
+        let members = self.plans.calendar.runs.members();
+        members.map(|id| id.clone().into()).collect()
+    }
+
     /// A job was accepted, or found by us as a new leader.
-    pub(super) fn job_for_run(&mut self, now: Time, id: &Name) {
+    pub(super) fn job_for_run(&mut self, now: Time, id: &JobId) {
         if self.plans.calendar.runs.is_empty() {
             return;
         }
@@ -127,7 +133,7 @@
         let age_ms = ((now - job.submitted).max(0.0) * 1000.0) as u64;
         let run_s = self.run_s(job);
         let accepted = AcceptedJob {
-            id,
+            id: id.shared(),
             team: &job.spec.team,
             class: &job.spec.class,
             accepted_ms: at.unix_ms.saturating_sub(age_ms),
@@ -148,7 +154,7 @@
     }
 
     /// Whether a job is held back, and by when it should end.
-    fn apply_run(&mut self, now: Time, id: &Name) {
+    fn apply_run(&mut self, now: Time, id: &JobId) {
         let at = self.timestamp(now);
         let runs = &self.plans.calendar.runs;
         let held = runs.is_held(id).then_some(HELD);
@@ -202,14 +208,14 @@
         let outcome = self.plans.calendar.runs.tick(at);
         log_events(&outcome.events);
         if outcome.opened {
-            let ids: Vec<Name> = self.jobs.keys().cloned().collect();
+            let ids: Vec<JobId> = self.jobs.keys().cloned().collect();
             for id in ids {
                 self.job_for_run(now, &id);
             }
         }
         self.record_runs(now, at);
         if looks || released || outcome.released {
-            let members: Vec<Name> = self.plans.calendar.runs.members().cloned().collect();
+            let members: Vec<JobId> = self.calendar_members();
             for id in members {
                 self.apply_run(now, &id);
             }
@@ -222,7 +228,7 @@
     /// Jobs that fail wherever they run, and those that their users have cancelled:
     /// no step waits for them.
     fn look_at_members(&mut self, at: Timestamp) {
-        let members: Vec<Name> = self.plans.calendar.runs.members().cloned().collect();
+        let members: Vec<JobId> = self.calendar_members();
         for id in members {
             let runs = &mut self.plans.calendar.runs;
             match self.jobs.get(&id) {
--- a/crates/umbersail-control/src/engine/plans/images.rs
+++ b/crates/umbersail-control/src/engine/plans/images.rs
@@ -14,7 +14,7 @@
 use umbersail_tuning::Tuning;
 use umbersail_wire::{JobSpec, MachineType, Priority, Report, TaskState};
 
-use super::{Engine, Job, Name, Plans, Time};
+use super::{Engine, Job, JobId, MachineId, Plans, Time};
 use crate::engine::Machine;
 use crate::engine::report::split_task;
 
@@ -29,7 +29,7 @@
 
 /// Images under way.
 pub(in crate::engine) struct Images {
-    cache_view: CacheView<Name, ImageKey>,
+    cache_view: CacheView<MachineId, ImageKey>,
     hand_on: bool,
     /// Names of images that count, by key: as many as the cache view tracks.
     names: BTreeMap<ImageKey, Rc<str>>,
@@ -52,21 +52,21 @@
     }
 
     /// Whether the machine is kept for others that want an image of its.
-    pub fn keeps(&self, machine: &Name) -> bool {
+    pub fn keeps(&self, machine: &MachineId) -> bool {
         self.cache_view.is_last_holder(machine)
     }
 
     /// Whether its launch waits for its fetch's turn.
-    pub fn waits(&self, image: ImageKey, machine: &Name) -> bool {
+    pub fn waits(&self, image: ImageKey, machine: &MachineId) -> bool {
         self.cache_view.is_queued(&image, machine)
     }
 
     /// No task on the machine uses the image any more.
-    pub fn unused(&mut self, image: ImageKey, machine: &Name) {
+    pub fn unused(&mut self, image: ImageKey, machine: &MachineId) {
         self.cache_view.cancel_fetch(&image, machine);
     }
 
-    pub fn gone(&mut self, machine: &Name) {
+    pub fn gone(&mut self, machine: &MachineId) {
         self.cache_view.remove_machine(machine);
     }
 
@@ -130,7 +130,7 @@
     machine: &'a Machine,
     attempt: u64,
     shared: usize,
-) -> Option<FetchRequest<'a, Name, ImageKey>> {
+) -> Option<FetchRequest<'a, MachineId, ImageKey>> {
     Some(FetchRequest {
         image: &job.image,
         size_gb: job.spec.image_gb,
@@ -149,9 +149,9 @@
 impl Engine {
     /// What a machine holds, in the order in which fetches should begin: they share
     /// its rate.
-    pub(in crate::engine) fn held_by_urgency(&self, machine: &Name) -> Vec<(Name, u32)> {
+    pub(in crate::engine) fn held_by_urgency(&self, machine: &MachineId) -> Vec<(JobId, u32)> {
         let held = self.machines[machine].tasks.iter();
-        let mut held: Vec<(Name, u32)> = held.cloned().collect();
+        let mut held: Vec<(JobId, u32)> = held.cloned().collect();
         if self.plans.images.hand_on {
             held.sort_by_key(|(id, task)| {
                 let job = self.jobs.get(id);
@@ -168,8 +168,8 @@
     pub(in crate::engine) fn may_fetch(
         &mut self,
         now: Time,
-        machine: &Name,
-        id: &Name,
+        machine: &MachineId,
+        id: &JobId,
         task: u32,
     ) -> Option<Vec<String>> {
         let at_once = Some(Vec::new());
@@ -189,7 +189,7 @@
         };
         let machines = &self.machines;
         // Neither unreachable nor noticed nor about to lapse.
-        let usable = |m: &Name| {
+        let usable = |m: &MachineId| {
             let holder = machines.get(m);
             holder.is_some_and(|m| m.addr.is_some() && m.takes_tasks(now, silent_after))
         };
@@ -207,14 +207,14 @@
                 {
                     images.remember(job.image, &job.spec.image);
                 }
-                let address = |m: &Name| Some(machines.get(m)?.addr?.to_string());
+                let address = |m: &MachineId| Some(machines.get(m)?.addr?.to_string());
                 Some(sources.iter().filter_map(address).collect())
             }
         }
     }
 
     /// What a machine's newest report shows of its fetches.
-    pub(in crate::engine) fn see_fetches(&mut self, now: Time, name: &Name, report: &Report) {
+    pub(in crate::engine) fn see_fetches(&mut self, now: Time, name: &MachineId, report: &Report) {
         if self.plans.images.hand_on {
             self.plans.images.cache_view.observe_report(name);
         }
@@ -254,8 +254,8 @@
     pub(in crate::engine) fn see_image(
         &mut self,
         now: Time,
-        name: &Name,
-        id: &Name,
+        name: &MachineId,
+        id: &JobId,
         pushed_out: &[ImageKey],
     ) {
         let (Some(job), Some(machine)) = (self.jobs.get(id), self.machines.get(name)) else {
@@ -304,7 +304,7 @@
         let Plans { images, book, .. } = &mut self.plans;
         let names = &images.names;
         let name = |image: &ImageKey| names.get(image).map_or(String::new(), |n| n.to_string());
-        let machine = |m: &Name| m.to_string();
+        let machine = |m: &MachineId| m.to_string();
         let records = images.cache_view.records(name, machine);
         let mut stand = BTreeSet::new();
         for (image, record) in records.iter().filter(|(image, _)| !image.is_empty()) {
--- a/crates/umbersail-control/src/engine/plans/mod.rs
+++ b/crates/umbersail-control/src/engine/plans/mod.rs
@@ -12,7 +12,7 @@
 use tracing::warn;
 use umbersail_policy::Demand;
 
-use super::{Engine, EngineConfig, Job, Name, Time};
+use super::{Engine, EngineConfig, Job, JobId, MachineId, Time};
 pub use book::InheritedPlan;
 pub(super) use book::{Book, WrittenPlan};
 pub(super) use calendar::Publishing;
@@ -67,7 +67,7 @@
     }
 
     /// A job was accepted, or found by us as a new leader.
-    pub(super) fn plan_for_job(&mut self, now: Time, id: &Name) {
+    pub(super) fn plan_for_job(&mut self, now: Time, id: &JobId) {
         self.job_for_run(now, id);
         self.pledge_to_job(id);
     }
--- a/crates/umbersail-control/src/engine/plans/reserve.rs
+++ b/crates/umbersail-control/src/engine/plans/reserve.rs
@@ -14,7 +14,7 @@
 use umbersail_wire::RentRequest;
 
 use super::super::rental::RENT_MOST;
-use super::super::{Engine, EngineConfig, Job, Machine, Name, Stop, Time, epoch};
+use super::super::{Engine, EngineConfig, Job, JobId, Machine, MachineId, Stop, Time, epoch};
 
 /// Names of records: this and the entry's name.
 const KIND: &str = "reserve";
@@ -35,7 +35,7 @@
     bits: BTreeMap<String, u64>,
     boots: Boots,
     /// When we rented machines that have not reported yet.
-    booting: BTreeMap<Name, Time>,
+    booting: BTreeMap<MachineId, Time>,
     /// Requests that were sent and not answered: by their names again.
     sent: BTreeSet<String>,
     next_round: Time,
@@ -186,7 +186,7 @@
         }
         for (name, batch) in held {
             let index = self.type_index(&batch.machine_type);
-            let name: Name = name.into();
+            let name: MachineId = name.as_str().into();
             self.machines
                 .entry(name.clone())
                 .or_insert_with(|| Machine::new(name, index, batch.zone.clone(), batch.spot, now));
@@ -195,7 +195,7 @@
     }
 
     /// A job has come: its own kept machines are open to it at once.
-    pub(in crate::engine) fn pledge_to_job(&mut self, id: &Name) {
+    pub(in crate::engine) fn pledge_to_job(&mut self, id: &JobId) {
         if let Some(job) = self.jobs.get(id) {
             let own = self.plans.reserve.own_bits(job);
             if let Some(job) = self.jobs.get_mut(id) {
@@ -325,7 +325,7 @@
         if out || machine.quarantined || machine.notice_until.is_some() {
             return Standing::Out;
         }
-        let stays = |(id, _): &(Name, u32)| {
+        let stays = |(id, _): &(JobId, u32)| {
             let Some(job) = self.jobs.get(id) else {
                 return false;
             };
@@ -479,8 +479,8 @@
         if reserve.bits.is_empty() {
             return;
         }
-        let mut rooms: BTreeMap<&Name, Shape> = BTreeMap::new();
-        let mut lent: BTreeMap<&Name, Vec<(&Name, u32, &Job)>> = BTreeMap::new();
+        let mut rooms: BTreeMap<&MachineId, Shape> = BTreeMap::new();
+        let mut lent: BTreeMap<&MachineId, Vec<(&JobId, u32, &Job)>> = BTreeMap::new();
         let silent_after = self.silent_after();
         for (name, machine) in &self.machines {
             let Some(index) = machine.type_index else {
@@ -514,7 +514,7 @@
         if lent.is_empty() {
             return;
         }
-        let mut stops: Vec<(Name, u32)> = Vec::new();
+        let mut stops: Vec<(JobId, u32)> = Vec::new();
         let mut own: Vec<&Job> = self
             .jobs
             .values()
@@ -526,7 +526,7 @@
         });
         for job in own {
             let mut wanted = job.startable();
-            let may = |name: &Name| {
+            let may = |name: &MachineId| {
                 let machine = &self.machines[name];
                 machine.reservations & job.reservations & OWN != 0 && self.takes(job, machine)
             };
@@ -561,7 +561,7 @@
         }
     }
 
-    fn call_back_task(&mut self, id: &Name, task: u32) {
+    fn call_back_task(&mut self, id: &JobId, task: u32) {
         let Some(job) = self.jobs.get_mut(id) else {
             return;
         };
@@ -696,7 +696,7 @@
     }
 
     /// One of them came up, or was given up.
-    pub(in crate::engine) fn boot_ended(&mut self, now: Time, name: &Name) {
+    pub(in crate::engine) fn boot_ended(&mut self, now: Time, name: &MachineId) {
         let reserve = &mut self.plans.reserve;
         let machine = self.machines.get(name).and_then(|m| m.type_index);
         if let Some(at) = reserve.booting.remove(name)
--- a/crates/umbersail-control/src/engine/rental.rs
+++ b/crates/umbersail-control/src/engine/rental.rs
@@ -7,7 +7,7 @@
 use umbersail_wire::{ListedMachine, MachineState, MachineType, RentRequest};
 
 use super::plans::KeptRoom;
-use super::{CloudAction, Engine, Job, Machine, Name, Refusal, Time, epoch};
+use super::{CloudAction, Engine, Job, Machine, MachineId, Refusal, Time, epoch};
 
 /// Most names in one deletion, and machines in one rental, by the protocol.
 const DELETE_MOST: usize = 100;
@@ -22,16 +22,16 @@
 
     /// A whole list of the cloud, which may be older than what we know.
     pub fn listing(&mut self, now: Time, listed: &[ListedMachine]) {
-        let mut present: Vec<Name> = Vec::with_capacity(listed.len());
+        let mut present: Vec<MachineId> = Vec::with_capacity(listed.len());
         for entry in listed {
             // A list may be twice the lag old and show what we have deleted.
             if self.gone.contains(entry.id.as_str()) {
                 continue;
             }
-            let name: Name = match self.machines.get_key_value(entry.id.as_str()) {
+            let name: MachineId = match self.machines.get_key_value(entry.id.as_str()) {
                 Some((name, _)) => name.clone(),
                 None => {
-                    let name: Name = entry.id.as_str().into();
+                    let name: MachineId = entry.id.as_str().into();
                     debug!(machine = &*name, machine_type = entry.machine_type, state = ?entry.state, "listed");
                     self.machines.insert(
                         name.clone(),
@@ -95,7 +95,7 @@
         self.boots_begin(now, names);
         let index = self.type_index(&request.machine_type);
         for name in names {
-            let name: Name = name.as_str().into();
+            let name: MachineId = name.as_str().into();
             let machine = self.machines.entry(name.clone()).or_insert_with(|| {
                 Machine::new(name, index, request.zone.clone(), request.spot, now)
             });
@@ -155,7 +155,7 @@
     pub fn deleted(&mut self, names: &[String]) {
         let most = self.cfg.tuning.gone_names as usize;
         for name in names {
-            let name: Name = name.as_str().into();
+            let name: MachineId = name.as_str().into();
             self.clear_machine(&name);
             self.plans.images.gone(&name);
             if let Some(machine) = self.machines.remove(&name) {
@@ -317,7 +317,7 @@
         }
         demands.extend(self.planned_demands(now));
         let mostly_unreachable = self.is_mostly_unreachable();
-        let fleet: Vec<FleetMachine<Name>> = self
+        let fleet: Vec<FleetMachine<MachineId>> = self
             .machines
             .values()
             .filter(|m| {
--- a/crates/umbersail-control/src/engine/report.rs
+++ b/crates/umbersail-control/src/engine/report.rs
@@ -5,7 +5,7 @@
 use tracing::{debug, info, warn};
 use umbersail_wire::{Command, ExitCause, Report, TaskReport, TaskState};
 
-use super::{Engine, Machine, Name, Placement, Stop, Time, epoch, may_launch};
+use super::{Engine, JobId, Machine, MachineId, Placement, Stop, Time, epoch, may_launch};
 
 /// `req-000412/3` in its parts.
 pub(crate) fn split_task(task: &str) -> Option<(&str, u32)> {
@@ -97,8 +97,8 @@
         self.take_report(now, report, false);
     }
 
-    fn take_report(&mut self, now: Time, report: &Report, in_turn: bool) -> Option<Name> {
-        let name: Name = match self.machines.get_key_value(report.machine.as_str()) {
+    fn take_report(&mut self, now: Time, report: &Report, in_turn: bool) -> Option<MachineId> {
+        let name: MachineId = match self.machines.get_key_value(report.machine.as_str()) {
             Some((name, _)) => name.clone(),
             // Who shows our token was known to us, and we forget none but those
             // whose deletion was answered. One that an earlier holder deleted
@@ -110,7 +110,7 @@
                 return None;
             }
             None => {
-                let name: Name = report.machine.as_str().into();
+                let name: MachineId = report.machine.as_str().into();
                 let mut machine = Machine::new(
                     name.clone(),
                     self.type_index(&report.machine_type),
@@ -190,7 +190,7 @@
     fn listen(
         &mut self,
         now: Time,
-        name: &Name,
+        name: &MachineId,
         report: &Report,
         in_turn: bool,
         launches: Option<bool>,
@@ -231,13 +231,19 @@
 
     /// Brings our picture of one machine in line with its newest report. Whether
     /// launches that it was told were taken up (true) or went nowhere (false).
-    fn compare(&mut self, now: Time, name: &Name, report: &Report, in_turn: bool) -> Option<bool> {
+    fn compare(
+        &mut self,
+        now: Time,
+        name: &MachineId,
+        report: &Report,
+        in_turn: bool,
+    ) -> Option<bool> {
         let mut launches = None;
         // By attempt, which no two tasks share: a large machine shows dozens.
         let mut shown: Vec<u64> = report.tasks.iter().map(|t| t.attempt).collect();
         shown.sort_unstable();
         // What we believed to be there and is not.
-        let held: Vec<(Name, u32)> = self.machines[name].tasks.iter().cloned().collect();
+        let held: Vec<(JobId, u32)> = self.machines[name].tasks.iter().cloned().collect();
         for (id, task) in held {
             let Some(placement) = self.jobs.get(&id).and_then(|j| j.live.get(&task)) else {
                 continue;
@@ -266,7 +272,7 @@
             }
         }
         let (mut strangers, mut unsized_strangers) = (false, false);
-        let mut over: BTreeSet<Name> = BTreeSet::new();
+        let mut over: BTreeSet<JobId> = BTreeSet::new();
         for entry in &report.tasks {
             let Some((id, task)) = split_task(&entry.task) else {
                 continue;
@@ -279,7 +285,7 @@
                     unsized_strangers |= stranger;
                 }
                 None if entry.state != TaskState::Exited => {
-                    let id: Name = id.into();
+                    let id: JobId = id.into();
                     strangers = true;
                     unsized_strangers |= !self.orphaned_jobs.counts(&id);
                     over.insert(id);
@@ -305,8 +311,8 @@
     fn take_entry(
         &mut self,
         now: Time,
-        name: &Name,
-        id: &Name,
+        name: &MachineId,
+        id: &JobId,
         task: u32,
         entry: &TaskReport,
     ) -> bool {
@@ -410,7 +416,7 @@
         true
     }
 
-    fn task_done(&mut self, now: Time, name: &Name, id: &Name, task: u32, ours: bool) {
+    fn task_done(&mut self, now: Time, name: &MachineId, id: &JobId, task: u32, ours: bool) {
         let Some(job) = self.jobs.get_mut(id) else {
             return;
         };
@@ -464,7 +470,14 @@
     }
 
     /// One of our attempts ended without completing.
-    fn task_ended(&mut self, now: Time, name: &Name, id: &Name, task: u32, entry: &TaskReport) {
+    fn task_ended(
+        &mut self,
+        now: Time,
+        name: &MachineId,
+        id: &JobId,
+        task: u32,
+        entry: &TaskReport,
+    ) {
         let tuning = self.cfg.tuning.clone();
         let cause = entry.cause.unwrap_or(ExitCause::Other);
         let placement = self.jobs.get(id).and_then(|j| j.live.get(&task));
@@ -541,7 +554,7 @@
 
     /// Nothing is held against the job any more: it was the machines, and what it
     /// took back of them is said again.
-    fn clear_job(&mut self, id: &Name) {
+    fn clear_job(&mut self, id: &JobId) {
         let Some(job) = self.jobs.get_mut(id).filter(|j| j.errors > 0 || j.suspect) else {
             return;
         };
@@ -557,7 +570,7 @@
     }
 
     /// A job that fails everywhere says nothing of the machines where it did.
-    fn withdraw(&mut self, id: &Name) {
+    fn withdraw(&mut self, id: &JobId) {
         let Some(job) = self.jobs.get(id) else {
             return;
         };
@@ -594,7 +607,7 @@
     fn commands(
         &mut self,
         now: Time,
-        name: &Name,
+        name: &MachineId,
         report: &Report,
         may_start: bool,
     ) -> Vec<Command> {
--- a/crates/umbersail-control/src/engine/schedule.rs
+++ b/crates/umbersail-control/src/engine/schedule.rs
@@ -13,21 +13,21 @@
 use umbersail_wire::{MachineType, Priority};
 
 use super::evict::EvictionCandidates;
-use super::{Engine, Job, Name, Placement, Stop, Time};
+use super::{Engine, Job, JobId, MachineId, Placement, Stop, Time};
 
 /// How often a blocked job may be looked at for eviction in one cycle.
 pub(super) const MAX_EVICTIONS_PER_CYCLE: usize = 4;
 
 /// A cycle that is under way.
 pub(super) struct SchedulingCycle {
-    queue: CycleQueue<Name>,
+    queue: CycleQueue<JobId>,
     reserved: BTreeMap<Priority, Vec<f64>>,
 }
 
 /// The fleet as one slice of a cycle sees it, from one walk over the machines.
 #[derive(Default)]
 pub(super) struct ClusterSnapshot {
-    pub places: CandidateSlots<Name>,
+    pub places: CandidateSlots<MachineId>,
     /// CandidateSlots kept for the winners of evictions, and from which tier on.
     claimed: Vec<(Priority, usize)>,
     /// Machines that may hold tasks of jobs already over (rule 4).
@@ -49,7 +49,7 @@
     }
 
     /// Nothing more goes to this machine in this slice.
-    pub fn close(&mut self, machine: &Name) {
+    pub fn close(&mut self, machine: &MachineId) {
         let at = (0..self.places.len()).find(|i| self.places.get(*i).machine == *machine);
         if let Some(index) = at {
             self.places.close(index);
@@ -88,8 +88,8 @@
         &mut self,
         index: usize,
         slots: u32,
-        machine: &Name,
-        hosts: &mut Option<(BTreeSet<Name>, usize)>,
+        machine: &MachineId,
+        hosts: &mut Option<(BTreeSet<MachineId>, usize)>,
     ) -> u32 {
         let n = slots.min(self.wanted).min(self.quota);
         if n == 0 {
@@ -388,7 +388,7 @@
 
     /// CandidateSlots what fits of one job. How many tasks were placed, and whether some
     /// are left that a machine might take if there were room.
-    fn place_job(&mut self, now: Time, id: &Name, slice: &mut CycleSlice<'_>) -> (u64, bool) {
+    fn place_job(&mut self, now: Time, id: &JobId, slice: &mut CycleSlice<'_>) -> (u64, bool) {
         let Some(job) = self.jobs.get(id).filter(|j| j.waits()) else {
             return (0, false);
         };
@@ -397,7 +397,7 @@
         let ClusterSnapshot {
             places, claimed, ..
         } = &mut *slice.fleet;
-        let waits = |job: &Name| self.jobs.get(job).is_some_and(Job::waits);
+        let waits = |job: &JobId| self.jobs.get(job).is_some_and(Job::waits);
         for (_, index) in claimed.extract_if(.., |(above, _)| tier < *above) {
             let machine = self.machines.get(&places.get(index).machine);
             let claim = machine.and_then(|m| m.claim.as_ref());
@@ -439,7 +439,7 @@
         let ClusterSnapshot {
             places, rankings, ..
         } = &mut *slice.fleet;
-        let mut chosen: Vec<(Name, u32)> = Vec::new();
+        let mut chosen: Vec<(MachineId, u32)> = Vec::new();
         for (index, n) in choice.places {
             places.take(index, &shape, n, image);
             if let Some(rankings) = rankings {
@@ -489,7 +489,12 @@
     }
 
     /// What a place costs those who rank key, if any task may go there.
-    fn rank(&self, places: &CandidateSlots<Name>, key: &RankingKey, index: usize) -> Option<f64> {
+    fn rank(
+        &self,
+        places: &CandidateSlots<MachineId>,
+        key: &RankingKey,
+        index: usize,
+    ) -> Option<f64> {
         let place = places.get(index);
         let zone = places.zone(index);
         if !key
@@ -506,7 +511,7 @@
 
     fn view<'a>(
         &'a self,
-        places: &'a CandidateSlots<Name>,
+        places: &'a CandidateSlots<MachineId>,
         index: usize,
         image: ImageKey,
     ) -> MachineView<'a, ()> {
@@ -526,7 +531,7 @@
 
     /// Machines that the job's record can name beside those that it does; without
     /// bound where it can name all.
-    fn more_hosts(&self, job: &Job) -> Option<(BTreeSet<Name>, usize)> {
+    fn more_hosts(&self, job: &Job) -> Option<(BTreeSet<MachineId>, usize)> {
         let most = self.most_hosts(job.spec.tasks);
         (most < self.machines.len()).then(|| {
             let hosts = job.hosts();
@@ -592,9 +597,10 @@
         choice: &mut PlacementDecision,
     ) {
         let shape = job.shape;
-        let allowed = |machine: &Name| !job.error_machines.contains(machine);
+        let allowed = |machine: &MachineId| !job.error_machines.contains(machine);
         let mut found = slice.fleet.places.fitting(locality, &shape, allowed);
-        let has_image = |places: &CandidateSlots<Name>, place| places.image(place, job.image).0;
+        let has_image =
+            |places: &CandidateSlots<MachineId>, place| places.image(place, job.image).0;
         choice.awaits_image = found.iter().any(|p| !has_image(&slice.fleet.places, *p))
             && self.awaits_image(now, job, slice);
         let places = &slice.fleet.places;
@@ -645,13 +651,19 @@
         }
     }
 
-    pub(super) fn set_blocked(&mut self, id: &Name, reason: &'static str) {
+    pub(super) fn set_blocked(&mut self, id: &JobId, reason: &'static str) {
         if let Some(job) = self.jobs.get_mut(id) {
             job.blocked = reason;
         }
     }
 
-    pub(super) fn place(&mut self, now: Time, id: &Name, machine: &Name, usage: &mut [Usage]) {
+    pub(super) fn place(
+        &mut self,
+        now: Time,
+        id: &JobId,
+        machine: &MachineId,
+        usage: &mut [Usage],
+    ) {
         // Rule 5: the token differs for every holder and the counter for every
         // attempt, so no attempt number is ever given twice.
         self.attempts += 1;
@@ -690,9 +702,9 @@
 
     /// Machines about to be taken back: what can't finish there moves now.
     pub(super) fn handle_notices(&mut self, now: Time) {
-        let mut stops: Vec<(Name, u32, f64)> = Vec::new();
+        let mut stops: Vec<(JobId, u32, f64)> = Vec::new();
         let silent_after = self.silent_after();
-        let mut unplan: Vec<(Name, u32)> = Vec::new();
+        let mut unplan: Vec<(JobId, u32)> = Vec::new();
         for machine in self.machines.values_mut() {
             let leaving = machine.notice_until;
             let silent = machine.silent_for(now) >= silent_after;
--- a/crates/umbersail-control/src/engine/starvation_guard.rs
+++ b/crates/umbersail-control/src/engine/starvation_guard.rs
@@ -14,7 +14,7 @@
 use umbersail_wire::Priority;
 
 use super::schedule::ClusterSnapshot;
-use super::{Engine, Job, Name, Time};
+use super::{Engine, Job, JobId, MachineId, Time};
 
 /// CandidateSlots that one order may begin to keep: each looks at every machine.
 const MAX_NEW_HELD_SLOTS: usize = 4;
@@ -27,17 +27,17 @@
     held_slots: Vec<HeldSlot>,
     /// Whom it boosts by the newest order, and whether it is underserved in full; bounded by
     /// the share of the fleet that those take.
-    boosted: BTreeMap<Name, bool>,
+    boosted: BTreeMap<JobId, bool>,
     /// Jobs that began by being boosted, with the task that made them begin, until
     /// that task ends; bounded by the same share. A successor starts with none.
-    starting: BTreeMap<Name, u32>,
+    starting: BTreeMap<JobId, u32>,
 }
 
 /// Room on a machine that falls free for one task of a job.
 #[derive(Debug, Clone, PartialEq)]
 struct HeldSlot {
-    job: Name,
-    machine: Name,
+    job: JobId,
+    machine: MachineId,
     type_index: usize,
     cpus: f64,
     underserved: bool,
@@ -48,7 +48,7 @@
 /// A job that goes first in its tier.
 #[derive(Debug, Clone, PartialEq)]
 pub(super) struct BoostedJob {
-    pub job: Name,
+    pub job: JobId,
     /// Its class, team or size is served too little: all its tasks go first, not
     /// only the one with which it begins.
     pub underserved: bool,
@@ -77,11 +77,11 @@
     pub(super) fn boost(
         &self,
         now: Time,
-        waiting: &[&Name],
+        waiting: &[&JobId],
         fleet: &ClusterSnapshot,
     ) -> Vec<BoostedJob> {
         let tuning = &self.cfg.tuning;
-        let mut by_tier: BTreeMap<Priority, (Vec<&Name>, Vec<UnstartedJob<_>>)> = BTreeMap::new();
+        let mut by_tier: BTreeMap<Priority, (Vec<&JobId>, Vec<UnstartedJob<_>>)> = BTreeMap::new();
         for id in waiting {
             let Some(job) = self.jobs.get(*id) else {
                 continue;
@@ -118,7 +118,7 @@
     /// CPUs of a tier's tasks that run, or are about to, because their jobs were
     /// boosted to begin.
     fn starting_cpus(&self, tier: Priority) -> f64 {
-        let cpus = |(id, task): (&Name, &u32)| {
+        let cpus = |(id, task): (&JobId, &u32)| {
             let job = self.jobs.get(id)?;
             let counts = job.spec.priority == tier && job.live.contains_key(task);
             counts.then_some(job.shape.cpus)
@@ -127,7 +127,7 @@
     }
 
     /// A boosted job was placed with the task that makes it begin.
-    pub(super) fn note_starting(&mut self, id: &Name) {
+    pub(super) fn note_starting(&mut self, id: &JobId) {
         let task = self
             .jobs
             .get(id)
@@ -238,7 +238,7 @@
     fn soonest(
         &self,
         now: Time,
-        id: &Name,
+        id: &JobId,
         underserved: bool,
         reserved: &[f64],
         held_slots: &[HeldSlot],
@@ -344,9 +344,10 @@
                 continue;
             };
             let locality = self.locality(job, reserved);
-            let others = |m: &Name| held_slots.iter().any(|k| k.machine == *m);
-            let allowed =
-                |m: &Name| !job.error_machines.contains(m) && (*m == place.machine || !others(m));
+            let others = |m: &MachineId| held_slots.iter().any(|k| k.machine == *m);
+            let allowed = |m: &MachineId| {
+                !job.error_machines.contains(m) && (*m == place.machine || !others(m))
+            };
             let found = fleet.places.fitting(&locality, &job.shape, allowed);
             let own = |index: &&usize| fleet.places.get(**index).machine == place.machine;
             let Some(&index) = found.iter().find(own).or(found.first()) else {
@@ -370,7 +371,7 @@
     }
 
     /// Whether the starvation guard boosts this job for the one task with which it begins.
-    pub(super) fn is_boosted_to_start(&self, id: &Name, job: &Job) -> bool {
+    pub(super) fn is_boosted_to_start(&self, id: &JobId, job: &Job) -> bool {
         job.is_unstarted() && self.starvation_guard.boosted.get(id) == Some(&false)
     }
 
@@ -378,7 +379,7 @@
     /// its class and its team, however it goes on. A successor counts those that
     /// are still about anew.
     pub(super) fn count_late(&mut self, now: Time) {
-        let late: Vec<Name> = self
+        let late: Vec<JobId> = self
             .jobs
             .iter()
             .filter(|(_, j)| !j.counted && !j.cancelled && j.pending() > 0)
@@ -391,7 +392,7 @@
     }
 
     /// Counts how a job with a deadline fared.
-    pub(super) fn count_served(&mut self, id: &Name, in_time: bool) {
+    pub(super) fn count_served(&mut self, id: &JobId, in_time: bool) {
         let Some(job) = self.jobs.get_mut(id) else {
             return;
         };
--- a/crates/umbersail-control/src/engine/tests/calendar.rs
+++ b/crates/umbersail-control/src/engine/tests/calendar.rs
@@ -362,7 +362,7 @@
     place.steps(2.0);
     place.jobs.remove("req-1");
     place.engine.job_dropped("req-1");
-    let job: Name = "req-3".into();
+    let job: JobId = "req-3".into();
     let failing = place.engine.jobs.get_mut(&job).unwrap();
     (failing.suspect, failing.failed_after_s) = (true, 1e6);
     place.steps(58.0);
--- a/crates/umbersail-control/src/engine/tests/cycles.rs
+++ b/crates/umbersail-control/src/engine/tests/cycles.rs
@@ -37,8 +37,8 @@
         }
     }
 
-    fn plain_order(&self, now: Time, usage: &[Usage]) -> Vec<Name> {
-        let ids: Vec<&Name> = self
+    fn plain_order(&self, now: Time, usage: &[Usage]) -> Vec<JobId> {
+        let ids: Vec<&JobId> = self
             .jobs
             .iter()
             .filter(|(_, j)| j.waits())
@@ -55,7 +55,7 @@
                 j.spec.spot(),
             )
         };
-        let mut standing: BTreeMap<&Name, u8> = ids.iter().map(|id| (*id, 2)).collect();
+        let mut standing: BTreeMap<&JobId, u8> = ids.iter().map(|id| (*id, 2)).collect();
         let mut pools: Vec<_> = ids.iter().map(|id| pool(&self.jobs[*id])).collect();
         pools.sort();
         pools.dedup();
@@ -77,7 +77,7 @@
             let above: f64 = upper.map(|j| j.occupied() as f64 * j.shape.cpus).sum();
             let of_machines = (inside - (above - outside).max(0.0)) * self.cfg.tuning.pool_share;
             let key = (tier, types, spot);
-            let members: Vec<&Name> = ids
+            let members: Vec<&JobId> = ids
                 .iter()
                 .copied()
                 .filter(|id| {
@@ -90,7 +90,7 @@
             if cpus <= 0.0 {
                 continue;
             }
-            let due = |id: &Name, times: f64| {
+            let due = |id: &JobId, times: f64| {
                 let j = &self.jobs[id];
                 let later = (times - 1.0) * j.spec.deadline_s.unwrap();
                 let work = f64::from(j.pending()) * j.shape.cpus * self.run_s(j);
@@ -102,13 +102,13 @@
             };
             let first: Vec<Due> = members.iter().map(|id| due(id, 1.0)).collect();
             let (kept, busy_s) = most_in_time(&first, 0.0, 0.0);
-            let late: Vec<&Name> = members
+            let late: Vec<&JobId> = members
                 .iter()
                 .zip(kept)
                 .filter(|(_, k)| !k)
                 .map(|(id, _)| *id)
                 .collect();
-            let times = |id: &Name| {
+            let times = |id: &JobId| {
                 self.cfg
                     .late_aims
                     .get(&self.jobs[id].spec.class)
@@ -144,10 +144,10 @@
     }
 
     /// What the limits of the members' teams leave beside those teams' upper tiers.
-    fn plain_allowed_cpus(&self, tier: Priority, members: &[&Name]) -> f64 {
+    fn plain_allowed_cpus(&self, tier: Priority, members: &[&JobId]) -> f64 {
         let mut allowed = 0.0;
         for (index, team) in self.cfg.teams.iter().enumerate() {
-            let is_its = |id: &&&Name| self.jobs[**id].team == Some(index);
+            let is_its = |id: &&&JobId| self.jobs[**id].team == Some(index);
             if !members.iter().any(|id| is_its(&id)) {
                 continue;
             }
@@ -162,7 +162,7 @@
         allowed
     }
 
-    fn plain_place(&mut self, now: Time, id: &Name, usage: &mut [Usage], order: &[Name]) -> bool {
+    fn plain_place(&mut self, now: Time, id: &JobId, usage: &mut [Usage], order: &[JobId]) -> bool {
         let job = &self.jobs[id];
         let mut quota = job
             .team
@@ -202,7 +202,7 @@
                 continue;
             }
             let has_image = m.images.contains(&job.image);
-            let same = |(other, _): &(Name, u32)| {
+            let same = |(other, _): &(JobId, u32)| {
                 self.jobs.get(other).is_some_and(|o| o.image == job.image)
             };
             views.push(MachineView {
@@ -282,7 +282,7 @@
         wanted > 0 && quota > 0 && !awaits
     }
 
-    fn plain_evict(&mut self, now: Time, id: &Name, usage: &mut [Usage]) -> bool {
+    fn plain_evict(&mut self, now: Time, id: &JobId, usage: &mut [Usage]) -> bool {
         let tuning = self.cfg.tuning.clone();
         let job = &self.jobs[id];
         let reclaim = self.is_guaranteed(job, usage);
@@ -303,7 +303,7 @@
             {
                 continue;
             }
-            let running: Vec<Running<Name>> = m
+            let running: Vec<Running<JobId>> = m
                 .tasks
                 .iter()
                 .filter_map(|(other, task)| {
@@ -364,10 +364,10 @@
 }
 
 /// Who is where, who is to stop, and why the rest waits.
-type Picture = Vec<(Name, Vec<(u32, Name, bool)>, u32, Time)>;
+type Picture = Vec<(JobId, Vec<(u32, MachineId, bool)>, u32, Time)>;
 
 fn picture(engine: &Engine) -> Picture {
-    let job = |(id, j): (&Name, &Job)| {
+    let job = |(id, j): (&JobId, &Job)| {
         let live = j
             .live
             .iter()
--- a/crates/umbersail-control/src/engine/write.rs
+++ b/crates/umbersail-control/src/engine/write.rs
@@ -10,7 +10,7 @@
 
 use super::grant::WrittenPart;
 use super::plans::WrittenPlan;
-use super::{Engine, Job, Name, Placement, Time};
+use super::{Engine, Job, JobId, MachineId, Placement, Time};
 use crate::records::{
     GRANT_PARTS, JOBS, LEADER_KEY, Outcome, OverRecord, PLANS, RECOVERY_PENDING_KEY, RUNS, Record,
     RunRecord, job_key, over_key, run_key,
@@ -20,15 +20,15 @@
 #[derive(Debug, Clone)]
 enum Written {
     Run {
-        id: Name,
+        id: JobId,
         high: u32,
-        hosts: BTreeSet<Name>,
+        hosts: BTreeSet<MachineId>,
         done: Bitmap,
         evictions: u32,
     },
-    End(Name),
+    End(JobId),
     /// The progress of a job that is over is gone.
-    Cleared(Name),
+    Cleared(JobId),
     /// Nothing runs that no record tells of.
     Settled,
 }
@@ -101,8 +101,8 @@
     /// Attempts of a completed job that are still about become strangers and are
     /// stopped. They count from now on, not from the next report, and until their
     /// machines show that they are gone (rule 4).
-    fn record_orphaned_attempts(&mut self, id: &Name, job: &Job) {
-        let mut machines: BTreeMap<Name, Option<(u64, u64)>> = BTreeMap::new();
+    fn record_orphaned_attempts(&mut self, id: &JobId, job: &Job) {
+        let mut machines: BTreeMap<MachineId, Option<(u64, u64)>> = BTreeMap::new();
         if job.inherited_extra() > 0 {
             machines.extend(job.inherited.iter().map(|m| (m.clone(), None)));
         }
@@ -138,7 +138,7 @@
         let teams = self.cfg.clone();
         let teams = &teams.teams;
         let end_patience_s = self.cfg.tuning.end_patience_s;
-        let mut due: Vec<(Due, Time, Name)> = self
+        let mut due: Vec<(Due, Time, JobId)> = self
             .jobs
             .iter()
             .filter(|(_, j)| !j.cancelled && j.run_version.is_some())
