--- a/crates/umbersail-control/src/degraded_mode.rs
+++ b/crates/umbersail-control/src/degraded_mode.rs
@@ -81,8 +81,8 @@
             Role::Leading(l) if !l.superseded.get() => {
                 let workers = &self.settings.facts.workers;
                 let renewal_s = tuning.renewal_s(workers.cancel_s, workers.lease_s);
-                let renewed = l.renew_until.get() - renewal_s;
-                now < l.renew_until.get() && now < renewed + tuning.degraded_mode_s
+                let renewed = l.lease.renew_until() - renewal_s;
+                now < l.lease.renew_until() && now < renewed + tuning.degraded_mode_s
             }
             _ => false,
         }
--- a/crates/umbersail-control/src/front.rs
+++ b/crates/umbersail-control/src/front.rs
@@ -240,14 +240,14 @@
             self.step_down.notify();
             return None;
         }
-        let renews = now < leading.renew_until.get() && !leading.superseded.get();
+        let renews = now < leading.lease.renew_until() && !leading.superseded.get();
         renews.then(|| leading.engine.revision())
     }
 
     /// Whether our lease still covers the start of tasks (rule 2).
     fn may_start(&self, now: Time) -> bool {
         let open = self.degraded_mode.borrow().is_open();
-        matches!(&*self.role.borrow(), Role::Leading(l) if open || now < l.start_until.get())
+        matches!(&*self.role.borrow(), Role::Leading(l) if open || now < l.lease.start_until())
     }
 
     /// Jobs first: a job goes from there to `over/` and never back, so not
--- /dev/null
+++ b/crates/umbersail-control/src/leader/cloud.rs
@@ -0,0 +1,105 @@
+//! The leader's dealings with the cloud: lists, scale-out, scale-in, and the catalogue.
+
+use std::rc::Rc;
+
+use serde::de::IgnoredAny;
+use tracing::{debug, info};
+use umbersail_runtime::sleep;
+use umbersail_wire::MachineType;
+
+use crate::cloud::Rented;
+use crate::engine::{CloudAction, TxnOutcome};
+use crate::node::Node;
+use crate::records::{CATALOGUE_KEY, catalogue};
+use crate::state::Urgency;
+
+impl Node {
+    /// Lists, rents and returns machines.
+    pub(super) async fn run_cloud(self: Rc<Self>, token: u64) {
+        let mut listed_at = f64::MIN;
+        let mut catalogue_at = f64::MIN;
+        let mut catalogue_recorded = false;
+        loop {
+            let now = self.clock.now();
+            if now - catalogue_at >= self.tuning.catalogue_interval_s {
+                catalogue_at = now;
+                if let Some(types) = self.cloud.catalogue().await
+                    && !types.is_empty()
+                {
+                    *self.types.borrow_mut() = types.clone();
+                    if !catalogue_recorded {
+                        catalogue_recorded = self.record_catalogue(token, types.clone()).await;
+                    }
+                    self.with_engine(token, |e| e.set_types(types));
+                }
+            }
+            if now - listed_at >= self.tuning.list_interval_s {
+                if let Some(list) = self.cloud.list().await {
+                    let now = self.clock.now();
+                    if listed_at == f64::MIN {
+                        info!(machines = list.len(), "first list of the cloud");
+                    }
+                    listed_at = now;
+                    self.with_engine(token, |e| e.listing(now, &list));
+                    self.wake.notify();
+                } else {
+                    debug!("cloud gave no list");
+                }
+            }
+            // Before the first list we don't know what is there already.
+            let now = self.clock.now();
+            let actions = if listed_at == f64::MIN {
+                Some(Vec::new())
+            } else {
+                self.with_engine(token, |e| e.cloud_actions(now))
+            };
+            let Some(actions) = actions else {
+                return;
+            };
+            for action in actions {
+                self.execute(token, action).await;
+            }
+            sleep(self.tuning.rent_interval_s).await;
+        }
+    }
+
+    async fn record_catalogue(&self, token: u64, types: Vec<MachineType>) -> bool {
+        let read = self
+            .state
+            .get::<IgnoredAny>(CATALOGUE_KEY, Urgency::Patient)
+            .await;
+        let Ok(found) = read else {
+            return false;
+        };
+        let txn = catalogue(token, found.map_or(0, |(_, version)| version), types);
+        matches!(
+            self.state.txn(&txn, Urgency::Patient).await,
+            TxnOutcome::Applied { .. }
+        )
+    }
+
+    async fn execute(&self, token: u64, action: CloudAction) {
+        match action {
+            CloudAction::Delete(names) => {
+                let gone = self.cloud.delete(&names).await;
+                self.with_engine(token, |e| {
+                    if gone {
+                        e.deleted(&names);
+                    } else {
+                        e.delete_unanswered(&names);
+                    }
+                });
+                self.wake.notify();
+            }
+            CloudAction::Rent(request) => {
+                let rented = self.cloud.rent(&request).await;
+                let now = self.clock.now();
+                self.with_engine(token, |e| match rented {
+                    Rented::Machines(names) => e.rented(now, &request, &names),
+                    Rented::NoCapacity => e.rent_refused(now, &request),
+                    Rented::Unknown => e.rent_unanswered(request),
+                });
+            }
+        }
+    }
+}
--- a/crates/umbersail-control/src/node.rs
+++ b/crates/umbersail-control/src/node.rs
@@ -19,6 +19,7 @@
 use crate::cloud::CloudClient;
 use crate::delegate::Delegate;
 use crate::engine::{Engine, EngineConfig};
+use crate::leader::LeaderLease;
 use crate::polls::BatchedPolls;
 use crate::records::{
     CATALOGUE_KEY, CatalogueRecord, LEADER_KEY, LeaderRecord, Outcome, OverRecord,
@@ -36,16 +37,23 @@
 /// The leader's part.
 pub(crate) struct Leading {
     pub engine: Engine,
-    /// Tasks are started before this time on our own clock, not after (rule 2).
-    pub start_until: Rc<Cell<Time>>,
-    /// Reports are answered before this time, not after: moved by a renewal only once
-    /// all that was cancelled before the renewal was sent is known here (rule 2).
-    pub renew_until: Rc<Cell<Time>>,
+    pub lease: Rc<LeaderLease>,
     /// The engine knows what was accepted and cancelled up to this revision.
     pub followed: Cell<u64>,
     pub superseded: Cell<bool>,
 }
 
+impl Leading {
+    pub fn new(engine: Engine, lease: Rc<LeaderLease>, followed: u64) -> Leading {
+        Leading {
+            engine,
+            lease,
+            followed: Cell::new(followed),
+            superseded: Cell::new(false),
+        }
+    }
+}
+
 /// What was last heard of a peer.
 #[derive(Debug, Clone, Default)]
 pub(crate) struct PeerState {
--- a/crates/umbersail-control/src/peers.rs
+++ b/crates/umbersail-control/src/peers.rs
@@ -84,7 +84,7 @@
             && !leading.superseded.get()
             && self.settings.peers.iter().any(|p| p.member == member)
         {
-            let until = leading.renew_until.get();
+            let until = leading.lease.renew_until();
             if until > now
                 && let Some(over) = leading.engine.over_jobs()
             {
