--- /dev/null
+++ b/crates/umbersail-control/src/engine/placement.rs
@@ -0,0 +1,371 @@
+//! Where the waiting tasks of one job go.
+
+use std::collections::{BTreeMap, BTreeSet};
+
+use tracing::debug;
+use umbersail_cycle::{CandidateSlots, Cheapest, ImageKey, Locality, Rankings};
+use umbersail_policy::{
+    MachineView, PlaceWeights, TaskView, Usage, Wants, cost_of, placement_cost, quota_room,
+};
+
+use super::schedule::{ClusterSnapshot, CycleSlice, RankingKey};
+use super::{Engine, Job, JobId, MachineId, Placement, Time};
+
+/// Where a job's tasks go.
+pub(super) struct PlacementDecision {
+    wanted: u32,
+    quota: u32,
+    awaits_image: bool,
+    /// Indices, each with its number of tasks.
+    places: Vec<(usize, u32)>,
+}
+
+impl PlacementDecision {
+    /// So many tasks at most go there, unless the job's record can name no more
+    /// machines. How many do.
+    pub(super) fn take(
+        &mut self,
+        index: usize,
+        slots: u32,
+        machine: &MachineId,
+        hosts: &mut Option<(BTreeSet<MachineId>, usize)>,
+    ) -> u32 {
+        let n = slots.min(self.wanted).min(self.quota);
+        if n == 0 {
+            return 0;
+        }
+        if let Some((hosts, left)) = hosts
+            && !hosts.contains(machine)
+        {
+            if *left == 0 {
+                return 0;
+            }
+            *left -= 1;
+        }
+        self.wanted -= n;
+        self.quota -= n;
+        self.places.push((index, n));
+        n
+    }
+}
+
+impl Engine {
+    /// CandidateSlots what fits of one job. How many tasks were placed, and whether some
+    /// are left that a machine might take if there were room.
+    pub(super) fn place_job(
+        &mut self,
+        now: Time,
+        id: &JobId,
+        slice: &mut CycleSlice<'_>,
+    ) -> (u64, bool) {
+        let Some(job) = self.jobs.get(id).filter(|j| j.waits()) else {
+            return (0, false);
+        };
+        // Tiers come in turn, so what is kept from this one is kept from the rest.
+        let tier = job.spec.priority;
+        let ClusterSnapshot {
+            places, claimed, ..
+        } = &mut *slice.fleet;
+        let waits = |job: &JobId| self.jobs.get(job).is_some_and(Job::waits);
+        for (_, index) in claimed.extract_if(.., |(above, _)| tier < *above) {
+            let machine = self.machines.get(&places.get(index).machine);
+            let claim = machine.and_then(|m| m.claim.as_ref());
+            if claim.is_some_and(|c| waits(&c.winner)) {
+                places.close(index);
+            }
+        }
+        let quota = match job.team {
+            Some(team) => quota_room(&self.cfg.teams[team], &slice.usage[team], &job.shape),
+            None => 0,
+        };
+        if quota == 0 {
+            self.set_blocked(id, "the team's limit");
+            return (0, false);
+        }
+        let locality = self.locality(job, slice.reserved);
+        // A job comes twice if the starvation guard boosts it: first for the task with which
+        // it begins, then in its own place.
+        let begins = self.is_boosted_to_start(id, job);
+        let wanted = job.startable().min(if begins { 1 } else { u32::MAX });
+        let mut choice = PlacementDecision {
+            wanted,
+            quota,
+            awaits_image: false,
+            places: Vec::new(),
+        };
+        if !slice.fleet.places.is_hopeless(&locality, &job.shape) {
+            let plain = !job.spec.one_zone()
+                && !job.spec.spread()
+                && job.error_machines.is_empty()
+                && !self.fetch_is_late(now, job, slice.usage);
+            if plain {
+                self.decide_by_ranking(job, locality, slice, &mut choice);
+            } else {
+                self.decide(now, job, &locality, slice, &mut choice);
+            }
+        }
+        let (shape, image) = (job.shape, job.image);
+        let ClusterSnapshot {
+            places, rankings, ..
+        } = &mut *slice.fleet;
+        let mut chosen: Vec<(MachineId, u32)> = Vec::new();
+        for (index, n) in choice.places {
+            places.take(index, &shape, n, image);
+            if let Some(rankings) = rankings {
+                rankings.taken(index, |key, index| self.rank(places, key, index));
+            }
+            chosen.push((places.get(index).machine.clone(), n));
+        }
+        let mut placed = 0;
+        for (machine, n) in chosen {
+            placed += u64::from(n);
+            for _ in 0..n {
+                self.place(now, id, &machine, slice.usage);
+            }
+        }
+        if begins && placed > 0 {
+            self.note_starting(id);
+        }
+        let PlacementDecision {
+            wanted,
+            quota,
+            awaits_image,
+            ..
+        } = choice;
+        if wanted > 0 {
+            self.set_blocked(
+                id,
+                if quota == 0 {
+                    "the team's limit"
+                } else if awaits_image {
+                    "a place with its image is awaited"
+                } else {
+                    "no machine has room"
+                },
+            );
+        }
+        self.awaiting |= awaits_image && wanted > 0;
+        (placed, wanted > 0 && quota > 0 && !awaits_image)
+    }
+
+    pub(super) fn weights(&self) -> PlaceWeights {
+        let tuning = &self.cfg.tuning;
+        PlaceWeights {
+            image: tuning.image_weight_s,
+            oversize: tuning.oversize_cost,
+            ordinary: tuning.ordinary_cost,
+        }
+    }
+
+    /// What a place costs those who rank key, if any task may go there.
+    pub(super) fn rank(
+        &self,
+        places: &CandidateSlots<MachineId>,
+        key: &RankingKey,
+        index: usize,
+    ) -> Option<f64> {
+        let place = places.get(index);
+        let zone = places.zone(index);
+        if !key
+            .locality
+            .has(place.type_index, zone, place.spot, place.reservations)
+            || !self.least_shape.fits_in(&place.free)
+        {
+            return None;
+        }
+        let view = self.view(places, index, key.image);
+        let kept = self.kept_cost(place.reservations, key.locality.reservations);
+        Some(cost_of(&key.wants, &view, self.weights()) + kept)
+    }
+
+    pub(super) fn view<'a>(
+        &'a self,
+        places: &'a CandidateSlots<MachineId>,
+        index: usize,
+        image: ImageKey,
+    ) -> MachineView<'a, ()> {
+        let (has_image, fetching_image) = places.image(index, image);
+        let place = places.get(index);
+        MachineView {
+            machine: (),
+            machine_type: &self.types[place.type_index],
+            zone: places.zone(index),
+            spot: place.spot,
+            free: place.free,
+            has_image,
+            fetching_image,
+            report_in_s: place.report_in_s,
+        }
+    }
+
+    /// Machines that the job's record can name beside those that it does; without
+    /// bound where it can name all.
+    pub(super) fn more_hosts(&self, job: &Job) -> Option<(BTreeSet<MachineId>, usize)> {
+        let most = self.most_hosts(job.spec.tasks);
+        (most < self.machines.len()).then(|| {
+            let hosts = job.hosts();
+            let left = most.saturating_sub(hosts.len());
+            (hosts, left)
+        })
+    }
+
+    /// Candidate slots for a job with no wishes but its locality: it goes on in the ranking
+    /// where the jobs before it that rank key have left it.
+    pub(super) fn decide_by_ranking(
+        &self,
+        job: &Job,
+        locality: Locality,
+        slice: &mut CycleSlice<'_>,
+        choice: &mut PlacementDecision,
+    ) {
+        let ClusterSnapshot {
+            places,
+            rankings,
+            ranked,
+            ..
+        } = &mut *slice.fleet;
+        let rankings = rankings.get_or_insert_with(|| Rankings::new(places.len()));
+        let key = RankingKey {
+            image: job.image,
+            wants: Wants {
+                image_gb: job.spec.image_gb,
+                smallest_cpus: job.smallest_cpus,
+                spot: job.spec.spot(),
+            },
+            locality: locality.clone(),
+        };
+        *ranked += rankings.open(key, |key, index| self.rank(places, key, index));
+        let mut hosts = self.more_hosts(job);
+        let mut fits = false;
+        *ranked += rankings.visit(|index| {
+            let place = places.get(index);
+            if !job.shape.fits_in(&place.free) {
+                return true;
+            }
+            fits = true;
+            choice.take(
+                index,
+                job.shape.slots_in(&place.free),
+                &place.machine,
+                &mut hosts,
+            );
+            choice.wanted > 0 && choice.quota > 0
+        });
+        if !fits {
+            places.missed(&locality, &job.shape);
+        }
+    }
+
+    /// CandidateSlots for any job.
+    pub(super) fn decide(
+        &self,
+        now: Time,
+        job: &Job,
+        locality: &Locality,
+        slice: &mut CycleSlice<'_>,
+        choice: &mut PlacementDecision,
+    ) {
+        let shape = job.shape;
+        let allowed = |machine: &MachineId| !job.error_machines.contains(machine);
+        let mut found = slice.fleet.places.fitting(locality, &shape, allowed);
+        let has_image =
+            |places: &CandidateSlots<MachineId>, place| places.image(place, job.image).0;
+        choice.awaits_image = found.iter().any(|p| !has_image(&slice.fleet.places, *p))
+            && self.awaits_image(now, job, slice);
+        let places = &slice.fleet.places;
+        if choice.awaits_image {
+            found.retain(|place| has_image(places, *place));
+        }
+        let (mut only_zone, mut zones) = self.zones_of(job);
+        if only_zone.is_none() && job.spec.one_zone() {
+            // The zone with most room takes them all.
+            let mut room: BTreeMap<&str, u32> = BTreeMap::new();
+            for place in &found {
+                *room.entry(places.zone(*place)).or_default() +=
+                    shape.slots_in(&places.get(*place).free);
+            }
+            only_zone = room
+                .into_iter()
+                .max_by_key(|(_, slots)| *slots)
+                .map(|(zone, _)| zone.to_owned());
+        }
+        let task = TaskView {
+            spec: &job.spec,
+            shape,
+            smallest_cpus: job.smallest_cpus,
+            only_zone: only_zone.as_deref(),
+            reserved_types: &[],
+        };
+        let weights = self.weights();
+        let offers = found.iter().filter_map(|&index| {
+            let view = self.view(places, index, job.image);
+            let (cost, slots) = placement_cost(&task, &view, weights)?;
+            let kept = self.kept_cost(places.get(index).reservations, job.reservations);
+            Some((cost + kept, index, slots))
+        });
+        let zone_limit = job.spec.tasks.div_ceil(2);
+        let mut hosts = self.more_hosts(job);
+        for (index, mut slots) in Cheapest::new(offers) {
+            if choice.wanted == 0 || choice.quota == 0 {
+                break;
+            }
+            let in_zone = zones.get(places.zone(index)).copied().unwrap_or(0);
+            if job.spec.spread() {
+                slots = slots.min(zone_limit.saturating_sub(in_zone));
+            }
+            let n = choice.take(index, slots, &places.get(index).machine, &mut hosts);
+            if job.spec.spread() {
+                zones.insert(places.zone(index).to_owned(), in_zone + n);
+            }
+        }
+    }
+
+    pub(super) fn set_blocked(&mut self, id: &JobId, reason: &'static str) {
+        if let Some(job) = self.jobs.get_mut(id) {
+            job.blocked = reason;
+        }
+    }
+
+    pub(super) fn place(
+        &mut self,
+        now: Time,
+        id: &JobId,
+        machine: &MachineId,
+        usage: &mut [Usage],
+    ) {
+        // Rule 5: the token differs for every holder and the counter for every
+        // attempt, so no attempt number is ever given twice.
+        self.attempts += 1;
+        let attempt = (self.revision() << 24) + self.attempts;
+        let Some(job) = self.jobs.get_mut(id) else {
+            return;
+        };
+        let Some(task) = job.take_pending() else {
+            return;
+        };
+        job.live.insert(
+            task,
+            Placement {
+                machine: machine.clone(),
+                attempt,
+                ordered: None,
+                seen: None,
+                running_since: None,
+                planned_at: now,
+                stop: None,
+            },
+        );
+        if !job.is_recorded(task, machine) {
+            job.touch(now);
+        }
+        if let Some(team) = job.team {
+            usage[team].add(&job.shape, 1.0);
+        }
+        let (shape, image) = (job.shape, job.image);
+        if let Some(machine) = self.machines.get_mut(machine) {
+            machine.hold(id, task, &shape, image);
+            self.untold.insert(machine.name.clone());
+        }
+        debug!(job = &**id, task, machine = &**machine, attempt, "placed");
+    }
+}
--- a/crates/umbersail-control/src/engine/rental.rs
+++ b/crates/umbersail-control/src/engine/rental.rs
@@ -2,185 +2,18 @@
 
 use std::collections::BTreeMap;
 
-use tracing::{debug, info, warn};
+use tracing::{info, warn};
 use umbersail_policy::{ClassStats, Demand, FleetMachine, IdleLimits, Shape, plan_rental};
-use umbersail_wire::{ListedMachine, MachineState, MachineType, RentRequest};
+use umbersail_wire::{MachineType, RentRequest};
 
 use super::plans::KeptRoom;
-use super::{CloudAction, Engine, Job, Machine, MachineId, Refusal, Time, epoch};
+use super::{CloudAction, Engine, Job, MachineId, Time, epoch};
 
 /// Most names in one deletion, and machines in one rental, by the protocol.
 const DELETE_MOST: usize = 100;
 pub(super) const RENT_MOST: u32 = 50;
 
 impl Engine {
-    pub(super) fn is_refused(&self, now: Time, type_index: usize, zone: &str, spot: bool) -> bool {
-        self.refusals
-            .get(&(type_index, zone.to_owned(), spot))
-            .is_some_and(|r| now < r.until)
-    }
-
-    /// A whole list of the cloud, which may be older than what we know.
-    pub fn listing(&mut self, now: Time, listed: &[ListedMachine]) {
-        let mut present: Vec<MachineId> = Vec::with_capacity(listed.len());
-        for entry in listed {
-            // A list may be twice the lag old and show what we have deleted.
-            if self.gone.contains(entry.id.as_str()) {
-                continue;
-            }
-            let name: MachineId = match self.machines.get_key_value(entry.id.as_str()) {
-                Some((name, _)) => name.clone(),
-                None => {
-                    let name: MachineId = entry.id.as_str().into();
-                    debug!(machine = &*name, machine_type = entry.machine_type, state = ?entry.state, "listed");
-                    self.machines.insert(
-                        name.clone(),
-                        Machine::new(
-                            name.clone(),
-                            self.type_index(&entry.machine_type),
-                            entry.zone.clone(),
-                            entry.spot.unwrap_or(false),
-                            now - entry.age_s.max(0.0),
-                        ),
-                    );
-                    name
-                }
-            };
-            if let Some(machine) = self.machines.get_mut(&name) {
-                machine.listed = true;
-                machine.vouched = true;
-                machine.missing_lists = 0;
-                if machine.addr.is_none() {
-                    machine.addr = entry.addr.as_ref().and_then(|a| a.parse().ok());
-                }
-                if entry.state == MachineState::Failed && machine.delete_reason.is_none() {
-                    machine.delete_reason = Some("failed, says the cloud");
-                }
-            }
-            if entry.state == MachineState::Failed {
-                // It has stopped on its own with all that was on it (rule 3).
-                self.clear_machine(&name);
-            }
-            present.push(name);
-        }
-        present.sort();
-        let newest = present.last().cloned();
-        let silent_after = self.silent_after();
-        let vanished_s = silent_after.max(self.cfg.lease_s / 2.0);
-        for (name, machine) in &mut self.machines {
-            if present.binary_search(name).is_ok() || machine.silent_for(now) < silent_after {
-                continue;
-            }
-            // Not listed and silent: gone, or too new for this list. A delete
-            // that is answered makes it certain either way.
-            machine.missing_lists += 1;
-            // Names stand in the order of creation: a list that shows a newer
-            // machine is no older than this one, which is gone. The delete
-            // makes it certain, and its tasks need not wait for its lease.
-            let shown_after = newest.as_ref().is_some_and(|newest| name < newest);
-            if shown_after && machine.last_report.is_none_or(|at| now - at > vanished_s) {
-                machine
-                    .delete_reason
-                    .get_or_insert("not listed where newer ones are");
-            }
-            let old = now - machine.since > 5.0 * self.cfg.list_lag_s.max(1.0);
-            if machine.missing_lists >= 3 && old && machine.delete_reason.is_none() {
-                machine.delete_reason = Some("no longer listed");
-            }
-        }
-    }
-
-    /// The cloud rented these for us.
-    pub fn rented(&mut self, now: Time, request: &RentRequest, names: &[String]) {
-        self.boots_begin(now, names);
-        let index = self.type_index(&request.machine_type);
-        for name in names {
-            let name: MachineId = name.as_str().into();
-            let machine = self.machines.entry(name.clone()).or_insert_with(|| {
-                Machine::new(name, index, request.zone.clone(), request.spot, now)
-            });
-            machine.vouched = true;
-        }
-        if let Some(index) = index {
-            let key = (index, request.zone.clone(), request.spot);
-            if (names.len() as u32) < request.count {
-                self.refuse(now, key);
-            } else {
-                self.refusals.remove(&key);
-            }
-        }
-        self.reserve_answered(now, &request.request, Some(names));
-    }
-
-    /// No answer: it may have been granted, now or later.
-    pub fn rent_unanswered(&mut self, request: RentRequest) {
-        if !self.is_reserving(&request.request) {
-            self.unanswered.push_back(request);
-        }
-    }
-
-    /// The cloud has none of these now.
-    pub fn rent_refused(&mut self, now: Time, request: &RentRequest) {
-        self.reserve_answered(now, &request.request, None);
-        if let Some(index) = self.type_index(&request.machine_type) {
-            self.refuse(now, (index, request.zone.clone(), request.spot));
-        }
-    }
-
-    fn refuse(&mut self, now: Time, key: (usize, String, bool)) {
-        let tuning = &self.cfg.tuning;
-        let pause = self
-            .refusals
-            .get(&key)
-            .map_or(tuning.refusal_backoff_s, |r| {
-                (r.pause * 2.0).min(tuning.refusal_backoff_most_s)
-            });
-        info!(
-            machine_type = self.types[key.0].name,
-            zone = key.1,
-            spot = key.2,
-            pause_s = pause,
-            "rental refused or only partly filled"
-        );
-        self.refusals.insert(
-            key,
-            Refusal {
-                until: now + pause,
-                pause,
-            },
-        );
-    }
-
-    /// The delete was answered: the machines are gone with all on them.
-    pub fn deleted(&mut self, names: &[String]) {
-        let most = self.cfg.tuning.gone_names as usize;
-        for name in names {
-            let name: MachineId = name.as_str().into();
-            self.clear_machine(&name);
-            self.plans.images.gone(&name);
-            if let Some(machine) = self.machines.remove(&name) {
-                self.leave_part(&name, machine.part);
-            }
-            if self.gone.insert(name.clone()) {
-                self.deleted.push_back(name);
-            }
-        }
-        while self.deleted.len() > most
-            && let Some(name) = self.deleted.pop_front()
-        {
-            self.gone.remove(&name);
-        }
-    }
-
-    /// A delete had no answer: it is sent again.
-    pub fn delete_unanswered(&mut self, names: &[String]) {
-        for name in names {
-            if let Some(machine) = self.machines.get_mut(name.as_str()) {
-                machine.delete_asked = false;
-            }
-        }
-    }
-
     /// What the cloud shall do now, deletions first: they cost money and hold
     /// up tasks.
     pub fn cloud_actions(&mut self, now: Time) -> Vec<CloudAction> {
--- /dev/null
+++ b/crates/umbersail-control/src/engine/tokens.rs
@@ -0,0 +1,119 @@
+//! Fencing tokens: which one a machine is answered with, and when it is raised.
+
+use super::{Engine, Job, MachineId, Placement, Time};
+
+/// Low bits of a fencing token: the minor counter of one machine's increments. The
+/// bits above are the epoch, the revision of the grant (rule 1).
+pub(super) const MINOR_COUNTER_BITS: u32 = 16;
+
+/// The part of a token that tells holders apart.
+pub fn epoch(token: u64) -> u64 {
+    token >> MINOR_COUNTER_BITS
+}
+
+/// The least token of the holder whose grant has this revision.
+pub fn token_of(revision: u64) -> u64 {
+    revision << MINOR_COUNTER_BITS
+}
+
+/// A launch may be told to a worker only if a successor would know that it may
+/// have been: by its record, or by its word to the holder that started without.
+pub(super) fn may_launch(job: &Job, task: u32, machine: &MachineId, open: bool) -> bool {
+    job.is_recorded(task, machine) || (open && job.may_start_unrecorded())
+}
+
+/// An empty direct command that brings a worker a token.
+#[derive(Debug, Clone, PartialEq, Eq)]
+pub struct Fencing {
+    pub machine: String,
+    pub addr: std::net::SocketAddr,
+    pub session: u64,
+    pub token: u64,
+}
+
+impl Engine {
+    /// The token for answers to this machine.
+    pub fn token_for(&self, machine: &str) -> u64 {
+        self.machines
+            .get(machine)
+            .map_or(self.token, |m| m.token.max(self.token))
+    }
+
+    /// Machines with launches ready whose next report is not due soon. A
+    /// token that it has not seen makes a worker report within half a second;
+    /// the launches then go with the reply, as ever (rule 5).
+    pub fn token_increments(&mut self, now: Time) -> Vec<Fencing> {
+        let mut out = Vec::new();
+        let pause = self.cfg.lease_s / 2.0 + 0.5;
+        let mut told: Vec<MachineId> = Vec::new();
+        for name in &self.untold {
+            let Some(machine) = self.machines.get_mut(name) else {
+                told.push(name.clone());
+                continue;
+            };
+            let (mut waits, mut ready) = (false, false);
+            for (id, task) in &machine.tasks {
+                let Some(job) = self.jobs.get(id) else {
+                    continue;
+                };
+                let untold = |p: &Placement| !p.told() && p.stop.is_none();
+                if job.live.get(task).is_some_and(untold) {
+                    waits = true;
+                    ready |= may_launch(job, *task, name, self.open)
+                        && !self.plans.images.waits(job.image, name);
+                }
+            }
+            if !waits {
+                told.push(name.clone());
+            }
+            let (Some(addr), Some(last)) = (machine.addr, machine.last_report) else {
+                continue;
+            };
+            let due_in = last + self.cfg.report_s - now;
+            if !ready
+                || !machine.fenced
+                || machine.reachability.is_unreachable()
+                || due_in < self.cfg.tuning.increment_s
+                || now - last < 0.0
+                || machine
+                    .token_incremented_at
+                    .is_some_and(|at| now - at < pause)
+            {
+                continue;
+            }
+            let next = machine.token.max(self.token) + 1;
+            if epoch(next) != epoch(self.token) {
+                // Its count is used up, after days: it waits for its reports.
+                continue;
+            }
+            machine.token_incremented_at = Some(now);
+            machine.token = next;
+            out.push(Fencing {
+                machine: name.to_string(),
+                addr,
+                session: machine.session(),
+                token: machine.token,
+            });
+        }
+        for name in told {
+            self.untold.remove(&name);
+        }
+        out
+    }
+
+    /// Addresses of machines that have not yet seen our token.
+    pub fn fence_targets(&self, now: Time) -> Vec<Fencing> {
+        self.machines
+            .values()
+            .filter(|m| !m.fenced && m.inherited && m.last_report.is_none_or(|at| now - at > 1.0))
+            .filter_map(|m| {
+                Some(Fencing {
+                    machine: m.name.to_string(),
+                    addr: m.addr?,
+                    session: m.session(),
+                    token: m.token.max(self.token),
+                })
+            })
+            .collect()
+    }
+}
