--- a/crates/umbersail-control/src/engine/commands.rs
+++ b/crates/umbersail-control/src/engine/commands.rs
@@ -1,7 +1,7 @@
 //! What a worker is told in the reply to its heartbeat.
 
 use tracing::debug;
-use umbersail_wire::{Command, ExitCause, Report, TaskState};
+use umbersail_wire::{Command, ExitCause, Report, TaskReport, TaskState};
 
 use super::report::{join_task, split_task};
 use super::tokens::may_launch;
@@ -75,56 +75,64 @@
             .collect()
     }
 
-    pub(super) fn commands(
+    /// Stops and removals first: the worker executes in order, and room must be free before
+    /// a launch.
+    fn commands(
         &mut self,
         now: Time,
         name: &MachineId,
         report: &Report,
         may_start: bool,
     ) -> Vec<Command> {
-        let mut commands = Vec::new();
-        // Stops and reaps first: the worker executes in order, and room must
-        // be free before a launch.
-        for entry in &report.tasks {
-            let Some((id, task)) = split_task(&entry.task) else {
-                continue;
-            };
-            let job = self.jobs.get(id);
-            if entry.state == TaskState::Exited {
-                let recorded = match (job, entry.cause) {
-                    (Some(job), Some(ExitCause::Done)) if !job.is_service() => {
-                        job.recorded_done.contains(task)
-                    }
-                    _ => true,
-                };
-                if recorded {
-                    commands.push(Command::Forget {
-                        task: entry.task.clone(),
-                        attempt: entry.attempt,
-                    });
-                }
-                continue;
-            }
-            let grace_s = match job.map(|j| (j, j.live.get(&task))) {
-                // The job is over, or this is not the attempt that counts.
-                None | Some((_, None)) => Some(0.0),
-                Some((_, Some(p))) if p.attempt != entry.attempt || p.machine != *name => Some(0.0),
-                Some((job, Some(p))) => match &p.stop {
-                    Some(stop) if job.recorded_evictions >= stop.evictions || job.cancelled => {
-                        (entry.state != TaskState::Saving || stop.grace_s == 0.0)
-                            .then_some(stop.grace_s)
-                    }
-                    _ => None,
-                },
-            };
-            if let Some(grace_s) = grace_s {
-                commands.push(Command::stop(entry, grace_s));
-            }
-        }
+        let shown = report.tasks.iter();
+        let mut commands: Vec<Command> = shown
+            .filter_map(|entry| self.command_for_shown(name, entry))
+            .collect();
         let machine = &self.machines[name];
-        if !may_start || !machine.recorded || machine.reachability.is_unreachable() {
-            return commands;
+        if may_start && machine.recorded && !machine.reachability.is_unreachable() {
+            self.add_launches(now, name, report, &mut commands);
+        }
+        commands
+    }
+
+    /// What a worker shall do with a task that it shows, if anything.
+    fn command_for_shown(&self, name: &MachineId, entry: &TaskReport) -> Option<Command> {
+        let (id, task) = split_task(&entry.task)?;
+        let job = self.jobs.get(id);
+        if entry.state == TaskState::Exited {
+            // A result stays with its worker until it is recorded.
+            let is_result = entry.cause == Some(ExitCause::Done);
+            let unrecorded = job.is_some_and(|job| {
+                is_result && !job.is_service() && !job.recorded_done.contains(task)
+            });
+            return (!unrecorded).then(|| Command::Forget {
+                task: entry.task.clone(),
+                attempt: entry.attempt,
+            });
         }
+        let placement = job.and_then(|job| Some((job, job.live.get(&task)?)));
+        let grace_s = match placement {
+            // The job is over, or this is not the attempt that counts.
+            None => 0.0,
+            Some((_, p)) if p.attempt != entry.attempt || p.machine != *name => 0.0,
+            Some((job, p)) => {
+                let stop = p.stop.as_ref()?;
+                let recorded = job.recorded_evictions >= stop.evictions || job.cancelled;
+                let is_new = entry.state != TaskState::Saving || stop.grace_s == 0.0;
+                (recorded && is_new).then_some(stop.grace_s)?
+            }
+        };
+        Some(Command::stop(entry, grace_s))
+    }
+
+    /// Adds the launches that the machine may be told of.
+    fn add_launches(
+        &mut self,
+        now: Time,
+        name: &MachineId,
+        report: &Report,
+        commands: &mut Vec<Command>,
+    ) {
         let open = self.open;
         for (id, task) in self.held_by_urgency(name) {
             let Some(job) = self.jobs.get(&id) else {
@@ -140,24 +148,23 @@
             let Some(holders) = self.may_fetch(now, name, &id, task) else {
                 continue;
             };
-            if let Some(placement) =
-                (self.jobs.get_mut(&id)).and_then(|job| job.live.get_mut(&task))
-            {
-                placement.ordered = Some(report.order());
-                commands.push(Command::Start {
-                    task: join_task(&id, task),
-                    attempt: placement.attempt,
-                    holders,
-                });
-                debug!(
-                    job = &*id,
-                    task,
-                    machine = &**name,
-                    waited_s = now - placement.planned_at,
-                    "launch"
-                );
-            }
+            let job = self.jobs.get_mut(&id);
+            let Some(placement) = job.and_then(|job| job.live.get_mut(&task)) else {
+                continue;
+            };
+            placement.ordered = Some(report.order());
+            commands.push(Command::Start {
+                task: join_task(&id, task),
+                attempt: placement.attempt,
+                holders,
+            });
+            debug!(
+                job = &*id,
+                task,
+                machine = &**name,
+                waited_s = now - placement.planned_at,
+                "launch"
+            );
         }
-        commands
     }
 }
--- a/crates/umbersail-control/src/engine/evict.rs
+++ b/crates/umbersail-control/src/engine/evict.rs
@@ -5,11 +5,11 @@
 use imbl::OrdSet;
 use tracing::info;
 use umbersail_cycle::{Locality, PreemptionClass};
-use umbersail_policy::{Host, Running, Shape, Usage, select_victims, type_allowed};
+use umbersail_policy::{Host, Running, Selection, Shape, Usage, select_victims, type_allowed};
 use umbersail_wire::{Priority, TaskState};
 
 use super::machine::Claim;
-use super::{Engine, Job, JobId, MachineId, Placement, Stop, Time};
+use super::{Engine, Job, JobId, Machine, MachineId, Placement, Stop, Time};
 
 /// What may be lost, gathered once in a slice for all blocked jobs that stand
 /// alike.
@@ -51,143 +51,173 @@
         usage: &mut [Usage],
         searched: &mut EvictionCandidates,
     ) -> bool {
-        let tuning = self.cfg.tuning.clone();
-        let Some(job) = self.jobs.get(id).filter(|j| j.waits()) else {
+        let Some(job) = self.jobs.get(id).filter(|job| self.may_evict(now, job)) else {
             return false;
         };
-        // A job that fails everywhere would keep evicting for ever.
-        if job.suspect
-            || job.errors >= tuning.evict_errors_limit as u32
-            || now < job.evict_hold_until
-        {
-            return false;
-        }
         let reclaim = self.is_guaranteed(job, usage);
         if !reclaim && job.spec.priority == Priority::Low {
             return false;
         }
-        let class = job.preemption_class();
-        let preemptible = self.preemptible.to(class, reclaim);
+        let preemptible = self.preemptible.to(job.preemption_class(), reclaim);
         if preemptible.is_empty() || (!reclaim && self.can_rent_in_time(now, job)) {
             return false;
         }
         let locality = self.locality_where(job, |_, t| job.shape.fits_in(&Shape::of_type(t)));
-        let group = match searched
-            .groups
-            .iter()
-            .position(|h| h.of == (class, reclaim))
-        {
-            Some(group) => group,
-            None => {
-                let group = self.group(job, reclaim, usage, &preemptible);
-                searched.looked += group.looked;
-                searched.groups.push(group);
-                searched.groups.len() - 1
-            }
-        };
-        let CandidateGroup {
-            machines,
-            exhausted,
-            ..
-        } = &mut searched.groups[group];
-        if exhausted.contains(&locality) {
+        let group = self.group_for(job, reclaim, usage, &preemptible, searched);
+        if searched.groups[group].exhausted.contains(&locality) {
             return false;
         }
-        let silent_after = self.silent_after();
         let mut looked = 0;
         let mut hosts = 0;
-        let candidates = machines.iter().filter_map(|(name, tasks)| {
+        let machines = searched.groups[group].machines.iter();
+        let candidates = machines.filter_map(|(name, tasks)| {
             looked += 1;
-            let machine = self.machines.get(name)?;
-            let index = machine.type_index?;
-            if !machine.takes_tasks(now, silent_after)
-                || !locality.has(index, &machine.zone, machine.spot, machine.reservations)
-            {
-                return None;
-            }
+            let machine = self.evictable_machine(now, name, &locality)?;
             looked += tasks.len() as u64;
-            let running: Vec<Running<JobId>> = tasks
-                .iter()
-                .filter_map(|(other, task)| {
-                    let victim = self.jobs.get(other)?;
-                    let placement = victim.live.get(task)?;
-                    self.is_preemptable(job, victim, placement, reclaim, usage)
-                        .then(|| Running {
-                            job: other.clone(),
-                            task: *task,
-                            shape: victim.shape,
-                            price: self.price(now, victim, placement),
-                        })
-                })
-                .collect();
-            if running.is_empty() {
-                return None;
-            }
+            let host = self.eviction_host(now, job, machine, tasks, reclaim, usage)?;
             hosts += 1;
-            Some(Host {
-                machine: name.clone(),
-                free: Shape::of_type(&self.types[index]).plus(&machine.used, -1.0),
-                running,
-            })
+            Some(host)
         });
-        let choice = select_victims(&job.shape, candidates, tuning.evict_sets as usize);
+        let max_sets = self.cfg.tuning.evict_sets as usize;
+        let selection = select_victims(&job.shape, candidates, max_sets);
         searched.looked += looked;
         if hosts == 0 {
             // Who may lose, where, only becomes less while this slice lasts.
-            exhausted.push(locality);
+            searched.groups[group].exhausted.push(locality);
             return false;
         }
-        let Some(choice) = choice else {
+        let Some(selection) = selection else {
             return true;
         };
-        info!(
-            job = &**id,
-            machine = &*choice.machine,
-            victims = ?choice.tasks.iter().map(|(j, t)| format!("{j}/{t}")).collect::<Vec<_>>(),
-            price_s = choice.price,
-            median_s = choice.median,
-            sets = choice.sets,
-            jobs = choice.jobs,
-            reason = if reclaim { "the team's guarantee" } else { "upper tier, no room and none to rent in time" },
-            "evicts"
-        );
-        let tier = class.tier;
+        log_eviction(id, &selection, reclaim);
+        let tier = job.spec.priority;
+        let saving_s = self.stop_victims(now, &selection.tasks, usage);
+        self.claim_room(now, id, tier, &selection.machine, saving_s);
+        true
+    }
+
+    /// Whether the job may evict at all just now.
+    fn may_evict(&self, now: Time, job: &Job) -> bool {
+        // A job that fails everywhere would keep evicting for ever.
+        job.waits()
+            && !job.suspect
+            && job.errors < self.cfg.tuning.evict_errors_limit as u32
+            && now >= job.evict_hold_until
+    }
+
+    /// Index of the group of candidates for jobs of this class, gathered once in a slice.
+    fn group_for(
+        &self,
+        job: &Job,
+        reclaim: bool,
+        usage: &[Usage],
+        preemptible: &[OrdSet<JobId>],
+        searched: &mut EvictionCandidates,
+    ) -> usize {
+        let of = (job.preemption_class(), reclaim);
+        if let Some(group) = searched.groups.iter().position(|group| group.of == of) {
+            return group;
+        }
+        let group = self.group(job, reclaim, usage, preemptible);
+        searched.looked += group.looked;
+        searched.groups.push(group);
+        searched.groups.len() - 1
+    }
+
+    /// The machine, if it takes tasks and lies within the locality.
+    fn evictable_machine(
+        &self,
+        now: Time,
+        name: &MachineId,
+        locality: &Locality,
+    ) -> Option<&Machine> {
+        let machine = self.machines.get(name)?;
+        let index = machine.type_index?;
+        let usable = machine.takes_tasks(now, self.silent_after())
+            && locality.has(index, &machine.zone, machine.spot, machine.reservations);
+        usable.then_some(machine)
+    }
+
+    /// What may be evicted on a machine, with prices; none if nothing may.
+    fn eviction_host(
+        &self,
+        now: Time,
+        beneficiary: &Job,
+        machine: &Machine,
+        tasks: &[(JobId, u32)],
+        reclaim: bool,
+        usage: &[Usage],
+    ) -> Option<Host<MachineId, JobId>> {
+        let running: Vec<Running<JobId>> = tasks
+            .iter()
+            .filter_map(|(id, task)| {
+                let victim = self.jobs.get(id)?;
+                let placement = victim.live.get(task)?;
+                self.is_preemptable(beneficiary, victim, placement, reclaim, usage)
+                    .then(|| Running {
+                        job: id.clone(),
+                        task: *task,
+                        shape: victim.shape,
+                        price: self.price(now, victim, placement),
+                    })
+            })
+            .collect();
+        let capacity = Shape::of_type(&self.types[machine.type_index?]);
+        (!running.is_empty()).then(|| Host {
+            machine: machine.name.clone(),
+            free: capacity.plus(&machine.used, -1.0),
+            running,
+        })
+    }
+
+    /// Stops the victims, or lets those wait again that nobody was told of. The longest
+    /// time that one has to save, in seconds.
+    fn stop_victims(&mut self, now: Time, tasks: &[(JobId, u32)], usage: &mut [Usage]) -> f64 {
+        let limit = self.cfg.tuning.evict_loser_limit;
         let mut saving_s: f64 = 0.0;
-        for (name, task) in &choice.tasks {
-            if self.forgo(name, *task, usage) {
+        for (id, task) in tasks {
+            if self.forgo(id, *task, usage) {
                 continue;
             }
-            if let Some(victim) = self.jobs.get_mut(name) {
-                victim.evictions += 1;
-                victim.touch(now);
-                if victim.is_spared(tuning.evict_loser_limit) {
-                    self.preemptible.remove(victim.preemption_class(), name);
-                }
-                let (evictions, save_s, saves) = (
-                    victim.evictions,
-                    victim.spec.save_s(),
-                    victim.spec.checkpoint_s() > 0.0,
-                );
-                let grace_s = if saves { save_s + 1.0 } else { 0.0 };
-                saving_s = saving_s.max(grace_s);
-                if let Some(placement) = victim.live.get_mut(task) {
-                    placement.stop = Some(Stop { grace_s, evictions });
-                }
+            let Some(victim) = self.jobs.get_mut(id) else {
+                continue;
+            };
+            victim.evictions += 1;
+            victim.touch(now);
+            if victim.is_spared(limit) {
+                self.preemptible.remove(victim.preemption_class(), id);
+            }
+            let evictions = victim.evictions;
+            let grace_s = victim.save_grace_s();
+            saving_s = saving_s.max(grace_s);
+            if let Some(placement) = victim.live.get_mut(task) {
+                placement.stop = Some(Stop { grace_s, evictions });
             }
         }
-        // Until the room is free, or the winner would evict for it again.
-        let hold = 2.0 * self.cfg.report_s + 1.0 + saving_s;
-        if let Some(machine) = self.machines.get_mut(&choice.machine) {
+        saving_s
+    }
+
+    /// Keeps the room for the job until it is free, or the job would evict for it again.
+    fn claim_room(
+        &mut self,
+        now: Time,
+        id: &JobId,
+        tier: Priority,
+        machine: &MachineId,
+        saving_s: f64,
+    ) {
+        let hold_s = 2.0 * self.cfg.report_s + 1.0 + saving_s;
+        let until = now + hold_s;
+        if let Some(machine) = self.machines.get_mut(machine) {
             machine.claim = Some(Claim {
                 winner: id.clone(),
                 tier,
-                until: now + hold,
+                until,
             });
         }
         if let Some(job) = self.jobs.get_mut(id) {
-            job.evict_hold_until = now + hold;
+            job.evict_hold_until = until;
         }
-        true
     }
 
     /// Lets a task wait again that no worker has been told of, if it is one. No
@@ -307,3 +337,26 @@
         })
     }
 }
+
+fn log_eviction(id: &JobId, selection: &Selection<MachineId, JobId>, reclaim: bool) {
+    let victims: Vec<String> = selection
+        .tasks
+        .iter()
+        .map(|(job, task)| format!("{job}/{task}"))
+        .collect();
+    let reason = match reclaim {
+        true => "the team's guarantee",
+        false => "upper tier, no room and none to rent in time",
+    };
+    info!(
+        job = &**id,
+        machine = &*selection.machine,
+        ?victims,
+        price_s = selection.price,
+        median_s = selection.median,
+        sets = selection.sets,
+        jobs = selection.jobs,
+        reason,
+        "evicts"
+    );
+}
--- a/crates/umbersail-control/src/engine/job.rs
+++ b/crates/umbersail-control/src/engine/job.rs
@@ -1,4 +1,5 @@
 use std::collections::{BTreeMap, BTreeSet};
+use std::fmt;
 
 use umbersail_cycle::{ImageKey, PreemptionClass};
 use umbersail_policy::{Bitmap, Shape};
@@ -7,6 +8,29 @@
 use super::{MachineId, Time};
 use crate::records::RunRecord;
 
+/// Why a job's waiting tasks were not placed.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub(crate) enum BlockedReason {
+    NotLookedAt,
+    TeamLimit,
+    AwaitsImage,
+    NoRoom,
+    /// A plan holds it.
+    Held(&'static str),
+}
+
+impl fmt::Display for BlockedReason {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        f.write_str(match self {
+            BlockedReason::NotLookedAt => "not yet looked at",
+            BlockedReason::TeamLimit => "the team's limit",
+            BlockedReason::AwaitsImage => "a place with its image is awaited",
+            BlockedReason::NoRoom => "no machine has room",
+            BlockedReason::Held(reason) => reason,
+        })
+    }
+}
+
 /// A stop order; it goes out once the record of the eviction stands.
 #[derive(Debug, Clone, PartialEq)]
 pub(crate) struct Stop {
@@ -15,6 +39,14 @@
     pub evictions: u32,
 }
 
+impl Stop {
+    /// Without time to save, and without an eviction to be recorded first.
+    pub const AT_ONCE: Stop = Stop {
+        grace_s: 0.0,
+        evictions: 0,
+    };
+}
+
 /// One attempt at a task, on one machine.
 #[derive(Debug, Clone, PartialEq)]
 pub(crate) struct Placement {
@@ -76,7 +108,8 @@
     pub backoff_until: Option<Time>,
     pub backoff_s: f64,
     pub evict_hold_until: Time,
-    pub blocked: &'static str,
+    /// Why its waiting tasks were not placed when it was last looked at.
+    pub blocked: BlockedReason,
     /// A plan holds its tasks back, and why.
     pub held: Option<&'static str>,
     /// When a plan wants it complete, if that is sooner than its own deadline.
@@ -144,7 +177,7 @@
             backoff_until: None,
             backoff_s: 0.0,
             evict_hold_until: 0.0,
-            blocked: "not yet looked at",
+            blocked: BlockedReason::NotLookedAt,
             held: None,
             planned_due: None,
             reservations: 0,
@@ -279,6 +312,16 @@
         f64::from(self.evictions) >= limit * f64::from(self.spec.tasks)
     }
 
+    /// Seconds that a task is given to save when it is stopped: none if it saves nothing,
+    /// else a second more than it needs.
+    pub fn save_grace_s(&self) -> f64 {
+        if self.spec.checkpoint_s() > 0.0 {
+            self.spec.save_s() + 1.0
+        } else {
+            0.0
+        }
+    }
+
     pub fn is_service(&self) -> bool {
         self.spec.kind == JobKind::Service
     }
--- a/crates/umbersail-control/src/engine/jobs.rs
+++ b/crates/umbersail-control/src/engine/jobs.rs
@@ -109,10 +109,7 @@
             info!(job = id, live = job.live.len(), "cancelled by its user");
         }
         for placement in job.live.values_mut() {
-            placement.stop = Some(Stop {
-                grace_s: 0.0,
-                evictions: 0,
-            });
+            placement.stop = Some(Stop::AT_ONCE);
         }
         // Tasks never told to any worker are gone at once.
         let planned: Vec<u32> = job
--- a/crates/umbersail-control/src/engine/machine.rs
+++ b/crates/umbersail-control/src/engine/machine.rs
@@ -1,6 +1,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
 
+use tracing::info;
 use umbersail_cycle::ImageKey;
 use umbersail_policy::Shape;
 use umbersail_wire::Priority;
@@ -151,6 +152,20 @@
         self.last_answer.map_or(others, |at| at.max(others))
     }
 
+    /// Takes in a report's notice that the cloud takes the machine back, or that it does
+    /// not any more.
+    pub fn take_notice(&mut self, now: Time, notice_s: Option<f64>) {
+        let Some(notice_s) = notice_s.filter(|notice| notice.is_finite()) else {
+            self.notice_until = None;
+            return;
+        };
+        if self.notice_until.is_none() {
+            info!(machine = &*self.name, notice_s, "to be taken back: drained");
+            self.notice_handled = false;
+        }
+        self.notice_until = Some(now + notice_s.max(0.0));
+    }
+
     /// Whether new tasks may be planned here.
     pub fn takes_tasks(&self, now: Time, silent_after: f64) -> bool {
         self.fenced
--- a/crates/umbersail-control/src/engine/mod.rs
+++ b/crates/umbersail-control/src/engine/mod.rs
@@ -46,7 +46,7 @@
 pub use grant::InheritedPart;
 use grant::Part;
 pub use ids::{JobId, MachineId};
-pub(crate) use job::{Job, Placement, Stop};
+pub(crate) use job::{BlockedReason, Job, Placement, Stop};
 pub(crate) use machine::Machine;
 use order::CachedPriorityOrder;
 pub use plans::InheritedPlan;
@@ -213,7 +213,7 @@
             token: token_of(inheritance.revision),
             leader_version: inheritance.leader_version,
             elected_at: now,
-            types: inheritance.types,
+            types: inheritance.types.clone(),
             jobs: BTreeMap::new(),
             machines: BTreeMap::new(),
             parts: Vec::new(),
@@ -261,38 +261,47 @@
             gone: BTreeSet::new(),
             cfg,
         };
-        engine.inherit_plans(now, inheritance.plans);
+        engine.inherit(now, unix_ms, inheritance);
+        engine
+    }
+
+    /// Takes in what earlier holders left: plans and machines first, which jobs refer to.
+    fn inherit(&mut self, now: Time, unix_ms: u64, inheritance: Inheritance) {
+        self.inherit_plans(now, inheritance.plans);
         for part in inheritance.parts {
-            engine.inherit_part(now, part);
+            self.inherit_part(now, part);
         }
         for (id, run) in inheritance.over {
-            engine.inherit_orphaned_attempts(&id, run);
+            self.inherit_orphaned_attempts(&id, run);
         }
         // In the order in which they came, which tells the rate of each class.
         let mut jobs = inheritance.jobs;
         jobs.sort_by_key(|job| job.record.accepted_ms);
         for job in jobs {
-            engine.insert_job(now, unix_ms, job.record, job.version, job.run);
+            self.insert_job(now, unix_ms, job.record, job.version, job.run);
         }
-        // A host that the grant no longer names was proven empty before it
-        // was taken off, so only named ones can hold anything.
-        let known = &engine.machines;
         if inheritance.predecessor_degraded {
-            engine.unaccounted_machines = known.keys().cloned().collect();
+            self.unaccounted_machines = self.machines.keys().cloned().collect();
         }
-        for (id, job) in &mut engine.jobs {
+        self.inherit_recovery();
+        self.inherit_reservations(now);
+    }
+
+    /// Which machines may hold tasks whose recovery is pending. A host that the grant no
+    /// longer names was proven empty before it was taken off, so only named ones can.
+    fn inherit_recovery(&mut self) {
+        let known = &self.machines;
+        for (id, job) in &mut self.jobs {
             job.inherited.retain(|m| known.contains_key(m));
-            if !engine.unaccounted_machines.is_empty() {
+            if !self.unaccounted_machines.is_empty() {
                 job.may_run_anywhere();
             }
             job.finish_recovery();
             for machine in &job.inherited {
-                let holders = engine.inherited_by.entry(machine.clone()).or_default();
+                let holders = self.inherited_by.entry(machine.clone()).or_default();
                 holders.push(id.clone());
             }
         }
-        engine.inherit_reservations(now);
-        engine
     }
 
     /// The revision of our grant.
--- a/crates/umbersail-control/src/engine/notices.rs
+++ b/crates/umbersail-control/src/engine/notices.rs
@@ -36,12 +36,7 @@
                 let ran = placement.running_since.map_or(0.0, |since| now - since);
                 let run_s = self.learner.run_s(&job.spec.class, job.spec.estimate_s);
                 if job.is_service() || ran + (until - now) < run_s {
-                    let grace = if job.spec.checkpoint_s() > 0.0 {
-                        job.spec.save_s() + 1.0
-                    } else {
-                        0.0
-                    };
-                    stops.push((id.clone(), *task, grace));
+                    stops.push((id.clone(), *task, job.save_grace_s()));
                 }
             }
             if leaving.is_some() {
--- a/crates/umbersail-control/src/engine/placement.rs
+++ b/crates/umbersail-control/src/engine/placement.rs
@@ -8,8 +8,10 @@
     MachineView, PlaceWeights, TaskView, Usage, Wants, cost_of, placement_cost, quota_room,
 };
 
+use umbersail_wire::Priority;
+
 use super::schedule::{ClusterSnapshot, CycleSlice, RankingKey};
-use super::{Engine, Job, JobId, MachineId, Placement, Time};
+use super::{BlockedReason, Engine, Job, JobId, MachineId, Placement, Time};
 
 /// Where a job's tasks go.
 pub(super) struct PlacementDecision {
@@ -21,6 +23,15 @@
 }
 
 impl PlacementDecision {
+    /// Why tasks are left over.
+    fn blocked_reason(&self) -> BlockedReason {
+        match self.quota {
+            0 => BlockedReason::TeamLimit,
+            _ if self.awaits_image => BlockedReason::AwaitsImage,
+            _ => BlockedReason::NoRoom,
+        }
+    }
+
     /// So many tasks at most go there, unless the job's record can name no more
     /// machines. How many do.
     pub(super) fn take(
@@ -50,7 +61,7 @@
 }
 
 impl Engine {
-    /// CandidateSlots what fits of one job. How many tasks were placed, and whether some
+    /// Places what fits of one job. How many tasks were placed, and whether some
     /// are left that a machine might take if there were room.
     pub(super) fn place_job(
         &mut self,
@@ -61,55 +72,94 @@
         let Some(job) = self.jobs.get(id).filter(|j| j.waits()) else {
             return (0, false);
         };
-        // Tiers come in turn, so what is kept from this one is kept from the rest.
-        let tier = job.spec.priority;
-        let ClusterSnapshot {
-            places, claimed, ..
-        } = &mut *slice.fleet;
-        let waits = |job: &JobId| self.jobs.get(job).is_some_and(Job::waits);
-        for (_, index) in claimed.extract_if(.., |(above, _)| tier < *above) {
-            let machine = self.machines.get(&places.get(index).machine);
-            let claim = machine.and_then(|m| m.claim.as_ref());
-            if claim.is_some_and(|c| waits(&c.winner)) {
-                places.close(index);
-            }
-        }
+        self.close_claimed_slots(job.spec.priority, slice);
         let quota = match job.team {
             Some(team) => quota_room(&self.cfg.teams[team], &slice.usage[team], &job.shape),
             None => 0,
         };
         if quota == 0 {
-            self.set_blocked(id, "the team's limit");
+            self.set_blocked(id, BlockedReason::TeamLimit);
             return (0, false);
         }
-        let locality = self.locality(job, slice.reserved);
-        // A job comes twice if the starvation guard boosts it: first for the task with which
-        // it begins, then in its own place.
+        // A job comes twice if the starvation guard boosts it: first for the task with
+        // which it begins, then in its own place.
         let begins = self.is_boosted_to_start(id, job);
-        let wanted = job.startable().min(if begins { 1 } else { u32::MAX });
-        let mut choice = PlacementDecision {
-            wanted,
+        let mut decision = PlacementDecision {
+            wanted: job.startable().min(if begins { 1 } else { u32::MAX }),
             quota,
             awaits_image: false,
             places: Vec::new(),
         };
-        if !slice.fleet.places.is_hopeless(&locality, &job.shape) {
-            let plain = !job.spec.one_zone()
-                && !job.spec.spread()
-                && job.error_machines.is_empty()
-                && !self.fetch_is_late(now, job, slice.usage);
-            if plain {
-                self.decide_by_ranking(job, locality, slice, &mut choice);
-            } else {
-                self.decide(now, job, &locality, slice, &mut choice);
+        self.decide_slots(now, job, slice, &mut decision);
+        let placed = self.carry_out(now, id, slice, &decision.places);
+        if begins && placed > 0 {
+            self.note_starting(id);
+        }
+        let is_left = decision.wanted > 0;
+        if is_left {
+            self.set_blocked(id, decision.blocked_reason());
+        }
+        self.awaiting |= decision.awaits_image && is_left;
+        let might_evict = is_left && decision.quota > 0 && !decision.awaits_image;
+        (placed, might_evict)
+    }
+
+    /// Closes slots claimed for jobs of upper tiers that still wait. Tiers come in turn, so
+    /// what is kept from this one is kept from the rest.
+    fn close_claimed_slots(&self, tier: Priority, slice: &mut CycleSlice<'_>) {
+        let ClusterSnapshot {
+            places, claimed, ..
+        } = &mut *slice.fleet;
+        let waits = |job: &JobId| self.jobs.get(job).is_some_and(Job::waits);
+        for (_, index) in claimed.extract_if(.., |(above, _)| tier < *above) {
+            let machine = self.machines.get(&places.get(index).machine);
+            let claim = machine.and_then(|m| m.claim.as_ref());
+            if claim.is_some_and(|c| waits(&c.winner)) {
+                places.close(index);
             }
         }
+    }
+
+    /// Chooses slots for a job, unless a search has shown that there are none.
+    fn decide_slots(
+        &self,
+        now: Time,
+        job: &Job,
+        slice: &mut CycleSlice<'_>,
+        decision: &mut PlacementDecision,
+    ) {
+        let locality = self.locality(job, slice.reserved);
+        if slice.fleet.places.is_hopeless(&locality, &job.shape) {
+            return;
+        }
+        let plain = !job.spec.one_zone()
+            && !job.spec.spread()
+            && job.error_machines.is_empty()
+            && !self.fetch_is_late(now, job, slice.usage);
+        if plain {
+            self.decide_by_ranking(job, locality, slice, decision);
+        } else {
+            self.decide(now, job, &locality, slice, decision);
+        }
+    }
+
+    /// Places the job's next tasks into the chosen slots.
+    fn carry_out(
+        &mut self,
+        now: Time,
+        id: &JobId,
+        slice: &mut CycleSlice<'_>,
+        slots: &[(usize, u32)],
+    ) -> u64 {
+        let Some(job) = self.jobs.get(id) else {
+            return 0;
+        };
         let (shape, image) = (job.shape, job.image);
         let ClusterSnapshot {
             places, rankings, ..
         } = &mut *slice.fleet;
         let mut chosen: Vec<(MachineId, u32)> = Vec::new();
-        for (index, n) in choice.places {
+        for &(index, n) in slots {
             places.take(index, &shape, n, image);
             if let Some(rankings) = rankings {
                 rankings.taken(index, |key, index| self.rank(places, key, index));
@@ -123,29 +173,7 @@
                 self.place(now, id, &machine, slice.usage);
             }
         }
-        if begins && placed > 0 {
-            self.note_starting(id);
-        }
-        let PlacementDecision {
-            wanted,
-            quota,
-            awaits_image,
-            ..
-        } = choice;
-        if wanted > 0 {
-            self.set_blocked(
-                id,
-                if quota == 0 {
-                    "the team's limit"
-                } else if awaits_image {
-                    "a place with its image is awaited"
-                } else {
-                    "no machine has room"
-                },
-            );
-        }
-        self.awaiting |= awaits_image && wanted > 0;
-        (placed, wanted > 0 && quota > 0 && !awaits_image)
+        placed
     }
 
     pub(super) fn weights(&self) -> PlaceWeights {
@@ -157,7 +185,7 @@
         }
     }
 
-    /// What a place costs those who rank key, if any task may go there.
+    /// What a place costs those who rank alike, if any task may go there.
     pub(super) fn rank(
         &self,
         places: &CandidateSlots<MachineId>,
@@ -210,7 +238,7 @@
     }
 
     /// Candidate slots for a job with no wishes but its locality: it goes on in the ranking
-    /// where the jobs before it that rank key have left it.
+    /// where the jobs before it that rank alike have left it.
     pub(super) fn decide_by_ranking(
         &self,
         job: &Job,
@@ -256,7 +284,7 @@
         }
     }
 
-    /// CandidateSlots for any job.
+    /// Slots for any job.
     pub(super) fn decide(
         &self,
         now: Time,
@@ -320,7 +348,7 @@
         }
     }
 
-    pub(super) fn set_blocked(&mut self, id: &JobId, reason: &'static str) {
+    pub(super) fn set_blocked(&mut self, id: &JobId, reason: BlockedReason) {
         if let Some(job) = self.jobs.get_mut(id) {
             job.blocked = reason;
         }
--- a/crates/umbersail-control/src/engine/plans/calendar.rs
+++ b/crates/umbersail-control/src/engine/plans/calendar.rs
@@ -14,7 +14,7 @@
 };
 use umbersail_wire::JobKind;
 
-use super::super::{Engine, EngineConfig, Job, JobId, Time};
+use super::super::{BlockedReason, Engine, EngineConfig, Job, JobId, Time};
 
 /// What the names of its records begin with, and their version.
 pub(super) const KIND: &str = "calendar";
@@ -167,9 +167,9 @@
         let released = job.held.is_some() && held.is_none();
         job.held = held;
         if let Some(reason) = held {
-            job.blocked = reason;
+            job.blocked = BlockedReason::Held(reason);
         } else if released {
-            job.blocked = "not yet looked at";
+            job.blocked = BlockedReason::NotLookedAt;
             self.note_waiting();
         }
     }
--- a/crates/umbersail-control/src/engine/plans/reserve.rs
+++ b/crates/umbersail-control/src/engine/plans/reserve.rs
@@ -13,8 +13,10 @@
 use umbersail_tuning::Tuning;
 use umbersail_wire::RentRequest;
 
-use super::super::rental::RENT_MOST;
-use super::super::{Engine, EngineConfig, Job, JobId, Machine, MachineId, Stop, Time, epoch};
+use super::super::rental::MAX_RENTED_AT_ONCE;
+use super::super::{
+    BlockedReason, Engine, EngineConfig, Job, JobId, Machine, MachineId, Stop, Time, epoch,
+};
 
 /// Names of records: this and the entry's name.
 const KIND: &str = "reserve";
@@ -70,7 +72,7 @@
                 boot_share: tuning.reserve_boot_share,
                 boot_patience: tuning.boot_patience,
                 boot_patience_s: tuning.boot_patience_s,
-                request_machines: RENT_MOST,
+                request_machines: MAX_RENTED_AT_ONCE,
                 requests_most: tuning.reserve_requests as usize,
                 machines_most: tuning.reserve_machines as u32,
                 floor_s: tuning.reserve_floor_s,
@@ -718,5 +720,5 @@
 
 /// Whether it waits for machines rather than for its team's limit.
 fn waits_for_room(job: &Job) -> bool {
-    job.startable() > 0 && job.blocked != "the team's limit"
+    job.startable() > 0 && job.blocked != BlockedReason::TeamLimit
 }
--- a/crates/umbersail-control/src/engine/rental.rs
+++ b/crates/umbersail-control/src/engine/rental.rs
@@ -3,15 +3,17 @@
 use std::collections::BTreeMap;
 
 use tracing::{info, warn};
-use umbersail_policy::{ClassStats, Demand, FleetMachine, IdleLimits, Shape, plan_rental};
+use umbersail_policy::{
+    ClassStats, Demand, FleetMachine, IdleLimits, ScaleOutRequest, Shape, plan_rental,
+};
 use umbersail_wire::{MachineType, RentRequest};
 
 use super::plans::KeptRoom;
-use super::{CloudAction, Engine, Job, MachineId, Time, epoch};
+use super::{CloudAction, Engine, Job, Machine, MachineId, Time, epoch};
 
 /// Most names in one deletion, and machines in one rental, by the protocol.
-const DELETE_MOST: usize = 100;
-pub(super) const RENT_MOST: u32 = 50;
+const MAX_DELETED_AT_ONCE: usize = 100;
+pub(super) const MAX_RENTED_AT_ONCE: u32 = 50;
 
 impl Engine {
     /// What the cloud shall do now, deletions first: they cost money and hold
@@ -21,16 +23,16 @@
         let mut actions = Vec::new();
         // A new name for what may have been granted already would rent without
         // bound while the cloud does not answer.
-        let mut purchases = match self.unanswered.pop_front() {
+        let mut requests = match self.unanswered.pop_front() {
             Some(request) => vec![request],
             None => self.plan(now),
         };
-        purchases.extend(self.reserve_requests());
+        requests.extend(self.reserve_requests());
         let mut deletes: Vec<String> = Vec::new();
         for (name, machine) in &mut self.machines {
             if let Some(reason) = machine.delete_reason
                 && !machine.delete_asked
-                && deletes.len() < DELETE_MOST
+                && deletes.len() < MAX_DELETED_AT_ONCE
             {
                 machine.delete_asked = true;
                 info!(machine = &**name, reason, "returned");
@@ -40,7 +42,7 @@
         if !deletes.is_empty() {
             actions.push(CloudAction::Delete(deletes));
         }
-        actions.extend(purchases.into_iter().map(CloudAction::Rent));
+        actions.extend(requests.into_iter().map(CloudAction::Rent));
         actions
     }
 
@@ -103,139 +105,156 @@
         unreachable > 1 && 2 * unreachable > all
     }
 
+    /// What to rent now; machines that nobody will want are marked for return.
     fn plan(&mut self, now: Time) -> Vec<RentRequest> {
-        let tuning = self.cfg.tuning.clone();
         let dt = (now - self.last_rental).max(0.0);
         self.last_rental = now;
-        self.learner.fade(dt, tuning.load_window_s);
+        self.learner.fade(dt, self.cfg.tuning.load_window_s);
         let mut kept = self.kept_room();
         let mut demands = self.demands(now, kept.as_mut());
-        // Learn the load of each class, and keep ready for those with an aim
-        // on starting.
-        let mut now_by_class: BTreeMap<String, u32> = BTreeMap::new();
-        for (class, demand) in &demands {
-            *now_by_class.entry(class.clone()).or_default() += demand.now;
+        let warm = self.warm_demands(now, &demands, kept.as_ref());
+        demands.extend(warm);
+        demands.extend(self.planned_demands(now));
+        let demands: Vec<Demand> = demands.into_iter().map(|(_, demand)| demand).collect();
+        let fleet = self.rented_fleet(now);
+        let plan = plan_rental(
+            &self.types,
+            &demands,
+            &fleet,
+            |index, zone, spot| self.is_refused(now, index, zone, spot),
+            &self.idle_limits(now),
+            self.cfg.tuning.ordinary_share,
+        );
+        self.return_surplus(plan.surplus, &fleet);
+        plan.requests
+            .into_iter()
+            .map(|request| self.rent_request(request))
+            .collect()
+    }
+
+    /// What is kept ready for classes with an aim on starting, by their learned load, beside
+    /// what `demands` and reserved machines have for them.
+    fn warm_demands(
+        &self,
+        now: Time,
+        demands: &[(String, Demand)],
+        kept: Option<&KeptRoom<'_>>,
+    ) -> Vec<(String, Demand)> {
+        let tuning = &self.cfg.tuning;
+        let mut now_by_class: BTreeMap<&str, u32> = BTreeMap::new();
+        for (class, demand) in demands {
+            *now_by_class.entry(class).or_default() += demand.now;
         }
+        let mut warm_demands = Vec::new();
         for (class, sample) in &self.samples {
             if self.cfg.guarantee_aim.is_none() && !self.cfg.start_aims.contains_key(class) {
                 continue;
             }
-            let Some(stats) = self.learner.get(class) else {
+            let Some(stats) = self.learner.get(class).filter(|s| !s.is_silent(now)) else {
                 continue;
             };
-            if stats.is_silent(now) {
-                continue;
-            }
-            let there = now_by_class.get(class).copied().unwrap_or(0);
-            let keep = (stats.load * tuning.headroom + stats.tasks_per_job).ceil() as u32;
-            let there = there
-                + kept
-                    .as_ref()
-                    .map_or(0, |kept| kept.ready(self, class, &sample.shape));
-            let reserve = keep.saturating_sub(there);
-            let warm = (stats.load * tuning.warm_headroom + stats.tasks_per_job).ceil() as u32;
-            demands.push((
-                class.clone(),
-                Demand {
-                    shape: sample.shape,
-                    types: sample.types.clone(),
-                    zone: sample.zone.clone(),
-                    spot: sample.spot,
-                    now: 0,
-                    turns: 0.0,
-                    reserve,
-                    warm: warm.saturating_sub(there + reserve),
-                },
-            ));
+            let reserved = kept.map_or(0, |kept| kept.ready(self, class, &sample.shape));
+            let there = now_by_class.get(&**class).copied().unwrap_or(0) + reserved;
+            let tasks = |times: f64| (stats.load * times + stats.tasks_per_job).ceil() as u32;
+            let reserve = tasks(tuning.headroom).saturating_sub(there);
+            let demand = Demand {
+                shape: sample.shape,
+                types: sample.types.clone(),
+                zone: sample.zone.clone(),
+                spot: sample.spot,
+                now: 0,
+                turns: 0.0,
+                reserve,
+                warm: tasks(tuning.warm_headroom).saturating_sub(there + reserve),
+            };
+            warm_demands.push((class.clone(), demand));
         }
-        demands.extend(self.planned_demands(now));
+        warm_demands
+    }
+
+    /// Machines that stay and may be used by anybody, as the plan sees them.
+    fn rented_fleet(&self, now: Time) -> Vec<FleetMachine<MachineId>> {
         let mostly_unreachable = self.is_mostly_unreachable();
-        let fleet: Vec<FleetMachine<MachineId>> = self
-            .machines
-            .values()
-            .filter(|m| {
-                m.delete_reason.is_none()
-                    && m.notice_until.is_none()
-                    && m.reservations == 0
-                    && m.vouched
-                    && (mostly_unreachable || !m.reachability.is_unreachable())
-                    && (m.last_report.is_none() || m.silent_for(now) < 2.0 * self.cfg.lease_s)
-            })
-            .filter_map(|m| {
-                let up = m.last_report.is_some() && m.fenced;
+        let stays = |machine: &&Machine| {
+            machine.delete_reason.is_none()
+                && machine.notice_until.is_none()
+                && machine.reservations == 0
+                && machine.vouched
+                && (mostly_unreachable || !machine.reachability.is_unreachable())
+                && (machine.last_report.is_none()
+                    || machine.silent_for(now) < 2.0 * self.cfg.lease_s)
+        };
+        let machines = self.machines.values().filter(stays);
+        machines
+            .filter_map(|machine| {
+                let up = machine.last_report.is_some() && machine.fenced;
+                let holds = !machine.tasks.is_empty() || machine.strangers || machine.inherited;
                 Some(FleetMachine {
-                    machine: m.name.clone(),
-                    type_index: m.type_index?,
-                    zone: m.zone.clone(),
-                    spot: m.spot,
-                    idle_s: (up && m.tasks.is_empty() && !m.strangers && !m.inherited)
-                        .then_some(now - m.idle_since),
+                    machine: machine.name.clone(),
+                    type_index: machine.type_index?,
+                    zone: machine.zone.clone(),
+                    spot: machine.spot,
+                    idle_s: (up && !holds).then_some(now - machine.idle_since),
                 })
             })
-            .collect();
-        let demands: Vec<Demand> = demands.into_iter().map(|(_, d)| d).collect();
-        let limits = |most_s: f64| -> Vec<f64> {
+            .collect()
+    }
+
+    fn idle_limits(&self, now: Time) -> IdleLimits {
+        let tuning = &self.cfg.tuning;
+        let by_type = |most_s: f64| -> Vec<f64> {
             let types = self.types.iter();
             types.map(|t| self.idle_limit_s(now, t, most_s)).collect()
         };
-        let idle = IdleLimits {
-            warm_s: limits(tuning.idle_s),
-            cold_s: limits(tuning.cold_idle_s.min(tuning.idle_s)),
-        };
-        let plan = plan_rental(
-            &self.types,
-            &demands,
-            &fleet,
-            |index, zone, spot| self.is_refused(now, index, zone, spot),
-            &idle,
-            tuning.ordinary_share,
-        );
-        // What the teams are guaranteed must be there at once, and with it the
-        // images that only machines in use have.
-        let guaranteed: f64 = self.cfg.teams.iter().map(|t| t.cpus).sum::<f64>() * tuning.headroom;
-        let mut kept: f64 = fleet.iter().map(|m| self.types[m.type_index].cpus).sum();
-        for name in plan.surplus {
-            if let Some(machine) = self.machines.get_mut(&name)
-                && machine.tasks.is_empty()
-                && machine.reservations == 0
-                && !self.plans.images.keeps(&name)
-            {
-                let cpus = machine.type_index.map_or(0.0, |i| self.types[i].cpus);
-                if kept - cpus < guaranteed {
-                    continue;
-                }
-                kept -= cpus;
-                machine.delete_reason = Some("idle beyond need");
-            }
+        IdleLimits {
+            warm_s: by_type(tuning.idle_s),
+            cold_s: by_type(tuning.cold_idle_s.min(tuning.idle_s)),
         }
-        let mut requests = Vec::new();
-        for purchase in plan.purchases {
-            self.requests += 1;
-            let machine_type = &self.types[purchase.type_index];
-            // The token differs for every holder, so no name is used twice.
-            let request = RentRequest {
-                request: format!(
-                    "{}-{}-{}",
-                    self.cfg.member,
-                    epoch(self.token),
-                    self.requests
-                ),
-                machine_type: machine_type.name.clone(),
-                zone: purchase.zone,
-                spot: purchase.spot,
-                count: purchase.count.min(RENT_MOST),
+    }
+
+    /// Marks surplus machines for return, as far as the teams' guarantees allow: what those
+    /// cover must be there at once, and with it the images that only machines in use have.
+    fn return_surplus(&mut self, surplus: Vec<MachineId>, fleet: &[FleetMachine<MachineId>]) {
+        let headroom = self.cfg.tuning.headroom;
+        let guaranteed = self.cfg.teams.iter().map(|t| t.cpus).sum::<f64>() * headroom;
+        let mut kept: f64 = fleet.iter().map(|m| self.types[m.type_index].cpus).sum();
+        for name in surplus {
+            let Some(machine) = self.machines.get_mut(&name) else {
+                continue;
             };
-            info!(
-                machine_type = request.machine_type,
-                zone = request.zone,
-                spot = request.spot,
-                count = request.count,
-                waiting = self.jobs.values().map(|j| j.pending()).sum::<u32>(),
-                "rents"
-            );
-            requests.push(request);
+            let in_use = !machine.tasks.is_empty() || machine.reservations != 0;
+            if in_use || self.plans.images.keeps(&name) {
+                continue;
+            }
+            let cpus = machine.type_index.map_or(0.0, |i| self.types[i].cpus);
+            if kept - cpus < guaranteed {
+                continue;
+            }
+            kept -= cpus;
+            machine.delete_reason = Some("idle beyond need");
         }
-        requests
+    }
+
+    /// Names a request. The token differs for every holder, so no name is used twice.
+    fn rent_request(&mut self, request: ScaleOutRequest) -> RentRequest {
+        self.requests += 1;
+        let holder = epoch(self.token);
+        let named = RentRequest {
+            request: format!("{}-{holder}-{}", self.cfg.member, self.requests),
+            machine_type: self.types[request.type_index].name.clone(),
+            zone: request.zone,
+            spot: request.spot,
+            count: request.count.min(MAX_RENTED_AT_ONCE),
+        };
+        info!(
+            machine_type = named.machine_type,
+            zone = named.zone,
+            spot = named.spot,
+            count = named.count,
+            waiting = self.jobs.values().map(|j| j.pending()).sum::<u32>(),
+            "rents"
+        );
+        named
     }
 
     /// How long machines of a type are kept idle: for what comes next, if
--- a/crates/umbersail-control/src/engine/report.rs
+++ b/crates/umbersail-control/src/engine/report.rs
@@ -17,6 +17,17 @@
     format!("{id}/{task}")
 }
 
+/// What a report shows beside tasks that are in place.
+#[derive(Default)]
+struct ShownTasks {
+    /// Active attempts that have no place in what is known.
+    strangers: bool,
+    /// Among them some that nothing says the size of (rule 4).
+    unsized_strangers: bool,
+    /// Jobs that are over of which attempts are active.
+    over: BTreeSet<JobId>,
+}
+
 impl Engine {
     /// Takes a report that came to us; false if a newer one is known: a late
     /// one shows an old list and gets no answer.
@@ -31,49 +42,14 @@
     }
 
     fn take_report(&mut self, now: Time, report: &Report, in_turn: bool) -> Option<MachineId> {
-        let name: MachineId = match self.machines.get_key_value(report.machine.as_str()) {
-            Some((name, _)) => name.clone(),
-            // Who shows our token was known to us, and we forget none but those
-            // whose deletion was answered. One that an earlier holder deleted
-            // shows an older token; it counts for nothing until it shows ours.
-            None if epoch(report.token) == epoch(self.token)
-                || self.gone.contains(report.machine.as_str()) =>
-            {
-                debug!(machine = report.machine, "late report of one that is gone");
-                return None;
-            }
-            None => {
-                let name: MachineId = report.machine.as_str().into();
-                let mut machine = Machine::new(
-                    name.clone(),
-                    self.type_index(&report.machine_type),
-                    report.zone.clone(),
-                    report.spot.unwrap_or(false),
-                    now,
-                );
-                info!(
-                    machine = &*name,
-                    machine_type = report.machine_type,
-                    "adopted from its report"
-                );
-                machine.vouched = false;
-                self.machines.insert(name.clone(), machine);
-                name
-            }
-        };
-        let token = self.token;
+        let name = self.reporting_machine(now, report)?;
         let machine = self.machines.get_mut(&name)?;
         if report.order() <= machine.order {
             debug!(machine = &*name, "late report dropped");
             return None;
         }
         if machine.last_report.is_none() && in_turn {
-            self.schedule_wanted = true;
-            if !machine.inherited {
-                machine.idle_since = now;
-                debug!(machine = &*name, "up");
-                self.boot_ended(now, &name);
-            }
+            self.first_report(now, &name);
         }
         let machine = self.machines.get_mut(&name)?;
         machine.order = report.order();
@@ -83,22 +59,8 @@
         if let Ok(addr) = report.addr.parse() {
             machine.addr = Some(addr);
         }
-        if let Some(notice) = report.notice_s
-            && notice.is_finite()
-        {
-            if machine.notice_until.is_none() {
-                info!(
-                    machine = &*name,
-                    notice_s = notice,
-                    "to be taken back: drained"
-                );
-                machine.notice_handled = false;
-            }
-            machine.notice_until = Some(now + notice.max(0.0));
-        } else {
-            machine.notice_until = None;
-        }
-        if epoch(report.token) != epoch(token) {
+        machine.take_notice(now, report.notice_s);
+        if epoch(report.token) != epoch(self.token) {
             machine.fenced = false;
             self.listen(now, &name, report, in_turn, None);
             return Some(name);
@@ -118,6 +80,47 @@
         Some(name)
     }
 
+    /// The machine that a report is of, adopted if it is new; none if it is known to be
+    /// gone.
+    fn reporting_machine(&mut self, now: Time, report: &Report) -> Option<MachineId> {
+        if let Some((name, _)) = self.machines.get_key_value(report.machine.as_str()) {
+            return Some(name.clone());
+        }
+        // Who shows our token was known to us, and we forget none but those
+        // whose deletion was answered. One that an earlier holder deleted
+        // shows an older token; it counts for nothing until it shows ours.
+        let shows_ours = epoch(report.token) == epoch(self.token);
+        if shows_ours || self.gone.contains(report.machine.as_str()) {
+            debug!(machine = report.machine, "late report of one that is gone");
+            return None;
+        }
+        let name: MachineId = report.machine.as_str().into();
+        let mut machine = Machine::new(
+            name.clone(),
+            self.type_index(&report.machine_type),
+            report.zone.clone(),
+            report.spot.unwrap_or(false),
+            now,
+        );
+        machine.vouched = false;
+        info!(
+            machine = &*name,
+            machine_type = report.machine_type,
+            "adopted from its report"
+        );
+        self.machines.insert(name.clone(), machine);
+        Some(name)
+    }
+
+    fn first_report(&mut self, now: Time, name: &MachineId) {
+        self.schedule_wanted = true;
+        if let Some(machine) = self.machines.get_mut(name).filter(|m| !m.inherited) {
+            machine.idle_since = now;
+            debug!(machine = &**name, "up");
+            self.boot_ended(now, name);
+        }
+    }
+
     /// What the report says of whether our answers reach the machine; `launches`
     /// as from [`Engine::compare`].
     fn listen(
@@ -162,7 +165,7 @@
         }
     }
 
-    /// Brings our picture of one machine in line with its newest report. Whether
+    /// Reconciles what is known of one machine with its newest report. Whether
     /// launches that it was told were taken up (true) or went nowhere (false).
     fn compare(
         &mut self,
@@ -171,11 +174,25 @@
         report: &Report,
         in_turn: bool,
     ) -> Option<bool> {
+        let launches = self.return_missing(name, report, in_turn);
+        let shown = self.take_shown(now, name, report);
+        let over = |id: &JobId| shown.over.contains(id);
+        let settled = (self.orphaned_jobs).shown(name, report.order(), in_turn, over);
+        self.cleared.extend(settled);
+        if let Some(machine) = self.machines.get_mut(name) {
+            self.schedule_wanted |= machine.strangers && !shown.strangers;
+            machine.strangers = shown.strangers;
+            machine.unsized_strangers = shown.unsized_strangers;
+        }
+        launches
+    }
+
+    /// Returns tasks that were believed to be on the machine and are not shown.
+    fn return_missing(&mut self, name: &MachineId, report: &Report, in_turn: bool) -> Option<bool> {
         let mut launches = None;
         // By attempt, which no two tasks share: a large machine shows dozens.
         let mut shown: Vec<u64> = report.tasks.iter().map(|t| t.attempt).collect();
         shown.sort_unstable();
-        // What we believed to be there and is not.
         let held: Vec<(JobId, u32)> = self.machines[name].tasks.iter().cloned().collect();
         for (id, task) in held {
             let Some(placement) = self.jobs.get(&id).and_then(|j| j.live.get(&task)) else {
@@ -204,8 +221,12 @@
                 self.return_task(&id, task);
             }
         }
-        let (mut strangers, mut unsized_strangers) = (false, false);
-        let mut over: BTreeSet<JobId> = BTreeSet::new();
+        launches
+    }
+
+    /// Takes in all tasks that a report shows.
+    fn take_shown(&mut self, now: Time, name: &MachineId, report: &Report) -> ShownTasks {
+        let mut shown = ShownTasks::default();
         for entry in &report.tasks {
             let Some((id, task)) = split_task(&entry.task) else {
                 continue;
@@ -214,29 +235,19 @@
             match known {
                 Some(id) => {
                     let stranger = !self.take_entry(now, name, &id, task, entry);
-                    strangers |= stranger;
-                    unsized_strangers |= stranger;
+                    shown.strangers |= stranger;
+                    shown.unsized_strangers |= stranger;
                 }
                 None if entry.state != TaskState::Exited => {
                     let id: JobId = id.into();
-                    strangers = true;
-                    unsized_strangers |= !self.orphaned_jobs.counts(&id);
-                    over.insert(id);
+                    shown.strangers = true;
+                    shown.unsized_strangers |= !self.orphaned_jobs.counts(&id);
+                    shown.over.insert(id);
                 }
                 None => {}
             }
         }
-        let settled =
-            (self.orphaned_jobs).shown(name, report.order(), in_turn, |id| over.contains(id));
-        self.cleared.extend(settled);
-        if let Some(machine) = self.machines.get_mut(name) {
-            if machine.strangers && !strangers {
-                self.schedule_wanted = true;
-            }
-            machine.strangers = strangers;
-            machine.unsized_strangers = unsized_strangers;
-        }
-        launches
+        shown
     }
 
     /// False if an attempt is active that our picture has no place for, since
@@ -249,16 +260,11 @@
         task: u32,
         entry: &TaskReport,
     ) -> bool {
-        let Some(job) = self.jobs.get_mut(id) else {
+        let Some(job) = self.jobs.get(id).filter(|job| task < job.spec.tasks) else {
             return true;
         };
-        if task >= job.spec.tasks {
-            return true;
-        }
-        let ours = job
-            .live
-            .get(&task)
-            .is_some_and(|p| p.attempt == entry.attempt && p.machine == *name);
+        let placement = job.live.get(&task);
+        let ours = placement.is_some_and(|p| p.attempt == entry.attempt && p.machine == *name);
         if entry.state == TaskState::Exited {
             if entry.cause == Some(ExitCause::Done) && !job.is_service() {
                 self.task_done(now, name, id, task, ours);
@@ -267,77 +273,69 @@
             }
             return true;
         }
+        if !ours && placement.is_some() {
+            return false;
+        }
         if !ours {
-            if !job.live.contains_key(&task) {
-                // Started by an earlier holder: it goes on under us. Until it
-                // is gone it counts (rule 4), even if the task has completed
-                // elsewhere in the meantime and it is of no use any more.
-                let useless = job.cancelled || job.done.contains(task);
-                job.recovery_pending.remove(&task);
-                job.returned.remove(&task);
-                job.live.insert(
-                    task,
-                    Placement {
-                        machine: name.clone(),
-                        attempt: entry.attempt,
-                        ordered: None,
-                        seen: Some(entry.state),
-                        running_since: None,
-                        planned_at: now,
-                        stop: useless.then_some(Stop {
-                            grace_s: 0.0,
-                            evictions: 0,
-                        }),
-                    },
-                );
-                if !job.is_recorded(task, name) {
-                    // Started without a record by an earlier holder: our
-                    // successor finds nothing but the record that we write.
-                    job.touch(now);
-                }
-                let (shape, image) = (job.shape, job.image);
-                if let Some(machine) = self.machines.get_mut(name) {
-                    machine.hold(id, task, &shape, image);
-                }
-            } else {
-                return false;
-            }
+            self.adopt_attempt(now, name, id, task, entry);
+        }
+        self.see_active(now, name, id, task, entry.state);
+        true
+    }
+
+    /// An attempt started by an earlier holder goes on under us. Until it is gone it counts
+    /// (rule 4), even if the task has completed elsewhere in the meantime and it is of no
+    /// use any more.
+    fn adopt_attempt(
+        &mut self,
+        now: Time,
+        name: &MachineId,
+        id: &JobId,
+        task: u32,
+        entry: &TaskReport,
+    ) {
+        let Some(job) = self.jobs.get_mut(id) else {
+            return;
+        };
+        let useless = job.cancelled || job.done.contains(task);
+        job.recovery_pending.remove(&task);
+        job.returned.remove(&task);
+        let placement = Placement {
+            machine: name.clone(),
+            attempt: entry.attempt,
+            ordered: None,
+            seen: Some(entry.state),
+            running_since: None,
+            planned_at: now,
+            stop: useless.then_some(Stop::AT_ONCE),
+        };
+        job.live.insert(task, placement);
+        if !job.is_recorded(task, name) {
+            // Started without a record by an earlier holder: our
+            // successor finds nothing but the record that we write.
+            job.touch(now);
+        }
+        let (shape, image) = (job.shape, job.image);
+        if let Some(machine) = self.machines.get_mut(name) {
+            machine.hold(id, task, &shape, image);
         }
+    }
+
+    /// A placed attempt is shown in this state.
+    fn see_active(&mut self, now: Time, name: &MachineId, id: &JobId, task: u32, state: TaskState) {
+        let Some(job) = self.jobs.get_mut(id) else {
+            return;
+        };
         let Some(placement) = job.live.get_mut(&task) else {
-            return true;
+            return;
         };
         if placement.seen.is_none() {
             job.last_progress = now;
         }
-        placement.seen = Some(entry.state);
-        let started = entry.state == TaskState::Running && placement.running_since.is_none();
-        if started {
+        placement.seen = Some(state);
+        if state == TaskState::Running && placement.running_since.is_none() {
             placement.running_since = Some(now);
-            let ours = placement.ordered.is_some();
-            debug!(
-                job = &**id,
-                task,
-                machine = &**name,
-                planned_s = now - placement.planned_at,
-                "runs"
-            );
-            if let Some(waited_s) = job.begins(now, ours)
-                && waited_s >= self.cfg.tuning.starvation_wait_s
-            {
-                info!(
-                    job = &**id,
-                    class = job.spec.class,
-                    cpus = job.size(),
-                    waited_s = waited_s as u64,
-                    "starts late"
-                );
-            }
-            let (image, size) = (job.image, job.spec.image_gb);
-            if let Some(machine) = self.machines.get_mut(name) {
-                let cache = machine.type_index.map_or(0.0, |i| self.types[i].cache_gb);
-                let pushed_out = machine.fetched(image, size, cache);
-                self.see_image(now, name, id, &pushed_out);
-            }
+            self.task_started(now, name, id, task);
         } else if job.suspect
             && let Some(since) = placement.running_since
             && now - since > job.failed_after_s + self.cfg.tuning.job_trial_s
@@ -346,6 +344,39 @@
             job.touch(now);
             self.clear_job(id);
         }
-        true
+    }
+
+    fn task_started(&mut self, now: Time, name: &MachineId, id: &JobId, task: u32) {
+        let Some(job) = self.jobs.get_mut(id) else {
+            return;
+        };
+        let Some(placement) = job.live.get(&task) else {
+            return;
+        };
+        let ours = placement.ordered.is_some();
+        debug!(
+            job = &**id,
+            task,
+            machine = &**name,
+            planned_s = now - placement.planned_at,
+            "runs"
+        );
+        if let Some(waited_s) = job.begins(now, ours)
+            && waited_s >= self.cfg.tuning.starvation_wait_s
+        {
+            info!(
+                job = &**id,
+                class = job.spec.class,
+                cpus = job.size(),
+                waited_s = waited_s as u64,
+                "starts late"
+            );
+        }
+        let (image, size) = (job.image, job.spec.image_gb);
+        if let Some(machine) = self.machines.get_mut(name) {
+            let cache = machine.type_index.map_or(0.0, |i| self.types[i].cache_gb);
+            let pushed_out = machine.fetched(image, size, cache);
+            self.see_image(now, name, id, &pushed_out);
+        }
     }
 }
--- a/crates/umbersail-control/src/engine/schedule.rs
+++ b/crates/umbersail-control/src/engine/schedule.rs
@@ -22,7 +22,7 @@
 #[derive(Default)]
 pub(super) struct ClusterSnapshot {
     pub places: CandidateSlots<MachineId>,
-    /// CandidateSlots kept for the winners of evictions, and from which tier on.
+    /// Slots kept for the winners of evictions, and from which tier on.
     pub claimed: Vec<(Priority, usize)>,
     /// Machines that may hold tasks of jobs already over (rule 4).
     unaccounted: Shape,
@@ -31,13 +31,13 @@
     /// How many machines that take tasks have an image, by type; counted once
     /// somebody asks.
     pub with_image: Option<BTreeMap<(ImageKey, usize), usize>>,
-    /// CandidateSlots as jobs rank them that are key, and how many that took to look at.
+    /// Slots as jobs rank them that are alike, and how many that took to look at.
     pub rankings: Option<Rankings<RankingKey>>,
     pub ranked: u64,
 }
 
 impl ClusterSnapshot {
-    /// CandidateSlots looked at so far.
+    /// Slots looked at so far.
     fn looked(&self) -> u64 {
         self.places.looked() + self.ranked
     }
@@ -58,7 +58,7 @@
     pub reserved: &'a [f64],
 }
 
-/// What jobs have in common that rank places key.
+/// What jobs have in common that rank places alike.
 #[derive(Debug, Clone, PartialEq)]
 pub(super) struct RankingKey {
     pub image: ImageKey,
@@ -84,7 +84,7 @@
         std::mem::take(&mut self.steps)
     }
 
-    /// CandidateSlots waiting tasks; launches follow with the machines' next reports.
+    /// Places waiting tasks; launches follow with the machines' next reports.
     ///
     /// A cycle ends after [`super::EngineConfig::slice_steps`] and goes on with the next
     /// call where it was, so that reports, renewals and users wait for a slice
--- a/crates/umbersail-control/src/engine/starvation_guard.rs
+++ b/crates/umbersail-control/src/engine/starvation_guard.rs
@@ -16,7 +16,7 @@
 use super::schedule::ClusterSnapshot;
 use super::{Engine, Job, JobId, MachineId, Time};
 
-/// CandidateSlots that one order may begin to keep: each looks at every machine.
+/// Slots that one order may begin to keep: each looks at every machine.
 const MAX_NEW_HELD_SLOTS: usize = 4;
 
 /// What the starvation guard holds from one cycle to the next.
--- a/crates/umbersail-control/src/engine/task_ends.rs
+++ b/crates/umbersail-control/src/engine/task_ends.rs
@@ -51,10 +51,7 @@
         match job.live.get_mut(&task) {
             // A result that came late: the attempt in its stead is of no use.
             Some(other) if !ours && other.told() => {
-                other.stop = Some(Stop {
-                    grace_s: 0.0,
-                    evictions: 0,
-                });
+                other.stop = Some(Stop::AT_ONCE);
             }
             _ => drop(self.remove_placement(id, task)),
         }
@@ -76,53 +73,19 @@
         task: u32,
         entry: &TaskReport,
     ) {
-        let tuning = self.cfg.tuning.clone();
         let cause = entry.cause.unwrap_or(ExitCause::Other);
         let placement = self.jobs.get(id).and_then(|j| j.live.get(&task));
-        let ran_s = (placement.and_then(|p| p.running_since)).map_or(0.0, |since| now - since);
+        let running_since = placement.and_then(|p| p.running_since);
+        let ran_s = running_since.map_or(0.0, |since| now - since);
         self.return_task(id, task);
         let Some(job) = self.jobs.get_mut(id) else {
             return;
         };
         match cause {
             ExitCause::Stopped => debug!(job = &**id, task, saved = ?entry.saved, "stopped"),
-            ExitCause::Error => {
-                job.errors += 1;
-                job.error_machines.insert(name.clone());
-                job.failed_on.insert(name.clone());
-                job.failed_after_s = job.failed_after_s.max(ran_s);
-                let known = job.suspect;
-                job.suspect |= job.failed_on.len() >= tuning.job_fault_machines as usize;
-                if job.suspect {
-                    // It fails everywhere: it waits longer each time. Those of its
-                    // tasks that were under way say nothing new.
-                    if job.backoff_until.is_none() {
-                        job.backoff_s = (job.backoff_s * 2.0)
-                            .clamp(tuning.job_backoff_s, tuning.job_backoff_most_s);
-                        job.backoff_until = Some(now + job.backoff_s);
-                        info!(
-                            job = &**id,
-                            errors = job.errors,
-                            pause_s = job.backoff_s,
-                            "fails on every machine: backs off"
-                        );
-                    }
-                    if !known {
-                        job.touch(now);
-                        self.withdraw(id);
-                    }
-                } else if let Some(machine) = self.machines.get_mut(name) {
-                    *machine.errors.entry(id.clone()).or_default() += 1;
-                    if machine.accused_at.is_none()
-                        && machine.is_accused(tuning.quarantine_errors as u32)
-                    {
-                        machine.accused_at = Some(now);
-                        debug!(machine = &**name, "fails tasks of several jobs: gets none");
-                    }
-                }
-            }
+            ExitCause::Error => self.task_failed(now, name, id, ran_s),
             ExitCause::Unknown => {
-                job.backoff_until = Some(now + tuning.job_backoff_s);
+                job.backoff_until = Some(now + self.cfg.tuning.job_backoff_s);
                 info!(
                     job = &**id,
                     machine = &**name,
@@ -150,6 +113,55 @@
         }
     }
 
+    /// A task failed after `ran_s` seconds: held against the job if it has failed on several
+    /// machines, else against the machine.
+    fn task_failed(&mut self, now: Time, name: &MachineId, id: &JobId, ran_s: f64) {
+        let tuning = self.cfg.tuning.clone();
+        let Some(job) = self.jobs.get_mut(id) else {
+            return;
+        };
+        job.errors += 1;
+        job.error_machines.insert(name.clone());
+        job.failed_on.insert(name.clone());
+        job.failed_after_s = job.failed_after_s.max(ran_s);
+        let was_suspect = job.suspect;
+        job.suspect |= job.failed_on.len() >= tuning.job_fault_machines as usize;
+        if !job.suspect {
+            self.accuse(now, name, id);
+            return;
+        }
+        // It fails everywhere: it waits longer each time. Those of its tasks that were
+        // under way say nothing new.
+        if job.backoff_until.is_none() {
+            let doubled_s = job.backoff_s * 2.0;
+            job.backoff_s = doubled_s.clamp(tuning.job_backoff_s, tuning.job_backoff_most_s);
+            job.backoff_until = Some(now + job.backoff_s);
+            info!(
+                job = &**id,
+                errors = job.errors,
+                pause_s = job.backoff_s,
+                "fails on every machine: backs off"
+            );
+        }
+        if !was_suspect {
+            job.touch(now);
+            self.withdraw(id);
+        }
+    }
+
+    /// Counts an error of the job against the machine.
+    fn accuse(&mut self, now: Time, name: &MachineId, id: &JobId) {
+        let limit = self.cfg.tuning.quarantine_errors as u32;
+        let Some(machine) = self.machines.get_mut(name) else {
+            return;
+        };
+        *machine.errors.entry(id.clone()).or_default() += 1;
+        if machine.accused_at.is_none() && machine.is_accused(limit) {
+            machine.accused_at = Some(now);
+            debug!(machine = &**name, "fails tasks of several jobs: gets none");
+        }
+    }
+
     /// Nothing is held against the job any more: it was the machines, and what it
     /// took back of them is said again.
     pub(super) fn clear_job(&mut self, id: &JobId) {
--- a/crates/umbersail-control/src/engine/tests/calendar.rs
+++ b/crates/umbersail-control/src/engine/tests/calendar.rs
@@ -209,7 +209,7 @@
     );
     assert_eq!(
         place.engine.jobs["req-2"].blocked,
-        "an earlier step of its run"
+        BlockedReason::Held("an earlier step of its run")
     );
     // By when it must end for five minutes of printing, by a clock that may be wrong.
     let due = place.engine.jobs["req-1"].planned_due.unwrap();
--- a/crates/umbersail-control/src/engine/tests/cycles.rs
+++ b/crates/umbersail-control/src/engine/tests/cycles.rs
@@ -168,7 +168,7 @@
             .team
             .map_or(0, |t| quota_room(&self.cfg.teams[t], &usage[t], &job.shape));
         if quota == 0 {
-            self.set_blocked(id, "the team's limit");
+            self.set_blocked(id, BlockedReason::TeamLimit);
             return false;
         }
         let closed = |t: &MachineType| {
@@ -611,7 +611,7 @@
     }
     engine.schedule(1.5);
     assert!(engine.jobs.values().all(|j| j.evictions == 0));
-    assert_eq!(engine.jobs["req-7"].blocked, "no machine has room");
+    assert_eq!(engine.jobs["req-7"].blocked, BlockedReason::NoRoom);
     let steps = engine.take_steps();
     assert!(steps < 500 + 200 * 2 * 8 + 100, "{steps} steps");
 }
--- a/crates/umbersail-control/src/engine/tick.rs
+++ b/crates/umbersail-control/src/engine/tick.rs
@@ -2,53 +2,70 @@
 
 use tracing::{info, warn};
 
-use super::{Engine, Time};
+use super::{Engine, Machine, MachineId, Time};
+
+/// A notice is forgotten this long after the machine should have been taken, in seconds.
+const NOTICE_GRACE_S: Time = 60.0;
 
 impl Engine {
-    /// TaskGroup that no event brings up.
+    /// Duties that no event brings up.
     pub fn tick(&mut self, now: Time) {
         if now >= self.next_status {
             self.next_status = now + self.cfg.tuning.status_s;
             info!(status = self.status(now), "block");
         }
-        let cfg = self.cfg.clone();
-        let tuning = &cfg.tuning;
-        let lease = cfg.lease_s * (1.0 + tuning.drift) + tuning.lapse_margin_s;
-        let silenced_at = self.elected_at + cfg.renewal_s() * (1.0 + tuning.drift);
-        let mut lapsed = Vec::new();
-        for (name, machine) in &self.machines {
-            let holds = machine.inherited || machine.strangers || !machine.tasks.is_empty();
-            if machine.lapsed || !holds {
-                continue;
-            }
-            // An earlier holder stops renewal_s after it lost the state service,
-            // which was before we were elected (rule 3).
-            let end = machine.renewed_by(silenced_at) + lease;
-            if now > end && !self.may_be_renewed(now, end, lease) {
-                lapsed.push(name.clone());
-            }
-        }
+        self.expire_leases(now);
+        self.handle_notices(now);
+        self.quarantine(now);
+        self.tick_plans(now);
+        self.count_late(now);
+        self.schedule_wanted |= std::mem::take(&mut self.awaiting);
+        self.end_backoffs(now);
+    }
+
+    /// Machines that were silent until their leases expired: their tasks start elsewhere.
+    /// Notices of machines that are still there a minute later are forgotten.
+    fn expire_leases(&mut self, now: Time) {
+        let expired: Vec<MachineId> = self
+            .machines
+            .values()
+            .filter(|machine| self.has_expired(now, machine))
+            .map(|machine| machine.name.clone())
+            .collect();
         for (name, machine) in &mut self.machines {
-            machine.lapsed |= lapsed.binary_search(name).is_ok();
+            machine.lapsed |= expired.binary_search(name).is_ok();
             if let Some(at) = machine.notice_until
-                && now > at + 60.0
+                && now > at + NOTICE_GRACE_S
             {
                 machine.notice_until = None;
             }
         }
-        for name in lapsed {
+        for name in expired {
             warn!(
                 machine = &*name,
                 "silent until its lease has lapsed: its tasks start elsewhere"
             );
             self.clear_machine(&name);
         }
-        self.handle_notices(now);
-        self.quarantine(now);
-        self.tick_plans(now);
-        self.count_late(now);
-        self.schedule_wanted |= std::mem::take(&mut self.awaiting);
-        let long_wait = tuning.long_wait_s;
+    }
+
+    /// Whether the lease of a machine that may hold something has expired just now (rule 3).
+    fn has_expired(&self, now: Time, machine: &Machine) -> bool {
+        let holds = machine.inherited || machine.strangers || !machine.tasks.is_empty();
+        if machine.lapsed || !holds {
+            return false;
+        }
+        let tuning = &self.cfg.tuning;
+        let lease_s = self.cfg.lease_s * (1.0 + tuning.drift) + tuning.lapse_margin_s;
+        // An earlier holder stops renewal_s after it lost the state service,
+        // which was before we were elected.
+        let silenced_at = self.elected_at + self.cfg.renewal_s() * (1.0 + tuning.drift);
+        let end = machine.renewed_by(silenced_at) + lease_s;
+        now > end && !self.may_be_renewed(now, end, lease_s)
+    }
+
+    /// Ends pauses that are over, and logs jobs that have waited for long.
+    fn end_backoffs(&mut self, now: Time) {
         let mut rested = false;
         for (id, job) in &mut self.jobs {
             if job.backoff_until.is_some_and(|at| now >= at) {
@@ -56,7 +73,8 @@
                 rested = true;
             }
             let since = job.last_progress.max(job.submitted);
-            if job.pending() > 0 && now - since > job.next_wait_log.max(long_wait) {
+            let log_after_s = job.next_wait_log.max(self.cfg.tuning.long_wait_s);
+            if job.pending() > 0 && now - since > log_after_s {
                 job.next_wait_log = 2.0 * (now - since);
                 // What failed it once may be all that there is.
                 job.error_machines.clear();
@@ -64,7 +82,7 @@
                     job = &**id,
                     waited_s = (now - since) as u64,
                     pending = job.pending(),
-                    reason = job.blocked,
+                    reason = %job.blocked,
                     "waits long"
                 );
             }
--- a/crates/umbersail-control/src/engine/write.rs
+++ b/crates/umbersail-control/src/engine/write.rs
@@ -80,6 +80,68 @@
     Progress,
 }
 
+/// A job whose record is due, and since when it has changed.
+struct DueJob {
+    due: Due,
+    since: Time,
+    id: JobId,
+}
+
+/// How much one transaction may carry.
+struct TxnLimits {
+    /// Changes in all.
+    max_changes: usize,
+    /// Changes that the state service takes at once.
+    room: usize,
+    /// Of those, for writes that nobody waits for.
+    spare: usize,
+    /// Somebody waits for one of the records.
+    urgent: bool,
+}
+
+/// A transaction as it grows, with what its writing means to the engine.
+struct TxnBuilder {
+    txn: Txn<Record>,
+    written: Vec<Written>,
+    bytes: usize,
+}
+
+impl TxnBuilder {
+    fn new(leader_version: u64) -> TxnBuilder {
+        let mut builder = TxnBuilder {
+            txn: Txn {
+                conditions: Vec::new(),
+                changes: Vec::new(),
+            },
+            written: Vec::new(),
+            bytes: 0,
+        };
+        builder.require(LEADER_KEY.into(), leader_version);
+        builder
+    }
+
+    fn require(&mut self, key: String, version: u64) {
+        self.txn.conditions.push(Condition { key, version });
+    }
+
+    fn put(&mut self, key: String, value: Record) {
+        self.txn.changes.push(Change::Put {
+            key,
+            value,
+            lease: None,
+        });
+    }
+
+    fn delete(&mut self, key: String) {
+        self.txn.changes.push(Change::Delete { key });
+    }
+}
+
+/// What a record of progress takes in a transaction.
+fn run_record_bytes(record: &RunRecord) -> usize {
+    RECORD_BYTES + record.done.len() + record.hosts.len() * HOST_BYTES
+}
+
 /// The record of an unfinished job's progress, as it should stand.
 fn run_record(job: &Job, teams: &[TeamLimits]) -> RunRecord {
     let running = |p: &&Placement| p.seen.is_some_and(|s| s == TaskState::Running);
@@ -134,172 +196,204 @@
         if self.txn_in_flight || self.lost {
             return None;
         }
-        let delay = self.cfg.tuning.write_delay_s;
-        let teams = self.cfg.clone();
-        let teams = &teams.teams;
-        let end_patience_s = self.cfg.tuning.end_patience_s;
-        let mut due: Vec<(Due, Time, JobId)> = self
+        let due = self.due_jobs(now, spare);
+        let urgent = due.iter().any(|job| job.due != Due::Progress);
+        let limits = TxnLimits {
+            max_changes: (self.cfg.txn_ops).min(if urgent { room.max(2) } else { spare }),
+            room,
+            spare,
+            urgent,
+        };
+        let mut builder = TxnBuilder::new(self.leader_version);
+        let parts = self.write_parts(&mut builder.txn, due.is_empty() && spare > 0);
+        builder.bytes += parts.iter().map(WrittenPart::bytes).sum::<usize>();
+        self.write_due_jobs(&mut builder, due, &limits);
+        let plans = self.write_due_plans(now, &mut builder, &limits);
+        self.write_cleared(&mut builder, &limits);
+        self.write_settled(&mut builder);
+        if builder.txn.changes.is_empty() {
+            return None;
+        }
+        self.txn_in_flight = true;
+        Some(PendingTxn {
+            txn: builder.txn,
+            written: builder.written,
+            parts,
+            plans,
+        })
+    }
+
+    /// Jobs whose records are due, the most urgent first.
+    fn due_jobs(&self, now: Time, spare: usize) -> Vec<DueJob> {
+        let mut due: Vec<DueJob> = self
             .jobs
             .iter()
-            .filter(|(_, j)| !j.cancelled && j.run_version.is_some())
-            .filter_map(|(id, j)| {
-                let since = j.dirty_since?;
-                let due = if j.is_complete() {
-                    if now - since < end_patience_s {
-                        Due::End
-                    } else {
-                        Due::Launch
-                    }
-                } else if j.is_write_urgent() {
-                    Due::Launch
-                } else if spare > 0 && now - since >= delay {
-                    Due::Progress
-                } else {
-                    return None;
-                };
-                let due = match due {
-                    Due::Launch | Due::End if j.spec.is_best_effort() => Due::BestEffort,
-                    due => due,
-                };
-                Some((due, since, id.clone()))
+            .filter(|(_, job)| !job.cancelled && job.run_version.is_some())
+            .filter_map(|(id, job)| {
+                let since = job.dirty_since?;
+                Some(DueJob {
+                    due: self.due_of(job, now - since, spare)?,
+                    since,
+                    id: id.clone(),
+                })
             })
             .collect();
-        due.sort_by(|a, b| a.0.cmp(&b.0).then(a.1.total_cmp(&b.1)).then(a.2.cmp(&b.2)));
-        let urgent = due.iter().any(|(due, ..)| *due != Due::Progress);
-        let most = self
-            .cfg
-            .txn_ops
-            .min(if urgent { room.max(2) } else { spare });
-        let mut txn = Txn {
-            conditions: vec![Condition {
-                key: LEADER_KEY.into(),
-                version: self.leader_version,
-            }],
-            changes: Vec::new(),
+        due.sort_by(|a, b| {
+            a.due
+                .cmp(&b.due)
+                .then(a.since.total_cmp(&b.since))
+                .then(a.id.cmp(&b.id))
+        });
+        due
+    }
+
+    /// Why a job's record that changed `age_s` ago is written now, if it is.
+    fn due_of(&self, job: &Job, age_s: f64, spare: usize) -> Option<Due> {
+        let tuning = &self.cfg.tuning;
+        let due = if job.is_complete() && age_s < tuning.end_patience_s {
+            Due::End
+        } else if job.is_complete() || job.is_write_urgent() {
+            Due::Launch
+        } else if spare > 0 && age_s >= tuning.write_delay_s {
+            Due::Progress
+        } else {
+            return None;
         };
-        let mut bytes = 0;
-        let parts = self.write_parts(&mut txn, due.is_empty() && spare > 0);
-        bytes += parts.iter().map(WrittenPart::bytes).sum::<usize>();
-        let mut written = Vec::new();
-        for (due, _, id) in due {
-            let most = if matches!(due, Due::Progress | Due::BestEffort) {
-                most.min(spare)
-            } else {
-                most
+        match due {
+            Due::Launch | Due::End if job.spec.is_best_effort() => Some(Due::BestEffort),
+            due => Some(due),
+        }
+    }
+
+    fn write_due_jobs(&mut self, builder: &mut TxnBuilder, due: Vec<DueJob>, limits: &TxnLimits) {
+        for DueJob { due, id, .. } in due {
+            let max_changes = match due {
+                Due::Progress | Due::BestEffort => limits.max_changes.min(limits.spare),
+                Due::Launch | Due::End => limits.max_changes,
             };
-            if due == Due::BestEffort && spare < 2 {
+            let changes = builder.txn.changes.len();
+            let is_full = changes + 2 > max_changes && changes > 0;
+            if is_full || (due == Due::BestEffort && limits.spare < 2) {
                 break;
             }
-            if txn.changes.len() + 2 > most && !txn.changes.is_empty() {
-                break;
-            }
-            let Some(job) = self.jobs.get_mut(&id) else {
+            let Some(job) = self.jobs.get(&id) else {
                 continue;
             };
             let Some(run_version) = job.run_version else {
                 continue;
             };
-            let condition = |key: String, version| Condition { key, version };
             if job.is_complete() {
-                job.ending = true;
-                txn.conditions.push(condition(job_key(&id), job.version));
-                txn.changes.push(Change::Delete { key: job_key(&id) });
-                txn.changes.push(Change::Put {
-                    key: over_key(&id),
-                    value: Record::Over(OverRecord {
-                        outcome: Outcome::Done,
-                        done: job.done.count(),
-                    }),
-                    lease: None,
-                });
-                let extra = job.extra();
-                if extra > 0 {
-                    // Attempts are still about: the record stays, and says so.
-                    let record = run_record(job, teams);
-                    bytes += RECORD_BYTES + record.done.len() + record.hosts.len() * HOST_BYTES;
-                    txn.conditions.push(condition(run_key(&id), run_version));
-                    txn.changes.push(Change::Put {
-                        key: run_key(&id),
-                        value: Record::Run(record),
-                        lease: None,
-                    });
-                } else if run_version > 0 {
-                    let full = self.cleared.len() >= self.cfg.tuning.cleared_most as usize;
-                    if full && txn.changes.len() < self.cfg.txn_ops {
-                        txn.changes.push(Change::Delete { key: run_key(&id) });
-                    } else {
-                        self.cleared.insert(id.clone());
-                    }
-                }
-                written.push(Written::End(id));
-                bytes += RECORD_BYTES;
-                continue;
-            }
-            let hosts = job.hosts();
-            let record = run_record(job, teams);
-            let size = RECORD_BYTES + record.done.len() + hosts.len() * HOST_BYTES;
-            if bytes + size > TXN_BYTES && !written.is_empty() {
+                self.write_end(builder, &id, run_version);
+            } else if !self.write_progress(builder, &id, run_version) {
                 break;
             }
-            bytes += size;
-            txn.conditions.push(condition(job_key(&id), job.version));
-            txn.conditions.push(condition(run_key(&id), run_version));
-            job.dirty_since = None;
-            // From here on the record may lose the hosts that are not in this
-            // write: nothing may be started on the strength of the older one.
-            job.recorded_hosts.retain(|h| hosts.contains(h));
-            written.push(Written::Run {
-                id: id.clone(),
-                high: record.high,
-                hosts,
-                done: job.done.clone(),
-                evictions: job.evictions,
-            });
-            txn.changes.push(Change::Put {
-                key: run_key(&id),
-                value: Record::Run(record),
-                lease: None,
-            });
         }
-        // After what jobs wait for, but not for ever: a rental waits for its plan.
+    }
+
+    /// Writes that the job is done: its key goes, its end comes (rule 6).
+    fn write_end(&mut self, builder: &mut TxnBuilder, id: &JobId, run_version: u64) {
+        let Some(job) = self.jobs.get_mut(id) else {
+            return;
+        };
+        job.ending = true;
+        builder.require(job_key(id), job.version);
+        builder.delete(job_key(id));
+        let over = OverRecord {
+            outcome: Outcome::Done,
+            done: job.done.count(),
+        };
+        builder.put(over_key(id), Record::Over(over));
+        if job.extra() > 0 {
+            // Attempts are still about: the record stays, and says so.
+            let record = run_record(job, &self.cfg.teams);
+            builder.bytes += run_record_bytes(&record);
+            builder.require(run_key(id), run_version);
+            builder.put(run_key(id), Record::Run(record));
+        } else if run_version > 0 {
+            let full = self.cleared.len() >= self.cfg.tuning.cleared_most as usize;
+            if full && builder.txn.changes.len() < self.cfg.txn_ops {
+                builder.delete(run_key(id));
+            } else {
+                self.cleared.insert(id.clone());
+            }
+        }
+        builder.written.push(Written::End(id.clone()));
+        builder.bytes += RECORD_BYTES;
+    }
+
+    /// Writes a job's progress; false if the transaction has no room left for it.
+    fn write_progress(&mut self, builder: &mut TxnBuilder, id: &JobId, run_version: u64) -> bool {
+        let Some(job) = self.jobs.get_mut(id) else {
+            return true;
+        };
+        let record = run_record(job, &self.cfg.teams);
+        let bytes = run_record_bytes(&record);
+        if builder.bytes + bytes > TXN_BYTES && !builder.written.is_empty() {
+            return false;
+        }
+        builder.bytes += bytes;
+        builder.require(job_key(id), job.version);
+        builder.require(run_key(id), run_version);
+        job.dirty_since = None;
+        // From here on the record may lose the hosts that are not in this
+        // write: nothing may be started on the strength of the older one.
+        let hosts = job.hosts();
+        job.recorded_hosts.retain(|host| hosts.contains(host));
+        builder.written.push(Written::Run {
+            id: id.clone(),
+            high: record.high,
+            hosts,
+            done: job.done.clone(),
+            evictions: job.evictions,
+        });
+        builder.put(run_key(id), Record::Run(record));
+        true
+    }
+
+    /// Plans go after what jobs wait for, but not for ever: a rental waits for its plan.
+    fn write_due_plans(
+        &mut self,
+        now: Time,
+        builder: &mut TxnBuilder,
+        limits: &TxnLimits,
+    ) -> Vec<WrittenPlan> {
+        let changes = builder.txn.changes.len();
         let overdue = (self.plans.book).is_overdue(now, self.cfg.tuning.plan_patience_s);
-        let planned = if !urgent {
-            most.saturating_sub(txn.changes.len())
-        } else {
-            usize::from(overdue && txn.changes.len() < self.cfg.txn_ops)
+        let max_plans = match limits.urgent {
+            false => limits.max_changes.saturating_sub(changes),
+            true => usize::from(overdue && changes < self.cfg.txn_ops),
         };
-        let left = TXN_BYTES.saturating_sub(bytes);
-        let plans = self.plans.book.write(&mut txn, planned, left);
-        // Beyond a bound they don't wait for a quiet moment: the list stays small.
+        let bytes_left = TXN_BYTES.saturating_sub(builder.bytes);
+        (self.plans.book).write(&mut builder.txn, max_plans, bytes_left)
+    }
+
+    /// Removes progress of jobs that are over, in a quiet moment; beyond a bound it does not
+    /// wait for one, so that the list stays small.
+    fn write_cleared(&self, builder: &mut TxnBuilder, limits: &TxnLimits) {
         let crowded = self.cleared.len() > self.cfg.tuning.cleared_most as usize;
-        if !urgent || crowded {
-            for id in &self.cleared {
-                if txn.changes.len() >= self.cfg.txn_ops.min(if crowded { room } else { spare }) {
-                    break;
-                }
-                if self.jobs.contains_key(id) {
-                    continue;
-                }
-                txn.changes.push(Change::Delete { key: run_key(id) });
-                written.push(Written::Cleared(id.clone()));
-            }
+        if limits.urgent && !crowded {
+            return;
         }
-        if self.recovery_pending && txn.changes.len() < self.cfg.txn_ops && self.is_settled() {
-            txn.changes.push(Change::Delete {
-                key: RECOVERY_PENDING_KEY.into(),
-            });
-            written.push(Written::Settled);
+        let free = if crowded { limits.room } else { limits.spare };
+        let max_changes = self.cfg.txn_ops.min(free);
+        for id in &self.cleared {
+            if builder.txn.changes.len() >= max_changes {
+                break;
+            }
+            if !self.jobs.contains_key(id) {
+                builder.delete(run_key(id));
+                builder.written.push(Written::Cleared(id.clone()));
+            }
         }
-        if txn.changes.is_empty() {
-            return None;
+    }
+
+    /// Removes the note that recovery is pending, once it is not (rule 3).
+    fn write_settled(&self, builder: &mut TxnBuilder) {
+        let has_room = builder.txn.changes.len() < self.cfg.txn_ops;
+        if self.recovery_pending && has_room && self.is_settled() {
+            builder.delete(RECOVERY_PENDING_KEY.into());
+            builder.written.push(Written::Settled);
         }
-        self.txn_in_flight = true;
-        Some(PendingTxn {
-            txn,
-            written,
-            parts,
-            plans,
-        })
     }
 
     /// Machines that a job's record can name beside its completed tasks. The
--- a/crates/umbersail-cycle/src/rankings.rs
+++ b/crates/umbersail-cycle/src/rankings.rs
@@ -52,7 +52,7 @@
         self.versions.len() as u64
     }
 
-    /// CandidateSlots of the ranking opened last, from the cheapest on, as far as `visit`
+    /// Slots of the ranking opened last, from the cheapest on, as far as `visit`
     /// wants them: it tells whether to go on. Those visited keep their slot in
     /// the ranking. How many were looked at.
     pub fn visit(&mut self, mut visit: impl FnMut(usize) -> bool) -> u64 {
--- a/crates/umbersail-cycle/src/slots.rs
+++ b/crates/umbersail-cycle/src/slots.rs
@@ -174,7 +174,7 @@
         (there, !there && slot.coming.contains(&image))
     }
 
-    /// CandidateSlots looked at so far.
+    /// Slots looked at so far.
     pub fn looked(&self) -> u64 {
         self.looked
     }
--- a/crates/umbersail-policy/src/lib.rs
+++ b/crates/umbersail-policy/src/lib.rs
@@ -23,6 +23,6 @@
     smallest_cpus, type_allowed,
 };
 pub use quota::{TeamLimits, Usage, quota_room};
-pub use rent::{Demand, FleetMachine, IdleLimits, Plan, Purchase, plan_rental};
+pub use rent::{Demand, FleetMachine, IdleLimits, Plan, ScaleOutRequest, plan_rental};
 pub use shape::Shape;
 pub use starvation::{ServiceHistory, UnstartedJob, boosted_jobs, free_in_s};
--- a/crates/umbersail-policy/src/rent.rs
+++ b/crates/umbersail-policy/src/rent.rs
@@ -42,7 +42,7 @@
 
 /// Machines to rent.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Purchase {
+pub struct ScaleOutRequest {
     /// Index of the type.
     pub type_index: usize,
     /// The zone.
@@ -57,7 +57,7 @@
 #[derive(Debug, Clone, PartialEq)]
 pub struct Plan<M> {
     /// Machines to rent.
-    pub purchases: Vec<Purchase>,
+    pub requests: Vec<ScaleOutRequest>,
     /// Machines to return.
     pub surplus: Vec<M>,
 }
@@ -110,7 +110,7 @@
         .map(|i| Shape::of_type(&types[fleet[*i].type_index]))
         .collect();
     let mut free = FirstFit::new(&rooms);
-    let mut purchases: Vec<Purchase> = Vec::new();
+    let mut requests: Vec<ScaleOutRequest> = Vec::new();
     // Machines' worth of work that waits for places to fall free.
     let mut deferred = 0.0;
     let mut sorted: Vec<&Demand> = demands.iter().collect();
@@ -138,7 +138,7 @@
                 ordinary,
                 ordinary_share * (fleet.len() as f64 - ordinary),
                 &mut deferred,
-                &mut purchases,
+                &mut requests,
             );
         }
     }
@@ -165,7 +165,7 @@
         })
         .map(|(m, _)| m.machine.clone())
         .collect();
-    Plan { purchases, surplus }
+    Plan { requests, surplus }
 }
 
 /// Types that some demand can't do without: it fits no other.
@@ -241,10 +241,10 @@
     ordinary: f64,
     ordinary_most: f64,
     deferred: &mut f64,
-    purchases: &mut Vec<Purchase>,
+    requests: &mut Vec<ScaleOutRequest>,
 ) {
     while wanted > 0 {
-        let mut best: Option<(f64, Purchase, u32)> = None;
+        let mut best: Option<(f64, ScaleOutRequest, u32)> = None;
         for (i, t) in types.iter().enumerate() {
             let slots = demand.shape.slots_in(&Shape::of_type(t));
             if slots == 0 {
@@ -270,7 +270,7 @@
                         * if scarce { SCARCE_FACTOR } else { 1.0 };
                     // Spread over zones: one zone's wave of taken spot
                     // machines must not take them all.
-                    let already: u32 = purchases
+                    let already: u32 = requests
                         .iter()
                         .filter(|p| p.type_index == i && p.zone == *zone && p.spot == spot)
                         .map(|p| p.count)
@@ -279,7 +279,7 @@
                     if best.as_ref().is_none_or(|(c, _, _)| cost < *c) {
                         best = Some((
                             cost,
-                            Purchase {
+                            ScaleOutRequest {
                                 type_index: i,
                                 zone: zone.clone(),
                                 spot,
@@ -291,16 +291,16 @@
                 }
             }
         }
-        let Some((_, purchase, slots)) = best else {
+        let Some((_, request, slots)) = best else {
             return;
         };
-        if !purchase.spot && demand.spot && demand.turns > 0.0 {
-            let bought: u32 = purchases.iter().filter(|p| !p.spot).map(|p| p.count).sum();
+        if !request.spot && demand.spot && demand.turns > 0.0 {
+            let bought: u32 = requests.iter().filter(|p| !p.spot).map(|p| p.count).sum();
             if ordinary + f64::from(bought) + 1.0 > ordinary_most {
                 return;
             }
             // In machines, since every job has a shape of its own.
-            let bought = purchases
+            let bought = requests
                 .iter()
                 .filter(|p| demand.shape.fits_in(&Shape::of_type(&types[p.type_index])))
                 .map(|p| p.count)
@@ -312,13 +312,11 @@
             }
         }
         wanted = wanted.saturating_sub(slots);
-        match purchases.iter_mut().find(|p| {
-            p.type_index == purchase.type_index
-                && p.zone == purchase.zone
-                && p.spot == purchase.spot
+        match requests.iter_mut().find(|p| {
+            p.type_index == request.type_index && p.zone == request.zone && p.spot == request.spot
         }) {
             Some(p) => p.count += 1,
-            None => purchases.push(purchase),
+            None => requests.push(request),
         }
     }
 }
@@ -373,13 +371,13 @@
             &limits(),
             1e9,
         );
-        assert_eq!(plan.purchases.iter().map(|p| p.count).sum::<u32>(), 2);
-        assert!(plan.purchases.iter().all(|p| p.spot));
+        assert_eq!(plan.requests.iter().map(|p| p.count).sum::<u32>(), 2);
+        assert!(plan.requests.iter().all(|p| p.spot));
         let no_spot = |_: usize, _: &str, spot: bool| spot;
         let plan = plan_rental::<u32>(&types, &[demand(2.0, 8, 0)], &[], no_spot, &limits(), 1e9);
-        assert!(plan.purchases.iter().all(|p| !p.spot));
+        assert!(plan.requests.iter().all(|p| !p.spot));
         let plan = plan_rental::<u32>(&types, &[demand(2.0, 0, 8)], &[], no_spot, &limits(), 1e9);
-        assert_eq!(plan.purchases, vec![]);
+        assert_eq!(plan.requests, vec![]);
     }
 
     #[test]
@@ -399,7 +397,7 @@
             &limits(),
             1e9,
         );
-        assert_eq!(plan.purchases, vec![]);
+        assert_eq!(plan.requests, vec![]);
         assert_eq!(plan.surplus, vec![2]);
         // Somebody who can't wait for a boot may want it soon.
         let mut soon = demand(2.0, 4, 0);
@@ -437,7 +435,7 @@
             1e9,
         );
         let count = |i| {
-            plan.purchases
+            plan.requests
                 .iter()
                 .filter(|p| p.type_index == i)
                 .map(|p| p.count)
@@ -456,12 +454,12 @@
         let mut backlog = demand(2.0, 24, 0);
         backlog.turns = 2.0;
         let plan = plan_rental(&types, &[backlog.clone()], &fleet, no_spot, &limits(), 1e9);
-        assert_eq!(plan.purchases, vec![], "16 wait on 2 machines for 2 turns");
+        assert_eq!(plan.requests, vec![], "16 wait on 2 machines for 2 turns");
         backlog.now = 25;
         let bought = |backlog: &Demand, share| -> u32 {
             let backlog = std::slice::from_ref(backlog);
             let plan = plan_rental(&types, backlog, &fleet, no_spot, &limits(), share);
-            plan.purchases.iter().map(|p| p.count).sum()
+            plan.requests.iter().map(|p| p.count).sum()
         };
         assert_eq!(bought(&backlog, 1e9), 1);
         // However long the backlog, they stay a share of the spot machines.
