--- a/crates/umbersail-calendar/src/entry.rs
+++ b/crates/umbersail-calendar/src/entry.rs
@@ -5,7 +5,7 @@
 use thiserror::Error;
 use xxhash_rust::xxh3::xxh3_64;
 
-use crate::when::{After, Openings, UnixMs, span};
+use crate::when::{After, InvalidValue, Openings, UnixMs, span};
 
 /// Prefix of the keys of all entries.
 pub const PREFIX: &str = "calendar.";
@@ -104,10 +104,10 @@
     fn read<T>(
         &mut self,
         field: &str,
-        read: impl FnOnce(&str) -> Result<T, String>,
+        read: impl FnOnce(&str) -> Result<T, InvalidValue>,
     ) -> Result<Option<T>, EntryError> {
         let read = self.take(field).map(read).transpose();
-        read.map_err(|reason| self.error(field, reason))
+        read.map_err(|reason| self.error(field, reason.to_string()))
     }
 
     fn entry(mut self) -> Result<Entry, EntryError> {
@@ -119,7 +119,7 @@
         let openings = Openings::parse(&zone, &opens, repeat.as_deref())
             .map_err(|(field, reason)| self.error(field, reason))?;
         let due = self.need("due")?;
-        let due = After::parse(&due).map_err(|reason| self.error("due", reason))?;
+        let due = After::parse(&due).map_err(|reason| self.error("due", reason.to_string()))?;
         let mut steps: Vec<Step> = Vec::new();
         let mut seen: BTreeSet<String> = BTreeSet::new();
         while steps.len() < MAX_STEPS {
@@ -166,7 +166,10 @@
         }
         let count = self.read(&field("count"), |text| match text.parse::<u32>() {
             Ok(count) if (1..=MAX_COUNT).contains(&count) => Ok(count),
-            _ => Err(format!("'{text}' must be a number from 1 to {MAX_COUNT}")),
+            _ => Err(InvalidValue::Count {
+                text: text.to_owned(),
+                most: MAX_COUNT,
+            }),
         })?;
         let quiet_s = self.read(&field("quiet"), span)?;
         let until = self.read(&field("until"), After::parse)?;
--- a/crates/umbersail-calendar/src/lib.rs
+++ b/crates/umbersail-calendar/src/lib.rs
@@ -38,8 +38,8 @@
 
 pub use entry::{Calendar, Entry, EntryError, PREFIX};
 pub use event::{RunEvent, RunEventKind, RunKey};
-pub use record::{RunRecord, StepRecord};
+pub use record::{InvalidRunRecord, RunRecord, StepRecord};
 pub use settings::Settings;
 pub use timestamp::Timestamp;
 pub use tracker::{AcceptedJob, RecordWrite, RunTracker, TickOutcome};
-pub use when::{After, Openings, UnixMs};
+pub use when::{After, InvalidValue, Openings, UnixMs};
--- a/crates/umbersail-calendar/src/record.rs
+++ b/crates/umbersail-calendar/src/record.rs
@@ -1,6 +1,7 @@
 //! The persisted record of a run, for a successor.
 
 use serde::{Deserialize, Serialize};
+use thiserror::Error;
 
 use crate::when::UnixMs;
 
@@ -71,20 +72,43 @@
     pub learned: bool,
 }
 
+/// What is wrong with the record of a run.
+#[derive(Debug, Clone, Copy, PartialEq, Eq, Error)]
+pub enum InvalidRunRecord {
+    /// It has no steps, or too many.
+    #[error("it has no steps, or more than {MAX_STEPS}")]
+    StepCount,
+    /// It is due before it opens.
+    #[error("it is due before it opens")]
+    DueBeforeOpening,
+    /// A duration is negative or no number.
+    #[error("a span is no number of seconds")]
+    Span,
+    /// A step takes no jobs.
+    #[error("a step has no class")]
+    NoClass,
+}
+
 impl RunRecord {
-    /// Validates the record; the error is the reason.
-    pub(crate) fn check(&self) -> Result<(), &'static str> {
+    /// Validates the record.
+    pub(crate) fn check(&self) -> Result<(), InvalidRunRecord> {
         let spans = |s: &StepRecord| {
             [s.mean_s, s.range_s, s.quiet_s.unwrap_or(0.0)]
                 .iter()
                 .all(|v| v.is_finite() && *v >= 0.0)
         };
-        match () {
-            () if self.steps.is_empty() || self.steps.len() > MAX_STEPS => Err("it has no steps"),
-            () if self.due_ms < self.opening_ms => Err("it is due before it opens"),
-            () if !self.steps.iter().all(spans) => Err("a span is no number of seconds"),
-            () if self.steps.iter().any(|s| s.classes.is_empty()) => Err("a step has no class"),
-            () => Ok(()),
+        if self.steps.is_empty() || self.steps.len() > MAX_STEPS {
+            return Err(InvalidRunRecord::StepCount);
+        }
+        if self.due_ms < self.opening_ms {
+            return Err(InvalidRunRecord::DueBeforeOpening);
+        }
+        if !self.steps.iter().all(spans) {
+            return Err(InvalidRunRecord::Span);
+        }
+        if self.steps.iter().any(|s| s.classes.is_empty()) {
+            return Err(InvalidRunRecord::NoClass);
         }
+        Ok(())
     }
 }
--- a/crates/umbersail-calendar/src/tracker/mod.rs
+++ b/crates/umbersail-calendar/src/tracker/mod.rs
@@ -8,7 +8,7 @@
 
 use crate::entry::Calendar;
 use crate::event::{RunEvent, RunEventKind, RunKey};
-use crate::record::RunRecord;
+use crate::record::{InvalidRunRecord, RunRecord};
 use crate::run::Run;
 use crate::when::UnixMs;
 use crate::{Settings, Timestamp};
@@ -87,7 +87,7 @@
         at: Timestamp,
         entry: &str,
         record: RunRecord,
-    ) -> Result<(), &'static str> {
+    ) -> Result<(), InvalidRunRecord> {
         record.check()?;
         let key = (entry.into(), record.opening_ms);
         self.runs.insert(key, Run::inherit(record, at));
--- a/crates/umbersail-calendar/src/when.rs
+++ b/crates/umbersail-calendar/src/when.rs
@@ -7,6 +7,7 @@
 use chrono::{DateTime, Days, NaiveDateTime, NaiveTime, Offset, TimeDelta, TimeZone, Utc};
 use chrono_tz::Tz;
 use rrule::{Frequency, RRule, Unvalidated};
+use thiserror::Error;
 
 /// Milliseconds of the time of day since 1970.
 pub type UnixMs = u64;
@@ -30,6 +31,28 @@
     Some(at.with_timezone(&zone).naive_local())
 }
 
+/// The text of a field that is not the value that it should be.
+#[derive(Debug, Clone, PartialEq, Eq, Error)]
+pub enum InvalidValue {
+    /// Neither a time of day nor a span.
+    #[error("'{0}' is neither a time of day such as 06:00 nor a span such as 2h 30m")]
+    NeitherTimeNorSpan(String),
+    /// A span that is too short or too long.
+    #[error("'{0}' must be from 1s to 31days")]
+    SpanOutOfRange(String),
+    /// Not a span.
+    #[error("'{0}' is no span such as 2h 30m")]
+    NoSpan(String),
+    /// Not a number of jobs from 1 on, or too many.
+    #[error("'{text}' must be a number from 1 to {most}")]
+    Count {
+        /// The text.
+        text: String,
+        /// The largest valid number.
+        most: u32,
+    },
+}
+
 /// A time that follows an opening.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum After {
@@ -41,25 +64,23 @@
 
 impl After {
     /// `06:00`, or a span as in `2h 30m`.
-    pub(crate) fn parse(text: &str) -> Result<After, String> {
+    pub(crate) fn parse(text: &str) -> Result<After, InvalidValue> {
         for form in ["%H:%M", "%H:%M:%S"] {
             if let Ok(time) = NaiveTime::parse_from_str(text, form) {
                 return Ok(After::Clock(time));
             }
         }
-        let span = span(text).map_err(|_| {
-            format!("'{text}' is neither a time of day such as 06:00 nor a span such as 2h 30m")
-        })?;
+        let span = span(text).map_err(|_| InvalidValue::NeitherTimeNorSpan(text.to_owned()))?;
         Ok(After::Span((span * 1000.0) as u64))
     }
 }
 
 /// A span such as `2h 30m`, in seconds.
-pub(crate) fn span(text: &str) -> Result<f64, String> {
+pub(crate) fn span(text: &str) -> Result<f64, InvalidValue> {
     match humantime::parse_duration(text) {
         Ok(span) if (1.0..=MAX_SPAN_S).contains(&span.as_secs_f64()) => Ok(span.as_secs_f64()),
-        Ok(_) => Err(format!("'{text}' must be from 1s to 31days")),
-        Err(_) => Err(format!("'{text}' is no span such as 2h 30m")),
+        Ok(_) => Err(InvalidValue::SpanOutOfRange(text.to_owned())),
+        Err(_) => Err(InvalidValue::NoSpan(text.to_owned())),
     }
 }
 
--- a/crates/umbersail-control/src/engine/plans/calendar.rs
+++ b/crates/umbersail-control/src/engine/plans/calendar.rs
@@ -99,7 +99,7 @@
             let taken = match (entry, read) {
                 (Some(entry), Ok(Some(record))) => {
                     let runs = &mut self.plans.calendar.runs;
-                    runs.inherit(at, entry, record).map_err(str::to_owned)
+                    runs.inherit(at, entry, record).map_err(|e| e.to_string())
                 }
                 (_, Err(e)) => Err(e.to_string()),
                 _ => Err("its name has no entry and degraded_mode".to_owned()),
--- a/crates/umbersail-control/src/engine/plans/images.rs
+++ b/crates/umbersail-control/src/engine/plans/images.rs
@@ -289,7 +289,7 @@
                         );
                         continue;
                     }
-                    Err(reason) => reason.to_owned(),
+                    Err(reason) => reason.to_string(),
                 },
                 Ok(None) => continue,
                 Err(e) => e.to_string(),
--- a/crates/umbersail-control/src/front.rs
+++ b/crates/umbersail-control/src/front.rs
@@ -4,14 +4,15 @@
 
 use rand::Rng;
 use serde::de::IgnoredAny;
+use thiserror::Error;
 use tracing::{debug, info, warn};
 use umbersail_http::{Request, Response};
 use umbersail_policy::Shape;
 use umbersail_runtime::{Time, random, timeout};
 use umbersail_standby::ReadOutcome;
 use umbersail_wire::{
-    JobIdOnly, JobKind, JobSpec, JobStage, JobStatus, Misdirected, Refusal, Report, ReportReply,
-    decode, encode, is_job_id, missing_field, paths,
+    InvalidJob, JobIdOnly, JobKind, JobSpec, JobStage, JobStatus, Misdirected, Refusal, Report,
+    ReportReply, decode, encode, is_job_id, missing_field, paths,
 };
 
 use crate::all_replica_read::stage_of;
@@ -23,6 +24,46 @@
 };
 use crate::state::{StateError, Urgency};
 
+/// Why a submission is not taken.
+#[derive(Debug, Error)]
+enum Rejection {
+    #[error("{0}")]
+    Undecodable(String),
+    #[error("missing field `{0}`")]
+    MissingField(&'static str),
+    #[error(transparent)]
+    Invalid(#[from] InvalidJob),
+    #[error("team '{0}' is unknown")]
+    UnknownTeam(String),
+    #[error("needs {need} {what}, the team's limit is {most}")]
+    OverTeamLimit {
+        what: &'static str,
+        need: f64,
+        most: f64,
+    },
+    #[error("its image of {0} GB fits the cache of no allowed machine type")]
+    ImageTooLarge(f64),
+    #[error("a task fits no allowed machine type")]
+    FitsNoType,
+    /// It can't be told yet whether it runs.
+    #[error("machine types not known yet")]
+    TypesUnknown,
+}
+
+impl Rejection {
+    /// The protocol's status: 400 malformed, 422 can never run, 503 come back.
+    fn status(&self) -> u16 {
+        match self {
+            Rejection::Undecodable(_) | Rejection::MissingField(_) | Rejection::Invalid(_) => 400,
+            Rejection::UnknownTeam(_)
+            | Rejection::OverTeamLimit { .. }
+            | Rejection::ImageTooLarge(_)
+            | Rejection::FitsNoType => 422,
+            Rejection::TypesUnknown => 503,
+        }
+    }
+}
+
 /// What the state service holds of a job, read after the request arrived.
 enum JobLookup {
     Unfinished(u64),
@@ -389,24 +430,19 @@
     }
 
     pub(crate) async fn submit(&self, body: &[u8]) -> Response {
-        let refusal = match decode::<JobSpec>(body) {
-            Ok(spec) => match check_submission(&spec, body) {
-                Ok(()) => match self.never_runs(&spec) {
-                    Some(Ok(reason)) => Err((422, spec.id, reason)),
-                    Some(Err(())) => Err((503, spec.id, "machine types not known yet".into())),
-                    None => Ok(spec),
-                },
-                Err(reason) => Err((400, spec.id, reason)),
-            },
-            Err(e) => match decode::<JobIdOnly>(body) {
-                Ok(only) => Err((400, only.id, e.to_string())),
-                Err(_) => return refused(400, &e.to_string()),
-            },
-        };
-        let spec = match refusal {
+        let spec = match decode::<JobSpec>(body) {
             Ok(spec) => spec,
-            Err((status, id, reason)) => return self.refuse(status, &id, &reason).await,
+            Err(e) => {
+                let rejection = Rejection::Undecodable(e.to_string());
+                return match decode::<JobIdOnly>(body) {
+                    Ok(only) => self.refuse(&only.id, &rejection).await,
+                    Err(_) => refused(&rejection),
+                };
+            }
         };
+        if let Err(rejection) = self.check_submission(&spec, body) {
+            return self.refuse(&spec.id, &rejection).await;
+        }
         let id = spec.id.clone();
         let (class, team) = (spec.class.clone(), spec.team.clone());
         let (tasks, cpus) = (spec.tasks, spec.cpus);
@@ -449,7 +485,7 @@
     }
 
     /// A known job is answered from its record, however its repetition looks.
-    async fn refuse(&self, status: u16, id: &str, reason: &str) -> Response {
+    async fn refuse(&self, id: &str, rejection: &Rejection) -> Response {
         if is_job_id(id) {
             match self.find(id, Urgency::Prompt).await {
                 Ok(JobLookup::Unfinished(..)) => return self.unfinished(id, 200).await,
@@ -458,24 +494,34 @@
                 Err(_) => return self.retry_later(),
             }
         }
-        info!(job = id, status, reason, "submission refused");
-        if status == 503 {
-            self.retry_later()
-        } else {
-            refused(status, reason)
+        info!(
+            job = id,
+            status = rejection.status(),
+            reason = %rejection,
+            "submission refused"
+        );
+        match rejection {
+            Rejection::TypesUnknown => self.retry_later(),
+            _ => refused(rejection),
         }
     }
 
-    /// Why a job can never run; `Some(Err)` if that can't be told yet.
-    fn never_runs(&self, spec: &JobSpec) -> Option<Result<String, ()>> {
-        let Some(team) = self
-            .settings
-            .facts
-            .teams
-            .iter()
-            .find(|t| t.name == spec.team)
-        else {
-            return Some(Ok(format!("team '{}' is unknown", spec.team)));
+    /// Whether a submission is well formed and can run some time.
+    fn check_submission(&self, spec: &JobSpec, body: &[u8]) -> Result<(), Rejection> {
+        if let Some(field) = missing_field(body) {
+            return Err(Rejection::MissingField(field));
+        }
+        spec.check()?;
+        self.check_team(spec)?;
+        self.check_types(spec)
+    }
+
+    /// Whether the team is known and its limit takes the job: one task of an array, all
+    /// replicas of a service.
+    fn check_team(&self, spec: &JobSpec) -> Result<(), Rejection> {
+        let mut teams = self.settings.facts.teams.iter();
+        let Some(team) = teams.find(|t| t.name == spec.team) else {
+            return Err(Rejection::UnknownTeam(spec.team.clone()));
         };
         let shape = Shape::of_task(spec);
         let times = if spec.kind == JobKind::Service {
@@ -488,14 +534,17 @@
             ("gpus", shape.gpus * times, team.gpus_max),
         ] {
             if most > 0.0 && need > most + 1e-6 {
-                return Some(Ok(format!(
-                    "needs {need} {what}, the team's limit is {most}"
-                )));
+                return Err(Rejection::OverTeamLimit { what, need, most });
             }
         }
+        Ok(())
+    }
+
+    /// Whether a machine type takes a task of the job.
+    fn check_types(&self, spec: &JobSpec) -> Result<(), Rejection> {
         let types = self.types.borrow();
         if types.is_empty() {
-            return Some(Err(()));
+            return Err(Rejection::TypesUnknown);
         }
         // Where workers hand images on, one that no cache holds would be fetched again and
         // again, and pushed out while others read it.
@@ -503,13 +552,11 @@
         let allowed =
             |t: &&umbersail_wire::MachineType| umbersail_policy::names_type(spec, &t.name);
         if hand_on && !(types.iter().filter(allowed)).any(|t| cache_holds(t, spec)) {
-            let gb = spec.image_gb;
-            let reason = format!("its image of {gb} GB fits the cache of no allowed machine type");
-            return Some(Ok(reason));
+            return Err(Rejection::ImageTooLarge(spec.image_gb));
         }
         match umbersail_policy::smallest_cpus(spec, &types) {
-            Some(_) => None,
-            None => Some(Ok("a task fits no allowed machine type".into())),
+            Some(_) => Ok(()),
+            None => Err(Rejection::FitsNoType),
         }
     }
 
@@ -553,20 +600,12 @@
     decode::<JobSpec>(body).is_ok_and(|spec| spec.is_best_effort())
 }
 
-/// What is wrong with a submission whatever the machines and teams are.
-fn check_submission(spec: &JobSpec, body: &[u8]) -> Result<(), String> {
-    match missing_field(body) {
-        Some(field) => Err(format!("missing field `{field}`")),
-        None => spec.check(),
-    }
-}
-
 /// Refused for good, with the reason.
-fn refused(status: u16, reason: &str) -> Response {
+fn refused(rejection: &Rejection) -> Response {
     let refusal = Refusal {
-        error: reason.to_owned(),
+        error: rejection.to_string(),
     };
-    Response::new(status, encode(&refusal))
+    Response::new(rejection.status(), encode(&refusal))
 }
 
 fn directed(member: String) -> Response {
--- a/crates/umbersail-control/src/leader/scheduler.rs
+++ b/crates/umbersail-control/src/leader/scheduler.rs
@@ -105,8 +105,9 @@
     }
 
     fn schedule_if_due(&self, now: Time, engine: &mut Engine, pacing: &mut Pacing) {
-        let due = now - pacing.last_cycle >= self.tuning.cycle_interval_s;
-        if !engine.is_mid_cycle() && !(engine.wants_schedule() && due) {
+        let rested = now - pacing.last_cycle >= self.tuning.cycle_interval_s;
+        let is_due = engine.is_mid_cycle() || (engine.wants_schedule() && rested);
+        if !is_due {
             return;
         }
         pacing.last_cycle = now;
--- a/crates/umbersail-control/src/lib.rs
+++ b/crates/umbersail-control/src/lib.rs
@@ -2,22 +2,26 @@
 //! and the clients of the state service and the cloud.
 
 mod all_replica_read;
+mod capacity;
 mod cloud;
 mod degraded_mode;
 mod delegate;
 pub mod engine;
 mod front;
+mod health;
 mod leader;
 mod node;
 mod peers;
 mod plans;
 mod polls;
 pub mod records;
+mod redirects;
 mod retry_backoff;
 pub mod settings;
 mod standby;
 mod state;
+mod terminal_cache;
 
 pub use node::run;
 pub use plans::{PlanError, PlannedEntry, check_plans, planned_entries, recorded_plans};
-pub use settings::Settings;
+pub use settings::{InvalidSettings, Settings, SettingsError};
--- a/crates/umbersail-control/src/settings.rs
+++ b/crates/umbersail-control/src/settings.rs
@@ -7,11 +7,56 @@
 use thiserror::Error;
 use umbersail_policy::TeamLimits;
 
-#[derive(Debug, Error, PartialEq, Eq)]
+/// A settings file that can't be used.
+#[derive(Debug, Error, PartialEq)]
 #[error("{file}: {reason}")]
 pub struct SettingsError {
+    /// Path of the file.
     pub file: String,
-    pub reason: String,
+    /// What is wrong with it.
+    pub reason: InvalidSettings,
+}
+
+/// What is wrong with settings.
+#[derive(Debug, Error, PartialEq)]
+pub enum InvalidSettings {
+    /// The file can't be read.
+    #[error("{0}")]
+    Unreadable(String),
+    /// Not TOML, or not of the expected form.
+    #[error("line {line}: {message}")]
+    Syntax {
+        /// Line of the mistake, from 1 on.
+        line: usize,
+        /// The parser's words, in one line.
+        message: String,
+    },
+    /// A number is below its bound, or none.
+    #[error("{key}: {value} must be at least {least}")]
+    TooSmall {
+        /// The key.
+        key: &'static str,
+        /// The value.
+        value: f64,
+        /// The least valid value.
+        least: f64,
+    },
+    /// This node has no name.
+    #[error("member: must not be empty")]
+    NoMember,
+    /// This node stands among its own peers.
+    #[error("known: names this member, {0}")]
+    KnowsItself(String),
+    /// A team's amount is negative, or none.
+    #[error("facts.teams {team}: {key}: {value} must not be negative")]
+    NegativeTeamAmount {
+        /// The team.
+        team: String,
+        /// The key.
+        key: &'static str,
+        /// The value.
+        value: f64,
+    },
 }
 
 #[derive(Debug, Clone, Deserialize)]
@@ -122,24 +167,34 @@
 }
 
 impl Settings {
+    /// Reads and validates a settings file.
+    ///
+    /// # Errors
+    /// The file with what is wrong with it.
     pub fn load(path: &Path) -> Result<Settings, SettingsError> {
         let file = path.display().to_string();
-        let fail = |reason: String| SettingsError {
+        let fail = |reason| SettingsError {
             file: file.clone(),
             reason,
         };
-        let text = std::fs::read_to_string(path).map_err(|e| fail(e.to_string()))?;
+        let text = std::fs::read_to_string(path)
+            .map_err(|e| fail(InvalidSettings::Unreadable(e.to_string())))?;
         Settings::parse(&text).map_err(fail)
     }
 
-    pub fn parse(text: &str) -> Result<Settings, String> {
+    /// Reads and validates the text of a settings file. Unknown fields are ignored.
+    ///
+    /// # Errors
+    /// The first thing that is wrong.
+    pub fn parse(text: &str) -> Result<Settings, InvalidSettings> {
         // The error's own text spans lines with a picture of the place.
         let settings: Settings = toml::from_str(text).map_err(|e| {
             let line = e
                 .span()
                 .map(|s| text[..s.start].lines().count().max(1))
                 .unwrap_or(1);
-            format!("line {line}: {}", e.message().replace('\n', " "))
+            let message = e.message().replace('\n', " ");
+            InvalidSettings::Syntax { line, message }
         })?;
         settings.check()?;
         Ok(settings)
@@ -157,7 +212,18 @@
         teams.collect()
     }
 
-    fn check(&self) -> Result<(), String> {
+    fn check(&self) -> Result<(), InvalidSettings> {
+        self.check_amounts()?;
+        if self.member.is_empty() {
+            return Err(InvalidSettings::NoMember);
+        }
+        if self.peers.iter().any(|p| p.member == self.member) {
+            return Err(InvalidSettings::KnowsItself(self.member.clone()));
+        }
+        self.facts.teams.iter().try_for_each(Team::check)
+    }
+
+    fn check_amounts(&self) -> Result<(), InvalidSettings> {
         let facts = &self.facts;
         let amounts = [
             ("facts.workers.report_s", facts.workers.report_s, 0.05),
@@ -178,28 +244,28 @@
         ];
         for (key, value, least) in amounts {
             if !value.is_finite() || value < least || value > 1e9 {
-                return Err(format!("{key}: {value} must be at least {least}"));
+                return Err(InvalidSettings::TooSmall { key, value, least });
             }
         }
-        if self.member.is_empty() {
-            return Err("member: must not be empty".into());
-        }
-        if self.peers.iter().any(|p| p.member == self.member) {
-            return Err(format!("known: names this member, {}", self.member));
-        }
-        for team in &facts.teams {
-            for (key, value) in [
-                ("cpus", team.cpus),
-                ("cpus_max", team.cpus_max),
-                ("gpus", team.gpus),
-                ("gpus_max", team.gpus_max),
-            ] {
-                if !value.is_finite() || value < 0.0 {
-                    return Err(format!(
-                        "facts.teams {}: {key}: {value} must not be negative",
-                        team.name
-                    ));
-                }
+        Ok(())
+    }
+}
+
+impl Team {
+    fn check(&self) -> Result<(), InvalidSettings> {
+        let amounts = [
+            ("cpus", self.cpus),
+            ("cpus_max", self.cpus_max),
+            ("gpus", self.gpus),
+            ("gpus_max", self.gpus_max),
+        ];
+        for (key, value) in amounts {
+            if !value.is_finite() || value < 0.0 {
+                return Err(InvalidSettings::NegativeTeamAmount {
+                    team: self.name.clone(),
+                    key,
+                    value,
+                });
             }
         }
         Ok(())
@@ -258,10 +324,13 @@
         let settings = Settings::parse(EXAMPLE).unwrap();
         assert_eq!(settings.peers.len(), 1);
         let error = Settings::parse(&EXAMPLE.replace("lease_s = 10.0", "lease_s = -1.0"));
-        assert!(error.unwrap_err().contains("facts.workers.lease_s"));
+        let error = error.unwrap_err().to_string();
+        assert!(error.contains("facts.workers.lease_s"), "{error}");
         let error = Settings::parse(&EXAMPLE.replace("127.0.0.1:8443", "nowhere")).unwrap_err();
+        let error = error.to_string();
         assert!(!error.contains('\n') && error.contains("line"), "{error}");
         let error = Settings::parse(&EXAMPLE.replace("bothy-1", "bothy-0")).unwrap_err();
+        let error = error.to_string();
         assert!(error.contains("known"), "{error}");
         assert!(Settings::parse("member = 5").is_err());
     }
--- a/crates/umbersail-images/src/lib.rs
+++ b/crates/umbersail-images/src/lib.rs
@@ -24,6 +24,6 @@
 
 pub use cache_view::{CacheView, ImageCounts};
 pub use rates::{CompletedFetch, TransferRates};
-pub use record::{ImageRecord, RECORD_VERSION};
+pub use record::{ImageRecord, InvalidImageRecord, RECORD_VERSION};
 pub use request::{Decision, FetchPriority, FetchRequest};
 pub use settings::Settings;
--- a/crates/umbersail-images/src/record.rs
+++ b/crates/umbersail-images/src/record.rs
@@ -1,6 +1,7 @@
 //! The persisted record of an image with an active rollout.
 
 use serde::{Deserialize, Serialize};
+use thiserror::Error;
 
 /// The version of [`ImageRecord`] that this build writes and reads.
 pub const RECORD_VERSION: u32 = 1;
@@ -26,6 +27,20 @@
     pub handed_gb_s: Option<f64>,
 }
 
+/// What is wrong with a record of an image.
+#[derive(Debug, Clone, Copy, PartialEq, Eq, Error)]
+pub enum InvalidImageRecord {
+    /// It has no name.
+    #[error("it names no image")]
+    NoImage,
+    /// Its size is negative or no number.
+    #[error("its size is no amount")]
+    Size,
+    /// It names more than [`ImageRecord::MAX_MACHINES`].
+    #[error("it names too many machines")]
+    TooManyMachines,
+}
+
 impl ImageRecord {
     /// Largest number of machines in a record, so that it stays small.
     pub const MAX_MACHINES: usize = 64;
@@ -34,12 +49,16 @@
     ///
     /// # Errors
     /// The reason why the record is invalid, for the log.
-    pub fn check(&self) -> Result<(), &'static str> {
-        match () {
-            () if self.image.is_empty() => Err("it names no image"),
-            () if !self.gb.is_finite() || self.gb < 0.0 => Err("its size is no amount"),
-            () if self.from_store.len() > Self::MAX_MACHINES => Err("it names too many machines"),
-            () => Ok(()),
+    pub fn check(&self) -> Result<(), InvalidImageRecord> {
+        if self.image.is_empty() {
+            return Err(InvalidImageRecord::NoImage);
+        }
+        if !self.gb.is_finite() || self.gb < 0.0 {
+            return Err(InvalidImageRecord::Size);
+        }
+        if self.from_store.len() > Self::MAX_MACHINES {
+            return Err(InvalidImageRecord::TooManyMachines);
         }
+        Ok(())
     }
 }
--- a/crates/umbersail-rehearsal/src/play.rs
+++ b/crates/umbersail-rehearsal/src/play.rs
@@ -9,7 +9,7 @@
 use rand_chacha::ChaCha8Rng;
 use serde::Serialize;
 use thiserror::Error;
-use umbersail_control::Settings;
+use umbersail_control::{InvalidSettings, Settings};
 use umbersail_runtime::{
     EPOCH_MS, HostId, HostSpec, NetworkConfig, Simulation, WorkDone, WorldHandle, sleep, spawn,
 };
@@ -35,7 +35,9 @@
 #[derive(Debug, Error)]
 pub enum PlayError {
     #[error("settings of the controllers: {0}")]
-    Settings(String),
+    Settings(#[from] InvalidSettings),
+    #[error("settings of the controllers can't be written: {0}")]
+    UnwritableSettings(#[from] toml::ser::Error),
     #[error("controllers.properties: {0}")]
     Properties(String),
     #[error("the simulated world stopped: {0}")]
@@ -123,7 +125,7 @@
             "skew_ms": night.controllers.skew_ms,
         }),
     };
-    toml::to_string(&file).map_err(|e| PlayError::Settings(e.to_string()))
+    Ok(toml::to_string(&file)?)
 }
 
 /// The settings of one controller of a simulated night.
@@ -132,7 +134,7 @@
 /// If the night's amounts are none that a controller takes.
 pub fn settings(night: &Night, index: usize) -> Result<Settings, PlayError> {
     let text = settings_text(night, index, Addresses { simulated: true })?;
-    Settings::parse(&text).map_err(PlayError::Settings)
+    Ok(Settings::parse(&text)?)
 }
 
 /// An aim as the settings restate it to the controllers.
--- a/crates/umbersail-wire/src/jobs.rs
+++ b/crates/umbersail-wire/src/jobs.rs
@@ -2,6 +2,7 @@
 
 use serde::de::IgnoredAny;
 use serde::{Deserialize, Serialize};
+use thiserror::Error;
 
 use crate::decode;
 
@@ -96,6 +97,33 @@
 
 /// Most tasks of one job.
 pub const MAX_TASKS: u32 = 100_000;
+/// Longest name of a class, team, image, zone or machine type, in bytes.
+const MAX_TEXT_BYTES: usize = 200;
+/// Most machine types that a job may name.
+const MAX_TYPES: usize = 64;
+
+/// What is wrong with a submission, whatever the machines and teams are.
+#[derive(Debug, Clone, Copy, PartialEq, Eq, Error)]
+pub enum InvalidJob {
+    /// An amount is negative, not a number or absurd.
+    #[error("{0} is out of range")]
+    OutOfRange(&'static str),
+    /// A name is empty or too long.
+    #[error("{0} must have 1 to {MAX_TEXT_BYTES} bytes")]
+    TextLength(&'static str),
+    /// The id is not of the protocol's form.
+    #[error("id is not of the form req-000412")]
+    Id,
+    /// There are no tasks or too many.
+    #[error("a job has 1 to {MAX_TASKS} tasks")]
+    TaskCount,
+    /// A task takes nothing.
+    #[error("a task takes something of its machine")]
+    TakesNothing,
+    /// Too many machine types, or names of them out of bounds.
+    #[error("machine types must be up to {MAX_TYPES} names")]
+    MachineTypes,
+}
 
 /// True for ids of the protocol's form: `req-` and digits.
 pub fn is_job_id(id: &str) -> bool {
@@ -105,27 +133,30 @@
 }
 
 impl JobSpec {
-    /// Values that no job may have, whatever the machines and teams are.
-    pub fn check(&self) -> Result<(), String> {
-        let amount = |name: &str, value: f64, least: f64| {
+    /// Rejects values that no job may have, whatever the machines and teams are.
+    ///
+    /// # Errors
+    /// The first value that is out of bounds.
+    pub fn check(&self) -> Result<(), InvalidJob> {
+        let amount = |name: &'static str, value: f64, least: f64| {
             if value.is_finite() && value >= least && value <= 1e9 {
                 Ok(())
             } else {
-                Err(format!("{name} is out of range"))
+                Err(InvalidJob::OutOfRange(name))
             }
         };
-        let text = |name: &str, value: &str| {
-            if value.is_empty() || value.len() > 200 {
-                Err(format!("{name} must have 1 to 200 bytes"))
+        let text = |name: &'static str, value: &str| {
+            if value.is_empty() || value.len() > MAX_TEXT_BYTES {
+                Err(InvalidJob::TextLength(name))
             } else {
                 Ok(())
             }
         };
         if !is_job_id(&self.id) {
-            return Err("id is not of the form req-000412".into());
+            return Err(InvalidJob::Id);
         }
         if self.tasks == 0 || self.tasks > MAX_TASKS {
-            return Err(format!("a job has 1 to {MAX_TASKS} tasks"));
+            return Err(InvalidJob::TaskCount);
         }
         text("class", &self.class)?;
         text("team", &self.team)?;
@@ -134,7 +165,7 @@
         amount("gpus", self.gpus(), 0.0)?;
         amount("memory", self.memory_gb, 0.0)?;
         if self.cpus + self.gpus() + self.memory_gb <= 0.0 {
-            return Err("a task takes something of its machine".into());
+            return Err(InvalidJob::TakesNothing);
         }
         amount("image size", self.image_gb, 0.0)?;
         amount("estimate", self.estimate_s, 0.0)?;
@@ -144,9 +175,12 @@
             amount("deadline", deadline, 0.0)?;
         }
         if let Some(types) = &self.types
-            && (types.len() > 64 || types.iter().any(|t| t.is_empty() || t.len() > 200))
+            && (types.len() > MAX_TYPES
+                || types
+                    .iter()
+                    .any(|t| t.is_empty() || t.len() > MAX_TEXT_BYTES))
         {
-            return Err("machine types must be up to 64 names".into());
+            return Err(InvalidJob::MachineTypes);
         }
         if let Some(zone) = &self.zone {
             text("zone", zone)?;
