--- a/crates/umbersail-calendar/src/lib.rs
+++ b/crates/umbersail-calendar/src/lib.rs
@@ -26,6 +26,12 @@
 //! ```
 #![forbid(unsafe_code)]
 #![deny(missing_docs)]
+#![warn(
+    clippy::too_many_lines,
+    clippy::cognitive_complexity,
+    clippy::missing_errors_doc,
+    clippy::missing_panics_doc
+)]
 
 mod entry;
 mod event;
--- a/crates/umbersail-control/src/engine/grant.rs
+++ b/crates/umbersail-control/src/engine/grant.rs
@@ -29,8 +29,11 @@
 
 /// A part found by a new leader.
 pub struct InheritedPart {
+    /// Number of the part, from 0 on.
     pub index: u32,
+    /// Version of its key.
     pub version: u64,
+    /// The part.
     pub part: GrantPart,
 }
 
--- a/crates/umbersail-control/src/engine/mod.rs
+++ b/crates/umbersail-control/src/engine/mod.rs
@@ -65,7 +65,9 @@
 /// What the engine knows of its deployment.
 #[derive(Debug, Clone)]
 pub struct EngineConfig {
+    /// Name of this controller.
     pub member: String,
+    /// Teams with their guarantees and limits.
     pub teams: Vec<TeamLimits>,
     /// Classes with an aim on starting, and within how many seconds.
     pub start_aims: BTreeMap<String, f64>,
@@ -74,20 +76,28 @@
     /// Classes whose jobs still count when they end within so many times
     /// their deadline.
     pub late_aims: BTreeMap<String, f64>,
+    /// Seconds between two heartbeats of a worker.
     pub report_s: f64,
+    /// Seconds that a worker's lease lasts.
     pub lease_s: f64,
+    /// Seconds within which a cancelled job's tasks must be gone.
     pub cancel_s: f64,
+    /// Seconds by which the cloud's list is late.
     pub list_lag_s: f64,
+    /// Most changes of one transaction.
     pub txn_ops: usize,
+    /// Largest value of the state service, in bytes.
     pub value_bytes: usize,
     /// Bound of the error of any node's time of day, in milliseconds.
     pub skew_ms: f64,
     /// Steps of a cycle after which reports and users come first.
     pub slice_steps: u64,
+    /// Operators' constants.
     pub tuning: Rc<Tuning>,
 }
 
 impl EngineConfig {
+    /// Seconds for which a leader that lost the state service goes on answering workers (rule 2).
     pub fn renewal_s(&self) -> f64 {
         self.tuning.renewal_s(self.cancel_s, self.lease_s)
     }
@@ -97,8 +107,11 @@
 pub struct Inheritance {
     /// Of the grant that moved the block here (rule 1).
     pub revision: u64,
+    /// Version of the leader's key, on which every write depends (rule 1).
     pub leader_version: u64,
+    /// The grant, in parts.
     pub parts: Vec<InheritedPart>,
+    /// Unfinished jobs.
     pub jobs: Vec<InheritedJob>,
     /// Jobs that are over whose progress still stands.
     pub over: Vec<(String, RunRecord)>,
@@ -108,14 +121,19 @@
     /// A holder before us may have started tasks that no record tells of, and
     /// not all machines have been accounted for since (rule 3).
     pub predecessor_degraded: bool,
+    /// Machine types of the cloud.
     pub types: Vec<MachineType>,
+    /// Plans, as recorded.
     pub plans: Vec<InheritedPlan>,
 }
 
 /// An unfinished job with the versions of its records.
 pub struct InheritedJob {
+    /// The job as accepted.
     pub record: JobRecord,
+    /// Version of the job's key.
     pub version: u64,
+    /// Its progress with the version of that key, if any is recorded.
     pub run: Option<(RunRecord, u64)>,
 }
 
@@ -137,7 +155,9 @@
 /// What the cloud shall do.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum CloudAction {
+    /// Rent machines.
     Rent(RentRequest),
+    /// Return these machines.
     Delete(Vec<String>),
 }
 
@@ -207,6 +227,7 @@
 }
 
 impl Engine {
+    /// The engine of a new leader, at `now` on its steady clock and `unix_ms` milliseconds since 1970.
     pub fn new(cfg: Rc<EngineConfig>, now: Time, unix_ms: u64, inheritance: Inheritance) -> Engine {
         let tuning = cfg.tuning.clone();
         let mut engine = Engine {
--- a/crates/umbersail-control/src/engine/plans/book.rs
+++ b/crates/umbersail-control/src/engine/plans/book.rs
@@ -21,7 +21,9 @@
 pub struct InheritedPlan {
     /// Kind and name, without the prefix of all plans.
     pub name: String,
+    /// Version of its key.
     pub version: u64,
+    /// The record, not yet looked into.
     pub value: Value,
 }
 
--- a/crates/umbersail-control/src/engine/plans/calendar.rs
+++ b/crates/umbersail-control/src/engine/plans/calendar.rs
@@ -70,11 +70,11 @@
 
 fn log_events(events: &[RunEvent]) {
     for event in events {
-        let (entry, degraded_mode) = (&*event.run.0, event.run.1);
+        let (entry, opening) = (&*event.run.0, event.run.1);
         if event.is_warning() {
-            warn!(entry, degraded_mode, "run {}", event.kind);
+            warn!(entry, opening, "run {}", event.kind);
         } else {
-            info!(entry, degraded_mode, "run {}", event.kind);
+            info!(entry, opening, "run {}", event.kind);
         }
     }
 }
@@ -102,7 +102,7 @@
                     runs.inherit(at, entry, record).map_err(|e| e.to_string())
                 }
                 (_, Err(e)) => Err(e.to_string()),
-                _ => Err("its name has no entry and degraded_mode".to_owned()),
+                _ => Err("its name has no entry and opening".to_owned()),
             };
             if let Err(reason) = taken {
                 warn!(plan = name, reason, "recorded plan set aside");
--- a/crates/umbersail-control/src/engine/plans/reserve.rs
+++ b/crates/umbersail-control/src/engine/plans/reserve.rs
@@ -28,6 +28,11 @@
 /// are not learned from. Twice a fleet of 4,000 machines that is rented at once.
 const MAX_BOOTING: usize = 8192;
 
+/// Room on reserved machines.
+type Rooms<'a> = BTreeMap<&'a MachineId, Shape>;
+/// Tasks that borrow reserved machines, each with its job.
+type Borrowers<'a> = BTreeMap<&'a MachineId, Vec<(&'a JobId, u32, &'a Job)>>;
+
 /// Reservations as this leader has them.
 pub(in crate::engine) struct Reserving {
     entries: Reservations,
@@ -477,12 +482,26 @@
     /// beside them. They count until a report shows them gone, and start elsewhere only
     /// then (rules 3 and 4).
     fn call_back(&mut self, now: Time) {
-        let reserve = &self.plans.reserve;
-        if reserve.bits.is_empty() {
+        if self.plans.reserve.bits.is_empty() {
             return;
         }
-        let mut rooms: BTreeMap<&MachineId, Shape> = BTreeMap::new();
-        let mut lent: BTreeMap<&MachineId, Vec<(&JobId, u32, &Job)>> = BTreeMap::new();
+        let (rooms, lent) = self.reserved_rooms(now);
+        if lent.is_empty() {
+            return;
+        }
+        let stops = self.borrowers_to_stop(rooms, lent);
+        let tasks = stops.len();
+        for (id, task) in stops {
+            self.call_back_task(&id, task);
+        }
+        if tasks > 0 {
+            info!(tasks, "reserved machines are given back");
+        }
+    }
+
+    /// Room on reserved machines, and the borrowers there that give back.
+    fn reserved_rooms(&self, now: Time) -> (Rooms<'_>, Borrowers<'_>) {
+        let (mut rooms, mut lent) = (Rooms::new(), Borrowers::new());
         let silent_after = self.silent_after();
         for (name, machine) in &self.machines {
             let Some(index) = machine.type_index else {
@@ -493,29 +512,41 @@
             }
             let mut room = Shape::of_type(&self.types[index]).plus(&machine.used, -1.0);
             for (id, task) in &machine.tasks {
-                let Some((job, placement)) =
-                    (self.jobs.get(id)).and_then(|j| Some((j, j.live.get(task)?)))
-                else {
+                let Some(job) = self.jobs.get(id) else {
+                    continue;
+                };
+                let Some(placement) = job.live.get(task) else {
                     continue;
                 };
                 if placement.stop.is_some() {
                     room.add(&job.shape, 1.0);
-                } else if job.reservations & machine.reservations & OWN == 0
-                    && reserve.records.iter().any(|(entry, record)| {
-                        let bit = reserve.bits.get(entry).copied().unwrap_or(0);
-                        machine.reservations & bit != 0
-                            && !record.terms.borrow.classes.contains(&job.spec.class)
-                            && self.borrower(now, job, &[]).gives_back(&record.terms)
-                    })
-                {
+                } else if self.gives_back(now, job, machine) {
                     lent.entry(name).or_default().push((id, *task, job));
                 }
             }
             rooms.insert(name, room);
         }
-        if lent.is_empty() {
-            return;
-        }
+        (rooms, lent)
+    }
+
+    /// Whether a job's tasks on a reserved machine are borrowers that can be called back.
+    fn gives_back(&self, now: Time, job: &Job, machine: &Machine) -> bool {
+        let reserve = &self.plans.reserve;
+        job.reservations & machine.reservations & OWN == 0
+            && reserve.records.iter().any(|(entry, record)| {
+                let bit = reserve.bits.get(entry).copied().unwrap_or(0);
+                machine.reservations & bit != 0
+                    && !record.terms.borrow.classes.contains(&job.spec.class)
+                    && self.borrower(now, job, &[]).gives_back(&record.terms)
+            })
+    }
+
+    /// Whom waiting work of the reservations' own needs stopped: free room is filled first.
+    fn borrowers_to_stop(
+        &self,
+        mut rooms: Rooms<'_>,
+        mut lent: Borrowers<'_>,
+    ) -> Vec<(JobId, u32)> {
         let mut stops: Vec<(JobId, u32)> = Vec::new();
         let mut own: Vec<&Job> = self
             .jobs
@@ -554,13 +585,7 @@
                 }
             }
         }
-        let tasks = stops.len();
-        for (id, task) in stops {
-            self.call_back_task(&id, task);
-        }
-        if tasks > 0 {
-            info!(tasks, "reserved machines are given back");
-        }
+        stops
     }
 
     fn call_back_task(&mut self, id: &JobId, task: u32) {
--- a/crates/umbersail-control/src/engine/status.rs
+++ b/crates/umbersail-control/src/engine/status.rs
@@ -45,10 +45,12 @@
         out
     }
 
+    /// Number of machines, in whatever state.
     pub fn machine_count(&self) -> usize {
         self.machines.len()
     }
 
+    /// Number of unfinished jobs.
     pub fn job_count(&self) -> usize {
         self.jobs.len()
     }
--- a/crates/umbersail-control/src/engine/tests/faults.rs
+++ b/crates/umbersail-control/src/engine/tests/faults.rs
@@ -478,7 +478,7 @@
                 self.store.keys.remove(LEADER_KEY);
             }
             for node in 0..NODES {
-                self.tasks(node);
+                self.run_duties(node);
                 self.check_ghosts(node)?;
             }
             for host in 0..WORKERS {
@@ -685,7 +685,7 @@
     }
 
     /// What a node does about twice a second, and its greetings.
-    fn tasks(&mut self, node: usize) {
+    fn run_duties(&mut self, node: usize) {
         let frozen = self.is_on(Kind::Freeze, |f| f.node == node);
         if !self.members[node].up || frozen {
             return;
--- a/crates/umbersail-control/src/engine/tokens.rs
+++ b/crates/umbersail-control/src/engine/tokens.rs
@@ -25,9 +25,13 @@
 /// An empty direct command that brings a worker a token.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Fencing {
+    /// Name of the machine.
     pub machine: String,
+    /// Address of its worker.
     pub addr: std::net::SocketAddr,
+    /// Session that the command is meant for; 0 if none is known.
     pub session: u64,
+    /// The token.
     pub token: u64,
 }
 
--- a/crates/umbersail-control/src/engine/write.rs
+++ b/crates/umbersail-control/src/engine/write.rs
@@ -36,6 +36,7 @@
 /// A transaction on its way.
 #[derive(Debug, Clone)]
 pub struct PendingTxn {
+    /// What is sent.
     pub txn: Txn<Record>,
     written: Vec<Written>,
     parts: Vec<WrittenPart>,
@@ -45,11 +46,14 @@
 /// What is known of a transaction.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum TxnOutcome {
+    /// It was applied.
     Applied {
+        /// The revision of all its changes.
         revision: u64,
     },
     /// These keys did not have the version that was asked for.
     Conflict {
+        /// The keys.
         failed: Vec<String>,
     },
     /// The service says that it did nothing.
--- a/crates/umbersail-control/src/lib.rs
+++ b/crates/umbersail-control/src/lib.rs
@@ -1,5 +1,13 @@
 //! The controller: leadership, the machine block's engine, the front door,
 //! and the clients of the state service and the cloud.
+#![deny(missing_docs)]
+// Tests hold plain definitions of what the engine does in parts, each in one piece.
+#![cfg_attr(not(test), warn(clippy::too_many_lines))]
+#![warn(
+    clippy::cognitive_complexity,
+    clippy::missing_errors_doc,
+    clippy::missing_panics_doc
+)]
 
 mod all_replica_read;
 mod capacity;
--- a/crates/umbersail-control/src/node.rs
+++ b/crates/umbersail-control/src/node.rs
@@ -7,7 +7,7 @@
 
 use rand::Rng;
 use tracing::{info, warn};
-use umbersail_http::{Client, ClientLimits, Handler, serve};
+use umbersail_http::{Client, Handler, serve};
 use umbersail_runtime::{
     Broadcast, Clock, Notify, Routine, TcpListener, Time, random, sleep, spawn,
 };
@@ -16,10 +16,7 @@
 use umbersail_wire::MachineType;
 
 use crate::all_replica_read::AllReplicaReads;
-use crate::capacity::{
-    CLOUD_CONNECTIONS, EXTRA_PEER_CONNECTIONS, MAX_PEER_BODY_BYTES, MIN_OUTGOING,
-    STATE_CONNECTIONS, connections_to_peer,
-};
+use crate::capacity::{cloud_client, peer_client, state_client, worker_client};
 use crate::cloud::CloudClient;
 use crate::delegate::Delegate;
 use crate::engine::{Engine, EngineConfig};
@@ -147,7 +144,10 @@
     pub(crate) changed: Broadcast,
 }
 
-/// Runs a node until the process is killed; returns only if it can't start.
+/// Runs a node until the process is killed.
+///
+/// # Errors
+/// If one of its addresses can't be listened at.
 pub async fn run(settings: Settings, tuning: Tuning, clock: Rc<dyn Clock>) -> std::io::Result<()> {
     let front = TcpListener::bind(settings.front)?;
     let back = TcpListener::bind(settings.back)?;
@@ -179,53 +179,13 @@
 
 impl Node {
     fn new(settings: Settings, tuning: Tuning, clock: Rc<dyn Clock>) -> Rc<Node> {
-        let client = |max_body_bytes, max_per_address, max_idle, max_total| {
-            Client::new(ClientLimits {
-                max_body_bytes,
-                max_per_address,
-                max_idle,
-                max_total,
-                connect_s: 1.0,
-            })
-        };
         let facts = &settings.facts;
-        let state = StateClient::new(
-            client(8 << 20, STATE_CONNECTIONS, 8, STATE_CONNECTIONS),
-            settings.external.state,
-            clock.clone(),
-            facts.state.rps,
-            facts.state.write_rps,
-            tuning.state_timeout_s,
-            tuning.state_silent_s,
-        );
-        let cloud = CloudClient::new(
-            client(1 << 20, CLOUD_CONNECTIONS, 2, CLOUD_CONNECTIONS),
-            settings.external.cloud,
-            clock.clone(),
-            (facts.cloud.rps * tuning.cloud_share).max(0.1),
-            tuning.cloud_timeout_s,
-        );
-        let sockets = facts.resources.max_sockets as f64;
-        let to_peer = connections_to_peer(&tuning, &settings);
         let node = Rc::new(Node {
             tuning: Rc::new(tuning.clone()),
-            state,
-            cloud,
-            // Workers' addresses are many, and what is asked of a worker directly
-            // is rare.
-            http: client(
-                128 << 10,
-                40,
-                2,
-                (sockets * tuning.outgoing_share).max(MIN_OUTGOING) as usize,
-            ),
-            // Reports are handed on to one peer, many at a time.
-            peer_http: client(
-                MAX_PEER_BODY_BYTES,
-                to_peer,
-                to_peer,
-                EXTRA_PEER_CONNECTIONS + to_peer,
-            ),
+            state: state_client(&tuning, &settings, clock.clone()),
+            cloud: cloud_client(&tuning, &settings, clock.clone()),
+            http: worker_client(&tuning, &settings),
+            peer_http: peer_client(&tuning, &settings),
             incarnation: random(|rng| rng.random()),
             role: RefCell::new(Role::Following),
             leader: RefCell::new(None),
@@ -249,14 +209,7 @@
             wake: Notify::default(),
             progress: Broadcast::default(),
             step_down: Notify::default(),
-            failure_detector: RefCell::new(FailureDetector::new(DetectorTimeouts {
-                rank_s: tuning.rank_s,
-                answer_s: tuning.answer_s,
-                silent_answer_s: tuning.silent_answer_s,
-                settle_s: tuning.settle_s,
-                slack_s: tuning.answer_slack_s,
-                cleared_s: tuning.cleared_s,
-            })),
+            failure_detector: RefCell::new(failure_detector(&tuning)),
             suspected: Notify::default(),
             confirmed_failure: Cell::default(),
             campaign_requested: Notify::default(),
@@ -379,6 +332,17 @@
     }
 }
 
+fn failure_detector(tuning: &Tuning) -> FailureDetector {
+    FailureDetector::new(DetectorTimeouts {
+        rank_s: tuning.rank_s,
+        answer_s: tuning.answer_s,
+        silent_answer_s: tuning.silent_answer_s,
+        settle_s: tuning.settle_s,
+        slack_s: tuning.answer_slack_s,
+        cleared_s: tuning.cleared_s,
+    })
+}
+
 /// Routines that end together.
 #[derive(Default)]
 pub(crate) struct TaskGroup(Vec<Routine>);
--- a/crates/umbersail-control/src/plans.rs
+++ b/crates/umbersail-control/src/plans.rs
@@ -17,7 +17,9 @@
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 #[error("key '{key}': {reason}")]
 pub struct PlanError {
+    /// The property.
     pub key: String,
+    /// What is wrong with it.
     pub reason: String,
 }
 
@@ -50,6 +52,7 @@
 pub struct PlannedEntry {
     /// `calendar` or `reserve`, and the entry's name.
     pub name: String,
+    /// The team that it is for.
     pub team: String,
     /// Classes of each step in order; those of a reservation together.
     pub steps: Vec<Vec<String>>,
@@ -75,12 +78,12 @@
         .map_err(|e| refused(e.key, e.reason))?;
     let runs = calendar.entries.iter().map(|(name, entry)| {
         let (last, next) = entry.openings.around(now_ms);
-        let open = last.filter(|degraded_mode| entry.due(*degraded_mode) > now_ms);
+        let open = last.filter(|opening| entry.due(*opening) > now_ms);
         PlannedEntry {
             name: format!("calendar {name}"),
             team: entry.team.clone(),
             steps: entry.steps().map(<[String]>::to_vec).collect(),
-            next_ms: (open.or(next)).map(|degraded_mode| (degraded_mode, entry.due(degraded_mode))),
+            next_ms: (open.or(next)).map(|opening| (opening, entry.due(opening))),
         }
     });
     let windows = reservations.iter().map(|entry| PlannedEntry {
--- a/crates/umbersail-control/src/records.rs
+++ b/crates/umbersail-control/src/records.rs
@@ -29,39 +29,49 @@
 /// Plans of any kind: each under its kind and name.
 pub const PLANS: &str = "plans/";
 
+/// Key of a plan, named by its kind and name.
 pub fn plan_key(name: &str) -> String {
     format!("{PLANS}{name}")
 }
 
+/// Key of an unfinished job.
 pub fn job_key(id: &str) -> String {
     format!("{JOBS}{id}")
 }
 
+/// Key of a part of the grant.
 pub fn part_key(index: u32) -> String {
     format!("{GRANT_PARTS}{index}")
 }
 
+/// Key under which a follower asks whether the leader lives.
 pub fn suspicion_key(member: &str) -> String {
     format!("{SUSPICIONS}{member}")
 }
 
+/// Key of a job's progress.
 pub fn run_key(id: &str) -> String {
     format!("{RUNS}{id}")
 }
 
+/// Key of a job's end.
 pub fn over_key(id: &str) -> String {
     format!("{OVER}{id}")
 }
 
+/// Who leads.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LeaderRecord {
+    /// Name of the leader.
     pub member: String,
+    /// Differs for each start of its process.
     pub incarnation: u64,
 }
 
 /// Who holds the block; the revision that moved it is its token.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize, Default)]
 pub struct GrantRecord {
+    /// Name of the holder.
     pub holder: String,
     /// The holder keeps a job's progress for as long as attempts of it may be
     /// about, and says there what they take. A build that did not leaves a
@@ -77,21 +87,30 @@
 /// Machines that the holder of the block may have started tasks on.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize, Default)]
 pub struct GrantPart {
+    /// The machines.
     pub machines: Vec<GrantedMachine>,
 }
 
+/// A machine of the block.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct GrantedMachine {
+    /// Its name.
     pub name: String,
+    /// Name of its type.
     #[serde(rename = "type")]
     pub machine_type: String,
+    /// Its zone.
     pub zone: String,
+    /// Whether it is a spot machine.
     pub spot: bool,
+    /// Address of its worker; empty if it was not known.
     pub addr: String,
 }
 
+/// An unfinished job.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct JobRecord {
+    /// The job as its user submitted it.
     pub spec: JobSpec,
     /// Time of day of the first attempt that was accepted.
     pub accepted_ms: u64,
@@ -116,6 +135,7 @@
     /// For display.
     #[serde(default)]
     pub done_count: u32,
+    /// Tasks that run, as far as was known when it was written.
     #[serde(default)]
     pub running: u32,
     /// Attempts of completed tasks that may still be about.
@@ -124,6 +144,7 @@
     /// Whose it is and what one task takes, for when the job's own key is gone.
     #[serde(rename = "tm", default)]
     pub team: String,
+    /// CPUs, GPUs and GB of memory of one task.
     #[serde(rename = "sz", default)]
     pub size: Option<(f64, f64, f64)>,
     /// It has failed on every machine that it tried: a successor tries one task.
@@ -145,28 +166,36 @@
     *count == 0
 }
 
+/// How a job ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Outcome {
+    /// All its tasks have completed.
     Done,
+    /// Its user has cancelled it.
     Cancelled,
 }
 
+/// The end of a job, kept for ever.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct OverRecord {
+    /// How it ended.
     pub outcome: Outcome,
     /// Completed tasks.
     pub done: u32,
 }
 
+/// The machine types, as the cloud gave them last.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct CatalogueRecord {
+    /// The types.
     pub types: Vec<MachineType>,
 }
 
 /// A follower asks whether the leader whose key has this version lives.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SuspicionRecord {
+    /// Version of that leader's key.
     pub token: u64,
 }
 
@@ -174,7 +203,9 @@
 /// that no record tells of.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LivenessRecord {
+    /// Version of the leader's key.
     pub token: u64,
+    /// Whether it may have started tasks that no record tells of.
     #[serde(default = "unsaid")]
     pub open: bool,
     /// The newest suspicion that it had seen before it said so.
@@ -190,14 +221,17 @@
 /// The leader that has to account for starts without a record.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RecoveryPendingRecord {
+    /// Name of the leader.
     pub member: String,
 }
 
 /// A plan as recorded. What it says is read by those who know the kind and version.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct PlanRecord {
+    /// Version of what it says, by its kind.
     #[serde(rename = "v")]
     pub version: u32,
+    /// What it says.
     pub plan: Value,
     /// A tombstone: there is no plan, and a late creation of one is to fail. To an older
     /// build it is a plan of a version that it does not know.
@@ -206,6 +240,7 @@
 }
 
 impl PlanRecord {
+    /// A record that there is no plan.
     pub fn tombstone() -> PlanRecord {
         PlanRecord {
             version: 0,
@@ -219,16 +254,27 @@
 #[derive(Debug, Clone, PartialEq, Serialize)]
 #[serde(untagged)]
 pub enum Record {
+    /// Under [`LEADER_KEY`].
     Leader(LeaderRecord),
+    /// Under [`GRANT_KEY`].
     Grant(GrantRecord),
+    /// Under [`GRANT_PARTS`].
     GrantPart(GrantPart),
+    /// Under [`JOBS`].
     Job(JobRecord),
+    /// Under [`RUNS`].
     Run(RunRecord),
+    /// Under [`OVER`].
     Over(OverRecord),
+    /// Under [`CATALOGUE_KEY`].
     Catalogue(CatalogueRecord),
+    /// Under [`SUSPICIONS`].
     Suspicion(SuspicionRecord),
+    /// Under [`LIVENESS_KEY`].
     Liveness(LivenessRecord),
+    /// Under [`RECOVERY_PENDING_KEY`].
     RecoveryPending(RecoveryPendingRecord),
+    /// Under [`PLANS`].
     Plan(PlanRecord),
 }
 
--- a/crates/umbersail-control/src/settings.rs
+++ b/crates/umbersail-control/src/settings.rs
@@ -59,42 +59,64 @@
     },
 }
 
+/// The settings file of one controller.
 #[derive(Debug, Clone, Deserialize)]
 pub struct Settings {
+    /// Its name.
     pub member: String,
+    /// Its zone.
     #[serde(rename = "area", default)]
     pub zone: String,
+    /// Where users, workers and health checks reach it.
     pub front: SocketAddr,
+    /// Where the other controllers reach it.
     pub back: SocketAddr,
+    /// The other controllers.
     #[serde(rename = "known", default)]
     pub peers: Vec<Peer>,
+    /// The systems that it uses.
     pub external: External,
+    /// What is known of the deployment.
     pub facts: Facts,
 }
 
+/// Another controller.
 #[derive(Debug, Clone, Deserialize)]
 pub struct Peer {
+    /// Its name.
     pub member: String,
+    /// Its zone.
     #[serde(rename = "area", default)]
     pub zone: String,
+    /// Where it answers controllers.
     pub addr: SocketAddr,
 }
 
+/// Addresses of outside systems.
 #[derive(Debug, Clone, Deserialize)]
 pub struct External {
+    /// The cloud.
     pub cloud: SocketAddr,
+    /// The state service.
     pub state: SocketAddr,
 }
 
+/// What is known of the deployment.
 #[derive(Debug, Clone, Deserialize)]
 pub struct Facts {
+    /// Teams with their guarantees and limits.
     #[serde(default)]
     pub teams: Vec<Team>,
+    /// Service-level objectives.
     #[serde(default)]
     pub objectives: Vec<Objective>,
+    /// The workers' intervals.
     pub workers: Workers,
+    /// Limits of the state service.
     pub state: StateFacts,
+    /// Limits of the cloud.
     pub cloud: CloudFacts,
+    /// What one controller has.
     pub resources: Resources,
     /// Bound of the error of any node's time of day, in milliseconds.
     #[serde(default = "a_second")]
@@ -105,15 +127,21 @@
     1000.0
 }
 
+/// A team. Amounts of 0 mean none.
 #[derive(Debug, Clone, Deserialize)]
 pub struct Team {
+    /// Its name.
     pub name: String,
+    /// CPUs that it is guaranteed.
     #[serde(default)]
     pub cpus: f64,
+    /// Most CPUs that its tasks may use at a time.
     #[serde(default)]
     pub cpus_max: f64,
+    /// GPUs that it is guaranteed.
     #[serde(default)]
     pub gpus: f64,
+    /// Most GPUs that its tasks may use at a time.
     #[serde(default)]
     pub gpus_max: f64,
 }
@@ -121,11 +149,15 @@
 /// An aim on starting or finishing, as far as the settings restate it.
 #[derive(Debug, Clone, Deserialize)]
 pub struct Objective {
+    /// What it is about; those of an unknown kind are ignored.
     pub kind: String,
+    /// The class that it is about; none: work of any class.
     #[serde(default)]
     pub class: Option<String>,
+    /// Seconds within which work should start.
     #[serde(default)]
     pub within_s: Option<f64>,
+    /// Share of the work for which it should hold.
     #[serde(default)]
     pub share: Option<f64>,
     /// Of a deadline: how many times its length still counts.
@@ -133,32 +165,46 @@
     pub times: Option<f64>,
 }
 
+/// The workers' intervals.
 #[derive(Debug, Clone, Deserialize)]
 pub struct Workers {
+    /// Seconds between two heartbeats.
     pub report_s: f64,
+    /// Seconds that a worker's lease lasts.
     pub lease_s: f64,
+    /// Seconds within which a cancelled job's tasks must be gone.
     pub cancel_s: f64,
 }
 
+/// Limits of the state service, for all controllers together.
 #[derive(Debug, Clone, Deserialize)]
 pub struct StateFacts {
+    /// Requests a second.
     pub rps: f64,
+    /// Changes a second.
     pub write_rps: f64,
+    /// Largest value, in KiB.
     pub value_kb: f64,
+    /// Most changes of one transaction.
     pub txn_ops: usize,
 }
 
+/// Limits of the cloud.
 #[derive(Debug, Clone, Deserialize)]
 pub struct CloudFacts {
+    /// Requests a second.
     pub rps: f64,
+    /// Seconds by which its list is late.
     pub list_lag_s: f64,
 }
 
+/// What one controller has.
 #[derive(Debug, Clone, Deserialize)]
 pub struct Resources {
     /// Share of one core; a whole one if the platform says nothing.
     #[serde(default = "a_whole_core")]
     pub cpu: f64,
+    /// Most sockets of the process.
     pub max_sockets: usize,
 }
 
--- a/crates/umbersail-cycle/src/lib.rs
+++ b/crates/umbersail-cycle/src/lib.rs
@@ -22,6 +22,12 @@
 //! assert!(!slots.is_hopeless(&any, &shape(2.0)));
 //! ```
 #![deny(missing_docs)]
+#![warn(
+    clippy::too_many_lines,
+    clippy::cognitive_complexity,
+    clippy::missing_errors_doc,
+    clippy::missing_panics_doc
+)]
 
 mod cheapest;
 mod preemptible;
--- a/crates/umbersail-http/src/client.rs
+++ b/crates/umbersail-http/src/client.rs
@@ -124,6 +124,9 @@
     }
 
     /// Sends one request and waits for status and body, `seconds` at most.
+    ///
+    /// # Errors
+    /// Why there is no answer, and with that whether the request may have been executed.
     pub async fn request(
         &self,
         addr: SocketAddr,
@@ -137,6 +140,9 @@
     }
 
     /// Sends one request and waits for its answer, `seconds` at most.
+    ///
+    /// # Errors
+    /// Why there is no answer, and with that whether the request may have been executed.
     pub async fn ask(
         &self,
         addr: SocketAddr,
--- a/crates/umbersail-http/src/lib.rs
+++ b/crates/umbersail-http/src/lib.rs
@@ -1,6 +1,12 @@
 //! HTTP/1.1 on `httparse`: a server and a pooled client, both bounded in
 //! bodies, connections and time.
 #![deny(missing_docs)]
+#![warn(
+    clippy::too_many_lines,
+    clippy::cognitive_complexity,
+    clippy::missing_errors_doc,
+    clippy::missing_panics_doc
+)]
 
 mod client;
 mod server;
--- a/crates/umbersail-images/src/lib.rs
+++ b/crates/umbersail-images/src/lib.rs
@@ -11,6 +11,12 @@
 //! the store and of peers from the duration of completed fetches.
 #![forbid(unsafe_code)]
 #![deny(missing_docs)]
+#![warn(
+    clippy::too_many_lines,
+    clippy::cognitive_complexity,
+    clippy::missing_errors_doc,
+    clippy::missing_panics_doc
+)]
 
 mod cache_view;
 mod fetch;
--- a/crates/umbersail-ledger/src/lib.rs
+++ b/crates/umbersail-ledger/src/lib.rs
@@ -17,6 +17,12 @@
 //! assert_eq!(ledger.txn(0.0, &txn), Ok(Outcome::Failed { keys: vec!["a/b".into()] }));
 //! ```
 #![deny(missing_docs)]
+#![warn(
+    clippy::too_many_lines,
+    clippy::cognitive_complexity,
+    clippy::missing_errors_doc,
+    clippy::missing_panics_doc
+)]
 
 pub mod api;
 mod limit;
--- a/crates/umbersail-policy/src/bitmap.rs
+++ b/crates/umbersail-policy/src/bitmap.rs
@@ -89,6 +89,9 @@
     }
 
     /// Reads the form that [`Bitmap::to_text`] writes.
+    ///
+    /// # Errors
+    /// If the text is of neither form, or names an index beyond `size`.
     pub fn from_text(text: &str, size: u32) -> Result<Bitmap, BitmapError> {
         let mut out = Bitmap::new(size);
         if let Some(hex) = text.strip_prefix('#') {
--- a/crates/umbersail-policy/src/lib.rs
+++ b/crates/umbersail-policy/src/lib.rs
@@ -1,6 +1,12 @@
 //! Decisions without I/O and without a clock: what fits where, whom to evict,
 //! what to rent, and what a team may use.
 #![deny(missing_docs)]
+#![warn(
+    clippy::too_many_lines,
+    clippy::cognitive_complexity,
+    clippy::missing_errors_doc,
+    clippy::missing_panics_doc
+)]
 
 mod bitmap;
 mod evict;
--- a/crates/umbersail-rehearsal/src/bound.rs
+++ b/crates/umbersail-rehearsal/src/bound.rs
@@ -69,7 +69,7 @@
 }
 
 fn jobs(night: &Night, events: &[Event], row: &Served, end: f64) -> Vec<Job> {
-    struct PollOutcome<'a> {
+    struct JobTrace<'a> {
         spec: &'a JobSpec,
         asked_at: f64,
         work_s: f64,
@@ -77,11 +77,11 @@
         complete_at: Option<f64>,
         cancelled: bool,
     }
-    let mut seen: BTreeMap<&str, PollOutcome<'_>> = BTreeMap::new();
+    let mut seen: BTreeMap<&str, JobTrace<'_>> = BTreeMap::new();
     for event in events {
         match &event.what {
             What::Asked { spec } => {
-                let job = PollOutcome {
+                let job = JobTrace {
                     spec,
                     asked_at: event.t,
                     work_s: 0.0,
@@ -117,7 +117,7 @@
         }
     }
     let counted = seen.into_values().filter(|j| !j.cancelled);
-    let known = |j: PollOutcome<'_>| {
+    let known = |j: JobTrace<'_>| {
         let due = j.spec.deadline_s.map_or(end, |d| j.asked_at + d);
         let of = match row.of.is_of_team() {
             true => j.spec.team == row.name,
--- a/crates/umbersail-rehearsal/src/runs.rs
+++ b/crates/umbersail-rehearsal/src/runs.rs
@@ -28,7 +28,7 @@
     #[serde(default = "Run::once")]
     #[schemars(range(min = 1, max = 1440))]
     pub every_min: u32,
-    /// All must be over so many seconds after the degraded_mode.
+    /// All must be over so many seconds after the opening.
     #[schemars(range(min = 1.0, max = 86400.0))]
     pub due_s: f64,
     /// A step closes once none has come for so long, should one never come.
@@ -136,7 +136,7 @@
 }
 
 impl Users {
-    /// Submits the jobs of all runs: at the degraded_mode where the calendar keeps the steps
+    /// Submits the jobs of all runs: at the opening where the calendar keeps the steps
     /// apart, else each step once the one before has been told to be over.
     pub(crate) fn submit_runs(self: &Rc<Self>) {
         let night = self.night();
@@ -182,7 +182,7 @@
 }
 
 #[derive(Default)]
-struct PollOutcome {
+struct JobTrace {
     run: usize,
     step: usize,
     tasks: u32,
@@ -203,7 +203,7 @@
     let mut runs: BTreeMap<(String, u64), usize> = BTreeMap::new();
     // When each opened, and when its jobs have certainly been seen before a step closed.
     let mut times: Vec<(f64, f64, f64)> = Vec::new();
-    let mut jobs: BTreeMap<&str, PollOutcome> = BTreeMap::new();
+    let mut jobs: BTreeMap<&str, JobTrace> = BTreeMap::new();
     for event in events {
         match &event.what {
             What::OfRun {
@@ -278,7 +278,7 @@
             let Some(began) = job.began_at.filter(|at| *at < certain_due) else {
                 continue;
             };
-            let waits_for = |(_, j): &(&&str, &PollOutcome)| {
+            let waits_for = |(_, j): &(&&str, &JobTrace)| {
                 j.step < job.step
                     && !j.left
                     && j.accepted_at.is_some_and(|at| at < *certain)
--- a/crates/umbersail-reserve/src/lib.rs
+++ b/crates/umbersail-reserve/src/lib.rs
@@ -6,6 +6,12 @@
 //! record by entry ([`ReserveRecord`]). [`plan`] brings the records up to what is: the
 //! caller records them, and asks the cloud only for requests that are recorded, so
 //! that a successor asks by the same names and rents nothing twice.
+#![warn(
+    clippy::too_many_lines,
+    clippy::cognitive_complexity,
+    clippy::missing_errors_doc,
+    clippy::missing_panics_doc
+)]
 
 mod admit;
 mod boots;
--- a/crates/umbersail-runtime/src/lib.rs
+++ b/crates/umbersail-runtime/src/lib.rs
@@ -8,6 +8,12 @@
 //! `executor` on `sim`; `net`, `sync`, `time`, `world` and `simulation` on the
 //! executor.
 #![deny(missing_docs)]
+#![warn(
+    clippy::too_many_lines,
+    clippy::cognitive_complexity,
+    clippy::missing_errors_doc,
+    clippy::missing_panics_doc
+)]
 
 mod clock;
 mod executor;
--- a/crates/umbersail-standby/src/lib.rs
+++ b/crates/umbersail-standby/src/lib.rs
@@ -16,6 +16,12 @@
 //! assert_eq!(failure_detector.step(10.1, 0), Step::Replace(412));
 //! ```
 #![deny(missing_docs)]
+#![warn(
+    clippy::too_many_lines,
+    clippy::cognitive_complexity,
+    clippy::missing_errors_doc,
+    clippy::missing_panics_doc
+)]
 
 mod all_replica_read;
 mod degraded_mode;
--- a/crates/umbersail-tuning/src/lib.rs
+++ b/crates/umbersail-tuning/src/lib.rs
@@ -9,6 +9,12 @@
 //! Keys under [`PLAN_PREFIXES`] are entries of plans, handed on as they stand to the
 //! packages that understand them.
 #![deny(missing_docs)]
+#![warn(
+    clippy::too_many_lines,
+    clippy::cognitive_complexity,
+    clippy::missing_errors_doc,
+    clippy::missing_panics_doc
+)]
 
 use std::collections::BTreeMap;
 use std::io::Read;
@@ -407,6 +413,10 @@
     }
 
     /// Reads a properties file over the defaults.
+    ///
+    /// # Errors
+    /// If it is no properties file, or a key is unknown, stands twice or has a value out of
+    /// its range.
     pub fn from_properties(input: impl Read) -> Result<Tuning, TuningError> {
         let mut pairs: BTreeMap<String, String> = BTreeMap::new();
         let mut twice = None;
--- a/crates/umbersail-wire/src/lib.rs
+++ b/crates/umbersail-wire/src/lib.rs
@@ -4,6 +4,12 @@
 //! `serde` renames. Everything else in the project uses the field's standard
 //! terms. Clients written in Rust can use this package as it is.
 #![deny(missing_docs)]
+#![warn(
+    clippy::too_many_lines,
+    clippy::cognitive_complexity,
+    clippy::missing_errors_doc,
+    clippy::missing_panics_doc
+)]
 
 mod cloud;
 mod jobs;
@@ -53,7 +59,7 @@
     /// Greetings between controllers.
     pub const PEER_HELLO: &str = "/peer/hello";
     /// A hello whose answer waits until its receiver does not lead any more.
-    pub const PEER_WATCH_LEADER: &str = "/peer/watch_leader";
+    pub const PEER_WATCH_LEADER: &str = "/peer/attend";
     /// The leader asks to start tasks without a record while the state service is out.
     pub const PEER_DEGRADED_MODE: &str = "/peer/open";
     /// A worker's report, handed on by a node that it can reach.
@@ -88,6 +94,9 @@
 }
 
 /// Reads a message; it must be a map, unknown fields are ignored.
+///
+/// # Errors
+/// If the bytes are not a MessagePack map, or a field is missing or invalid.
 pub fn decode<'a, T: Deserialize<'a>>(bytes: &'a [u8]) -> Result<T, DecodeError> {
     match bytes.first() {
         // fixmap, map 16, map 32: a struct would also be read from a list.
--- a/crates/umbersail-wire/tests/golden_messages.rs
+++ b/crates/umbersail-wire/tests/golden_messages.rs
@@ -15,7 +15,7 @@
     KeyValue, LeaseGranted, LeaseRequest, ListedMachine, MachineList, MachineNames, MachineState,
     MachineType, Misdirected, Priority, Refusal, RenewedMachine, RentRequest, ReplicaReadAnswer,
     ReplicaReadEntry, ReplicaReadRequest, Report, ReportReply, TaskReport, TaskState, Txn,
-    TxnResult, Value, WatchEvent, WatchResult, decode, encode,
+    TxnResult, Value, WatchEvent, WatchResult, decode, encode, paths,
 };
 
 const GOLDEN: &str = include_str!("golden/messages.txt");
@@ -420,3 +420,35 @@
         },
     );
 }
+
+#[test]
+fn paths_are_those_of_the_build_in_production() {
+    // Guards against a renamed constant that takes the path along: the other build would
+    // answer 404 for as long as both run.
+    let known = [
+        (paths::JOBS, "/v2/runs"),
+        (paths::CANCEL, "abort"),
+        (paths::HEALTH, "/ready"),
+        (paths::REPORT, "/v1/report"),
+        (paths::WORKER_COMMANDS, "/orders"),
+        (paths::MACHINE_TYPES, "/catalog"),
+        (paths::MACHINES, "/hosts"),
+        (paths::DELETE_MACHINES, "/hosts/delete"),
+        (paths::KEYS, "/keys"),
+        (paths::TXN, "/multi"),
+        (paths::LEASES, "/holds"),
+        (paths::RENEW, "renew"),
+        (paths::WATCH, "/follow"),
+        (paths::PEER_HELLO, "/peer/hello"),
+        (paths::PEER_WATCH_LEADER, "/peer/attend"),
+        (paths::PEER_DEGRADED_MODE, "/peer/open"),
+        (paths::PEER_REPORT, "/peer/report"),
+        (paths::PEER_SUBMIT, "/peer/runs"),
+        (paths::PEER_POLL, "/peer/poll"),
+        (paths::PEER_CANCEL, "/peer/abort"),
+        (paths::PEER_REPLICA_READ, "/peer/word"),
+    ];
+    for (path, expected) in known {
+        assert_eq!(path, expected);
+    }
+}
