--- a/crates/umbersail-control/src/degraded_mode.rs
+++ b/crates/umbersail-control/src/degraded_mode.rs
@@ -38,23 +38,23 @@
                 // Records of what was started and of what has ended meanwhile
                 // take a while: until most are written, starts go on without.
                 let back_s = now - *back_at.get_or_insert(now);
-                state == DegradedMode::Open
+                state == DegradedMode::Active
                     && self.is_in_time(now)
                     && back_s < self.tuning.degraded_mode_catch_up_s
                     && self.with_engine(token, |e| e.unrecorded_jobs() > FEW_UNRECORDED)
                         == Some(true)
             };
-            if state == DegradedMode::Shut && wanted && !self.request_degraded_mode(token).await {
+            if state == DegradedMode::Off && wanted && !self.request_degraded_mode(token).await {
                 sleep(REFUSED_S).await;
             }
-            if state == DegradedMode::Open && !wanted {
+            if state == DegradedMode::Active && !wanted {
                 info!("starts without a record are over");
                 self.degraded_mode.borrow_mut().close();
                 self.with_engine(token, |e| e.set_degraded(false));
                 self.wake.notify();
             }
             let recorded = || self.with_engine(token, |e| e.unrecorded_jobs()) == Some(0);
-            if state == DegradedMode::Closing && recorded() {
+            if state == DegradedMode::Draining && recorded() {
                 info!("all that was started is recorded");
                 self.degraded_mode.borrow_mut().recorded();
             }
@@ -66,7 +66,7 @@
     fn wants_degraded_mode(&self, now: Time, token: u64) -> bool {
         self.state_is_out(now)
             && self.is_in_time(now)
-            && (self.degraded_mode.borrow().is_open()
+            && (self.degraded_mode.borrow().allows_starts()
                 || self.with_engine(token, |e| e.has_waiting_for_degraded_mode()) == Some(true))
     }
 
@@ -91,16 +91,16 @@
     /// Asks all peers; true if every one of them agrees. While they are asked we
     /// say that we may be open, so that none who agreed takes it for over.
     async fn request_degraded_mode(&self, token: u64) -> bool {
-        *self.degraded_mode.borrow_mut() = DegradedMode::Asking(BTreeSet::new());
+        *self.degraded_mode.borrow_mut() = DegradedMode::Requesting(BTreeSet::new());
         let peers = &self.settings.peers;
         if peers.is_empty() {
-            *self.degraded_mode.borrow_mut() = DegradedMode::Open;
+            *self.degraded_mode.borrow_mut() = DegradedMode::Active;
         }
         join_all(peers.iter().map(|peer| self.request_agreement(token, peer))).await;
         let now = self.clock.now();
-        if !self.wants_degraded_mode(now, token) || !self.degraded_mode.borrow().is_open() {
+        if !self.wants_degraded_mode(now, token) || !self.degraded_mode.borrow().allows_starts() {
             // Whoever agreed hears with our next greeting that nothing came of it.
-            *self.degraded_mode.borrow_mut() = DegradedMode::Shut;
+            *self.degraded_mode.borrow_mut() = DegradedMode::Off;
             return false;
         }
         info!("starts without a record, with all peers' agreement: the state service is out");
@@ -162,7 +162,7 @@
             if is_leader(self) {
                 let now = self.clock.now();
                 let mut memory = self.degraded_mode_record.borrow_mut();
-                agreed = memory.agrees(now, request.token, request.token, out);
+                agreed = memory.agree(now, request.token, request.token, out);
             }
         }
         let cancelled = self.lately_cancelled();
--- a/crates/umbersail-control/src/engine/tests/faults.rs
+++ b/crates/umbersail-control/src/engine/tests/faults.rs
@@ -733,8 +733,11 @@
             lead.superseded || lead.engine.is_lost() || gone
         });
         if over && let Some(lead) = self.members[node].lead.take() {
-            let (revision, open) = (lead.engine.revision(), lead.degraded_mode.may_be_open());
-            self.members[node].memory.held(now, revision, open);
+            let (revision, open) = (
+                lead.engine.revision(),
+                lead.degraded_mode.may_have_unrecorded(),
+            );
+            self.members[node].memory.held_by_us(now, revision, open);
         }
         self.run_degraded_mode(node, now);
         self.tend(node, now);
@@ -782,7 +785,7 @@
             lease: None,
         };
         let before = self.store.version(GRANT_KEY);
-        let open = before > 0 && self.members[node].memory.may_be_open(before);
+        let open = before > 0 && self.members[node].memory.may_have_unrecorded(before);
         let predecessor_degraded = open || self.store.version(RECOVERY_PENDING_KEY) > 0;
         let mut changes = vec![
             put(LEADER_KEY, Record::Leader(leader)),
@@ -817,7 +820,7 @@
             start_until: 0.0,
             renew_until: 0.0,
             superseded: false,
-            degraded_mode: DegradedMode::Shut,
+            degraded_mode: DegradedMode::Off,
             answered: BTreeSet::new(),
             deleted: BTreeSet::new(),
             delivers: None,
@@ -840,15 +843,15 @@
                 .renew_until
                 .min(lead.renew_until - renewal_s + degraded_mode_s);
         match lead.degraded_mode {
-            DegradedMode::Shut if !reachable && in_time && !lead.superseded => {
-                lead.degraded_mode = DegradedMode::Asking(Default::default());
+            DegradedMode::Off if !reachable && in_time && !lead.superseded => {
+                lead.degraded_mode = DegradedMode::Requesting(Default::default());
             }
-            DegradedMode::Open if reachable || !in_time => {
+            DegradedMode::Active if reachable || !in_time => {
                 lead.degraded_mode.close();
                 lead.engine.set_degraded(false);
                 return;
             }
-            DegradedMode::Closing if lead.engine.unrecorded_jobs() == 0 => {
+            DegradedMode::Draining if lead.engine.unrecorded_jobs() == 0 => {
                 lead.degraded_mode.recorded();
                 return;
             }
@@ -861,9 +864,8 @@
             let member = &mut self.members[peer];
             let at = member.clock.at(t);
             let newest = member.leader.map_or(0, |(_, revision)| revision);
-            let agreed = here && member.lead.is_none() && {
-                member.memory.agrees(at, revision, newest, out)
-            };
+            let agreed =
+                here && member.lead.is_none() && { member.memory.agree(at, revision, newest, out) };
             if let Some(lead) = self.members[node]
                 .lead
                 .as_mut()
@@ -873,11 +875,11 @@
             }
         }
         if let Some(lead) = &mut self.members[node].lead {
-            if lead.degraded_mode.is_open() {
+            if lead.degraded_mode.allows_starts() {
                 lead.engine.set_degraded(true);
                 self.opened += 1;
             } else {
-                lead.degraded_mode = DegradedMode::Shut;
+                lead.degraded_mode = DegradedMode::Off;
             }
         }
     }
@@ -1045,7 +1047,7 @@
             up_ms: ((now - member.started) * 1000.0) as u64,
             renewed: member.delegate.renewed(now),
             leads: member.lead.is_some(),
-            open: (member.lead.as_ref()).is_some_and(|l| l.degraded_mode.may_be_open()),
+            open: (member.lead.as_ref()).is_some_and(|l| l.degraded_mode.may_have_unrecorded()),
             recorded: member.memory.recorded(),
             ..umbersail_wire::Hello::default()
         }
@@ -1067,11 +1069,13 @@
             member.delegate.delegated(hello.token, until, &hello.over);
         }
         if hello.leads && hello.leader.as_ref() == Some(&hello.member) {
-            member.memory.told(asked, hello.token, hello.open);
+            member
+                .memory
+                .holder_reported(asked, hello.token, hello.open);
         } else if let Some(token) = hello.recorded {
-            // Of its own former process only (`DegradedModeRecord::told_by_peer`).
+            // Of its own former process only (`DegradedModeRecord::peer_reported`).
             let former_self = member.leader == Some((node, token)) && member.lead.is_none();
-            member.memory.told_by_peer(token, former_self);
+            member.memory.peer_reported(token, former_self);
         }
         if let Some(lead) = &mut member.lead {
             let up_s = hello.up_ms as f64 / 1000.0;
@@ -1361,7 +1365,7 @@
         if lead.deleted.contains(machine) {
             return Err(format!("{t:.1}: {machine} is deleted and counted on"));
         }
-        let may_start = lead.degraded_mode.is_open() || now < lead.start_until;
+        let may_start = lead.degraded_mode.allows_starts() || now < lead.start_until;
         let commands = lead.engine.reply(now, report, may_start);
         Ok(Answer::Reply(
             lead.engine.token_for(&report.machine),
--- a/crates/umbersail-control/src/front.rs
+++ b/crates/umbersail-control/src/front.rs
@@ -287,7 +287,7 @@
 
     /// Whether our lease still covers the start of tasks (rule 2).
     fn may_start(&self, now: Time) -> bool {
-        let open = self.degraded_mode.borrow().is_open();
+        let open = self.degraded_mode.borrow().allows_starts();
         matches!(&*self.role.borrow(), Role::Leading(l) if open || now < l.lease.start_until())
     }
 
--- a/crates/umbersail-control/src/leader/election.rs
+++ b/crates/umbersail-control/src/leader/election.rs
@@ -157,7 +157,11 @@
             .await
             .ok()?
             .is_some();
-        let open = version > 0 && self.degraded_mode_record.borrow().may_be_open(version);
+        let open = version > 0
+            && self
+                .degraded_mode_record
+                .borrow()
+                .may_have_unrecorded(version);
         let predecessor_degraded = open || recovery_pending;
         let leader = LeaderRecord {
             member: self.settings.member.clone(),
--- a/crates/umbersail-control/src/leader/mod.rs
+++ b/crates/umbersail-control/src/leader/mod.rs
@@ -124,10 +124,11 @@
 
     async fn leave_term(&self, lease_id: u64, token: u64) {
         // What we know of our own starts, should we succeed ourselves.
-        let unrecorded = std::mem::take(&mut *self.degraded_mode.borrow_mut()).may_be_open();
+        let unrecorded =
+            std::mem::take(&mut *self.degraded_mode.borrow_mut()).may_have_unrecorded();
         self.degraded_mode_record
             .borrow_mut()
-            .held(self.clock.now(), token, unrecorded);
+            .held_by_us(self.clock.now(), token, unrecorded);
         *self.role.borrow_mut() = Role::Following;
         self.set_resigning(false);
         self.changed.raise();
--- a/crates/umbersail-control/src/peers.rs
+++ b/crates/umbersail-control/src/peers.rs
@@ -45,7 +45,7 @@
             leads: leading && !superseded && !self.resigning.get(),
             resigns: leading && self.resigning.get(),
             recorded: self.degraded_mode_record.borrow().recorded(),
-            open: leading && self.degraded_mode.borrow().may_be_open(),
+            open: leading && self.degraded_mode.borrow().may_have_unrecorded(),
             standby: standby.map(|s| s.member),
             lag_ms: (self.lag.get().mean_s() * 1000.0) as u64,
             state_ago_ms: (self.state.last_answer())
@@ -106,18 +106,20 @@
             peer.silent = false;
         }
         if hello.leads {
-            self.failure_detector.borrow_mut().well(hello.token);
+            self.failure_detector
+                .borrow_mut()
+                .clear_suspicion(hello.token);
         }
         if (hello.leads || hello.resigns) && hello.leader.as_deref() == Some(&*hello.member) {
             let mut memory = self.degraded_mode_record.borrow_mut();
-            memory.told(asked_at, hello.token, hello.open);
+            memory.holder_reported(asked_at, hello.token, hello.open);
         } else if let Some(token) = hello.recorded {
             // As good as the leader's own word if that was our former process (rule 3).
             let former_self = (self.leader.borrow().as_ref())
                 .is_some_and(|(name, t)| *name == self.settings.member && *t == token)
                 && matches!(&*self.role.borrow(), Role::Following);
             let mut memory = self.degraded_mode_record.borrow_mut();
-            memory.told_by_peer(token, former_self);
+            memory.peer_reported(token, former_self);
         }
         if let Some(renewal_ms) = hello.renewal_ms
             && hello.leader.as_deref() == Some(&*hello.member)
--- a/crates/umbersail-control/src/standby.rs
+++ b/crates/umbersail-control/src/standby.rs
@@ -9,7 +9,7 @@
 use tracing::{debug, info};
 use umbersail_http::{ClientError, Response};
 use umbersail_runtime::{Time, sleep, timeout};
-use umbersail_standby::{Candidate, Evidence, HandOver, Step, hands_over, next_leader};
+use umbersail_standby::{Candidate, DetectorStep, Evidence, HandOver, hands_over, next_leader};
 use umbersail_wire::{Hello, decode, encode, paths};
 
 use crate::engine::TxnOutcome;
@@ -75,7 +75,7 @@
     fn on_leader_watch_reply(&self, token: u64, hello: &Hello) -> bool {
         self.on_hello(hello);
         if hello.leads && hello.token == token {
-            self.failure_detector.borrow_mut().well(token);
+            self.failure_detector.borrow_mut().clear_suspicion(token);
             return true;
         }
         let other = (self.elected.get())
@@ -112,7 +112,7 @@
         if self
             .failure_detector
             .borrow_mut()
-            .against(now, token, evidence)
+            .suspect(now, token, evidence)
         {
             info!(token, ?evidence, "speaks against the leader");
             self.suspected.notify();
@@ -138,13 +138,13 @@
                 .borrow()
                 .step(now, self.campaign_rank());
             let wait_s = match step {
-                Step::Rest => REST_S,
-                Step::Wait(until) => until - now,
-                Step::Ask => {
+                DetectorStep::Rest => REST_S,
+                DetectorStep::Wait(until) => until - now,
+                DetectorStep::Ask => {
                     self.probe_leader().await;
                     0.05
                 }
-                Step::Replace(token) => {
+                DetectorStep::Replace(token) => {
                     self.confirm_leader_failure(
                         token,
                         "its own word, or another process in its place",
@@ -185,7 +185,7 @@
                 let ours = |a: &&LivenessRecord| a.token == token && a.answers >= revision;
                 for alive in words.filter(ours) {
                     let mut memory = self.degraded_mode_record.borrow_mut();
-                    memory.told(put_at, token, alive.open);
+                    memory.holder_reported(put_at, token, alive.open);
                 }
                 self.failure_detector.borrow_mut().answered(now, token);
             }
@@ -206,7 +206,7 @@
         // It may have said something in the meantime, or another may lead.
         let rested = matches!(
             self.failure_detector.borrow().step(self.clock.now(), 0),
-            Step::Rest | Step::Wait(_)
+            DetectorStep::Rest | DetectorStep::Wait(_)
         );
         if !rested && self.remote_leader().is_some_and(|(_, t)| t == token) {
             info!(token, reason, "the leader is to be replaced");
@@ -233,7 +233,7 @@
                     };
                     let txn = liveness(LivenessRecord {
                         token,
-                        open: self.degraded_mode.borrow().may_be_open(),
+                        open: self.degraded_mode.borrow().may_have_unrecorded(),
                         answers,
                     });
                     let outcome = self.state.txn(&txn, Urgency::Vital).await;
--- a/crates/umbersail-standby/src/degraded_mode.rs
+++ b/crates/umbersail-standby/src/degraded_mode.rs
@@ -11,7 +11,7 @@
 
 /// What one controller knows of the holder's starts without a record.
 #[derive(Debug, Clone, Copy, PartialEq)]
-enum Known {
+enum HolderKnowledge {
     /// It agreed at this time, and has not been told since that all is recorded.
     Open(Time),
     /// The holder has told this process that all is recorded. It can't start
@@ -24,7 +24,7 @@
 pub struct DegradedModeRecord {
     /// The holder's token.
     token: u64,
-    known: Option<Known>,
+    known: Option<HolderKnowledge>,
     /// The first holder's token that this process read at the state service.
     first: Option<u64>,
 }
@@ -41,34 +41,34 @@
     /// it is the newest we know of and the state service answers us no more than
     /// it: then no other can have been elected either. Our own former process can, and
     /// may have started tasks; so this one must have read a holder itself first.
-    pub fn agrees(&mut self, now: Time, token: u64, newest: u64, state_is_out: bool) -> bool {
+    pub fn agree(&mut self, now: Time, token: u64, newest: u64, state_is_out: bool) -> bool {
         let read = self.first.is_some_and(|first| first <= token);
         if !state_is_out || token != newest || !read {
             return false;
         }
         self.token = token;
-        self.known = Some(Known::Open(now));
+        self.known = Some(HolderKnowledge::Open(now));
         true
     }
 
     /// The holder's answer to a question that we asked at `asked`: whether it
     /// may have started anything that is not recorded. An answer to an older
     /// question than our own word says nothing.
-    pub fn told(&mut self, asked: Time, token: u64, open: bool) {
+    pub fn holder_reported(&mut self, asked: Time, token: u64, open: bool) {
         // That it may be open is no news: it can't be without our agreement, and
         // a process that does not know takes it for open anyway.
         if open || token < self.token {
             return;
         }
         let agreed = match self.known {
-            Some(Known::Open(at)) if self.token == token => Some(at),
+            Some(HolderKnowledge::Open(at)) if self.token == token => Some(at),
             _ => None,
         };
         if agreed.is_some_and(|at| asked <= at) {
             return;
         }
         self.token = token;
-        self.known = Some(Known::Recorded);
+        self.known = Some(HolderKnowledge::Recorded);
     }
 
     /// A peer that was asked by this process knows the holder with this token to have
@@ -76,22 +76,22 @@
     /// dead, as our own former process is: a holder that lives may be asking just now,
     /// and have our agreement, or that of the process before us, while the peer's is
     /// still to come.
-    pub fn told_by_peer(&mut self, token: u64, of_former_self: bool) {
-        let agreed = self.token == token && matches!(self.known, Some(Known::Open(_)));
+    pub fn peer_reported(&mut self, token: u64, of_former_self: bool) {
+        let agreed = self.token == token && matches!(self.known, Some(HolderKnowledge::Open(_)));
         if of_former_self && !agreed && token >= self.token {
             self.token = token;
-            self.known = Some(Known::Recorded);
+            self.known = Some(HolderKnowledge::Recorded);
         }
     }
 
     /// We held this token until now ourselves, and whether we left anything that
     /// is not recorded.
-    pub fn held(&mut self, now: Time, token: u64, open: bool) {
+    pub fn held_by_us(&mut self, now: Time, token: u64, open: bool) {
         self.token = token;
         self.known = Some(if open {
-            Known::Open(now)
+            HolderKnowledge::Open(now)
         } else {
-            Known::Recorded
+            HolderKnowledge::Recorded
         });
     }
 
@@ -99,7 +99,7 @@
     /// can't start anything without a record before we agree, so for the process that
     /// succeeds the holder's at its place our word is as good as the holder's own.
     pub fn recorded(&self) -> Option<u64> {
-        (self.known == Some(Known::Recorded)).then_some(self.token)
+        (self.known == Some(HolderKnowledge::Recorded)).then_some(self.token)
     }
 
     /// Whether tasks may run that were started under this token or an older one and
@@ -109,8 +109,8 @@
     ///
     /// That a holder never had our agreement says nothing of the one before it: its
     /// election may have been sent before that one asked, and carried out after.
-    pub fn may_be_open(&self, token: u64) -> bool {
-        if self.known != Some(Known::Recorded) {
+    pub fn may_have_unrecorded(&self, token: u64) -> bool {
+        if self.known != Some(HolderKnowledge::Recorded) {
             return true;
         }
         self.token != token && self.first.is_none_or(|first| token <= first)
@@ -122,33 +122,33 @@
 pub enum DegradedMode {
     /// All that was started is recorded.
     #[default]
-    Shut,
+    Off,
     /// These have agreed so far.
-    Asking(BTreeSet<String>),
+    Requesting(BTreeSet<String>),
     /// Tasks are started without a record.
-    Open,
+    Active,
     /// No more, but some are not recorded yet.
-    Closing,
+    Draining,
 }
 
 impl DegradedMode {
     /// What others are told: whether something may have been started that is not
     /// recorded. Also while they are asked: who agreed must not take it for closed.
-    pub fn may_be_open(&self) -> bool {
-        *self != DegradedMode::Shut
+    pub fn may_have_unrecorded(&self) -> bool {
+        *self != DegradedMode::Off
     }
 
     /// Whether unrecorded starts are allowed now.
-    pub fn is_open(&self) -> bool {
-        *self == DegradedMode::Open
+    pub fn allows_starts(&self) -> bool {
+        *self == DegradedMode::Active
     }
 
     /// A peer has agreed. Once all of them have, tasks may be started.
     pub fn agreed(&mut self, member: &str, peers: usize) {
-        if let DegradedMode::Asking(agreed) = self {
+        if let DegradedMode::Requesting(agreed) = self {
             agreed.insert(member.to_owned());
             if agreed.len() == peers {
-                *self = DegradedMode::Open;
+                *self = DegradedMode::Active;
             }
         }
     }
@@ -156,16 +156,16 @@
     /// The state service answers again, or the time to start is over.
     pub fn close(&mut self) {
         match self {
-            DegradedMode::Asking(_) => *self = DegradedMode::Shut,
-            DegradedMode::Open => *self = DegradedMode::Closing,
-            DegradedMode::Shut | DegradedMode::Closing => {}
+            DegradedMode::Requesting(_) => *self = DegradedMode::Off,
+            DegradedMode::Active => *self = DegradedMode::Draining,
+            DegradedMode::Off | DegradedMode::Draining => {}
         }
     }
 
     /// All that was started is recorded.
     pub fn recorded(&mut self) {
-        if *self == DegradedMode::Closing {
-            *self = DegradedMode::Shut;
+        if *self == DegradedMode::Draining {
+            *self = DegradedMode::Off;
         }
     }
 }
@@ -180,26 +180,26 @@
         // without a record: one that lost its memory, one whose agreement was
         // overtaken by an older answer, one that knows of another holder only.
         let mut memory = DegradedModeRecord::default();
-        assert!(memory.may_be_open(7));
-        memory.told(1.0, 7, false);
-        assert!(!memory.may_be_open(7) && memory.may_be_open(8));
+        assert!(memory.may_have_unrecorded(7));
+        memory.holder_reported(1.0, 7, false);
+        assert!(!memory.may_have_unrecorded(7) && memory.may_have_unrecorded(8));
         memory.read(7);
         assert_eq!(memory.recorded(), Some(7));
         assert!(
-            !memory.agrees(2.0, 7, 7, false),
+            !memory.agree(2.0, 7, 7, false),
             "the state service answers us"
         );
-        assert!(!memory.agrees(2.0, 7, 8, true), "another leads");
-        assert!(!memory.may_be_open(7));
-        assert!(memory.agrees(2.0, 7, 7, true));
-        assert!(memory.may_be_open(7));
-        memory.told(1.9, 7, false);
-        assert!(memory.may_be_open(7) && memory.recorded().is_none());
-        memory.told(2.5, 7, true);
-        memory.told(2.6, 6, false);
-        assert!(memory.may_be_open(7));
-        memory.told(3.0, 7, false);
-        assert!(!memory.may_be_open(7));
+        assert!(!memory.agree(2.0, 7, 8, true), "another leads");
+        assert!(!memory.may_have_unrecorded(7));
+        assert!(memory.agree(2.0, 7, 7, true));
+        assert!(memory.may_have_unrecorded(7));
+        memory.holder_reported(1.9, 7, false);
+        assert!(memory.may_have_unrecorded(7) && memory.recorded().is_none());
+        memory.holder_reported(2.5, 7, true);
+        memory.holder_reported(2.6, 6, false);
+        assert!(memory.may_have_unrecorded(7));
+        memory.holder_reported(3.0, 7, false);
+        assert!(!memory.may_have_unrecorded(7));
     }
 
     #[test]
@@ -209,22 +209,22 @@
         let (mut early, mut late) = (DegradedModeRecord::default(), DegradedModeRecord::default());
         for memory in [&mut early, &mut late] {
             memory.read(7);
-            memory.told(1.0, 7, false);
+            memory.holder_reported(1.0, 7, false);
         }
-        assert!(early.agrees(2.0, 7, 7, true));
+        assert!(early.agree(2.0, 7, 7, true));
         let word = late.recorded();
-        assert!(late.agrees(2.1, 7, 7, true));
-        early.told_by_peer(word.unwrap(), false);
-        assert!(early.may_be_open(7) && early.recorded().is_none());
-        early.told_by_peer(7, true);
-        assert!(early.may_be_open(7), "it has agreed itself");
+        assert!(late.agree(2.1, 7, 7, true));
+        early.peer_reported(word.unwrap(), false);
+        assert!(early.may_have_unrecorded(7) && early.recorded().is_none());
+        early.peer_reported(7, true);
+        assert!(early.may_have_unrecorded(7), "it has agreed itself");
         // A process that took the place of one that agreed knows nothing of that.
         let mut anew = DegradedModeRecord::default();
-        anew.told_by_peer(7, false);
-        assert!(anew.may_be_open(7));
+        anew.peer_reported(7, false);
+        assert!(anew.may_have_unrecorded(7));
         // Unless the holder was its own former process, which is dead.
-        anew.told_by_peer(7, true);
-        assert!(!anew.may_be_open(7));
+        anew.peer_reported(7, true);
+        assert!(!anew.may_have_unrecorded(7));
     }
 
     #[test]
@@ -235,18 +235,21 @@
         let mut memory = DegradedModeRecord::default();
         memory.read(7);
         memory.read(9);
-        assert!(memory.may_be_open(7), "it may have been elected before us");
-        memory.told(0.5, 7, false);
-        assert!(!memory.may_be_open(9));
+        assert!(
+            memory.may_have_unrecorded(7),
+            "it may have been elected before us"
+        );
+        memory.holder_reported(0.5, 7, false);
+        assert!(!memory.may_have_unrecorded(9));
         // One that only asks is not open, whatever it says of itself.
-        memory.told(0.6, 9, true);
-        assert!(!memory.may_be_open(9));
-        assert!(memory.agrees(1.0, 9, 9, true));
-        assert!(memory.may_be_open(9));
-        memory.told(2.0, 11, false);
-        assert!(!memory.may_be_open(11) && !memory.may_be_open(12));
-        memory.held(3.0, 13, true);
-        assert!(memory.may_be_open(13));
+        memory.holder_reported(0.6, 9, true);
+        assert!(!memory.may_have_unrecorded(9));
+        assert!(memory.agree(1.0, 9, 9, true));
+        assert!(memory.may_have_unrecorded(9));
+        memory.holder_reported(2.0, 11, false);
+        assert!(!memory.may_have_unrecorded(11) && !memory.may_have_unrecorded(12));
+        memory.held_by_us(3.0, 13, true);
+        assert!(memory.may_have_unrecorded(13));
     }
 
     #[test]
@@ -254,11 +257,11 @@
         // Guards against a process that was elected, started a task and ended: its next
         // one hears of the holder before it, and would agree that this one starts it too.
         let mut memory = DegradedModeRecord::default();
-        memory.told(1.0, 7, false);
-        assert!(!memory.agrees(2.0, 7, 7, true));
+        memory.holder_reported(1.0, 7, false);
+        assert!(!memory.agree(2.0, 7, 7, true));
         memory.read(8);
-        assert!(!memory.agrees(2.0, 7, 7, true), "it was replaced before");
-        assert!(memory.agrees(2.0, 8, 8, true));
+        assert!(!memory.agree(2.0, 7, 7, true), "it was replaced before");
+        assert!(memory.agree(2.0, 8, 8, true));
     }
 
     #[test]
@@ -268,35 +271,35 @@
         // without a record: nobody leads under it, and it says that all is recorded.
         let mut agreed = DegradedModeRecord::default();
         agreed.read(7);
-        agreed.told(1.0, 7, false);
-        assert!(!agreed.may_be_open(8));
-        assert!(agreed.agrees(2.0, 7, 7, true));
-        assert!(agreed.may_be_open(8));
+        agreed.holder_reported(1.0, 7, false);
+        assert!(!agreed.may_have_unrecorded(8));
+        assert!(agreed.agree(2.0, 7, 7, true));
+        assert!(agreed.may_have_unrecorded(8));
         // A process that took the place of one that agreed.
         let mut anew = DegradedModeRecord::default();
         anew.read(7);
-        assert!(anew.may_be_open(8));
-        anew.told(3.0, 8, false);
-        assert!(!anew.may_be_open(8) && !anew.may_be_open(9));
+        assert!(anew.may_have_unrecorded(8));
+        anew.holder_reported(3.0, 8, false);
+        assert!(!anew.may_have_unrecorded(8) && !anew.may_have_unrecorded(9));
     }
 
     #[test]
     fn a_holder_opens_once_all_have_agreed_and_shuts_once_all_is_recorded() {
         // Guards against starts that a peer who may succeed does not know of.
-        let mut degraded_mode = DegradedMode::Asking(BTreeSet::new());
+        let mut degraded_mode = DegradedMode::Requesting(BTreeSet::new());
         degraded_mode.agreed("b", 2);
         degraded_mode.agreed("b", 2);
-        assert!(!degraded_mode.is_open() && degraded_mode.may_be_open());
+        assert!(!degraded_mode.allows_starts() && degraded_mode.may_have_unrecorded());
         let mut refused = degraded_mode.clone();
         refused.close();
-        assert_eq!(refused, DegradedMode::Shut);
+        assert_eq!(refused, DegradedMode::Off);
         degraded_mode.agreed("c", 2);
-        assert!(degraded_mode.is_open());
+        assert!(degraded_mode.allows_starts());
         degraded_mode.recorded();
-        assert!(degraded_mode.is_open());
+        assert!(degraded_mode.allows_starts());
         degraded_mode.close();
-        assert!(degraded_mode.may_be_open() && !degraded_mode.is_open());
+        assert!(degraded_mode.may_have_unrecorded() && !degraded_mode.allows_starts());
         degraded_mode.recorded();
-        assert_eq!(degraded_mode, DegradedMode::Shut);
+        assert_eq!(degraded_mode, DegradedMode::Off);
     }
 }
--- a/crates/umbersail-standby/src/failure_detector.rs
+++ b/crates/umbersail-standby/src/failure_detector.rs
@@ -44,7 +44,7 @@
 
 /// What to do next.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub enum Step {
+pub enum DetectorStep {
     /// Nothing speaks against the leader.
     Rest,
     /// Others go first.
@@ -101,7 +101,7 @@
     }
 
     /// Something speaks against the leader with this token. True if that is new.
-    pub fn against(&mut self, now: Time, token: u64, evidence: Evidence) -> bool {
+    pub fn suspect(&mut self, now: Time, token: u64, evidence: Evidence) -> bool {
         if token != self.token || token == 0 {
             return false;
         }
@@ -122,7 +122,7 @@
     }
 
     /// The leader has answered us, and leads.
-    pub fn well(&mut self, token: u64) {
+    pub fn clear_suspicion(&mut self, token: u64) {
         if token == self.token {
             self.evidence = None;
         }
@@ -162,20 +162,20 @@
 
     /// What to do now. `rank` is 0 for the one whom the leader named, and counts
     /// on from 1 for the others.
-    pub fn step(&self, now: Time, rank: usize) -> Step {
+    pub fn step(&self, now: Time, rank: usize) -> DetectorStep {
         let Some((evidence, since)) = self.evidence else {
-            return Step::Rest;
+            return DetectorStep::Rest;
         };
         let turn = since + rank as f64 * self.timeouts.rank_s;
         if now < turn {
-            return Step::Wait(turn);
+            return DetectorStep::Wait(turn);
         }
         match evidence {
             Evidence::Silent | Evidence::Closed if now < self.cleared_until => {
-                Step::Wait(self.cleared_until)
+                DetectorStep::Wait(self.cleared_until)
             }
-            Evidence::Silent | Evidence::Closed => Step::Ask,
-            Evidence::Replaced | Evidence::Resigned => Step::Replace(self.token),
+            Evidence::Silent | Evidence::Closed => DetectorStep::Ask,
+            Evidence::Replaced | Evidence::Resigned => DetectorStep::Replace(self.token),
         }
     }
 }
@@ -202,21 +202,21 @@
         // Guards against a lead that changes hands while connections between
         // controllers are refused and the leader is well.
         let mut w = failure_detector();
-        assert_eq!(w.step(0.0, 0), Step::Rest);
-        assert!(w.against(1.0, 7, Evidence::Closed));
-        assert!(!w.against(1.1, 7, Evidence::Closed));
-        assert_eq!(w.step(1.1, 0), Step::Ask);
-        assert_eq!(w.step(1.1, 2), Step::Wait(1.8));
+        assert_eq!(w.step(0.0, 0), DetectorStep::Rest);
+        assert!(w.suspect(1.0, 7, Evidence::Closed));
+        assert!(!w.suspect(1.1, 7, Evidence::Closed));
+        assert_eq!(w.step(1.1, 0), DetectorStep::Ask);
+        assert_eq!(w.step(1.1, 2), DetectorStep::Wait(1.8));
         w.answered(1.3, 7);
-        assert_eq!(w.step(1.3, 0), Step::Rest);
-        w.against(1.4, 7, Evidence::Closed);
-        assert_eq!(w.step(1.4, 0), Step::Wait(6.3));
-        assert_eq!(w.step(6.3, 0), Step::Ask);
+        assert_eq!(w.step(1.3, 0), DetectorStep::Rest);
+        w.suspect(1.4, 7, Evidence::Closed);
+        assert_eq!(w.step(1.4, 0), DetectorStep::Wait(6.3));
+        assert_eq!(w.step(6.3, 0), DetectorStep::Ask);
         // Its own word needs no question, not even within that time.
-        assert!(w.against(2.0, 7, Evidence::Resigned));
-        assert_eq!(w.step(2.0, 0), Step::Replace(7));
-        w.well(7);
-        assert_eq!(w.step(2.0, 0), Step::Rest);
+        assert!(w.suspect(2.0, 7, Evidence::Resigned));
+        assert_eq!(w.step(2.0, 0), DetectorStep::Replace(7));
+        w.clear_suspicion(7);
+        assert_eq!(w.step(2.0, 0), DetectorStep::Rest);
     }
 
     #[test]
@@ -228,8 +228,8 @@
         assert!(!w.unanswered(1.0, 1.2));
         assert!(!w.unanswered(1.0, 9.0));
         // Nor does the silence of a leader that has just been elected.
-        assert!(!w.against(5.0, 7, Evidence::Silent));
-        assert!(w.against(7.0, 7, Evidence::Silent));
+        assert!(!w.suspect(5.0, 7, Evidence::Silent));
+        assert!(w.suspect(7.0, 7, Evidence::Silent));
         assert!(!w.unanswered(7.0, 7.55) && w.unanswered(7.0, 8.1));
     }
 
@@ -239,14 +239,14 @@
         // replace one another every few seconds; and against a second end soon
         // after a first that nobody notices.
         let mut w = failure_detector();
-        w.against(1.0, 7, Evidence::Closed);
+        w.suspect(1.0, 7, Evidence::Closed);
         assert_eq!(w.answer_s(1.0), 0.5);
         w.leader(1.5, 9);
-        w.against(4.0, 9, Evidence::Closed);
-        assert_eq!((w.step(4.0, 0), w.answer_s(4.0)), (Step::Ask, 1.0));
+        w.suspect(4.0, 9, Evidence::Closed);
+        assert_eq!((w.step(4.0, 0), w.answer_s(4.0)), (DetectorStep::Ask, 1.0));
         w.leader(5.5, 11);
         w.leader(12.0, 13);
-        w.against(20.0, 13, Evidence::Silent);
+        w.suspect(20.0, 13, Evidence::Silent);
         assert_eq!(w.answer_s(20.0), 8.0);
         assert!(!w.unanswered(20.0, 22.0));
         assert_eq!(w.answer_s(50.0), 1.0);
@@ -256,12 +256,12 @@
     fn what_was_held_against_a_former_leader_is_void() {
         // Guards against two nodes that play ping-pong.
         let mut w = failure_detector();
-        w.against(1.0, 7, Evidence::Replaced);
+        w.suspect(1.0, 7, Evidence::Replaced);
         w.leader(1.5, 9);
-        assert_eq!(w.step(2.0, 0), Step::Rest);
-        assert!(!w.against(2.0, 7, Evidence::Replaced));
+        assert_eq!(w.step(2.0, 0), DetectorStep::Rest);
+        assert!(!w.suspect(2.0, 7, Evidence::Replaced));
         w.leader(2.0, 7);
-        assert!(w.against(2.0, 9, Evidence::Replaced));
-        assert_eq!(w.step(2.0, 0), Step::Replace(9));
+        assert!(w.suspect(2.0, 9, Evidence::Replaced));
+        assert_eq!(w.step(2.0, 0), DetectorStep::Replace(9));
     }
 }
--- a/crates/umbersail-standby/src/lib.rs
+++ b/crates/umbersail-standby/src/lib.rs
@@ -31,6 +31,6 @@
 
 pub use all_replica_read::{ReadOutcome, ReplicaAnswer, read_outcome};
 pub use degraded_mode::{DegradedMode, DegradedModeRecord};
-pub use failure_detector::{DetectorTimeouts, Evidence, FailureDetector, Step, Time};
+pub use failure_detector::{DetectorStep, DetectorTimeouts, Evidence, FailureDetector, Time};
 pub use orphaned_attempts::{Order, OrphanedAttempts, OrphanedJobs};
 pub use succession::{Candidate, HandOver, Lag, hands_over, next_leader};
--- a/crates/umbersail-standby/tests/model/degraded_mode.rs
+++ b/crates/umbersail-standby/tests/model/degraded_mode.rs
@@ -33,7 +33,7 @@
         if fault == InjectedFault::AgreementWithoutRead {
             memory.update(|m| m.read(token.into()));
         }
-        if !memory.update(|m| m.agrees(AGREED, token.into(), newest.into(), out)) {
+        if !memory.update(|m| m.agree(AGREED, token.into(), newest.into(), out)) {
             return None;
         }
         if let Some(greeting_reply) = next
--- a/crates/umbersail-standby/tests/model/election.rs
+++ b/crates/umbersail-standby/tests/model/election.rs
@@ -60,7 +60,7 @@
             ) && node.first > 0
                 && node.first < self.key;
             let trusted = match node.memory.fingerprint {
-                _ if !node.memory.real.may_be_open(key) => true,
+                _ if !node.memory.real.may_have_unrecorded(key) => true,
                 (token, ..) if token != self.key && in_time => true,
                 (_, 0, _) => fault == InjectedFault::TrustWithoutMemory,
                 (_, 2, _) => fault == InjectedFault::AgreementForgotten,
@@ -186,10 +186,10 @@
         let asked = if stale { BEFORE } else { AFTER };
         self.nodes[i].memory.update(|memory| {
             if from_leader || fault == InjectedFault::PeerRecordedClaimTrusted {
-                memory.told(asked, token.into(), false);
+                memory.holder_reported(asked, token.into(), false);
             } else {
                 let any = fault == InjectedFault::PeerClaimOfLiveLeaderTrusted;
-                memory.told_by_peer(token.into(), former_self || any);
+                memory.peer_reported(token.into(), former_self || any);
             }
         });
     }
--- a/crates/umbersail-standby/tests/model/late_writes.rs
+++ b/crates/umbersail-standby/tests/model/late_writes.rs
@@ -39,7 +39,8 @@
                     if token == self.key && fault == InjectedFault::StaleLivenessReplyCounts {
                         let following = w.nodes.iter_mut().filter(|n| n.leader.is_none());
                         following.for_each(|n| {
-                            n.memory.update(|m| m.told(AFTER, token.into(), false));
+                            n.memory
+                                .update(|m| m.holder_reported(AFTER, token.into(), false));
                         });
                     }
                 }
--- a/crates/umbersail-standby/tests/model/memory.rs
+++ b/crates/umbersail-standby/tests/model/memory.rs
@@ -33,7 +33,7 @@
     let told = |asked: f64| {
         let mut probe = memory.clone();
         (0..=TOKEN_LIMIT).find(|token| {
-            probe.told(asked, u64::from(*token), false);
+            probe.holder_reported(asked, u64::from(*token), false);
             probe.recorded() == Some(u64::from(*token))
         })
     };
@@ -44,9 +44,9 @@
         None => 0,
     };
     let mut probe = memory.clone();
-    probe.held(AGREED, u64::MAX - 1, false);
-    let older = (0..=TOKEN_LIMIT).filter(|t| probe.may_be_open(u64::from(*t)));
-    let first = match probe.may_be_open(u64::MAX) {
+    probe.held_by_us(AGREED, u64::MAX - 1, false);
+    let older = (0..=TOKEN_LIMIT).filter(|t| probe.may_have_unrecorded(u64::from(*t)));
+    let first = match probe.may_have_unrecorded(u64::MAX) {
         true => 0,
         false => older.count() as u8,
     };
--- a/crates/umbersail-standby/tests/model/state.rs
+++ b/crates/umbersail-standby/tests/model/state.rs
@@ -183,7 +183,7 @@
             first: 1,
             leader: Some(leader),
         };
-        memory.update(|m| m.told(AFTER, 1, false));
+        memory.update(|m| m.holder_reported(AFTER, 1, false));
         let follower = Node {
             newest: 1,
             memory,
@@ -223,7 +223,7 @@
         let mut world = World::with_leader(limits);
         world.nodes[1]
             .memory
-            .update(|m| m.agrees(AGREED, 1, 1, true));
+            .update(|m| m.agree(AGREED, 1, 1, true));
         let agreed = world.nodes[1].clone();
         let leader = Leader {
             token: 2,
