--- a/crates/umbersail-control/src/engine/accounting.rs
+++ b/crates/umbersail-control/src/engine/accounting.rs
@@ -70,7 +70,7 @@
     pub(super) fn is_settled(&self) -> bool {
         self.unaccounted_machines.is_empty()
             && self.unrecorded_jobs() == 0
-            && !self.machines.values().any(|m| m.unsized_strangers)
+            && !self.machines.values().any(|m| m.unsized_orphans)
     }
 
     /// The machine holds nothing any more: lapsed, failed or deleted.
@@ -86,8 +86,8 @@
         self.account(name);
         self.cleared.extend(self.orphaned_jobs.gone(name));
         if let Some(machine) = self.machines.get_mut(name) {
-            machine.strangers = false;
-            machine.unsized_strangers = false;
+            machine.orphaned_tasks = false;
+            machine.unsized_orphans = false;
         }
     }
 }
--- a/crates/umbersail-control/src/engine/commands.rs
+++ b/crates/umbersail-control/src/engine/commands.rs
@@ -23,14 +23,14 @@
             let Some(job) = self.jobs.get(id) else {
                 continue;
             };
-            let untold = job
+            let unsent_launches = job
                 .live
                 .get(task)
                 .is_some_and(|p| !p.told() && p.stop.is_none());
-            if untold && may_launch(job, *task, name, self.open) {
+            if unsent_launches && may_launch(job, *task, name, self.open) {
                 return false;
             }
-            unrecorded |= untold;
+            unrecorded |= unsent_launches;
         }
         unrecorded || (self.wants_schedule() && self.may_wait)
     }
@@ -138,10 +138,10 @@
             let Some(job) = self.jobs.get(&id) else {
                 continue;
             };
-            let untold = |p: &Placement| !p.told() && p.stop.is_none();
+            let unsent_launches = |p: &Placement| !p.told() && p.stop.is_none();
             if job.cancelled
                 || !may_launch(job, task, name, open)
-                || !job.live.get(&task).is_some_and(untold)
+                || !job.live.get(&task).is_some_and(unsent_launches)
             {
                 continue;
             }
--- a/crates/umbersail-control/src/engine/evict.rs
+++ b/crates/umbersail-control/src/engine/evict.rs
@@ -5,7 +5,9 @@
 use imbl::OrdSet;
 use tracing::info;
 use umbersail_cycle::{Locality, PreemptionClass};
-use umbersail_policy::{Host, Running, Selection, Shape, Usage, select_victims, type_allowed};
+use umbersail_policy::{
+    EvictionHost, PreemptibleTask, Selection, Shape, Usage, select_victims, type_allowed,
+};
 use umbersail_wire::{Priority, TaskState};
 
 use super::machine::Claim;
@@ -147,14 +149,14 @@
         tasks: &[(JobId, u32)],
         reclaim: bool,
         usage: &[Usage],
-    ) -> Option<Host<MachineId, JobId>> {
-        let running: Vec<Running<JobId>> = tasks
+    ) -> Option<EvictionHost<MachineId, JobId>> {
+        let running: Vec<PreemptibleTask<JobId>> = tasks
             .iter()
             .filter_map(|(id, task)| {
                 let victim = self.jobs.get(id)?;
                 let placement = victim.live.get(task)?;
                 self.is_preemptable(beneficiary, victim, placement, reclaim, usage)
-                    .then(|| Running {
+                    .then(|| PreemptibleTask {
                         job: id.clone(),
                         task: *task,
                         shape: victim.shape,
@@ -163,7 +165,7 @@
             })
             .collect();
         let capacity = Shape::of_type(&self.types[machine.type_index?]);
-        (!running.is_empty()).then(|| Host {
+        (!running.is_empty()).then(|| EvictionHost {
             machine: machine.name.clone(),
             free: capacity.plus(&machine.used, -1.0),
             running,
@@ -176,7 +178,7 @@
         let limit = self.cfg.tuning.evict_loser_limit;
         let mut saving_s: f64 = 0.0;
         for (id, task) in tasks {
-            if self.forgo(id, *task, usage) {
+            if self.unplace_unsent(id, *task, usage) {
                 continue;
             }
             let Some(victim) = self.jobs.get_mut(id) else {
@@ -223,9 +225,9 @@
     /// Lets a task wait again that no worker has been told of, if it is one. No
     /// worker could obey a stop: the task would stay planned, and hold its place,
     /// until the next leader.
-    pub(super) fn forgo(&mut self, id: &JobId, task: u32, usage: &mut [Usage]) -> bool {
-        let untold = |job: &&Job| job.live.get(&task).is_some_and(|p| !p.told());
-        let Some(job) = self.jobs.get(id).filter(untold) else {
+    pub(super) fn unplace_unsent(&mut self, id: &JobId, task: u32, usage: &mut [Usage]) -> bool {
+        let unsent_launches = |job: &&Job| job.live.get(&task).is_some_and(|p| !p.told());
+        let Some(job) = self.jobs.get(id).filter(unsent_launches) else {
             return false;
         };
         if let Some(team) = job.team {
--- a/crates/umbersail-control/src/engine/listing.rs
+++ b/crates/umbersail-control/src/engine/listing.rs
@@ -40,7 +40,7 @@
             };
             if let Some(machine) = self.machines.get_mut(&name) {
                 machine.listed = true;
-                machine.vouched = true;
+                machine.confirmed = true;
                 machine.missing_lists = 0;
                 if machine.addr.is_none() {
                     machine.addr = entry.addr.as_ref().and_then(|a| a.parse().ok());
@@ -91,7 +91,7 @@
             let machine = self.machines.entry(name.clone()).or_insert_with(|| {
                 Machine::new(name, index, request.zone.clone(), request.spot, now)
             });
-            machine.vouched = true;
+            machine.confirmed = true;
         }
         if let Some(index) = index {
             let key = (index, request.zone.clone(), request.spot);
--- a/crates/umbersail-control/src/engine/machine.rs
+++ b/crates/umbersail-control/src/engine/machine.rs
@@ -37,10 +37,10 @@
     /// When it was last answered by us or, as far as we were told, by a peer
     /// in anybody's stead.
     pub last_answer: Option<Time>,
-    pub lapsed: bool,
+    pub lease_expired: bool,
     /// Listed, rented, in the grant, or has shown our token: not a late copy of
     /// a report of one that is gone.
-    pub vouched: bool,
+    pub confirmed: bool,
     pub reachability: Reachability,
     /// Raised by each increment; its epoch is always ours.
     pub token: u64,
@@ -60,10 +60,10 @@
     pub reservations: u64,
     pub tasks: BTreeSet<(JobId, u32)>,
     /// Shows active tasks of jobs that are over; they are being stopped.
-    pub strangers: bool,
+    pub orphaned_tasks: bool,
     /// Among them some that nothing says the size of: they count by the whole
     /// machine (rule 4).
-    pub unsized_strangers: bool,
+    pub unsized_orphans: bool,
     /// Images it has, the newest last, and their sizes in the same order.
     pub images: Vec<ImageKey>,
     pub image_sizes: Vec<f64>,
@@ -101,8 +101,8 @@
             order: (0, 0),
             last_report: None,
             last_answer: None,
-            lapsed: false,
-            vouched: true,
+            lease_expired: false,
+            confirmed: true,
             reachability: Reachability::default(),
             token: 0,
             token_incremented_at: None,
@@ -115,8 +115,8 @@
             claim: None,
             reservations: 0,
             tasks: BTreeSet::new(),
-            strangers: false,
-            unsized_strangers: false,
+            orphaned_tasks: false,
+            unsized_orphans: false,
             images: Vec::new(),
             image_sizes: Vec::new(),
             image_uses: Vec::new(),
@@ -170,7 +170,7 @@
     pub fn takes_tasks(&self, now: Time, silent_after: f64) -> bool {
         self.fenced
             && self.type_index.is_some()
-            && !self.strangers
+            && !self.orphaned_tasks
             && !self.quarantined
             && self.accused_at.is_none()
             && self.notice_until.is_none()
--- a/crates/umbersail-control/src/engine/mod.rs
+++ b/crates/umbersail-control/src/engine/mod.rs
@@ -175,7 +175,7 @@
     delegations: BTreeMap<String, Delegation>,
     /// Machines with launches that no reply has carried yet, and perhaps some
     /// more.
-    untold: BTreeSet<MachineId>,
+    unsent_launches: BTreeSet<MachineId>,
     /// Jobs that are over whose progress still stands: removed when there is
     /// time for it.
     cleared: BTreeSet<JobId>,
@@ -239,7 +239,7 @@
             machines: BTreeMap::new(),
             parts: Vec::new(),
             delegations: BTreeMap::new(),
-            untold: BTreeSet::new(),
+            unsent_launches: BTreeSet::new(),
             cleared: BTreeSet::new(),
             orphaned_jobs: OrphanedJobs::default(),
             whole_machines: inheritance.whole_machines,
--- a/crates/umbersail-control/src/engine/order.rs
+++ b/crates/umbersail-control/src/engine/order.rs
@@ -3,7 +3,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 use imbl::Vector;
-use umbersail_policy::{Due, Shape, Usage, most_in_time, names_type};
+use umbersail_policy::{DeadlineDemand, Shape, Usage, max_on_time, names_type};
 use umbersail_wire::{MachineType, Priority};
 
 use super::schedule::ClusterSnapshot;
@@ -228,27 +228,27 @@
                     ..
                 } = &waiting[*index];
                 let later = (times - 1.0) * job.spec.deadline_s.unwrap_or(0.0);
-                Due {
+                DeadlineDemand {
                     slack_s: slack_s.unwrap_or(0.0) + later,
                     work_s: f64::from(job.pending()) * job.shape.cpus * self.run_s(job) / cpus,
                     underserved: *underserved,
                 }
             };
-            let first: Vec<Due> = members.iter().map(|i| due(i, 1.0)).collect();
-            let (in_time, busy_s) = most_in_time(&first, 0.0, underserved_share);
+            let first: Vec<DeadlineDemand> = members.iter().map(|i| due(i, 1.0)).collect();
+            let (in_time, busy_s) = max_on_time(&first, 0.0, underserved_share);
             let late: Vec<usize> = members
                 .iter()
                 .zip(&in_time)
                 .filter_map(|(i, kept)| (!kept).then_some(*i))
                 .collect();
-            let second: Vec<Due> = late
+            let second: Vec<DeadlineDemand> = late
                 .iter()
                 .map(|i| {
                     let class = &waiting[*i].job.spec.class;
                     due(i, self.cfg.late_aims.get(class).copied().unwrap_or(1.0))
                 })
                 .collect();
-            let (soon, _) = most_in_time(&second, busy_s, underserved_share);
+            let (soon, _) = max_on_time(&second, busy_s, underserved_share);
             for (index, soon) in late.into_iter().zip(soon) {
                 waiting[index].outlook = if soon {
                     DeadlineOutlook::Soon
--- a/crates/umbersail-control/src/engine/placement.rs
+++ b/crates/umbersail-control/src/engine/placement.rs
@@ -5,7 +5,8 @@
 use tracing::debug;
 use umbersail_cycle::{CandidateSlots, Cheapest, ImageKey, Locality, Rankings};
 use umbersail_policy::{
-    MachineView, PlaceWeights, TaskView, Usage, Wants, cost_of, placement_cost, quota_room,
+    MachineView, PlaceWeights, PlacementConstraint, TaskView, Usage, cost_of, placement_cost,
+    quota_room,
 };
 
 use umbersail_wire::Priority;
@@ -203,7 +204,7 @@
         }
         let view = self.view(places, index, key.image);
         let kept = self.kept_cost(place.reservations, key.locality.reservations);
-        Some(cost_of(&key.wants, &view, self.weights()) + kept)
+        Some(cost_of(&key.constraint, &view, self.weights()) + kept)
     }
 
     pub(super) fn view<'a>(
@@ -255,7 +256,7 @@
         let rankings = rankings.get_or_insert_with(|| Rankings::new(places.len()));
         let key = RankingKey {
             image: job.image,
-            wants: Wants {
+            constraint: PlacementConstraint {
                 image_gb: job.spec.image_gb,
                 smallest_cpus: job.smallest_cpus,
                 spot: job.spec.spot(),
@@ -392,7 +393,7 @@
         let (shape, image) = (job.shape, job.image);
         if let Some(machine) = self.machines.get_mut(machine) {
             machine.hold(id, task, &shape, image);
-            self.untold.insert(machine.name.clone());
+            self.unsent_launches.insert(machine.name.clone());
         }
         debug!(job = &**id, task, machine = &**machine, attempt, "placed");
     }
--- a/crates/umbersail-control/src/engine/plans/calendar.rs
+++ b/crates/umbersail-control/src/engine/plans/calendar.rs
@@ -90,12 +90,12 @@
     /// Goes on with the runs that a holder before us recorded.
     pub(super) fn inherit_runs(&mut self, now: Time) {
         let at = self.timestamp(now);
-        for name in self.plans.book.names(KIND) {
+        for name in self.plans.store.names(KIND) {
             let entry = name
                 .strip_prefix(KIND)
                 .and_then(|rest| rest.strip_prefix('/')?.split_once('/'))
                 .map(|(entry, _)| entry);
-            let read = self.plans.book.read::<RunRecord>(&name, VERSION);
+            let read = self.plans.store.read::<RunRecord>(&name, VERSION);
             let taken = match (entry, read) {
                 (Some(entry), Ok(Some(record))) => {
                     let runs = &mut self.plans.calendar.runs;
@@ -106,7 +106,7 @@
             };
             if let Err(reason) = taken {
                 warn!(plan = name, reason, "recorded plan set aside");
-                self.plans.book.set_aside(&name);
+                self.plans.store.set_aside(&name);
             }
         }
     }
@@ -180,8 +180,8 @@
             return;
         }
         let at = self.timestamp(now);
-        let book = &self.plans.book;
-        let stands = |run: &RunKey| book.is_recorded(&record_name(run));
+        let store = &self.plans.store;
+        let stands = |run: &RunKey| store.is_recorded(&record_name(run));
         let calendar = &mut self.plans.calendar;
         let done: Vec<RunKey> = (calendar.under_way.keys())
             .filter(|run| stands(run))
@@ -242,12 +242,12 @@
         for write in self.plans.calendar.runs.due_writes(at) {
             let name = record_name(&write.run);
             let Some(record) = &write.record else {
-                self.plans.book.remove(now, &name);
+                self.plans.store.remove(now, &name);
                 self.plans.calendar.under_way.remove(&write.run);
                 self.plans.calendar.runs.mark_written(at, &write);
                 continue;
             };
-            match self.plans.book.put(now, &name, VERSION, record) {
+            match self.plans.store.put(now, &name, VERSION, record) {
                 Ok(()) => drop(
                     self.plans
                         .calendar
--- a/crates/umbersail-control/src/engine/plans/images.rs
+++ b/crates/umbersail-control/src/engine/plans/images.rs
@@ -214,7 +214,12 @@
     }
 
     /// What a machine's newest report shows of its fetches.
-    pub(in crate::engine) fn see_fetches(&mut self, now: Time, name: &MachineId, report: &Report) {
+    pub(in crate::engine) fn observe_fetches(
+        &mut self,
+        now: Time,
+        name: &MachineId,
+        report: &Report,
+    ) {
         if self.plans.images.hand_on {
             self.plans.images.cache_view.observe_report(name);
         }
@@ -251,7 +256,7 @@
     }
 
     /// A task runs: its machine has the image, and may have lost others for it.
-    pub(in crate::engine) fn see_image(
+    pub(in crate::engine) fn observe_image(
         &mut self,
         now: Time,
         name: &MachineId,
@@ -273,8 +278,8 @@
     /// What a holder before us recorded: rates, and who fetches from the store. The rest
     /// is in reports; no fetch is begun anew.
     pub(super) fn inherit_images(&mut self, now: Time) {
-        for name in self.plans.book.names(KIND) {
-            let found = self.plans.book.read::<ImageRecord>(&name, VERSION);
+        for name in self.plans.store.names(KIND) {
+            let found = self.plans.store.read::<ImageRecord>(&name, VERSION);
             let reason = match found {
                 Ok(Some(record)) => match record.check() {
                     Ok(()) => {
@@ -295,13 +300,13 @@
                 Err(e) => e.to_string(),
             };
             warn!(plan = name, reason, "recorded plan set aside");
-            self.plans.book.set_aside(&name);
+            self.plans.store.set_aside(&name);
         }
     }
 
     /// Keeps the records of images under way, and tells of them now and then.
     pub(super) fn tick_images(&mut self, now: Time) {
-        let Plans { images, book, .. } = &mut self.plans;
+        let Plans { images, store, .. } = &mut self.plans;
         let names = &images.names;
         let name = |image: &ImageKey| names.get(image).map_or(String::new(), |n| n.to_string());
         let machine = |m: &MachineId| m.to_string();
@@ -309,15 +314,15 @@
         let mut stand = BTreeSet::new();
         for (image, record) in records.iter().filter(|(image, _)| !image.is_empty()) {
             let plan = plan_name(image);
-            if let Err(e) = book.put(now, &plan, VERSION, record) {
+            if let Err(e) = store.put(now, &plan, VERSION, record) {
                 debug!(image, reason = %e, "image under way not recorded");
             }
             stand.insert(plan);
         }
         if now - images.found_at > FOUND_S {
-            for plan in book.names(KIND) {
+            for plan in store.names(KIND) {
                 if !stand.contains(&plan) {
-                    book.remove(now, &plan);
+                    store.remove(now, &plan);
                 }
             }
         }
--- a/crates/umbersail-control/src/engine/plans/mod.rs
+++ b/crates/umbersail-control/src/engine/plans/mod.rs
@@ -4,26 +4,26 @@
 //! engine decides as it would without this file. What a plan decides is pure and stands
 //! in packages below; here it meets jobs, machines and the state service.
 
-mod book;
 mod calendar;
 mod images;
 mod reserve;
+mod store;
 
 use tracing::warn;
 use umbersail_policy::Demand;
 
 use super::{Engine, EngineConfig, Job, JobId, MachineId, Time};
-pub use book::InheritedPlan;
-pub(super) use book::{Book, WrittenPlan};
 pub(super) use calendar::Publishing;
 use images::Images;
 pub(crate) use images::holds as cache_holds;
 pub(crate) use reserve::facts as reserve_facts;
 pub(super) use reserve::{KeptRoom, Reserving};
+pub use store::InheritedPlan;
+pub(super) use store::{PlanStore, WrittenPlan};
 
 /// All plans of the block.
 pub(super) struct Plans {
-    pub book: Book,
+    pub store: PlanStore,
     pub calendar: Publishing,
     pub reserve: Reserving,
     pub images: Images,
@@ -34,7 +34,7 @@
 impl Plans {
     pub fn new(now: Time, unix_ms: u64, cfg: &EngineConfig) -> Plans {
         Plans {
-            book: Book::new(cfg.tuning.plan_records as usize, cfg.value_bytes),
+            store: PlanStore::new(cfg.tuning.plan_records as usize, cfg.value_bytes),
             calendar: Publishing::new(cfg),
             reserve: Reserving::new(cfg),
             images: Images::new(now, &cfg.tuning),
@@ -58,7 +58,7 @@
     /// Takes in what a holder before us recorded.
     pub(super) fn inherit_plans(&mut self, now: Time, found: Vec<InheritedPlan>) {
         for plan in found {
-            if let Err((name, reason)) = self.plans.book.inherit(plan) {
+            if let Err((name, reason)) = self.plans.store.inherit(plan) {
                 warn!(plan = name, reason, "recorded plan set aside");
             }
         }
@@ -69,7 +69,7 @@
     /// A job was accepted, or found by us as a new leader.
     pub(super) fn plan_for_job(&mut self, now: Time, id: &JobId) {
         self.job_for_run(now, id);
-        self.pledge_to_job(id);
+        self.reserve_for_job(id);
     }
 
     /// A job is over: completed, or cancelled by its user.
--- a/crates/umbersail-control/src/engine/plans/reserve.rs
+++ b/crates/umbersail-control/src/engine/plans/reserve.rs
@@ -171,9 +171,9 @@
     /// Takes in what holders before us recorded of reservations. Machines that they
     /// hold are known from here on, listed yet or not.
     pub(in crate::engine) fn inherit_reservations(&mut self, now: Time) {
-        for key in self.plans.book.names(KIND) {
+        for key in self.plans.store.names(KIND) {
             let name = key[KIND.len() + 1..].to_owned();
-            match self.plans.book.read::<ReserveRecord>(&key, VERSION) {
+            match self.plans.store.read::<ReserveRecord>(&key, VERSION) {
                 Ok(Some(record)) => {
                     self.plans.reserve.records.insert(name, record);
                 }
@@ -181,7 +181,7 @@
                 Err(e) => {
                     let reason = e.to_string();
                     warn!(plan = key, reason, "recorded reservation set aside");
-                    self.plans.book.set_aside(&key);
+                    self.plans.store.set_aside(&key);
                 }
             }
         }
@@ -202,7 +202,7 @@
     }
 
     /// A job has come: its own kept machines are open to it at once.
-    pub(in crate::engine) fn pledge_to_job(&mut self, id: &JobId) {
+    pub(in crate::engine) fn reserve_for_job(&mut self, id: &JobId) {
         if let Some(job) = self.jobs.get(id) {
             let own = self.plans.reserve.own_bits(job);
             if let Some(job) = self.jobs.get_mut(id) {
@@ -380,14 +380,14 @@
     /// Puts records where a successor finds them.
     fn record_reservations(&mut self, now: Time) {
         let plans = &mut self.plans;
-        for key in plans.book.names(KIND) {
+        for key in plans.store.names(KIND) {
             if !plans.reserve.records.contains_key(&key[KIND.len() + 1..]) {
-                plans.book.remove(now, &key);
+                plans.store.remove(now, &key);
             }
         }
         for (name, record) in &plans.reserve.records {
             let put = plans
-                .book
+                .store
                 .put(now, &format!("{KIND}/{name}"), VERSION, record);
             let unwritten = &mut plans.reserve.unwritten;
             match put {
@@ -647,7 +647,7 @@
         let plans = &mut self.plans;
         let mut named: Vec<(&str, RentRequest)> = Vec::new();
         for (entry, record) in &plans.reserve.records {
-            if !plans.book.is_recorded(&format!("{KIND}/{entry}")) {
+            if !plans.store.is_recorded(&format!("{KIND}/{entry}")) {
                 continue;
             }
             for batch in record.unanswered() {
@@ -739,7 +739,7 @@
     machine.last_report.is_some()
         && machine.fenced
         && machine.tasks.is_empty()
-        && !machine.strangers
+        && !machine.orphaned_tasks
         && !machine.inherited
 }
 
--- a/crates/umbersail-control/src/engine/plans/book.rs
+++ b/crates/umbersail-control/src/engine/plans/store.rs
@@ -70,7 +70,7 @@
 }
 
 /// All plans by kind and name.
-pub struct Book {
+pub struct PlanStore {
     entries: BTreeMap<String, Entry>,
     most: usize,
     value_bytes: usize,
@@ -79,9 +79,9 @@
 /// What a record's key, condition and frame take in a transaction.
 const FRAME_BYTES: usize = 300;
 
-impl Book {
-    pub fn new(most: usize, value_bytes: usize) -> Book {
-        Book {
+impl PlanStore {
+    pub fn new(most: usize, value_bytes: usize) -> PlanStore {
+        PlanStore {
             entries: BTreeMap::new(),
             most,
             value_bytes,
--- a/crates/umbersail-control/src/engine/reachability.rs
+++ b/crates/umbersail-control/src/engine/reachability.rs
@@ -16,7 +16,7 @@
 
 /// The newest answer in turn.
 #[derive(Debug, Clone, Copy, PartialEq)]
-struct Told {
+struct LastReply {
     session: u64,
     /// The highest token that the machine has shown in what was answered, or has
     /// taken up by a direct command since.
@@ -30,7 +30,7 @@
 /// What is known of one machine.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 pub(crate) struct Reachability {
-    told: Option<Told>,
+    told: Option<LastReply>,
     signs: u32,
     last_sign: Option<Time>,
     unreachable_since: Option<Time>,
@@ -47,7 +47,7 @@
 
     /// The report was answered, with this token.
     pub fn answered(&mut self, now: Time, report: &Report, token: u64) {
-        self.told = Some(Told {
+        self.told = Some(LastReply {
             session: report.session,
             shown: report.token,
             token,
--- a/crates/umbersail-control/src/engine/rental.rs
+++ b/crates/umbersail-control/src/engine/rental.rs
@@ -19,7 +19,7 @@
     /// What the cloud shall do now, deletions first: they cost money and hold
     /// up tasks.
     pub fn cloud_actions(&mut self, now: Time) -> Vec<CloudAction> {
-        self.condemn(now);
+        self.mark_failed_machines(now);
         let mut actions = Vec::new();
         // A new name for what may have been granted already would rent without
         // bound while the cloud does not answer.
@@ -47,7 +47,7 @@
     }
 
     /// Machines that don't come up, and silent ones that nobody explains.
-    fn condemn(&mut self, now: Time) {
+    fn mark_failed_machines(&mut self, now: Time) {
         let tuning = self.cfg.tuning.clone();
         let mostly_unreachable = self.is_mostly_unreachable();
         let mut late = Vec::new();
@@ -62,7 +62,7 @@
                     .map_or(0.0, |at| now - at);
                 if now - report > tuning.vanish_s {
                     machine.delete_reason = Some("silent for too long");
-                } else if !machine.vouched && now - report > 2.0 * self.cfg.lease_s {
+                } else if !machine.confirmed && now - report > 2.0 * self.cfg.lease_s {
                     // The deletion of one that is gone already does nothing.
                     machine.delete_reason = Some("heard of by an old report only");
                 } else if unreachable_s > tuning.unreachable_delete_s
@@ -179,7 +179,7 @@
             machine.delete_reason.is_none()
                 && machine.notice_until.is_none()
                 && machine.reservations == 0
-                && machine.vouched
+                && machine.confirmed
                 && (mostly_unreachable || !machine.reachability.is_unreachable())
                 && (machine.last_report.is_none()
                     || machine.silent_for(now) < 2.0 * self.cfg.lease_s)
@@ -188,7 +188,8 @@
         machines
             .filter_map(|machine| {
                 let up = machine.last_report.is_some() && machine.fenced;
-                let holds = !machine.tasks.is_empty() || machine.strangers || machine.inherited;
+                let holds =
+                    !machine.tasks.is_empty() || machine.orphaned_tasks || machine.inherited;
                 Some(FleetMachine {
                     machine: machine.name.clone(),
                     type_index: machine.type_index?,
--- a/crates/umbersail-control/src/engine/report.rs
+++ b/crates/umbersail-control/src/engine/report.rs
@@ -21,9 +21,9 @@
 #[derive(Default)]
 struct ShownTasks {
     /// Active attempts that have no place in what is known.
-    strangers: bool,
+    orphaned_tasks: bool,
     /// Among them some that nothing says the size of (rule 4).
-    unsized_strangers: bool,
+    unsized_orphans: bool,
     /// Jobs that are over of which attempts are active.
     over: BTreeSet<JobId>,
 }
@@ -54,7 +54,7 @@
         let machine = self.machines.get_mut(&name)?;
         machine.order = report.order();
         machine.last_report = Some(now);
-        machine.lapsed = false;
+        machine.lease_expired = false;
         machine.missing_lists = 0;
         if let Ok(addr) = report.addr.parse() {
             machine.addr = Some(addr);
@@ -62,10 +62,10 @@
         machine.take_notice(now, report.notice_s);
         if epoch(report.token) != epoch(self.token) {
             machine.fenced = false;
-            self.listen(now, &name, report, in_turn, None);
+            self.observe_reachability(now, &name, report, in_turn, None);
             return Some(name);
         }
-        machine.vouched = true;
+        machine.confirmed = true;
         machine.token = machine.token.max(report.token);
         machine.ours_since.get_or_insert(now);
         if !machine.fenced {
@@ -73,10 +73,10 @@
             self.schedule_wanted = true;
             self.assign_part(&name);
         }
-        let launches = self.compare(now, &name, report, in_turn);
+        let launches = self.reconcile(now, &name, report, in_turn);
         self.account(&name);
-        self.listen(now, &name, report, in_turn, launches);
-        self.see_fetches(now, &name, report);
+        self.observe_reachability(now, &name, report, in_turn, launches);
+        self.observe_fetches(now, &name, report);
         Some(name)
     }
 
@@ -102,7 +102,7 @@
             report.spot.unwrap_or(false),
             now,
         );
-        machine.vouched = false;
+        machine.confirmed = false;
         info!(
             machine = &*name,
             machine_type = report.machine_type,
@@ -122,8 +122,8 @@
     }
 
     /// What the report says of whether our answers reach the machine; `launches`
-    /// as from [`Engine::compare`].
-    fn listen(
+    /// as from [`Engine::reconcile`].
+    fn observe_reachability(
         &mut self,
         now: Time,
         name: &MachineId,
@@ -167,7 +167,7 @@
 
     /// Reconciles what is known of one machine with its newest report. Whether
     /// launches that it was told were taken up (true) or went nowhere (false).
-    fn compare(
+    fn reconcile(
         &mut self,
         now: Time,
         name: &MachineId,
@@ -175,14 +175,14 @@
         in_turn: bool,
     ) -> Option<bool> {
         let launches = self.return_missing(name, report, in_turn);
-        let shown = self.take_shown(now, name, report);
+        let shown = self.reconcile_shown(now, name, report);
         let over = |id: &JobId| shown.over.contains(id);
         let settled = (self.orphaned_jobs).shown(name, report.order(), in_turn, over);
         self.cleared.extend(settled);
         if let Some(machine) = self.machines.get_mut(name) {
-            self.schedule_wanted |= machine.strangers && !shown.strangers;
-            machine.strangers = shown.strangers;
-            machine.unsized_strangers = shown.unsized_strangers;
+            self.schedule_wanted |= machine.orphaned_tasks && !shown.orphaned_tasks;
+            machine.orphaned_tasks = shown.orphaned_tasks;
+            machine.unsized_orphans = shown.unsized_orphans;
         }
         launches
     }
@@ -225,7 +225,7 @@
     }
 
     /// Takes in all tasks that a report shows.
-    fn take_shown(&mut self, now: Time, name: &MachineId, report: &Report) -> ShownTasks {
+    fn reconcile_shown(&mut self, now: Time, name: &MachineId, report: &Report) -> ShownTasks {
         let mut shown = ShownTasks::default();
         for entry in &report.tasks {
             let Some((id, task)) = split_task(&entry.task) else {
@@ -234,14 +234,14 @@
             let known = self.jobs.get_key_value(id).map(|(k, _)| k.clone());
             match known {
                 Some(id) => {
-                    let stranger = !self.take_entry(now, name, &id, task, entry);
-                    shown.strangers |= stranger;
-                    shown.unsized_strangers |= stranger;
+                    let stranger = !self.reconcile_task(now, name, &id, task, entry);
+                    shown.orphaned_tasks |= stranger;
+                    shown.unsized_orphans |= stranger;
                 }
                 None if entry.state != TaskState::Exited => {
                     let id: JobId = id.into();
-                    shown.strangers = true;
-                    shown.unsized_strangers |= !self.orphaned_jobs.counts(&id);
+                    shown.orphaned_tasks = true;
+                    shown.unsized_orphans |= !self.orphaned_jobs.counts(&id);
                     shown.over.insert(id);
                 }
                 None => {}
@@ -252,7 +252,7 @@
 
     /// False if an attempt is active that our picture has no place for, since
     /// another one of the same task is in it: it counts as a stranger.
-    fn take_entry(
+    fn reconcile_task(
         &mut self,
         now: Time,
         name: &MachineId,
@@ -279,7 +279,7 @@
         if !ours {
             self.adopt_attempt(now, name, id, task, entry);
         }
-        self.see_active(now, name, id, task, entry.state);
+        self.observe_active(now, name, id, task, entry.state);
         true
     }
 
@@ -322,7 +322,14 @@
     }
 
     /// A placed attempt is shown in this state.
-    fn see_active(&mut self, now: Time, name: &MachineId, id: &JobId, task: u32, state: TaskState) {
+    fn observe_active(
+        &mut self,
+        now: Time,
+        name: &MachineId,
+        id: &JobId,
+        task: u32,
+        state: TaskState,
+    ) {
         let Some(job) = self.jobs.get_mut(id) else {
             return;
         };
@@ -376,7 +383,7 @@
         if let Some(machine) = self.machines.get_mut(name) {
             let cache = machine.type_index.map_or(0.0, |i| self.types[i].cache_gb);
             let pushed_out = machine.fetched(image, size, cache);
-            self.see_image(now, name, id, &pushed_out);
+            self.observe_image(now, name, id, &pushed_out);
         }
     }
 }
--- a/crates/umbersail-control/src/engine/schedule.rs
+++ b/crates/umbersail-control/src/engine/schedule.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 
 use umbersail_cycle::{CandidateSlots, CycleQueue, ImageKey, Locality, Rankings, Slot, Steps};
-use umbersail_policy::{Shape, Usage, Wants};
+use umbersail_policy::{PlacementConstraint, Shape, Usage};
 use umbersail_wire::Priority;
 
 use super::evict::EvictionCandidates;
@@ -62,7 +62,7 @@
 #[derive(Debug, Clone, PartialEq)]
 pub(super) struct RankingKey {
     pub image: ImageKey,
-    pub wants: Wants,
+    pub constraint: PlacementConstraint,
     pub locality: Locality,
 }
 
@@ -218,7 +218,7 @@
     /// Whether the machine may hold tasks of jobs already over that no record
     /// gives the size of.
     pub(super) fn is_unsized(&self, machine: &super::Machine) -> bool {
-        machine.unsized_strangers
+        machine.unsized_orphans
             || (machine.inherited
                 && (self.whole_machines
                     || self.unaccounted_machines.contains(&machine.name)
--- a/crates/umbersail-control/src/engine/task_ends.rs
+++ b/crates/umbersail-control/src/engine/task_ends.rs
@@ -145,7 +145,7 @@
         }
         if !was_suspect {
             job.touch(now);
-            self.withdraw(id);
+            self.withdraw_accusations(id);
         }
     }
 
@@ -180,7 +180,7 @@
     }
 
     /// A job that fails everywhere says nothing of the machines where it did.
-    pub(super) fn withdraw(&mut self, id: &JobId) {
+    pub(super) fn withdraw_accusations(&mut self, id: &JobId) {
         let Some(job) = self.jobs.get(id) else {
             return;
         };
--- a/crates/umbersail-control/src/engine/tests/calendar.rs
+++ b/crates/umbersail-control/src/engine/tests/calendar.rs
@@ -343,7 +343,7 @@
         place.plans.insert(name.clone(), (record.clone(), 77));
         place.take_over();
         assert_eq!(
-            place.engine.plans.book.names("calendar"),
+            place.engine.plans.store.names("calendar"),
             Vec::<String>::new()
         );
         place.engine.tick(place.now);
--- a/crates/umbersail-control/src/engine/tests/cancelled.rs
+++ b/crates/umbersail-control/src/engine/tests/cancelled.rs
@@ -141,7 +141,7 @@
     commit(&mut engine, 1.0);
     let told = worker.turn(&mut engine, 1.5);
     assert_eq!(stops(&told), 1);
-    assert!(engine.machines["m1"].strangers);
+    assert!(engine.machines["m1"].orphaned_tasks);
     worker.turn(&mut engine, 2.0);
-    assert!(!engine.machines["m1"].strangers);
+    assert!(!engine.machines["m1"].orphaned_tasks);
 }
--- a/crates/umbersail-control/src/engine/tests/cycles.rs
+++ b/crates/umbersail-control/src/engine/tests/cycles.rs
@@ -5,8 +5,8 @@
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
 use umbersail_policy::{
-    Due, Host, MachineView, PlaceWeights, Running, TaskView, Usage, most_in_time, quota_room,
-    rank_machines, select_victims, type_allowed,
+    DeadlineDemand, EvictionHost, MachineView, PlaceWeights, PreemptibleTask, TaskView, Usage,
+    max_on_time, quota_room, rank_machines, select_victims, type_allowed,
 };
 
 use super::*;
@@ -94,14 +94,14 @@
                 let j = &self.jobs[id];
                 let later = (times - 1.0) * j.spec.deadline_s.unwrap();
                 let work = f64::from(j.pending()) * j.shape.cpus * self.run_s(j);
-                Due {
+                DeadlineDemand {
                     slack_s: self.slack_s(now, j).unwrap() + later,
                     work_s: work / cpus,
                     underserved: false,
                 }
             };
-            let first: Vec<Due> = members.iter().map(|id| due(id, 1.0)).collect();
-            let (kept, busy_s) = most_in_time(&first, 0.0, 0.0);
+            let first: Vec<DeadlineDemand> = members.iter().map(|id| due(id, 1.0)).collect();
+            let (kept, busy_s) = max_on_time(&first, 0.0, 0.0);
             let late: Vec<&JobId> = members
                 .iter()
                 .zip(kept)
@@ -115,8 +115,8 @@
                     .copied()
                     .unwrap_or(1.0)
             };
-            let second: Vec<Due> = late.iter().map(|id| due(id, times(id))).collect();
-            for (id, soon) in late.into_iter().zip(most_in_time(&second, busy_s, 0.0).0) {
+            let second: Vec<DeadlineDemand> = late.iter().map(|id| due(id, times(id))).collect();
+            for (id, soon) in late.into_iter().zip(max_on_time(&second, busy_s, 0.0).0) {
                 standing.insert(id, u8::from(soon));
             }
         }
@@ -303,14 +303,14 @@
             {
                 continue;
             }
-            let running: Vec<Running<JobId>> = m
+            let running: Vec<PreemptibleTask<JobId>> = m
                 .tasks
                 .iter()
                 .filter_map(|(other, task)| {
                     let victim = self.jobs.get(other)?;
                     let placement = victim.live.get(task)?;
                     self.is_preemptable(job, victim, placement, reclaim, usage)
-                        .then(|| Running {
+                        .then(|| PreemptibleTask {
                             job: other.clone(),
                             task: *task,
                             shape: victim.shape,
@@ -320,7 +320,7 @@
                 .collect();
             if !running.is_empty() {
                 let free = Shape::of_type(t).plus(&m.used, -1.0);
-                hosts.push(Host {
+                hosts.push(EvictionHost {
                     machine: m.name.clone(),
                     free,
                     running,
@@ -335,7 +335,7 @@
         };
         let mut saving_s: f64 = 0.0;
         for (victim, task) in &choice.tasks {
-            if self.forgo(victim, *task, usage) {
+            if self.unplace_unsent(victim, *task, usage) {
                 continue;
             }
             let victim = self.jobs.get_mut(victim).unwrap();
--- a/crates/umbersail-control/src/engine/tests/faults.rs
+++ b/crates/umbersail-control/src/engine/tests/faults.rs
@@ -1263,7 +1263,7 @@
         for (name, machine) in &lead.engine.machines {
             let here = |h: &Host| !h.gone && h.worker.name == **name;
             let counts = machine.takes_tasks(now, silent_after)
-                || (machine.vouched && machine.part.is_none());
+                || (machine.confirmed && machine.part.is_none());
             if counts && !self.hosts.iter().any(here) {
                 return Err(format!("{:.1}: {name} is gone and counted on", self.t));
             }
--- a/crates/umbersail-control/src/engine/tests/late.rs
+++ b/crates/umbersail-control/src/engine/tests/late.rs
@@ -1,7 +1,7 @@
 //! Transactions that get no answer and are carried out late, after newer ones: each as
 //! the code builds it, against the state service's own logic.
 
-use umbersail_ledger::{Bounds, Ledger, Outcome as Carried};
+use umbersail_kv::{Bounds, KvStore, Outcome as Carried};
 
 use super::*;
 use crate::records::{
@@ -18,7 +18,7 @@
 
 /// The state service, and a leader that writes to it.
 struct Scene {
-    ledger: Ledger,
+    store: KvStore,
     engine: Engine,
     now: f64,
 }
@@ -26,7 +26,7 @@
 impl Scene {
     fn new() -> Scene {
         let mut scene = Scene {
-            ledger: Ledger::new(Bounds::default()),
+            store: KvStore::new(Bounds::default()),
             engine: fresh(vec![team(0.0, 0.0)]),
             now: 1.0,
         };
@@ -46,12 +46,12 @@
 
     /// The version of a key; 0: it does not exist.
     fn version(&self, key: &str) -> u64 {
-        self.ledger.get(key).map_or(0, |found| found.version)
+        self.store.get(key).map_or(0, |found| found.version)
     }
 
     /// Carries a transaction out; its revision if it was applied.
     fn apply(&mut self, txn: &Sent) -> Option<u64> {
-        match self.ledger.txn(self.now, &as_sent(txn)) {
+        match self.store.txn(self.now, &as_sent(txn)) {
             Ok(Carried::Applied { revision }) => Some(revision),
             _ => None,
         }
@@ -59,7 +59,7 @@
 
     /// An election as `member` would send it now.
     fn election(&mut self, member: &str, predecessor_degraded: bool) -> Sent {
-        let lease = self.ledger.grant(self.now, 8000).unwrap();
+        let lease = self.store.grant(self.now, 8000).unwrap();
         let leader = LeaderRecord {
             member: member.into(),
             incarnation: 1,
@@ -103,14 +103,14 @@
                 self.engine.part_read(index, version);
             }
             for name in self.engine.unread_plans() {
-                let found = self.ledger.get(&plan_key(&name));
+                let found = self.store.get(&plan_key(&name));
                 let found = found.map(|f| (f.value, f.version));
                 self.engine.plan_read(self.now, &name, found);
             }
             let Some(pending) = self.next() else {
                 return;
             };
-            let outcome = match self.ledger.txn(self.now, &as_sent(&pending.txn)) {
+            let outcome = match self.store.txn(self.now, &as_sent(&pending.txn)) {
                 Ok(Carried::Applied { revision }) => TxnOutcome::Applied { revision },
                 Ok(Carried::Failed { keys }) => TxnOutcome::Conflict { failed: keys },
                 Err(refusal) => panic!("{refusal}"),
@@ -164,10 +164,10 @@
 
     /// Carried out now, the transaction changes nothing.
     fn fails_late(&mut self, txn: &Sent) {
-        let before = self.ledger.list("", None, 1000);
+        let before = self.store.list("", None, 1000);
         let applied = self.apply(txn);
         assert_eq!(applied, None, "applied late: {txn:?}");
-        assert_eq!(before, self.ledger.list("", None, 1000));
+        assert_eq!(before, self.store.list("", None, 1000));
     }
 }
 
@@ -302,35 +302,35 @@
         let mut scene = Scene::new();
         let put = |scene: &mut Scene, steps: u32| {
             let now = scene.now;
-            (scene.engine.plans.book)
+            (scene.engine.plans.store)
                 .put(now, "note/a", 1, &steps)
                 .unwrap();
         };
         let remove = |scene: &mut Scene| {
             let now = scene.now;
-            scene.engine.plans.book.remove(now, "note/a");
+            scene.engine.plans.store.remove(now, "note/a");
         };
         put(&mut scene, 1);
         let late = scene.unanswered();
         if !removed_early {
             put(&mut scene, 2);
             scene.settle();
-            assert!(scene.engine.plans.book.is_recorded("note/a"));
+            assert!(scene.engine.plans.store.is_recorded("note/a"));
         }
         remove(&mut scene);
         scene.settle();
         scene.fails_late(&late);
-        assert!(scene.engine.plans.book.names("note").is_empty());
+        assert!(scene.engine.plans.store.names("note").is_empty());
         // It can be recorded anew, and its removal then stands as well.
         put(&mut scene, 3);
         scene.settle();
-        assert!(scene.engine.plans.book.is_recorded("note/a"));
+        assert!(scene.engine.plans.store.is_recorded("note/a"));
         remove(&mut scene);
         scene.settle();
         scene.fails_late(&late);
         // A successor finds no plan, and removes what is left of it.
         let token = scene.elect("bothy-1").unwrap();
-        let plans = scene.ledger.list(crate::records::PLANS, None, 10).items;
+        let plans = scene.store.list(crate::records::PLANS, None, 10).items;
         let inherited = plans.into_iter().map(|found| InheritedPlan {
             name: "note/a".into(),
             version: found.version,
@@ -347,7 +347,7 @@
                 ..empty_inheritance()
             },
         );
-        assert!(scene.engine.plans.book.names("note").is_empty());
+        assert!(scene.engine.plans.store.names("note").is_empty());
         scene.settle();
         assert_eq!(scene.version(&plan_key("note/a")), 0);
         scene.fails_late(&late);
@@ -360,19 +360,19 @@
     // key that nobody holds.
     let mut scene = Scene::new();
     scene.now += 20.0;
-    scene.ledger.expire(scene.now);
+    scene.store.expire(scene.now);
     assert_eq!(scene.version(LEADER_KEY), 0, "its lease has run out");
     let late = scene.election("bothy-1", true);
     let newer = scene.election("bothy-2", false);
     scene.apply(&newer).unwrap();
     scene.fails_late(&late);
     // Also once that leader has ended, while the lease of the late one still runs.
-    scene.ledger.end(scene.now, 3).unwrap();
+    scene.store.end(scene.now, 3).unwrap();
     assert_eq!(scene.version(LEADER_KEY), 0);
     scene.fails_late(&late);
     // Given up, its lease was ended: it fails whatever its conditions say.
     let given_up = scene.election("bothy-1", false);
-    scene.ledger.end(scene.now, 4).unwrap();
+    scene.store.end(scene.now, 4).unwrap();
     scene.fails_late(&given_up);
 }
 
@@ -382,13 +382,13 @@
     // was given up, and the end of its lease was lost.
     let mut scene = Scene::new();
     scene.now += 20.0;
-    scene.ledger.expire(scene.now);
+    scene.store.expire(scene.now);
     let late = scene.election("bothy-1", false);
     let granted_at = scene.now;
     scene.now += 5.0;
     assert!(scene.apply(&late).is_some());
     scene.now = granted_at + 8.0;
-    scene.ledger.expire(scene.now);
+    scene.store.expire(scene.now);
     assert_eq!(scene.version(LEADER_KEY), 0);
     assert!(scene.elect("bothy-2").is_some());
 }
--- a/crates/umbersail-control/src/engine/tests/plans.rs
+++ b/crates/umbersail-control/src/engine/tests/plans.rs
@@ -14,7 +14,7 @@
 fn put(engine: &mut Engine, now: f64, name: &str, steps: u32) {
     engine
         .plans
-        .book
+        .store
         .put(now, name, 1, &Note { steps })
         .unwrap();
 }
@@ -47,12 +47,12 @@
     let pending = engine.next_txn(1.0, 2, 2).unwrap();
     assert_eq!(plans_in(&pending.txn.changes), Vec::<&str>::new());
     engine.txn_done(1.0, pending, TxnOutcome::NotExecuted);
-    assert!(!engine.plans.book.is_recorded("note/a"));
+    assert!(!engine.plans.store.is_recorded("note/a"));
     let pending = engine.next_txn(4.0, 2, 2).unwrap();
     assert_eq!(plans_in(&pending.txn.changes), [plan_key("note/a")]);
     assert!(pending.txn.changes.len() > 1, "the launch goes with it");
     engine.txn_done(4.0, pending, TxnOutcome::Applied { revision: 110 });
-    assert!(engine.plans.book.is_recorded("note/a"));
+    assert!(engine.plans.store.is_recorded("note/a"));
     put(&mut engine, 5.0, "note/a", 1);
     assert!(
         engine.next_txn(5.0, 20, 20).is_none(),
@@ -85,7 +85,7 @@
         .find(|c| c.key == plan_key("note/a"));
     assert_eq!(condition.map(|c| c.version), Some(77));
     engine.txn_done(2.0, pending, TxnOutcome::Applied { revision: 78 });
-    assert!(engine.plans.book.is_recorded("note/a"));
+    assert!(engine.plans.store.is_recorded("note/a"));
 }
 
 #[test]
@@ -119,7 +119,7 @@
     };
     let cfg = config(vec![team(0.0, 0.0)], Tuning::default());
     let mut engine = Engine::new(cfg, 0.0, 0, inheritance);
-    let book = &mut engine.plans.book;
+    let book = &mut engine.plans.store;
     assert_eq!(book.read("note/good", 1), Ok(Some(Note { steps: 3 })));
     assert!(book.read::<Note>("note/newer", 1).is_err());
     book.set_aside("note/newer");
@@ -128,8 +128,8 @@
         engine.next_txn(5.0, 20, 20).is_none(),
         "what was set aside is left as it stands"
     );
-    engine.plans.book.remove(6.0, "note/good");
+    engine.plans.store.remove(6.0, "note/good");
     let changes = commit(&mut engine, 6.0);
     assert!(matches!(&changes[..], [Change::Delete { key }] if *key == plan_key("note/good")));
-    assert_eq!(engine.plans.book.names("note"), Vec::<String>::new());
+    assert_eq!(engine.plans.store.names("note"), Vec::<String>::new());
 }
--- a/crates/umbersail-control/src/engine/tick.rs
+++ b/crates/umbersail-control/src/engine/tick.rs
@@ -33,7 +33,7 @@
             .map(|machine| machine.name.clone())
             .collect();
         for (name, machine) in &mut self.machines {
-            machine.lapsed |= expired.binary_search(name).is_ok();
+            machine.lease_expired |= expired.binary_search(name).is_ok();
             if let Some(at) = machine.notice_until
                 && now > at + NOTICE_GRACE_S
             {
@@ -51,8 +51,8 @@
 
     /// Whether the lease of a machine that may hold something has expired just now (rule 3).
     fn has_expired(&self, now: Time, machine: &Machine) -> bool {
-        let holds = machine.inherited || machine.strangers || !machine.tasks.is_empty();
-        if machine.lapsed || !holds {
+        let holds = machine.inherited || machine.orphaned_tasks || !machine.tasks.is_empty();
+        if machine.lease_expired || !holds {
             return false;
         }
         let tuning = &self.cfg.tuning;
--- a/crates/umbersail-control/src/engine/tokens.rs
+++ b/crates/umbersail-control/src/engine/tokens.rs
@@ -50,7 +50,7 @@
         let mut out = Vec::new();
         let pause = self.cfg.lease_s / 2.0 + 0.5;
         let mut told: Vec<MachineId> = Vec::new();
-        for name in &self.untold {
+        for name in &self.unsent_launches {
             let Some(machine) = self.machines.get_mut(name) else {
                 told.push(name.clone());
                 continue;
@@ -60,8 +60,8 @@
                 let Some(job) = self.jobs.get(id) else {
                     continue;
                 };
-                let untold = |p: &Placement| !p.told() && p.stop.is_none();
-                if job.live.get(task).is_some_and(untold) {
+                let unsent_launches = |p: &Placement| !p.told() && p.stop.is_none();
+                if job.live.get(task).is_some_and(unsent_launches) {
                     waits = true;
                     ready |= may_launch(job, *task, name, self.open)
                         && !self.plans.images.waits(job.image, name);
@@ -100,7 +100,7 @@
             });
         }
         for name in told {
-            self.untold.remove(&name);
+            self.unsent_launches.remove(&name);
         }
         out
     }
--- a/crates/umbersail-control/src/engine/write.rs
+++ b/crates/umbersail-control/src/engine/write.rs
@@ -176,7 +176,7 @@
             if let Some(machine) = self.machines.get_mut(&placement.machine) {
                 machine.release(id, *task, &job.shape, job.image);
                 if placement.told() {
-                    machine.strangers = true;
+                    machine.orphaned_tasks = true;
                     machines.insert(placement.machine.clone(), Some(machine.order));
                 }
             }
@@ -362,13 +362,13 @@
         limits: &TxnLimits,
     ) -> Vec<WrittenPlan> {
         let changes = builder.txn.changes.len();
-        let overdue = (self.plans.book).is_overdue(now, self.cfg.tuning.plan_patience_s);
+        let overdue = (self.plans.store).is_overdue(now, self.cfg.tuning.plan_patience_s);
         let max_plans = match limits.urgent {
             false => limits.max_changes.saturating_sub(changes),
             true => usize::from(overdue && changes < self.cfg.txn_ops),
         };
         let bytes_left = TXN_BYTES.saturating_sub(builder.bytes);
-        (self.plans.book).write(&mut builder.txn, max_plans, bytes_left)
+        (self.plans.store).write(&mut builder.txn, max_plans, bytes_left)
     }
 
     /// Removes progress of jobs that are over, in a quiet moment; beyond a bound it does not
@@ -421,7 +421,7 @@
                     } else if let Some(index) = key.strip_prefix(GRANT_PARTS) {
                         self.part_moved(index);
                     } else if let Some(name) = key.strip_prefix(PLANS) {
-                        self.plans.book.moved(name);
+                        self.plans.store.moved(name);
                     } else if let Some(id) = key.strip_prefix(JOBS) {
                         self.job_dropped(id);
                     } else if let Some(id) = key.strip_prefix(RUNS)
@@ -440,7 +440,7 @@
 
     fn txn_applied(&mut self, now: Time, pending: PendingTxn, revision: u64) {
         self.parts_applied(pending.parts, revision);
-        self.plans.book.applied(now, pending.plans, revision);
+        self.plans.store.applied(now, pending.plans, revision);
         for written in pending.written {
             match written {
                 Written::Run {
@@ -495,7 +495,7 @@
     fn txn_again(&mut self, now: Time, pending: &PendingTxn, unknown: bool) {
         if unknown {
             self.parts_unsure(&pending.parts);
-            self.plans.book.unsure(&pending.plans);
+            self.plans.store.unsure(&pending.plans);
         }
         for written in &pending.written {
             let (Written::Run { id, .. } | Written::End(id)) = written else {
@@ -529,12 +529,12 @@
 
     /// Plans whose versions must be read before they are written again.
     pub fn unread_plans(&self) -> Vec<String> {
-        self.plans.book.unread()
+        self.plans.store.unread()
     }
 
     /// A fresh read of a plan: what stands, and its version.
     pub fn plan_read(&mut self, now: Time, name: &str, found: Option<(Value, u64)>) {
-        self.plans.book.read_back(now, name, found);
+        self.plans.store.read_back(now, name, found);
     }
 
     /// A fresh read: does the job's key still exist, and which version has
--- a/crates/umbersail-control/tests/standin/mod.rs
+++ b/crates/umbersail-control/tests/standin/mod.rs
@@ -6,8 +6,8 @@
 use std::rc::Rc;
 
 use umbersail_http::{Handler, Request, Response, ServerLimits, serve};
-use umbersail_ledger::api::{Call, watched};
-use umbersail_ledger::{Bounds, Ledger};
+use umbersail_kv::api::{Call, watched};
+use umbersail_kv::{Bounds, KvStore};
 use umbersail_runtime::{TcpListener, sleep, spawn};
 use umbersail_wire::{Catalogue, Change, MachineList, MachineType, Txn, Value, encode};
 
@@ -28,10 +28,10 @@
     Response::new(status, encode(body))
 }
 
-/// The state service: the ledger on the tests' own time, which stands still in
+/// The state service: the store on the tests' own time, which stands still in
 /// an outage.
 pub struct StateService {
-    ledger: RefCell<Ledger>,
+    store: RefCell<KvStore>,
     now: Cell<f64>,
     pub down: Cell<bool>,
     /// The answer to the next transaction that changes such a key is held up.
@@ -55,7 +55,7 @@
 impl StateService {
     pub fn start() -> Rc<StateService> {
         let service = Rc::new(StateService {
-            ledger: RefCell::new(Ledger::new(Bounds::default())),
+            store: RefCell::new(KvStore::new(Bounds::default())),
             now: Cell::new(0.0),
             down: Cell::new(false),
             held_answer: RefCell::default(),
@@ -66,7 +66,7 @@
                 sleep(0.02).await;
                 if !inner.down.get() {
                     inner.now.set(inner.now.get() + 0.02);
-                    inner.ledger.borrow_mut().expire(inner.now.get());
+                    inner.store.borrow_mut().expire(inner.now.get());
                 }
             }
         });
@@ -93,12 +93,12 @@
     }
 
     pub fn has(&self, key: &str) -> bool {
-        self.ledger.borrow().get(key).is_some()
+        self.store.borrow().get(key).is_some()
     }
 
     /// The member that the leader's key names.
     pub fn leader(&self) -> Option<String> {
-        let found = self.ledger.borrow().get("leader")?;
+        let found = self.store.borrow().get("leader")?;
         let fields = found.value.as_map()?;
         let member = fields.iter().find(|(k, _)| k.as_str() == Some("member"))?;
         member.1.as_str().map(str::to_owned)
@@ -115,7 +115,7 @@
                 hold_s,
             }) => self.watch(&under, from, hold_s).await,
             Ok(call) => {
-                let reply = call.execute(&mut self.ledger.borrow_mut(), self.now.get());
+                let reply = call.execute(&mut self.store.borrow_mut(), self.now.get());
                 if let Call::Txn(txn) = &call {
                     self.hold_answer(txn).await;
                 }
@@ -141,7 +141,7 @@
     async fn watch(&self, under: &str, from: u64, hold_s: f64) -> (u16, Vec<u8>) {
         let mut waited = 0.0;
         loop {
-            let due = watched(&self.ledger.borrow(), under, from, waited >= hold_s);
+            let due = watched(&self.store.borrow(), under, from, waited >= hold_s);
             if let Some(reply) = due {
                 return reply;
             }
--- a/crates/umbersail-ledger/src/api.rs
+++ b/crates/umbersail-kv/src/api.rs
@@ -6,7 +6,7 @@
     LeaseGranted, LeaseRequest, Txn, TxnResult, WatchResult, decode, encode, paths,
 };
 
-use crate::{Ledger, Outcome, Refusal, Time};
+use crate::{KvStore, Outcome, Refusal, Time};
 
 /// Status and body of an answer.
 pub type Reply = (u16, Vec<u8>);
@@ -102,50 +102,50 @@
     }
 
     /// Executes it; a watch gets what there is.
-    pub fn execute(&self, ledger: &mut Ledger, now: Time) -> Reply {
+    pub fn execute(&self, store: &mut KvStore, now: Time) -> Reply {
         let done = |outcome: Result<(), Refusal>| match outcome {
             Ok(()) => (200, Vec::new()),
             Err(refusal) => refused(&refusal),
         };
         match self {
-            Call::Get(key) => match ledger.get(key) {
+            Call::Get(key) => match store.get(key) {
                 Some(found) => (200, encode(&found)),
-                None => (404, result(ledger.revision(), Vec::new())),
+                None => (404, result(store.revision(), Vec::new())),
             },
             Call::List { under, from, most } => {
-                (200, encode(&ledger.list(under, from.as_deref(), *most)))
+                (200, encode(&store.list(under, from.as_deref(), *most)))
             }
-            Call::Txn(txn) => match ledger.txn(now, txn) {
+            Call::Txn(txn) => match store.txn(now, txn) {
                 Ok(Outcome::Applied { revision }) => (200, result(revision, Vec::new())),
-                Ok(Outcome::Failed { keys }) => (409, result(ledger.revision(), keys)),
+                Ok(Outcome::Failed { keys }) => (409, result(store.revision(), keys)),
                 // Not 404, which would say that there is no such path.
                 Err(Refusal::NoSuchLease) => (400, error("no such lease")),
                 Err(refusal) => refused(&refusal),
             },
-            Call::Grant(wanted) => match ledger.grant(now, wanted.ttl_ms) {
+            Call::Grant(wanted) => match store.grant(now, wanted.ttl_ms) {
                 Ok(lease) => (200, encode(&LeaseGranted { lease })),
                 Err(refusal) => refused(&refusal),
             },
-            Call::Renew(id) => done(ledger.renew(now, *id)),
-            Call::End(id) => done(ledger.end(now, *id)),
-            Call::Watch { under, from, .. } => seen(ledger, under, *from).0,
+            Call::Renew(id) => done(store.renew(now, *id)),
+            Call::End(id) => done(store.end(now, *id)),
+            Call::Watch { under, from, .. } => seen(store, under, *from).0,
         }
     }
 }
 
 /// The answer to a watch, if it is due: something has changed, the time is over,
 /// or the changes are not kept any more (410).
-pub fn watched(ledger: &Ledger, under: &str, from: u64, over: bool) -> Option<Reply> {
-    let (reply, due) = seen(ledger, under, from);
+pub fn watched(store: &KvStore, under: &str, from: u64, over: bool) -> Option<Reply> {
+    let (reply, due) = seen(store, under, from);
     (due || over).then_some(reply)
 }
 
 /// The answer to a watch as things stand, and whether somebody waits for it.
-fn seen(ledger: &Ledger, under: &str, from: u64) -> (Reply, bool) {
-    match ledger.changes(under, from) {
+fn seen(store: &KvStore, under: &str, from: u64) -> (Reply, bool) {
+    match store.changes(under, from) {
         Err(refusal) => (refused(&refusal), true),
         Ok(events) => {
-            let (revision, due) = (ledger.revision(), !events.is_empty());
+            let (revision, due) = (store.revision(), !events.is_empty());
             ((200, encode(&WatchResult { revision, events })), due)
         }
     }
--- a/crates/umbersail-ledger/src/lib.rs
+++ b/crates/umbersail-kv/src/lib.rs
@@ -5,10 +5,10 @@
 //! requests, keeps data on a disk or plays an outage stands elsewhere.
 //!
 //! ```
-//! use umbersail_ledger::{Bounds, Ledger, Outcome};
+//! use umbersail_kv::{Bounds, KvStore, Outcome};
 //! use umbersail_wire::{Change, Condition, Txn};
 //!
-//! let mut ledger = Ledger::new(Bounds::default());
+//! let mut ledger = KvStore::new(Bounds::default());
 //! let txn = Txn {
 //!     conditions: vec![Condition { key: "a/b".into(), version: 0 }],
 //!     changes: vec![Change::Put { key: "a/b".into(), value: 7.into(), lease: None }],
@@ -116,7 +116,7 @@
 
 /// Keys, leases and the newest changes.
 #[derive(Debug)]
-pub struct Ledger {
+pub struct KvStore {
     bounds: Bounds,
     revision: u64,
     keys: BTreeMap<String, Entry>,
@@ -134,10 +134,10 @@
     Ok(())
 }
 
-impl Ledger {
+impl KvStore {
     /// An empty store.
-    pub fn new(bounds: Bounds) -> Ledger {
-        Ledger {
+    pub fn new(bounds: Bounds) -> KvStore {
+        KvStore {
             bounds,
             revision: 0,
             keys: BTreeMap::new(),
--- a/crates/umbersail-ledger/src/tests.rs
+++ b/crates/umbersail-kv/src/tests.rs
@@ -1,4 +1,4 @@
-//! The ledger against hand-made histories and a naive model. Each test names
+//! The store against hand-made histories and a naive model. Each test names
 //! the failure that it guards against.
 
 use super::*;
@@ -29,21 +29,21 @@
 #[test]
 fn a_lease_takes_its_keys_along_and_a_put_without_one_detaches() {
     // Guards against a leader's key that outlives its leader.
-    let mut ledger = Ledger::new(Bounds::default());
-    let lease = ledger.grant(0.0, 5000).unwrap();
+    let mut store = KvStore::new(Bounds::default());
+    let lease = store.grant(0.0, 5000).unwrap();
     let both = vec![put("leader", 1, Some(lease)), put("kept", 1, Some(lease))];
-    ledger.txn(0.0, &txn(&[], both)).unwrap();
-    ledger
+    store.txn(0.0, &txn(&[], both)).unwrap();
+    store
         .txn(1.0, &txn(&[], vec![put("kept", 2, None)]))
         .unwrap();
-    ledger.renew(4.0, lease).unwrap();
-    assert!(ledger.get("leader").is_some() && !ledger.expire(8.9));
+    store.renew(4.0, lease).unwrap();
+    assert!(store.get("leader").is_some() && !store.expire(8.9));
     // In the very instant of its end a renewal comes too late.
-    assert_eq!(ledger.renew(9.0, lease), Err(Refusal::NoSuchLease));
-    assert!(ledger.get("leader").is_none() && ledger.get("kept").is_some());
+    assert_eq!(store.renew(9.0, lease), Err(Refusal::NoSuchLease));
+    assert!(store.get("leader").is_none() && store.get("kept").is_some());
     let late = txn(&[], vec![put("leader", 3, Some(lease))]);
-    assert_eq!(ledger.txn(9.0, &late), Err(Refusal::NoSuchLease));
-    let seen = ledger.changes("leader", 0).unwrap();
+    assert_eq!(store.txn(9.0, &late), Err(Refusal::NoSuchLease));
+    let seen = store.changes("leader", 0).unwrap();
     assert_eq!(seen.len(), 2);
     assert_eq!(seen[1].delete.as_deref(), Some("leader"));
 }
@@ -51,30 +51,30 @@
 #[test]
 fn an_outage_gives_every_lease_its_full_time_again() {
     // Guards against a leader that is deposed because the service was away.
-    let mut ledger = Ledger::new(Bounds::default());
-    let lease = ledger.grant(0.0, 3000).unwrap();
-    ledger.resume(100.0);
-    assert_eq!(ledger.next_end(), Some(103.0));
-    assert_eq!(ledger.renew(102.9, lease), Ok(()));
+    let mut store = KvStore::new(Bounds::default());
+    let lease = store.grant(0.0, 3000).unwrap();
+    store.resume(100.0);
+    assert_eq!(store.next_end(), Some(103.0));
+    assert_eq!(store.renew(102.9, lease), Ok(()));
 }
 
 #[test]
 fn bounds_hold_to_the_byte() {
     // Guards against records that the real service refuses and ours takes.
-    let mut ledger = Ledger::new(Bounds::default());
+    let mut store = KvStore::new(Bounds::default());
     let text = |n: usize| Value::from("x".repeat(n - 2));
     let value = |n| Change::Put {
         key: "k".into(),
         value: text(n),
         lease: None,
     };
-    assert!(ledger.txn(0.0, &txn(&[], vec![value(32 * 1024)])).is_ok());
-    let over = ledger.txn(0.0, &txn(&[], vec![value(32 * 1024 + 1)]));
+    assert!(store.txn(0.0, &txn(&[], vec![value(32 * 1024)])).is_ok());
+    let over = store.txn(0.0, &txn(&[], vec![value(32 * 1024 + 1)]));
     assert_eq!(over, Err(Refusal::Malformed("a value is too large")));
     let many = (0..33).map(|n| put(&format!("k{n}"), 1, None)).collect();
-    assert!(ledger.txn(0.0, &txn(&[], many)).is_err());
-    assert!(ledger.txn(0.0, &txn(&[("a b", 0)], vec![])).is_err());
-    assert!(ledger.grant(0.0, 99).is_err());
+    assert!(store.txn(0.0, &txn(&[], many)).is_err());
+    assert!(store.txn(0.0, &txn(&[("a b", 0)], vec![])).is_err());
+    assert!(store.grant(0.0, 99).is_err());
     assert_eq!(
         json_bytes(&Value::Map(vec![("a\n".into(), Value::Nil)])),
         12
@@ -88,31 +88,29 @@
         changes: 5,
         ..Bounds::default()
     };
-    let mut ledger = Ledger::new(bounds);
+    let mut store = KvStore::new(bounds);
     for n in 0..8 {
-        ledger
+        store
             .txn(0.0, &txn(&[], vec![put("c/k", n, None)]))
             .unwrap();
     }
-    assert_eq!(ledger.changes("c/", 2), Err(Refusal::Compacted));
-    assert_eq!(ledger.changes("c/", 3).unwrap().len(), 5);
-    assert_eq!(ledger.changes("d/", 3).unwrap().len(), 0);
-    assert_eq!(ledger.changes("c/", 8).unwrap().len(), 0);
+    assert_eq!(store.changes("c/", 2), Err(Refusal::Compacted));
+    assert_eq!(store.changes("c/", 3).unwrap().len(), 5);
+    assert_eq!(store.changes("d/", 3).unwrap().len(), 0);
+    assert_eq!(store.changes("c/", 8).unwrap().len(), 0);
 }
 
 #[test]
 fn a_listing_goes_on_where_the_last_one_ended() {
     // Guards against keys that are left out between two pages.
-    let mut ledger = Ledger::new(Bounds::default());
+    let mut store = KvStore::new(Bounds::default());
     for n in 0..25 {
         let key = format!("c/{n:02}");
-        ledger
-            .txn(0.0, &txn(&[], vec![put(&key, n, None)]))
-            .unwrap();
+        store.txn(0.0, &txn(&[], vec![put(&key, n, None)])).unwrap();
     }
     let (mut seen, mut from) = (0, None::<String>);
     loop {
-        let page = ledger.list("c/", from.as_deref(), 10);
+        let page = store.list("c/", from.as_deref(), 10);
         seen += page.items.len();
         from = page.items.last().map(|i| i.key.clone());
         if !page.more {
@@ -133,38 +131,38 @@
     /// Guards against versions that repeat or go back, and against changes that
     /// a watch is not told of: the log replayed gives the keys.
     #[test]
-    fn the_log_replayed_is_the_ledger(
+    fn the_log_replayed_is_the_store(
         ops in prop::collection::vec((0..4u8, 0..5u8, 0..3u64, 0.0..2.0f64), 1..60)
     ) {
-        let mut ledger = Ledger::new(Bounds::default());
+        let mut store = KvStore::new(Bounds::default());
         let (mut now, mut leases) = (0.0, vec![]);
         for (what, key, version, wait) in ops {
             now += wait;
-            let before = ledger.revision();
+            let before = store.revision();
             let key = format!("k{key}");
             match what {
-                0 => leases.push(ledger.grant(now, 1500).unwrap()),
-                1 => drop(ledger.txn(now, &txn(&[], vec![put(&key, version, leases.last().copied())]))),
-                2 => drop(ledger.txn(now, &txn(&[], vec![Change::Delete { key: key.clone() }]))),
+                0 => leases.push(store.grant(now, 1500).unwrap()),
+                1 => drop(store.txn(now, &txn(&[], vec![put(&key, version, leases.last().copied())]))),
+                2 => drop(store.txn(now, &txn(&[], vec![Change::Delete { key: key.clone() }]))),
                 _ => {
-                    let stands = ledger.get(&key).map_or(0, |k| k.version);
-                    let outcome = ledger.txn(now, &txn(&[(&key, stands)], vec![put(&key, 1, None)]));
-                    let expired = ledger.get(&key).is_none();
+                    let stands = store.get(&key).map_or(0, |k| k.version);
+                    let outcome = store.txn(now, &txn(&[(&key, stands)], vec![put(&key, 1, None)]));
+                    let expired = store.get(&key).is_none();
                     let applied = matches!(outcome, Ok(Outcome::Applied { .. }));
                     prop_assert!(applied || expired);
                 }
             }
-            prop_assert!(ledger.revision() >= before);
+            prop_assert!(store.revision() >= before);
         }
         let mut replayed = BTreeMap::new();
-        for event in ledger.changes("", 0).unwrap() {
+        for event in store.changes("", 0).unwrap() {
             match (event.put, event.delete) {
                 (Some(key), _) => drop(replayed.insert(key, event.version)),
                 (_, Some(key)) => drop(replayed.remove(&key)),
                 _ => {}
             }
         }
-        let stands = ledger.keys.iter().map(|(k, e)| (k.clone(), e.version)).collect();
+        let stands = store.keys.iter().map(|(k, e)| (k.clone(), e.version)).collect();
         prop_assert_eq!(replayed, stands);
     }
 }
@@ -175,11 +173,11 @@
     // published protocol don't expect.
     use crate::api::{Call, parameter};
     use umbersail_wire::{KeyList, LeaseGranted, TxnResult, WatchResult, decode, encode};
-    let mut ledger = Ledger::new(Bounds::default());
+    let mut store = KvStore::new(Bounds::default());
     let mut ask = |now: f64, method: &str, target: &str, body: Vec<u8>| match Call::parse(
         method, target, &body,
     ) {
-        Ok(call) => call.execute(&mut ledger, now),
+        Ok(call) => call.execute(&mut store, now),
         Err(status) => (status, Vec::new()),
     };
     let write = |condition: u64, lease: Option<u64>| {
--- a/crates/umbersail-policy/src/evict.rs
+++ b/crates/umbersail-policy/src/evict.rs
@@ -6,7 +6,7 @@
 
 /// A task that may be evicted.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Running<J> {
+pub struct PreemptibleTask<J> {
     /// Its job.
     pub job: J,
     /// Its number in the job.
@@ -19,13 +19,13 @@
 
 /// A machine that the blocked task may use, with what may be evicted there.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Host<M, J> {
+pub struct EvictionHost<M, J> {
     /// The machine.
     pub machine: M,
     /// Its free resources.
     pub free: Shape,
     /// Tasks that may be evicted from it.
-    pub running: Vec<Running<J>>,
+    pub running: Vec<PreemptibleTask<J>>,
 }
 
 /// The chosen set.
@@ -61,7 +61,7 @@
 /// touches the fewest jobs; the cheaper one where that is equal.
 pub fn select_victims<M, J>(
     need: &Shape,
-    hosts: impl IntoIterator<Item = Host<M, J>>,
+    hosts: impl IntoIterator<Item = EvictionHost<M, J>>,
     most_sets: usize,
 ) -> Option<Selection<M, J>>
 where
@@ -78,7 +78,7 @@
 /// time and no further than the sets go: on a large fleet most are never built.
 pub fn candidate_sets<M, J>(
     need: &Shape,
-    hosts: impl IntoIterator<Item = Host<M, J>>,
+    hosts: impl IntoIterator<Item = EvictionHost<M, J>>,
     most_sets: usize,
 ) -> Vec<Selection<M, J>>
 where
@@ -86,7 +86,7 @@
     J: Clone + Ord,
 {
     let mut sets: Vec<Selection<M, J>> = Vec::new();
-    let mut seen: Vec<Host<M, J>> = Vec::new();
+    let mut seen: Vec<EvictionHost<M, J>> = Vec::new();
     for host in hosts {
         if sets.len() >= most_sets {
             break;
@@ -150,10 +150,10 @@
 
 fn grow<M: Clone, J: Clone + Ord>(
     need: &Shape,
-    host: &Host<M, J>,
+    host: &EvictionHost<M, J>,
     order: u8,
 ) -> Option<Selection<M, J>> {
-    let mut tasks: Vec<&Running<J>> = host.running.iter().collect();
+    let mut tasks: Vec<&PreemptibleTask<J>> = host.running.iter().collect();
     match order {
         0 => tasks.sort_by(|a, b| a.price.total_cmp(&b.price)),
         1 => tasks.sort_by(|a, b| {
@@ -179,7 +179,7 @@
         }
     }
     let mut room = host.free;
-    let mut chosen: Vec<&Running<J>> = Vec::new();
+    let mut chosen: Vec<&PreemptibleTask<J>> = Vec::new();
     for task in tasks {
         if need.fits_in(&room) {
             break;
@@ -228,13 +228,13 @@
         machine: u32,
         free: f64,
         running: &[(&'static str, u32, f64, f64)],
-    ) -> Host<u32, &'static str> {
-        Host {
+    ) -> EvictionHost<u32, &'static str> {
+        EvictionHost {
             machine,
             free: cpus(free),
             running: running
                 .iter()
-                .map(|&(job, task, c, price)| Running {
+                .map(|&(job, task, c, price)| PreemptibleTask {
                     job,
                     task,
                     shape: cpus(c),
--- a/crates/umbersail-policy/src/lib.rs
+++ b/crates/umbersail-policy/src/lib.rs
@@ -20,13 +20,15 @@
 mod starvation;
 
 pub use bitmap::{Bitmap, BitmapError};
-pub use evict::{Host, Preference, Running, Selection, candidate_sets, choose, select_victims};
+pub use evict::{
+    EvictionHost, PreemptibleTask, Preference, Selection, candidate_sets, choose, select_victims,
+};
 pub use first_fit::FirstFit;
 pub use learn::{ClassStats, Learner, Window};
-pub use order::{Due, most_in_time};
+pub use order::{DeadlineDemand, max_on_time};
 pub use place::{
-    MachineView, PlaceWeights, TaskView, Wants, cost_of, names_type, placement_cost, rank_machines,
-    smallest_cpus, type_allowed,
+    MachineView, PlaceWeights, PlacementConstraint, TaskView, cost_of, names_type, placement_cost,
+    rank_machines, smallest_cpus, type_allowed,
 };
 pub use quota::{TeamLimits, Usage, quota_room};
 pub use rent::{Demand, FleetMachine, IdleLimits, Plan, ScaleOutRequest, plan_rental};
--- a/crates/umbersail-policy/src/order.rs
+++ b/crates/umbersail-policy/src/order.rs
@@ -3,7 +3,7 @@
 
 /// A waiting job as its deadline sees it.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Due {
+pub struct DeadlineDemand {
     /// Seconds until its last task must start.
     pub slack_s: f64,
     /// Seconds that the machines it may use need for what it waits with.
@@ -45,27 +45,31 @@
 /// `busy_s` is how long the machines are taken by what goes before all of
 /// them. Returns who is served in time, in the order given, and the seconds
 /// that those take together with `busy_s`.
-pub fn most_in_time(jobs: &[Due], busy_s: f64, underserved_share: f64) -> (Vec<bool>, f64) {
+pub fn max_on_time(
+    jobs: &[DeadlineDemand],
+    busy_s: f64,
+    underserved_share: f64,
+) -> (Vec<bool>, f64) {
     let underserved: Vec<usize> = (0..jobs.len()).filter(|i| jobs[*i].underserved).collect();
     let mut firm = vec![false; jobs.len()];
     if !underserved.is_empty() && underserved_share > 0.0 {
-        let alone: Vec<Due> = underserved
+        let alone: Vec<DeadlineDemand> = underserved
             .iter()
-            .map(|i| Due {
+            .map(|i| DeadlineDemand {
                 work_s: jobs[*i].work_s / underserved_share,
                 ..jobs[*i]
             })
             .collect();
-        let (kept, _) = give_way(&alone, &vec![false; alone.len()], busy_s);
+        let (kept, _) = drop_largest(&alone, &vec![false; alone.len()], busy_s);
         for (index, kept) in underserved.into_iter().zip(kept) {
             firm[index] = kept;
         }
     }
-    give_way(jobs, &firm, busy_s)
+    drop_largest(jobs, &firm, busy_s)
 }
 
 /// The same; who is firm gives way after all who are not.
-fn give_way(jobs: &[Due], firm: &[bool], busy_s: f64) -> (Vec<bool>, f64) {
+fn drop_largest(jobs: &[DeadlineDemand], firm: &[bool], busy_s: f64) -> (Vec<bool>, f64) {
     let mut order: Vec<usize> = (0..jobs.len()).collect();
     order.sort_by(|&a, &b| jobs[a].slack_s.total_cmp(&jobs[b].slack_s));
     let mut kept = vec![false; jobs.len()];
@@ -97,8 +101,8 @@
 mod tests {
     use super::*;
 
-    fn due(slack_s: f64, work_s: f64) -> Due {
-        Due {
+    fn due(slack_s: f64, work_s: f64) -> DeadlineDemand {
+        DeadlineDemand {
             slack_s,
             work_s,
             underserved: false,
@@ -115,13 +119,13 @@
             due(12.0, 3.0),
             due(13.0, 4.0),
         ];
-        let (kept, taken_s) = most_in_time(&jobs, 0.0, 1.0);
+        let (kept, taken_s) = max_on_time(&jobs, 0.0, 1.0);
         assert_eq!(kept, [false, true, true, true]);
         assert_eq!(taken_s, 9.0);
-        let (kept, _) = most_in_time(&jobs, 5.0, 1.0);
+        let (kept, _) = max_on_time(&jobs, 5.0, 1.0);
         assert_eq!(kept, [false, true, true, false]);
         // With room for all of them none gives way.
-        let (kept, _) = most_in_time(&jobs[1..], 0.0, 1.0);
+        let (kept, _) = max_on_time(&jobs[1..], 0.0, 1.0);
         assert_eq!(kept, [true; 3]);
     }
 
@@ -131,26 +135,26 @@
         // the most work, so by work alone each of them gives way.
         let mut jobs = [due(10.0, 9.0), due(11.0, 2.0), due(12.0, 3.0)];
         jobs[0].underserved = true;
-        assert_eq!(most_in_time(&jobs, 0.0, 1.0).0, [true, true, false]);
+        assert_eq!(max_on_time(&jobs, 0.0, 1.0).0, [true, true, false]);
         // It gets no more than its share of the machines.
-        assert_eq!(most_in_time(&jobs, 0.0, 0.5).0, [false, true, true]);
+        assert_eq!(max_on_time(&jobs, 0.0, 0.5).0, [false, true, true]);
         jobs[1].underserved = true;
         jobs[2].underserved = true;
-        assert_eq!(most_in_time(&jobs, 0.0, 1.0).0, [false, true, true]);
+        assert_eq!(max_on_time(&jobs, 0.0, 1.0).0, [false, true, true]);
         // What can't be in time takes no one's place for being underserved.
         let late = [
             due(4.0, 3.0),
-            Due {
+            DeadlineDemand {
                 underserved: true,
                 ..due(5.0, 9.0)
             },
         ];
-        assert_eq!(most_in_time(&late, 0.0, 1.0).0, [true, false]);
+        assert_eq!(max_on_time(&late, 0.0, 1.0).0, [true, false]);
     }
 
     #[test]
     fn who_is_late_already_takes_no_ones_place() {
-        let (kept, taken_s) = most_in_time(&[due(-5.0, 1.0), due(4.0, 4.0)], 0.0, 1.0);
+        let (kept, taken_s) = max_on_time(&[due(-5.0, 1.0), due(4.0, 4.0)], 0.0, 1.0);
         assert_eq!(kept, [false, true]);
         assert_eq!(taken_s, 4.0);
     }
--- a/crates/umbersail-policy/src/place.rs
+++ b/crates/umbersail-policy/src/place.rs
@@ -96,18 +96,18 @@
     if oversize && task.reserved_types.contains(&m.machine_type.name) {
         return None;
     }
-    let wants = Wants {
+    let constraint = PlacementConstraint {
         image_gb: task.spec.image_gb,
         smallest_cpus: task.smallest_cpus,
         spot: task.spec.spot(),
     };
-    Some((cost_of(&wants, m, weights), slots))
+    Some((cost_of(&constraint, m, weights), slots))
 }
 
 /// What the cost of a placement depends on beside the machine: jobs that are
 /// alike in it, and in their image, rank machines alike.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Wants {
+pub struct PlacementConstraint {
     /// Size of the image in GB.
     pub image_gb: f64,
     /// CPUs of the smallest type that takes the task.
@@ -117,9 +117,13 @@
 }
 
 /// What a placement costs, in seconds, whatever the size of the task.
-pub fn cost_of<M>(wants: &Wants, m: &MachineView<'_, M>, weights: PlaceWeights) -> f64 {
-    let oversize = m.machine_type.cpus > wants.smallest_cpus + 1e-6;
-    let fetch_s = wants.image_gb / m.machine_type.fetch_gb_per_s.max(1e-3);
+pub fn cost_of<M>(
+    constraint: &PlacementConstraint,
+    m: &MachineView<'_, M>,
+    weights: PlaceWeights,
+) -> f64 {
+    let oversize = m.machine_type.cpus > constraint.smallest_cpus + 1e-6;
+    let fetch_s = constraint.image_gb / m.machine_type.fetch_gb_per_s.max(1e-3);
     let fetch = match (m.has_image, m.fetching_image) {
         (true, _) => 0.0,
         (false, true) => fetch_s * 0.5,
@@ -129,7 +133,7 @@
     fetch * weights.image
         + m.report_in_s
         + if oversize { weights.oversize } else { 0.0 }
-        + if wants.spot && !m.spot {
+        + if constraint.spot && !m.spot {
             weights.ordinary
         } else {
             0.0
--- a/crates/umbersail-rehearsal/src/fleet.rs
+++ b/crates/umbersail-rehearsal/src/fleet.rs
@@ -10,8 +10,8 @@
 use rand_chacha::ChaCha8Rng;
 use rand_distr::{Distribution, LogNormal};
 use umbersail_http::{Handler, Request, Response, serve};
-use umbersail_ledger::Bucket;
-use umbersail_ledger::api::parameter;
+use umbersail_kv::Bucket;
+use umbersail_kv::api::parameter;
 use umbersail_runtime::{HostId, HostSpec, TcpListener, WorldHandle, sleep};
 use umbersail_wire::{
     Catalogue, JobSpec, ListedMachine, MachineList, MachineNames, MachineState, MachineType,
@@ -19,8 +19,8 @@
 };
 
 use crate::history::{End, History, What};
+use crate::kv_store_host::{answer, wide_limits};
 use crate::late::{Late, LateReports};
-use crate::ledger_host::{answer, wide_limits};
 use crate::night::{MachineKind, Night};
 use crate::places::Addresses;
 use crate::store::StoreHost;
--- a/crates/umbersail-rehearsal/src/ledger_host.rs
+++ b/crates/umbersail-rehearsal/src/kv_store_host.rs
@@ -11,8 +11,8 @@
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use umbersail_http::{Handler, Request, Response, ServerLimits, serve};
-use umbersail_ledger::api::{Call, watched};
-use umbersail_ledger::{Bounds, Bucket, Ledger, Outcome};
+use umbersail_kv::api::{Call, watched};
+use umbersail_kv::{Bounds, Bucket, KvStore, Outcome};
 use umbersail_runtime::{Broadcast, TcpListener, WorldHandle, sleep, spawn};
 use umbersail_wire::{Change, Txn, TxnResult, Value, decode, encode};
 
@@ -51,9 +51,9 @@
 }
 
 /// The service, its troubles, and who asked how much.
-pub struct LedgerHost {
+pub struct KvStoreHost {
     world: WorldHandle,
-    ledger: RefCell<Ledger>,
+    ledger: RefCell<KvStore>,
     changed: Broadcast,
     requests: RefCell<Bucket>,
     writes: RefCell<Bucket>,
@@ -76,22 +76,22 @@
     pub figures: StateFigures,
 }
 
-impl LedgerHost {
+impl KvStoreHost {
     pub fn new(
         world: WorldHandle,
         history: History,
         state: &State,
         controllers: usize,
         seed: u64,
-    ) -> Rc<LedgerHost> {
+    ) -> Rc<KvStoreHost> {
         let bounds = Bounds {
             txn_ops: state.txn_ops,
             value_bytes: (state.value_kb * 1024.0) as usize,
             ..Bounds::default()
         };
-        Rc::new(LedgerHost {
+        Rc::new(KvStoreHost {
             world,
-            ledger: RefCell::new(Ledger::new(bounds)),
+            ledger: RefCell::new(KvStore::new(bounds)),
             changed: Broadcast::default(),
             requests: RefCell::new(Bucket::new(state.rps, 1.0)),
             writes: RefCell::new(Bucket::new(state.write_rps, 1.0)),
--- a/crates/umbersail-rehearsal/src/late.rs
+++ b/crates/umbersail-rehearsal/src/late.rs
@@ -285,7 +285,7 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use crate::ledger_host::wide_limits;
+    use crate::kv_store_host::wide_limits;
     use umbersail_http::{Handler, Response, serve};
     use umbersail_runtime::{NetworkConfig, Simulation, TcpListener};
     use umbersail_wire::decode;
--- a/crates/umbersail-rehearsal/src/paper.rs
+++ b/crates/umbersail-rehearsal/src/paper.rs
@@ -15,7 +15,7 @@
 use rand::{Rng, RngCore, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use rand_distr::{Distribution, Gamma};
-use umbersail_policy::{Host, Preference, Running, Shape, candidate_sets, choose};
+use umbersail_policy::{EvictionHost, PreemptibleTask, Preference, Shape, candidate_sets, choose};
 
 use crate::experiment::Mean;
 
@@ -277,11 +277,11 @@
             Kind::Cancelable | Kind::Suspendable | Kind::Migratable
         )
     });
-    let host = Host {
+    let host = EvictionHost {
         machine: 0u8,
         free: shape(free),
         running: preemptable
-            .map(|l| Running {
+            .map(|l| PreemptibleTask {
                 job: l.index,
                 task: 0,
                 shape: shape(all[l.index].nodes),
--- a/crates/umbersail-rehearsal/src/play.rs
+++ b/crates/umbersail-rehearsal/src/play.rs
@@ -18,7 +18,7 @@
 use crate::fleet::Fleet;
 use crate::history::{Event, History, What};
 use crate::judge::{Figures, judge};
-use crate::ledger_host::LedgerHost;
+use crate::kv_store_host::KvStoreHost;
 use crate::night::{Aim, Night};
 use crate::places::{Addresses, member, zone};
 use crate::runs;
@@ -254,7 +254,7 @@
     let count = night.controllers.count;
     let fronts: Vec<SocketAddr> = (0..count).map(|n| at.front(n)).collect();
     let named = (0..count).map(|n| (member(n), at.front(n))).collect();
-    let ledger = LedgerHost::new(world.clone(), history.clone(), &night.state, count, seed);
+    let ledger = KvStoreHost::new(world.clone(), history.clone(), &night.state, count, seed);
     let fleet = Fleet::new(world.clone(), history.clone(), night.clone(), seed, named);
     let users = Users::new(fleet.clone(), Balancer::new(fronts), seed);
     let doors = ledger.clone();
--- a/crates/umbersail-rehearsal/src/trouble.rs
+++ b/crates/umbersail-rehearsal/src/trouble.rs
@@ -12,8 +12,8 @@
 
 use crate::fleet::{Fleet, Machine};
 use crate::history::What;
+use crate::kv_store_host::KvStoreHost;
 use crate::late::Late;
-use crate::ledger_host::LedgerHost;
 use crate::night::{Failure, ROLL_S, Trouble};
 use crate::user_troubles::Order;
 use crate::users::Users;
@@ -37,7 +37,7 @@
 pub struct Stage {
     pub world: WorldHandle,
     pub fleet: Rc<Fleet>,
-    pub ledger: Rc<LedgerHost>,
+    pub ledger: Rc<KvStoreHost>,
     pub users: Rc<Users>,
     pub controllers: Vec<Controller>,
     /// Hosts that belong to no zone: state service, cloud, users.
--- a/crates/umbersail-rehearsal/src/worker.rs
+++ b/crates/umbersail-rehearsal/src/worker.rs
@@ -19,7 +19,7 @@
 
 use crate::fleet::Fleet;
 use crate::history::{self, End, What};
-use crate::ledger_host::{answer, wide_limits};
+use crate::kv_store_host::{answer, wide_limits};
 use crate::night::MachineKind;
 
 /// A worker waits so long for an answer to its report (PROTOCOL).
