--- a/crates/umbersail-rehearsal/src/bound.rs
+++ b/crates/umbersail-rehearsal/src/bound.rs
@@ -288,14 +288,14 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use crate::night::bundled;
+    use crate::bundled::bundled;
     use crate::served::Of;
     use umbersail_wire::{JobKind, Priority};
 
     /// A night of one kind of machine with eight CPUs, four of them up from the
     /// start, and none to be rented.
     fn night(cpus_max: f64) -> Night {
-        let text = bundled("changing-hands").unwrap();
+        let text = bundled("leader-changes-in-outages").unwrap();
         let mut night = Night::parse("test", text).unwrap();
         night.failures.clear();
         night.machines.truncate(1);
--- a/crates/umbersail-rehearsal/src/experiment.rs
+++ b/crates/umbersail-rehearsal/src/experiment.rs
@@ -9,7 +9,8 @@
 use serde::{Deserialize, Serialize};
 use statrs::distribution::{ContinuousCDF, StudentsT};
 
-use crate::night::{Night, NightError, bundled};
+use crate::bundled::bundled;
+use crate::night::{Night, NightError};
 use crate::play::{Outcome, PlayError, play_many};
 
 /// What is compared, on which nights.
--- a/crates/umbersail-rehearsal/src/judge/tests.rs
+++ b/crates/umbersail-rehearsal/src/judge/tests.rs
@@ -1,8 +1,8 @@
 //! Every rule broken by what breaks it, and by nothing else.
 
 use super::*;
+use crate::bundled::bundled;
 use crate::history::End;
-use crate::night::bundled;
 use umbersail_wire::{JobKind, Priority};
 
 fn spec(tasks: u32) -> JobSpec {
@@ -78,7 +78,7 @@
 
 /// A night without troubles of its own and this limit on its first team.
 fn night(limit: f64) -> Night {
-    let text = bundled("power-cut-south").unwrap();
+    let text = bundled("zone-power-loss-cold-caches").unwrap();
     let mut night = Night::parse("test", text).unwrap();
     night.teams[0].cpus_max = limit;
     night.failures.clear();
--- a/crates/umbersail-rehearsal/src/judge/waiting/tests.rs
+++ b/crates/umbersail-rehearsal/src/judge/waiting/tests.rs
@@ -1,7 +1,7 @@
 //! Jobs that are left waiting, and those that only look as if they were.
 
 use super::*;
-use crate::night::bundled;
+use crate::bundled::bundled;
 use umbersail_wire::{JobKind, Priority};
 
 /// What became of the one job of a small history, up to so many seconds.
@@ -111,7 +111,7 @@
 
 /// When the job was found to have been left waiting; troubles end at 20 s.
 fn left_at(case: Case) -> Vec<f64> {
-    let text = bundled("power-cut-south").unwrap();
+    let text = bundled("zone-power-loss-cold-caches").unwrap();
     let mut night = Night::parse("test", text).unwrap();
     night.teams[0].cpus_max = case.cpus_max;
     night.failures.truncate(1);
@@ -292,7 +292,7 @@
 
 #[test]
 fn the_calendar_holds_a_step_until_the_one_before_has_ended_or_all_is_due() {
-    let text = bundled("editions-by-the-hour").unwrap();
+    let text = bundled("calendar-runs-leader-changes").unwrap();
     let mut night = Night::parse("test", text).unwrap();
     night.failures.clear();
     night.runs.truncate(1);
--- a/crates/umbersail-rehearsal/src/lib.rs
+++ b/crates/umbersail-rehearsal/src/lib.rs
@@ -10,14 +10,15 @@
 //! ```no_run
 //! use umbersail_rehearsal::{Night, bundled, play};
 //!
-//! let text = bundled("power-cut-south").unwrap();
-//! let night = Night::parse("power-cut-south", text).unwrap();
+//! let text = bundled("zone-power-loss-cold-caches").unwrap();
+//! let night = Night::parse("zone-power-loss-cold-caches", text).unwrap();
 //! let outcome = play(&night, 7, &mut |_, _| {}).unwrap();
 //! assert!(outcome.figures.breaches.is_empty());
 //! ```
 
 mod answers;
 mod bound;
+mod bundled;
 mod cancel_now;
 mod cancellations;
 mod close_looks;
@@ -46,8 +47,9 @@
 mod worker;
 
 pub use answers::{Answers, SILENT_S};
+pub use bundled::{BUNDLED, Bundled, bundled};
 pub use judge::{Breach, Figures, Reached, Rule, judge};
-pub use night::{BUNDLED, Failure, Night, NightError, Priority, Team, Trouble, bundled};
+pub use night::{Failure, Night, NightError, Priority, Team, Trouble};
 pub use odd_requests::{Invalid, REQUIRED_FIELDS, invalid_submissions};
 pub use play::{Outcome, PlayError, play, play_many, settings};
 pub use real::play_real;
--- a/crates/umbersail-rehearsal/tests/nights/harness.rs
+++ b/crates/umbersail-rehearsal/tests/nights/harness.rs
@@ -26,7 +26,7 @@
 
 /// The small shop for so many seconds, with failures of its own (TOML).
 pub fn shop(length_s: f64, failures: &str) -> Night {
-    let text = bundled("power-cut-south").unwrap();
+    let text = bundled("zone-power-loss-cold-caches").unwrap();
     let head = &text[..text.find("[[failures]]").unwrap()];
     let mut night = Night::parse("test", &format!("{head}{failures}")).unwrap();
     night.length_s = length_s;
--- a/crates/umbersail-rehearsal/tests/nights/lost_answers.rs
+++ b/crates/umbersail-rehearsal/tests/nights/lost_answers.rs
@@ -200,7 +200,7 @@
 
 /// A run of two steps with jobs of these classes, three times, a minute apart.
 fn calendar_run(classes: [&str; 2]) -> Run {
-    let mut run = night("editions-by-the-hour").runs.remove(0);
+    let mut run = night("calendar-runs-leader-changes").runs.remove(0);
     (run.opens_s, run.times, run.every_min, run.due_s) = (20.0, 3, 1, 55.0);
     for (step, class) in run.steps.iter_mut().zip(classes) {
         (step.class, step.jobs) = (class.into(), 4);
--- a/crates/umbersail-rehearsal/tests/nights/whole.rs
+++ b/crates/umbersail-rehearsal/tests/nights/whole.rs
@@ -8,7 +8,7 @@
 #[test]
 fn the_same_seed_gives_the_same_night_and_another_another() {
     // Guards against time, chance or hash order of the machine leaking in.
-    let night = night("power-cut-south");
+    let night = night("zone-power-loss-cold-caches");
     let once = played(&night, 7);
     assert_eq!(once.hash, played(&night, 7).hash);
     assert_ne!(once.hash, played(&night, 8).hash);
@@ -128,7 +128,7 @@
 #[test]
 fn a_night_that_contradicts_itself_is_refused_with_file_key_and_reason() {
     // Guards against a rehearsal of something that nobody meant.
-    let text = bundled("power-cut-south").unwrap();
+    let text = bundled("zone-power-loss-cold-caches").unwrap();
     let refused = |from: &str, to: &str| {
         assert!(text.contains(from), "{from}");
         Night::parse("n.toml", &text.replacen(from, to, 1))
@@ -261,7 +261,7 @@
 #[test]
 fn every_bundled_night_can_be_read_and_says_what_it_is() {
     // Guards against a bundled file that only its author can play.
-    for (name, text) in umbersail_rehearsal::BUNDLED {
+    for umbersail_rehearsal::Bundled { name, text, .. } in umbersail_rehearsal::BUNDLED {
         let night = Night::parse(name, text).unwrap();
         assert!(
             !night.title.is_empty() && night.failures.len() >= 5,
--- a/crates/umbersail/src/rehearse.rs
+++ b/crates/umbersail/src/rehearse.rs
@@ -9,7 +9,7 @@
 use umbersail_rehearsal::experiment::{self, Experiment};
 use umbersail_rehearsal::paper;
 use umbersail_rehearsal::{
-    BUNDLED, Night, NightError, Outcome, bundled, play, play_many, play_real, report,
+    BUNDLED, Bundled, Night, NightError, Outcome, bundled, play, play_many, play_real, report,
 };
 
 /// Cores of this machine.
@@ -72,9 +72,9 @@
 }
 
 fn list() {
-    for (name, text) in BUNDLED {
+    for Bundled { name, text, .. } in BUNDLED {
         match Night::parse(name, text) {
-            Ok(night) => println!("{name:<19} {}", night.title),
+            Ok(night) => println!("{name:<35} {}", night.title),
             Err(e) => eprintln!("{e}"),
         }
     }
--- a/crates/umbersail/tests/cli.rs
+++ b/crates/umbersail/tests/cli.rs
@@ -221,7 +221,7 @@
         let to = dir.to_str().unwrap();
         umbersail(&[
             "rehearse",
-            "power-cut-south",
+            "zone-power-loss-cold-caches",
             "--seed",
             seed,
             "--report",
@@ -250,7 +250,7 @@
     let night = file("bad-night.toml", "title = \"x\"\nlength_s = -1\n");
     let experiment = file(
         "bad-experiment.toml",
-        "title = \"x\"\nnights = [\"carnival-week\"]\nseeds = 2\n[[variants]]\nname = \"a\"\n",
+        "title = \"x\"\nnights = [\"nightly-batch\"]\nseeds = 2\n[[variants]]\nname = \"a\"\n",
     );
     for (args, key) in [
         (["rehearse", night.to_str().unwrap()], "bad-night.toml: "),
@@ -274,7 +274,7 @@
 #[test]
 fn a_night_with_bad_troubles_ends_with_exit_code_2_and_names_file_key_and_reason() {
     // Guards against a night that is played although it says what can't be.
-    let printed = umbersail(&["rehearse", "power-cut-south", "--print"]);
+    let printed = umbersail(&["rehearse", "zone-power-loss-cold-caches", "--print"]);
     let text = String::from_utf8(printed.stdout).unwrap();
     let late = "what = \"commands-late\"\nto_s = 3\n";
     for (from, to, wanted) in [
