--- a/crates/umbersail-standby/src/lib.rs
+++ b/crates/umbersail-standby/src/lib.rs
@@ -2,18 +2,18 @@
 //! without I/O and without a clock.
 //!
 //! ```
-//! use umbersail_standby::{Evidence, DetectorTimeouts, Step, FailureDetector};
+//! use umbersail_standby::{Evidence, DetectorTimeouts, DetectorStep, FailureDetector};
 //!
 //! let timeouts = DetectorTimeouts { rank_s: 0.4, answer_s: 0.5, silent_answer_s: 1.2,
 //!     settle_s: 6.0, slack_s: 0.4, cleared_s: 5.0 };
 //! let mut failure_detector = FailureDetector::new(timeouts);
 //! failure_detector.leader(0.0, 412);
 //! // Its connection was closed: perhaps it has ended, perhaps a filter did that.
-//! failure_detector.against(10.0, 412, Evidence::Closed);
-//! assert_eq!(failure_detector.step(10.0, 0), Step::Ask);
+//! failure_detector.suspect(10.0, 412, Evidence::Closed);
+//! assert_eq!(failure_detector.step(10.0, 0), DetectorStep::Ask);
 //! // Another process answers in its place: that proves it.
-//! failure_detector.against(10.1, 412, Evidence::Replaced);
-//! assert_eq!(failure_detector.step(10.1, 0), Step::Replace(412));
+//! failure_detector.suspect(10.1, 412, Evidence::Replaced);
+//! assert_eq!(failure_detector.step(10.1, 0), DetectorStep::Replace(412));
 //! ```
 #![deny(missing_docs)]
 #![warn(
