--- a/crates/umbersail-control/src/capacity.rs
+++ b/crates/umbersail-control/src/capacity.rs
@@ -12,12 +12,13 @@
 use crate::settings::Settings;
 use crate::state::StateClient;
 
-/// Connections to the state service and the cloud, and to peers beside those
-/// that hand on reports to one of them.
+/// Connections to the state service.
 const STATE_CONNECTIONS: usize = 48;
 
+/// Connections to the cloud.
 const CLOUD_CONNECTIONS: usize = 4;
 
+/// Connections to peers beside those that hand on heartbeats to one of them.
 const EXTRA_PEER_CONNECTIONS: usize = 8;
 
 /// One connection to each peer for so many sockets: 61 of 3,051, enough for 600 reports a
--- a/crates/umbersail-control/src/engine/evict.rs
+++ b/crates/umbersail-control/src/engine/evict.rs
@@ -22,12 +22,12 @@
     pub looked: u64,
 }
 
-/// For winners of one class.
+/// For beneficiaries of one class.
 struct CandidateGroup {
     of: (PreemptionClass<Priority>, bool),
     /// Machines by name, with the tasks there that may be lost.
     machines: Vec<(MachineId, Vec<(JobId, u32)>)>,
-    /// Reaches in which none of them lies.
+    /// Localities in which none of them lies.
     exhausted: Vec<Locality>,
     looked: u64,
 }
--- a/crates/umbersail-control/src/polls.rs
+++ b/crates/umbersail-control/src/polls.rs
@@ -33,7 +33,7 @@
     Unanswered,
 }
 
-/// BatchedPolls that are compared in one request.
+/// Polls that are compared in one request.
 #[derive(Default)]
 struct PollBatch {
     versions: RefCell<BTreeMap<String, u64>>,
