--- a/crates/umbersail-control/benches/scheduling_cycle.rs
+++ b/crates/umbersail-control/benches/scheduling_cycle.rs
@@ -7,7 +7,7 @@
 
 use criterion::{BenchmarkId, Criterion, criterion_group, criterion_main};
 use umbersail_control::engine::{
-    Engine, EngineConfig, Inheritance, InheritedJob, InheritedPart, TxnOutcome,
+    Engine, EngineConfig, InheritedJob, InheritedPart, InheritedState, TxnOutcome,
 };
 use umbersail_control::records::{GrantPart, GrantedMachine, JobRecord, Record, RunRecord};
 use umbersail_policy::TeamLimits;
@@ -52,16 +52,16 @@
             name: "t".into(),
             ..TeamLimits::default()
         }],
-        start_aims: [("c".to_owned(), 5.0)].into(),
-        guarantee_aim: None,
-        late_aims: [("c".to_owned(), 1.5)].into(),
-        report_s: 2.5,
+        start_objectives: [("c".to_owned(), 5.0)].into(),
+        guarantee_start_objective: None,
+        deadline_factors: [("c".to_owned(), 1.5)].into(),
+        heartbeat_interval_s: 2.5,
         lease_s: 15.0,
         cancel_s: 45.0,
-        list_lag_s: 4.0,
-        txn_ops: 20,
-        value_bytes: 32 * 1024,
-        skew_ms: 500.0,
+        cloud_list_lag_s: 4.0,
+        max_txn_changes: 20,
+        max_value_bytes: 32 * 1024,
+        max_clock_skew_ms: 500.0,
         slice_steps: u64::MAX,
         tuning: Rc::new(Tuning::default()),
     })
@@ -112,13 +112,13 @@
 impl Bench {
     /// So many machines, up, in the grant and empty.
     fn machines(count: usize) -> Bench {
-        let inheritance = Inheritance {
+        let inheritance = InheritedState {
             revision: 100,
             leader_version: 100,
-            parts: vec![],
+            grant_parts: vec![],
             jobs: vec![],
-            over: vec![],
-            whole_machines: false,
+            finished_jobs: vec![],
+            count_whole_machines: false,
             predecessor_degraded: false,
             types: vec![machine_type()],
             plans: Vec::new(),
@@ -149,7 +149,7 @@
     fn report(&mut self, machine: usize) {
         let report = &mut self.reports[machine];
         report.seq += 1;
-        if !self.engine.report(self.now, report) {
+        if !self.engine.receive_heartbeat(self.now, report) {
             return;
         }
         let commands = self.engine.reply(self.now, report, true);
@@ -192,7 +192,7 @@
         while let Some(pending) = self.engine.next_txn(self.now + 2.0, 20, 20) {
             revision += 1;
             self.engine
-                .txn_done(self.now, pending, TxnOutcome::Applied { revision });
+                .txn_finished(self.now, pending, TxnOutcome::Applied { revision });
         }
     }
 
@@ -396,13 +396,13 @@
                 version: 70,
                 run: None,
             });
-            Inheritance {
+            InheritedState {
                 revision: 101,
                 leader_version: 101,
-                parts: parts.collect(),
+                grant_parts: parts.collect(),
                 jobs: running.chain(idle).collect(),
-                over: vec![],
-                whole_machines: false,
+                finished_jobs: vec![],
+                count_whole_machines: false,
                 predecessor_degraded: false,
                 types: vec![machine_type()],
                 plans: Vec::new(),
@@ -423,7 +423,7 @@
                 |inheritance| {
                     let mut engine = Engine::new(config(), 1.0, 1000, inheritance);
                     for report in reports.values() {
-                        engine.report(1.5, report);
+                        engine.receive_heartbeat(1.5, report);
                     }
                     engine
                 },
--- a/crates/umbersail-control/src/degraded_mode.rs
+++ b/crates/umbersail-control/src/degraded_mode.rs
@@ -41,7 +41,7 @@
                 state == DegradedMode::Active
                     && self.is_in_time(now)
                     && back_s < self.tuning.degraded_mode_catch_up_s
-                    && self.with_engine(token, |e| e.unrecorded_jobs() > FEW_UNRECORDED)
+                    && self.with_engine(token, |e| e.unrecorded_job_count() > FEW_UNRECORDED)
                         == Some(true)
             };
             if state == DegradedMode::Off && wanted && !self.request_degraded_mode(token).await {
@@ -50,10 +50,10 @@
             if state == DegradedMode::Active && !wanted {
                 info!("starts without a record are over");
                 self.degraded_mode.borrow_mut().close();
-                self.with_engine(token, |e| e.set_degraded(false));
+                self.with_engine(token, |e| e.set_degraded_mode(false));
                 self.wake.notify();
             }
-            let recorded = || self.with_engine(token, |e| e.unrecorded_jobs()) == Some(0);
+            let recorded = || self.with_engine(token, |e| e.unrecorded_job_count()) == Some(0);
             if state == DegradedMode::Draining && recorded() {
                 info!("all that was started is recorded");
                 self.degraded_mode.borrow_mut().recorded();
@@ -67,7 +67,7 @@
         self.state_is_out(now)
             && self.is_in_time(now)
             && (self.degraded_mode.borrow().allows_starts()
-                || self.with_engine(token, |e| e.has_waiting_for_degraded_mode()) == Some(true))
+                || self.with_engine(token, |e| e.has_jobs_for_degraded_mode()) == Some(true))
     }
 
     fn state_is_out(&self, now: Time) -> bool {
@@ -104,7 +104,7 @@
             return false;
         }
         info!("starts without a record, with all peers' agreement: the state service is out");
-        self.with_engine(token, |e| e.set_degraded(true));
+        self.with_engine(token, |e| e.set_degraded_mode(true));
         self.wake.notify();
         true
     }
--- a/crates/umbersail-control/src/delegate/tests.rs
+++ b/crates/umbersail-control/src/delegate/tests.rs
@@ -3,7 +3,7 @@
 use umbersail_wire::TaskReport;
 
 use super::*;
-use crate::engine::token_of;
+use crate::engine::first_token;
 
 fn report(machine: &str, token: u64) -> Report {
     nth(1, machine, token)
@@ -29,12 +29,12 @@
     // Guards against tasks kept alive that a successor, or the leader
     // itself, takes for lapsed.
     let mut delegate = Delegate::new(10.0, 100.0);
-    let token = token_of(7) + 3;
+    let token = first_token(7) + 3;
     assert_eq!(delegate.renew(0.0, &report("m1", token)), None);
     delegate.delegated(7, 16.0, &[]);
     assert_eq!(delegate.renew(1.0, &report("m1", token)), Some(token));
-    assert_eq!(delegate.renew(1.0, &report("m2", token_of(6))), None);
-    assert_eq!(delegate.renew(1.0, &report("m2", token_of(8))), None);
+    assert_eq!(delegate.renew(1.0, &report("m2", first_token(6))), None);
+    assert_eq!(delegate.renew(1.0, &report("m2", first_token(8))), None);
     assert_eq!(delegate.renew(16.0, &report("m1", token)), None);
     // An answer that was under way does not shorten a later word.
     delegate.delegated(7, 20.0, &[]);
@@ -52,14 +52,18 @@
     // Guards against a leader that still greets and answers no report in
     // time: the tasks of a cancelled job would live on for ever.
     let mut delegate = Delegate::new(10.0, 16.0);
-    let m1 = |seq| nth(seq, "m1", token_of(7));
+    let m1 = |seq| nth(seq, "m1", first_token(7));
     for second in 0..16u32 {
         let now = f64::from(second);
         delegate.delegated(7, now + 16.0, &[]);
         assert!(delegate.renew(now, &m1(u64::from(second) + 1)).is_some());
     }
     assert!(delegate.renew(16.0, &m1(17)).is_none());
-    assert!(delegate.renew(16.5, &report("m2", token_of(7))).is_some());
+    assert!(
+        delegate
+            .renew(16.5, &report("m2", first_token(7)))
+            .is_some()
+    );
     // The leader answered a copy: its worker has heard nothing of that.
     delegate.relayed(&m1(8));
     assert!(delegate.renew(16.6, &m1(18)).is_none());
@@ -72,7 +76,7 @@
     // Guards against copies that hold off the lapse of a machine that is dead.
     let mut delegate = Delegate::new(10.0, 100.0);
     delegate.delegated(7, 100.0, &[]);
-    let (first, second) = (nth(1, "m1", token_of(7)), nth(2, "m1", token_of(7)));
+    let (first, second) = (nth(1, "m1", first_token(7)), nth(2, "m1", first_token(7)));
     assert!(delegate.renew(1.0, &first).is_some());
     assert!(delegate.renew(2.0, &second).is_some());
     assert!(delegate.renew(8.0, &first).is_none());
@@ -86,7 +90,7 @@
     // for lapsed which was answered a moment ago.
     let mut delegate = Delegate::new(10.0, 100.0);
     delegate.delegated(7, 100.0, &[]);
-    assert!(delegate.renew(1.0, &report("m1", token_of(7))).is_some());
+    assert!(delegate.renew(1.0, &report("m1", first_token(7))).is_some());
     let renewed = delegate.renewed(5.0);
     assert_eq!(renewed.len(), 1);
     assert_eq!(
@@ -103,7 +107,7 @@
     // after the other: each within its time, and together beyond what it may take.
     let mut delegate = Delegate::new(10.0, 100.0);
     delegate.delegated(7, 50.0, &["req-1".into()]);
-    let mut shown = report("m1", token_of(7));
+    let mut shown = report("m1", first_token(7));
     let task = |task: &str, state| TaskReport {
         task: task.into(),
         attempt: 3,
@@ -145,7 +149,7 @@
     for round in 1..=20u64 {
         for machine in 0..machines {
             let name = format!("host-{machine:06}");
-            let renewed = delegate.renew(round as f64, &nth(round, &name, token_of(7)));
+            let renewed = delegate.renew(round as f64, &nth(round, &name, first_token(7)));
             assert!(renewed.is_some(), "{name} in round {round}");
         }
     }
--- a/crates/umbersail-control/src/engine/commands.rs
+++ b/crates/umbersail-control/src/engine/commands.rs
@@ -3,7 +3,7 @@
 use tracing::debug;
 use umbersail_wire::{Command, ExitCause, Report, TaskReport, TaskState};
 
-use super::report::{join_task, split_task};
+use super::heartbeats::{join_task, split_task};
 use super::tokens::may_launch;
 use super::{Engine, MachineId, Placement, Time, epoch};
 
@@ -11,11 +11,11 @@
     /// Whether a launch for this machine is about to be planned or recorded:
     /// the reply to the very report that shows a free place then carries it,
     /// and the place does not stay empty until the next report.
-    pub fn launch_is_near(&self, now: Time, machine: &str) -> bool {
+    pub fn expects_launch(&self, now: Time, machine: &str) -> bool {
         let Some((name, machine)) = self.machines.get_key_value(machine) else {
             return false;
         };
-        if !machine.recorded || !machine.takes_tasks(now, self.silent_after()) {
+        if !machine.grant_recorded || !machine.accepts_tasks(now, self.silence_limit_s()) {
             return false;
         }
         let mut unrecorded = false;
@@ -24,15 +24,15 @@
                 continue;
             };
             let unsent_launches = job
-                .live
+                .placements
                 .get(task)
-                .is_some_and(|p| !p.told() && p.stop.is_none());
-            if unsent_launches && may_launch(job, *task, name, self.open) {
+                .is_some_and(|p| !p.may_be_known_to_worker() && p.pending_stop.is_none());
+            if unsent_launches && may_launch(job, *task, name, self.degraded_mode) {
                 return false;
             }
             unrecorded |= unsent_launches;
         }
-        unrecorded || (self.wants_schedule() && self.may_wait)
+        unrecorded || (self.wants_schedule() && self.may_have_waiting_jobs)
     }
 
     /// The commands for the reply to a report that was taken. `may_start` is
@@ -49,13 +49,13 @@
             // Not fenced yet: this answer brings it our token, and the change
             // makes it report again, but perhaps in turn only. It renews the lease
             // all the same, so what is over is stopped with it (rule 2).
-            self.stops_of_over(report)
+            self.stop_commands_for_finished_jobs(report)
         };
         let token = self.token;
         if let Some(machine) = self.machines.get_mut(&name) {
-            machine.last_answer = Some(now);
-            let told = machine.token.max(token);
-            machine.reachability.answered(now, report, told);
+            machine.last_reply = Some(now);
+            let sent_token = machine.token.max(token);
+            machine.reachability.reply_sent(now, report, sent_token);
         }
         commands
     }
@@ -63,7 +63,7 @@
     /// Stops of tasks whose jobs are over: no unfinished job is unknown to us, since a
     /// task is started only once its job is accepted, and we read those after our
     /// election (rule 2).
-    pub(super) fn stops_of_over(&self, report: &Report) -> Vec<Command> {
+    pub(super) fn stop_commands_for_finished_jobs(&self, report: &Report) -> Vec<Command> {
         let over = |task: &str| {
             let job = split_task(task).map(|(id, _)| self.jobs.get(id));
             job.is_some_and(|job| job.is_none_or(|job| job.cancelled))
@@ -89,7 +89,7 @@
             .filter_map(|entry| self.command_for_shown(name, entry))
             .collect();
         let machine = &self.machines[name];
-        if may_start && machine.recorded && !machine.reachability.is_unreachable() {
+        if may_start && machine.grant_recorded && !machine.reachability.is_unreachable() {
             self.add_launches(now, name, report, &mut commands);
         }
         commands
@@ -110,14 +110,15 @@
                 attempt: entry.attempt,
             });
         }
-        let placement = job.and_then(|job| Some((job, job.live.get(&task)?)));
+        let placement = job.and_then(|job| Some((job, job.placements.get(&task)?)));
         let grace_s = match placement {
             // The job is over, or this is not the attempt that counts.
             None => 0.0,
             Some((_, p)) if p.attempt != entry.attempt || p.machine != *name => 0.0,
             Some((job, p)) => {
-                let stop = p.stop.as_ref()?;
-                let recorded = job.recorded_evictions >= stop.evictions || job.cancelled;
+                let stop = p.pending_stop.as_ref()?;
+                let recorded =
+                    job.recorded_evictions >= stop.required_eviction_count || job.cancelled;
                 let is_new = entry.state != TaskState::Saving || stop.grace_s == 0.0;
                 (recorded && is_new).then_some(stop.grace_s)?
             }
@@ -133,15 +134,15 @@
         report: &Report,
         commands: &mut Vec<Command>,
     ) {
-        let open = self.open;
+        let open = self.degraded_mode;
         for (id, task) in self.held_by_urgency(name) {
             let Some(job) = self.jobs.get(&id) else {
                 continue;
             };
-            let unsent_launches = |p: &Placement| !p.told() && p.stop.is_none();
+            let is_unsent = |p: &Placement| !p.may_be_known_to_worker() && p.pending_stop.is_none();
             if job.cancelled
                 || !may_launch(job, task, name, open)
-                || !job.live.get(&task).is_some_and(unsent_launches)
+                || !job.placements.get(&task).is_some_and(is_unsent)
             {
                 continue;
             }
@@ -149,10 +150,10 @@
                 continue;
             };
             let job = self.jobs.get_mut(&id);
-            let Some(placement) = job.and_then(|job| job.live.get_mut(&task)) else {
+            let Some(placement) = job.and_then(|job| job.placements.get_mut(&task)) else {
                 continue;
             };
-            placement.ordered = Some(report.order());
+            placement.launched_in = Some(report.order());
             commands.push(Command::Start {
                 task: join_task(&id, task),
                 attempt: placement.attempt,
@@ -162,7 +163,7 @@
                 job = &*id,
                 task,
                 machine = &**name,
-                waited_s = now - placement.planned_at,
+                waited_s = now - placement.placed_at,
                 "launch"
             );
         }
--- a/crates/umbersail-control/src/engine/delegations.rs
+++ b/crates/umbersail-control/src/engine/delegations.rs
@@ -9,50 +9,50 @@
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub(super) struct Delegation {
     /// It answers nobody in our stead after this.
-    until: Time,
+    expires_at: Time,
     /// What it answered up to here is known to us.
-    known_to: Time,
+    reported_until: Time,
     /// The process that told us so started before this; an earlier one may
     /// have answered until then.
-    started: Time,
+    process_started_at: Time,
 }
 
 /// Upper bound on the jobs that a peer is told of with a delegation: some 50 KiB in each
 /// answer to a greeting, a burst of cancellations of a fleet of 4,000 machines. With more
 /// jobs than that nothing is delegated until some of them are gone.
-const MAX_OVER_JOBS: usize = 4096;
+const MAX_FINISHED_JOBS: usize = 4096;
 
 impl Engine {
     /// Jobs that are over of which tasks may still be about: whoever answers workers
     /// in our stead tells them to stop those (rule 2). None while an earlier holder's
     /// starts without a record are not all known, or if there are too many: then
     /// nobody may answer in our stead.
-    pub fn over_jobs(&self) -> Option<Vec<String>> {
+    pub fn finished_jobs(&self) -> Option<Vec<String>> {
         let cancelled = self.jobs.iter().filter(|(_, job)| job.cancelled);
         let ids = cancelled.map(|(id, _)| id).chain(self.orphaned_jobs.jobs());
         let over: Vec<String> = ids
-            .take(MAX_OVER_JOBS + 1)
+            .take(MAX_FINISHED_JOBS + 1)
             .map(|id| id.to_string())
             .collect();
-        (!self.recovery_pending && over.len() <= MAX_OVER_JOBS).then_some(over)
+        (!self.recovery_pending && over.len() <= MAX_FINISHED_JOBS).then_some(over)
     }
 
     /// This peer may answer in our stead until then.
-    pub fn delegate_to(&mut self, member: &str, until: Time) {
+    pub fn delegate_renewals_to(&mut self, member: &str, until: Time) {
         let delegation = self
             .delegations
             .entry(member.to_owned())
             .or_insert(Delegation {
-                until,
-                known_to: f64::MIN,
-                started: f64::MAX,
+                expires_at: until,
+                reported_until: f64::MIN,
+                process_started_at: f64::MAX,
             });
-        delegation.until = delegation.until.max(until);
+        delegation.expires_at = delegation.expires_at.max(until);
     }
 
     /// Asked at `asked_at`, a process that has run for `up_s` tells whom it
     /// answered in our stead.
-    pub fn renewed_by(
+    pub fn record_delegated_renewals(
         &mut self,
         now: Time,
         member: &str,
@@ -62,13 +62,13 @@
     ) {
         let drift = self.cfg.tuning.drift;
         if let Some(delegation) = self.delegations.get_mut(member) {
-            delegation.known_to = asked_at;
-            delegation.started = now - up_s * (1.0 - drift);
+            delegation.reported_until = asked_at;
+            delegation.process_started_at = now - up_s * (1.0 - drift);
         }
         for entry in renewed {
             let at = now - entry.ago_ms as f64 / 1000.0 * (1.0 - drift);
             if let Some(machine) = self.machines.get_mut(entry.machine.as_str()) {
-                machine.last_answer = Some(machine.last_answer.map_or(at, |known| known.max(at)));
+                machine.last_reply = Some(machine.last_reply.map_or(at, |known| known.max(at)));
             }
         }
     }
@@ -79,14 +79,14 @@
     /// One peer may have renewed the machine's lease until another took that over: the second
     /// one's word that it renewed nothing counts only if it is from after the first
     /// one's last possible answer and a lease.
-    pub(super) fn may_be_renewed(&self, now: Time, end: Time, lease: f64) -> bool {
+    pub(super) fn may_have_been_renewed(&self, now: Time, end: Time, lease: f64) -> bool {
         let mut end = end;
         loop {
-            let unknown = self
-                .delegations
-                .values()
-                .filter(|d| d.until > end - lease && d.known_to < end.max(d.started + lease));
-            let latest = unknown.map(|d| d.until + lease).reduce(f64::max);
+            let unknown = self.delegations.values().filter(|d| {
+                d.expires_at > end - lease
+                    && d.reported_until < end.max(d.process_started_at + lease)
+            });
+            let latest = unknown.map(|d| d.expires_at + lease).reduce(f64::max);
             match latest {
                 Some(latest) if latest > end => end = latest,
                 _ => return now <= end,
@@ -96,6 +96,8 @@
 
     /// Whether this peer answers in our stead just now.
     pub fn is_delegate(&self, now: Time, member: &str) -> bool {
-        self.delegations.get(member).is_some_and(|d| now < d.until)
+        self.delegations
+            .get(member)
+            .is_some_and(|d| now < d.expires_at)
     }
 }
--- a/crates/umbersail-control/src/engine/evict.rs
+++ b/crates/umbersail-control/src/engine/evict.rs
@@ -11,7 +11,7 @@
 use umbersail_wire::{Priority, TaskState};
 
 use super::machine::Claim;
-use super::{Engine, Job, JobId, Machine, MachineId, Placement, Stop, Time};
+use super::{Engine, Job, JobId, Machine, MachineId, PendingStop, Placement, Time};
 
 /// What may be lost, gathered once in a slice for all blocked jobs that stand
 /// alike.
@@ -37,7 +37,7 @@
     pub(super) fn is_ever_preemptible(&self, job: &Job) -> bool {
         let tuning = &self.cfg.tuning;
         !job.is_service()
-            && !job.is_spared(tuning.evict_loser_limit)
+            && !job.has_reached_eviction_limit(tuning.evict_loser_limit)
             && (job.spec.deadline_s.is_none()
                 || tuning.evict_deadline_work > 0.0
                 || tuning.reclaim_deadline_work > 0.0)
@@ -60,7 +60,7 @@
         if !reclaim && job.spec.priority == Priority::Low {
             return false;
         }
-        let preemptible = self.preemptible.to(job.preemption_class(), reclaim);
+        let preemptible = self.preemptible_jobs.to(job.preemption_class(), reclaim);
         if preemptible.is_empty() || (!reclaim && self.can_rent_in_time(now, job)) {
             return false;
         }
@@ -101,10 +101,10 @@
     /// Whether the job may evict at all just now.
     fn may_evict(&self, now: Time, job: &Job) -> bool {
         // A job that fails everywhere would keep evicting for ever.
-        job.waits()
-            && !job.suspect
+        job.is_schedulable()
+            && !job.suspected_faulty
             && job.errors < self.cfg.tuning.evict_errors_limit as u32
-            && now >= job.evict_hold_until
+            && now >= job.next_eviction_at
     }
 
     /// Index of the group of candidates for jobs of this class, gathered once in a slice.
@@ -135,7 +135,7 @@
     ) -> Option<&Machine> {
         let machine = self.machines.get(name)?;
         let index = machine.type_index?;
-        let usable = machine.takes_tasks(now, self.silent_after())
+        let usable = machine.accepts_tasks(now, self.silence_limit_s())
             && locality.has(index, &machine.zone, machine.spot, machine.reservations);
         usable.then_some(machine)
     }
@@ -154,7 +154,7 @@
             .iter()
             .filter_map(|(id, task)| {
                 let victim = self.jobs.get(id)?;
-                let placement = victim.live.get(task)?;
+                let placement = victim.placements.get(task)?;
                 self.is_preemptable(beneficiary, victim, placement, reclaim, usage)
                     .then(|| PreemptibleTask {
                         job: id.clone(),
@@ -164,10 +164,10 @@
                     })
             })
             .collect();
-        let capacity = Shape::of_type(&self.types[machine.type_index?]);
+        let capacity = Shape::of_type(&self.machine_types[machine.type_index?]);
         (!running.is_empty()).then(|| EvictionHost {
             machine: machine.name.clone(),
-            free: capacity.plus(&machine.used, -1.0),
+            free: capacity.plus(&machine.allocated, -1.0),
             running,
         })
     }
@@ -185,15 +185,18 @@
                 continue;
             };
             victim.evictions += 1;
-            victim.touch(now);
-            if victim.is_spared(limit) {
-                self.preemptible.remove(victim.preemption_class(), id);
+            victim.mark_dirty(now);
+            if victim.has_reached_eviction_limit(limit) {
+                self.preemptible_jobs.remove(victim.preemption_class(), id);
             }
             let evictions = victim.evictions;
             let grace_s = victim.save_grace_s();
             saving_s = saving_s.max(grace_s);
-            if let Some(placement) = victim.live.get_mut(task) {
-                placement.stop = Some(Stop { grace_s, evictions });
+            if let Some(placement) = victim.placements.get_mut(task) {
+                placement.pending_stop = Some(PendingStop {
+                    grace_s,
+                    required_eviction_count: evictions,
+                });
             }
         }
         saving_s
@@ -208,17 +211,17 @@
         machine: &MachineId,
         saving_s: f64,
     ) {
-        let hold_s = 2.0 * self.cfg.report_s + 1.0 + saving_s;
+        let hold_s = 2.0 * self.cfg.heartbeat_interval_s + 1.0 + saving_s;
         let until = now + hold_s;
         if let Some(machine) = self.machines.get_mut(machine) {
             machine.claim = Some(Claim {
-                winner: id.clone(),
+                claimant: id.clone(),
                 tier,
                 until,
             });
         }
         if let Some(job) = self.jobs.get_mut(id) {
-            job.evict_hold_until = until;
+            job.next_eviction_at = until;
         }
     }
 
@@ -226,14 +229,18 @@
     /// worker could obey a stop: the task would stay planned, and hold its place,
     /// until the next leader.
     pub(super) fn unplace_unsent(&mut self, id: &JobId, task: u32, usage: &mut [Usage]) -> bool {
-        let unsent_launches = |job: &&Job| job.live.get(&task).is_some_and(|p| !p.told());
+        let unsent_launches = |job: &&Job| {
+            job.placements
+                .get(&task)
+                .is_some_and(|p| !p.may_be_known_to_worker())
+        };
         let Some(job) = self.jobs.get(id).filter(unsent_launches) else {
             return false;
         };
         if let Some(team) = job.team {
             usage[team].add(&job.shape, -1.0);
         }
-        self.return_task(id, task);
+        self.requeue_task(id, task);
         true
     }
 
@@ -252,7 +259,7 @@
             let Some(victim) = self.jobs.get(id) else {
                 continue;
             };
-            for (task, placement) in &victim.live {
+            for (task, placement) in &victim.placements {
                 looked += 1;
                 if !self.is_preemptable(winner, victim, placement, reclaim, usage) {
                     continue;
@@ -281,11 +288,11 @@
         usage: &[Usage],
     ) -> bool {
         let tuning = &self.cfg.tuning;
-        if placement.stop.is_some()
-            || placement.seen == Some(TaskState::Saving)
+        if placement.pending_stop.is_some()
+            || placement.observed_state == Some(TaskState::Saving)
             || victim.is_service()
             || victim.cancelled
-            || victim.is_spared(tuning.evict_loser_limit)
+            || victim.has_reached_eviction_limit(tuning.evict_loser_limit)
         {
             return false;
         }
@@ -308,7 +315,7 @@
     /// Work lost since the start or the last checkpoint, in seconds: nothing where
     /// no worker has been told yet.
     pub(super) fn price(&self, now: Time, victim: &Job, placement: &Placement) -> f64 {
-        if !placement.told() {
+        if !placement.may_be_known_to_worker() {
             return 0.0;
         }
         let ran = placement.running_since.map_or(0.0, |since| now - since);
@@ -327,13 +334,13 @@
         let Some(slack) = self.slack_s(now, job) else {
             return true;
         };
-        self.types.iter().enumerate().any(|(index, t)| {
+        self.machine_types.iter().enumerate().any(|(index, t)| {
             job.shape.fits_in(&Shape::of_type(t))
                 && t.boot_s <= slack
                 && t.zones.iter().any(|zone| {
                     [true, false].into_iter().any(|spot| {
                         type_allowed(&job.spec, &t.name, zone, spot)
-                            && !self.is_refused(now, index, zone, spot)
+                            && !self.is_rental_backed_off(now, index, zone, spot)
                     })
                 })
         })
--- a/crates/umbersail-control/src/engine/grant.rs
+++ b/crates/umbersail-control/src/engine/grant.rs
@@ -16,15 +16,15 @@
 
 /// One part as it should be and as the state service holds it.
 #[derive(Debug, Default)]
-pub(super) struct Part {
+pub(super) struct GrantPartState {
     /// 0: it does not exist; absent: unknown, to be read before it is written.
     version: Option<u64>,
     /// Machines that belong here and are not proven gone.
-    members: BTreeSet<MachineId>,
+    machines: BTreeSet<MachineId>,
     recorded: BTreeSet<MachineId>,
     /// Has members that are not recorded, or a write of it had no answer. Kept
     /// rather than compared: it is asked for with every report.
-    due: bool,
+    write_due: bool,
 }
 
 /// A part found by a new leader.
@@ -41,7 +41,7 @@
 #[derive(Debug, Clone)]
 pub(super) struct WrittenPart {
     index: usize,
-    members: BTreeSet<MachineId>,
+    machines: BTreeSet<MachineId>,
 }
 
 /// What one machine takes in a part, names and frame included, as the state
@@ -50,17 +50,17 @@
 
 impl WrittenPart {
     pub fn bytes(&self) -> usize {
-        self.members.len() * MACHINE_BYTES
+        self.machines.len() * MACHINE_BYTES
     }
 }
 
 impl Engine {
     pub(super) fn inherit_part(&mut self, now: f64, found: InheritedPart) {
         let index = found.index as usize;
-        if self.parts.len() <= index {
-            self.parts.resize_with(index + 1, || Part {
+        if self.grant_parts.len() <= index {
+            self.grant_parts.resize_with(index + 1, || GrantPartState {
                 version: Some(0),
-                ..Part::default()
+                ..GrantPartState::default()
             });
         }
         for granted in &found.part.machines {
@@ -74,14 +74,14 @@
             );
             machine.addr = granted.addr.parse().ok();
             machine.inherited = true;
-            machine.recorded = true;
-            machine.part = Some(index);
-            let part = &mut self.parts[index];
-            part.members.insert(name.clone());
+            machine.grant_recorded = true;
+            machine.grant_part = Some(index);
+            let part = &mut self.grant_parts[index];
+            part.machines.insert(name.clone());
             part.recorded.insert(name.clone());
             self.machines.insert(name, machine);
         }
-        self.parts[index].version = Some(found.version);
+        self.grant_parts[index].version = Some(found.version);
     }
 
     /// The machine is to be recorded before anything starts on it.
@@ -90,48 +90,52 @@
         let Some(machine) = self.machines.get_mut(name) else {
             return;
         };
-        if machine.part.is_some() {
+        if machine.grant_part.is_some() {
             return;
         }
-        let index = match self.parts.iter().position(|p| p.members.len() < most) {
+        let index = match self
+            .grant_parts
+            .iter()
+            .position(|p| p.machines.len() < most)
+        {
             Some(index) => index,
             None => {
-                self.parts.push(Part {
+                self.grant_parts.push(GrantPartState {
                     version: Some(0),
-                    ..Part::default()
+                    ..GrantPartState::default()
                 });
-                self.parts.len() - 1
+                self.grant_parts.len() - 1
             }
         };
-        machine.part = Some(index);
-        self.parts[index].members.insert(name.clone());
-        self.parts[index].due = true;
+        machine.grant_part = Some(index);
+        self.grant_parts[index].machines.insert(name.clone());
+        self.grant_parts[index].write_due = true;
     }
 
     /// The machine is proven gone; its part forgets it with its next write.
-    pub(super) fn leave_part(&mut self, name: &MachineId, part: Option<usize>) {
+    pub(super) fn remove_from_part(&mut self, name: &MachineId, part: Option<usize>) {
         if let Some(part) = part {
-            self.parts[part].members.remove(name);
+            self.grant_parts[part].machines.remove(name);
         }
     }
 
     /// Adds the parts that are due: those with machines not yet recorded, and
     /// with `lazy` those that name machines long gone, which a successor would
     /// have to account for.
-    pub(super) fn write_parts(&self, txn: &mut Txn<Record>, lazy: bool) -> Vec<WrittenPart> {
+    pub(super) fn write_due_parts(&self, txn: &mut Txn<Record>, lazy: bool) -> Vec<WrittenPart> {
         let mut written = Vec::new();
         let mut bytes = 0;
-        for (index, part) in self.parts.iter().enumerate() {
+        for (index, part) in self.grant_parts.iter().enumerate() {
             let Some(version) = part.version else {
                 continue;
             };
-            if txn.changes.len() + 1 > self.cfg.txn_ops {
+            if txn.changes.len() + 1 > self.cfg.max_txn_changes {
                 break;
             }
-            if !part.due && (!lazy || part.members.len() == part.recorded.len()) {
+            if !part.write_due && (!lazy || part.machines.len() == part.recorded.len()) {
                 continue;
             }
-            let size = part.members.len() * MACHINE_BYTES;
+            let size = part.machines.len() * MACHINE_BYTES;
             if bytes + size > TXN_BYTES && !written.is_empty() {
                 break;
             }
@@ -148,23 +152,23 @@
             });
             written.push(WrittenPart {
                 index,
-                members: part.members.clone(),
+                machines: part.machines.clone(),
             });
         }
         written
     }
 
-    fn part_record(&self, part: &Part) -> GrantPart {
+    fn part_record(&self, part: &GrantPartState) -> GrantPart {
         GrantPart {
             machines: part
-                .members
+                .machines
                 .iter()
                 .filter_map(|name| self.machines.get(name))
                 .map(|m| GrantedMachine {
                     name: m.name.to_string(),
                     machine_type: m
                         .type_index
-                        .map(|i| self.types[i].name.clone())
+                        .map(|i| self.machine_types[i].name.clone())
                         .unwrap_or_default(),
                     zone: m.zone.clone(),
                     spot: m.spot,
@@ -175,34 +179,38 @@
     }
 
     pub(super) fn parts_applied(&mut self, written: Vec<WrittenPart>, revision: u64) {
-        for WrittenPart { index, members } in written {
+        for WrittenPart {
+            index,
+            machines: members,
+        } in written
+        {
             for name in &members {
                 if let Some(machine) = self.machines.get_mut(name) {
-                    machine.recorded = true;
+                    machine.grant_recorded = true;
                 }
             }
-            let part = &mut self.parts[index];
+            let part = &mut self.grant_parts[index];
             part.version = Some(revision);
             part.recorded = members;
-            part.due = !part.members.is_subset(&part.recorded);
+            part.write_due = !part.machines.is_subset(&part.recorded);
         }
     }
 
     /// A write of these parts may have been applied or may yet be: what stood
     /// before is named either way, the rest must be written again.
-    pub(super) fn parts_unsure(&mut self, written: &[WrittenPart]) {
+    pub(super) fn parts_outcome_unknown(&mut self, written: &[WrittenPart]) {
         for WrittenPart { index, .. } in written {
-            self.parts[*index].version = None;
-            self.parts[*index].due = true;
+            self.grant_parts[*index].version = None;
+            self.grant_parts[*index].write_due = true;
         }
     }
 
     /// A part did not have the version that we thought: it is read again.
-    pub(super) fn part_moved(&mut self, index: &str) {
+    pub(super) fn part_version_conflict(&mut self, index: &str) {
         if let Some(part) = index
             .parse()
             .ok()
-            .and_then(|i: usize| self.parts.get_mut(i))
+            .and_then(|i: usize| self.grant_parts.get_mut(i))
         {
             part.version = None;
         }
@@ -210,7 +218,7 @@
 
     pub(super) fn unread_parts(&self) -> Vec<u32> {
         (0u32..)
-            .zip(&self.parts)
+            .zip(&self.grant_parts)
             .filter(|(_, part)| part.version.is_none())
             .map(|(index, _)| index)
             .collect()
@@ -218,7 +226,7 @@
 
     /// A fresh read of a part (0: it does not exist).
     pub fn part_read(&mut self, index: u32, version: u64) {
-        if let Some(part) = self.parts.get_mut(index as usize) {
+        if let Some(part) = self.grant_parts.get_mut(index as usize) {
             part.version = Some(version);
         }
     }
--- a/crates/umbersail-control/src/engine/report.rs
+++ b/crates/umbersail-control/src/engine/heartbeats.rs
@@ -5,7 +5,7 @@
 use tracing::{debug, info};
 use umbersail_wire::{ExitCause, Report, TaskReport, TaskState};
 
-use super::{Engine, JobId, Machine, MachineId, Placement, Stop, Time, epoch};
+use super::{Engine, JobId, Machine, MachineId, PendingStop, Placement, Time, epoch};
 
 /// `req-000412/3` in its parts.
 pub(crate) fn split_task(task: &str) -> Option<(&str, u32)> {
@@ -25,41 +25,41 @@
     /// Among them some that nothing says the size of (rule 4).
     unsized_orphans: bool,
     /// Jobs that are over of which attempts are active.
-    over: BTreeSet<JobId>,
+    finished_jobs: BTreeSet<JobId>,
 }
 
 impl Engine {
     /// Takes a report that came to us; false if a newer one is known: a late
     /// one shows an old list and gets no answer.
-    pub fn report(&mut self, now: Time, report: &Report) -> bool {
-        self.take_report(now, report, true).is_some()
+    pub fn receive_heartbeat(&mut self, now: Time, report: &Report) -> bool {
+        self.apply_heartbeat(now, report, true).is_some()
     }
 
     /// Takes a report that a worker sent in answer to direct commands. It
     /// renews nothing, and a launch may still be on its way in a reply.
-    pub fn direct_report(&mut self, now: Time, report: &Report) {
-        self.take_report(now, report, false);
+    pub fn receive_command_response(&mut self, now: Time, report: &Report) {
+        self.apply_heartbeat(now, report, false);
     }
 
-    fn take_report(&mut self, now: Time, report: &Report, in_turn: bool) -> Option<MachineId> {
-        let name = self.reporting_machine(now, report)?;
+    fn apply_heartbeat(&mut self, now: Time, report: &Report, in_turn: bool) -> Option<MachineId> {
+        let name = self.find_or_adopt_machine(now, report)?;
         let machine = self.machines.get_mut(&name)?;
-        if report.order() <= machine.order {
+        if report.order() <= machine.heartbeat_order {
             debug!(machine = &*name, "late report dropped");
             return None;
         }
-        if machine.last_report.is_none() && in_turn {
-            self.first_report(now, &name);
+        if machine.last_heartbeat.is_none() && in_turn {
+            self.on_first_heartbeat(now, &name);
         }
         let machine = self.machines.get_mut(&name)?;
-        machine.order = report.order();
-        machine.last_report = Some(now);
+        machine.heartbeat_order = report.order();
+        machine.last_heartbeat = Some(now);
         machine.lease_expired = false;
-        machine.missing_lists = 0;
+        machine.lists_missed = 0;
         if let Ok(addr) = report.addr.parse() {
             machine.addr = Some(addr);
         }
-        machine.take_notice(now, report.notice_s);
+        machine.update_reclaim_notice(now, report.notice_s);
         if epoch(report.token) != epoch(self.token) {
             machine.fenced = false;
             self.observe_reachability(now, &name, report, in_turn, None);
@@ -67,14 +67,14 @@
         }
         machine.confirmed = true;
         machine.token = machine.token.max(report.token);
-        machine.ours_since.get_or_insert(now);
+        machine.first_fenced_at.get_or_insert(now);
         if !machine.fenced {
             machine.fenced = true;
-            self.schedule_wanted = true;
+            self.cycle_requested = true;
             self.assign_part(&name);
         }
         let launches = self.reconcile(now, &name, report, in_turn);
-        self.account(&name);
+        self.account_for_machine(&name);
         self.observe_reachability(now, &name, report, in_turn, launches);
         self.observe_fetches(now, &name, report);
         Some(name)
@@ -82,7 +82,7 @@
 
     /// The machine that a report is of, adopted if it is new; none if it is known to be
     /// gone.
-    fn reporting_machine(&mut self, now: Time, report: &Report) -> Option<MachineId> {
+    fn find_or_adopt_machine(&mut self, now: Time, report: &Report) -> Option<MachineId> {
         if let Some((name, _)) = self.machines.get_key_value(report.machine.as_str()) {
             return Some(name.clone());
         }
@@ -90,7 +90,7 @@
         // whose deletion was answered. One that an earlier holder deleted
         // shows an older token; it counts for nothing until it shows ours.
         let shows_ours = epoch(report.token) == epoch(self.token);
-        if shows_ours || self.gone.contains(report.machine.as_str()) {
+        if shows_ours || self.deleted_machines.contains(report.machine.as_str()) {
             debug!(machine = report.machine, "late report of one that is gone");
             return None;
         }
@@ -112,8 +112,8 @@
         Some(name)
     }
 
-    fn first_report(&mut self, now: Time, name: &MachineId) {
-        self.schedule_wanted = true;
+    fn on_first_heartbeat(&mut self, now: Time, name: &MachineId) {
+        self.cycle_requested = true;
         if let Some(machine) = self.machines.get_mut(name).filter(|m| !m.inherited) {
             machine.idle_since = now;
             debug!(machine = &**name, "up");
@@ -136,7 +136,7 @@
             return;
         };
         if !in_turn {
-            machine.reachability.commanded(report);
+            machine.reachability.command_acknowledged(report);
             return;
         }
         let known = machine.reachability.unreachable_since();
@@ -151,7 +151,7 @@
         match (known, machine.reachability.unreachable_since()) {
             (None, Some(_)) => {
                 info!(machine = &**name, "hears nothing: gets no work");
-                self.schedule_wanted = true;
+                self.cycle_requested = true;
             }
             (Some(since), None) => {
                 let deaf_s = (now - since) as u64;
@@ -159,7 +159,7 @@
                 if machine.tasks.is_empty() {
                     machine.idle_since = now;
                 }
-                self.schedule_wanted = true;
+                self.cycle_requested = true;
             }
             _ => {}
         }
@@ -174,38 +174,43 @@
         report: &Report,
         in_turn: bool,
     ) -> Option<bool> {
-        let launches = self.return_missing(name, report, in_turn);
-        let shown = self.reconcile_shown(now, name, report);
-        let over = |id: &JobId| shown.over.contains(id);
+        let launches = self.requeue_missing_tasks(name, report, in_turn);
+        let shown = self.reconcile_reported_tasks(now, name, report);
+        let over = |id: &JobId| shown.finished_jobs.contains(id);
         let settled = (self.orphaned_jobs).shown(name, report.order(), in_turn, over);
-        self.cleared.extend(settled);
+        self.run_records_to_delete.extend(settled);
         if let Some(machine) = self.machines.get_mut(name) {
-            self.schedule_wanted |= machine.orphaned_tasks && !shown.orphaned_tasks;
-            machine.orphaned_tasks = shown.orphaned_tasks;
-            machine.unsized_orphans = shown.unsized_orphans;
+            self.cycle_requested |= machine.has_orphaned_tasks && !shown.orphaned_tasks;
+            machine.has_orphaned_tasks = shown.orphaned_tasks;
+            machine.has_unsized_orphans = shown.unsized_orphans;
         }
         launches
     }
 
     /// Returns tasks that were believed to be on the machine and are not shown.
-    fn return_missing(&mut self, name: &MachineId, report: &Report, in_turn: bool) -> Option<bool> {
+    fn requeue_missing_tasks(
+        &mut self,
+        name: &MachineId,
+        report: &Report,
+        in_turn: bool,
+    ) -> Option<bool> {
         let mut launches = None;
         // By attempt, which no two tasks share: a large machine shows dozens.
         let mut shown: Vec<u64> = report.tasks.iter().map(|t| t.attempt).collect();
         shown.sort_unstable();
         let held: Vec<(JobId, u32)> = self.machines[name].tasks.iter().cloned().collect();
         for (id, task) in held {
-            let Some(placement) = self.jobs.get(&id).and_then(|j| j.live.get(&task)) else {
+            let Some(placement) = self.jobs.get(&id).and_then(|j| j.placements.get(&task)) else {
                 continue;
             };
-            let untaken = placement.seen.is_none() && placement.ordered.is_some();
+            let untaken = placement.observed_state.is_none() && placement.launched_in.is_some();
             if shown.binary_search(&placement.attempt).is_ok() {
                 if untaken {
                     launches = Some(true);
                 }
                 continue;
             }
-            let gone = match (placement.seen, placement.ordered) {
+            let gone = match (placement.observed_state, placement.launched_in) {
                 (Some(_), _) => true,
                 // A reply is dropped after 4 s and only one report is under
                 // way: a newer report in turn proves that the launch never
@@ -218,14 +223,19 @@
                 if untaken {
                     launches = launches.or(Some(false));
                 }
-                self.return_task(&id, task);
+                self.requeue_task(&id, task);
             }
         }
         launches
     }
 
     /// Takes in all tasks that a report shows.
-    fn reconcile_shown(&mut self, now: Time, name: &MachineId, report: &Report) -> ShownTasks {
+    fn reconcile_reported_tasks(
+        &mut self,
+        now: Time,
+        name: &MachineId,
+        report: &Report,
+    ) -> ShownTasks {
         let mut shown = ShownTasks::default();
         for entry in &report.tasks {
             let Some((id, task)) = split_task(&entry.task) else {
@@ -242,7 +252,7 @@
                     let id: JobId = id.into();
                     shown.orphaned_tasks = true;
                     shown.unsized_orphans |= !self.orphaned_jobs.counts(&id);
-                    shown.over.insert(id);
+                    shown.finished_jobs.insert(id);
                 }
                 None => {}
             }
@@ -263,11 +273,11 @@
         let Some(job) = self.jobs.get(id).filter(|job| task < job.spec.tasks) else {
             return true;
         };
-        let placement = job.live.get(&task);
+        let placement = job.placements.get(&task);
         let ours = placement.is_some_and(|p| p.attempt == entry.attempt && p.machine == *name);
         if entry.state == TaskState::Exited {
             if entry.cause == Some(ExitCause::Done) && !job.is_service() {
-                self.task_done(now, name, id, task, ours);
+                self.task_completed(now, name, id, task, ours);
             } else if ours {
                 self.task_ended(now, name, id, task, entry);
             }
@@ -299,25 +309,25 @@
         };
         let useless = job.cancelled || job.done.contains(task);
         job.recovery_pending.remove(&task);
-        job.returned.remove(&task);
+        job.requeued.remove(&task);
         let placement = Placement {
             machine: name.clone(),
             attempt: entry.attempt,
-            ordered: None,
-            seen: Some(entry.state),
+            launched_in: None,
+            observed_state: Some(entry.state),
             running_since: None,
-            planned_at: now,
-            stop: useless.then_some(Stop::AT_ONCE),
+            placed_at: now,
+            pending_stop: useless.then_some(PendingStop::IMMEDIATE),
         };
-        job.live.insert(task, placement);
+        job.placements.insert(task, placement);
         if !job.is_recorded(task, name) {
             // Started without a record by an earlier holder: our
             // successor finds nothing but the record that we write.
-            job.touch(now);
+            job.mark_dirty(now);
         }
         let (shape, image) = (job.shape, job.image);
         if let Some(machine) = self.machines.get_mut(name) {
-            machine.hold(id, task, &shape, image);
+            machine.add_task(id, task, &shape, image);
         }
     }
 
@@ -333,23 +343,23 @@
         let Some(job) = self.jobs.get_mut(id) else {
             return;
         };
-        let Some(placement) = job.live.get_mut(&task) else {
+        let Some(placement) = job.placements.get_mut(&task) else {
             return;
         };
-        if placement.seen.is_none() {
+        if placement.observed_state.is_none() {
             job.last_progress = now;
         }
-        placement.seen = Some(state);
+        placement.observed_state = Some(state);
         if state == TaskState::Running && placement.running_since.is_none() {
             placement.running_since = Some(now);
             self.task_started(now, name, id, task);
-        } else if job.suspect
+        } else if job.suspected_faulty
             && let Some(since) = placement.running_since
-            && now - since > job.failed_after_s + self.cfg.tuning.job_trial_s
+            && now - since > job.longest_failed_run_s + self.cfg.tuning.job_trial_s
         {
             info!(job = &**id, "runs for longer than it took to fail: goes on");
-            job.touch(now);
-            self.clear_job(id);
+            job.mark_dirty(now);
+            self.clear_job_errors(id);
         }
     }
 
@@ -357,18 +367,18 @@
         let Some(job) = self.jobs.get_mut(id) else {
             return;
         };
-        let Some(placement) = job.live.get(&task) else {
+        let Some(placement) = job.placements.get(&task) else {
             return;
         };
-        let ours = placement.ordered.is_some();
+        let ours = placement.launched_in.is_some();
         debug!(
             job = &**id,
             task,
             machine = &**name,
-            planned_s = now - placement.planned_at,
+            planned_s = now - placement.placed_at,
             "runs"
         );
-        if let Some(waited_s) = job.begins(now, ours)
+        if let Some(waited_s) = job.record_start(now, ours)
             && waited_s >= self.cfg.tuning.starvation_wait_s
         {
             info!(
@@ -381,8 +391,10 @@
         }
         let (image, size) = (job.image, job.spec.image_gb);
         if let Some(machine) = self.machines.get_mut(name) {
-            let cache = machine.type_index.map_or(0.0, |i| self.types[i].cache_gb);
-            let pushed_out = machine.fetched(image, size, cache);
+            let cache = machine
+                .type_index
+                .map_or(0.0, |i| self.machine_types[i].cache_gb);
+            let pushed_out = machine.add_image(image, size, cache);
             self.observe_image(now, name, id, &pushed_out);
         }
     }
--- a/crates/umbersail-control/src/engine/job.rs
+++ b/crates/umbersail-control/src/engine/job.rs
@@ -11,39 +11,39 @@
 /// Why a job's waiting tasks were not placed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum BlockedReason {
-    NotLookedAt,
+    NotConsidered,
     TeamLimit,
-    AwaitsImage,
-    NoRoom,
+    AwaitingImage,
+    NoCapacity,
     /// A plan holds it.
-    Held(&'static str),
+    HeldByPlan(&'static str),
 }
 
 impl fmt::Display for BlockedReason {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
-            BlockedReason::NotLookedAt => "not yet looked at",
+            BlockedReason::NotConsidered => "not yet looked at",
             BlockedReason::TeamLimit => "the team's limit",
-            BlockedReason::AwaitsImage => "a place with its image is awaited",
-            BlockedReason::NoRoom => "no machine has room",
-            BlockedReason::Held(reason) => reason,
+            BlockedReason::AwaitingImage => "a place with its image is awaited",
+            BlockedReason::NoCapacity => "no machine has room",
+            BlockedReason::HeldByPlan(reason) => reason,
         })
     }
 }
 
 /// A stop order; it goes out once the record of the eviction stands.
 #[derive(Debug, Clone, PartialEq)]
-pub(crate) struct Stop {
+pub(crate) struct PendingStop {
     pub grace_s: f64,
     /// The job's eviction count that must have been recorded first.
-    pub evictions: u32,
+    pub required_eviction_count: u32,
 }
 
-impl Stop {
+impl PendingStop {
     /// Without time to save, and without an eviction to be recorded first.
-    pub const AT_ONCE: Stop = Stop {
+    pub const IMMEDIATE: PendingStop = PendingStop {
         grace_s: 0.0,
-        evictions: 0,
+        required_eviction_count: 0,
     };
 }
 
@@ -53,18 +53,18 @@
     pub machine: MachineId,
     pub attempt: u64,
     /// (session, seq) of the report whose reply carried the launch.
-    pub ordered: Option<(u64, u64)>,
-    pub seen: Option<TaskState>,
+    pub launched_in: Option<(u64, u64)>,
+    pub observed_state: Option<TaskState>,
     /// When it was first seen running.
     pub running_since: Option<Time>,
-    pub planned_at: Time,
-    pub stop: Option<Stop>,
+    pub placed_at: Time,
+    pub pending_stop: Option<PendingStop>,
 }
 
 impl Placement {
     /// Some worker may know of it: it was launched, or shown in a report.
-    pub fn told(&self) -> bool {
-        self.ordered.is_some() || self.seen.is_some()
+    pub fn may_be_known_to_worker(&self) -> bool {
+        self.launched_in.is_some() || self.observed_state.is_some()
     }
 }
 
@@ -72,58 +72,58 @@
 pub(crate) struct Job {
     pub spec: JobSpec,
     pub version: u64,
-    pub submitted: Time,
+    pub submitted_at: Time,
     pub team: Option<usize>,
     pub shape: Shape,
     pub image: ImageKey,
     pub smallest_cpus: f64,
     pub done: Bitmap,
     /// Tasks from here on were never planned.
-    pub next: u32,
+    pub first_unplanned: u32,
     /// Planned before, and on no machine now.
-    pub returned: BTreeSet<u32>,
-    pub live: BTreeMap<u32, Placement>,
+    pub requeued: BTreeSet<u32>,
+    pub placements: BTreeMap<u32, Placement>,
     /// Started by an earlier holder and not yet seen: as good as running.
     pub recovery_pending: BTreeSet<u32>,
     /// Machines that may hold the tasks whose recovery is pending.
-    pub inherited: BTreeSet<MachineId>,
+    pub inherited_machines: BTreeSet<MachineId>,
     /// The holder before us may have started any of its tasks, on any machine,
     /// without a record.
-    pub anywhere: bool,
+    pub may_run_anywhere: bool,
     /// Attempts of completed tasks that may be on those, too.
-    pub extra: u32,
+    pub recovered_extra_attempts: u32,
     pub cancelled: bool,
-    pub ending: bool,
+    pub end_write_pending: bool,
     pub evictions: u32,
     /// Errors since the last success, and the machines they happened on.
     pub errors: u32,
-    pub failed_on: BTreeSet<MachineId>,
+    pub failed_on_since_success: BTreeSet<MachineId>,
     /// Machines that failed it at any time: it keeps off them.
-    pub error_machines: BTreeSet<MachineId>,
+    pub avoided_machines: BTreeSet<MachineId>,
     /// Failed on every machine that it tried: submitted with a mistake, as far as
     /// one can tell. One task at a time finds out whether it still does.
-    pub suspect: bool,
+    pub suspected_faulty: bool,
     /// The longest that a task of it ran before it failed, in seconds.
-    pub failed_after_s: f64,
+    pub longest_failed_run_s: f64,
     pub backoff_until: Option<Time>,
     pub backoff_s: f64,
-    pub evict_hold_until: Time,
+    pub next_eviction_at: Time,
     /// Why its waiting tasks were not placed when it was last looked at.
-    pub blocked: BlockedReason,
+    pub blocked_reason: BlockedReason,
     /// A plan holds its tasks back, and why.
-    pub held: Option<&'static str>,
+    pub hold_reason: Option<&'static str>,
     /// When a plan wants it complete, if that is sooner than its own deadline.
-    pub planned_due: Option<Time>,
+    pub planned_deadline: Option<Time>,
     /// Plans whose kept machines it may use, one bit each.
     pub reservations: u64,
     pub last_progress: Time,
     /// Something of it has run.
-    pub has_begun: bool,
+    pub has_started: bool,
     /// Seconds from its acceptance until then, if we saw it.
-    pub began_s: Option<f64>,
+    pub start_delay_s: Option<f64>,
     /// How it fared against its deadline is counted.
-    pub counted: bool,
-    pub next_wait_log: f64,
+    pub deadline_counted: bool,
+    pub next_wait_log_s: f64,
     // What the state service holds.
     pub run_version: Option<u64>,
     pub recorded_high: u32,
@@ -156,36 +156,36 @@
             shape: Shape::of_task(&spec),
             image: ImageKey::of(&spec.image),
             version,
-            submitted,
+            submitted_at: submitted,
             team,
             smallest_cpus,
-            next: high,
-            returned: BTreeSet::new(),
-            live: BTreeMap::new(),
+            first_unplanned: high,
+            requeued: BTreeSet::new(),
+            placements: BTreeMap::new(),
             recovery_pending: (0..high).filter(|t| !done.contains(*t)).collect(),
-            inherited: hosts.clone(),
-            anywhere: false,
-            extra: run.extra,
+            inherited_machines: hosts.clone(),
+            may_run_anywhere: false,
+            recovered_extra_attempts: run.extra,
             cancelled: false,
-            ending: false,
+            end_write_pending: false,
             evictions: run.evictions,
             errors: 0,
-            failed_on: BTreeSet::new(),
-            error_machines: BTreeSet::new(),
-            suspect: run.suspect,
-            failed_after_s: 0.0,
+            failed_on_since_success: BTreeSet::new(),
+            avoided_machines: BTreeSet::new(),
+            suspected_faulty: run.suspect,
+            longest_failed_run_s: 0.0,
             backoff_until: None,
             backoff_s: 0.0,
-            evict_hold_until: 0.0,
-            blocked: BlockedReason::NotLookedAt,
-            held: None,
-            planned_due: None,
+            next_eviction_at: 0.0,
+            blocked_reason: BlockedReason::NotConsidered,
+            hold_reason: None,
+            planned_deadline: None,
             reservations: 0,
             last_progress: submitted,
-            has_begun: run.running > 0 || done.count() > 0,
-            began_s: None,
-            counted: false,
-            next_wait_log: 0.0,
+            has_started: run.running > 0 || done.count() > 0,
+            start_delay_s: None,
+            deadline_counted: false,
+            next_wait_log_s: 0.0,
             run_version: Some(run_version),
             recorded_high: high,
             recorded_hosts: hosts,
@@ -201,8 +201,8 @@
 
     /// Once no machine can hold them, tasks whose recovery is pending are free to start.
     pub fn finish_recovery(&mut self) {
-        if self.inherited.is_empty() && !self.anywhere {
-            self.returned.append(&mut self.recovery_pending);
+        if self.inherited_machines.is_empty() && !self.may_run_anywhere {
+            self.requeued.append(&mut self.recovery_pending);
         }
     }
 
@@ -214,21 +214,21 @@
     }
 
     /// Every task that is not completed may have been started, on any machine.
-    pub fn may_run_anywhere(&mut self) {
+    pub fn assume_unrecorded_starts(&mut self) {
         if !self.may_start_unrecorded() {
             return;
         }
-        self.anywhere = true;
-        self.recovery_pending.append(&mut self.returned);
-        let never = self.next..self.spec.tasks;
+        self.may_run_anywhere = true;
+        self.recovery_pending.append(&mut self.requeued);
+        let never = self.first_unplanned..self.spec.tasks;
         self.recovery_pending
             .extend(never.filter(|t| !self.done.contains(*t)));
-        self.next = self.spec.tasks;
+        self.first_unplanned = self.spec.tasks;
     }
 
     /// Tasks whose recovery is pending that no record tells of.
     pub fn unrecorded_recovery_pending(&self) -> usize {
-        if self.anywhere {
+        if self.may_run_anywhere {
             self.recovery_pending.range(self.recorded_high..).count()
         } else {
             0
@@ -237,20 +237,21 @@
 
     /// Whether a worker was told to start something that no record tells of.
     pub fn is_unrecorded(&self) -> bool {
-        let unrecorded =
-            |(task, p): (&u32, &Placement)| p.told() && !self.is_recorded(*task, &p.machine);
-        self.live.iter().any(unrecorded)
+        let unrecorded = |(task, p): (&u32, &Placement)| {
+            p.may_be_known_to_worker() && !self.is_recorded(*task, &p.machine)
+        };
+        self.placements.iter().any(unrecorded)
     }
 
     /// A task of it was seen running, or to have run.
     /// After how many seconds it began, if it did just now by our own order: what an
     /// earlier holder started began at a time that we don't know.
-    pub fn begins(&mut self, now: Time, ours: bool) -> Option<f64> {
-        if std::mem::replace(&mut self.has_begun, true) || !ours {
+    pub fn record_start(&mut self, now: Time, ours: bool) -> Option<f64> {
+        if std::mem::replace(&mut self.has_started, true) || !ours {
             return None;
         }
-        self.began_s = Some(now - self.submitted);
-        self.began_s
+        self.start_delay_s = Some(now - self.submitted_at);
+        self.start_delay_s
     }
 
     /// Tasks that wait for a machine.
@@ -258,16 +259,16 @@
         if self.cancelled {
             0
         } else {
-            self.spec.tasks - self.next + self.returned.len() as u32
+            self.spec.tasks - self.first_unplanned + self.requeued.len() as u32
         }
     }
 
     /// Of those, how many the next cycle may place.
     pub fn startable(&self) -> u32 {
-        if self.held.is_some() {
+        if self.hold_reason.is_some() {
             0
-        } else if self.suspect {
-            let probes = u32::from(self.live.is_empty());
+        } else if self.suspected_faulty {
+            let probes = u32::from(self.placements.is_empty());
             self.pending().min(probes)
         } else {
             self.pending()
@@ -276,23 +277,23 @@
 
     /// Whether it failed again when it was tried once more: it goes after all others,
     /// or its tries would take the places of those that can be done.
-    pub fn goes_last(&self, first_backoff_s: f64) -> bool {
-        self.suspect && self.backoff_s > first_backoff_s
+    pub fn is_scheduled_last(&self, first_backoff_s: f64) -> bool {
+        self.suspected_faulty && self.backoff_s > first_backoff_s
     }
 
     /// Whether the next cycle may place something of it.
-    pub fn waits(&self) -> bool {
-        self.startable() > 0 && self.backoff_until.is_none() && !self.ending
+    pub fn is_schedulable(&self) -> bool {
+        self.startable() > 0 && self.backoff_until.is_none() && !self.end_write_pending
     }
 
     /// Takes the next waiting task.
-    pub fn take_pending(&mut self) -> Option<u32> {
-        if let Some(task) = self.returned.pop_first() {
+    pub fn take_next_task(&mut self) -> Option<u32> {
+        if let Some(task) = self.requeued.pop_first() {
             return Some(task);
         }
-        if self.next < self.spec.tasks {
-            self.next += 1;
-            return Some(self.next - 1);
+        if self.first_unplanned < self.spec.tasks {
+            self.first_unplanned += 1;
+            return Some(self.first_unplanned - 1);
         }
         None
     }
@@ -308,7 +309,7 @@
     /// times for each of its tasks. Counted by job alone, a large array of a guest was
     /// spared for good after its third task, and held machines that upper tiers
     /// wanted for hours.
-    pub fn is_spared(&self, limit: f64) -> bool {
+    pub fn has_reached_eviction_limit(&self, limit: f64) -> bool {
         f64::from(self.evictions) >= limit * f64::from(self.spec.tasks)
     }
 
@@ -331,24 +332,28 @@
     }
 
     /// Tasks that use, or must be assumed to use, machines.
-    pub fn occupied(&self) -> usize {
-        self.live.len() + self.recovery_pending.len() + self.inherited_extra() as usize
+    pub fn occupied_tasks(&self) -> usize {
+        self.placements.len()
+            + self.recovery_pending.len()
+            + self.inherited_extra_attempts() as usize
     }
 
     /// Attempts of completed tasks that an earlier holder left, as long as a
     /// machine may hold them.
-    pub fn inherited_extra(&self) -> u32 {
-        if self.inherited.is_empty() {
+    pub fn inherited_extra_attempts(&self) -> u32 {
+        if self.inherited_machines.is_empty() {
             0
         } else {
-            self.extra
+            self.recovered_extra_attempts
         }
     }
 
     /// Attempts that are about, or may be, beside those of tasks not completed.
-    pub fn extra(&self) -> u32 {
-        let told = |(task, p): &(&u32, &Placement)| self.done.contains(**task) && p.told();
-        self.inherited_extra() + self.live.iter().filter(told).count() as u32
+    pub fn extra_attempts(&self) -> u32 {
+        let launched = |(task, p): &(&u32, &Placement)| {
+            self.done.contains(**task) && p.may_be_known_to_worker()
+        };
+        self.inherited_extra_attempts() + self.placements.iter().filter(launched).count() as u32
     }
 
     /// A launch may be told to a worker only if a successor would know of it.
@@ -356,15 +361,15 @@
         task < self.recorded_high && self.recorded_hosts.contains(machine)
     }
 
-    pub fn hosts(&self) -> BTreeSet<MachineId> {
-        self.live
+    pub fn machines(&self) -> BTreeSet<MachineId> {
+        self.placements
             .values()
             .map(|p| p.machine.clone())
-            .chain(self.inherited.iter().cloned())
+            .chain(self.inherited_machines.iter().cloned())
             .collect()
     }
 
-    pub fn touch(&mut self, now: Time) {
+    pub fn mark_dirty(&mut self, now: Time) {
         if self.dirty_since.is_none() {
             self.dirty_since = Some(now);
         }
@@ -374,7 +379,7 @@
     pub fn is_write_urgent(&self) -> bool {
         self.recorded_evictions < self.evictions
             || self
-                .live
+                .placements
                 .iter()
                 .any(|(t, p)| !self.is_recorded(*t, &p.machine))
     }
--- a/crates/umbersail-control/src/engine/jobs.rs
+++ b/crates/umbersail-control/src/engine/jobs.rs
@@ -7,25 +7,28 @@
 use umbersail_standby::OrphanedAttempts;
 use umbersail_wire::JobProgress;
 
-use super::job::{Placement, Stop};
+use super::job::{PendingStop, Placement};
 use super::{ClassSample, Engine, Job, JobId, Time};
 use crate::records::{JobRecord, RunRecord};
 
 impl Engine {
     /// Completed and running tasks of a job. What an earlier holder started, by its record,
     /// runs until its machine shows otherwise.
-    pub fn counts(&self, id: &str) -> Option<(u32, u32)> {
+    pub fn job_progress(&self, id: &str) -> Option<(u32, u32)> {
         let job = self.jobs.get(id)?;
-        let running = job.live.values().filter(|p| p.running_since.is_some());
+        let running = job
+            .placements
+            .values()
+            .filter(|p| p.running_since.is_some());
         let inherited = job.recovery_pending.len() - job.unrecorded_recovery_pending();
         Some((job.done.count(), (running.count() + inherited) as u32))
     }
 
     /// The same of all jobs, as far as `most` goes.
-    pub fn progress(&self, most: usize) -> Vec<JobProgress> {
+    pub fn all_job_progress(&self, most: usize) -> Vec<JobProgress> {
         let ids = self.jobs.keys().take(most);
         ids.filter_map(|id| {
-            let (done, running) = self.counts(id)?;
+            let (done, running) = self.job_progress(id)?;
             Some(JobProgress {
                 id: id.to_string(),
                 done,
@@ -43,28 +46,31 @@
         version: u64,
         run: Option<(RunRecord, u64)>,
     ) {
-        self.plans.images.narrow(&mut record.spec, &self.types);
+        self.plans
+            .images
+            .narrow(&mut record.spec, &self.machine_types);
         let id: JobId = record.spec.id.as_str().into();
         let age_s = unix_ms.saturating_sub(record.accepted_ms) as f64 / 1000.0;
         let smallest =
-            umbersail_policy::smallest_cpus(&record.spec, &self.types).unwrap_or(f64::MAX);
+            umbersail_policy::smallest_cpus(&record.spec, &self.machine_types).unwrap_or(f64::MAX);
         let team = self
             .cfg
             .teams
             .iter()
             .position(|t| t.name == record.spec.team);
-        self.samples.insert(
+        self.class_samples.insert(
             record.spec.class.clone(),
             ClassSample {
-                shape: Shape::of_task(&record.spec),
+                task_shape: Shape::of_task(&record.spec),
                 types: record.spec.types.clone(),
                 zone: record.spec.zone.clone(),
                 spot: record.spec.spot(),
             },
         );
-        if self.samples.len() > self.cfg.tuning.class_limit as usize {
+        if self.class_samples.len() > self.cfg.tuning.class_limit as usize {
             let known = &self.learner;
-            self.samples.retain(|class, _| known.get(class).is_some());
+            self.class_samples
+                .retain(|class, _| known.get(class).is_some());
         }
         self.learner
             .arrived(&record.spec.class, now - age_s, record.spec.tasks);
@@ -81,11 +87,12 @@
         }
         let job = Job::new(record.spec, version, now - age_s, team, smallest, run);
         if self.is_ever_preemptible(&job) {
-            self.preemptible.insert(job.preemption_class(), id.clone());
+            self.preemptible_jobs
+                .insert(job.preemption_class(), id.clone());
         }
         self.jobs.insert(id.clone(), job);
         self.plan_for_job(now, &id);
-        self.note_waiting();
+        self.mark_jobs_waiting();
     }
 
     /// The watch shows an accepted job.
@@ -97,7 +104,7 @@
 
     /// The job's key is gone and it was not us who ended it: its user has
     /// cancelled it. From here on nothing of it is started.
-    pub fn job_dropped(&mut self, id: &str) {
+    pub fn job_key_removed(&mut self, id: &str) {
         let Some(job) = self.jobs.get_mut(id) else {
             return;
         };
@@ -105,24 +112,28 @@
             return;
         }
         job.cancelled = true;
-        if !job.ending {
-            info!(job = id, live = job.live.len(), "cancelled by its user");
+        if !job.end_write_pending {
+            info!(
+                job = id,
+                placed = job.placements.len(),
+                "cancelled by its user"
+            );
         }
-        for placement in job.live.values_mut() {
-            placement.stop = Some(Stop::AT_ONCE);
+        for placement in job.placements.values_mut() {
+            placement.pending_stop = Some(PendingStop::IMMEDIATE);
         }
         // Tasks never told to any worker are gone at once.
         let planned: Vec<u32> = job
-            .live
+            .placements
             .iter()
-            .filter(|(_, p)| !p.told())
+            .filter(|(_, p)| !p.may_be_known_to_worker())
             .map(|(t, _)| *t)
             .collect();
         let id: JobId = id.into();
         for task in planned {
             self.remove_placement(&id, task);
         }
-        self.drop_if_over(&id);
+        self.remove_if_finished(&id);
     }
 
     /// After the watch fell too far behind: the jobs that exist now.
@@ -138,24 +149,24 @@
             .cloned()
             .collect();
         for id in gone {
-            self.job_dropped(&id);
+            self.job_key_removed(&id);
         }
     }
 
     /// A cancelled job counts until nothing of it can run any more; then its
     /// progress may go (rule 4).
-    pub(super) fn drop_if_over(&mut self, id: &JobId) {
+    pub(super) fn remove_if_finished(&mut self, id: &JobId) {
         let gone = |j: &Job| {
             j.cancelled
-                && j.live.is_empty()
+                && j.placements.is_empty()
                 && j.recovery_pending.is_empty()
-                && j.inherited_extra() == 0
+                && j.inherited_extra_attempts() == 0
         };
         if self.jobs.get(id).is_some_and(gone)
             && let Some(job) = self.remove_job(id)
             && job.run_version != Some(0)
         {
-            self.cleared.insert(id.clone());
+            self.run_records_to_delete.insert(id.clone());
         }
     }
 
@@ -178,48 +189,48 @@
                 .collect(),
         };
         if !self.orphaned_jobs.insert(name.clone(), orphaned_attempts) {
-            self.cleared.insert(name);
+            self.run_records_to_delete.insert(name);
         }
     }
 
     pub(super) fn remove_job(&mut self, id: &JobId) -> Option<Job> {
         let job = self.jobs.remove(id)?;
         self.job_left_plans(&job);
-        self.preemptible.remove(job.preemption_class(), id);
+        self.preemptible_jobs.remove(job.preemption_class(), id);
         Some(job)
     }
 
     /// Something may wait that did not: it has a place in the next cycle's order.
-    pub(super) fn note_waiting(&mut self) {
-        self.may_wait = true;
+    pub(super) fn mark_jobs_waiting(&mut self) {
+        self.may_have_waiting_jobs = true;
         self.cached_order = None;
-        self.schedule_wanted = true;
+        self.cycle_requested = true;
     }
 
     /// Takes a task off its machine; what becomes of it is up to the caller.
     pub(super) fn remove_placement(&mut self, id: &JobId, task: u32) -> Option<Placement> {
         let job = self.jobs.get_mut(id)?;
-        let placement = job.live.remove(&task)?;
+        let placement = job.placements.remove(&task)?;
         if let Some(machine) = self.machines.get_mut(&placement.machine) {
-            machine.release(id, task, &job.shape, job.image);
-            if !machine.uses(job.image) {
+            machine.remove_task(id, task, &job.shape, job.image);
+            if !machine.uses_image(job.image) {
                 self.plans.images.unused(job.image, &machine.name);
             }
         }
-        self.schedule_wanted = true;
+        self.cycle_requested = true;
         Some(placement)
     }
 
     /// The task is on no machine any more and has not completed.
-    pub(super) fn return_task(&mut self, id: &JobId, task: u32) {
+    pub(super) fn requeue_task(&mut self, id: &JobId, task: u32) {
         self.remove_placement(id, task);
         if let Some(job) = self.jobs.get_mut(id)
             && !job.cancelled
             && !job.done.contains(task)
         {
-            job.returned.insert(task);
-            self.note_waiting();
+            job.requeued.insert(task);
+            self.mark_jobs_waiting();
         }
-        self.drop_if_over(id);
+        self.remove_if_finished(id);
     }
 }
--- a/crates/umbersail-control/src/engine/listing.rs
+++ b/crates/umbersail-control/src/engine/listing.rs
@@ -3,21 +3,27 @@
 use tracing::{debug, info};
 use umbersail_wire::{ListedMachine, MachineState, RentRequest};
 
-use super::{Engine, Machine, MachineId, Refusal, Time};
+use super::{Engine, Machine, MachineId, RentalBackoff, Time};
 
 impl Engine {
-    pub(super) fn is_refused(&self, now: Time, type_index: usize, zone: &str, spot: bool) -> bool {
-        self.refusals
+    pub(super) fn is_rental_backed_off(
+        &self,
+        now: Time,
+        type_index: usize,
+        zone: &str,
+        spot: bool,
+    ) -> bool {
+        self.rental_backoffs
             .get(&(type_index, zone.to_owned(), spot))
             .is_some_and(|r| now < r.until)
     }
 
     /// A whole list of the cloud, which may be older than what we know.
-    pub fn listing(&mut self, now: Time, listed: &[ListedMachine]) {
+    pub fn apply_machine_list(&mut self, now: Time, listed: &[ListedMachine]) {
         let mut present: Vec<MachineId> = Vec::with_capacity(listed.len());
         for entry in listed {
             // A list may be twice the lag old and show what we have deleted.
-            if self.gone.contains(entry.id.as_str()) {
+            if self.deleted_machines.contains(entry.id.as_str()) {
                 continue;
             }
             let name: MachineId = match self.machines.get_key_value(entry.id.as_str()) {
@@ -41,7 +47,7 @@
             if let Some(machine) = self.machines.get_mut(&name) {
                 machine.listed = true;
                 machine.confirmed = true;
-                machine.missing_lists = 0;
+                machine.lists_missed = 0;
                 if machine.addr.is_none() {
                     machine.addr = entry.addr.as_ref().and_then(|a| a.parse().ok());
                 }
@@ -57,7 +63,7 @@
         }
         present.sort();
         let newest = present.last().cloned();
-        let silent_after = self.silent_after();
+        let silent_after = self.silence_limit_s();
         let vanished_s = silent_after.max(self.cfg.lease_s / 2.0);
         for (name, machine) in &mut self.machines {
             if present.binary_search(name).is_ok() || machine.silent_for(now) < silent_after {
@@ -65,25 +71,29 @@
             }
             // Not listed and silent: gone, or too new for this list. A delete
             // that is answered makes it certain either way.
-            machine.missing_lists += 1;
+            machine.lists_missed += 1;
             // Names stand in the order of creation: a list that shows a newer
             // machine is no older than this one, which is gone. The delete
             // makes it certain, and its tasks need not wait for its lease.
             let shown_after = newest.as_ref().is_some_and(|newest| name < newest);
-            if shown_after && machine.last_report.is_none_or(|at| now - at > vanished_s) {
+            if shown_after
+                && machine
+                    .last_heartbeat
+                    .is_none_or(|at| now - at > vanished_s)
+            {
                 machine
                     .delete_reason
                     .get_or_insert("not listed where newer ones are");
             }
-            let old = now - machine.since > 5.0 * self.cfg.list_lag_s.max(1.0);
-            if machine.missing_lists >= 3 && old && machine.delete_reason.is_none() {
+            let old = now - machine.created_at > 5.0 * self.cfg.cloud_list_lag_s.max(1.0);
+            if machine.lists_missed >= 3 && old && machine.delete_reason.is_none() {
                 machine.delete_reason = Some("no longer listed");
             }
         }
     }
 
     /// The cloud rented these for us.
-    pub fn rented(&mut self, now: Time, request: &RentRequest, names: &[String]) {
+    pub fn machines_rented(&mut self, now: Time, request: &RentRequest, names: &[String]) {
         self.boots_begin(now, names);
         let index = self.type_index(&request.machine_type);
         for name in names {
@@ -96,71 +106,71 @@
         if let Some(index) = index {
             let key = (index, request.zone.clone(), request.spot);
             if (names.len() as u32) < request.count {
-                self.refuse(now, key);
+                self.back_off_rental(now, key);
             } else {
-                self.refusals.remove(&key);
+                self.rental_backoffs.remove(&key);
             }
         }
         self.reserve_answered(now, &request.request, Some(names));
     }
 
     /// No answer: it may have been granted, now or later.
-    pub fn rent_unanswered(&mut self, request: RentRequest) {
+    pub fn rental_unanswered(&mut self, request: RentRequest) {
         if !self.is_reserving(&request.request) {
-            self.unanswered.push_back(request);
+            self.unanswered_rentals.push_back(request);
         }
     }
 
     /// The cloud has none of these now.
-    pub fn rent_refused(&mut self, now: Time, request: &RentRequest) {
+    pub fn rental_refused(&mut self, now: Time, request: &RentRequest) {
         self.reserve_answered(now, &request.request, None);
         if let Some(index) = self.type_index(&request.machine_type) {
-            self.refuse(now, (index, request.zone.clone(), request.spot));
+            self.back_off_rental(now, (index, request.zone.clone(), request.spot));
         }
     }
 
-    pub(super) fn refuse(&mut self, now: Time, key: (usize, String, bool)) {
+    pub(super) fn back_off_rental(&mut self, now: Time, key: (usize, String, bool)) {
         let tuning = &self.cfg.tuning;
         let pause = self
-            .refusals
+            .rental_backoffs
             .get(&key)
             .map_or(tuning.refusal_backoff_s, |r| {
-                (r.pause * 2.0).min(tuning.refusal_backoff_most_s)
+                (r.backoff_s * 2.0).min(tuning.refusal_backoff_most_s)
             });
         info!(
-            machine_type = self.types[key.0].name,
+            machine_type = self.machine_types[key.0].name,
             zone = key.1,
             spot = key.2,
             pause_s = pause,
             "rental refused or only partly filled"
         );
-        self.refusals.insert(
+        self.rental_backoffs.insert(
             key,
-            Refusal {
+            RentalBackoff {
                 until: now + pause,
-                pause,
+                backoff_s: pause,
             },
         );
     }
 
     /// The delete was answered: the machines are gone with all on them.
-    pub fn deleted(&mut self, names: &[String]) {
+    pub fn machines_deleted(&mut self, names: &[String]) {
         let most = self.cfg.tuning.gone_names as usize;
         for name in names {
             let name: MachineId = name.as_str().into();
             self.clear_machine(&name);
             self.plans.images.gone(&name);
             if let Some(machine) = self.machines.remove(&name) {
-                self.leave_part(&name, machine.part);
+                self.remove_from_part(&name, machine.grant_part);
             }
-            if self.gone.insert(name.clone()) {
-                self.deleted.push_back(name);
+            if self.deleted_machines.insert(name.clone()) {
+                self.deletion_order.push_back(name);
             }
         }
-        while self.deleted.len() > most
-            && let Some(name) = self.deleted.pop_front()
+        while self.deletion_order.len() > most
+            && let Some(name) = self.deletion_order.pop_front()
         {
-            self.gone.remove(&name);
+            self.deleted_machines.remove(&name);
         }
     }
 
@@ -168,7 +178,7 @@
     pub fn delete_unanswered(&mut self, names: &[String]) {
         for name in names {
             if let Some(machine) = self.machines.get_mut(name.as_str()) {
-                machine.delete_asked = false;
+                machine.delete_requested = false;
             }
         }
     }
--- a/crates/umbersail-control/src/engine/locality.rs
+++ b/crates/umbersail-control/src/engine/locality.rs
@@ -21,8 +21,8 @@
         let least = (tuning.image_places * f64::from(job.pending())).ceil() as usize;
         let counts = slice.fleet.with_image.get_or_insert_with(|| {
             let mut counts = BTreeMap::new();
-            let silent_after = self.silent_after();
-            let up = |m: &&super::Machine| m.takes_tasks(now, silent_after);
+            let silent_after = self.silence_limit_s();
+            let up = |m: &&super::Machine| m.accepts_tasks(now, silent_after);
             for machine in self.machines.values().filter(up) {
                 for image in &machine.images {
                     if let Some(index) = machine.type_index {
@@ -33,7 +33,7 @@
             counts
         });
         let places: usize = self
-            .types
+            .machine_types
             .iter()
             .enumerate()
             .filter(|(_, t)| job.shape.fits_in(&Shape::of_type(t)))
@@ -47,7 +47,7 @@
     pub(super) fn fetch_is_late(&self, now: Time, job: &Job, usage: &[Usage]) -> bool {
         let within = self.start_aim(job, self.is_guaranteed(job, usage));
         within.is_some_and(|within| {
-            let left = within - (now - job.submitted);
+            let left = within - (now - job.submitted_at);
             left >= self.cfg.tuning.image_wait_s && self.fetch_s(job) > left
         })
     }
@@ -60,13 +60,13 @@
         if !job.spec.one_zone() && !job.spec.spread() {
             return (None, zones);
         }
-        for placement in job.live.values() {
+        for placement in job.placements.values() {
             if let Some(machine) = self.machines.get(&placement.machine) {
                 *zones.entry(machine.zone.clone()).or_default() += 1;
             }
         }
-        let unseen = job.recovery_pending.len() as u32 + job.inherited_extra();
-        for host in &job.inherited {
+        let unseen = job.recovery_pending.len() as u32 + job.inherited_extra_attempts();
+        for host in &job.inherited_machines {
             if let Some(machine) = self.machines.get(host) {
                 *zones.entry(machine.zone.clone()).or_default() += unseen;
             }
@@ -94,7 +94,7 @@
         job: &Job,
         open: impl Fn(usize, &MachineType) -> bool,
     ) -> Locality {
-        let types = self.types.iter().enumerate();
+        let types = self.machine_types.iter().enumerate();
         Locality {
             types: types
                 .map(|(index, t)| names_type(&job.spec, &t.name) && open(index, t))
--- a/crates/umbersail-control/src/engine/machine.rs
+++ b/crates/umbersail-control/src/engine/machine.rs
@@ -12,7 +12,7 @@
 /// Room that an eviction makes, kept for the job that asked for it.
 #[derive(Debug, Clone, PartialEq)]
 pub(crate) struct Claim {
-    pub winner: JobId,
+    pub claimant: JobId,
     pub tier: Priority,
     pub until: Time,
 }
@@ -28,15 +28,15 @@
     pub fenced: bool,
     /// When its first report with our token came: until then an earlier holder,
     /// or a peer in that one's stead, may have renewed its lease unknown to us.
-    pub ours_since: Option<Time>,
+    pub first_fenced_at: Option<Time>,
     /// May hold tasks that an earlier holder started, unknown to us.
     pub inherited: bool,
     /// (session, seq) of its newest report.
-    pub order: (u64, u64),
-    pub last_report: Option<Time>,
+    pub heartbeat_order: (u64, u64),
+    pub last_heartbeat: Option<Time>,
     /// When it was last answered by us or, as far as we were told, by a peer
     /// in anybody's stead.
-    pub last_answer: Option<Time>,
+    pub last_reply: Option<Time>,
     pub lease_expired: bool,
     /// Listed, rented, in the grant, or has shown our token: not a late copy of
     /// a report of one that is gone.
@@ -45,14 +45,14 @@
     /// Raised by each increment; its epoch is always ours.
     pub token: u64,
     pub token_incremented_at: Option<Time>,
-    pub notice_until: Option<Time>,
-    pub notice_handled: bool,
+    pub reclaim_at: Option<Time>,
+    pub reclaim_handled: bool,
     pub quarantined: bool,
     /// Errors since the last success here, by the job that met them.
-    pub errors: BTreeMap<JobId, u32>,
+    pub errors_by_job: BTreeMap<JobId, u32>,
     /// Since when they are enough to hold it for faulty.
-    pub accused_at: Option<Time>,
-    pub used: Shape,
+    pub suspected_faulty_at: Option<Time>,
+    pub allocated: Shape,
     /// Lower tiers keep off, so that the room of the first task that is gone is
     /// not filled before the others are.
     pub claim: Option<Claim>,
@@ -60,25 +60,25 @@
     pub reservations: u64,
     pub tasks: BTreeSet<(JobId, u32)>,
     /// Shows active tasks of jobs that are over; they are being stopped.
-    pub orphaned_tasks: bool,
+    pub has_orphaned_tasks: bool,
     /// Among them some that nothing says the size of: they count by the whole
     /// machine (rule 4).
-    pub unsized_orphans: bool,
+    pub has_unsized_orphans: bool,
     /// Images it has, the newest last, and their sizes in the same order.
     pub images: Vec<ImageKey>,
     pub image_sizes: Vec<f64>,
     /// Images that its tasks use, each with how many of them.
     pub image_uses: Vec<(ImageKey, u32)>,
     /// The part of the grant's record that names it, or shall.
-    pub part: Option<usize>,
+    pub grant_part: Option<usize>,
     /// The state service holds that it is ours: tasks may be started here.
-    pub recorded: bool,
-    pub since: Time,
+    pub grant_recorded: bool,
+    pub created_at: Time,
     pub idle_since: Time,
     pub listed: bool,
-    pub missing_lists: u32,
+    pub lists_missed: u32,
     pub delete_reason: Option<&'static str>,
-    pub delete_asked: bool,
+    pub delete_requested: bool,
 }
 
 impl Machine {
@@ -96,47 +96,47 @@
             spot,
             addr: None,
             fenced: false,
-            ours_since: None,
+            first_fenced_at: None,
             inherited: false,
-            order: (0, 0),
-            last_report: None,
-            last_answer: None,
+            heartbeat_order: (0, 0),
+            last_heartbeat: None,
+            last_reply: None,
             lease_expired: false,
             confirmed: true,
             reachability: Reachability::default(),
             token: 0,
             token_incremented_at: None,
-            notice_until: None,
-            notice_handled: false,
+            reclaim_at: None,
+            reclaim_handled: false,
             quarantined: false,
-            errors: BTreeMap::new(),
-            accused_at: None,
-            used: Shape::default(),
+            errors_by_job: BTreeMap::new(),
+            suspected_faulty_at: None,
+            allocated: Shape::default(),
             claim: None,
             reservations: 0,
             tasks: BTreeSet::new(),
-            orphaned_tasks: false,
-            unsized_orphans: false,
+            has_orphaned_tasks: false,
+            has_unsized_orphans: false,
             images: Vec::new(),
             image_sizes: Vec::new(),
             image_uses: Vec::new(),
-            part: None,
-            recorded: false,
-            since: now,
+            grant_part: None,
+            grant_recorded: false,
+            created_at: now,
             idle_since: now,
             listed: false,
-            missing_lists: 0,
+            lists_missed: 0,
             delete_reason: None,
-            delete_asked: false,
+            delete_requested: false,
         }
     }
 
     pub fn session(&self) -> u64 {
-        self.order.0
+        self.heartbeat_order.0
     }
 
     pub fn silent_for(&self, now: Time) -> f64 {
-        self.last_report.map_or(f64::INFINITY, |at| now - at)
+        self.last_heartbeat.map_or(f64::INFINITY, |at| now - at)
     }
 
     /// When its lease was last renewed at the latest, as far as that is known
@@ -147,52 +147,52 @@
     /// nothing but that does: a machine that got our token by direct command
     /// may never have been answered by us, and what a peer tells of its own
     /// answers says nothing of the earlier holder's.
-    pub fn renewed_by(&self, silenced_at: Time) -> Time {
-        let others = self.ours_since.unwrap_or(silenced_at);
-        self.last_answer.map_or(others, |at| at.max(others))
+    pub fn latest_renewal(&self, silenced_at: Time) -> Time {
+        let others = self.first_fenced_at.unwrap_or(silenced_at);
+        self.last_reply.map_or(others, |at| at.max(others))
     }
 
     /// Takes in a report's notice that the cloud takes the machine back, or that it does
     /// not any more.
-    pub fn take_notice(&mut self, now: Time, notice_s: Option<f64>) {
+    pub fn update_reclaim_notice(&mut self, now: Time, notice_s: Option<f64>) {
         let Some(notice_s) = notice_s.filter(|notice| notice.is_finite()) else {
-            self.notice_until = None;
+            self.reclaim_at = None;
             return;
         };
-        if self.notice_until.is_none() {
+        if self.reclaim_at.is_none() {
             info!(machine = &*self.name, notice_s, "to be taken back: drained");
-            self.notice_handled = false;
+            self.reclaim_handled = false;
         }
-        self.notice_until = Some(now + notice_s.max(0.0));
+        self.reclaim_at = Some(now + notice_s.max(0.0));
     }
 
     /// Whether new tasks may be planned here.
-    pub fn takes_tasks(&self, now: Time, silent_after: f64) -> bool {
+    pub fn accepts_tasks(&self, now: Time, silent_after: f64) -> bool {
         self.fenced
             && self.type_index.is_some()
-            && !self.orphaned_tasks
+            && !self.has_orphaned_tasks
             && !self.quarantined
-            && self.accused_at.is_none()
-            && self.notice_until.is_none()
+            && self.suspected_faulty_at.is_none()
+            && self.reclaim_at.is_none()
             && self.delete_reason.is_none()
             && !self.reachability.is_unreachable()
             && self.silent_for(now) < silent_after
     }
 
     /// Whether so many errors of several jobs stand against it.
-    pub fn is_accused(&self, errors: u32) -> bool {
-        self.errors.len() >= 2 && self.errors.values().sum::<u32>() >= errors
+    pub fn has_too_many_errors(&self, errors: u32) -> bool {
+        self.errors_by_job.len() >= 2 && self.errors_by_job.values().sum::<u32>() >= errors
     }
 
     /// A job succeeded here, or says nothing against it any more.
-    pub fn exonerated(&mut self) {
-        self.errors.clear();
-        self.accused_at = None;
+    pub fn clear_errors(&mut self) {
+        self.errors_by_job.clear();
+        self.suspected_faulty_at = None;
     }
 
-    pub fn hold(&mut self, id: &JobId, task: u32, shape: &Shape, image: ImageKey) {
+    pub fn add_task(&mut self, id: &JobId, task: u32, shape: &Shape, image: ImageKey) {
         if self.tasks.insert((id.clone(), task)) {
-            self.used.add(shape, 1.0);
+            self.allocated.add(shape, 1.0);
             match self.image_uses.iter_mut().find(|(key, _)| *key == image) {
                 Some((_, uses)) => *uses += 1,
                 None => self.image_uses.push((image, 1)),
@@ -200,9 +200,9 @@
         }
     }
 
-    pub fn release(&mut self, id: &JobId, task: u32, shape: &Shape, image: ImageKey) {
+    pub fn remove_task(&mut self, id: &JobId, task: u32, shape: &Shape, image: ImageKey) {
         if self.tasks.remove(&(id.clone(), task)) {
-            self.used.add(shape, -1.0);
+            self.allocated.add(shape, -1.0);
             for (key, uses) in &mut self.image_uses {
                 if *key == image {
                     *uses = uses.saturating_sub(1);
@@ -211,18 +211,18 @@
             self.image_uses.retain(|(_, uses)| *uses > 0);
             if self.tasks.is_empty() {
                 // Sums of decimals leave rounding behind.
-                self.used = Shape::default();
+                self.allocated = Shape::default();
             }
         }
     }
 
     /// Whether a task here uses the image.
-    pub fn uses(&self, image: ImageKey) -> bool {
+    pub fn uses_image(&self, image: ImageKey) -> bool {
         self.image_uses.iter().any(|(key, _)| *key == image)
     }
 
     /// Remembers that an image is there; which ones it may have pushed out.
-    pub fn fetched(&mut self, image: ImageKey, size_gb: f64, cache_gb: f64) -> Vec<ImageKey> {
+    pub fn add_image(&mut self, image: ImageKey, size_gb: f64, cache_gb: f64) -> Vec<ImageKey> {
         let mut pushed_out = Vec::new();
         if self.images.last() == Some(&image) {
             return pushed_out;
--- a/crates/umbersail-control/src/engine/mod.rs
+++ b/crates/umbersail-control/src/engine/mod.rs
@@ -4,24 +4,24 @@
 //! The safety argument is in `docs/design.md`; the numbers in comments here
 //! (rule 1 to 6) refer to it.
 
-mod accounting;
 mod commands;
 mod delegations;
 mod evict;
 mod grant;
+mod heartbeats;
 mod ids;
 mod job;
 mod jobs;
 mod listing;
 mod locality;
 mod machine;
-mod notices;
 mod order;
 mod placement;
 mod plans;
 mod reachability;
+mod reclaim;
+mod recovery;
 mod rental;
-mod report;
 mod schedule;
 mod starvation_guard;
 mod status;
@@ -43,20 +43,20 @@
 
 use crate::records::{JobRecord, RunRecord};
 use delegations::Delegation;
+use grant::GrantPartState;
 pub use grant::InheritedPart;
-use grant::Part;
+pub(crate) use heartbeats::split_task;
 pub use ids::{JobId, MachineId};
-pub(crate) use job::{BlockedReason, Job, Placement, Stop};
+pub(crate) use job::{BlockedReason, Job, PendingStop, Placement};
 pub(crate) use machine::Machine;
 use order::CachedPriorityOrder;
 pub use plans::InheritedPlan;
 use plans::Plans;
 pub(crate) use plans::cache_holds;
 pub(crate) use plans::reserve_facts;
-pub(crate) use report::split_task;
 use schedule::SchedulingCycle;
 use starvation_guard::StarvationGuard;
-pub use tokens::{Fencing, epoch, token_of};
+pub use tokens::{FencingCommand, epoch, first_token};
 pub use write::{PendingTxn, TxnOutcome};
 
 /// Seconds on this process's steady clock.
@@ -70,26 +70,26 @@
     /// Teams with their guarantees and limits.
     pub teams: Vec<TeamLimits>,
     /// Classes with an aim on starting, and within how many seconds.
-    pub start_aims: BTreeMap<String, f64>,
+    pub start_objectives: BTreeMap<String, f64>,
     /// The same for work of any class within its team's guarantee.
-    pub guarantee_aim: Option<f64>,
+    pub guarantee_start_objective: Option<f64>,
     /// Classes whose jobs still count when they end within so many times
     /// their deadline.
-    pub late_aims: BTreeMap<String, f64>,
+    pub deadline_factors: BTreeMap<String, f64>,
     /// Seconds between two heartbeats of a worker.
-    pub report_s: f64,
+    pub heartbeat_interval_s: f64,
     /// Seconds that a worker's lease lasts.
     pub lease_s: f64,
     /// Seconds within which a cancelled job's tasks must be gone.
     pub cancel_s: f64,
     /// Seconds by which the cloud's list is late.
-    pub list_lag_s: f64,
+    pub cloud_list_lag_s: f64,
     /// Most changes of one transaction.
-    pub txn_ops: usize,
+    pub max_txn_changes: usize,
     /// Largest value of the state service, in bytes.
-    pub value_bytes: usize,
+    pub max_value_bytes: usize,
     /// Bound of the error of any node's time of day, in milliseconds.
-    pub skew_ms: f64,
+    pub max_clock_skew_ms: f64,
     /// Steps of a cycle after which reports and users come first.
     pub slice_steps: u64,
     /// Operators' constants.
@@ -104,20 +104,20 @@
 }
 
 /// What a new leader found in the state service.
-pub struct Inheritance {
+pub struct InheritedState {
     /// Of the grant that moved the block here (rule 1).
     pub revision: u64,
     /// Version of the leader's key, on which every write depends (rule 1).
     pub leader_version: u64,
     /// The grant, in parts.
-    pub parts: Vec<InheritedPart>,
+    pub grant_parts: Vec<InheritedPart>,
     /// Unfinished jobs.
     pub jobs: Vec<InheritedJob>,
     /// Jobs that are over whose progress still stands.
-    pub over: Vec<(String, RunRecord)>,
+    pub finished_jobs: Vec<(String, RunRecord)>,
     /// The predecessor's build kept no progress of jobs that were over: machines
     /// count by their whole size until they are accounted for (rule 4).
-    pub whole_machines: bool,
+    pub count_whole_machines: bool,
     /// A holder before us may have started tasks that no record tells of, and
     /// not all machines have been accounted for since (rule 3).
     pub predecessor_degraded: bool,
@@ -138,15 +138,15 @@
 }
 
 #[derive(Debug, Clone, PartialEq)]
-struct Refusal {
+struct RentalBackoff {
     until: Time,
-    pause: f64,
+    backoff_s: f64,
 }
 
 /// A class's newest shape, to rent ahead for it.
 #[derive(Debug, Clone)]
 struct ClassSample {
-    shape: Shape,
+    task_shape: Shape,
     types: Option<Vec<String>>,
     zone: Option<String>,
     spot: bool,
@@ -167,88 +167,93 @@
     token: u64,
     leader_version: u64,
     elected_at: Time,
-    types: Vec<MachineType>,
+    machine_types: Vec<MachineType>,
     jobs: BTreeMap<JobId, Job>,
     machines: BTreeMap<MachineId, Machine>,
-    parts: Vec<Part>,
+    grant_parts: Vec<GrantPartState>,
     /// Peers that may answer workers in our stead.
     delegations: BTreeMap<String, Delegation>,
     /// Machines with launches that no reply has carried yet, and perhaps some
     /// more.
-    unsent_launches: BTreeSet<MachineId>,
+    machines_with_unsent_launches: BTreeSet<MachineId>,
     /// Jobs that are over whose progress still stands: removed when there is
     /// time for it.
-    cleared: BTreeSet<JobId>,
+    run_records_to_delete: BTreeSet<JobId>,
     /// Jobs that are over whose attempts may still be about: their progress
     /// stands until they are gone (rule 4).
     orphaned_jobs: OrphanedJobs<JobId, MachineId>,
-    whole_machines: bool,
+    count_whole_machines: bool,
     /// Machines that may hold tasks that no record tells of.
     unaccounted_machines: BTreeSet<MachineId>,
     /// A record says that something may run that none tells of.
     recovery_pending: bool,
     /// Tasks may be started before they are recorded.
-    open: bool,
-    attempts: u64,
-    requests: u64,
+    degraded_mode: bool,
+    attempt_counter: u64,
+    request_counter: u64,
     /// Rentals without an answer: asked again by the same name, which rents
     /// nothing twice, before anything else is rented.
-    unanswered: VecDeque<RentRequest>,
+    unanswered_rentals: VecDeque<RentRequest>,
     learner: Learner,
-    samples: BTreeMap<String, ClassSample>,
-    refusals: BTreeMap<(usize, String, bool), Refusal>,
-    last_rental: Time,
+    class_samples: BTreeMap<String, ClassSample>,
+    rental_backoffs: BTreeMap<(usize, String, bool), RentalBackoff>,
+    last_rental_at: Time,
     txn_in_flight: bool,
-    schedule_wanted: bool,
+    cycle_requested: bool,
     /// What is left of a cycle that was cut short.
     unfinished_cycle: Option<SchedulingCycle>,
     cached_order: Option<CachedPriorityOrder>,
     starvation_guard: StarvationGuard,
-    served: ServiceHistory,
+    service_history: ServiceHistory,
     /// False once a cycle has found nothing waiting.
-    may_wait: bool,
+    may_have_waiting_jobs: bool,
     /// Who may lose a task, as jobs come and go.
-    preemptible: PreemptibleJobs<Priority, JobId>,
+    preemptible_jobs: PreemptibleJobs<Priority, JobId>,
     /// Jobs with tasks whose recovery is pending, by the machines that may hold them.
-    inherited_by: BTreeMap<MachineId, Vec<JobId>>,
+    inherited_jobs_by_machine: BTreeMap<MachineId, Vec<JobId>>,
     /// No waiting job's task is smaller than this in any amount.
-    least_shape: Shape,
+    smallest_waiting_shape: Shape,
     /// Work of cycles since it was last asked for.
-    steps: u64,
+    cycle_steps: u64,
     /// Jobs wait for a place with their image, for a moment only.
-    awaiting: bool,
-    lost: bool,
-    next_status: Time,
+    jobs_await_image: bool,
+    leadership_lost: bool,
+    next_status_at: Time,
     plans: Plans,
     /// Machines whose deletion was answered, the newest last: names that never
     /// come back, whatever a late list or report shows.
-    deleted: VecDeque<MachineId>,
-    gone: BTreeSet<MachineId>,
+    deletion_order: VecDeque<MachineId>,
+    deleted_machines: BTreeSet<MachineId>,
 }
 
 impl Engine {
     /// The engine of a new leader, at `now` on its steady clock and `unix_ms` milliseconds since 1970.
-    pub fn new(cfg: Rc<EngineConfig>, now: Time, unix_ms: u64, inheritance: Inheritance) -> Engine {
+    pub fn new(
+        cfg: Rc<EngineConfig>,
+        now: Time,
+        unix_ms: u64,
+        inheritance: InheritedState,
+    ) -> Engine {
         let tuning = cfg.tuning.clone();
         let mut engine = Engine {
-            token: token_of(inheritance.revision),
+            token: first_token(inheritance.revision),
             leader_version: inheritance.leader_version,
             elected_at: now,
-            types: inheritance.types.clone(),
+            machine_types: inheritance.types.clone(),
             jobs: BTreeMap::new(),
             machines: BTreeMap::new(),
-            parts: Vec::new(),
+            grant_parts: Vec::new(),
             delegations: BTreeMap::new(),
-            unsent_launches: BTreeSet::new(),
-            cleared: BTreeSet::new(),
+            machines_with_unsent_launches: BTreeSet::new(),
+            run_records_to_delete: BTreeSet::new(),
             orphaned_jobs: OrphanedJobs::default(),
-            whole_machines: inheritance.whole_machines,
+            count_whole_machines: inheritance.count_whole_machines,
             unaccounted_machines: BTreeSet::new(),
             recovery_pending: inheritance.predecessor_degraded,
-            open: false,
-            attempts: 0,
-            requests: 0,
-            unanswered: VecDeque::new(),
+            degraded_mode: false,
+            attempt_counter: 0,
+            request_counter: 0,
+            unanswered_rentals: VecDeque::new(),
             learner: Learner::new(
                 tuning.class_limit as usize,
                 tuning.learn_weight,
@@ -257,29 +262,29 @@
                     least_s: tuning.window_least_s,
                 },
             ),
-            samples: BTreeMap::new(),
-            refusals: BTreeMap::new(),
-            last_rental: now,
+            class_samples: BTreeMap::new(),
+            rental_backoffs: BTreeMap::new(),
+            last_rental_at: now,
             txn_in_flight: false,
-            schedule_wanted: true,
+            cycle_requested: true,
             unfinished_cycle: None,
             cached_order: None,
             starvation_guard: StarvationGuard::default(),
-            served: ServiceHistory::new(
+            service_history: ServiceHistory::new(
                 2 * tuning.class_limit as usize,
                 tuning.service_window_jobs as usize,
             ),
-            may_wait: true,
-            preemptible: PreemptibleJobs::default(),
-            inherited_by: BTreeMap::new(),
-            least_shape: Shape::default(),
-            steps: 0,
-            awaiting: false,
-            lost: false,
-            next_status: now,
-            deleted: VecDeque::new(),
+            may_have_waiting_jobs: true,
+            preemptible_jobs: PreemptibleJobs::default(),
+            inherited_jobs_by_machine: BTreeMap::new(),
+            smallest_waiting_shape: Shape::default(),
+            cycle_steps: 0,
+            jobs_await_image: false,
+            leadership_lost: false,
+            next_status_at: now,
+            deletion_order: VecDeque::new(),
             plans: Plans::new(now, unix_ms, &cfg),
-            gone: BTreeSet::new(),
+            deleted_machines: BTreeSet::new(),
             cfg,
         };
         engine.inherit(now, unix_ms, inheritance);
@@ -287,12 +292,12 @@
     }
 
     /// Takes in what earlier holders left: plans and machines first, which jobs refer to.
-    fn inherit(&mut self, now: Time, unix_ms: u64, inheritance: Inheritance) {
+    fn inherit(&mut self, now: Time, unix_ms: u64, inheritance: InheritedState) {
         self.inherit_plans(now, inheritance.plans);
-        for part in inheritance.parts {
+        for part in inheritance.grant_parts {
             self.inherit_part(now, part);
         }
-        for (id, run) in inheritance.over {
+        for (id, run) in inheritance.finished_jobs {
             self.inherit_orphaned_attempts(&id, run);
         }
         // In the order in which they came, which tells the rate of each class.
@@ -313,13 +318,16 @@
     fn inherit_recovery(&mut self) {
         let known = &self.machines;
         for (id, job) in &mut self.jobs {
-            job.inherited.retain(|m| known.contains_key(m));
+            job.inherited_machines.retain(|m| known.contains_key(m));
             if !self.unaccounted_machines.is_empty() {
-                job.may_run_anywhere();
+                job.assume_unrecorded_starts();
             }
             job.finish_recovery();
-            for machine in &job.inherited {
-                let holders = self.inherited_by.entry(machine.clone()).or_default();
+            for machine in &job.inherited_machines {
+                let holders = self
+                    .inherited_jobs_by_machine
+                    .entry(machine.clone())
+                    .or_default();
                 holders.push(id.clone());
             }
         }
@@ -331,26 +339,26 @@
     }
 
     /// True once a write was refused because the leader's key is not ours.
-    pub fn is_lost(&self) -> bool {
-        self.lost
+    pub fn has_lost_leadership(&self) -> bool {
+        self.leadership_lost
     }
 
-    fn silent_after(&self) -> f64 {
-        (self.cfg.tuning.silent_reports * self.cfg.report_s).max(2.0)
+    fn silence_limit_s(&self) -> f64 {
+        (self.cfg.tuning.silent_reports * self.cfg.heartbeat_interval_s).max(2.0)
     }
 
     fn type_index(&self, name: &str) -> Option<usize> {
-        self.types.iter().position(|t| t.name == name)
+        self.machine_types.iter().position(|t| t.name == name)
     }
 
     /// New prices, or the first catalogue.
-    pub fn set_types(&mut self, types: Vec<MachineType>) {
+    pub fn set_machine_types(&mut self, types: Vec<MachineType>) {
         let names: Vec<Option<String>> = self
             .machines
             .values()
-            .map(|m| m.type_index.map(|i| self.types[i].name.clone()))
+            .map(|m| m.type_index.map(|i| self.machine_types[i].name.clone()))
             .collect();
-        self.types = types;
+        self.machine_types = types;
         let indices: Vec<Option<usize>> = names
             .iter()
             .map(|n| n.as_ref().and_then(|n| self.type_index(n)))
@@ -359,14 +367,14 @@
             machine.type_index = index;
         }
         for job in self.jobs.values_mut() {
-            self.plans.images.narrow(&mut job.spec, &self.types);
+            self.plans.images.narrow(&mut job.spec, &self.machine_types);
             job.smallest_cpus =
-                umbersail_policy::smallest_cpus(&job.spec, &self.types).unwrap_or(f64::MAX);
+                umbersail_policy::smallest_cpus(&job.spec, &self.machine_types).unwrap_or(f64::MAX);
         }
         // What stands in them is by type, and types may have moved.
         self.unfinished_cycle = None;
         self.cached_order = None;
         self.starvation_guard = StarvationGuard::default();
-        self.schedule_wanted = true;
+        self.cycle_requested = true;
     }
 }
--- a/crates/umbersail-control/src/engine/order.rs
+++ b/crates/umbersail-control/src/engine/order.rs
@@ -76,8 +76,11 @@
     /// its image: whoever is late for certain shall not go before one who
     /// need not be.
     pub(super) fn slack_s(&self, now: Time, job: &Job) -> Option<f64> {
-        let own = job.spec.deadline_s.map(|deadline| job.submitted + deadline);
-        let due = match (own, job.planned_due) {
+        let own = job
+            .spec
+            .deadline_s
+            .map(|deadline| job.submitted_at + deadline);
+        let due = match (own, job.planned_deadline) {
             (Some(own), Some(planned)) => own.min(planned),
             (own, planned) => own.or(planned)?,
         };
@@ -87,7 +90,11 @@
     /// Seconds that the fetch of the job's image takes at the least.
     pub(super) fn fetch_s(&self, job: &Job) -> f64 {
         let fitting = |t: &&MachineType| job.shape.fits_in(&Shape::of_type(t));
-        let rates = self.types.iter().filter(fitting).map(|t| t.fetch_gb_per_s);
+        let rates = self
+            .machine_types
+            .iter()
+            .filter(fitting)
+            .map(|t| t.fetch_gb_per_s);
         job.spec.image_gb / rates.fold(1e-3, f64::max)
     }
 
@@ -102,9 +109,9 @@
 
     /// Within how many seconds the job should start, if it is soon.
     pub(super) fn start_aim(&self, job: &Job, guaranteed: bool) -> Option<f64> {
-        let own = self.cfg.start_aims.get(&job.spec.class).copied();
+        let own = self.cfg.start_objectives.get(&job.spec.class).copied();
         if guaranteed {
-            own.or(self.cfg.guarantee_aim)
+            own.or(self.cfg.guarantee_start_objective)
         } else {
             own
         }
@@ -114,7 +121,7 @@
     /// these go first: by deadline alone every job would come just too late.
     pub(super) fn is_fresh(&self, now: Time, job: &Job, guaranteed: bool) -> bool {
         self.start_aim(job, guaranteed)
-            .is_some_and(|within| now - job.submitted < within)
+            .is_some_and(|within| now - job.submitted_at < within)
     }
 
     /// Most urgent first: tier, then what a guarantee covers, then what the starvation guard
@@ -132,7 +139,7 @@
         let waiting: Vec<Waiting> = self
             .jobs
             .iter()
-            .filter(|(_, j)| j.waits())
+            .filter(|(_, j)| j.is_schedulable())
             .map(|(id, job)| Waiting {
                 id,
                 job,
@@ -163,7 +170,7 @@
                 fresh: self.is_fresh(now, w.job, guaranteed),
                 outlook: w.outlook,
             };
-            let slack = w.slack_s.unwrap_or(1e9 - (now - w.job.submitted));
+            let slack = w.slack_s.unwrap_or(1e9 - (now - w.job.submitted_at));
             order.push((position(underserved), slack, w.id));
             if begins.contains(w.id) {
                 order.push((position(true), slack, w.id));
@@ -181,7 +188,7 @@
     }
 
     pub(super) fn goes_last(&self, job: &Job) -> bool {
-        job.goes_last(self.cfg.tuning.job_backoff_s)
+        job.is_scheduled_last(self.cfg.tuning.job_backoff_s)
     }
 
     /// Of the jobs that want the same machines, as many as can end by their
@@ -202,7 +209,7 @@
         let mut by_team: BTreeMap<(usize, Priority), f64> = BTreeMap::new();
         if !pools.is_empty() {
             for job in self.jobs.values() {
-                let cpus = job.occupied() as f64 * job.shape.cpus;
+                let cpus = job.occupied_tasks() as f64 * job.shape.cpus;
                 *occupied.entry(job.spec.priority).or_default() += cpus;
                 if let Some(team) = job.team {
                     *by_team.entry((team, job.spec.priority)).or_default() += cpus;
@@ -245,7 +252,10 @@
                 .iter()
                 .map(|i| {
                     let class = &waiting[*i].job.spec.class;
-                    due(i, self.cfg.late_aims.get(class).copied().unwrap_or(1.0))
+                    due(
+                        i,
+                        self.cfg.deadline_factors.get(class).copied().unwrap_or(1.0),
+                    )
                 })
                 .collect();
             let (soon, _) = max_on_time(&second, busy_s, underserved_share);
@@ -267,7 +277,7 @@
         };
         Pool {
             tier: job.spec.priority,
-            types: self.types.iter().map(fits).collect(),
+            types: self.machine_types.iter().map(fits).collect(),
             spot: job.spec.spot(),
         }
     }
@@ -365,7 +375,7 @@
 
     /// See [`CachedPriorityOrder::reserved`].
     fn reserved_types(&self, waiting: &Vector<JobId>) -> BTreeMap<Priority, Vec<f64>> {
-        let none = vec![0.0; self.types.len()];
+        let none = vec![0.0; self.machine_types.len()];
         let mut by_tier: BTreeMap<Priority, Vec<f64>> = BTreeMap::new();
         for job in waiting.iter().filter_map(|id| self.jobs.get(id)) {
             let most = by_tier
@@ -374,7 +384,7 @@
             if self.goes_last(job) {
                 continue;
             }
-            for (t, most) in self.types.iter().zip(most) {
+            for (t, most) in self.machine_types.iter().zip(most) {
                 if names_type(&job.spec, &t.name) && job.shape.fits_in(&Shape::of_type(t)) {
                     *most = most.max(job.smallest_cpus);
                 }
--- a/crates/umbersail-control/src/engine/placement.rs
+++ b/crates/umbersail-control/src/engine/placement.rs
@@ -28,8 +28,8 @@
     fn blocked_reason(&self) -> BlockedReason {
         match self.quota {
             0 => BlockedReason::TeamLimit,
-            _ if self.awaits_image => BlockedReason::AwaitsImage,
-            _ => BlockedReason::NoRoom,
+            _ if self.awaits_image => BlockedReason::AwaitingImage,
+            _ => BlockedReason::NoCapacity,
         }
     }
 
@@ -70,7 +70,7 @@
         id: &JobId,
         slice: &mut CycleSlice<'_>,
     ) -> (u64, bool) {
-        let Some(job) = self.jobs.get(id).filter(|j| j.waits()) else {
+        let Some(job) = self.jobs.get(id).filter(|j| j.is_schedulable()) else {
             return (0, false);
         };
         self.close_claimed_slots(job.spec.priority, slice);
@@ -100,7 +100,7 @@
         if is_left {
             self.set_blocked(id, decision.blocked_reason());
         }
-        self.awaiting |= decision.awaits_image && is_left;
+        self.jobs_await_image |= decision.awaits_image && is_left;
         let might_evict = is_left && decision.quota > 0 && !decision.awaits_image;
         (placed, might_evict)
     }
@@ -111,11 +111,11 @@
         let ClusterSnapshot {
             places, claimed, ..
         } = &mut *slice.fleet;
-        let waits = |job: &JobId| self.jobs.get(job).is_some_and(Job::waits);
+        let waits = |job: &JobId| self.jobs.get(job).is_some_and(Job::is_schedulable);
         for (_, index) in claimed.extract_if(.., |(above, _)| tier < *above) {
             let machine = self.machines.get(&places.get(index).machine);
             let claim = machine.and_then(|m| m.claim.as_ref());
-            if claim.is_some_and(|c| waits(&c.winner)) {
+            if claim.is_some_and(|c| waits(&c.claimant)) {
                 places.close(index);
             }
         }
@@ -135,7 +135,7 @@
         }
         let plain = !job.spec.one_zone()
             && !job.spec.spread()
-            && job.error_machines.is_empty()
+            && job.avoided_machines.is_empty()
             && !self.fetch_is_late(now, job, slice.usage);
         if plain {
             self.decide_by_ranking(job, locality, slice, decision);
@@ -198,7 +198,7 @@
         if !key
             .locality
             .has(place.type_index, zone, place.spot, place.reservations)
-            || !self.least_shape.fits_in(&place.free)
+            || !self.smallest_waiting_shape.fits_in(&place.free)
         {
             return None;
         }
@@ -217,7 +217,7 @@
         let place = places.get(index);
         MachineView {
             machine: (),
-            machine_type: &self.types[place.type_index],
+            machine_type: &self.machine_types[place.type_index],
             zone: places.zone(index),
             spot: place.spot,
             free: place.free,
@@ -230,9 +230,9 @@
     /// Machines that the job's record can name beside those that it does; without
     /// bound where it can name all.
     pub(super) fn more_hosts(&self, job: &Job) -> Option<(BTreeSet<MachineId>, usize)> {
-        let most = self.most_hosts(job.spec.tasks);
+        let most = self.max_recorded_hosts(job.spec.tasks);
         (most < self.machines.len()).then(|| {
-            let hosts = job.hosts();
+            let hosts = job.machines();
             let left = most.saturating_sub(hosts.len());
             (hosts, left)
         })
@@ -295,7 +295,7 @@
         choice: &mut PlacementDecision,
     ) {
         let shape = job.shape;
-        let allowed = |machine: &MachineId| !job.error_machines.contains(machine);
+        let allowed = |machine: &MachineId| !job.avoided_machines.contains(machine);
         let mut found = slice.fleet.places.fitting(locality, &shape, allowed);
         let has_image =
             |places: &CandidateSlots<MachineId>, place| places.image(place, job.image).0;
@@ -351,7 +351,7 @@
 
     pub(super) fn set_blocked(&mut self, id: &JobId, reason: BlockedReason) {
         if let Some(job) = self.jobs.get_mut(id) {
-            job.blocked = reason;
+            job.blocked_reason = reason;
         }
     }
 
@@ -364,36 +364,37 @@
     ) {
         // Rule 5: the token differs for every holder and the counter for every
         // attempt, so no attempt number is ever given twice.
-        self.attempts += 1;
-        let attempt = (self.revision() << 24) + self.attempts;
+        self.attempt_counter += 1;
+        let attempt = (self.revision() << 24) + self.attempt_counter;
         let Some(job) = self.jobs.get_mut(id) else {
             return;
         };
-        let Some(task) = job.take_pending() else {
+        let Some(task) = job.take_next_task() else {
             return;
         };
-        job.live.insert(
+        job.placements.insert(
             task,
             Placement {
                 machine: machine.clone(),
                 attempt,
-                ordered: None,
-                seen: None,
+                launched_in: None,
+                observed_state: None,
                 running_since: None,
-                planned_at: now,
-                stop: None,
+                placed_at: now,
+                pending_stop: None,
             },
         );
         if !job.is_recorded(task, machine) {
-            job.touch(now);
+            job.mark_dirty(now);
         }
         if let Some(team) = job.team {
             usage[team].add(&job.shape, 1.0);
         }
         let (shape, image) = (job.shape, job.image);
         if let Some(machine) = self.machines.get_mut(machine) {
-            machine.hold(id, task, &shape, image);
-            self.unsent_launches.insert(machine.name.clone());
+            machine.add_task(id, task, &shape, image);
+            self.machines_with_unsent_launches
+                .insert(machine.name.clone());
         }
         debug!(job = &**id, task, machine = &**machine, attempt, "placed");
     }
--- a/crates/umbersail-control/src/engine/plans/calendar.rs
+++ b/crates/umbersail-control/src/engine/plans/calendar.rs
@@ -49,7 +49,7 @@
             Calendar::default()
         });
         let settings = Settings {
-            skew_ms: cfg.skew_ms.max(0.0) as u64,
+            skew_ms: cfg.max_clock_skew_ms.max(0.0) as u64,
             tick_ms: (2000.0 * tuning.tick_s) as u64,
             write_delay_s: tuning.calendar_write_s,
             failing_grace_s: tuning.calendar_mistaken_s,
@@ -130,7 +130,7 @@
         if job.spec.kind != JobKind::Array || job.cancelled {
             return;
         }
-        let age_ms = ((now - job.submitted).max(0.0) * 1000.0) as u64;
+        let age_ms = ((now - job.submitted_at).max(0.0) * 1000.0) as u64;
         let run_s = self.run_s(job);
         let accepted = AcceptedJob {
             id: id.shared(),
@@ -163,14 +163,14 @@
         let Some(job) = self.jobs.get_mut(id) else {
             return;
         };
-        job.planned_due = planned_due;
-        let released = job.held.is_some() && held.is_none();
-        job.held = held;
+        job.planned_deadline = planned_due;
+        let released = job.hold_reason.is_some() && held.is_none();
+        job.hold_reason = held;
         if let Some(reason) = held {
-            job.blocked = BlockedReason::Held(reason);
+            job.blocked_reason = BlockedReason::HeldByPlan(reason);
         } else if released {
-            job.blocked = BlockedReason::NotLookedAt;
-            self.note_waiting();
+            job.blocked_reason = BlockedReason::NotConsidered;
+            self.mark_jobs_waiting();
         }
     }
 
@@ -232,7 +232,7 @@
         for id in members {
             let runs = &mut self.plans.calendar.runs;
             match self.jobs.get(&id) {
-                Some(job) if !job.cancelled => runs.set_failing(at, &id, job.suspect),
+                Some(job) if !job.cancelled => runs.set_failing(at, &id, job.suspected_faulty),
                 _ => drop(runs.job_ended(at, &id)),
             }
         }
--- a/crates/umbersail-control/src/engine/plans/images.rs
+++ b/crates/umbersail-control/src/engine/plans/images.rs
@@ -16,7 +16,7 @@
 
 use super::{Engine, Job, JobId, MachineId, Plans, Time};
 use crate::engine::Machine;
-use crate::engine::report::split_task;
+use crate::engine::heartbeats::split_task;
 
 /// The kind of these plans' records.
 const KIND: &str = "images";
@@ -155,7 +155,7 @@
         if self.plans.images.hand_on {
             held.sort_by_key(|(id, task)| {
                 let job = self.jobs.get(id);
-                let attempt = job.and_then(|j| Some(j.live.get(task)?.attempt));
+                let attempt = job.and_then(|j| Some(j.placements.get(task)?.attempt));
                 (job.map(|j| tier(j.spec.priority)), attempt)
             });
         }
@@ -173,25 +173,25 @@
         task: u32,
     ) -> Option<Vec<String>> {
         let at_once = Some(Vec::new());
-        let silent_after = self.silent_after();
+        let silent_after = self.silence_limit_s();
         let (Some(job), Some(known)) = (self.jobs.get(id), self.machines.get(machine)) else {
             return at_once;
         };
-        let Some(attempt) = job.live.get(&task).map(|p| p.attempt) else {
+        let Some(attempt) = job.placements.get(&task).map(|p| p.attempt) else {
             return at_once;
         };
         if known.images.contains(&job.image) {
             return at_once;
         }
         let shared = known.image_uses.len();
-        let Some(request) = request_of(&self.types, job, known, attempt, shared) else {
+        let Some(request) = request_of(&self.machine_types, job, known, attempt, shared) else {
             return at_once;
         };
         let machines = &self.machines;
         // Neither unreachable nor noticed nor about to lapse.
         let usable = |m: &MachineId| {
             let holder = machines.get(m);
-            holder.is_some_and(|m| m.addr.is_some() && m.takes_tasks(now, silent_after))
+            holder.is_some_and(|m| m.addr.is_some() && m.accepts_tasks(now, silent_after))
         };
         let images = &mut self.plans.images;
         match images.cache_view.request(now, &request, usable) {
@@ -242,7 +242,7 @@
         let shared = seen.len();
         let images = &mut self.plans.images;
         for (image, attempt, job) in seen {
-            if let Some(request) = request_of(&self.types, job, machine, attempt, shared) {
+            if let Some(request) = request_of(&self.machine_types, job, machine, attempt, shared) {
                 images.cache_view.observe_fetching(now, &request);
                 if images.hand_on
                     && images
@@ -270,7 +270,7 @@
         for image in pushed_out {
             images.cache_view.remove(image, name);
         }
-        if let Some(request) = request_of(&self.types, job, machine, 0, 1) {
+        if let Some(request) = request_of(&self.machine_types, job, machine, 0, 1) {
             images.cache_view.observe_cached(now, &request);
         }
     }
--- a/crates/umbersail-control/src/engine/plans/reserve.rs
+++ b/crates/umbersail-control/src/engine/plans/reserve.rs
@@ -15,7 +15,7 @@
 
 use super::super::rental::MAX_RENTED_AT_ONCE;
 use super::super::{
-    BlockedReason, Engine, EngineConfig, Job, JobId, Machine, MachineId, Stop, Time, epoch,
+    BlockedReason, Engine, EngineConfig, Job, JobId, Machine, MachineId, PendingStop, Time, epoch,
 };
 
 /// Names of records: this and the entry's name.
@@ -126,10 +126,10 @@
             let machine = engine.machines.get(&p.machine);
             machine.is_some_and(|m| m.reservations != 0)
         };
-        let there = job.live.values().filter(kept).count() as u32;
+        let there = job.placements.values().filter(kept).count() as u32;
         let own = engine.plans.reserve.own_bits(job);
         let mut waiting = tasks
-            .saturating_sub(job.occupied() as u32)
+            .saturating_sub(job.occupied_tasks() as u32)
             .min(job.startable());
         let mut taken = 0;
         if own != 0 {
@@ -220,9 +220,9 @@
         let known = &self.machines;
         (self.plans.reserve.booting).retain(|name, _| known.contains_key(name));
         let mut records = std::mem::take(&mut self.plans.reserve.records);
-        let mut requests = self.requests;
+        let mut requests = self.request_counter;
         let notices = self.plan_reservations(now, &mut records, &mut requests);
-        self.requests = requests;
+        self.request_counter = requests;
         self.plans.reserve.records = records;
         for Notice { entry, what } in notices {
             match what {
@@ -262,7 +262,7 @@
                 }
             }
         }
-        let silent_after = self.silent_after();
+        let silent_after = self.silence_limit_s();
         let idle_s = self.cfg.tuning.reserve_adopt_idle_s;
         let mut free = BTreeMap::new();
         for (name, machine) in &self.machines {
@@ -270,7 +270,7 @@
                 && !machines.contains_key(&**name)
                 && is_empty(machine)
                 && now - machine.idle_since >= idle_s
-                && machine.takes_tasks(now, silent_after)
+                && machine.accepts_tasks(now, silent_after)
                 && let Some(type_index) = machine.type_index
             {
                 let idle = HeldMachine {
@@ -288,8 +288,8 @@
                 .terms
                 .classes
                 .iter()
-                .filter_map(|c| self.samples.get(c));
-            let largest = of_entry.map(|s| s.shape).reduce(|a, b| Shape {
+                .filter_map(|c| self.class_samples.get(c));
+            let largest = of_entry.map(|s| s.task_shape).reduce(|a, b| Shape {
                 cpus: a.cpus.max(b.cpus),
                 gpus: a.gpus.max(b.gpus),
                 memory_gb: a.memory_gb.max(b.memory_gb),
@@ -299,11 +299,11 @@
         let view = View {
             now_ms: self.plans.unix_ms(now),
             elected_s: now - self.elected_at,
-            types: &self.types,
+            types: &self.machine_types,
             teams: &self.cfg.teams,
             machines: &machines,
             free: &free,
-            refused: &|index, zone, spot| self.is_refused(now, index, zone, spot),
+            refused: &|index, zone, spot| self.is_rental_backed_off(now, index, zone, spot),
             largest: &largest.collect(),
             boots: &reserve.boots,
             rules: &reserve.rules,
@@ -323,13 +323,13 @@
         machine: &Machine,
         usage: &[Usage],
     ) -> Standing {
-        let Some(report) = machine.last_report else {
+        let Some(report) = machine.last_heartbeat else {
             return Standing::Coming;
         };
         let silent = now - report > self.cfg.tuning.reserve_out_s;
         let out =
             silent || (machine.reachability.is_unreachable() && !self.is_mostly_unreachable());
-        if out || machine.quarantined || machine.notice_until.is_some() {
+        if out || machine.quarantined || machine.reclaim_at.is_some() {
             return Standing::Out;
         }
         let stays = |(id, _): &(JobId, u32)| {
@@ -361,7 +361,7 @@
             class: &job.spec.class,
             tier: job.spec.priority,
             save_s: (job.spec.checkpoint_s() > 0.0).then_some(job.spec.save_s()),
-            waited_s: now - job.submitted,
+            waited_s: now - job.submitted_at,
             guaranteed: !usage.is_empty() && self.is_guaranteed(job, usage),
         }
     }
@@ -369,7 +369,7 @@
     /// Whether the machine could have a task of the job if it were empty.
     fn takes(&self, job: &Job, machine: &Machine) -> bool {
         machine.type_index.is_some_and(|index| {
-            let t = &self.types[index];
+            let t = &self.machine_types[index];
             job.shape.fits_in(&Shape::of_type(t))
                 && umbersail_policy::names_type(&job.spec, &t.name)
                 && job.spec.zone.as_ref().is_none_or(|z| *z == machine.zone)
@@ -437,7 +437,7 @@
             changed |= std::mem::replace(&mut job.reservations, reservations) != reservations;
         }
         if changed {
-            self.note_waiting();
+            self.mark_jobs_waiting();
         }
     }
 
@@ -502,23 +502,24 @@
     /// Room on reserved machines, and the borrowers there that give back.
     fn reserved_rooms(&self, now: Time) -> (Rooms<'_>, Borrowers<'_>) {
         let (mut rooms, mut lent) = (Rooms::new(), Borrowers::new());
-        let silent_after = self.silent_after();
+        let silent_after = self.silence_limit_s();
         for (name, machine) in &self.machines {
             let Some(index) = machine.type_index else {
                 continue;
             };
-            if machine.reservations == 0 || !machine.takes_tasks(now, silent_after) {
+            if machine.reservations == 0 || !machine.accepts_tasks(now, silent_after) {
                 continue;
             }
-            let mut room = Shape::of_type(&self.types[index]).plus(&machine.used, -1.0);
+            let mut room =
+                Shape::of_type(&self.machine_types[index]).plus(&machine.allocated, -1.0);
             for (id, task) in &machine.tasks {
                 let Some(job) = self.jobs.get(id) else {
                     continue;
                 };
-                let Some(placement) = job.live.get(task) else {
+                let Some(placement) = job.placements.get(task) else {
                     continue;
                 };
-                if placement.stop.is_some() {
+                if placement.pending_stop.is_some() {
                     room.add(&job.shape, 1.0);
                 } else if self.gives_back(now, job, machine) {
                     lent.entry(name).or_default().push((id, *task, job));
@@ -555,7 +556,7 @@
             .collect();
         own.sort_by(|a, b| {
             let tiers = b.spec.priority.cmp(&a.spec.priority);
-            tiers.then(a.submitted.total_cmp(&b.submitted))
+            tiers.then(a.submitted_at.total_cmp(&b.submitted_at))
         });
         for job in own {
             let mut wanted = job.startable();
@@ -593,12 +594,12 @@
             return;
         };
         let grace_s = job.spec.save_s() + 1.0;
-        let Some(placement) = job.live.get_mut(&task) else {
+        let Some(placement) = job.placements.get_mut(&task) else {
             return;
         };
-        if !placement.told() {
+        if !placement.may_be_known_to_worker() {
             // Told to nobody: it can wait elsewhere at once.
-            self.return_task(id, task);
+            self.requeue_task(id, task);
             return;
         }
         debug!(
@@ -607,9 +608,9 @@
             machine = &*placement.machine,
             "gives a reserved machine back"
         );
-        placement.stop = Some(Stop {
+        placement.pending_stop = Some(PendingStop {
             grace_s,
-            evictions: 0,
+            required_eviction_count: 0,
         });
     }
 
@@ -621,8 +622,8 @@
         let kept = self.machines.values().filter(|m| m.reservations != 0);
         let rooms = kept.filter_map(|machine| {
             let index = machine.type_index?;
-            let gone = machine.delete_reason.is_some() || machine.notice_until.is_some();
-            let room = Shape::of_type(&self.types[index]).plus(&machine.used, -1.0);
+            let gone = machine.delete_reason.is_some() || machine.reclaim_at.is_some();
+            let room = Shape::of_type(&self.machine_types[index]).plus(&machine.allocated, -1.0);
             (!gone).then_some((machine, index, room))
         });
         Some(KeptRoom {
@@ -729,21 +730,21 @@
         if let Some(at) = reserve.booting.remove(name)
             && let Some(index) = machine
         {
-            let t = &self.types[index];
+            let t = &self.machine_types[index];
             reserve.boots.observe(&t.name, t.boot_s, now - at);
         }
     }
 }
 
 fn is_empty(machine: &Machine) -> bool {
-    machine.last_report.is_some()
+    machine.last_heartbeat.is_some()
         && machine.fenced
         && machine.tasks.is_empty()
-        && !machine.orphaned_tasks
+        && !machine.has_orphaned_tasks
         && !machine.inherited
 }
 
 /// Whether it waits for machines rather than for its team's limit.
 fn waits_for_room(job: &Job) -> bool {
-    job.startable() > 0 && job.blocked != BlockedReason::TeamLimit
+    job.startable() > 0 && job.blocked_reason != BlockedReason::TeamLimit
 }
--- a/crates/umbersail-control/src/engine/reachability.rs
+++ b/crates/umbersail-control/src/engine/reachability.rs
@@ -12,7 +12,7 @@
 
 /// A reply is dropped by the worker this long after the report was sent, s
 /// (the workers' protocol).
-const REPLY_S: f64 = 4.0;
+const REPLY_TIMEOUT_S: f64 = 4.0;
 
 /// The newest answer in turn.
 #[derive(Debug, Clone, Copy, PartialEq)]
@@ -20,19 +20,19 @@
     session: u64,
     /// The highest token that the machine has shown in what was answered, or has
     /// taken up by a direct command since.
-    shown: u64,
+    token_observed: u64,
     token: u64,
-    at: Time,
+    sent_at: Time,
     /// A report has been held against it: one answer is one sign at most.
-    judged: bool,
+    evaluated: bool,
 }
 
 /// What is known of one machine.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 pub(crate) struct Reachability {
-    told: Option<LastReply>,
-    signs: u32,
-    last_sign: Option<Time>,
+    last_reply: Option<LastReply>,
+    missed_replies: u32,
+    last_missed_at: Option<Time>,
     unreachable_since: Option<Time>,
 }
 
@@ -46,21 +46,21 @@
     }
 
     /// The report was answered, with this token.
-    pub fn answered(&mut self, now: Time, report: &Report, token: u64) {
-        self.told = Some(LastReply {
+    pub fn reply_sent(&mut self, now: Time, report: &Report, token: u64) {
+        self.last_reply = Some(LastReply {
             session: report.session,
-            shown: report.token,
+            token_observed: report.token,
             token,
-            at: now,
-            judged: false,
+            sent_at: now,
+            evaluated: false,
         });
     }
 
     /// It has answered a direct command: that says nothing of replies, in which
     /// launches travel.
-    pub fn commanded(&mut self, report: &Report) {
-        if let Some(told) = &mut self.told {
-            told.shown = told.shown.max(report.token);
+    pub fn command_acknowledged(&mut self, report: &Report) {
+        if let Some(told) = &mut self.last_reply {
+            told.token_observed = told.token_observed.max(report.token);
         }
     }
 
@@ -75,36 +75,36 @@
         launches: Option<bool>,
     ) -> bool {
         let tuning = &cfg.tuning;
-        let Some(told) = &mut self.told else {
+        let Some(told) = &mut self.last_reply else {
             return false;
         };
         // Not by a token of another holder, which is lower than any of ours.
-        let took_up = report.token > told.shown && report.token >= told.token;
+        let took_up = report.token > told.token_observed && report.token >= told.token;
         if took_up || launches == Some(true) {
             *self = Reachability {
-                told: self.told,
+                last_reply: self.last_reply,
                 ..Reachability::default()
             };
             return false;
         }
-        let pause = now - told.at;
-        let token_missed = told.token > told.shown.max(report.token);
+        let pause = now - told.sent_at;
+        let token_missed = told.token > told.token_observed.max(report.token);
         // Had it received the answer, its lease would have held for longer.
-        let session_missed = report.session > told.session && pause < cfg.lease_s - REPLY_S;
-        let first = !std::mem::replace(&mut told.judged, true);
+        let session_missed = report.session > told.session && pause < cfg.lease_s - REPLY_TIMEOUT_S;
+        let first = !std::mem::replace(&mut told.evaluated, true);
         let missed = token_missed || launches == Some(false) || session_missed;
         if !(missed && first) || pause < tuning.unreachable_gap_s {
-            return self.signs > 0;
+            return self.missed_replies > 0;
         }
         if self
-            .last_sign
+            .last_missed_at
             .is_some_and(|at| now - at > tuning.unreachable_fade_s)
         {
-            self.signs = 0;
+            self.missed_replies = 0;
         }
-        self.signs += 1;
-        self.last_sign = Some(now);
-        if self.signs >= tuning.unreachable_signs as u32 {
+        self.missed_replies += 1;
+        self.last_missed_at = Some(now);
+        if self.missed_replies >= tuning.unreachable_signs as u32 {
             self.unreachable_since.get_or_insert(now);
         }
         true
--- a/crates/umbersail-control/src/engine/notices.rs
+++ b/crates/umbersail-control/src/engine/reclaim.rs
@@ -1,15 +1,15 @@
 //! Machines about to be taken back, or not heard of: what can't finish there moves.
 
-use super::{Engine, JobId, Stop, Time};
+use super::{Engine, JobId, PendingStop, Time};
 
 impl Engine {
     /// Machines about to be taken back: what can't finish there moves now.
-    pub(super) fn handle_notices(&mut self, now: Time) {
+    pub(super) fn handle_reclaim_notices(&mut self, now: Time) {
         let mut stops: Vec<(JobId, u32, f64)> = Vec::new();
-        let silent_after = self.silent_after();
+        let silent_after = self.silence_limit_s();
         let mut unplan: Vec<(JobId, u32)> = Vec::new();
         for machine in self.machines.values_mut() {
-            let leaving = machine.notice_until;
+            let leaving = machine.reclaim_at;
             let silent = machine.silent_for(now) >= silent_after;
             let unreachable = machine.reachability.is_unreachable();
             if leaving.is_none() && !silent && !unreachable && machine.delete_reason.is_none() {
@@ -19,10 +19,10 @@
                 let Some(job) = self.jobs.get(id) else {
                     continue;
                 };
-                let Some(placement) = job.live.get(task) else {
+                let Some(placement) = job.placements.get(task) else {
                     continue;
                 };
-                if placement.ordered.is_none() && placement.seen.is_none() {
+                if placement.launched_in.is_none() && placement.observed_state.is_none() {
                     // Told to nobody: it can wait elsewhere at once.
                     unplan.push((id.clone(), *task));
                     continue;
@@ -30,7 +30,7 @@
                 let Some(until) = leaving else {
                     continue;
                 };
-                if machine.notice_handled || placement.stop.is_some() {
+                if machine.reclaim_handled || placement.pending_stop.is_some() {
                     continue;
                 }
                 let ran = placement.running_since.map_or(0.0, |since| now - since);
@@ -40,17 +40,21 @@
                 }
             }
             if leaving.is_some() {
-                machine.notice_handled = true;
+                machine.reclaim_handled = true;
             }
         }
         for (id, task) in unplan {
-            self.return_task(&id, task);
+            self.requeue_task(&id, task);
         }
         for (id, task, grace_s) in stops {
-            if let Some(placement) = self.jobs.get_mut(&id).and_then(|j| j.live.get_mut(&task)) {
-                placement.stop = Some(Stop {
+            if let Some(placement) = self
+                .jobs
+                .get_mut(&id)
+                .and_then(|j| j.placements.get_mut(&task))
+            {
+                placement.pending_stop = Some(PendingStop {
                     grace_s,
-                    evictions: 0,
+                    required_eviction_count: 0,
                 });
             }
         }
--- a/crates/umbersail-control/src/engine/accounting.rs
+++ b/crates/umbersail-control/src/engine/recovery.rs
@@ -8,58 +8,62 @@
 impl Engine {
     /// Nothing of ours or of an earlier holder is on this machine except what
     /// its newest report shows (rule 3).
-    pub(super) fn account(&mut self, name: &MachineId) {
+    pub(super) fn account_for_machine(&mut self, name: &MachineId) {
         if let Some(machine) = self.machines.get_mut(name) {
             if !machine.inherited {
                 return;
             }
             machine.inherited = false;
         }
-        self.settle_unrecorded(name);
+        self.finish_unrecorded_recovery(name);
         // By machine, since a new leader hears of thousands of machines within
         // a second and has thousands of jobs.
-        for id in self.inherited_by.remove(name).unwrap_or_default() {
+        for id in self
+            .inherited_jobs_by_machine
+            .remove(name)
+            .unwrap_or_default()
+        {
             if let Some(job) = self.jobs.get_mut(&id)
-                && job.inherited.remove(name)
+                && job.inherited_machines.remove(name)
             {
                 job.finish_recovery();
-                self.drop_if_over(&id);
+                self.remove_if_finished(&id);
             }
         }
-        self.note_waiting();
+        self.mark_jobs_waiting();
     }
 
     /// Whether tasks may be started before they are recorded, from now on.
-    pub fn set_degraded(&mut self, open: bool) {
-        self.open = open;
+    pub fn set_degraded_mode(&mut self, open: bool) {
+        self.degraded_mode = open;
     }
 
     /// Jobs of which something was started that no record tells of yet.
-    pub fn unrecorded_jobs(&self) -> usize {
+    pub fn unrecorded_job_count(&self) -> usize {
         self.jobs.values().filter(|j| j.is_unrecorded()).count()
     }
 
     /// Whether tasks wait that might be started without a record.
-    pub fn has_waiting_for_degraded_mode(&self) -> bool {
+    pub fn has_jobs_for_degraded_mode(&self) -> bool {
         self.jobs
             .values()
-            .any(|j| j.waits() && j.may_start_unrecorded())
+            .any(|j| j.is_schedulable() && j.may_start_unrecorded())
     }
 
     /// The machine is accounted for: once all are, nothing can run that no
     /// record tells of.
-    pub(super) fn settle_unrecorded(&mut self, name: &MachineId) {
+    pub(super) fn finish_unrecorded_recovery(&mut self, name: &MachineId) {
         if !self.unaccounted_machines.remove(name) || !self.unaccounted_machines.is_empty() {
             return;
         }
         let mut ended = Vec::new();
         for (id, job) in &mut self.jobs {
-            job.anywhere = false;
+            job.may_run_anywhere = false;
             job.finish_recovery();
             ended.push(id.clone());
         }
         for id in ended {
-            self.drop_if_over(&id);
+            self.remove_if_finished(&id);
         }
         info!("all machines are accounted for: what runs is known");
     }
@@ -67,10 +71,10 @@
     /// Whether nothing runs any more that no record tells of. That all machines
     /// are accounted for is not enough: a successor finds only what is recorded,
     /// not what we saw in their reports.
-    pub(super) fn is_settled(&self) -> bool {
+    pub(super) fn is_recovery_complete(&self) -> bool {
         self.unaccounted_machines.is_empty()
-            && self.unrecorded_jobs() == 0
-            && !self.machines.values().any(|m| m.unsized_orphans)
+            && self.unrecorded_job_count() == 0
+            && !self.machines.values().any(|m| m.has_unsized_orphans)
     }
 
     /// The machine holds nothing any more: lapsed, failed or deleted.
@@ -81,13 +85,14 @@
             .map(|m| m.tasks.iter().cloned().collect())
             .unwrap_or_default();
         for (id, task) in tasks {
-            self.return_task(&id, task);
+            self.requeue_task(&id, task);
         }
-        self.account(name);
-        self.cleared.extend(self.orphaned_jobs.gone(name));
+        self.account_for_machine(name);
+        self.run_records_to_delete
+            .extend(self.orphaned_jobs.gone(name));
         if let Some(machine) = self.machines.get_mut(name) {
-            machine.orphaned_tasks = false;
-            machine.unsized_orphans = false;
+            machine.has_orphaned_tasks = false;
+            machine.has_unsized_orphans = false;
         }
     }
 }
--- a/crates/umbersail-control/src/engine/rental.rs
+++ b/crates/umbersail-control/src/engine/rental.rs
@@ -23,7 +23,7 @@
         let mut actions = Vec::new();
         // A new name for what may have been granted already would rent without
         // bound while the cloud does not answer.
-        let mut requests = match self.unanswered.pop_front() {
+        let mut requests = match self.unanswered_rentals.pop_front() {
             Some(request) => vec![request],
             None => self.plan(now),
         };
@@ -31,10 +31,10 @@
         let mut deletes: Vec<String> = Vec::new();
         for (name, machine) in &mut self.machines {
             if let Some(reason) = machine.delete_reason
-                && !machine.delete_asked
+                && !machine.delete_requested
                 && deletes.len() < MAX_DELETED_AT_ONCE
             {
-                machine.delete_asked = true;
+                machine.delete_requested = true;
                 info!(machine = &**name, reason, "returned");
                 deletes.push(name.to_string());
             }
@@ -55,7 +55,7 @@
             if machine.delete_reason.is_some() {
                 continue;
             }
-            if let Some(report) = machine.last_report {
+            if let Some(report) = machine.last_heartbeat {
                 let unreachable_s = machine
                     .reachability
                     .unreachable_since()
@@ -73,14 +73,16 @@
                 }
                 continue;
             }
-            let boot_s = machine.type_index.map_or(60.0, |i| self.types[i].boot_s);
+            let boot_s = machine
+                .type_index
+                .map_or(60.0, |i| self.machine_types[i].boot_s);
             let patience = tuning.boot_patience * boot_s + tuning.boot_patience_s;
             // A machine that ran under an earlier holder needs time to find us.
-            let since = machine.since.max(self.elected_at + 20.0 - patience);
+            let since = machine.created_at.max(self.elected_at + 20.0 - patience);
             if now - since > patience {
                 warn!(
                     machine = &**name,
-                    waited_s = (now - machine.since) as u64,
+                    waited_s = (now - machine.created_at) as u64,
                     "does not come up"
                 );
                 machine.delete_reason = Some("does not come up");
@@ -95,7 +97,10 @@
     /// Whether so many machines hear nothing that it is us: none is given back
     /// or replaced for it.
     pub(super) fn is_mostly_unreachable(&self) -> bool {
-        let up = self.machines.values().filter(|m| m.last_report.is_some());
+        let up = self
+            .machines
+            .values()
+            .filter(|m| m.last_heartbeat.is_some());
         let (unreachable, all) = up.fold((0, 0), |(unreachable, all), m| {
             (
                 unreachable + usize::from(m.reachability.is_unreachable()),
@@ -107,8 +112,8 @@
 
     /// What to rent now; machines that nobody will want are marked for return.
     fn plan(&mut self, now: Time) -> Vec<RentRequest> {
-        let dt = (now - self.last_rental).max(0.0);
-        self.last_rental = now;
+        let dt = (now - self.last_rental_at).max(0.0);
+        self.last_rental_at = now;
         self.learner.fade(dt, self.cfg.tuning.load_window_s);
         let mut kept = self.kept_room();
         let mut demands = self.demands(now, kept.as_mut());
@@ -118,10 +123,10 @@
         let demands: Vec<Demand> = demands.into_iter().map(|(_, demand)| demand).collect();
         let fleet = self.rented_fleet(now);
         let plan = plan_rental(
-            &self.types,
+            &self.machine_types,
             &demands,
             &fleet,
-            |index, zone, spot| self.is_refused(now, index, zone, spot),
+            |index, zone, spot| self.is_rental_backed_off(now, index, zone, spot),
             &self.idle_limits(now),
             self.cfg.tuning.ordinary_share,
         );
@@ -146,19 +151,21 @@
             *now_by_class.entry(class).or_default() += demand.now;
         }
         let mut warm_demands = Vec::new();
-        for (class, sample) in &self.samples {
-            if self.cfg.guarantee_aim.is_none() && !self.cfg.start_aims.contains_key(class) {
+        for (class, sample) in &self.class_samples {
+            if self.cfg.guarantee_start_objective.is_none()
+                && !self.cfg.start_objectives.contains_key(class)
+            {
                 continue;
             }
             let Some(stats) = self.learner.get(class).filter(|s| !s.is_silent(now)) else {
                 continue;
             };
-            let reserved = kept.map_or(0, |kept| kept.ready(self, class, &sample.shape));
+            let reserved = kept.map_or(0, |kept| kept.ready(self, class, &sample.task_shape));
             let there = now_by_class.get(&**class).copied().unwrap_or(0) + reserved;
             let tasks = |times: f64| (stats.load * times + stats.tasks_per_job).ceil() as u32;
             let reserve = tasks(tuning.headroom).saturating_sub(there);
             let demand = Demand {
-                shape: sample.shape,
+                shape: sample.task_shape,
                 types: sample.types.clone(),
                 zone: sample.zone.clone(),
                 spot: sample.spot,
@@ -177,19 +184,19 @@
         let mostly_unreachable = self.is_mostly_unreachable();
         let stays = |machine: &&Machine| {
             machine.delete_reason.is_none()
-                && machine.notice_until.is_none()
+                && machine.reclaim_at.is_none()
                 && machine.reservations == 0
                 && machine.confirmed
                 && (mostly_unreachable || !machine.reachability.is_unreachable())
-                && (machine.last_report.is_none()
+                && (machine.last_heartbeat.is_none()
                     || machine.silent_for(now) < 2.0 * self.cfg.lease_s)
         };
         let machines = self.machines.values().filter(stays);
         machines
             .filter_map(|machine| {
-                let up = machine.last_report.is_some() && machine.fenced;
+                let up = machine.last_heartbeat.is_some() && machine.fenced;
                 let holds =
-                    !machine.tasks.is_empty() || machine.orphaned_tasks || machine.inherited;
+                    !machine.tasks.is_empty() || machine.has_orphaned_tasks || machine.inherited;
                 Some(FleetMachine {
                     machine: machine.name.clone(),
                     type_index: machine.type_index?,
@@ -204,7 +211,7 @@
     fn idle_limits(&self, now: Time) -> IdleLimits {
         let tuning = &self.cfg.tuning;
         let by_type = |most_s: f64| -> Vec<f64> {
-            let types = self.types.iter();
+            let types = self.machine_types.iter();
             types.map(|t| self.idle_limit_s(now, t, most_s)).collect()
         };
         IdleLimits {
@@ -218,7 +225,10 @@
     fn return_surplus(&mut self, surplus: Vec<MachineId>, fleet: &[FleetMachine<MachineId>]) {
         let headroom = self.cfg.tuning.headroom;
         let guaranteed = self.cfg.teams.iter().map(|t| t.cpus).sum::<f64>() * headroom;
-        let mut kept: f64 = fleet.iter().map(|m| self.types[m.type_index].cpus).sum();
+        let mut kept: f64 = fleet
+            .iter()
+            .map(|m| self.machine_types[m.type_index].cpus)
+            .sum();
         for name in surplus {
             let Some(machine) = self.machines.get_mut(&name) else {
                 continue;
@@ -227,7 +237,9 @@
             if in_use || self.plans.images.keeps(&name) {
                 continue;
             }
-            let cpus = machine.type_index.map_or(0.0, |i| self.types[i].cpus);
+            let cpus = machine
+                .type_index
+                .map_or(0.0, |i| self.machine_types[i].cpus);
             if kept - cpus < guaranteed {
                 continue;
             }
@@ -238,11 +250,11 @@
 
     /// Names a request. The token differs for every holder, so no name is used twice.
     fn rent_request(&mut self, request: ScaleOutRequest) -> RentRequest {
-        self.requests += 1;
+        self.request_counter += 1;
         let holder = epoch(self.token);
         let named = RentRequest {
-            request: format!("{}-{holder}-{}", self.cfg.member, self.requests),
-            machine_type: self.types[request.type_index].name.clone(),
+            request: format!("{}-{holder}-{}", self.cfg.member, self.request_counter),
+            machine_type: self.machine_types[request.type_index].name.clone(),
             zone: request.zone,
             spot: request.spot,
             count: request.count.min(MAX_RENTED_AT_ONCE),
@@ -262,11 +274,11 @@
     /// anything that fits seems to come.
     fn idle_limit_s(&self, now: Time, machine_type: &MachineType, most_s: f64) -> f64 {
         let room = Shape::of_type(machine_type);
-        let quiet = self.samples.iter().all(|(class, sample)| {
+        let quiet = self.class_samples.iter().all(|(class, sample)| {
             let silent = |stats: &ClassStats| stats.is_silent(now);
-            !sample.shape.fits_in(&room) || self.learner.get(class).is_some_and(silent)
+            !sample.task_shape.fits_in(&room) || self.learner.get(class).is_some_and(silent)
         });
-        if quiet && !self.samples.is_empty() {
+        if quiet && !self.class_samples.is_empty() {
             self.cfg.tuning.quiet_idle_s.min(most_s)
         } else {
             most_s
@@ -278,14 +290,14 @@
     /// gains little by an ordinary one: it waits for a turn of what there is.
     fn turns(&self, now: Time, job: &Job) -> f64 {
         let tuning = &self.cfg.tuning;
-        if self.cfg.guarantee_aim.is_some() {
+        if self.cfg.guarantee_start_objective.is_some() {
             return 0.0;
         }
         if job.pending() == 0 {
             return f64::INFINITY;
         }
         let boots = self
-            .types
+            .machine_types
             .iter()
             .filter(|t| job.shape.fits_in(&Shape::of_type(t)));
         let boot_s = boots.map(|t| t.boot_s).fold(f64::INFINITY, f64::min);
@@ -307,14 +319,14 @@
             b.spec
                 .priority
                 .cmp(&a.spec.priority)
-                .then(a.submitted.total_cmp(&b.submitted))
+                .then(a.submitted_at.total_cmp(&b.submitted_at))
         });
         let mut demands: Vec<(String, Demand)> = Vec::new();
         let mut indices = BTreeMap::new();
         for (id, job) in jobs {
             let faulty = job.backoff_until.is_some() && job.errors > 0;
             let waiting = if faulty { 0 } else { job.startable() };
-            let mut tasks = waiting + job.occupied() as u32;
+            let mut tasks = waiting + job.occupied_tasks() as u32;
             if let Some(team) = job.team
                 && job.shape.cpus > 0.0
             {
--- a/crates/umbersail-control/src/engine/schedule.rs
+++ b/crates/umbersail-control/src/engine/schedule.rs
@@ -70,7 +70,7 @@
     /// True if something changed that may let a task start, or if a cycle was
     /// cut short.
     pub fn wants_schedule(&self) -> bool {
-        self.schedule_wanted || self.unfinished_cycle.is_some()
+        self.cycle_requested || self.unfinished_cycle.is_some()
     }
 
     /// Whether a cycle was cut short: it goes on without waiting for its turn.
@@ -81,7 +81,7 @@
     /// The work done in cycles since this was last asked, in steps of about one
     /// look at one machine.
     pub fn take_steps(&mut self) -> u64 {
-        std::mem::take(&mut self.steps)
+        std::mem::take(&mut self.cycle_steps)
     }
 
     /// Places waiting tasks; launches follow with the machines' next reports.
@@ -95,16 +95,16 @@
         let mut steps = Steps::new(self.cfg.slice_steps);
         if self.unfinished_cycle.is_none() && !self.is_order_fresh(now) {
             self.cached_order = None;
-            self.least_shape = self.least_waiting();
+            self.smallest_waiting_shape = self.least_waiting();
         }
         let mut fleet = self.cluster_snapshot(now);
         let mut usage = self.team_usage(&fleet.unaccounted);
         let mut cycle = match self.unfinished_cycle.take() {
             Some(cycle) => cycle,
             None => {
-                self.schedule_wanted = false;
+                self.cycle_requested = false;
                 let order = self.order_of_cycle(now, &usage, &fleet);
-                self.may_wait = !order.jobs.is_empty();
+                self.may_have_waiting_jobs = !order.jobs.is_empty();
                 SchedulingCycle {
                     queue: CycleQueue::new(order.jobs),
                     reserved: order.reserved,
@@ -144,7 +144,7 @@
             }
             steps.spend(candidates_seen.looked - looked);
         }
-        self.steps += steps.done() + self.machines.len() as u64;
+        self.cycle_steps += steps.done() + self.machines.len() as u64;
         if steps.is_over() && !cycle.queue.is_done(MAX_EVICTIONS_PER_CYCLE) {
             self.unfinished_cycle = Some(cycle);
         }
@@ -157,7 +157,7 @@
             gpus: f64::INFINITY,
             memory_gb: f64::INFINITY,
         };
-        for job in self.jobs.values().filter(|j| j.waits()) {
+        for job in self.jobs.values().filter(|j| j.is_schedulable()) {
             least.cpus = least.cpus.min(job.shape.cpus);
             least.gpus = least.gpus.min(job.shape.gpus);
             least.memory_gb = least.memory_gb.min(job.shape.memory_gb);
@@ -167,29 +167,31 @@
 
     /// One walk over the machines for all that a slice wants to know of them.
     fn cluster_snapshot(&self, now: Time) -> ClusterSnapshot {
-        let silent_after = self.silent_after();
+        let silent_after = self.silence_limit_s();
         let mut fleet = ClusterSnapshot {
-            cpus: vec![[0.0; 2]; self.types.len()],
+            cpus: vec![[0.0; 2]; self.machine_types.len()],
             ..ClusterSnapshot::default()
         };
         for machine in self.machines.values() {
             let Some(index) = machine.type_index else {
                 continue;
             };
-            let room = Shape::of_type(&self.types[index]);
+            let room = Shape::of_type(&self.machine_types[index]);
             if self.is_unsized(machine) {
                 fleet.unaccounted.add(&room, 1.0);
             }
             if machine.delete_reason.is_none()
-                && machine.notice_until.is_none()
+                && machine.reclaim_at.is_none()
                 && !machine.reachability.is_unreachable()
             {
                 fleet.cpus[index][usize::from(machine.spot)] += room.cpus;
             }
-            let free = room.plus(&machine.used, -1.0);
+            let free = room.plus(&machine.allocated, -1.0);
             // Most machines of a busy fleet are full: what follows is for the
             // few that are not.
-            if !self.least_shape.fits_in(&free) || !machine.takes_tasks(now, silent_after) {
+            if !self.smallest_waiting_shape.fits_in(&free)
+                || !machine.accepts_tasks(now, silent_after)
+            {
                 continue;
             }
             let spot = Slot {
@@ -197,7 +199,7 @@
                 zone: &machine.zone,
                 spot: machine.spot,
                 free,
-                report_in_s: (self.cfg.report_s - machine.silent_for(now)).max(0.0),
+                report_in_s: (self.cfg.heartbeat_interval_s - machine.silent_for(now)).max(0.0),
                 reservations: machine.reservations,
             };
             fleet
@@ -218,9 +220,9 @@
     /// Whether the machine may hold tasks of jobs already over that no record
     /// gives the size of.
     pub(super) fn is_unsized(&self, machine: &super::Machine) -> bool {
-        machine.unsized_orphans
+        machine.has_unsized_orphans
             || (machine.inherited
-                && (self.whole_machines
+                && (self.count_whole_machines
                     || self.unaccounted_machines.contains(&machine.name)
                     || self.orphaned_jobs.is_unsized_at(&machine.name)))
     }
@@ -234,7 +236,7 @@
         for job in self.jobs.values() {
             if let Some(team) = job.team {
                 // What no record tells of is on machines that count whole.
-                let counted = job.occupied() - job.unrecorded_recovery_pending();
+                let counted = job.occupied_tasks() - job.unrecorded_recovery_pending();
                 usage[team].add(&job.shape, counted as f64);
             }
         }
--- a/crates/umbersail-control/src/engine/starvation_guard.rs
+++ b/crates/umbersail-control/src/engine/starvation_guard.rs
@@ -57,7 +57,7 @@
 impl Job {
     /// Nothing of it has run, and nothing is on its way to.
     pub(super) fn is_unstarted(&self) -> bool {
-        self.live.is_empty() && self.recovery_pending.is_empty() && !self.has_begun
+        self.placements.is_empty() && self.recovery_pending.is_empty() && !self.has_started
     }
 
     /// Where one task is says nothing on where the others may be.
@@ -86,7 +86,7 @@
             let Some(job) = self.jobs.get(*id) else {
                 continue;
             };
-            let waited_s = now - job.submitted;
+            let waited_s = now - job.submitted_at;
             if !job.is_unstarted() || waited_s < tuning.starvation_wait_s || self.goes_last(job) {
                 continue;
             }
@@ -120,7 +120,7 @@
     fn starting_cpus(&self, tier: Priority) -> f64 {
         let cpus = |(id, task): (&JobId, &u32)| {
             let job = self.jobs.get(id)?;
-            let counts = job.spec.priority == tier && job.live.contains_key(task);
+            let counts = job.spec.priority == tier && job.placements.contains_key(task);
             counts.then_some(job.shape.cpus)
         };
         self.starvation_guard.starting.iter().filter_map(cpus).sum()
@@ -131,7 +131,7 @@
         let task = self
             .jobs
             .get(id)
-            .and_then(|j| j.live.keys().next().copied());
+            .and_then(|j| j.placements.keys().next().copied());
         if let Some(task) = task {
             self.starvation_guard.starting.insert(id.clone(), task);
         }
@@ -150,9 +150,10 @@
         fleet: &ClusterSnapshot,
     ) {
         let jobs = &self.jobs;
-        self.starvation_guard
-            .starting
-            .retain(|id, task| jobs.get(id).is_some_and(|j| j.live.contains_key(task)));
+        self.starvation_guard.starting.retain(|id, task| {
+            jobs.get(id)
+                .is_some_and(|j| j.placements.contains_key(task))
+        });
         self.starvation_guard.boosted.clear();
         for BoostedJob { job, underserved } in &boosted {
             *self
@@ -166,7 +167,7 @@
         // What is about as small as all that goes before it takes any place that falls
         // free: for that to go first is enough.
         let mut least: BTreeMap<Priority, f64> = BTreeMap::new();
-        for job in self.jobs.values().filter(|j| j.waits()) {
+        for job in self.jobs.values().filter(|j| j.is_schedulable()) {
             let least = least.entry(job.spec.priority).or_insert(f64::INFINITY);
             *least = least.min(job.shape.cpus);
         }
@@ -203,13 +204,13 @@
                 continue;
             };
             new += 1;
-            self.steps += self.machines.len() as u64;
+            self.cycle_steps += self.machines.len() as u64;
             if let Some(place) = self.soonest(now, id, *underserved, reserved, &held_slots, fleet) {
                 if !underserved {
                     info!(
                         job = &**id,
                         machine = &*place.machine,
-                        waited_s = (now - job.submitted) as u64,
+                        waited_s = (now - job.submitted_at) as u64,
                         cpus = job.shape.cpus,
                         "a slot is held until it starts"
                     );
@@ -222,10 +223,13 @@
 
     /// Whether a place is held any longer.
     fn is_held(&self, now: Time, held_slots: &HeldSlot) -> bool {
-        let job = self.jobs.get(&held_slots.job).filter(|j| j.waits());
+        let job = self
+            .jobs
+            .get(&held_slots.job)
+            .filter(|j| j.is_schedulable());
         let machine = self.machines.get(&held_slots.machine);
         now < held_slots.until
-            && machine.is_some_and(|m| m.takes_tasks(now, self.silent_after()))
+            && machine.is_some_and(|m| m.accepts_tasks(now, self.silence_limit_s()))
             && job.is_some_and(|j| {
                 // Chosen once, it is not given up for a moment in which the choice
                 // of who is in time falls on others.
@@ -246,23 +250,23 @@
     ) -> Option<HeldSlot> {
         let job = self.jobs.get(id)?;
         let share = self.cfg.tuning.starvation_cpu_share;
-        let mut held = vec![0.0; self.types.len()];
+        let mut held = vec![0.0; self.machine_types.len()];
         for k in held_slots {
             held[k.type_index] += k.cpus;
         }
         let locality = self.locality(job, reserved);
-        let silent_after = self.silent_after();
+        let silent_after = self.silence_limit_s();
         let mut best: Option<(f64, HeldSlot)> = None;
         for machine in self.machines.values() {
             let Some(index) = machine.type_index else {
                 continue;
             };
-            let room = Shape::of_type(&self.types[index]);
+            let room = Shape::of_type(&self.machine_types[index]);
             let most = fleet.cpus[index].iter().sum::<f64>() * share;
             if !job.shape.fits_in(&room)
                 || !locality.has(index, &machine.zone, machine.spot, machine.reservations)
-                || !machine.takes_tasks(now, silent_after)
-                || job.error_machines.contains(&machine.name)
+                || !machine.accepts_tasks(now, silent_after)
+                || job.avoided_machines.contains(&machine.name)
                 || (held[index] > 0.0 && held[index] + job.shape.cpus > most)
                 || machine.claim.as_ref().is_some_and(|c| now < c.until)
             {
@@ -284,7 +288,7 @@
                 } else {
                     self.run_s(other)
                 };
-                let since = other.live.get(task).and_then(|p| p.running_since);
+                let since = other.placements.get(task).and_then(|p| p.running_since);
                 // What has run for longer than reckoned goes on for some time, too.
                 let left = since.map_or(run_s + self.fetch_s(other), |at| {
                     let ran_s = now - at;
@@ -293,7 +297,7 @@
                 Some((left.max(1.0), other.shape.cpus))
             });
             let wanted = job.shape.cpus + others.cpus;
-            let free = room.cpus - machine.used.cpus;
+            let free = room.cpus - machine.allocated.cpus;
             let Some(wait_s) = free_in_s(free, wanted, ends.collect()) else {
                 continue;
             };
@@ -327,7 +331,7 @@
             return 0;
         }
         let guaranteed = self.cfg.teams.iter().any(|t| t.has_guarantee())
-            && (self.jobs.values()).any(|j| j.waits() && self.is_guaranteed(j, usage));
+            && (self.jobs.values()).any(|j| j.is_schedulable() && self.is_guaranteed(j, usage));
         let mut left = Vec::new();
         let mut placed = 0;
         for place in &held_slots {
@@ -346,7 +350,7 @@
             let locality = self.locality(job, reserved);
             let others = |m: &MachineId| held_slots.iter().any(|k| k.machine == *m);
             let allowed = |m: &MachineId| {
-                !job.error_machines.contains(m) && (*m == place.machine || !others(m))
+                !job.avoided_machines.contains(m) && (*m == place.machine || !others(m))
             };
             let found = fleet.places.fitting(&locality, &job.shape, allowed);
             let own = |index: &&usize| fleet.places.get(**index).machine == place.machine;
@@ -382,7 +386,7 @@
         let late: Vec<JobId> = self
             .jobs
             .iter()
-            .filter(|(_, j)| !j.counted && !j.cancelled && j.pending() > 0)
+            .filter(|(_, j)| !j.deadline_counted && !j.cancelled && j.pending() > 0)
             .filter(|(_, j)| self.slack_s(now, j).is_some_and(|s| s < 0.0))
             .map(|(id, _)| id.clone())
             .collect();
@@ -397,13 +401,13 @@
             return;
         };
         // What gives way has no deadline, and so no debt.
-        if job.counted || job.spec.deadline_s.is_none() {
+        if job.deadline_counted || job.spec.deadline_s.is_none() {
             return;
         }
-        job.counted = true;
+        job.deadline_counted = true;
         let size = job.size();
         for name in served_names(job) {
-            self.served.ended(&name, size, in_time);
+            self.service_history.ended(&name, size, in_time);
         }
     }
 
@@ -412,10 +416,10 @@
         let tuning = &self.cfg.tuning;
         let least = tuning.service_min_jobs as usize;
         let from = |name: &str| {
-            self.served
+            self.service_history
                 .underserved_from(name, tuning.underserved_share_below, least)
         };
-        let names = self.served.names();
+        let names = self.service_history.names();
         names
             .filter_map(|name| Some((name.to_owned(), from(name)?)))
             .collect()
--- a/crates/umbersail-control/src/engine/status.rs
+++ b/crates/umbersail-control/src/engine/status.rs
@@ -9,11 +9,13 @@
     pub fn status(&self, now: Time) -> String {
         let mut by_kind: BTreeMap<(String, bool), [usize; 4]> = BTreeMap::new();
         for m in self.machines.values() {
-            let name = m.type_index.map_or("unknown", |i| &self.types[i].name);
+            let name = m
+                .type_index
+                .map_or("unknown", |i| &self.machine_types[i].name);
             let counts = by_kind.entry((name.to_owned(), m.spot)).or_default();
             let index = match () {
-                () if m.last_report.is_none() => 0,
-                () if !m.takes_tasks(now, self.silent_after()) => 3,
+                () if m.last_heartbeat.is_none() => 0,
+                () if !m.accepts_tasks(now, self.silence_limit_s()) => 3,
                 () if m.tasks.is_empty() => 1,
                 () => 2,
             };
@@ -24,7 +26,7 @@
             let counts = by_class.entry(&job.spec.class).or_default();
             counts[0] += 1;
             counts[1] += job.pending();
-            counts[2] += job.occupied() as u32;
+            counts[2] += job.occupied_tasks() as u32;
         }
         use std::fmt::Write;
         let mut out = String::new();
@@ -56,9 +58,12 @@
     }
 
     /// Machines up, for logs and for judging whether workers reach us.
-    pub fn live_machines(&self, now: Time) -> (usize, usize) {
-        let up = self.machines.values().filter(|m| m.last_report.is_some());
-        let limit = self.silent_after();
+    pub fn live_machine_counts(&self, now: Time) -> (usize, usize) {
+        let up = self
+            .machines
+            .values()
+            .filter(|m| m.last_heartbeat.is_some());
+        let limit = self.silence_limit_s();
         let (mut live, mut all) = (0, 0);
         for m in up {
             all += 1;
--- a/crates/umbersail-control/src/engine/tests/calendar.rs
+++ b/crates/umbersail-control/src/engine/tests/calendar.rs
@@ -37,7 +37,7 @@
     started: BTreeMap<String, u32>,
 }
 
-fn engine(file: &str, now: Time, inheritance: Inheritance) -> Engine {
+fn engine(file: &str, now: Time, inheritance: InheritedState) -> Engine {
     let tuning = Tuning::from_properties(file.as_bytes()).unwrap();
     let cfg = config(vec![team(0.0, 0.0)], tuning);
     Engine::new(cfg, now, wall(now), inheritance)
@@ -74,9 +74,9 @@
             spot: false,
             addr: "127.0.0.1:9".into(),
         };
-        let inheritance = Inheritance {
+        let inheritance = InheritedState {
             revision: self.holder,
-            parts: vec![InheritedPart {
+            grant_parts: vec![InheritedPart {
                 index: 0,
                 version: 40,
                 part: GrantPart {
@@ -145,7 +145,7 @@
             }
             let revision = self.revision;
             let outcome = TxnOutcome::Applied { revision };
-            self.engine.txn_done(self.now, pending, outcome);
+            self.engine.txn_finished(self.now, pending, outcome);
         }
     }
 
@@ -208,14 +208,16 @@
         [2, 0, 2]
     );
     assert_eq!(
-        place.engine.jobs["req-2"].blocked,
-        BlockedReason::Held("an earlier step of its run")
+        place.engine.jobs["req-2"].blocked_reason,
+        BlockedReason::HeldByPlan("an earlier step of its run")
     );
     // By when it must end for five minutes of printing, by a clock that may be wrong.
-    let due = place.engine.jobs["req-1"].planned_due.unwrap();
+    let due = place.engine.jobs["req-1"].planned_deadline.unwrap();
     assert!((due - (1.0 + 300.0 - 0.5)).abs() < 0.01, "{due}");
     assert_eq!(
-        place.engine.jobs["req-2"].planned_due.map(|at| at.round()),
+        place.engine.jobs["req-2"]
+            .planned_deadline
+            .map(|at| at.round()),
         Some(601.0)
     );
     place.end("req-1");
@@ -228,7 +230,7 @@
         }
         place.engine.tick(place.now);
         place.engine.schedule(place.now);
-        assert!(place.engine.jobs["req-2"].held.is_some());
+        assert!(place.engine.jobs["req-2"].hold_reason.is_some());
         while let Some(pending) = place.engine.next_txn(place.now, 20, 20) {
             let has_plan = pending.txn.changes.iter().any(|c| match c {
                 Change::Put { key, .. } | Change::Delete { key } => key.starts_with(PLANS),
@@ -237,7 +239,7 @@
                 true => TxnOutcome::NotExecuted,
                 false => TxnOutcome::Applied { revision: 5000 },
             };
-            place.engine.txn_done(place.now, pending, outcome);
+            place.engine.txn_finished(place.now, pending, outcome);
             if has_plan {
                 break;
             }
@@ -361,10 +363,10 @@
     place.submit("req-3", "scan");
     place.steps(2.0);
     place.jobs.remove("req-1");
-    place.engine.job_dropped("req-1");
+    place.engine.job_key_removed("req-1");
     let job: JobId = "req-3".into();
     let failing = place.engine.jobs.get_mut(&job).unwrap();
-    (failing.suspect, failing.failed_after_s) = (true, 1e6);
+    (failing.suspected_faulty, failing.longest_failed_run_s) = (true, 1e6);
     place.steps(58.0);
     assert_eq!(place.begun("req-2"), 0);
     place.steps(5.0);
--- a/crates/umbersail-control/src/engine/tests/cancelled.rs
+++ b/crates/umbersail-control/src/engine/tests/cancelled.rs
@@ -13,9 +13,9 @@
     // next report only.
     let mut engine = after_crash(vec![team(0.0, 0.0)], spec("req-1", 3, 2.0));
     accept(&mut engine, 0.0, spec("req-3", 1, 2.0));
-    engine.job_dropped("req-3");
+    engine.job_key_removed("req-3");
     let mut old = Worker::new("m1", "a");
-    old.token = token_of(50);
+    old.token = first_token(50);
     old.tasks = vec![task("req-1", 7), task("req-2", 8), task("req-3", 9)];
     let stopped = |commands: &[Command]| -> Vec<String> {
         let stops = commands.iter().map(|c| match c {
@@ -40,10 +40,10 @@
     commit(&mut engine, 1.0);
     worker.turn(&mut engine, 2.0);
     worker.turn(&mut engine, 3.0);
-    let placement = (engine.jobs.get_mut("req-1").unwrap().live.get_mut(&0)).unwrap();
-    placement.stop = Some(Stop {
+    let placement = (engine.jobs.get_mut("req-1").unwrap().placements.get_mut(&0)).unwrap();
+    placement.pending_stop = Some(PendingStop {
         grace_s: 30.0,
-        evictions: 0,
+        required_eviction_count: 0,
     });
     let told = worker.report();
     let told = converse(&mut engine, 4.0, &told, true).unwrap();
@@ -53,7 +53,7 @@
     );
     worker.tasks[0].state = TaskState::Saving;
     assert!(worker.turn(&mut engine, 5.0).is_empty());
-    engine.job_dropped("req-1");
+    engine.job_key_removed("req-1");
     let told = worker.turn(&mut engine, 6.0);
     assert!(
         matches!(told[..], [Command::Stop { grace_s: 0.0, .. }]),
@@ -71,17 +71,17 @@
     commit(&mut engine, 1.0);
     worker.turn(&mut engine, 2.0);
     worker.turn(&mut engine, 3.0);
-    assert_eq!(engine.over_jobs().unwrap(), Vec::<String>::new());
-    engine.job_dropped("req-1");
-    assert_eq!(engine.over_jobs().unwrap(), ["req-1"]);
+    assert_eq!(engine.finished_jobs().unwrap(), Vec::<String>::new());
+    engine.job_key_removed("req-1");
+    assert_eq!(engine.finished_jobs().unwrap(), ["req-1"]);
     worker.turn(&mut engine, 4.0);
     assert_eq!(
-        engine.over_jobs().unwrap(),
+        engine.finished_jobs().unwrap(),
         ["req-1"],
         "told, and not seen to obey"
     );
     worker.turn(&mut engine, 5.0);
-    assert_eq!(engine.over_jobs().unwrap(), Vec::<String>::new());
+    assert_eq!(engine.finished_jobs().unwrap(), Vec::<String>::new());
 }
 
 #[test]
@@ -96,12 +96,12 @@
         0,
         left,
     );
-    assert_eq!(engine.over_jobs(), None);
+    assert_eq!(engine.finished_jobs(), None);
     let mut old = Worker::new("m1", "a");
     old.turn(&mut engine, 1.0);
     old.turn(&mut engine, 2.0);
     commit(&mut engine, 3.0);
-    assert!(engine.over_jobs().is_some());
+    assert!(engine.finished_jobs().is_some());
 }
 
 #[test]
@@ -115,9 +115,9 @@
     let report = worker.report();
     let in_flight = converse(&mut engine, 2.0, &report, true).unwrap();
     assert_eq!(starts(&in_flight).len(), 1);
-    engine.job_dropped("req-1");
+    engine.job_key_removed("req-1");
     assert_eq!(engine.job_count(), 1, "one task may be there");
-    worker.obey(token_of(TOKEN), &in_flight);
+    worker.obey(first_token(TOKEN), &in_flight);
     assert_eq!(stops(&worker.turn(&mut engine, 3.0)), 1);
     worker.turn(&mut engine, 4.0);
     assert_eq!(engine.job_count(), 0);
@@ -141,7 +141,7 @@
     commit(&mut engine, 1.0);
     let told = worker.turn(&mut engine, 1.5);
     assert_eq!(stops(&told), 1);
-    assert!(engine.machines["m1"].orphaned_tasks);
+    assert!(engine.machines["m1"].has_orphaned_tasks);
     worker.turn(&mut engine, 2.0);
-    assert!(!engine.machines["m1"].orphaned_tasks);
+    assert!(!engine.machines["m1"].has_orphaned_tasks);
 }
