--- a/crates/umbersail-control/src/engine/tests/cycles.rs
+++ b/crates/umbersail-control/src/engine/tests/cycles.rs
@@ -19,7 +19,10 @@
     fn plain_schedule(&mut self, now: Time) {
         let mut unaccounted = Shape::default();
         for m in self.machines.values().filter(|m| self.is_unsized(m)) {
-            unaccounted.add(&Shape::of_type(&self.types[m.type_index.unwrap()]), 1.0);
+            unaccounted.add(
+                &Shape::of_type(&self.machine_types[m.type_index.unwrap()]),
+                1.0,
+            );
         }
         let mut usage = self.team_usage(&unaccounted);
         let order = self.plain_order(now, &usage);
@@ -41,7 +44,7 @@
         let ids: Vec<&JobId> = self
             .jobs
             .iter()
-            .filter(|(_, j)| j.waits())
+            .filter(|(_, j)| j.is_schedulable())
             .map(|(id, _)| id)
             .collect();
         let pool = |j: &Job| {
@@ -51,7 +54,7 @@
             };
             (
                 j.spec.priority,
-                self.types.iter().map(fits).collect::<Vec<_>>(),
+                self.machine_types.iter().map(fits).collect::<Vec<_>>(),
                 j.spec.spot(),
             )
         };
@@ -62,11 +65,11 @@
         for (tier, types, spot) in pools {
             let (mut inside, mut outside) = (0.0, 0.0);
             for m in self.machines.values() {
-                if m.delete_reason.is_some() || m.notice_until.is_some() {
+                if m.delete_reason.is_some() || m.reclaim_at.is_some() {
                     continue;
                 }
                 let index = m.type_index.unwrap();
-                let cpus = self.types[index].cpus;
+                let cpus = self.machine_types[index].cpus;
                 if types[index] && (spot || !m.spot) {
                     inside += cpus;
                 } else {
@@ -74,7 +77,9 @@
                 }
             }
             let upper = self.jobs.values().filter(|j| j.spec.priority > tier);
-            let above: f64 = upper.map(|j| j.occupied() as f64 * j.shape.cpus).sum();
+            let above: f64 = upper
+                .map(|j| j.occupied_tasks() as f64 * j.shape.cpus)
+                .sum();
             let of_machines = (inside - (above - outside).max(0.0)) * self.cfg.tuning.pool_share;
             let key = (tier, types, spot);
             let members: Vec<&JobId> = ids
@@ -82,7 +87,7 @@
                 .copied()
                 .filter(|id| {
                     let j = &self.jobs[*id];
-                    let last = j.goes_last(self.cfg.tuning.job_backoff_s);
+                    let last = j.is_scheduled_last(self.cfg.tuning.job_backoff_s);
                     pool(j) == key && j.spec.deadline_s.is_some() && !last
                 })
                 .collect();
@@ -110,7 +115,7 @@
                 .collect();
             let times = |id: &JobId| {
                 self.cfg
-                    .late_aims
+                    .deadline_factors
                     .get(&self.jobs[id].spec.class)
                     .copied()
                     .unwrap_or(1.0)
@@ -126,7 +131,7 @@
                 let j = &self.jobs[id];
                 let guaranteed = self.is_guaranteed(j, usage);
                 let rank = (
-                    !j.goes_last(self.cfg.tuning.job_backoff_s),
+                    !j.is_scheduled_last(self.cfg.tuning.job_backoff_s),
                     j.spec.priority,
                     guaranteed,
                     self.is_fresh(now, j, guaranteed),
@@ -134,7 +139,7 @@
                 );
                 (
                     rank,
-                    self.slack_s(now, j).unwrap_or(1e9 - (now - j.submitted)),
+                    self.slack_s(now, j).unwrap_or(1e9 - (now - j.submitted_at)),
                     id.clone(),
                 )
             })
@@ -156,7 +161,7 @@
             }
             let upper = |j: &&Job| j.team == Some(index) && j.spec.priority > tier;
             let jobs = self.jobs.values().filter(upper);
-            let above: f64 = jobs.map(|j| j.occupied() as f64 * j.shape.cpus).sum();
+            let above: f64 = jobs.map(|j| j.occupied_tasks() as f64 * j.shape.cpus).sum();
             allowed += (team.cpus_max - above).max(0.0);
         }
         allowed
@@ -176,26 +181,26 @@
             let most = order
                 .iter()
                 .map(|id| &self.jobs[id])
-                .filter(|j| !j.goes_last(self.cfg.tuning.job_backoff_s))
+                .filter(|j| !j.is_scheduled_last(self.cfg.tuning.job_backoff_s))
                 .filter(|j| j.spec.priority >= job.spec.priority && j.shape.fits_in(&room))
                 .filter(|j| j.spec.types.as_ref().is_none_or(|n| n.contains(&t.name)))
                 .map(|j| j.smallest_cpus)
                 .fold(0.0, f64::max);
             t.cpus > job.smallest_cpus + 1e-6 && most > job.smallest_cpus + 1e-6
         };
-        let silent_after = self.silent_after();
+        let silent_after = self.silence_limit_s();
         let mut views = Vec::new();
         for m in self.machines.values() {
-            let t = &self.types[m.type_index.unwrap()];
-            let free = Shape::of_type(t).plus(&m.used, -1.0);
+            let t = &self.machine_types[m.type_index.unwrap()];
+            let free = Shape::of_type(t).plus(&m.allocated, -1.0);
             if !job.shape.fits_in(&free)
-                || !m.takes_tasks(now, silent_after)
+                || !m.accepts_tasks(now, silent_after)
                 || !type_allowed(&job.spec, &t.name, &m.zone, m.spot)
-                || job.error_machines.contains(&m.name)
+                || job.avoided_machines.contains(&m.name)
                 || closed(t)
                 || m.claim.as_ref().is_some_and(|c| {
-                    let winner = self.jobs.get(&c.winner);
-                    let waits = winner.is_some_and(Job::waits);
+                    let winner = self.jobs.get(&c.claimant);
+                    let waits = winner.is_some_and(Job::is_schedulable);
                     now < c.until && job.spec.priority < c.tier && waits
                 })
             {
@@ -212,7 +217,7 @@
                 spot: m.spot,
                 free,
                 has_image,
-                report_in_s: (self.cfg.report_s - m.silent_for(now)).max(0.0),
+                report_in_s: (self.cfg.heartbeat_interval_s - m.silent_for(now)).max(0.0),
                 fetching_image: !has_image && m.tasks.iter().any(same),
             });
         }
@@ -221,13 +226,13 @@
             && self
                 .start_aim(job, self.is_guaranteed(job, usage))
                 .is_some_and(|within| {
-                    let left = within - (now - job.submitted);
+                    let left = within - (now - job.submitted_at);
                     let places = self.machines.values().filter(|m| {
                         m.images.contains(&job.image)
-                            && m.takes_tasks(now, silent_after)
-                            && job
-                                .shape
-                                .fits_in(&Shape::of_type(&self.types[m.type_index.unwrap()]))
+                            && m.accepts_tasks(now, silent_after)
+                            && job.shape.fits_in(&Shape::of_type(
+                                &self.machine_types[m.type_index.unwrap()],
+                            ))
                     });
                     let least = (tuning.image_places * f64::from(job.pending())).ceil() as usize;
                     left >= tuning.image_wait_s
@@ -286,9 +291,9 @@
         let tuning = self.cfg.tuning.clone();
         let job = &self.jobs[id];
         let reclaim = self.is_guaranteed(job, usage);
-        if job.suspect
+        if job.suspected_faulty
             || job.errors >= tuning.evict_errors_limit as u32
-            || now < job.evict_hold_until
+            || now < job.next_eviction_at
             || (!reclaim && job.spec.priority == Priority::Low)
             || (!reclaim && self.can_rent_in_time(now, job))
         {
@@ -296,8 +301,8 @@
         }
         let mut hosts = Vec::new();
         for m in self.machines.values() {
-            let t = &self.types[m.type_index.unwrap()];
-            if !m.takes_tasks(now, self.silent_after())
+            let t = &self.machine_types[m.type_index.unwrap()];
+            if !m.accepts_tasks(now, self.silence_limit_s())
                 || !type_allowed(&job.spec, &t.name, &m.zone, m.spot)
                 || !job.shape.fits_in(&Shape::of_type(t))
             {
@@ -308,7 +313,7 @@
                 .iter()
                 .filter_map(|(other, task)| {
                     let victim = self.jobs.get(other)?;
-                    let placement = victim.live.get(task)?;
+                    let placement = victim.placements.get(task)?;
                     self.is_preemptable(job, victim, placement, reclaim, usage)
                         .then(|| PreemptibleTask {
                             job: other.clone(),
@@ -319,7 +324,7 @@
                 })
                 .collect();
             if !running.is_empty() {
-                let free = Shape::of_type(t).plus(&m.used, -1.0);
+                let free = Shape::of_type(t).plus(&m.allocated, -1.0);
                 hosts.push(EvictionHost {
                     machine: m.name.clone(),
                     free,
@@ -340,7 +345,7 @@
             }
             let victim = self.jobs.get_mut(victim).unwrap();
             victim.evictions += 1;
-            victim.touch(now);
+            victim.mark_dirty(now);
             let saves = victim.spec.checkpoint_s() > 0.0;
             let grace_s = if saves {
                 victim.spec.save_s() + 1.0
@@ -349,16 +354,19 @@
             };
             saving_s = saving_s.max(grace_s);
             let evictions = victim.evictions;
-            victim.live.get_mut(task).unwrap().stop = Some(Stop { grace_s, evictions });
+            victim.placements.get_mut(task).unwrap().pending_stop = Some(PendingStop {
+                grace_s,
+                required_eviction_count: evictions,
+            });
         }
-        let until = now + 2.0 * self.cfg.report_s + 1.0 + saving_s;
+        let until = now + 2.0 * self.cfg.heartbeat_interval_s + 1.0 + saving_s;
         let (winner, tier) = (id.clone(), self.jobs[id].spec.priority);
         self.machines.get_mut(&choice.machine).unwrap().claim = Some(Claim {
-            winner,
+            claimant: winner,
             tier,
             until,
         });
-        self.jobs.get_mut(id).unwrap().evict_hold_until = until;
+        self.jobs.get_mut(id).unwrap().next_eviction_at = until;
         true
     }
 }
@@ -369,10 +377,10 @@
 fn picture(engine: &Engine) -> Picture {
     let job = |(id, j): (&JobId, &Job)| {
         let live = j
-            .live
+            .placements
             .iter()
-            .map(|(t, p)| (*t, p.machine.clone(), p.stop.is_some()));
-        (id.clone(), live.collect(), j.evictions, j.evict_hold_until)
+            .map(|(t, p)| (*t, p.machine.clone(), p.pending_stop.is_some()));
+        (id.clone(), live.collect(), j.evictions, j.next_eviction_at)
     };
     engine.jobs.iter().map(job).collect()
 }
@@ -382,7 +390,7 @@
     let mut revision = 1000 + (now * 100.0) as u64;
     while let Some(pending) = engine.next_txn(now + 2.0, 20, 20) {
         revision += 1;
-        engine.txn_done(now, pending, TxnOutcome::Applied { revision });
+        engine.txn_finished(now, pending, TxnOutcome::Applied { revision });
     }
 }
 
@@ -434,7 +442,7 @@
             cfg,
             0.0,
             0,
-            Inheritance {
+            InheritedState {
                 types,
                 ..empty_inheritance()
             },
@@ -611,7 +619,10 @@
     }
     engine.schedule(1.5);
     assert!(engine.jobs.values().all(|j| j.evictions == 0));
-    assert_eq!(engine.jobs["req-7"].blocked, BlockedReason::NoRoom);
+    assert_eq!(
+        engine.jobs["req-7"].blocked_reason,
+        BlockedReason::NoCapacity
+    );
     let steps = engine.take_steps();
     assert!(steps < 500 + 200 * 2 * 8 + 100, "{steps} steps");
 }
@@ -653,7 +664,7 @@
         ("nothing", 1, |_| {}),
         ("saving", 0, |e| {
             let low = e.jobs.get_mut("req-low").unwrap();
-            low.live.get_mut(&0).unwrap().seen = Some(TaskState::Saving);
+            low.placements.get_mut(&0).unwrap().observed_state = Some(TaskState::Saving);
         }),
         ("evicted too often", 3, |e| {
             e.jobs.get_mut("req-low").unwrap().evictions = 3
@@ -687,8 +698,8 @@
         engine.is_mid_cycle(),
         "the slice was over after the first job"
     );
-    assert_eq!(engine.jobs["req-0"].live.len(), 12);
-    engine.job_dropped("req-1");
+    assert_eq!(engine.jobs["req-0"].placements.len(), 12);
+    engine.job_key_removed("req-1");
     // What the slice placed is recorded and launched before the cycle goes on.
     write(&mut engine, 1.0);
     let told: usize = workers
@@ -703,7 +714,7 @@
     whole(&mut engine, 1.2);
     assert!(!engine.jobs.contains_key("req-1"));
     assert_eq!(
-        engine.jobs["req-2"].live.len(),
+        engine.jobs["req-2"].placements.len(),
         5,
         "four places left, one fell free"
     );
@@ -726,7 +737,7 @@
         } => Some(run.clone()),
         _ => None,
     });
-    engine.txn_done(1.0, pending, TxnOutcome::Applied { revision: 2000 });
+    engine.txn_finished(1.0, pending, TxnOutcome::Applied { revision: 2000 });
     let told: usize = workers
         .iter_mut()
         .map(|w| starts(&w.turn(&mut engine, 1.1)).len())
@@ -747,10 +758,10 @@
         version: 70,
         run,
     };
-    let inheritance = Inheritance {
+    let inheritance = InheritedState {
         revision: TOKEN + 1,
         leader_version: TOKEN + 1,
-        parts: vec![InheritedPart {
+        grant_parts: vec![InheritedPart {
             index: 0,
             version: 40,
             part,
@@ -761,7 +772,7 @@
     let mut successor = Engine::new(engine.cfg.clone(), 2.0, 2000, inheritance);
     assert_eq!(whole(&mut successor, 2.0), 1);
     assert!(
-        successor.jobs.values().all(|j| j.live.is_empty()),
+        successor.jobs.values().all(|j| j.placements.is_empty()),
         "nobody is accounted for"
     );
     for worker in &mut workers {
@@ -769,9 +780,9 @@
         assert_eq!(starts(&worker.turn(&mut successor, 2.7)).len(), 0);
     }
     whole(&mut successor, 2.8);
-    assert_eq!(successor.jobs["req-0"].live.len(), 12, "they go on");
+    assert_eq!(successor.jobs["req-0"].placements.len(), 12, "they go on");
     assert_eq!(
-        successor.jobs["req-1"].live.len(),
+        successor.jobs["req-1"].placements.len(),
         4,
         "what the cycle had not reached"
     );
@@ -797,7 +808,11 @@
         most = most.max(engine.take_steps());
     }
     assert_eq!(
-        engine.jobs.values().map(|j| j.live.len()).sum::<usize>(),
+        engine
+            .jobs
+            .values()
+            .map(|j| j.placements.len())
+            .sum::<usize>(),
         20_000
     );
     // One more job than fits into a slice, and a walk over the fleet.
--- a/crates/umbersail-control/src/engine/tests/delegates.rs
+++ b/crates/umbersail-control/src/engine/tests/delegates.rs
@@ -27,9 +27,9 @@
             at = 1 - at;
         }
         if second == CANCELLED_AT_S {
-            engine.job_dropped("req-1");
+            engine.job_key_removed("req-1");
         }
-        let over = engine.over_jobs().unwrap();
+        let over = engine.finished_jobs().unwrap();
         for delegate in &mut delegates {
             delegate.delegated(TOKEN, now + renewal_s, &over);
         }
@@ -80,8 +80,8 @@
         // One task of each may still be about, on a machine not heard of yet.
         let held = engine.jobs.get_mut(id.as_str()).unwrap();
         held.recovery_pending.insert(0);
-        held.inherited.insert("m1".into());
-        engine.job_dropped(&name);
+        held.inherited_machines.insert("m1".into());
+        engine.job_key_removed(&name);
     }
-    assert_eq!(engine.over_jobs().map(|over| over.len()), Some(4000));
+    assert_eq!(engine.finished_jobs().map(|over| over.len()), Some(4000));
 }
--- a/crates/umbersail-control/src/engine/tests/evictions.rs
+++ b/crates/umbersail-control/src/engine/tests/evictions.rs
@@ -12,7 +12,7 @@
     commit(&mut engine, 1.0);
     worker.turn(&mut engine, 2.0);
     worker.turn(&mut engine, 3.0);
-    assert_eq!(engine.counts("req-1"), Some((0, 1)));
+    assert_eq!(engine.job_progress("req-1"), Some((0, 1)));
     let mut high = spec("req-2", 1, 8.0);
     high.priority = Priority::High;
     high.deadline_s = Some(25.0);
@@ -58,13 +58,13 @@
     worker.exit("req-1/0", None, ExitCause::Done);
     assert_eq!(starts(&worker.turn(&mut engine, 4.0)), Vec::<String>::new());
     engine.schedule(4.0);
-    let planned = &engine.jobs["req-1"].live[&2];
-    assert!(!planned.told());
+    let planned = &engine.jobs["req-1"].placements[&2];
+    assert!(!planned.may_be_known_to_worker());
     let mut high = spec("req-2", 1, 8.0);
     (high.priority, high.deadline_s) = (Priority::High, Some(25.0));
     accept(&mut engine, 4.0, high);
     assert!(
-        !engine.jobs["req-1"].live.contains_key(&2),
+        !engine.jobs["req-1"].placements.contains_key(&2),
         "it waits again"
     );
     assert_eq!(
@@ -73,7 +73,7 @@
     );
     engine.schedule(4.1);
     assert!(
-        !engine.jobs["req-1"].live.contains_key(&2),
+        !engine.jobs["req-1"].placements.contains_key(&2),
         "nothing moves in"
     );
     commit(&mut engine, 4.5);
--- a/crates/umbersail-control/src/engine/tests/failures.rs
+++ b/crates/umbersail-control/src/engine/tests/failures.rs
@@ -97,7 +97,7 @@
     assert!((0..10).all(|i| !engine.jobs.contains_key(&*format!("req-{i}"))));
     for i in 0..10 {
         let name = format!("req-x{i}");
-        assert!(engine.jobs[&*name].suspect, "{name}");
+        assert!(engine.jobs[&*name].suspected_faulty, "{name}");
         // All four on three machines, and then one after each pause.
         assert!(launches[&name] <= 16, "{name}: {}", launches[&name]);
     }
--- a/crates/umbersail-control/src/engine/tests/faults.rs
+++ b/crates/umbersail-control/src/engine/tests/faults.rs
@@ -313,7 +313,7 @@
             .collect()
     }
 
-    fn inheritance(&self, revision: u64) -> Inheritance {
+    fn inheritance(&self, revision: u64) -> InheritedState {
         let run = |id: &str| match self.keys.get(&run_key(id)) {
             Some((Record::Run(run), version)) => Some((run.clone(), *version)),
             _ => None,
@@ -336,15 +336,15 @@
         };
         let known: Vec<InheritedJob> = jobs.collect();
         let over = self.keys.keys().filter_map(|key| key.strip_prefix(RUNS));
-        Inheritance {
+        InheritedState {
             revision,
             leader_version: revision,
-            parts: self.keys.iter().filter_map(part).collect(),
-            over: over
+            grant_parts: self.keys.iter().filter_map(part).collect(),
+            finished_jobs: over
                 .filter(|id| known.iter().all(|j| j.record.spec.id != *id))
                 .filter_map(|id| Some((id.to_owned(), run(id)?.0)))
                 .collect(),
-            whole_machines: false,
+            count_whole_machines: false,
             predecessor_degraded: false,
             jobs: known,
             types: vec![machine_type()],
@@ -730,7 +730,7 @@
         let over = self.members[node].lead.as_ref().is_some_and(|lead| {
             let gone =
                 self.sees_state(node) && self.store.version(LEADER_KEY) != lead.engine.revision();
-            lead.superseded || lead.engine.is_lost() || gone
+            lead.superseded || lead.engine.has_lost_leadership() || gone
         });
         if over && let Some(lead) = self.members[node].lead.take() {
             let (revision, open) = (
@@ -848,10 +848,10 @@
             }
             DegradedMode::Active if reachable || !in_time => {
                 lead.degraded_mode.close();
-                lead.engine.set_degraded(false);
+                lead.engine.set_degraded_mode(false);
                 return;
             }
-            DegradedMode::Draining if lead.engine.unrecorded_jobs() == 0 => {
+            DegradedMode::Draining if lead.engine.unrecorded_job_count() == 0 => {
                 lead.degraded_mode.recorded();
                 return;
             }
@@ -876,7 +876,7 @@
         }
         if let Some(lead) = &mut self.members[node].lead {
             if lead.degraded_mode.allows_starts() {
-                lead.engine.set_degraded(true);
+                lead.engine.set_degraded_mode(true);
                 self.opened += 1;
             } else {
                 lead.degraded_mode = DegradedMode::Off;
@@ -934,7 +934,7 @@
                 _ => self.store.apply(&pending.txn),
             };
             let executed = outcome != TxnOutcome::NotExecuted;
-            engine.txn_done(now, pending, outcome);
+            engine.txn_finished(now, pending, outcome);
             if !executed {
                 break;
             }
@@ -946,7 +946,7 @@
         }
     }
 
-    fn send_direct(&mut self, node: usize, order: &Fencing) {
+    fn send_direct(&mut self, node: usize, order: &FencingCommand) {
         let index: usize = order.machine[1..].parse().unwrap();
         let host = index % WORKERS;
         if self.hosts[host].worker.name != order.machine
@@ -982,7 +982,7 @@
         let answered = self.rng.random_bool(0.9);
         let now = self.members[node].clock.at(self.t);
         if let Some(lead) = self.members[node].lead.as_mut().filter(|_| answered) {
-            lead.engine.direct_report(now, &report);
+            lead.engine.receive_command_response(now, &report);
         }
     }
 
@@ -1028,10 +1028,11 @@
             .lead
             .as_mut()
             .filter(|l| !l.superseded && l.renew_until > now)
-            && let Some(jobs) = lead.engine.over_jobs()
+            && let Some(jobs) = lead.engine.finished_jobs()
         {
             over = jobs;
-            lead.engine.delegate_to(&name(to), lead.renew_until);
+            lead.engine
+                .delegate_renewals_to(&name(to), lead.renew_until);
             renewal_ms = Some(((lead.renew_until - now) * 1000.0) as u64);
         }
         umbersail_wire::Hello {
@@ -1080,7 +1081,7 @@
         if let Some(lead) = &mut member.lead {
             let up_s = hello.up_ms as f64 / 1000.0;
             lead.engine
-                .renewed_by(now, &hello.member, asked, up_s, &hello.renewed);
+                .record_delegated_renewals(now, &hello.member, asked, up_s, &hello.renewed);
         }
     }
 
@@ -1259,11 +1260,11 @@
         let Some(lead) = &self.members[node].lead else {
             return Ok(());
         };
-        let silent_after = lead.engine.silent_after();
+        let silent_after = lead.engine.silence_limit_s();
         for (name, machine) in &lead.engine.machines {
             let here = |h: &Host| !h.gone && h.worker.name == **name;
-            let counts = machine.takes_tasks(now, silent_after)
-                || (machine.confirmed && machine.part.is_none());
+            let counts = machine.accepts_tasks(now, silent_after)
+                || (machine.confirmed && machine.grant_part.is_none());
             if counts && !self.hosts.iter().any(here) {
                 return Err(format!("{:.1}: {name} is gone and counted on", self.t));
             }
@@ -1293,7 +1294,7 @@
             for member in &mut self.members {
                 if let Some(lead) = &mut member.lead {
                     lead.deleted.insert(name.clone());
-                    lead.engine.deleted(std::slice::from_ref(&name));
+                    lead.engine.machines_deleted(std::slice::from_ref(&name));
                 }
             }
         }
@@ -1355,7 +1356,8 @@
             return Ok(Answer::Refused);
         };
         lead.superseded |= epoch(report.token) > lead.engine.revision();
-        if lead.superseded || now >= lead.renew_until || !lead.engine.report(now, report) {
+        if lead.superseded || now >= lead.renew_until || !lead.engine.receive_heartbeat(now, report)
+        {
             return Ok(Answer::Refused);
         }
         let machine = &report.machine;
--- a/crates/umbersail-control/src/engine/tests/fixtures.rs
+++ b/crates/umbersail-control/src/engine/tests/fixtures.rs
@@ -27,16 +27,16 @@
     Rc::new(EngineConfig {
         member: "bothy-0".into(),
         teams,
-        start_aims: [("aimed".to_owned(), 8.0)].into(),
-        guarantee_aim: None,
-        late_aims: [("c".to_owned(), 1.5)].into(),
-        report_s: 1.0,
+        start_objectives: [("aimed".to_owned(), 8.0)].into(),
+        guarantee_start_objective: None,
+        deadline_factors: [("c".to_owned(), 1.5)].into(),
+        heartbeat_interval_s: 1.0,
         lease_s: LEASE_S,
         cancel_s: 40.0,
-        list_lag_s: 4.0,
-        txn_ops: 20,
-        value_bytes: 32 * 1024,
-        skew_ms: 500.0,
+        cloud_list_lag_s: 4.0,
+        max_txn_changes: 20,
+        max_value_bytes: 32 * 1024,
+        max_clock_skew_ms: 500.0,
         slice_steps: u64::MAX,
         tuning: Rc::new(tuning),
     })
@@ -168,7 +168,7 @@
     may_start: bool,
 ) -> Option<Vec<Command>> {
     engine
-        .report(now, report)
+        .receive_heartbeat(now, report)
         .then(|| engine.reply(now, report, may_start))
 }
 
@@ -189,13 +189,13 @@
         .count()
 }
 
-pub(super) fn empty_inheritance() -> Inheritance {
-    Inheritance {
+pub(super) fn empty_inheritance() -> InheritedState {
+    InheritedState {
         revision: TOKEN,
         leader_version: TOKEN,
-        parts: vec![],
-        over: vec![],
-        whole_machines: false,
+        grant_parts: vec![],
+        finished_jobs: vec![],
+        count_whole_machines: false,
         predecessor_degraded: false,
         jobs: vec![],
         types: vec![machine_type()],
@@ -219,14 +219,14 @@
     Engine::new(config, 0.0, 0, inheritance_of(job))
 }
 
-pub(super) fn inheritance_of(job: JobSpec) -> Inheritance {
+pub(super) fn inheritance_of(job: JobSpec) -> InheritedState {
     let run = RunRecord {
         high: 2,
         hosts: vec!["m1".into()],
         ..RunRecord::default()
     };
-    Inheritance {
-        parts: vec![InheritedPart {
+    InheritedState {
+        grant_parts: vec![InheritedPart {
             index: 0,
             version: 40,
             part: GrantPart {
@@ -256,7 +256,7 @@
     while let Some(pending) = engine.next_txn(now + 1.0, 20, 20) {
         revision += 1;
         all.extend(pending.txn.changes.clone());
-        engine.txn_done(now, pending, TxnOutcome::Applied { revision });
+        engine.txn_finished(now, pending, TxnOutcome::Applied { revision });
     }
     all
 }
--- a/crates/umbersail-control/src/engine/tests/images.rs
+++ b/crates/umbersail-control/src/engine/tests/images.rs
@@ -56,7 +56,7 @@
 
 impl Fleet {
     fn new(cfg: Rc<EngineConfig>, machines: usize) -> Fleet {
-        let inheritance = Inheritance {
+        let inheritance = InheritedState {
             types: types(),
             ..empty_inheritance()
         };
@@ -94,7 +94,7 @@
             }
             let revision = self.revision;
             self.engine
-                .txn_done(now, pending, TxnOutcome::Applied { revision });
+                .txn_finished(now, pending, TxnOutcome::Applied { revision });
         }
     }
 
@@ -163,7 +163,7 @@
     /// The leader ends, and another is elected with what stands in the state service.
     fn take_over(&mut self, now: Time) {
         self.revision += 1;
-        let mut inheritance = Inheritance {
+        let mut inheritance = InheritedState {
             revision: self.revision,
             leader_version: self.revision,
             types: types(),
@@ -171,7 +171,7 @@
         };
         for (key, (record, version)) in &self.keys {
             match record {
-                Record::GrantPart(part) => inheritance.parts.push(InheritedPart {
+                Record::GrantPart(part) => inheritance.grant_parts.push(InheritedPart {
                     index: key[GRANT_PARTS.len()..].parse().unwrap(),
                     version: *version,
                     part: part.clone(),
@@ -239,7 +239,7 @@
     for now in 150..155 {
         fleet.turn(f64::from(now));
     }
-    assert_eq!(fleet.engine.counts("req-1"), Some((0, 60)));
+    assert_eq!(fleet.engine.job_progress("req-1"), Some((0, 60)));
     let mut begun: Vec<&String> = fleet.obeyed.iter().map(|(name, _)| name).collect();
     begun.sort();
     begun.dedup();
@@ -275,7 +275,7 @@
     assert!(fleet.at_the_store() <= 16);
     let told = fleet.obeyed.len();
     // Cancelled: nothing that waits is told any more, and all that fetch are stopped.
-    fleet.engine.job_dropped("req-1");
+    fleet.engine.job_key_removed("req-1");
     for now in 152..156 {
         fleet.turn(f64::from(now));
     }
@@ -340,7 +340,7 @@
     // The task on the last holder of zone a ends: the machine is idle for long.
     let last = fleet.workers[0].tasks[0].clone();
     fleet.workers[0].exit(&last.task, Some(last.attempt), ExitCause::Error);
-    fleet.engine.jobs.get_mut("req-1").unwrap().held = Some("it is done with in this test");
+    fleet.engine.jobs.get_mut("req-1").unwrap().hold_reason = Some("it is done with in this test");
     let returned = |fleet: &mut Fleet, now: f64| {
         let actions = fleet.engine.cloud_actions(now);
         let delete = |a: &CloudAction| matches!(a, CloudAction::Delete(names) if names.iter().any(|n| n == "m000"));
@@ -365,14 +365,14 @@
         fleet.workers.push(Worker::new(&name, "a"));
         let mut report = fleet.workers[worker].report();
         report.machine_type = "m8-small".into();
-        fleet.engine.report(1.0, &report);
+        fleet.engine.receive_heartbeat(1.0, &report);
     }
     fleet.accept(1.0, weights("req-1", 9));
     let types = &fleet.engine.jobs["req-1"].spec.types;
     assert_eq!(types.as_deref(), Some(&["m8".to_owned()][..]));
     // Without handing on types are the job's alone.
     let mut plain = fresh(vec![team(0.0, 0.0)]);
-    plain.set_types(super::images::types());
+    plain.set_machine_types(super::images::types());
     accept(&mut plain, 1.0, weights("req-1", 9));
     assert_eq!(plain.jobs["req-1"].spec.types, None);
 }
@@ -384,7 +384,7 @@
         plan: Value::from("nonsense"),
         gone: false,
     };
-    let inheritance = Inheritance {
+    let inheritance = InheritedState {
         plans: vec![InheritedPlan {
             name: "images/weights-70b".into(),
             version: 50,
--- a/crates/umbersail-control/src/engine/tests/late.rs
+++ b/crates/umbersail-control/src/engine/tests/late.rs
@@ -35,7 +35,7 @@
             config(vec![team(0.0, 0.0)], Tuning::default()),
             0.0,
             0,
-            Inheritance {
+            InheritedState {
                 revision: token,
                 leader_version: token,
                 ..empty_inheritance()
@@ -85,7 +85,7 @@
     fn unanswered(&mut self) -> Sent {
         let pending = self.next().unwrap();
         let txn = pending.txn.clone();
-        (self.engine).txn_done(self.now, pending, TxnOutcome::Unknown);
+        (self.engine).txn_finished(self.now, pending, TxnOutcome::Unknown);
         txn
     }
 
@@ -115,7 +115,7 @@
                 Ok(Carried::Failed { keys }) => TxnOutcome::Conflict { failed: keys },
                 Err(refusal) => panic!("{refusal}"),
             };
-            self.engine.txn_done(self.now, pending, outcome);
+            self.engine.txn_finished(self.now, pending, outcome);
         }
     }
 
@@ -253,7 +253,7 @@
     let pending = scene.next().unwrap();
     let revision = scene.apply(&pending.txn).unwrap();
     let now = scene.now;
-    (scene.engine).txn_done(now, pending, TxnOutcome::Applied { revision });
+    (scene.engine).txn_finished(now, pending, TxnOutcome::Applied { revision });
     let removal = scene.unanswered();
     assert!(removal.changes.contains(&Change::Delete {
         key: run_key("req-000001")
@@ -272,9 +272,9 @@
     let pending = scene.next().unwrap();
     scene.apply(&pending.txn).unwrap();
     scene.cancel("req-000001");
-    scene.engine.job_dropped("req-000001");
+    scene.engine.job_key_removed("req-000001");
     let now = scene.now;
-    (scene.engine).txn_done(now, pending, TxnOutcome::Unknown);
+    (scene.engine).txn_finished(now, pending, TxnOutcome::Unknown);
     scene.settle();
     assert_eq!(scene.version(&run_key("req-000001")), 0);
 }
@@ -340,7 +340,7 @@
             config(vec![team(0.0, 0.0)], Tuning::default()),
             0.0,
             0,
-            Inheritance {
+            InheritedState {
                 revision: token,
                 leader_version: token,
                 plans: inherited.collect(),
@@ -409,7 +409,7 @@
         config(vec![team(0.0, 0.0)], Tuning::default()),
         0.0,
         0,
-        Inheritance {
+        InheritedState {
             revision: second,
             leader_version: second,
             predecessor_degraded: true,
--- a/crates/umbersail-control/src/engine/tests/launches.rs
+++ b/crates/umbersail-control/src/engine/tests/launches.rs
@@ -29,9 +29,9 @@
     commit(&mut engine, 1.0);
     worker.turn(&mut engine, 2.0);
     worker.turn(&mut engine, 3.0);
-    assert_eq!(engine.counts("req-1"), Some((0, 1)));
+    assert_eq!(engine.job_progress("req-1"), Some((0, 1)));
     assert_eq!(converse(&mut engine, 4.0, &late, true), None);
-    assert_eq!(engine.counts("req-1"), Some((0, 1)));
+    assert_eq!(engine.job_progress("req-1"), Some((0, 1)));
 }
 
 #[test]
@@ -46,7 +46,7 @@
     let lost = converse(&mut engine, 2.0, &report, true).unwrap();
     assert_eq!(starts(&lost).len(), 1);
     let direct = worker.report();
-    engine.direct_report(2.1, &direct);
+    engine.receive_command_response(2.1, &direct);
     commit(&mut engine, 2.2);
     assert_eq!(engine.jobs["req-1"].pending(), 0, "still possibly there");
     let told = worker.turn(&mut engine, 6.5);
@@ -121,7 +121,7 @@
             .iter()
             .any(|c| matches!(c, Change::Put { key, .. } if key.starts_with(GRANT_PARTS)))
     );
-    engine.txn_done(1.0, pending, TxnOutcome::NotExecuted);
+    engine.txn_finished(1.0, pending, TxnOutcome::NotExecuted);
     assert_eq!(starts(&worker.turn(&mut engine, 1.5)).len(), 0);
     commit(&mut engine, 2.0);
     assert_eq!(starts(&worker.turn(&mut engine, 2.5)).len(), 1);
@@ -139,13 +139,13 @@
     accept(&mut engine, 1.0, spread);
     engine.schedule(1.0);
     assert_eq!(starts(&worker.turn(&mut engine, 1.5)).len(), 0);
-    assert!(engine.has_waiting_for_degraded_mode() || engine.unrecorded_jobs() == 0);
-    engine.set_degraded(true);
+    assert!(engine.has_jobs_for_degraded_mode() || engine.unrecorded_job_count() == 0);
+    engine.set_degraded_mode(true);
     let told = starts(&worker.turn(&mut engine, 2.0));
     assert_eq!(told, ["req-1/0", "req-1/1"]);
-    assert_eq!(engine.unrecorded_jobs(), 1);
+    assert_eq!(engine.unrecorded_job_count(), 1);
     worker.turn(&mut engine, 2.5);
-    engine.set_degraded(false);
+    engine.set_degraded_mode(false);
     commit(&mut engine, 3.0);
-    assert_eq!(engine.unrecorded_jobs(), 0);
+    assert_eq!(engine.unrecorded_job_count(), 0);
 }
--- a/crates/umbersail-control/src/engine/tests/leases.rs
+++ b/crates/umbersail-control/src/engine/tests/leases.rs
@@ -44,7 +44,7 @@
     commit(&mut engine, 1.1);
     let increment = engine.token_increments(1.1).remove(0);
     assert_eq!(epoch(increment.token), TOKEN);
-    assert!(increment.token < token_of(TOKEN + 1));
+    assert!(increment.token < first_token(TOKEN + 1));
     assert!(
         engine.token_increments(1.2).is_empty(),
         "at most once per half lease"
@@ -53,9 +53,9 @@
     assert_eq!(starts(&worker.turn(&mut engine, 1.3)), ["req-1/0"]);
     assert_eq!(engine.token_for("m1"), increment.token);
     worker.turn(&mut engine, 2.0);
-    assert_eq!(engine.counts("req-1"), Some((0, 1)));
+    assert_eq!(engine.job_progress("req-1"), Some((0, 1)));
     // The count never runs over into another holder's tokens.
-    worker.token = token_of(TOKEN + 1) - 1;
+    worker.token = first_token(TOKEN + 1) - 1;
     worker.turn(&mut engine, 20.0);
     accept(&mut engine, 20.1, spec("req-2", 1, 2.0));
     commit(&mut engine, 20.1);
@@ -71,7 +71,7 @@
     commit(&mut engine, 1.0);
     worker.turn(&mut engine, 2.0);
     worker.turn(&mut engine, 3.0);
-    engine.delegate_to("bothy-1", 20.0);
+    engine.delegate_renewals_to("bothy-1", 20.0);
     engine
 }
 
@@ -89,7 +89,7 @@
     up_s: f64,
     renewed: &[umbersail_wire::RenewedMachine],
 ) -> u32 {
-    engine.renewed_by(now, "bothy-1", now - 0.1, up_s, renewed);
+    engine.record_delegated_renewals(now, "bothy-1", now - 0.1, up_s, renewed);
     engine.tick(now);
     engine.jobs["req-1"].pending()
 }
@@ -102,7 +102,7 @@
     engine.tick(14.0);
     assert_eq!(engine.jobs["req-1"].pending(), 0, "silence is not proof");
     // What it told before the lease could have lapsed proves nothing either.
-    engine.renewed_by(12.0, "bothy-1", 11.9, 100.0, &[]);
+    engine.record_delegated_renewals(12.0, "bothy-1", 11.9, 100.0, &[]);
     engine.tick(14.0);
     assert_eq!(engine.jobs["req-1"].pending(), 0);
     engine.tick(30.0);
@@ -133,12 +133,12 @@
     // the machine for its whole time, and another took it over after that one
     // had told us that it had kept nothing.
     let mut engine = silent_with_a_delegate();
-    engine.delegate_to("bothy-2", 60.0);
-    engine.renewed_by(15.0, "bothy-2", 14.9, 100.0, &[]);
+    engine.delegate_renewals_to("bothy-2", 60.0);
+    engine.record_delegated_renewals(15.0, "bothy-2", 14.9, 100.0, &[]);
     engine.tick(31.0);
     assert_eq!(engine.jobs["req-1"].pending(), 0);
     // Its word from after the first one's time and a lease settles it.
-    engine.renewed_by(31.0, "bothy-2", 30.9, 100.0, &[]);
+    engine.record_delegated_renewals(31.0, "bothy-2", 30.9, 100.0, &[]);
     engine.tick(31.1);
     assert_eq!(engine.jobs["req-1"].pending(), 1);
 }
@@ -159,7 +159,7 @@
     let mut engine = after_crash(vec![team(0.0, 0.0)], spec("req-1", 3, 2.0));
     let end = engine.cfg.renewal_s() + LEASE_S;
     let report = Worker::new("m1", "a").report();
-    assert!(engine.report(end - 1.0, &report));
+    assert!(engine.receive_heartbeat(end - 1.0, &report));
     engine.reply(end - 1.0, &report, true);
     engine.tick(end * 1.001 + 0.6);
     assert_eq!(engine.jobs["req-1"].recovery_pending.len(), 2);
@@ -173,13 +173,13 @@
 fn fenced_directly(stale_word: bool) -> Engine {
     let mut engine = after_crash(vec![team(0.0, 0.0)], spec("req-1", 2, 2.0));
     if stale_word {
-        engine.renewed_by(1.0, "bothy-1", 0.9, 100.0, &[renewed("m1", 1000)]);
+        engine.record_delegated_renewals(1.0, "bothy-1", 0.9, 100.0, &[renewed("m1", 1000)]);
     }
     let mut worker = Worker::new("m1", "a");
-    worker.token = token_of(TOKEN);
+    worker.token = first_token(TOKEN);
     worker.tasks = vec![running("req-1/0", 5), running("req-1/1", 5)];
-    engine.direct_report(9.5, &worker.report());
-    assert_eq!(engine.jobs["req-1"].live.len(), 2);
+    engine.receive_command_response(9.5, &worker.report());
+    assert_eq!(engine.jobs["req-1"].placements.len(), 2);
     engine
 }
 
@@ -191,7 +191,7 @@
     let mut engine = fenced_directly(true);
     engine.tick(LEASE_S * 1.001 + 0.6);
     assert_eq!(engine.jobs["req-1"].pending(), 0, "answered until 9.5 s");
-    engine.renewed_by(18.0, "bothy-1", 17.9, 100.0, &[renewed("m1", 18_000)]);
+    engine.record_delegated_renewals(18.0, "bothy-1", 17.9, 100.0, &[renewed("m1", 18_000)]);
     engine.tick(19.4);
     assert_eq!(engine.jobs["req-1"].pending(), 0);
 }
@@ -203,7 +203,7 @@
     for stale_word in [true, false] {
         let mut engine = fenced_directly(stale_word);
         engine.tick(9.5 + LEASE_S);
-        assert_eq!(engine.jobs["req-1"].live.len(), 2);
+        assert_eq!(engine.jobs["req-1"].placements.len(), 2);
         engine.tick(9.5 + LEASE_S * 1.001 + 0.6);
         assert_eq!(engine.jobs["req-1"].pending(), 2);
     }
--- a/crates/umbersail-control/src/engine/tests/limits.rs
+++ b/crates/umbersail-control/src/engine/tests/limits.rs
@@ -38,8 +38,8 @@
     };
     let mut found = inheritance_of(spec("req-1", 3, 2.0));
     found.jobs.clear();
-    found.over = vec![("req-9".into(), run)];
-    found.whole_machines = whole_machines;
+    found.finished_jobs = vec![("req-9".into(), run)];
+    found.count_whole_machines = whole_machines;
     let config = config(vec![team(0.0, limit)], Tuning::default());
     Engine::new(config, 0.0, 0, found)
 }
@@ -64,13 +64,13 @@
         let mut old = Worker::new("m1", "a");
         old.tasks = vec![running("req-9/3", 4)];
         // Fenced by a direct command: an answer of ours would have stopped it.
-        old.token = token_of(TOKEN);
+        old.token = first_token(TOKEN);
         let report = old.report();
-        assert!(engine.report(2.5, &report));
+        assert!(engine.receive_heartbeat(2.5, &report));
         assert!(!removes(&commit(&mut engine, 2.6)));
         let told = engine.reply(2.6, &report, true);
         assert_eq!(stops(&told), 1);
-        old.obey(token_of(TOKEN), &told);
+        old.obey(first_token(TOKEN), &told);
         old.turn(&mut engine, 3.0);
         assert!(removes(&commit(&mut engine, 3.1)), "nothing of it is left");
         let told = [other.turn(&mut engine, 3.5), old.turn(&mut engine, 3.5)];
@@ -85,7 +85,7 @@
     // its successor finds no trace of tasks that are still being stopped.
     let mut engine = after_crash(vec![team(0.0, 4.0)], spec("req-1", 3, 2.0));
     let mut other = ready_worker(&mut engine, "m2", "a");
-    engine.job_dropped("req-1");
+    engine.job_key_removed("req-1");
     accept(&mut engine, 1.0, spec("req-2", 2, 2.0));
     let kept = commit(&mut engine, 5.0);
     let removes =
@@ -108,16 +108,16 @@
     other.exit("req-1/0", None, ExitCause::Done);
     other.turn(&mut engine, 1.0);
     let mut worker = Worker::new("m1", "a");
-    worker.token = token_of(TOKEN);
+    worker.token = first_token(TOKEN);
     worker.tasks = vec![running("req-1/0", 5), running("req-1/1", 5)];
     let report = worker.report();
-    assert!(engine.report(1.5, &report));
+    assert!(engine.receive_heartbeat(1.5, &report));
     commit(&mut engine, 1.6);
     assert_eq!(starts(&other.turn(&mut engine, 1.7)).len(), 0);
     let told = engine.reply(1.8, &report, true);
     assert_eq!(stops(&told), 1, "it is of no use to anybody");
     assert_eq!(starts(&told).len(), 0);
-    worker.obey(token_of(TOKEN), &told);
+    worker.obey(first_token(TOKEN), &told);
     worker.turn(&mut engine, 2.0);
     commit(&mut engine, 2.1);
     let told = [other.turn(&mut engine, 2.7), worker.turn(&mut engine, 2.7)];
--- a/crates/umbersail-control/src/engine/tests/machines.rs
+++ b/crates/umbersail-control/src/engine/tests/machines.rs
@@ -5,15 +5,15 @@
 #[test]
 fn a_deleted_or_failed_machine_is_accounted_for_at_once() {
     let mut engine = after_crash(vec![team(0.0, 0.0)], spec("req-1", 3, 2.0));
-    engine.deleted(&["m1".into()]);
+    engine.machines_deleted(&["m1".into()]);
     assert_eq!(engine.jobs["req-1"].pending(), 3);
     let mut engine = after_crash(vec![team(0.0, 0.0)], spec("req-1", 3, 2.0));
     let mut listed = listed("m1");
-    engine.listing(1.0, std::slice::from_ref(&listed));
-    engine.listing(1.0, &[]);
+    engine.apply_machine_list(1.0, std::slice::from_ref(&listed));
+    engine.apply_machine_list(1.0, &[]);
     assert_eq!(engine.jobs["req-1"].pending(), 1, "absence is not proof");
     listed.state = MachineState::Failed;
-    engine.listing(2.0, &[listed]);
+    engine.apply_machine_list(2.0, &[listed]);
     assert_eq!(engine.jobs["req-1"].pending(), 3);
 }
 
@@ -47,9 +47,9 @@
     // lags by seconds.
     let mut engine = fresh(vec![team(0.0, 0.0)]);
     let listed = listed("m1");
-    engine.listing(1.0, std::slice::from_ref(&listed));
-    engine.deleted(&["m1".into()]);
-    engine.listing(6.0, std::slice::from_ref(&listed));
+    engine.apply_machine_list(1.0, std::slice::from_ref(&listed));
+    engine.machines_deleted(&["m1".into()]);
+    engine.apply_machine_list(6.0, std::slice::from_ref(&listed));
     assert!(engine.machines.is_empty());
 }
 
@@ -64,10 +64,10 @@
     };
     for other in first {
         if let CloudAction::Rent(other) = other {
-            engine.rented(1.0, &other, &["host-1".to_owned()]);
+            engine.machines_rented(1.0, &other, &["host-1".to_owned()]);
         }
     }
-    engine.rent_unanswered(request.clone());
+    engine.rental_unanswered(request.clone());
     let again = engine.cloud_actions(2.0);
     assert_eq!(again, vec![CloudAction::Rent(request)]);
 }
@@ -83,17 +83,17 @@
         actions.iter().any(deletes)
     };
     // An older list proves nothing, nor does one that shows it.
-    engine.listing(1.0, &[listed("m0")]);
+    engine.apply_machine_list(1.0, &[listed("m0")]);
     assert!(!deletes(&mut engine, 1.0));
-    engine.listing(2.0, &[listed("m1"), listed("m2")]);
+    engine.apply_machine_list(2.0, &[listed("m1"), listed("m2")]);
     assert!(!deletes(&mut engine, 2.0));
-    engine.listing(3.0, &[listed("m2")]);
+    engine.apply_machine_list(3.0, &[listed("m2")]);
     assert!(deletes(&mut engine, 3.0));
     assert_eq!(
         engine.jobs["req-1"].recovery_pending.len(),
         2,
         "only the answer proves it"
     );
-    engine.deleted(&["m1".into()]);
+    engine.machines_deleted(&["m1".into()]);
     assert_eq!(engine.jobs["req-1"].pending(), 3);
 }
--- a/crates/umbersail-control/src/engine/tests/placement.rs
+++ b/crates/umbersail-control/src/engine/tests/placement.rs
@@ -43,8 +43,8 @@
     aimed("req-1", 0.0);
     aimed("req-2", 9.0);
     // Both can still meet their deadlines; only the second its start.
-    engine.jobs.get_mut("req-1").unwrap().submitted = 0.0;
-    engine.jobs.get_mut("req-2").unwrap().submitted = 9.0;
+    engine.jobs.get_mut("req-1").unwrap().submitted_at = 0.0;
+    engine.jobs.get_mut("req-2").unwrap().submitted_at = 9.0;
     worker.turn(&mut engine, 9.9);
     commit(&mut engine, 10.0);
     assert_eq!(starts(&worker.turn(&mut engine, 10.5)), ["req-2/0"]);
@@ -65,8 +65,8 @@
         engine.job_accepted(1.0, 1000, record(job), 70);
     }
     engine.schedule(1.0);
-    assert_eq!(engine.jobs["req-2"].live.len(), 1);
-    assert_eq!(engine.jobs["req-1"].live.len(), 0);
+    assert_eq!(engine.jobs["req-2"].placements.len(), 1);
+    assert_eq!(engine.jobs["req-1"].placements.len(), 0);
 }
 
 #[test]
@@ -95,7 +95,12 @@
     warm.turn(&mut engine, 5.0);
     cold.turn(&mut engine, 5.0);
     engine.schedule(5.0);
-    let on_m1 = |id: &str| engine.jobs[id].live.values().any(|p| &*p.machine == "m1");
+    let on_m1 = |id: &str| {
+        engine.jobs[id]
+            .placements
+            .values()
+            .any(|p| &*p.machine == "m1")
+    };
     assert!(
         on_m1("req-2") ^ on_m1("req-3"),
         "the first place is for one"
--- a/crates/umbersail-control/src/engine/tests/plans.rs
+++ b/crates/umbersail-control/src/engine/tests/plans.rs
@@ -46,12 +46,12 @@
     put(&mut engine, 1.0, "note/a", 1);
     let pending = engine.next_txn(1.0, 2, 2).unwrap();
     assert_eq!(plans_in(&pending.txn.changes), Vec::<&str>::new());
-    engine.txn_done(1.0, pending, TxnOutcome::NotExecuted);
+    engine.txn_finished(1.0, pending, TxnOutcome::NotExecuted);
     assert!(!engine.plans.store.is_recorded("note/a"));
     let pending = engine.next_txn(4.0, 2, 2).unwrap();
     assert_eq!(plans_in(&pending.txn.changes), [plan_key("note/a")]);
     assert!(pending.txn.changes.len() > 1, "the launch goes with it");
-    engine.txn_done(4.0, pending, TxnOutcome::Applied { revision: 110 });
+    engine.txn_finished(4.0, pending, TxnOutcome::Applied { revision: 110 });
     assert!(engine.plans.store.is_recorded("note/a"));
     put(&mut engine, 5.0, "note/a", 1);
     assert!(
@@ -67,7 +67,7 @@
     put(&mut engine, 1.0, "note/a", 1);
     let pending = engine.next_txn(1.0, 20, 20).unwrap();
     assert_eq!(pending.txn.conditions[0].key, LEADER);
-    engine.txn_done(1.0, pending, TxnOutcome::Unknown);
+    engine.txn_finished(1.0, pending, TxnOutcome::Unknown);
     put(&mut engine, 2.0, "note/a", 2);
     assert!(engine.next_txn(2.0, 20, 20).is_none(), "first the read");
     assert_eq!(engine.unread_plans(), ["note/a"]);
@@ -84,7 +84,7 @@
         .iter()
         .find(|c| c.key == plan_key("note/a"));
     assert_eq!(condition.map(|c| c.version), Some(77));
-    engine.txn_done(2.0, pending, TxnOutcome::Applied { revision: 78 });
+    engine.txn_finished(2.0, pending, TxnOutcome::Applied { revision: 78 });
     assert!(engine.plans.store.is_recorded("note/a"));
 }
 
@@ -106,7 +106,7 @@
         ("note/text", Value::from("nonsense")),
         ("note/other", to_value(&Note { steps: 1 }).unwrap()),
     ];
-    let inheritance = Inheritance {
+    let inheritance = InheritedState {
         plans: found
             .into_iter()
             .map(|(name, value)| InheritedPlan {
--- a/crates/umbersail-control/src/engine/tests/reports.rs
+++ b/crates/umbersail-control/src/engine/tests/reports.rs
@@ -5,7 +5,7 @@
 /// A report that is answered, and what is answered goes nowhere.
 fn unheard(worker: &mut Worker, engine: &mut Engine, now: Time) -> Vec<String> {
     let report = worker.report();
-    if !engine.report(now, &report) {
+    if !engine.receive_heartbeat(now, &report) {
         return vec![];
     }
     // The reply waits for what the cycle that this report wakes places.
@@ -29,12 +29,12 @@
     worker.token = engine.token_for("m1");
     let second = worker.report();
     assert!(converse(&mut engine, 0.5, &second, true).is_some());
-    engine.deleted(&["m1".to_owned()]);
-    engine.listing(30.0, &[]);
+    engine.machines_deleted(&["m1".to_owned()]);
+    engine.apply_machine_list(30.0, &[]);
     accept(&mut engine, 30.0, spec("req-1", 1, 2.0));
     for (at, copy) in [(31.0, &first), (31.1, &second)] {
         assert_eq!(converse(&mut engine, at, copy, true), None, "answered");
-        engine.direct_report(at, copy);
+        engine.receive_command_response(at, copy);
         commit(&mut engine, at);
     }
     assert_eq!(engine.machine_count(), 0);
@@ -96,7 +96,7 @@
         assert!(reports <= 2, "still out of use");
         let now = 27.0 + f64::from(reports);
         let report = worker.report();
-        assert!(engine.report(now, &report));
+        assert!(engine.receive_heartbeat(now, &report));
         commit(&mut engine, now);
         let commands = engine.reply(now, &report, true);
         worker.obey(engine.token_for("m1"), &commands);
@@ -122,8 +122,8 @@
         accept(&mut engine, at, spec(&format!("req-{at}"), 1, 8.0));
         assert_eq!(unheard(&mut worker, &mut engine, at).len(), 1);
         let report = worker.report();
-        engine.report(at + 5.0, &report);
-        engine.job_dropped(&format!("req-{at}"));
+        engine.receive_heartbeat(at + 5.0, &report);
+        engine.job_key_removed(&format!("req-{at}"));
     }
     accept(&mut engine, 108.0, spec("req-last", 1, 8.0));
     assert_eq!(unheard(&mut worker, &mut engine, 109.0).len(), 1, "in use");
@@ -138,13 +138,13 @@
     worker.turn(&mut engine, 2.0);
     assert!(rents(&mut engine, 2.1), "it may be a copy");
     let report = worker.report();
-    assert!(engine.report(2.5, &report));
+    assert!(engine.receive_heartbeat(2.5, &report));
     commit(&mut engine, 2.5);
     assert_eq!(starts(&engine.reply(2.6, &report, true)).len(), 1);
 
     // One that a former holder deleted is never heard of again, and goes back.
     let mut ghost = Worker::new("m1", "a");
-    ghost.token = token_of(TOKEN - 10);
+    ghost.token = first_token(TOKEN - 10);
     unheard(&mut ghost, &mut engine, 3.0);
     worker.turn(&mut engine, 24.0);
     let deletes = CloudAction::Delete(vec!["m1".into()]);
@@ -201,7 +201,7 @@
         assert!(second > first);
 
         assert_eq!(converse(&mut engine, 5.0, &old, true), None);
-        engine.direct_report(5.0, &old);
+        engine.receive_command_response(5.0, &old);
         engine.tick(5.1);
         commit(&mut engine, 5.1);
         assert!(starts(&other.turn(&mut engine, 5.5)).is_empty());
@@ -231,7 +231,7 @@
     assert!(second > first);
 
     assert_eq!(converse(&mut engine, 5.0, &old, true), None, "answered");
-    engine.direct_report(5.0, &old);
+    engine.receive_command_response(5.0, &old);
     commit(&mut engine, 5.1);
     // The second attempt goes on, and its end is the job's.
     assert_eq!(other.turn(&mut engine, 5.5), vec![]);
@@ -239,7 +239,7 @@
     other.turn(&mut engine, 6.0);
     commit(&mut engine, 6.1);
     assert!(
-        engine.counts("req-1").is_none_or(|c| c.1 == 0),
+        engine.job_progress("req-1").is_none_or(|c| c.1 == 0),
         "counts as active"
     );
 }
@@ -253,7 +253,7 @@
         let mut engine = after_crash(vec![team(0.0, 0.0)], spec("req-1", 2, 2.0));
         let mut other = ready_worker(&mut engine, "m2", "a");
         let mut worker = Worker::new("m1", "a");
-        worker.token = token_of(TOKEN - 10);
+        worker.token = first_token(TOKEN - 10);
         worker.tasks = tasks;
         let old = worker.report();
         worker.tasks = vec![running("req-1/0", 5), running("req-1/1", 6)];
@@ -269,7 +269,7 @@
         assert_eq!(converse(&mut engine, 1.7, &old, true), None, "answered");
         commit(&mut engine, 1.8);
         assert!(starts(&other.turn(&mut engine, 1.9)).is_empty());
-        assert_eq!(engine.counts("req-1").map(|c| c.1), Some(2));
+        assert_eq!(engine.job_progress("req-1").map(|c| c.1), Some(2));
     }
 }
 
@@ -322,8 +322,8 @@
     // Guards against a job that runs all along and is called waiting after a change of
     // leader, until its machines report.
     let mut engine = after_crash(vec![team(0.0, 0.0)], spec("req-1", 3, 2.0));
-    assert_eq!(engine.counts("req-1"), Some((0, 2)));
+    assert_eq!(engine.job_progress("req-1"), Some((0, 2)));
     let lapsed_s = (engine.cfg.renewal_s() + LEASE_S) * 1.001 + 0.6;
     engine.tick(lapsed_s);
-    assert_eq!(engine.counts("req-1"), Some((0, 0)));
+    assert_eq!(engine.job_progress("req-1"), Some((0, 0)));
 }
--- a/crates/umbersail-control/src/engine/tests/reserve.rs
+++ b/crates/umbersail-control/src/engine/tests/reserve.rs
@@ -49,7 +49,7 @@
                 version: *version,
                 value: to_value(record).unwrap(),
             });
-        let inheritance = Inheritance {
+        let inheritance = InheritedState {
             revision: self.revision,
             leader_version: self.revision,
             plans: plans.collect(),
@@ -79,7 +79,7 @@
                 }
             }
             let revision = self.revision;
-            engine.txn_done(now, pending, TxnOutcome::Applied { revision });
+            engine.txn_finished(now, pending, TxnOutcome::Applied { revision });
         }
     }
 
@@ -105,11 +105,11 @@
                     let names = self.rent(&request);
                     asked.push(request.clone());
                     match heard {
-                        true => engine.rented(now, &request, &names),
-                        false => engine.rent_unanswered(request),
+                        true => engine.machines_rented(now, &request, &names),
+                        false => engine.rental_unanswered(request),
                     }
                 }
-                CloudAction::Delete(names) => engine.deleted(&names),
+                CloudAction::Delete(names) => engine.machines_deleted(&names),
             }
         }
         asked
@@ -154,7 +154,7 @@
 }
 
 fn live(engine: &Engine, id: &str) -> usize {
-    engine.jobs.get(id).map_or(0, |j| j.live.len())
+    engine.jobs.get(id).map_or(0, |j| j.placements.len())
 }
 
 #[test]
@@ -200,7 +200,7 @@
     let count: u32 = asked.iter().map(|r| r.count).sum();
     assert_eq!(count, 2, "rented for the others: {asked:?}");
     // Idle for far longer than any limit.
-    engine.job_dropped("req-2");
+    engine.job_key_removed("req-2");
     for now in [60.0, 120.0, 180.0] {
         for worker in &mut workers {
             worker.turn(&mut engine, now);
@@ -320,7 +320,7 @@
                 5 => {
                     // A write of which nobody hears whether it stands.
                     if let Some(pending) = engine.next_txn(now + 10.0, 20, 20) {
-                        engine.txn_done(now, pending, TxnOutcome::Unknown);
+                        engine.txn_finished(now, pending, TxnOutcome::Unknown);
                         for name in engine.unread_plans() {
                             let found = place.plans.get(&format!("{PLANS}{name}"));
                             let found = found.map(|(r, v)| (to_value(r).unwrap(), *v));
--- a/crates/umbersail-control/src/engine/tests/starvation_guard.rs
+++ b/crates/umbersail-control/src/engine/tests/starvation_guard.rs
@@ -120,7 +120,7 @@
             config(vec![team(0.0, 0.0)], Tuning::default()),
             0.0,
             115_000,
-            Inheritance {
+            InheritedState {
                 jobs: vec![
                     inherited(small(1000), None),
                     inherited(spec("large", 2, 8.0), Some((run, 60))),
@@ -180,7 +180,7 @@
             let large = n % 5 == 0;
             let size = if large { 8.0 } else { 2.0 };
             engine
-                .served
+                .service_history
                 .ended("class c", size, !large || n / 5 >= missed);
         }
         let mut due = |id: &str, tasks| {
@@ -193,7 +193,7 @@
         (0..20).for_each(|n| due(&format!("small-{n}"), 1));
         due("large", 4);
         engine.schedule(1.0);
-        engine.jobs["large"].live.len()
+        engine.jobs["large"].placements.len()
     };
     assert_eq!(placed(1), 0, "five of six were served");
     assert_eq!(placed(4), 4, "two of six");
@@ -205,7 +205,7 @@
     let zones = |one_zone: bool| {
         let mut engine = served(0.6);
         let mut workers = [("m1", "a"), ("m2", "b")].map(|(m, z)| ready_worker(&mut engine, m, z));
-        (0..8).for_each(|_| engine.served.ended("class c", 16.0, false));
+        (0..8).for_each(|_| engine.service_history.ended("class c", 16.0, false));
         accept(&mut engine, 1.0, small(1000));
         let large = JobSpec {
             deadline_s: Some(400.0),
@@ -218,7 +218,7 @@
                 play(&mut engine, worker, second, second + 1, "large/");
             }
         }
-        let live = engine.jobs["large"].live.values();
+        let live = engine.jobs["large"].placements.values();
         live.map(|p| engine.machines[&p.machine].zone.clone())
             .collect::<BTreeSet<_>>()
             .len()
--- a/crates/umbersail-control/src/engine/tests/takeovers.rs
+++ b/crates/umbersail-control/src/engine/tests/takeovers.rs
@@ -13,7 +13,7 @@
     assert_eq!(told, ["req-1/2"], "only the task never started before");
 
     let mut old = Worker::new("m1", "a");
-    old.token = token_of(TOKEN - 10);
+    old.token = first_token(TOKEN - 10);
     old.tasks = vec![TaskReport {
         task: "req-1/0".into(),
         attempt: 5,
@@ -36,7 +36,7 @@
     assert_eq!(told, ["req-1/1"]);
     old.turn(&mut engine, 4.0);
     other.turn(&mut engine, 4.0);
-    assert_eq!(engine.counts("req-1").map(|c| c.1), Some(3));
+    assert_eq!(engine.job_progress("req-1").map(|c| c.1), Some(3));
 }
 
 #[test]
@@ -59,7 +59,7 @@
         config(vec![team(0.0, 0.0)], Tuning::default()),
         0.0,
         0,
-        Inheritance {
+        InheritedState {
             revision: TOKEN + 1,
             jobs: vec![InheritedJob {
                 record: record(spec("req-1", 1, 2.0)),
@@ -98,7 +98,7 @@
     old.tasks = vec![running("req-1/3", 7)];
     old.turn(&mut engine, 2.0);
     let report = old.report();
-    assert!(engine.report(2.5, &report));
+    assert!(engine.receive_heartbeat(2.5, &report));
     let written = commit(&mut engine, 2.6);
     let at = |found: &dyn Fn(&Change<Record>) -> bool| written.iter().position(found);
     let names_it = |c: &Change<Record>| {
--- a/crates/umbersail-control/src/engine/tests/writes.rs
+++ b/crates/umbersail-control/src/engine/tests/writes.rs
@@ -24,7 +24,7 @@
             .iter()
             .any(|c| c.key == run_key("req-1") && c.version == 0)
     );
-    engine.txn_done(1.0, pending, TxnOutcome::Unknown);
+    engine.txn_finished(1.0, pending, TxnOutcome::Unknown);
     assert_eq!(engine.unknown_versions().0, ["req-1"]);
     assert!(engine.next_txn(2.0, 20, 20).is_none(), "first the read");
     assert_eq!(starts(&worker.turn(&mut engine, 2.0)).len(), 0);
@@ -37,7 +37,7 @@
             .iter()
             .any(|c| c.key == run_key("req-1") && c.version == 90)
     );
-    engine.txn_done(2.0, pending, TxnOutcome::Applied { revision: 91 });
+    engine.txn_finished(2.0, pending, TxnOutcome::Applied { revision: 91 });
     assert_eq!(starts(&worker.turn(&mut engine, 3.0)).len(), 1);
 }
 
@@ -49,8 +49,8 @@
     accept(&mut engine, 1.0, spec("req-1", 1, 2.0));
     let pending = engine.next_txn(1.0, 20, 20).unwrap();
     let failed = vec![LEADER.to_owned()];
-    engine.txn_done(1.0, pending, TxnOutcome::Conflict { failed });
-    assert!(engine.is_lost());
+    engine.txn_finished(1.0, pending, TxnOutcome::Conflict { failed });
+    assert!(engine.has_lost_leadership());
     assert!(engine.next_txn(2.0, 20, 20).is_none());
 }
 
@@ -69,7 +69,7 @@
     // ... and meanwhile task 1 is placed on the same machine.
     engine.schedule(4.0);
     assert_eq!(starts(&worker.turn(&mut engine, 4.0)).len(), 0);
-    engine.txn_done(4.1, pending, TxnOutcome::Applied { revision: 2000 });
+    engine.txn_finished(4.1, pending, TxnOutcome::Applied { revision: 2000 });
     commit(&mut engine, 4.2);
     assert_eq!(starts(&worker.turn(&mut engine, 5.0)), ["req-1/1"]);
 }
@@ -92,7 +92,7 @@
     };
     assert_eq!(first, "runs/req-99", "younger, and first");
     assert!(pending.txn.changes.len() <= 6);
-    engine.txn_done(2.0, pending, TxnOutcome::Applied { revision: 2000 });
+    engine.txn_finished(2.0, pending, TxnOutcome::Applied { revision: 2000 });
     assert!(
         engine.next_txn(2.1, 6, 0).is_none(),
         "guests leave the rest"
@@ -113,7 +113,7 @@
     let mut workers: Vec<Worker> = (0..600).map(|i| Worker::new(&name(i), "a")).collect();
     for worker in &mut workers {
         worker.seq = 1;
-        worker.token = token_of(TOKEN);
+        worker.token = first_token(TOKEN);
         worker.turn(&mut engine, 0.5);
     }
     let mut largest = 0;
@@ -126,17 +126,17 @@
         for change in &pending.txn.changes {
             largest = largest.max(umbersail_wire::encode(change).len());
         }
-        engine.txn_done(1.0, pending, TxnOutcome::Applied { revision: 1000 });
+        engine.txn_finished(1.0, pending, TxnOutcome::Applied { revision: 1000 });
     }
     assert!(largest > 0 && largest < 16 * 1024, "{largest}");
-    assert!(engine.machines.values().all(|m| m.recorded));
+    assert!(engine.machines.values().all(|m| m.grant_recorded));
 
     // One more machine: one part is written, and no other.
     ready_worker_at(&mut engine, "host-000600", 2.0);
     let pending = engine.next_txn(2.5, 20, 20).unwrap();
     assert_eq!(pending.txn.changes.len(), 1);
-    engine.txn_done(2.5, pending, TxnOutcome::Unknown);
-    assert!(!engine.machines["host-000600"].recorded);
+    engine.txn_finished(2.5, pending, TxnOutcome::Unknown);
+    assert!(!engine.machines["host-000600"].grant_recorded);
     assert!(engine.next_txn(2.5, 20, 20).is_none(), "to be read before");
     let (_, parts) = engine.unknown_versions();
     engine.part_read(parts[0], 1001);
@@ -163,7 +163,7 @@
     for task in (10_000..100_000).step_by(2) {
         job.done.insert(task);
     }
-    let placed = job.live.len();
+    let placed = job.placements.len();
     assert!(placed > 250 && placed < 600, "{placed}");
     let changes = commit(&mut engine, 1.0);
     let largest = changes
@@ -193,14 +193,14 @@
     assert!(
         matches!(&launch.txn.changes[..], [Change::Put { key, .. }] if *key == run_key("req-2"))
     );
-    engine.txn_done(4.0, launch, TxnOutcome::Applied { revision: 2000 });
+    engine.txn_finished(4.0, launch, TxnOutcome::Applied { revision: 2000 });
 
     // An end goes without the removal of its progress, which follows later.
     worker.exit("req-1/1", None, ExitCause::Done);
     worker.turn(&mut engine, 5.0);
     let end = engine.next_txn(5.0, 2, 0).unwrap();
     assert_eq!(end.txn.changes.len(), 2);
-    engine.txn_done(5.0, end, TxnOutcome::Applied { revision: 2001 });
+    engine.txn_finished(5.0, end, TxnOutcome::Applied { revision: 2001 });
     assert!(engine.next_txn(5.0, 20, 0).is_none());
     let rest = engine.next_txn(5.0, 20, 5).unwrap();
     assert!(
--- a/crates/umbersail-control/src/engine/tick.rs
+++ b/crates/umbersail-control/src/engine/tick.rs
@@ -10,16 +10,16 @@
 impl Engine {
     /// Duties that no event brings up.
     pub fn tick(&mut self, now: Time) {
-        if now >= self.next_status {
-            self.next_status = now + self.cfg.tuning.status_s;
+        if now >= self.next_status_at {
+            self.next_status_at = now + self.cfg.tuning.status_s;
             info!(status = self.status(now), "block");
         }
         self.expire_leases(now);
-        self.handle_notices(now);
-        self.quarantine(now);
+        self.handle_reclaim_notices(now);
+        self.quarantine_machines(now);
         self.tick_plans(now);
         self.count_late(now);
-        self.schedule_wanted |= std::mem::take(&mut self.awaiting);
+        self.cycle_requested |= std::mem::take(&mut self.jobs_await_image);
         self.end_backoffs(now);
     }
 
@@ -34,10 +34,10 @@
             .collect();
         for (name, machine) in &mut self.machines {
             machine.lease_expired |= expired.binary_search(name).is_ok();
-            if let Some(at) = machine.notice_until
+            if let Some(at) = machine.reclaim_at
                 && now > at + NOTICE_GRACE_S
             {
-                machine.notice_until = None;
+                machine.reclaim_at = None;
             }
         }
         for name in expired {
@@ -51,7 +51,7 @@
 
     /// Whether the lease of a machine that may hold something has expired just now (rule 3).
     fn has_expired(&self, now: Time, machine: &Machine) -> bool {
-        let holds = machine.inherited || machine.orphaned_tasks || !machine.tasks.is_empty();
+        let holds = machine.inherited || machine.has_orphaned_tasks || !machine.tasks.is_empty();
         if machine.lease_expired || !holds {
             return false;
         }
@@ -60,8 +60,8 @@
         // An earlier holder stops renewal_s after it lost the state service,
         // which was before we were elected.
         let silenced_at = self.elected_at + self.cfg.renewal_s() * (1.0 + tuning.drift);
-        let end = machine.renewed_by(silenced_at) + lease_s;
-        now > end && !self.may_be_renewed(now, end, lease_s)
+        let end = machine.latest_renewal(silenced_at) + lease_s;
+        now > end && !self.may_have_been_renewed(now, end, lease_s)
     }
 
     /// Ends pauses that are over, and logs jobs that have waited for long.
@@ -72,23 +72,23 @@
                 job.backoff_until = None;
                 rested = true;
             }
-            let since = job.last_progress.max(job.submitted);
-            let log_after_s = job.next_wait_log.max(self.cfg.tuning.long_wait_s);
+            let since = job.last_progress.max(job.submitted_at);
+            let log_after_s = job.next_wait_log_s.max(self.cfg.tuning.long_wait_s);
             if job.pending() > 0 && now - since > log_after_s {
-                job.next_wait_log = 2.0 * (now - since);
+                job.next_wait_log_s = 2.0 * (now - since);
                 // What failed it once may be all that there is.
-                job.error_machines.clear();
+                job.avoided_machines.clear();
                 info!(
                     job = &**id,
                     waited_s = (now - since) as u64,
                     pending = job.pending(),
-                    reason = %job.blocked,
+                    reason = %job.blocked_reason,
                     "waits long"
                 );
             }
         }
         if rested {
-            self.note_waiting();
+            self.mark_jobs_waiting();
         }
     }
 }
--- a/crates/umbersail-control/src/engine/tokens.rs
+++ b/crates/umbersail-control/src/engine/tokens.rs
@@ -12,7 +12,7 @@
 }
 
 /// The least token of the holder whose grant has this revision.
-pub fn token_of(revision: u64) -> u64 {
+pub fn first_token(revision: u64) -> u64 {
     revision << MINOR_COUNTER_BITS
 }
 
@@ -24,7 +24,7 @@
 
 /// An empty direct command that brings a worker a token.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Fencing {
+pub struct FencingCommand {
     /// Name of the machine.
     pub machine: String,
     /// Address of its worker.
@@ -46,11 +46,11 @@
     /// Machines with launches ready whose next report is not due soon. A
     /// token that it has not seen makes a worker report within half a second;
     /// the launches then go with the reply, as ever (rule 5).
-    pub fn token_increments(&mut self, now: Time) -> Vec<Fencing> {
+    pub fn token_increments(&mut self, now: Time) -> Vec<FencingCommand> {
         let mut out = Vec::new();
         let pause = self.cfg.lease_s / 2.0 + 0.5;
         let mut told: Vec<MachineId> = Vec::new();
-        for name in &self.unsent_launches {
+        for name in &self.machines_with_unsent_launches {
             let Some(machine) = self.machines.get_mut(name) else {
                 told.push(name.clone());
                 continue;
@@ -60,20 +60,21 @@
                 let Some(job) = self.jobs.get(id) else {
                     continue;
                 };
-                let unsent_launches = |p: &Placement| !p.told() && p.stop.is_none();
-                if job.live.get(task).is_some_and(unsent_launches) {
+                let is_unsent =
+                    |p: &Placement| !p.may_be_known_to_worker() && p.pending_stop.is_none();
+                if job.placements.get(task).is_some_and(is_unsent) {
                     waits = true;
-                    ready |= may_launch(job, *task, name, self.open)
+                    ready |= may_launch(job, *task, name, self.degraded_mode)
                         && !self.plans.images.waits(job.image, name);
                 }
             }
             if !waits {
                 told.push(name.clone());
             }
-            let (Some(addr), Some(last)) = (machine.addr, machine.last_report) else {
+            let (Some(addr), Some(last)) = (machine.addr, machine.last_heartbeat) else {
                 continue;
             };
-            let due_in = last + self.cfg.report_s - now;
+            let due_in = last + self.cfg.heartbeat_interval_s - now;
             if !ready
                 || !machine.fenced
                 || machine.reachability.is_unreachable()
@@ -92,7 +93,7 @@
             }
             machine.token_incremented_at = Some(now);
             machine.token = next;
-            out.push(Fencing {
+            out.push(FencingCommand {
                 machine: name.to_string(),
                 addr,
                 session: machine.session(),
@@ -100,18 +101,20 @@
             });
         }
         for name in told {
-            self.unsent_launches.remove(&name);
+            self.machines_with_unsent_launches.remove(&name);
         }
         out
     }
 
     /// Addresses of machines that have not yet seen our token.
-    pub fn fence_targets(&self, now: Time) -> Vec<Fencing> {
+    pub fn fence_targets(&self, now: Time) -> Vec<FencingCommand> {
         self.machines
             .values()
-            .filter(|m| !m.fenced && m.inherited && m.last_report.is_none_or(|at| now - at > 1.0))
+            .filter(|m| {
+                !m.fenced && m.inherited && m.last_heartbeat.is_none_or(|at| now - at > 1.0)
+            })
             .filter_map(|m| {
-                Some(Fencing {
+                Some(FencingCommand {
                     machine: m.name.to_string(),
                     addr: m.addr?,
                     session: m.session(),
--- a/crates/umbersail-control/src/engine/write.rs
+++ b/crates/umbersail-control/src/engine/write.rs
@@ -18,7 +18,7 @@
 
 /// What a transaction writes of one job, to be remembered once it stands.
 #[derive(Debug, Clone)]
-enum Written {
+enum WriteEffect {
     Run {
         id: JobId,
         high: u32,
@@ -26,11 +26,11 @@
         done: Bitmap,
         evictions: u32,
     },
-    End(JobId),
+    JobEnded(JobId),
     /// The progress of a job that is over is gone.
-    Cleared(JobId),
+    RunDeleted(JobId),
     /// Nothing runs that no record tells of.
-    Settled,
+    RecoveryCompleted,
 }
 
 /// A transaction on its way.
@@ -38,7 +38,7 @@
 pub struct PendingTxn {
     /// What is sent.
     pub txn: Txn<Record>,
-    written: Vec<Written>,
+    effects: Vec<WriteEffect>,
     parts: Vec<WrittenPart>,
     plans: Vec<WrittenPlan>,
 }
@@ -71,7 +71,7 @@
 
 /// Why a job's record is written, most urgent first.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-enum Due {
+enum WritePriority {
     /// A launch or a stop waits for it, or an end has waited long. By age: a
     /// job's launches gather in one record while it waits, ends do not, and ends
     /// that gave way to launches were told too late.
@@ -86,8 +86,8 @@
 
 /// A job whose record is due, and since when it has changed.
 struct DueJob {
-    due: Due,
-    since: Time,
+    priority: WritePriority,
+    dirty_since: Time,
     id: JobId,
 }
 
@@ -96,9 +96,9 @@
     /// Changes in all.
     max_changes: usize,
     /// Changes that the state service takes at once.
-    room: usize,
+    capacity: usize,
     /// Of those, for writes that nobody waits for.
-    spare: usize,
+    background_capacity: usize,
     /// Somebody waits for one of the records.
     urgent: bool,
 }
@@ -106,7 +106,7 @@
 /// A transaction as it grows, with what its writing means to the engine.
 struct TxnBuilder {
     txn: Txn<Record>,
-    written: Vec<Written>,
+    effects: Vec<WriteEffect>,
     bytes: usize,
 }
 
@@ -117,7 +117,7 @@
                 conditions: Vec::new(),
                 changes: Vec::new(),
             },
-            written: Vec::new(),
+            effects: Vec::new(),
             bytes: 0,
         };
         builder.require(LEADER_KEY.into(), leader_version);
@@ -148,18 +148,18 @@
 
 /// The record of an unfinished job's progress, as it should stand.
 fn run_record(job: &Job, teams: &[TeamLimits]) -> RunRecord {
-    let running = |p: &&Placement| p.seen.is_some_and(|s| s == TaskState::Running);
+    let running = |p: &&Placement| p.observed_state.is_some_and(|s| s == TaskState::Running);
     RunRecord {
-        high: job.next.max(job.recorded_high),
+        high: job.first_unplanned.max(job.recorded_high),
         done: job.done.to_text(),
-        hosts: job.hosts().iter().map(|h| h.to_string()).collect(),
+        hosts: job.machines().iter().map(|h| h.to_string()).collect(),
         evictions: job.evictions,
         done_count: job.done.count(),
-        running: job.live.values().filter(running).count() as u32,
-        extra: job.extra(),
+        running: job.placements.values().filter(running).count() as u32,
+        extra: job.extra_attempts(),
         team: job.team.map_or_else(String::new, |t| teams[t].name.clone()),
         size: Some((job.shape.cpus, job.shape.gpus, job.shape.memory_gb)),
-        suspect: job.suspect,
+        suspect: job.suspected_faulty,
     }
 }
 
@@ -169,15 +169,15 @@
     /// machines show that they are gone (rule 4).
     fn record_orphaned_attempts(&mut self, id: &JobId, job: &Job) {
         let mut machines: BTreeMap<MachineId, Option<(u64, u64)>> = BTreeMap::new();
-        if job.inherited_extra() > 0 {
-            machines.extend(job.inherited.iter().map(|m| (m.clone(), None)));
+        if job.inherited_extra_attempts() > 0 {
+            machines.extend(job.inherited_machines.iter().map(|m| (m.clone(), None)));
         }
-        for (task, placement) in &job.live {
+        for (task, placement) in &job.placements {
             if let Some(machine) = self.machines.get_mut(&placement.machine) {
-                machine.release(id, *task, &job.shape, job.image);
-                if placement.told() {
-                    machine.orphaned_tasks = true;
-                    machines.insert(placement.machine.clone(), Some(machine.order));
+                machine.remove_task(id, *task, &job.shape, job.image);
+                if placement.may_be_known_to_worker() {
+                    machine.has_orphaned_tasks = true;
+                    machines.insert(placement.machine.clone(), Some(machine.heartbeat_order));
                 }
             }
         }
@@ -186,7 +186,7 @@
             OrphanedAttempts {
                 team: job.team,
                 shape: Some(job.shape),
-                attempts: job.extra(),
+                attempts: job.extra_attempts(),
                 machines,
             },
         );
@@ -197,31 +197,33 @@
     /// nobody waits for. What somebody waits for goes first and in small
     /// transactions: a large one waits for its turn as a whole.
     pub fn next_txn(&mut self, now: Time, room: usize, spare: usize) -> Option<PendingTxn> {
-        if self.txn_in_flight || self.lost {
+        if self.txn_in_flight || self.leadership_lost {
             return None;
         }
         let due = self.due_jobs(now, spare);
-        let urgent = due.iter().any(|job| job.due != Due::Progress);
+        let urgent = due
+            .iter()
+            .any(|job| job.priority != WritePriority::Progress);
         let limits = TxnLimits {
-            max_changes: (self.cfg.txn_ops).min(if urgent { room.max(2) } else { spare }),
-            room,
-            spare,
+            max_changes: (self.cfg.max_txn_changes).min(if urgent { room.max(2) } else { spare }),
+            capacity: room,
+            background_capacity: spare,
             urgent,
         };
         let mut builder = TxnBuilder::new(self.leader_version);
-        let parts = self.write_parts(&mut builder.txn, due.is_empty() && spare > 0);
+        let parts = self.write_due_parts(&mut builder.txn, due.is_empty() && spare > 0);
         builder.bytes += parts.iter().map(WrittenPart::bytes).sum::<usize>();
         self.write_due_jobs(&mut builder, due, &limits);
         let plans = self.write_due_plans(now, &mut builder, &limits);
-        self.write_cleared(&mut builder, &limits);
-        self.write_settled(&mut builder);
+        self.delete_run_records(&mut builder, &limits);
+        self.write_recovery_complete(&mut builder);
         if builder.txn.changes.is_empty() {
             return None;
         }
         self.txn_in_flight = true;
         Some(PendingTxn {
             txn: builder.txn,
-            written: builder.written,
+            effects: builder.effects,
             parts,
             plans,
         })
@@ -236,48 +238,55 @@
             .filter_map(|(id, job)| {
                 let since = job.dirty_since?;
                 Some(DueJob {
-                    due: self.due_of(job, now - since, spare)?,
-                    since,
+                    priority: self.write_priority(job, now - since, spare)?,
+                    dirty_since: since,
                     id: id.clone(),
                 })
             })
             .collect();
         due.sort_by(|a, b| {
-            a.due
-                .cmp(&b.due)
-                .then(a.since.total_cmp(&b.since))
+            a.priority
+                .cmp(&b.priority)
+                .then(a.dirty_since.total_cmp(&b.dirty_since))
                 .then(a.id.cmp(&b.id))
         });
         due
     }
 
     /// Why a job's record that changed `age_s` ago is written now, if it is.
-    fn due_of(&self, job: &Job, age_s: f64, spare: usize) -> Option<Due> {
+    fn write_priority(&self, job: &Job, age_s: f64, spare: usize) -> Option<WritePriority> {
         let tuning = &self.cfg.tuning;
         let due = if job.is_complete() && age_s < tuning.end_patience_s {
-            Due::End
+            WritePriority::End
         } else if job.is_complete() || job.is_write_urgent() {
-            Due::Launch
+            WritePriority::Launch
         } else if spare > 0 && age_s >= tuning.write_delay_s {
-            Due::Progress
+            WritePriority::Progress
         } else {
             return None;
         };
         match due {
-            Due::Launch | Due::End if job.spec.is_best_effort() => Some(Due::BestEffort),
+            WritePriority::Launch | WritePriority::End if job.spec.is_best_effort() => {
+                Some(WritePriority::BestEffort)
+            }
             due => Some(due),
         }
     }
 
     fn write_due_jobs(&mut self, builder: &mut TxnBuilder, due: Vec<DueJob>, limits: &TxnLimits) {
-        for DueJob { due, id, .. } in due {
+        for DueJob {
+            priority: due, id, ..
+        } in due
+        {
             let max_changes = match due {
-                Due::Progress | Due::BestEffort => limits.max_changes.min(limits.spare),
-                Due::Launch | Due::End => limits.max_changes,
+                WritePriority::Progress | WritePriority::BestEffort => {
+                    limits.max_changes.min(limits.background_capacity)
+                }
+                WritePriority::Launch | WritePriority::End => limits.max_changes,
             };
             let changes = builder.txn.changes.len();
             let is_full = changes + 2 > max_changes && changes > 0;
-            if is_full || (due == Due::BestEffort && limits.spare < 2) {
+            if is_full || (due == WritePriority::BestEffort && limits.background_capacity < 2) {
                 break;
             }
             let Some(job) = self.jobs.get(&id) else {
@@ -287,7 +296,7 @@
                 continue;
             };
             if job.is_complete() {
-                self.write_end(builder, &id, run_version);
+                self.write_job_end(builder, &id, run_version);
             } else if !self.write_progress(builder, &id, run_version) {
                 break;
             }
@@ -295,11 +304,11 @@
     }
 
     /// Writes that the job is done: its key goes, its end comes (rule 6).
-    fn write_end(&mut self, builder: &mut TxnBuilder, id: &JobId, run_version: u64) {
+    fn write_job_end(&mut self, builder: &mut TxnBuilder, id: &JobId, run_version: u64) {
         let Some(job) = self.jobs.get_mut(id) else {
             return;
         };
-        job.ending = true;
+        job.end_write_pending = true;
         builder.require(job_key(id), job.version);
         builder.delete(job_key(id));
         let over = OverRecord {
@@ -307,21 +316,21 @@
             done: job.done.count(),
         };
         builder.put(over_key(id), Record::Over(over));
-        if job.extra() > 0 {
+        if job.extra_attempts() > 0 {
             // Attempts are still about: the record stays, and says so.
             let record = run_record(job, &self.cfg.teams);
             builder.bytes += run_record_bytes(&record);
             builder.require(run_key(id), run_version);
             builder.put(run_key(id), Record::Run(record));
         } else if run_version > 0 {
-            let full = self.cleared.len() >= self.cfg.tuning.cleared_most as usize;
-            if full && builder.txn.changes.len() < self.cfg.txn_ops {
+            let full = self.run_records_to_delete.len() >= self.cfg.tuning.cleared_most as usize;
+            if full && builder.txn.changes.len() < self.cfg.max_txn_changes {
                 builder.delete(run_key(id));
             } else {
-                self.cleared.insert(id.clone());
+                self.run_records_to_delete.insert(id.clone());
             }
         }
-        builder.written.push(Written::End(id.clone()));
+        builder.effects.push(WriteEffect::JobEnded(id.clone()));
         builder.bytes += RECORD_BYTES;
     }
 
@@ -332,7 +341,7 @@
         };
         let record = run_record(job, &self.cfg.teams);
         let bytes = run_record_bytes(&record);
-        if builder.bytes + bytes > TXN_BYTES && !builder.written.is_empty() {
+        if builder.bytes + bytes > TXN_BYTES && !builder.effects.is_empty() {
             return false;
         }
         builder.bytes += bytes;
@@ -341,9 +350,9 @@
         job.dirty_since = None;
         // From here on the record may lose the hosts that are not in this
         // write: nothing may be started on the strength of the older one.
-        let hosts = job.hosts();
+        let hosts = job.machines();
         job.recorded_hosts.retain(|host| hosts.contains(host));
-        builder.written.push(Written::Run {
+        builder.effects.push(WriteEffect::Run {
             id: id.clone(),
             high: record.high,
             hosts,
@@ -365,7 +374,7 @@
         let overdue = (self.plans.store).is_overdue(now, self.cfg.tuning.plan_patience_s);
         let max_plans = match limits.urgent {
             false => limits.max_changes.saturating_sub(changes),
-            true => usize::from(overdue && changes < self.cfg.txn_ops),
+            true => usize::from(overdue && changes < self.cfg.max_txn_changes),
         };
         let bytes_left = TXN_BYTES.saturating_sub(builder.bytes);
         (self.plans.store).write(&mut builder.txn, max_plans, bytes_left)
@@ -373,57 +382,61 @@
 
     /// Removes progress of jobs that are over, in a quiet moment; beyond a bound it does not
     /// wait for one, so that the list stays small.
-    fn write_cleared(&self, builder: &mut TxnBuilder, limits: &TxnLimits) {
-        let crowded = self.cleared.len() > self.cfg.tuning.cleared_most as usize;
+    fn delete_run_records(&self, builder: &mut TxnBuilder, limits: &TxnLimits) {
+        let crowded = self.run_records_to_delete.len() > self.cfg.tuning.cleared_most as usize;
         if limits.urgent && !crowded {
             return;
         }
-        let free = if crowded { limits.room } else { limits.spare };
-        let max_changes = self.cfg.txn_ops.min(free);
-        for id in &self.cleared {
+        let free = if crowded {
+            limits.capacity
+        } else {
+            limits.background_capacity
+        };
+        let max_changes = self.cfg.max_txn_changes.min(free);
+        for id in &self.run_records_to_delete {
             if builder.txn.changes.len() >= max_changes {
                 break;
             }
             if !self.jobs.contains_key(id) {
                 builder.delete(run_key(id));
-                builder.written.push(Written::Cleared(id.clone()));
+                builder.effects.push(WriteEffect::RunDeleted(id.clone()));
             }
         }
     }
 
     /// Removes the note that recovery is pending, once it is not (rule 3).
-    fn write_settled(&self, builder: &mut TxnBuilder) {
-        let has_room = builder.txn.changes.len() < self.cfg.txn_ops;
-        if self.recovery_pending && has_room && self.is_settled() {
+    fn write_recovery_complete(&self, builder: &mut TxnBuilder) {
+        let has_room = builder.txn.changes.len() < self.cfg.max_txn_changes;
+        if self.recovery_pending && has_room && self.is_recovery_complete() {
             builder.delete(RECOVERY_PENDING_KEY.into());
-            builder.written.push(Written::Settled);
+            builder.effects.push(WriteEffect::RecoveryCompleted);
         }
     }
 
     /// Machines that a job's record can name beside its completed tasks. The
     /// record is never to outgrow the state service's bound: it would be
     /// refused, and with it whatever stands in the same transaction.
-    pub(super) fn most_hosts(&self, tasks: u32) -> usize {
-        let left = self.cfg.value_bytes.saturating_sub(RECORD_BYTES);
+    pub(super) fn max_recorded_hosts(&self, tasks: u32) -> usize {
+        let left = self.cfg.max_value_bytes.saturating_sub(RECORD_BYTES);
         left.saturating_sub(Bitmap::most_text(tasks)) / HOST_BYTES
     }
 
     /// Takes in what became of a transaction.
-    pub fn txn_done(&mut self, now: Time, pending: PendingTxn, outcome: TxnOutcome) {
+    pub fn txn_finished(&mut self, now: Time, pending: PendingTxn, outcome: TxnOutcome) {
         self.txn_in_flight = false;
         match outcome {
             TxnOutcome::Applied { revision } => self.txn_applied(now, pending, revision),
             TxnOutcome::Conflict { failed } => {
-                self.txn_again(now, &pending, false);
+                self.retry_txn(now, &pending, false);
                 for key in failed {
                     if key == LEADER_KEY {
-                        self.lost = true;
+                        self.leadership_lost = true;
                     } else if let Some(index) = key.strip_prefix(GRANT_PARTS) {
-                        self.part_moved(index);
+                        self.part_version_conflict(index);
                     } else if let Some(name) = key.strip_prefix(PLANS) {
                         self.plans.store.moved(name);
                     } else if let Some(id) = key.strip_prefix(JOBS) {
-                        self.job_dropped(id);
+                        self.job_key_removed(id);
                     } else if let Some(id) = key.strip_prefix(RUNS)
                         && let Some(job) = self.jobs.get_mut(id)
                     {
@@ -431,19 +444,19 @@
                     }
                 }
             }
-            TxnOutcome::NotExecuted => self.txn_again(now, &pending, false),
+            TxnOutcome::NotExecuted => self.retry_txn(now, &pending, false),
             // It may yet be applied: read what stands before the next try,
             // whose conditions then exclude the late one or are excluded by it.
-            TxnOutcome::Unknown => self.txn_again(now, &pending, true),
+            TxnOutcome::Unknown => self.retry_txn(now, &pending, true),
         }
     }
 
     fn txn_applied(&mut self, now: Time, pending: PendingTxn, revision: u64) {
         self.parts_applied(pending.parts, revision);
         self.plans.store.applied(now, pending.plans, revision);
-        for written in pending.written {
+        for written in pending.effects {
             match written {
-                Written::Run {
+                WriteEffect::Run {
                     id,
                     high,
                     hosts,
@@ -457,29 +470,32 @@
                         job.recorded_done = done;
                         job.recorded_evictions = evictions;
                         if job.is_write_urgent() {
-                            job.touch(now);
+                            job.mark_dirty(now);
                         }
                     } else {
                         // Cancelled while it was written, and nothing of it runs.
-                        self.cleared.insert(id);
+                        self.run_records_to_delete.insert(id);
                     }
                 }
-                Written::Settled => {
+                WriteEffect::RecoveryCompleted => {
                     info!("nothing runs that no record tells of");
                     self.recovery_pending = false;
                 }
-                Written::Cleared(id) => {
-                    self.cleared.remove(&id);
+                WriteEffect::RunDeleted(id) => {
+                    self.run_records_to_delete.remove(&id);
                 }
-                Written::End(id) => {
+                WriteEffect::JobEnded(id) => {
                     if let Some(job) = self.remove_job(&id) {
                         info!(
                             job = &*id,
                             class = job.spec.class,
                             cpus = job.size(),
-                            began_s = job.began_s.map(|s| s as u64),
-                            took_s = (now - job.submitted) as u64,
-                            late = job.spec.deadline_s.is_some_and(|d| now - job.submitted > d),
+                            began_s = job.start_delay_s.map(|s| s as u64),
+                            took_s = (now - job.submitted_at) as u64,
+                            late = job
+                                .spec
+                                .deadline_s
+                                .is_some_and(|d| now - job.submitted_at > d),
                             evictions = job.evictions,
                             "done"
                         );
@@ -492,22 +508,22 @@
         self.tick_calendar(now);
     }
 
-    fn txn_again(&mut self, now: Time, pending: &PendingTxn, unknown: bool) {
+    fn retry_txn(&mut self, now: Time, pending: &PendingTxn, unknown: bool) {
         if unknown {
-            self.parts_unsure(&pending.parts);
+            self.parts_outcome_unknown(&pending.parts);
             self.plans.store.unsure(&pending.plans);
         }
-        for written in &pending.written {
-            let (Written::Run { id, .. } | Written::End(id)) = written else {
+        for written in &pending.effects {
+            let (WriteEffect::Run { id, .. } | WriteEffect::JobEnded(id)) = written else {
                 continue;
             };
             if unknown && !self.jobs.contains_key(id) {
                 // Cancelled while it was written: what may stand is removed.
-                self.cleared.insert(id.clone());
+                self.run_records_to_delete.insert(id.clone());
             }
             if let Some(job) = self.jobs.get_mut(id) {
-                job.touch(now);
-                job.ending = false;
+                job.mark_dirty(now);
+                job.end_write_pending = false;
                 if unknown {
                     job.run_version = None;
                 }
@@ -543,10 +559,10 @@
         if !exists {
             if let Some(job) = self.jobs.get_mut(id) {
                 // Ended by our own late write, or cancelled: over either way.
-                job.ending = true;
+                job.end_write_pending = true;
                 job.run_version = Some(run_version);
             }
-            self.job_dropped(id);
+            self.job_key_removed(id);
         } else if let Some(job) = self.jobs.get_mut(id) {
             job.run_version = Some(run_version);
         }
--- a/crates/umbersail-control/src/front.rs
+++ b/crates/umbersail-control/src/front.rs
@@ -233,14 +233,14 @@
         let Some(revision) = self.entitled(&report, taken_at) else {
             return Response::empty(503);
         };
-        if self.with_engine(revision, |e| e.report(taken_at, &report)) != Some(true) {
+        if self.with_engine(revision, |e| e.receive_heartbeat(taken_at, &report)) != Some(true) {
             return Response::empty(503);
         }
         self.wake.notify();
         let until = taken_at + self.tuning.launch_hold_s;
         loop {
             let now = self.clock.now();
-            let near = self.with_engine(revision, |e| e.launch_is_near(now, &report.machine));
+            let near = self.with_engine(revision, |e| e.expects_launch(now, &report.machine));
             if near != Some(true) || now >= until || !self.may_start(now) {
                 break;
             }
@@ -391,7 +391,7 @@
     /// The counts are for display; a missing record means none.
     async fn unfinished(&self, id: &str, status: u16) -> Response {
         let counts = match &*self.role.borrow() {
-            Role::Leading(leading) => leading.engine.counts(id),
+            Role::Leading(leading) => leading.engine.job_progress(id),
             Role::Following => self.heard_counts(id),
         };
         let (done, running) = match counts {
--- a/crates/umbersail-control/src/leader/cloud.rs
+++ b/crates/umbersail-control/src/leader/cloud.rs
@@ -30,7 +30,7 @@
                     if !catalogue_recorded {
                         catalogue_recorded = self.record_catalogue(token, types.clone()).await;
                     }
-                    self.with_engine(token, |e| e.set_types(types));
+                    self.with_engine(token, |e| e.set_machine_types(types));
                 }
             }
             if now - listed_at >= self.tuning.list_interval_s {
@@ -40,7 +40,7 @@
                         info!(machines = list.len(), "first list of the cloud");
                     }
                     listed_at = now;
-                    self.with_engine(token, |e| e.listing(now, &list));
+                    self.with_engine(token, |e| e.apply_machine_list(now, &list));
                     self.wake.notify();
                 } else {
                     debug!("cloud gave no list");
@@ -84,7 +84,7 @@
                 let gone = self.cloud.delete(&names).await;
                 self.with_engine(token, |e| {
                     if gone {
-                        e.deleted(&names);
+                        e.machines_deleted(&names);
                     } else {
                         e.delete_unanswered(&names);
                     }
@@ -95,9 +95,9 @@
                 let rented = self.cloud.rent(&request).await;
                 let now = self.clock.now();
                 self.with_engine(token, |e| match rented {
-                    Rented::Machines(names) => e.rented(now, &request, &names),
-                    Rented::NoCapacity => e.rent_refused(now, &request),
-                    Rented::Unknown => e.rent_unanswered(request),
+                    Rented::Machines(names) => e.machines_rented(now, &request, &names),
+                    Rented::NoCapacity => e.rental_refused(now, &request),
+                    Rented::Unknown => e.rental_unanswered(request),
                 });
             }
         }
--- a/crates/umbersail-control/src/leader/fencing.rs
+++ b/crates/umbersail-control/src/leader/fencing.rs
@@ -6,7 +6,7 @@
 use umbersail_runtime::{sleep, spawn};
 use umbersail_wire::{DirectCommands, Report, decode, encode, paths};
 
-use crate::engine::Fencing;
+use crate::engine::FencingCommand;
 use crate::node::Node;
 
 impl Node {
@@ -27,7 +27,7 @@
         }
     }
 
-    pub(super) async fn bring_token(self: Rc<Self>, revision: u64, target: Fencing) {
+    pub(super) async fn bring_token(self: Rc<Self>, revision: u64, target: FencingCommand) {
         let body = encode(&DirectCommands {
             token: target.token,
             session: target.session.max(1),
@@ -42,7 +42,7 @@
             Ok((200 | 409, body)) => match decode::<Report>(&body) {
                 Ok(report) => {
                     let now = self.clock.now();
-                    self.with_engine(revision, |e| e.direct_report(now, &report));
+                    self.with_engine(revision, |e| e.receive_command_response(now, &report));
                     self.wake.notify();
                 }
                 Err(e) => warn!(machine, reason = %e, "malformed answer of a worker"),
--- a/crates/umbersail-control/src/leader/jobs.rs
+++ b/crates/umbersail-control/src/leader/jobs.rs
@@ -34,7 +34,7 @@
                 if let (Some(_), Some(record)) = (&event.put, event.value) {
                     engine.job_accepted(now, unix_ms, record, event.version);
                 } else if let Some(key) = &event.delete {
-                    engine.job_dropped(&key[JOBS.len().min(key.len())..]);
+                    engine.job_key_removed(&key[JOBS.len().min(key.len())..]);
                 }
             }
         });
--- a/crates/umbersail-control/src/leader/mod.rs
+++ b/crates/umbersail-control/src/leader/mod.rs
@@ -164,7 +164,7 @@
             Role::Leading(leading) if leading.superseded.get() => {
                 return Some(TermEnd::Superseded);
             }
-            Role::Leading(leading) if leading.engine.is_lost() => {
+            Role::Leading(leading) if leading.engine.has_lost_leadership() => {
                 return Some(TermEnd::WriteRefused);
             }
             Role::Leading(_) => {}
@@ -197,7 +197,7 @@
     /// lead: workers that reach every other controller would lose their tasks.
     fn is_unreached(&self, now: Time, since: &mut Option<Time>) -> bool {
         let (live, all) = match &*self.role.borrow() {
-            Role::Leading(leading) => leading.engine.live_machines(now),
+            Role::Leading(leading) => leading.engine.live_machine_counts(now),
             Role::Following => (0, 0),
         };
         if all < 2 || live > 0 || !self.a_peer_could_lead(now) {
--- a/crates/umbersail-control/src/leader/recovery.rs
+++ b/crates/umbersail-control/src/leader/recovery.rs
@@ -8,7 +8,7 @@
 
 use super::LeaderLease;
 use super::election::Elected;
-use crate::engine::{Inheritance, InheritedJob, InheritedPart, InheritedPlan};
+use crate::engine::{InheritedJob, InheritedPart, InheritedPlan, InheritedState};
 use crate::node::Node;
 use crate::records::{GRANT_PARTS, GrantPart, JOBS, JobRecord, PLANS, RUNS, RunRecord};
 use crate::state::{StateError, Urgency};
@@ -18,7 +18,7 @@
 
 /// What the predecessor left, and how far it is known.
 pub(super) struct Recovered {
-    pub inheritance: Inheritance,
+    pub inheritance: InheritedState,
     /// The jobs are those of this revision.
     pub revision: u64,
     /// They were read after this time.
@@ -88,13 +88,13 @@
             })
             .collect();
         let over = progress.into_iter().map(|(id, (run, _))| (id, run));
-        let inheritance = Inheritance {
+        let inheritance = InheritedState {
             revision: elected.token,
             leader_version: elected.token,
-            parts: parts.into_iter().filter_map(inherited_part).collect(),
+            grant_parts: parts.into_iter().filter_map(inherited_part).collect(),
             jobs,
-            over: over.collect(),
-            whole_machines: elected.whole_machines,
+            finished_jobs: over.collect(),
+            count_whole_machines: elected.whole_machines,
             predecessor_degraded: elected.predecessor_degraded,
             types: self.types.borrow().clone(),
             plans: plans.into_iter().map(inherited_plan).collect(),
--- a/crates/umbersail-control/src/leader/scheduler.rs
+++ b/crates/umbersail-control/src/leader/scheduler.rs
@@ -10,7 +10,7 @@
 use umbersail_runtime::{Time, charge, sleep, spawn};
 use umbersail_wire::{Change, Txn, Value};
 
-use crate::engine::{Engine, Fencing, PendingTxn, TxnOutcome};
+use crate::engine::{Engine, FencingCommand, PendingTxn, TxnOutcome};
 use crate::node::Node;
 use crate::records::{JobRecord, OVER, Record, RunRecord, job_key, part_key, plan_key, run_key};
 use crate::state::{StateError, Urgency};
@@ -131,7 +131,7 @@
         self.send_tokens(token, increments.unwrap_or_default());
     }
 
-    fn send_tokens(self: &Rc<Self>, token: u64, increments: Vec<Fencing>) {
+    fn send_tokens(self: &Rc<Self>, token: u64, increments: Vec<FencingCommand>) {
         for increment in increments {
             spawn(self.clone().bring_token(token, increment));
         }
@@ -152,8 +152,8 @@
             self.remember_ends(&pending.txn);
         }
         let after = self.with_engine(token, |engine| {
-            engine.txn_done(now, pending, outcome);
-            (engine.is_lost(), engine.token_increments(now))
+            engine.txn_finished(now, pending, outcome);
+            (engine.has_lost_leadership(), engine.token_increments(now))
         });
         self.progress.raise();
         let Some((false, increments)) = after else {
--- a/crates/umbersail-control/src/node.rs
+++ b/crates/umbersail-control/src/node.rs
@@ -247,22 +247,22 @@
         EngineConfig {
             member: self.settings.member.clone(),
             teams: self.settings.team_limits(),
-            start_aims: aims
+            start_objectives: aims
                 .clone()
                 .filter_map(|(class, within)| Some((class?, within)))
                 .collect(),
-            late_aims,
-            guarantee_aim: aims
+            deadline_factors: late_aims,
+            guarantee_start_objective: aims
                 .filter(|(class, _)| class.is_none())
                 .map(|(_, within)| within)
                 .reduce(f64::min),
-            report_s: facts.workers.report_s,
+            heartbeat_interval_s: facts.workers.report_s,
             lease_s: facts.workers.lease_s,
             cancel_s: facts.workers.cancel_s,
-            list_lag_s: facts.cloud.list_lag_s,
-            txn_ops: facts.state.txn_ops,
-            value_bytes: (facts.state.value_kb * 1024.0) as usize,
-            skew_ms: facts.skew_ms,
+            cloud_list_lag_s: facts.cloud.list_lag_s,
+            max_txn_changes: facts.state.txn_ops,
+            max_value_bytes: (facts.state.value_kb * 1024.0) as usize,
+            max_clock_skew_ms: facts.skew_ms,
             slice_steps: (facts.resources.cpu * self.tuning.slice_s * 1e9 / self.tuning.step_ns)
                 as u64,
             tuning: self.tuning.clone(),
--- a/crates/umbersail-control/src/peers.rs
+++ b/crates/umbersail-control/src/peers.rs
@@ -67,7 +67,7 @@
     /// the leader we start nothing more of them and stop what runs (rule 6).
     pub(crate) fn on_cancelled_jobs(&self, ids: &[String]) {
         if let Role::Leading(leading) = &mut *self.role.borrow_mut() {
-            ids.iter().for_each(|id| leading.engine.job_dropped(id));
+            ids.iter().for_each(|id| leading.engine.job_key_removed(id));
         }
         if !ids.is_empty() {
             self.wake.notify();
@@ -86,9 +86,9 @@
         {
             let until = leading.lease.renew_until();
             if until > now
-                && let Some(over) = leading.engine.over_jobs()
+                && let Some(over) = leading.engine.finished_jobs()
             {
-                leading.engine.delegate_to(member, until);
+                leading.engine.delegate_renewals_to(member, until);
                 hello.renewal_ms = Some(((until - now) * 1000.0) as u64);
                 hello.over = over;
             }
@@ -132,7 +132,7 @@
         if let Role::Leading(leading) = &mut *self.role.borrow_mut() {
             let up_s = hello.up_ms as f64 / 1000.0;
             let engine = &mut leading.engine;
-            engine.renewed_by(now, &hello.member, asked_at, up_s, &hello.renewed);
+            engine.record_delegated_renewals(now, &hello.member, asked_at, up_s, &hello.renewed);
         }
     }
 
@@ -142,7 +142,9 @@
         let mut hello = self.hello();
         if let Role::Leading(leading) = &*self.role.borrow() {
             hello.machines = leading.engine.machine_count();
-            hello.progress = leading.engine.progress(self.tuning.progress_most as usize);
+            hello.progress = leading
+                .engine
+                .all_job_progress(self.tuning.progress_most as usize);
         }
         hello
     }
