--- a/crates/umbersail-control/src/engine/job.rs
+++ b/crates/umbersail-control/src/engine/job.rs
@@ -126,8 +126,8 @@
     pub next_wait_log_s: f64,
     // What the state service holds.
     pub run_version: Option<u64>,
-    pub recorded_high: u32,
-    pub recorded_hosts: BTreeSet<MachineId>,
+    pub recorded_first_unplanned: u32,
+    pub recorded_machines: BTreeSet<MachineId>,
     pub recorded_done: Bitmap,
     pub recorded_evictions: u32,
     pub dirty_since: Option<Time>,
@@ -187,8 +187,8 @@
             deadline_counted: false,
             next_wait_log_s: 0.0,
             run_version: Some(run_version),
-            recorded_high: high,
-            recorded_hosts: hosts,
+            recorded_first_unplanned: high,
+            recorded_machines: hosts,
             recorded_done: done.clone(),
             recorded_evictions: run.evictions,
             dirty_since: None,
@@ -229,7 +229,9 @@
     /// Tasks whose recovery is pending that no record tells of.
     pub fn unrecorded_recovery_pending(&self) -> usize {
         if self.may_run_anywhere {
-            self.recovery_pending.range(self.recorded_high..).count()
+            self.recovery_pending
+                .range(self.recorded_first_unplanned..)
+                .count()
         } else {
             0
         }
@@ -358,7 +360,7 @@
 
     /// A launch may be told to a worker only if a successor would know of it.
     pub fn is_recorded(&self, task: u32, machine: &MachineId) -> bool {
-        task < self.recorded_high && self.recorded_hosts.contains(machine)
+        task < self.recorded_first_unplanned && self.recorded_machines.contains(machine)
     }
 
     pub fn machines(&self) -> BTreeSet<MachineId> {
--- a/crates/umbersail-control/src/engine/placement.rs
+++ b/crates/umbersail-control/src/engine/placement.rs
@@ -230,7 +230,7 @@
     /// Machines that the job's record can name beside those that it does; without
     /// bound where it can name all.
     pub(super) fn more_hosts(&self, job: &Job) -> Option<(BTreeSet<MachineId>, usize)> {
-        let most = self.max_recorded_hosts(job.spec.tasks);
+        let most = self.max_recorded_machines(job.spec.tasks);
         (most < self.machines.len()).then(|| {
             let hosts = job.machines();
             let left = most.saturating_sub(hosts.len());
--- a/crates/umbersail-control/src/engine/tests/faults.rs
+++ b/crates/umbersail-control/src/engine/tests/faults.rs
@@ -940,7 +940,7 @@
             }
         }
         let mut direct = engine.token_increments(now);
-        direct.extend(engine.fence_targets(now));
+        direct.extend(engine.fencing_commands(now));
         for order in direct {
             self.send_direct(node, &order);
         }
--- a/crates/umbersail-control/src/engine/tokens.rs
+++ b/crates/umbersail-control/src/engine/tokens.rs
@@ -107,7 +107,7 @@
     }
 
     /// Addresses of machines that have not yet seen our token.
-    pub fn fence_targets(&self, now: Time) -> Vec<FencingCommand> {
+    pub fn fencing_commands(&self, now: Time) -> Vec<FencingCommand> {
         self.machines
             .values()
             .filter(|m| {
--- a/crates/umbersail-control/src/engine/write.rs
+++ b/crates/umbersail-control/src/engine/write.rs
@@ -150,7 +150,7 @@
 fn run_record(job: &Job, teams: &[TeamLimits]) -> RunRecord {
     let running = |p: &&Placement| p.observed_state.is_some_and(|s| s == TaskState::Running);
     RunRecord {
-        high: job.first_unplanned.max(job.recorded_high),
+        high: job.first_unplanned.max(job.recorded_first_unplanned),
         done: job.done.to_text(),
         hosts: job.machines().iter().map(|h| h.to_string()).collect(),
         evictions: job.evictions,
@@ -351,7 +351,7 @@
         // From here on the record may lose the hosts that are not in this
         // write: nothing may be started on the strength of the older one.
         let hosts = job.machines();
-        job.recorded_hosts.retain(|host| hosts.contains(host));
+        job.recorded_machines.retain(|host| hosts.contains(host));
         builder.effects.push(WriteEffect::Run {
             id: id.clone(),
             high: record.high,
@@ -416,7 +416,7 @@
     /// Machines that a job's record can name beside its completed tasks. The
     /// record is never to outgrow the state service's bound: it would be
     /// refused, and with it whatever stands in the same transaction.
-    pub(super) fn max_recorded_hosts(&self, tasks: u32) -> usize {
+    pub(super) fn max_recorded_machines(&self, tasks: u32) -> usize {
         let left = self.cfg.max_value_bytes.saturating_sub(RECORD_BYTES);
         left.saturating_sub(Bitmap::most_text(tasks)) / HOST_BYTES
     }
@@ -465,8 +465,8 @@
                 } => {
                     if let Some(job) = self.jobs.get_mut(&id) {
                         job.run_version = Some(revision);
-                        job.recorded_high = high;
-                        job.recorded_hosts = hosts;
+                        job.recorded_first_unplanned = high;
+                        job.recorded_machines = hosts;
                         job.recorded_done = done;
                         job.recorded_evictions = evictions;
                         if job.is_write_urgent() {
--- a/crates/umbersail-control/src/leader/fencing.rs
+++ b/crates/umbersail-control/src/leader/fencing.rs
@@ -15,7 +15,7 @@
     pub(super) async fn run_fencing(self: Rc<Self>, token: u64) {
         loop {
             let now = self.clock.now();
-            let Some(targets) = self.with_engine(token, |e| e.fence_targets(now)) else {
+            let Some(targets) = self.with_engine(token, |e| e.fencing_commands(now)) else {
                 return;
             };
             let round_s = self.tuning.fence_round_s;
