--- a/crates/umbersail-control/src/engine/commands.rs
+++ b/crates/umbersail-control/src/engine/commands.rs
@@ -1,4 +1,4 @@
-//! What a worker is told in the reply to its heartbeat.
+//! Commands for a worker in the reply to its heartbeat.
 
 use tracing::debug;
 use umbersail_wire::{Command, ExitCause, Report, TaskReport, TaskState};
@@ -8,9 +8,9 @@
 use super::{Engine, MachineId, Placement, Time, epoch};
 
 impl Engine {
-    /// Whether a launch for this machine is about to be planned or recorded:
-    /// the reply to the very report that shows a free place then carries it,
-    /// and the place does not stay empty until the next report.
+    /// Whether a launch for this machine is about to be placed or recorded. The reply to its
+    /// heartbeat is then delayed until it can carry the launch, so that free capacity does
+    /// not stay unused until the next heartbeat.
     pub fn expects_launch(&self, now: Time, machine: &str) -> bool {
         let Some((name, machine)) = self.machines.get_key_value(machine) else {
             return false;
@@ -23,21 +23,21 @@
             let Some(job) = self.jobs.get(id) else {
                 continue;
             };
-            let unsent_launches = job
+            let is_unsent = job
                 .placements
                 .get(task)
                 .is_some_and(|p| !p.may_be_known_to_worker() && p.pending_stop.is_none());
-            if unsent_launches && may_launch(job, *task, name, self.degraded_mode) {
+            if is_unsent && may_launch(job, *task, name, self.degraded_mode) {
                 return false;
             }
-            unrecorded |= unsent_launches;
+            unrecorded |= is_unsent;
         }
         unrecorded || (self.wants_schedule() && self.may_have_waiting_jobs)
     }
 
-    /// The commands for the reply to a report that was taken. `may_start` is
-    /// false once our lease is over: then tasks are kept alive and nothing is
-    /// started (rule 2).
+    /// Commands for the reply to a heartbeat that was applied. `may_start` is false once this
+    /// leader's lease has expired: running tasks are then kept alive and none is started
+    /// (rule 2).
     pub fn reply(&mut self, now: Time, report: &Report, may_start: bool) -> Vec<Command> {
         let Some((name, _)) = self.machines.get_key_value(report.machine.as_str()) else {
             return Vec::new();
@@ -46,9 +46,9 @@
         let commands = if epoch(report.token) == epoch(self.token) {
             self.commands(now, &name, report, may_start)
         } else {
-            // Not fenced yet: this answer brings it our token, and the change
-            // makes it report again, but perhaps in turn only. It renews the lease
-            // all the same, so what is over is stopped with it (rule 2).
+            // Not fenced yet. This reply carries the leader's token, after which the machine
+            // sends another heartbeat, but possibly only at the regular time. The reply renews
+            // the machine's lease, so it also stops the tasks of finished jobs (rule 2).
             self.stop_commands_for_finished_jobs(report)
         };
         let token = self.token;
@@ -60,23 +60,23 @@
         commands
     }
 
-    /// Stops of tasks whose jobs are over: no unfinished job is unknown to us, since a
-    /// task is started only once its job is accepted, and we read those after our
-    /// election (rule 2).
+    /// Stop commands for listed tasks whose jobs are finished. A job that this leader does not
+    /// know is finished: tasks are started only after their job was accepted, and this leader
+    /// has read all accepted jobs since its election (rule 2).
     pub(super) fn stop_commands_for_finished_jobs(&self, report: &Report) -> Vec<Command> {
-        let over = |task: &str| {
+        let job_is_finished = |task: &str| {
             let job = split_task(task).map(|(id, _)| self.jobs.get(id));
             job.is_some_and(|job| job.is_none_or(|job| job.cancelled))
         };
         let active = (report.tasks.iter()).filter(|entry| entry.state != TaskState::Exited);
         active
-            .filter(|entry| over(&entry.task))
+            .filter(|entry| job_is_finished(&entry.task))
             .map(|entry| Command::stop(entry, 0.0))
             .collect()
     }
 
-    /// Stops and removals first: the worker executes in order, and room must be free before
-    /// a launch.
+    /// All commands for a fenced machine. Stop and forget commands come first: the worker
+    /// executes in order, and capacity must be free before a launch.
     fn commands(
         &mut self,
         now: Time,
@@ -84,9 +84,9 @@
         report: &Report,
         may_start: bool,
     ) -> Vec<Command> {
-        let shown = report.tasks.iter();
-        let mut commands: Vec<Command> = shown
-            .filter_map(|entry| self.command_for_shown(name, entry))
+        let listed = report.tasks.iter();
+        let mut commands: Vec<Command> = listed
+            .filter_map(|entry| self.command_for_listed(name, entry))
             .collect();
         let machine = &self.machines[name];
         if may_start && machine.grant_recorded && !machine.reachability.is_unreachable() {
@@ -95,12 +95,12 @@
         commands
     }
 
-    /// What a worker shall do with a task that it shows, if anything.
-    fn command_for_shown(&self, name: &MachineId, entry: &TaskReport) -> Option<Command> {
+    /// The stop or forget command for a task that the heartbeat lists, if one is needed.
+    fn command_for_listed(&self, name: &MachineId, entry: &TaskReport) -> Option<Command> {
         let (id, task) = split_task(&entry.task)?;
         let job = self.jobs.get(id);
         if entry.state == TaskState::Exited {
-            // A result stays with its worker until it is recorded.
+            // The worker keeps a result until it is recorded.
             let is_result = entry.cause == Some(ExitCause::Done);
             let unrecorded = job.is_some_and(|job| {
                 is_result && !job.is_service() && !job.recorded_done.contains(task)
@@ -112,8 +112,9 @@
         }
         let placement = job.and_then(|job| Some((job, job.placements.get(&task)?)));
         let grace_s = match placement {
-            // The job is over, or this is not the attempt that counts.
+            // The job is finished, or the task has no placement.
             None => 0.0,
+            // Another attempt of the task is placed.
             Some((_, p)) if p.attempt != entry.attempt || p.machine != *name => 0.0,
             Some((job, p)) => {
                 let stop = p.pending_stop.as_ref()?;
@@ -126,7 +127,7 @@
         Some(Command::stop(entry, grace_s))
     }
 
-    /// Adds the launches that the machine may be told of.
+    /// Adds the launch commands that may be sent to the machine now.
     fn add_launches(
         &mut self,
         now: Time,
@@ -134,14 +135,14 @@
         report: &Report,
         commands: &mut Vec<Command>,
     ) {
-        let open = self.degraded_mode;
+        let degraded_mode = self.degraded_mode;
         for (id, task) in self.held_by_urgency(name) {
             let Some(job) = self.jobs.get(&id) else {
                 continue;
             };
             let is_unsent = |p: &Placement| !p.may_be_known_to_worker() && p.pending_stop.is_none();
             if job.cancelled
-                || !may_launch(job, task, name, open)
+                || !may_launch(job, task, name, degraded_mode)
                 || !job.placements.get(&task).is_some_and(is_unsent)
             {
                 continue;
@@ -164,7 +165,7 @@
                 task,
                 machine = &**name,
                 waited_s = now - placement.placed_at,
-                "launch"
+                "launch command sent"
             );
         }
     }
--- a/crates/umbersail-control/src/engine/delegations.rs
+++ b/crates/umbersail-control/src/engine/delegations.rs
@@ -1,43 +1,44 @@
-//! The leader's delegations: which peers may renew workers' leases (`delegate.rs`), and
-//! until when, as far as it bears on when a machine has lapsed.
+//! Delegations of the leader: which peers may renew workers' leases on its behalf
+//! (`delegate.rs`) and until when. They decide when a machine's lease has certainly expired.
 
 use umbersail_wire::RenewedMachine;
 
 use super::{Engine, Time};
 
-/// A peer's authority to renew leases in our stead, and what it has reported.
+/// A peer's permission to renew leases on behalf of this leader, and what the peer has
+/// reported.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub(super) struct Delegation {
-    /// It answers nobody in our stead after this.
+    /// The peer renews no lease on behalf of this leader after this time.
     expires_at: Time,
-    /// What it answered up to here is known to us.
+    /// The peer has reported all renewals up to this time.
     reported_until: Time,
-    /// The process that told us so started before this; an earlier one may
-    /// have answered until then.
+    /// The peer's process that reported was started before this time; an earlier process of the
+    /// peer may have renewed leases until then.
     process_started_at: Time,
 }
 
-/// Upper bound on the jobs that a peer is told of with a delegation: some 50 KiB in each
-/// answer to a greeting, a burst of cancellations of a fleet of 4,000 machines. With more
-/// jobs than that nothing is delegated until some of them are gone.
+/// Upper bound on the number of finished jobs sent with a delegation: about 50 KiB in each
+/// reply to a peer's hello message, enough for a burst of cancellations in a fleet of 4,000
+/// machines. With more jobs nothing is delegated until some of them are removed.
 const MAX_FINISHED_JOBS: usize = 4096;
 
 impl Engine {
-    /// Jobs that are over of which tasks may still be about: whoever answers workers
-    /// in our stead tells them to stop those (rule 2). None while an earlier holder's
-    /// starts without a record are not all known, or if there are too many: then
-    /// nobody may answer in our stead.
+    /// Finished jobs whose tasks may still run: a peer that answers workers on behalf of this
+    /// leader tells them to stop these tasks (rule 2). `None` if nothing may be delegated,
+    /// because an earlier leader started tasks without a record that are not all known yet, or
+    /// because there are too many such jobs.
     pub fn finished_jobs(&self) -> Option<Vec<String>> {
         let cancelled = self.jobs.iter().filter(|(_, job)| job.cancelled);
         let ids = cancelled.map(|(id, _)| id).chain(self.orphaned_jobs.jobs());
-        let over: Vec<String> = ids
+        let finished: Vec<String> = ids
             .take(MAX_FINISHED_JOBS + 1)
             .map(|id| id.to_string())
             .collect();
-        (!self.recovery_pending && over.len() <= MAX_FINISHED_JOBS).then_some(over)
+        (!self.recovery_pending && finished.len() <= MAX_FINISHED_JOBS).then_some(finished)
     }
 
-    /// This peer may answer in our stead until then.
+    /// Allows the peer to renew leases on behalf of this leader until `until`.
     pub fn delegate_renewals_to(&mut self, member: &str, until: Time) {
         let delegation = self
             .delegations
@@ -50,8 +51,8 @@
         delegation.expires_at = delegation.expires_at.max(until);
     }
 
-    /// Asked at `asked_at`, a process that has run for `up_s` tells whom it
-    /// answered in our stead.
+    /// Applies a peer's report of the leases that it renewed on behalf of this leader. The
+    /// report was requested at `asked_at`; the peer's process has run for `up_s` seconds.
     pub fn record_delegated_renewals(
         &mut self,
         now: Time,
@@ -73,12 +74,12 @@
         }
     }
 
-    /// Whether a peer may have renewed, unknown to us, a lease that was last
-    /// renewed `lease` before `end` as far as we know.
+    /// Whether peers may have made renewals not yet reported to this leader, so that a lease may
+    /// still hold that as far as known expired at `end`, `lease` seconds after its last renewal.
     ///
-    /// One peer may have renewed the machine's lease until another took that over: the second
-    /// one's word that it renewed nothing counts only if it is from after the first
-    /// one's last possible answer and a lease.
+    /// One peer may have renewed the machine's lease until another peer continued: the second
+    /// peer's report that it renewed nothing counts only if it was made at least one lease
+    /// after the first peer's last possible reply.
     pub(super) fn may_have_been_renewed(&self, now: Time, end: Time, lease: f64) -> bool {
         let mut end = end;
         loop {
@@ -94,7 +95,7 @@
         }
     }
 
-    /// Whether this peer answers in our stead just now.
+    /// Whether this peer may currently renew leases on behalf of this leader.
     pub fn is_delegate(&self, now: Time, member: &str) -> bool {
         self.delegations
             .get(member)
--- a/crates/umbersail-control/src/engine/grant.rs
+++ b/crates/umbersail-control/src/engine/grant.rs
@@ -1,10 +1,10 @@
-//! The grant's record: which machines we may have started tasks on.
+//! The grant record: the machines on which this leader may have started tasks.
 //!
-//! It stands in parts of a bounded number of machines, since a large fleet
-//! outgrows the state service's bound on a value, and a new machine shall not
-//! cost a write of the whole fleet. Every part is written on the condition of
-//! the leader's key and of its own version, so a late write fails and what a
-//! successor lists after its election is final.
+//! The record is split into parts with a bounded number of machines: a large fleet exceeds the
+//! state service's size limit for a value, and adding a machine must not require a write of the
+//! whole fleet. Every part is written under conditions on the versions of the leader's key and
+//! of the part's own key. A delayed write of a former leader therefore fails, and the parts
+//! that a successor lists after its election are final.
 
 use std::collections::BTreeSet;
 
@@ -14,38 +14,40 @@
 use super::{Engine, Machine, MachineId};
 use crate::records::{GrantPart, GrantedMachine, Record, part_key};
 
-/// One part as it should be and as the state service holds it.
+/// One part of the grant record: its desired content and what the state service holds.
 #[derive(Debug, Default)]
 pub(super) struct GrantPartState {
-    /// 0: it does not exist; absent: unknown, to be read before it is written.
+    /// Version of the part's key: 0 if the key does not exist, `None` if the version must be
+    /// read before the next write.
     version: Option<u64>,
-    /// Machines that belong here and are not proven gone.
+    /// Machines that belong to the part and are not known to be deleted.
     machines: BTreeSet<MachineId>,
+    /// Machines in the part as last written.
     recorded: BTreeSet<MachineId>,
-    /// Has members that are not recorded, or a write of it had no answer. Kept
-    /// rather than compared: it is asked for with every report.
+    /// A machine of the part is not recorded, or a write of the part got no answer. Stored
+    /// rather than computed, because it is checked with every heartbeat.
     write_due: bool,
 }
 
-/// A part found by a new leader.
+/// A part of the grant record that a new leader found.
 pub struct InheritedPart {
-    /// Number of the part, from 0 on.
+    /// Number of the part, starting at 0.
     pub index: u32,
     /// Version of its key.
     pub version: u64,
-    /// The part.
+    /// Content of the part.
     pub part: GrantPart,
 }
 
-/// A part on its way to the state service.
+/// A part in a transaction that is in flight.
 #[derive(Debug, Clone)]
 pub(super) struct WrittenPart {
     index: usize,
     machines: BTreeSet<MachineId>,
 }
 
-/// What one machine takes in a part, names and frame included, as the state
-/// service counts it.
+/// Assumed size of one machine in a part, in bytes as the state service counts them,
+/// including names and framing.
 const MACHINE_BYTES: usize = 120;
 
 impl WrittenPart {
@@ -55,6 +57,7 @@
 }
 
 impl Engine {
+    /// Takes over a part of the grant record with its machines.
     pub(super) fn inherit_part(&mut self, now: f64, found: InheritedPart) {
         let index = found.index as usize;
         if self.grant_parts.len() <= index {
@@ -84,9 +87,10 @@
         self.grant_parts[index].version = Some(found.version);
     }
 
-    /// The machine is to be recorded before anything starts on it.
+    /// Assigns the machine to a part of the grant record, which is written before any task
+    /// starts on the machine.
     pub(super) fn assign_part(&mut self, name: &MachineId) {
-        let most = self.cfg.tuning.grant_part_machines as usize;
+        let max_machines = self.cfg.tuning.grant_part_machines as usize;
         let Some(machine) = self.machines.get_mut(name) else {
             return;
         };
@@ -96,7 +100,7 @@
         let index = match self
             .grant_parts
             .iter()
-            .position(|p| p.machines.len() < most)
+            .position(|p| p.machines.len() < max_machines)
         {
             Some(index) => index,
             None => {
@@ -112,17 +116,21 @@
         self.grant_parts[index].write_due = true;
     }
 
-    /// The machine is proven gone; its part forgets it with its next write.
+    /// Removes a machine that is known to be deleted; the next write of its part omits it.
     pub(super) fn remove_from_part(&mut self, name: &MachineId, part: Option<usize>) {
         if let Some(part) = part {
             self.grant_parts[part].machines.remove(name);
         }
     }
 
-    /// Adds the parts that are due: those with machines not yet recorded, and
-    /// with `lazy` those that name machines long gone, which a successor would
-    /// have to account for.
-    pub(super) fn write_due_parts(&self, txn: &mut Txn<Record>, lazy: bool) -> Vec<WrittenPart> {
+    /// Adds the parts that are due to the transaction: parts with machines not yet recorded and,
+    /// if `include_removals`, also parts that still record deleted machines, which a successor
+    /// would have to account for.
+    pub(super) fn write_due_parts(
+        &self,
+        txn: &mut Txn<Record>,
+        include_removals: bool,
+    ) -> Vec<WrittenPart> {
         let mut written = Vec::new();
         let mut bytes = 0;
         for (index, part) in self.grant_parts.iter().enumerate() {
@@ -132,7 +140,8 @@
             if txn.changes.len() + 1 > self.cfg.max_txn_changes {
                 break;
             }
-            if !part.write_due && (!lazy || part.machines.len() == part.recorded.len()) {
+            if !part.write_due && (!include_removals || part.machines.len() == part.recorded.len())
+            {
                 continue;
             }
             let size = part.machines.len() * MACHINE_BYTES;
@@ -178,26 +187,23 @@
         }
     }
 
+    /// The transaction that wrote these parts was applied.
     pub(super) fn parts_applied(&mut self, written: Vec<WrittenPart>, revision: u64) {
-        for WrittenPart {
-            index,
-            machines: members,
-        } in written
-        {
-            for name in &members {
+        for WrittenPart { index, machines } in written {
+            for name in &machines {
                 if let Some(machine) = self.machines.get_mut(name) {
                     machine.grant_recorded = true;
                 }
             }
             let part = &mut self.grant_parts[index];
             part.version = Some(revision);
-            part.recorded = members;
+            part.recorded = machines;
             part.write_due = !part.machines.is_subset(&part.recorded);
         }
     }
 
-    /// A write of these parts may have been applied or may yet be: what stood
-    /// before is named either way, the rest must be written again.
+    /// A write of these parts may have been applied or may still be applied. Machines recorded
+    /// before remain recorded in either case; all others must be written again.
     pub(super) fn parts_outcome_unknown(&mut self, written: &[WrittenPart]) {
         for WrittenPart { index, .. } in written {
             self.grant_parts[*index].version = None;
@@ -205,7 +211,7 @@
         }
     }
 
-    /// A part did not have the version that we thought: it is read again.
+    /// A part did not have the expected version: it is read again before the next write.
     pub(super) fn part_version_conflict(&mut self, index: &str) {
         if let Some(part) = index
             .parse()
@@ -216,6 +222,7 @@
         }
     }
 
+    /// Numbers of the parts whose versions must be read.
     pub(super) fn unread_parts(&self) -> Vec<u32> {
         (0u32..)
             .zip(&self.grant_parts)
@@ -224,7 +231,7 @@
             .collect()
     }
 
-    /// A fresh read of a part (0: it does not exist).
+    /// Applies the version of a part that was read; 0 if the part does not exist.
     pub fn part_read(&mut self, index: u32, version: u64) {
         if let Some(part) = self.grant_parts.get_mut(index as usize) {
             part.version = Some(version);
--- a/crates/umbersail-control/src/engine/heartbeats.rs
+++ b/crates/umbersail-control/src/engine/heartbeats.rs
@@ -1,4 +1,5 @@
-//! What a worker's report says, and what it is told.
+//! Heartbeats of workers: reconciles the known state of a machine with the tasks that its
+//! heartbeat lists.
 
 use std::collections::BTreeSet;
 
@@ -7,7 +8,7 @@
 
 use super::{Engine, JobId, Machine, MachineId, PendingStop, Placement, Time, epoch};
 
-/// `req-000412/3` in its parts.
+/// Splits a task name such as `req-000412/3` into job and task index.
 pub(crate) fn split_task(task: &str) -> Option<(&str, u32)> {
     let (id, index) = task.rsplit_once('/')?;
     Some((id, index.parse().ok()?))
@@ -17,38 +18,42 @@
     format!("{id}/{task}")
 }
 
-/// What a report shows beside tasks that are in place.
+/// Active attempts in a heartbeat that match no placement.
 #[derive(Default)]
-struct ShownTasks {
-    /// Active attempts that have no place in what is known.
-    orphaned_tasks: bool,
-    /// Among them some that nothing says the size of (rule 4).
-    unsized_orphans: bool,
-    /// Jobs that are over of which attempts are active.
+struct Orphans {
+    /// There are such attempts.
+    any: bool,
+    /// The resources of some of them are unknown (rule 4).
+    any_unsized: bool,
+    /// Finished jobs that such attempts belong to.
     finished_jobs: BTreeSet<JobId>,
 }
 
 impl Engine {
-    /// Takes a report that came to us; false if a newer one is known: a late
-    /// one shows an old list and gets no answer.
+    /// Applies a heartbeat that arrived at this leader. Returns false if a newer one was
+    /// applied before: the delayed heartbeat lists outdated tasks and gets no reply.
     pub fn receive_heartbeat(&mut self, now: Time, report: &Report) -> bool {
         self.apply_heartbeat(now, report, true).is_some()
     }
 
-    /// Takes a report that a worker sent in answer to direct commands. It
-    /// renews nothing, and a launch may still be on its way in a reply.
+    /// Applies a heartbeat that a worker sent in response to direct commands. It renews no
+    /// lease, and a launch command may still be in flight in the reply to a periodic heartbeat.
     pub fn receive_command_response(&mut self, now: Time, report: &Report) {
         self.apply_heartbeat(now, report, false);
     }
 
-    fn apply_heartbeat(&mut self, now: Time, report: &Report, in_turn: bool) -> Option<MachineId> {
+    /// Applies a heartbeat, either a periodic one or a response to direct commands.
+    fn apply_heartbeat(&mut self, now: Time, report: &Report, periodic: bool) -> Option<MachineId> {
         let name = self.find_or_adopt_machine(now, report)?;
         let machine = self.machines.get_mut(&name)?;
         if report.order() <= machine.heartbeat_order {
-            debug!(machine = &*name, "late report dropped");
+            debug!(
+                machine = &*name,
+                "dropped a heartbeat older than the newest one"
+            );
             return None;
         }
-        if machine.last_heartbeat.is_none() && in_turn {
+        if machine.last_heartbeat.is_none() && periodic {
             self.on_first_heartbeat(now, &name);
         }
         let machine = self.machines.get_mut(&name)?;
@@ -62,7 +67,7 @@
         machine.update_reclaim_notice(now, report.notice_s);
         if epoch(report.token) != epoch(self.token) {
             machine.fenced = false;
-            self.observe_reachability(now, &name, report, in_turn, None);
+            self.observe_reachability(now, &name, report, periodic, None);
             return Some(name);
         }
         machine.confirmed = true;
@@ -73,25 +78,28 @@
             self.cycle_requested = true;
             self.assign_part(&name);
         }
-        let launches = self.reconcile(now, &name, report, in_turn);
+        let launches = self.reconcile(now, &name, report, periodic);
         self.account_for_machine(&name);
-        self.observe_reachability(now, &name, report, in_turn, launches);
+        self.observe_reachability(now, &name, report, periodic, launches);
         self.observe_fetches(now, &name, report);
         Some(name)
     }
 
-    /// The machine that a report is of, adopted if it is new; none if it is known to be
-    /// gone.
+    /// The machine that sent the heartbeat, adopted if it is new; `None` if the machine is
+    /// known to be deleted.
     fn find_or_adopt_machine(&mut self, now: Time, report: &Report) -> Option<MachineId> {
         if let Some((name, _)) = self.machines.get_key_value(report.machine.as_str()) {
             return Some(name.clone());
         }
-        // Who shows our token was known to us, and we forget none but those
-        // whose deletion was answered. One that an earlier holder deleted
-        // shows an older token; it counts for nothing until it shows ours.
-        let shows_ours = epoch(report.token) == epoch(self.token);
-        if shows_ours || self.deleted_machines.contains(report.machine.as_str()) {
-            debug!(machine = report.machine, "late report of one that is gone");
+        // A machine with this leader's token was known to this leader, which forgets only
+        // machines whose deletion the cloud has confirmed. A machine deleted by an earlier
+        // leader shows an older token; it is ignored until it shows this leader's token.
+        let has_current_epoch = epoch(report.token) == epoch(self.token);
+        if has_current_epoch || self.deleted_machines.contains(report.machine.as_str()) {
+            debug!(
+                machine = report.machine,
+                "dropped a delayed heartbeat of a deleted machine"
+            );
             return None;
         }
         let name: MachineId = report.machine.as_str().into();
@@ -106,7 +114,7 @@
         info!(
             machine = &*name,
             machine_type = report.machine_type,
-            "adopted from its report"
+            "unknown machine adopted from its heartbeat"
         );
         self.machines.insert(name.clone(), machine);
         Some(name)
@@ -116,46 +124,50 @@
         self.cycle_requested = true;
         if let Some(machine) = self.machines.get_mut(name).filter(|m| !m.inherited) {
             machine.idle_since = now;
-            debug!(machine = &**name, "up");
+            debug!(machine = &**name, "first heartbeat: the machine has booted");
             self.boot_ended(now, name);
         }
     }
 
-    /// What the report says of whether our answers reach the machine; `launches`
-    /// as from [`Engine::reconcile`].
+    /// Derives from the heartbeat whether replies reach the machine. `launches` is the result
+    /// of [`Engine::reconcile`].
     fn observe_reachability(
         &mut self,
         now: Time,
         name: &MachineId,
         report: &Report,
-        in_turn: bool,
+        periodic: bool,
         launches: Option<bool>,
     ) {
         let cfg = self.cfg.clone();
         let Some(machine) = self.machines.get_mut(name) else {
             return;
         };
-        if !in_turn {
+        if !periodic {
             machine.reachability.command_acknowledged(report);
             return;
         }
-        let known = machine.reachability.unreachable_since();
+        let unreachable_before = machine.reachability.unreachable_since();
         if machine.reachability.observe(now, &cfg, report, launches)
             && report.token >= machine.token
             && epoch(report.token) == epoch(self.token)
             && epoch(report.token + 1) == epoch(self.token)
         {
-            // Nothing that it could show is under way to it: a token to tell by.
+            // No launch or token is in flight whose receipt the machine could show: the next
+            // reply carries a new token, which a later heartbeat shows if the reply arrived.
             machine.token = report.token + 1;
         }
-        match (known, machine.reachability.unreachable_since()) {
+        match (unreachable_before, machine.reachability.unreachable_since()) {
             (None, Some(_)) => {
-                info!(machine = &**name, "hears nothing: gets no work");
+                info!(
+                    machine = &**name,
+                    "unreachable: heartbeats arrive, but replies do not reach the machine; no tasks are placed on it"
+                );
                 self.cycle_requested = true;
             }
             (Some(since), None) => {
-                let deaf_s = (now - since) as u64;
-                info!(machine = &**name, deaf_s, "hears again");
+                let unreachable_s = (now - since) as u64;
+                info!(machine = &**name, unreachable_s, "reachable again");
                 if machine.tasks.is_empty() {
                     machine.idle_since = now;
                 }
@@ -165,62 +177,69 @@
         }
     }
 
-    /// Reconciles what is known of one machine with its newest report. Whether
-    /// launches that it was told were taken up (true) or went nowhere (false).
+    /// Reconciles the known state of one machine with its newest heartbeat. Returns whether
+    /// the machine executed launch commands that were sent to it: `Some(true)` if it executed
+    /// any, `Some(false)` if all were lost, `None` if none was awaited.
     fn reconcile(
         &mut self,
         now: Time,
         name: &MachineId,
         report: &Report,
-        in_turn: bool,
+        periodic: bool,
     ) -> Option<bool> {
-        let launches = self.requeue_missing_tasks(name, report, in_turn);
-        let shown = self.reconcile_reported_tasks(now, name, report);
-        let over = |id: &JobId| shown.finished_jobs.contains(id);
-        let settled = (self.orphaned_jobs).shown(name, report.order(), in_turn, over);
-        self.run_records_to_delete.extend(settled);
+        let launches = self.requeue_missing_tasks(name, report, periodic);
+        let orphans = self.reconcile_reported_tasks(now, name, report);
+        let is_active = |id: &JobId| orphans.finished_jobs.contains(id);
+        let gone = (self.orphaned_jobs).shown(name, report.order(), periodic, is_active);
+        self.run_records_to_delete.extend(gone);
         if let Some(machine) = self.machines.get_mut(name) {
-            self.cycle_requested |= machine.has_orphaned_tasks && !shown.orphaned_tasks;
-            machine.has_orphaned_tasks = shown.orphaned_tasks;
-            machine.has_unsized_orphans = shown.unsized_orphans;
+            self.cycle_requested |= machine.has_orphaned_tasks && !orphans.any;
+            machine.has_orphaned_tasks = orphans.any;
+            machine.has_unsized_orphans = orphans.any_unsized;
         }
         launches
     }
 
-    /// Returns tasks that were believed to be on the machine and are not shown.
+    /// Requeues tasks that were believed to be on the machine and that the heartbeat does not
+    /// list. Returns the same as [`Engine::reconcile`].
     fn requeue_missing_tasks(
         &mut self,
         name: &MachineId,
         report: &Report,
-        in_turn: bool,
+        periodic: bool,
     ) -> Option<bool> {
         let mut launches = None;
-        // By attempt, which no two tasks share: a large machine shows dozens.
-        let mut shown: Vec<u64> = report.tasks.iter().map(|t| t.attempt).collect();
-        shown.sort_unstable();
+        // Sorted attempt numbers, which are unique: a large machine lists dozens of tasks.
+        let mut listed: Vec<u64> = report.tasks.iter().map(|t| t.attempt).collect();
+        listed.sort_unstable();
         let held: Vec<(JobId, u32)> = self.machines[name].tasks.iter().cloned().collect();
         for (id, task) in held {
             let Some(placement) = self.jobs.get(&id).and_then(|j| j.placements.get(&task)) else {
                 continue;
             };
-            let untaken = placement.observed_state.is_none() && placement.launched_in.is_some();
-            if shown.binary_search(&placement.attempt).is_ok() {
-                if untaken {
+            let unconfirmed = placement.observed_state.is_none() && placement.launched_in.is_some();
+            if listed.binary_search(&placement.attempt).is_ok() {
+                if unconfirmed {
                     launches = Some(true);
                 }
                 continue;
             }
             let gone = match (placement.observed_state, placement.launched_in) {
                 (Some(_), _) => true,
-                // A reply is dropped after 4 s and only one report is under
-                // way: a newer report in turn proves that the launch never
-                // took effect. An answer to direct commands proves nothing.
-                (None, Some(order)) => in_turn && report.order() > order,
+                // A worker drops replies older than 4 s and has only one periodic heartbeat
+                // in flight: a newer periodic heartbeat proves that the launch never took
+                // effect. A response to direct commands proves nothing.
+                (None, Some(order)) => periodic && report.order() > order,
                 (None, None) => false,
             };
             if gone {
-                debug!(job = &*id, task, machine = &**name, "not there any more");
-                if untaken {
+                debug!(
+                    job = &*id,
+                    task,
+                    machine = &**name,
+                    "the heartbeat does not list the task: requeued"
+                );
+                if unconfirmed {
                     launches = launches.or(Some(false));
                 }
                 self.requeue_task(&id, task);
@@ -229,14 +248,14 @@
         launches
     }
 
-    /// Takes in all tasks that a report shows.
+    /// Applies the state of all tasks that a heartbeat lists.
     fn reconcile_reported_tasks(
         &mut self,
         now: Time,
         name: &MachineId,
         report: &Report,
-    ) -> ShownTasks {
-        let mut shown = ShownTasks::default();
+    ) -> Orphans {
+        let mut orphans = Orphans::default();
         for entry in &report.tasks {
             let Some((id, task)) = split_task(&entry.task) else {
                 continue;
@@ -244,24 +263,24 @@
             let known = self.jobs.get_key_value(id).map(|(k, _)| k.clone());
             match known {
                 Some(id) => {
-                    let stranger = !self.reconcile_task(now, name, &id, task, entry);
-                    shown.orphaned_tasks |= stranger;
-                    shown.unsized_orphans |= stranger;
+                    let is_orphan = !self.reconcile_task(now, name, &id, task, entry);
+                    orphans.any |= is_orphan;
+                    orphans.any_unsized |= is_orphan;
                 }
                 None if entry.state != TaskState::Exited => {
                     let id: JobId = id.into();
-                    shown.orphaned_tasks = true;
-                    shown.unsized_orphans |= !self.orphaned_jobs.counts(&id);
-                    shown.finished_jobs.insert(id);
+                    orphans.any = true;
+                    orphans.any_unsized |= !self.orphaned_jobs.counts(&id);
+                    orphans.finished_jobs.insert(id);
                 }
                 None => {}
             }
         }
-        shown
+        orphans
     }
 
-    /// False if an attempt is active that our picture has no place for, since
-    /// another one of the same task is in it: it counts as a stranger.
+    /// Applies the state of one listed attempt. Returns false if the attempt is an orphan: it
+    /// is active while another attempt of the same task is the one that counts.
     fn reconcile_task(
         &mut self,
         now: Time,
@@ -274,28 +293,28 @@
             return true;
         };
         let placement = job.placements.get(&task);
-        let ours = placement.is_some_and(|p| p.attempt == entry.attempt && p.machine == *name);
+        let is_placed_attempt =
+            placement.is_some_and(|p| p.attempt == entry.attempt && p.machine == *name);
         if entry.state == TaskState::Exited {
             if entry.cause == Some(ExitCause::Done) && !job.is_service() {
-                self.task_completed(now, name, id, task, ours);
-            } else if ours {
+                self.task_completed(now, name, id, task, is_placed_attempt);
+            } else if is_placed_attempt {
                 self.task_ended(now, name, id, task, entry);
             }
             return true;
         }
-        if !ours && placement.is_some() {
+        if !is_placed_attempt && placement.is_some() {
             return false;
         }
-        if !ours {
+        if !is_placed_attempt {
             self.adopt_attempt(now, name, id, task, entry);
         }
         self.observe_active(now, name, id, task, entry.state);
         true
     }
 
-    /// An attempt started by an earlier holder goes on under us. Until it is gone it counts
-    /// (rule 4), even if the task has completed elsewhere in the meantime and it is of no
-    /// use any more.
+    /// Adopts an attempt that an earlier leader started. The attempt counts until it is gone
+    /// (rule 4), even if it is no longer needed because the task has completed elsewhere.
     fn adopt_attempt(
         &mut self,
         now: Time,
@@ -307,7 +326,7 @@
         let Some(job) = self.jobs.get_mut(id) else {
             return;
         };
-        let useless = job.cancelled || job.done.contains(task);
+        let unneeded = job.cancelled || job.done.contains(task);
         job.recovery_pending.remove(&task);
         job.requeued.remove(&task);
         let placement = Placement {
@@ -317,12 +336,12 @@
             observed_state: Some(entry.state),
             running_since: None,
             placed_at: now,
-            pending_stop: useless.then_some(PendingStop::IMMEDIATE),
+            pending_stop: unneeded.then_some(PendingStop::IMMEDIATE),
         };
         job.placements.insert(task, placement);
         if !job.is_recorded(task, name) {
-            // Started without a record by an earlier holder: our
-            // successor finds nothing but the record that we write.
+            // Started without a record by an earlier leader: a successor of this leader can
+            // learn of the attempt only from the record that this leader writes.
             job.mark_dirty(now);
         }
         let (shape, image) = (job.shape, job.image);
@@ -331,7 +350,7 @@
         }
     }
 
-    /// A placed attempt is shown in this state.
+    /// Applies the state that a heartbeat lists for a placed attempt.
     fn observe_active(
         &mut self,
         now: Time,
@@ -357,7 +376,10 @@
             && let Some(since) = placement.running_since
             && now - since > job.longest_failed_run_s + self.cfg.tuning.job_trial_s
         {
-            info!(job = &**id, "runs for longer than it took to fail: goes on");
+            info!(
+                job = &**id,
+                "a task has run longer than the job's failed tasks did: no longer suspected faulty"
+            );
             job.mark_dirty(now);
             self.clear_job_errors(id);
         }
@@ -370,15 +392,15 @@
         let Some(placement) = job.placements.get(&task) else {
             return;
         };
-        let ours = placement.launched_in.is_some();
+        let launched_here = placement.launched_in.is_some();
         debug!(
             job = &**id,
             task,
             machine = &**name,
-            planned_s = now - placement.placed_at,
-            "runs"
+            since_placement_s = now - placement.placed_at,
+            "task is running"
         );
-        if let Some(waited_s) = job.record_start(now, ours)
+        if let Some(waited_s) = job.record_start(now, launched_here)
             && waited_s >= self.cfg.tuning.starvation_wait_s
         {
             info!(
@@ -386,7 +408,7 @@
                 class = job.spec.class,
                 cpus = job.size(),
                 waited_s = waited_s as u64,
-                "starts late"
+                "job started after a long wait"
             );
         }
         let (image, size) = (job.image, job.spec.image_gb);
@@ -394,8 +416,8 @@
             let cache = machine
                 .type_index
                 .map_or(0.0, |i| self.machine_types[i].cache_gb);
-            let pushed_out = machine.add_image(image, size, cache);
-            self.observe_image(now, name, id, &pushed_out);
+            let evicted = machine.add_image(image, size, cache);
+            self.observe_image(now, name, id, &evicted);
         }
     }
 }
--- a/crates/umbersail-control/src/engine/ids.rs
+++ b/crates/umbersail-control/src/engine/ids.rs
@@ -1,6 +1,6 @@
-//! Identifiers of jobs and machines, as types of their own so that one can't be taken for
-//! the other. Each is a shared text: many tables name the same job, and a copy costs a
-//! count.
+//! Identifiers of jobs and machines, as separate types so that they cannot be confused. Each is
+//! a reference-counted string: many tables refer to the same job, and a clone only increments
+//! a counter.
 
 use std::borrow::Borrow;
 use std::fmt;
@@ -14,7 +14,7 @@
         pub struct $name(Rc<str>);
 
         impl $name {
-            /// The shared text, for packages that know no identifiers.
+            /// The shared string, for packages that do not use these types.
             pub fn shared(&self) -> &Rc<str> {
                 &self.0
             }
@@ -40,7 +40,7 @@
             }
         }
 
-        // Equality, order and hash are those of the text, as maps by `&str` need.
+        // Equality, order and hash are those of the string, as lookups by `&str` in maps require.
         impl Borrow<str> for $name {
             fn borrow(&self) -> &str {
                 &self.0
@@ -56,11 +56,11 @@
 }
 
 identifier! {
-    /// Identifies a job, in the users' form: `req-000412`.
+    /// Identifies a job, in the form that users see: `req-000412`.
     JobId
 }
 
 identifier! {
-    /// Identifies a machine, by the cloud's name of it: `host-000231`.
+    /// Identifies a machine by the cloud's name for the machine: `host-000231`.
     MachineId
 }
--- a/crates/umbersail-control/src/engine/job.rs
+++ b/crates/umbersail-control/src/engine/job.rs
@@ -1,3 +1,5 @@
+//! The leader's state of one unfinished job and of its tasks' attempts.
+
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt;
 
@@ -8,61 +10,65 @@
 use super::{MachineId, Time};
 use crate::records::RunRecord;
 
-/// Why a job's waiting tasks were not placed.
+/// Why the last scheduling cycle did not place a job's pending tasks.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum BlockedReason {
     NotConsidered,
     TeamLimit,
     AwaitingImage,
     NoCapacity,
-    /// A plan holds it.
+    /// A plan holds the job back, for the given reason.
     HeldByPlan(&'static str),
 }
 
 impl fmt::Display for BlockedReason {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
-            BlockedReason::NotConsidered => "not yet looked at",
-            BlockedReason::TeamLimit => "the team's limit",
-            BlockedReason::AwaitingImage => "a place with its image is awaited",
-            BlockedReason::NoCapacity => "no machine has room",
+            BlockedReason::NotConsidered => "not yet considered by a scheduling cycle",
+            BlockedReason::TeamLimit => "team limit reached",
+            BlockedReason::AwaitingImage => "waiting for a machine that has the image in its cache",
+            BlockedReason::NoCapacity => "no machine has enough free capacity",
             BlockedReason::HeldByPlan(reason) => reason,
         })
     }
 }
 
-/// A stop order; it goes out once the record of the eviction stands.
+/// A stop command to be sent to the worker once the eviction is recorded.
 #[derive(Debug, Clone, PartialEq)]
 pub(crate) struct PendingStop {
+    /// Seconds that the task gets to save a checkpoint.
     pub grace_s: f64,
-    /// The job's eviction count that must have been recorded first.
+    /// The stop command is sent once the job's recorded eviction count is at least this.
     pub required_eviction_count: u32,
 }
 
 impl PendingStop {
-    /// Without time to save, and without an eviction to be recorded first.
+    /// Stops without time to save and without an eviction that must be recorded first.
     pub const IMMEDIATE: PendingStop = PendingStop {
         grace_s: 0.0,
         required_eviction_count: 0,
     };
 }
 
-/// One attempt at a task, on one machine.
+/// One attempt to run a task on one machine.
 #[derive(Debug, Clone, PartialEq)]
 pub(crate) struct Placement {
     pub machine: MachineId,
     pub attempt: u64,
-    /// (session, seq) of the report whose reply carried the launch.
+    /// (session, sequence number) of the heartbeat whose reply carried the launch command.
     pub launched_in: Option<(u64, u64)>,
+    /// State of the attempt in the machine's newest heartbeat that listed the attempt.
     pub observed_state: Option<TaskState>,
-    /// When it was first seen running.
+    /// When a heartbeat first showed the attempt running.
     pub running_since: Option<Time>,
     pub placed_at: Time,
+    /// The stop command for the attempt, from the decision to stop until the attempt is gone.
     pub pending_stop: Option<PendingStop>,
 }
 
 impl Placement {
-    /// Some worker may know of it: it was launched, or shown in a report.
+    /// Whether the worker may know this attempt: its launch was sent, or a heartbeat listed
+    /// the attempt.
     pub fn may_be_known_to_worker(&self) -> bool {
         self.launched_in.is_some() || self.observed_state.is_some()
     }
@@ -71,65 +77,82 @@
 /// An unfinished job.
 pub(crate) struct Job {
     pub spec: JobSpec,
+    /// Version of the job's key in the state service.
     pub version: u64,
     pub submitted_at: Time,
+    /// Index of the job's team in the configuration, if the team is known.
     pub team: Option<usize>,
+    /// Resources of one task.
     pub shape: Shape,
     pub image: ImageKey,
+    /// CPUs of the smallest allowed machine type that a task fits on.
     pub smallest_cpus: f64,
+    /// Completed tasks.
     pub done: Bitmap,
-    /// Tasks from here on were never planned.
+    /// Tasks from this index on were never placed.
     pub first_unplanned: u32,
-    /// Planned before, and on no machine now.
+    /// Tasks that were placed before and are on no machine now.
     pub requeued: BTreeSet<u32>,
+    /// The current attempt of each task that is on a machine.
     pub placements: BTreeMap<u32, Placement>,
-    /// Started by an earlier holder and not yet seen: as good as running.
+    /// Tasks that an earlier leader may have started and that no heartbeat has listed yet.
+    /// They are treated as running.
     pub recovery_pending: BTreeSet<u32>,
     /// Machines that may hold the tasks whose recovery is pending.
     pub inherited_machines: BTreeSet<MachineId>,
-    /// The holder before us may have started any of its tasks, on any machine,
-    /// without a record.
+    /// The previous leader may have started any task of this job on any machine without a
+    /// record.
     pub may_run_anywhere: bool,
-    /// Attempts of completed tasks that may be on those, too.
+    /// Further attempts, of tasks already completed, that may be on `inherited_machines`.
     pub recovered_extra_attempts: u32,
     pub cancelled: bool,
+    /// A transaction that records the job's completion is in flight.
     pub end_write_pending: bool,
     pub evictions: u32,
-    /// Errors since the last success, and the machines they happened on.
+    /// Task errors since the job's last success.
     pub errors: u32,
+    /// Machines where those errors happened.
     pub failed_on_since_success: BTreeSet<MachineId>,
-    /// Machines that failed it at any time: it keeps off them.
+    /// Machines where a task of the job has failed, even before its last success. The job is not
+    /// placed there until it has waited for long.
     pub avoided_machines: BTreeSet<MachineId>,
-    /// Failed on every machine that it tried: submitted with a mistake, as far as
-    /// one can tell. One task at a time finds out whether it still does.
+    /// The job has failed on several machines since its last success, so the job is probably
+    /// faulty itself. Its tasks are tried one at a time until one succeeds or runs for long.
     pub suspected_faulty: bool,
-    /// The longest that a task of it ran before it failed, in seconds.
+    /// The longest time that a task of the job ran before failing, in seconds.
     pub longest_failed_run_s: f64,
     pub backoff_until: Option<Time>,
     pub backoff_s: f64,
+    /// The job causes no further eviction before this time.
     pub next_eviction_at: Time,
-    /// Why its waiting tasks were not placed when it was last looked at.
+    /// Why the last scheduling cycle did not place the pending tasks.
     pub blocked_reason: BlockedReason,
-    /// A plan holds its tasks back, and why.
+    /// Set while a plan holds the job back: the reason.
     pub hold_reason: Option<&'static str>,
-    /// When a plan wants it complete, if that is sooner than its own deadline.
+    /// When a plan needs the job to be complete, if that is before the job's own deadline.
     pub planned_deadline: Option<Time>,
-    /// Plans whose kept machines it may use, one bit each.
+    /// Plans whose reserved machines the job may use, one bit for each plan.
     pub reservations: u64,
+    /// When a task of the job last started or completed; initially the submission time.
     pub last_progress: Time,
-    /// Something of it has run.
+    /// A task of the job has run.
     pub has_started: bool,
-    /// Seconds from its acceptance until then, if we saw it.
+    /// Seconds from acceptance to the first start, if this leader observed that start.
     pub start_delay_s: Option<f64>,
-    /// How it fared against its deadline is counted.
+    /// The service history already contains whether the job met its deadline.
     pub deadline_counted: bool,
+    /// A wait longer than this is logged next.
     pub next_wait_log_s: f64,
-    // What the state service holds.
+    // The following fields describe the progress record in the state service.
+    /// Version of the key of the progress record: 0 if there is none, `None` if the version
+    /// must be read before the next write.
     pub run_version: Option<u64>,
+    /// Tasks from this index on are not covered by the recorded progress.
     pub recorded_first_unplanned: u32,
     pub recorded_machines: BTreeSet<MachineId>,
     pub recorded_done: Bitmap,
     pub recorded_evictions: u32,
+    /// Since when the progress differs from its record.
     pub dirty_since: Option<Time>,
 }
 
@@ -146,7 +169,7 @@
         let done = Bitmap::from_text(&run.done, spec.tasks).unwrap_or_else(|_| {
             tracing::error!(
                 job = spec.id,
-                "its record of completed tasks is unreadable; they run again"
+                "the record of completed tasks is unreadable; all tasks of the job run again"
             );
             Bitmap::new(spec.tasks)
         });
@@ -199,34 +222,34 @@
         job
     }
 
-    /// Once no machine can hold them, tasks whose recovery is pending are free to start.
+    /// Once no machine can hold the tasks whose recovery is pending, they may be started.
     pub fn finish_recovery(&mut self) {
         if self.inherited_machines.is_empty() && !self.may_run_anywhere {
             self.requeued.append(&mut self.recovery_pending);
         }
     }
 
-    /// Whether its tasks may be started before a record tells of them. Where one
-    /// task's place depends on the others' they may not: a successor would have
-    /// to know where those are.
+    /// Whether tasks of the job may be started in degraded mode, without a record. Not so if
+    /// the placement of one task depends on where the others run: a successor would have to
+    /// know where all of them are.
     pub fn may_start_unrecorded(&self) -> bool {
         !self.is_service() && !self.spec.one_zone() && !self.spec.spread()
     }
 
-    /// Every task that is not completed may have been started, on any machine.
+    /// Assumes that an earlier leader started every task that is not completed, on any machine.
     pub fn assume_unrecorded_starts(&mut self) {
         if !self.may_start_unrecorded() {
             return;
         }
         self.may_run_anywhere = true;
         self.recovery_pending.append(&mut self.requeued);
-        let never = self.first_unplanned..self.spec.tasks;
+        let never_placed = self.first_unplanned..self.spec.tasks;
         self.recovery_pending
-            .extend(never.filter(|t| !self.done.contains(*t)));
+            .extend(never_placed.filter(|t| !self.done.contains(*t)));
         self.first_unplanned = self.spec.tasks;
     }
 
-    /// Tasks whose recovery is pending that no record tells of.
+    /// Number of tasks whose recovery is pending although no record mentions them.
     pub fn unrecorded_recovery_pending(&self) -> usize {
         if self.may_run_anywhere {
             self.recovery_pending
@@ -237,7 +260,7 @@
         }
     }
 
-    /// Whether a worker was told to start something that no record tells of.
+    /// Whether a worker may have started a task of this job that is not recorded.
     pub fn is_unrecorded(&self) -> bool {
         let unrecorded = |(task, p): (&u32, &Placement)| {
             p.may_be_known_to_worker() && !self.is_recorded(*task, &p.machine)
@@ -245,18 +268,18 @@
         self.placements.iter().any(unrecorded)
     }
 
-    /// A task of it was seen running, or to have run.
-    /// After how many seconds it began, if it did just now by our own order: what an
-    /// earlier holder started began at a time that we don't know.
-    pub fn record_start(&mut self, now: Time, ours: bool) -> Option<f64> {
-        if std::mem::replace(&mut self.has_started, true) || !ours {
+    /// Notes that a task of the job runs or has run. Returns the seconds from submission to this
+    /// start if it is the job's first start and this leader launched the task
+    /// (`launched_here`): the start time of a task launched by an earlier leader is unknown.
+    pub fn record_start(&mut self, now: Time, launched_here: bool) -> Option<f64> {
+        if std::mem::replace(&mut self.has_started, true) || !launched_here {
             return None;
         }
         self.start_delay_s = Some(now - self.submitted_at);
         self.start_delay_s
     }
 
-    /// Tasks that wait for a machine.
+    /// Number of tasks that wait for a machine.
     pub fn pending(&self) -> u32 {
         if self.cancelled {
             0
@@ -265,30 +288,30 @@
         }
     }
 
-    /// Of those, how many the next cycle may place.
+    /// Number of pending tasks that the next scheduling cycle may place.
     pub fn startable(&self) -> u32 {
         if self.hold_reason.is_some() {
             0
         } else if self.suspected_faulty {
-            let probes = u32::from(self.placements.is_empty());
-            self.pending().min(probes)
+            let trials = u32::from(self.placements.is_empty());
+            self.pending().min(trials)
         } else {
             self.pending()
         }
     }
 
-    /// Whether it failed again when it was tried once more: it goes after all others,
-    /// or its tries would take the places of those that can be done.
+    /// Whether the job failed again when retried. It is then scheduled after all other jobs,
+    /// or its retries would take the capacity of jobs that can succeed.
     pub fn is_scheduled_last(&self, first_backoff_s: f64) -> bool {
         self.suspected_faulty && self.backoff_s > first_backoff_s
     }
 
-    /// Whether the next cycle may place something of it.
+    /// Whether the next scheduling cycle may place a task of the job.
     pub fn is_schedulable(&self) -> bool {
         self.startable() > 0 && self.backoff_until.is_none() && !self.end_write_pending
     }
 
-    /// Takes the next waiting task.
+    /// Removes and returns the next pending task.
     pub fn take_next_task(&mut self) -> Option<u32> {
         if let Some(task) = self.requeued.pop_first() {
             return Some(task);
@@ -300,6 +323,7 @@
         None
     }
 
+    /// The tier and team, by which candidates for eviction are grouped.
     pub fn preemption_class(&self) -> PreemptionClass<Priority> {
         PreemptionClass {
             tier: self.spec.priority,
@@ -307,16 +331,17 @@
         }
     }
 
-    /// Whether it has lost tasks so often that it is no candidate any more: so many
-    /// times for each of its tasks. Counted by job alone, a large array of a guest was
-    /// spared for good after its third task, and held machines that upper tiers
-    /// wanted for hours.
+    /// Whether the job has been evicted so often, `limit` times for each of its tasks, that
+    /// none of its tasks may be evicted any more. Evictions are counted in proportion to the
+    /// number of tasks: with a limit for the whole job, a large best-effort array could no
+    /// longer be evicted after its third task, and for hours it held machines that
+    /// higher tiers needed.
     pub fn has_reached_eviction_limit(&self, limit: f64) -> bool {
         f64::from(self.evictions) >= limit * f64::from(self.spec.tasks)
     }
 
-    /// Seconds that a task is given to save when it is stopped: none if it saves nothing,
-    /// else a second more than it needs.
+    /// Seconds that a stopped task gets to save a checkpoint: 0 if the job has no checkpoints,
+    /// otherwise one second more than a save takes.
     pub fn save_grace_s(&self) -> f64 {
         if self.spec.checkpoint_s() > 0.0 {
             self.spec.save_s() + 1.0
@@ -333,15 +358,15 @@
         !self.is_service() && self.done.is_full()
     }
 
-    /// Tasks that use, or must be assumed to use, machines.
+    /// Number of tasks and attempts that use, or must be assumed to use, machines.
     pub fn occupied_tasks(&self) -> usize {
         self.placements.len()
             + self.recovery_pending.len()
             + self.inherited_extra_attempts() as usize
     }
 
-    /// Attempts of completed tasks that an earlier holder left, as long as a
-    /// machine may hold them.
+    /// Number of attempts of completed tasks that an earlier leader left and that may still be
+    /// on a machine.
     pub fn inherited_extra_attempts(&self) -> u32 {
         if self.inherited_machines.is_empty() {
             0
@@ -350,7 +375,7 @@
         }
     }
 
-    /// Attempts that are about, or may be, beside those of tasks not completed.
+    /// Number of attempts of completed tasks that are, or may be, still active.
     pub fn extra_attempts(&self) -> u32 {
         let launched = |(task, p): &(&u32, &Placement)| {
             self.done.contains(**task) && p.may_be_known_to_worker()
@@ -358,11 +383,13 @@
         self.inherited_extra_attempts() + self.placements.iter().filter(launched).count() as u32
     }
 
-    /// A launch may be told to a worker only if a successor would know of it.
+    /// Whether the progress record tells a successor that the task may run on this machine.
+    /// Outside degraded mode a launch is sent only then.
     pub fn is_recorded(&self, task: u32, machine: &MachineId) -> bool {
         task < self.recorded_first_unplanned && self.recorded_machines.contains(machine)
     }
 
+    /// Machines that hold, or may hold, tasks of the job.
     pub fn machines(&self) -> BTreeSet<MachineId> {
         self.placements
             .values()
@@ -371,13 +398,14 @@
             .collect()
     }
 
+    /// Notes that the progress differs from its record.
     pub fn mark_dirty(&mut self, now: Time) {
         if self.dirty_since.is_none() {
             self.dirty_since = Some(now);
         }
     }
 
-    /// A write that somebody waits for: a launch, or an eviction.
+    /// Whether a launch or an eviction waits for the progress to be recorded.
     pub fn is_write_urgent(&self) -> bool {
         self.recorded_evictions < self.evictions
             || self
--- a/crates/umbersail-control/src/engine/jobs.rs
+++ b/crates/umbersail-control/src/engine/jobs.rs
@@ -1,4 +1,4 @@
-//! The table of unfinished jobs: how they come, change and go.
+//! The table of unfinished jobs: insertion, cancellation, removal and requeueing of tasks.
 
 use std::collections::BTreeSet;
 
@@ -12,8 +12,8 @@
 use crate::records::{JobRecord, RunRecord};
 
 impl Engine {
-    /// Completed and running tasks of a job. What an earlier holder started, by its record,
-    /// runs until its machine shows otherwise.
+    /// Numbers of completed and of running tasks of a job. Tasks that an earlier leader started
+    /// according to the job's record count as running until their machine is accounted for.
     pub fn job_progress(&self, id: &str) -> Option<(u32, u32)> {
         let job = self.jobs.get(id)?;
         let running = job
@@ -24,9 +24,9 @@
         Some((job.done.count(), (running.count() + inherited) as u32))
     }
 
-    /// The same of all jobs, as far as `most` goes.
-    pub fn all_job_progress(&self, most: usize) -> Vec<JobProgress> {
-        let ids = self.jobs.keys().take(most);
+    /// The progress of up to `limit` jobs.
+    pub fn all_job_progress(&self, limit: usize) -> Vec<JobProgress> {
+        let ids = self.jobs.keys().take(limit);
         ids.filter_map(|id| {
             let (done, running) = self.job_progress(id)?;
             Some(JobProgress {
@@ -38,6 +38,8 @@
         .collect()
     }
 
+    /// Adds an unfinished job, with its progress `run` and the version of that record if any is
+    /// recorded.
     pub(super) fn insert_job(
         &mut self,
         now: Time,
@@ -95,15 +97,15 @@
         self.mark_jobs_waiting();
     }
 
-    /// The watch shows an accepted job.
+    /// The watch on the state service reports an accepted job.
     pub fn job_accepted(&mut self, now: Time, unix_ms: u64, record: JobRecord, version: u64) {
         if !self.jobs.contains_key(record.spec.id.as_str()) {
             self.insert_job(now, unix_ms, record, version, None);
         }
     }
 
-    /// The job's key is gone and it was not us who ended it: its user has
-    /// cancelled it. From here on nothing of it is started.
+    /// The job's key has been deleted. Unless this leader's own transaction did that, the user
+    /// has cancelled the job. No task of the job is started from now on.
     pub fn job_key_removed(&mut self, id: &str) {
         let Some(job) = self.jobs.get_mut(id) else {
             return;
@@ -116,27 +118,27 @@
             info!(
                 job = id,
                 placed = job.placements.len(),
-                "cancelled by its user"
+                "job cancelled by its user"
             );
         }
         for placement in job.placements.values_mut() {
             placement.pending_stop = Some(PendingStop::IMMEDIATE);
         }
-        // Tasks never told to any worker are gone at once.
-        let planned: Vec<u32> = job
+        // Tasks whose launch was not sent to a worker can be removed at once.
+        let unlaunched: Vec<u32> = job
             .placements
             .iter()
             .filter(|(_, p)| !p.may_be_known_to_worker())
             .map(|(t, _)| *t)
             .collect();
         let id: JobId = id.into();
-        for task in planned {
+        for task in unlaunched {
             self.remove_placement(&id, task);
         }
         self.remove_if_finished(&id);
     }
 
-    /// After the watch fell too far behind: the jobs that exist now.
+    /// Applies a complete list of jobs, read after the watch fell too far behind.
     pub fn jobs_listed(&mut self, now: Time, unix_ms: u64, listed: Vec<(JobRecord, u64)>) {
         let present: BTreeSet<String> = listed.iter().map(|(r, _)| r.spec.id.clone()).collect();
         for (record, version) in listed {
@@ -153,16 +155,16 @@
         }
     }
 
-    /// A cancelled job counts until nothing of it can run any more; then its
-    /// progress may go (rule 4).
+    /// Removes a cancelled job once none of its tasks can run any more; its progress record may
+    /// then be deleted. Until then the job's resources count as used (rule 4).
     pub(super) fn remove_if_finished(&mut self, id: &JobId) {
-        let gone = |j: &Job| {
+        let is_finished = |j: &Job| {
             j.cancelled
                 && j.placements.is_empty()
                 && j.recovery_pending.is_empty()
                 && j.inherited_extra_attempts() == 0
         };
-        if self.jobs.get(id).is_some_and(gone)
+        if self.jobs.get(id).is_some_and(is_finished)
             && let Some(job) = self.remove_job(id)
             && job.run_version != Some(0)
         {
@@ -170,8 +172,8 @@
         }
     }
 
-    /// Progress of a job that was over before we were elected: what it did not
-    /// hold as completed may still run on the machines that it names.
+    /// Takes over the progress record of a job that finished before this leader was elected:
+    /// tasks not recorded as completed may still run on the machines that the record names.
     pub(super) fn inherit_orphaned_attempts(&mut self, id: &str, run: RunRecord) {
         let name: JobId = id.into();
         let teams = &self.cfg.teams;
@@ -193,6 +195,7 @@
         }
     }
 
+    /// Removes a job from the table and from the plans.
     pub(super) fn remove_job(&mut self, id: &JobId) -> Option<Job> {
         let job = self.jobs.remove(id)?;
         self.job_left_plans(&job);
@@ -200,14 +203,15 @@
         Some(job)
     }
 
-    /// Something may wait that did not: it has a place in the next cycle's order.
+    /// Notes that a job may have become schedulable: requests a scheduling cycle with a freshly
+    /// computed priority order.
     pub(super) fn mark_jobs_waiting(&mut self) {
         self.may_have_waiting_jobs = true;
         self.cached_order = None;
         self.cycle_requested = true;
     }
 
-    /// Takes a task off its machine; what becomes of it is up to the caller.
+    /// Removes a task from its machine; the caller decides whether the task is requeued.
     pub(super) fn remove_placement(&mut self, id: &JobId, task: u32) -> Option<Placement> {
         let job = self.jobs.get_mut(id)?;
         let placement = job.placements.remove(&task)?;
@@ -221,7 +225,8 @@
         Some(placement)
     }
 
-    /// The task is on no machine any more and has not completed.
+    /// Removes a task that ended or vanished from its machine, and requeues the task unless
+    /// it has completed or its job is cancelled.
     pub(super) fn requeue_task(&mut self, id: &JobId, task: u32) {
         self.remove_placement(id, task);
         if let Some(job) = self.jobs.get_mut(id)
--- a/crates/umbersail-control/src/engine/listing.rs
+++ b/crates/umbersail-control/src/engine/listing.rs
@@ -1,4 +1,4 @@
-//! What the cloud says of machines: lists, rentals, deletions.
+//! Answers of the cloud: lists of machines, rentals and deletions.
 
 use tracing::{debug, info};
 use umbersail_wire::{ListedMachine, MachineState, RentRequest};
@@ -6,6 +6,8 @@
 use super::{Engine, Machine, MachineId, RentalBackoff, Time};
 
 impl Engine {
+    /// Whether rentals of this type in this zone, as spot or ordinary machines, are paused after
+    /// a refusal.
     pub(super) fn is_rental_backed_off(
         &self,
         now: Time,
@@ -18,11 +20,11 @@
             .is_some_and(|r| now < r.until)
     }
 
-    /// A whole list of the cloud, which may be older than what we know.
+    /// Applies a complete list of the cloud's machines, which may be older than what is known.
     pub fn apply_machine_list(&mut self, now: Time, listed: &[ListedMachine]) {
         let mut present: Vec<MachineId> = Vec::with_capacity(listed.len());
         for entry in listed {
-            // A list may be twice the lag old and show what we have deleted.
+            // A list may be twice the documented lag old and still contain deleted machines.
             if self.deleted_machines.contains(entry.id.as_str()) {
                 continue;
             }
@@ -30,7 +32,12 @@
                 Some((name, _)) => name.clone(),
                 None => {
                     let name: MachineId = entry.id.as_str().into();
-                    debug!(machine = &*name, machine_type = entry.machine_type, state = ?entry.state, "listed");
+                    debug!(
+                        machine = &*name,
+                        machine_type = entry.machine_type,
+                        state = ?entry.state,
+                        "new machine in the cloud's list"
+                    );
                     self.machines.insert(
                         name.clone(),
                         Machine::new(
@@ -52,47 +59,47 @@
                     machine.addr = entry.addr.as_ref().and_then(|a| a.parse().ok());
                 }
                 if entry.state == MachineState::Failed && machine.delete_reason.is_none() {
-                    machine.delete_reason = Some("failed, says the cloud");
+                    machine.delete_reason = Some("the cloud reports that the machine has failed");
                 }
             }
             if entry.state == MachineState::Failed {
-                // It has stopped on its own with all that was on it (rule 3).
+                // The machine has stopped, and with it all tasks on it (rule 3).
                 self.clear_machine(&name);
             }
             present.push(name);
         }
         present.sort();
         let newest = present.last().cloned();
-        let silent_after = self.silence_limit_s();
-        let vanished_s = silent_after.max(self.cfg.lease_s / 2.0);
+        let silence_limit_s = self.silence_limit_s();
+        let vanished_s = silence_limit_s.max(self.cfg.lease_s / 2.0);
         for (name, machine) in &mut self.machines {
-            if present.binary_search(name).is_ok() || machine.silent_for(now) < silent_after {
+            if present.binary_search(name).is_ok() || machine.silent_for(now) < silence_limit_s {
                 continue;
             }
-            // Not listed and silent: gone, or too new for this list. A delete
-            // that is answered makes it certain either way.
+            // Not listed and silent: the machine is gone or too new for this list. A confirmed
+            // delete makes certain that it is gone.
             machine.lists_missed += 1;
-            // Names stand in the order of creation: a list that shows a newer
-            // machine is no older than this one, which is gone. The delete
-            // makes it certain, and its tasks need not wait for its lease.
-            let shown_after = newest.as_ref().is_some_and(|newest| name < newest);
-            if shown_after
+            // Names sort in the order of creation: a list with a newer machine is recent enough
+            // to contain this one, so this one is gone. The delete confirms that, and the
+            // machine's tasks then need not wait for the lease to expire.
+            let newer_listed = newest.as_ref().is_some_and(|newest| name < newest);
+            if newer_listed
                 && machine
                     .last_heartbeat
                     .is_none_or(|at| now - at > vanished_s)
             {
                 machine
                     .delete_reason
-                    .get_or_insert("not listed where newer ones are");
+                    .get_or_insert("not in a list that contains newer machines");
             }
             let old = now - machine.created_at > 5.0 * self.cfg.cloud_list_lag_s.max(1.0);
             if machine.lists_missed >= 3 && old && machine.delete_reason.is_none() {
-                machine.delete_reason = Some("no longer listed");
+                machine.delete_reason = Some("missing from the cloud's list");
             }
         }
     }
 
-    /// The cloud rented these for us.
+    /// The cloud has granted a rental, in full or in part: these machines now exist.
     pub fn machines_rented(&mut self, now: Time, request: &RentRequest, names: &[String]) {
         self.boots_begin(now, names);
         let index = self.type_index(&request.machine_type);
@@ -114,14 +121,15 @@
         self.reserve_answered(now, &request.request, Some(names));
     }
 
-    /// No answer: it may have been granted, now or later.
+    /// A rental got no answer: it may have been granted, or may still be granted. The same
+    /// request is sent again.
     pub fn rental_unanswered(&mut self, request: RentRequest) {
         if !self.is_reserving(&request.request) {
             self.unanswered_rentals.push_back(request);
         }
     }
 
-    /// The cloud has none of these now.
+    /// The cloud refused the rental: it has no such machines now.
     pub fn rental_refused(&mut self, now: Time, request: &RentRequest) {
         self.reserve_answered(now, &request.request, None);
         if let Some(index) = self.type_index(&request.machine_type) {
@@ -129,9 +137,11 @@
         }
     }
 
+    /// Pauses rentals of this type in this zone, as spot or ordinary machines; each refusal in a
+    /// row doubles the pause.
     pub(super) fn back_off_rental(&mut self, now: Time, key: (usize, String, bool)) {
         let tuning = &self.cfg.tuning;
-        let pause = self
+        let backoff_s = self
             .rental_backoffs
             .get(&key)
             .map_or(tuning.refusal_backoff_s, |r| {
@@ -141,21 +151,21 @@
             machine_type = self.machine_types[key.0].name,
             zone = key.1,
             spot = key.2,
-            pause_s = pause,
+            backoff_s,
             "rental refused or only partly filled"
         );
         self.rental_backoffs.insert(
             key,
             RentalBackoff {
-                until: now + pause,
-                backoff_s: pause,
+                until: now + backoff_s,
+                backoff_s,
             },
         );
     }
 
-    /// The delete was answered: the machines are gone with all on them.
+    /// The cloud has confirmed the deletion: the machines and all tasks on them are gone.
     pub fn machines_deleted(&mut self, names: &[String]) {
-        let most = self.cfg.tuning.gone_names as usize;
+        let max_names = self.cfg.tuning.gone_names as usize;
         for name in names {
             let name: MachineId = name.as_str().into();
             self.clear_machine(&name);
@@ -167,14 +177,14 @@
                 self.deletion_order.push_back(name);
             }
         }
-        while self.deletion_order.len() > most
+        while self.deletion_order.len() > max_names
             && let Some(name) = self.deletion_order.pop_front()
         {
             self.deleted_machines.remove(&name);
         }
     }
 
-    /// A delete had no answer: it is sent again.
+    /// A delete got no answer: it is sent again.
     pub fn delete_unanswered(&mut self, names: &[String]) {
         for name in names {
             if let Some(machine) = self.machines.get_mut(name.as_str()) {
--- a/crates/umbersail-control/src/engine/mod.rs
+++ b/crates/umbersail-control/src/engine/mod.rs
@@ -1,8 +1,8 @@
-//! The controller's decisions as one state machine: events and the time go
-//! in, commands, transactions and cloud calls come out. No I/O, no clock.
+//! The decisions of the leader as a deterministic state machine: its inputs are events and the
+//! current time, its outputs are commands, transactions and calls to the cloud. It does no I/O
+//! and reads no clock.
 //!
-//! The safety argument is in `docs/design.md`; the numbers in comments here
-//! (rule 1 to 6) refer to it.
+//! The safety argument is in `docs/design.md`; "rule 1" to "rule 6" in comments refer to it.
 
 mod commands;
 mod delegations;
@@ -59,45 +59,47 @@
 pub use tokens::{FencingCommand, epoch, first_token};
 pub use write::{PendingTxn, TxnOutcome};
 
-/// Seconds on this process's steady clock.
+/// Seconds on the monotonic clock of this process.
 pub type Time = f64;
 
-/// What the engine knows of its deployment.
+/// Configuration of the engine.
 #[derive(Debug, Clone)]
 pub struct EngineConfig {
     /// Name of this controller.
     pub member: String,
     /// Teams with their guarantees and limits.
     pub teams: Vec<TeamLimits>,
-    /// Classes with an aim on starting, and within how many seconds.
+    /// Job classes with a service-level objective for starting: within how many seconds.
     pub start_objectives: BTreeMap<String, f64>,
-    /// The same for work of any class within its team's guarantee.
+    /// The same for jobs of any class that are within their team's guarantee.
     pub guarantee_start_objective: Option<f64>,
-    /// Classes whose jobs still count when they end within so many times
-    /// their deadline.
+    /// Job classes whose service-level objective allows an end after the deadline: the factor
+    /// by which a job may exceed its deadline and still meet the objective.
     pub deadline_factors: BTreeMap<String, f64>,
     /// Seconds between two heartbeats of a worker.
     pub heartbeat_interval_s: f64,
-    /// Seconds that a worker's lease lasts.
+    /// Duration of a worker's lease in seconds.
     pub lease_s: f64,
-    /// Seconds within which a cancelled job's tasks must be gone.
+    /// Seconds within which the tasks of a cancelled job must have stopped.
     pub cancel_s: f64,
-    /// Seconds by which the cloud's list is late.
+    /// Seconds by which the cloud's list of machines may be out of date.
     pub cloud_list_lag_s: f64,
-    /// Most changes of one transaction.
+    /// Maximum number of changes in one transaction.
     pub max_txn_changes: usize,
-    /// Largest value of the state service, in bytes.
+    /// Maximum size of a value in the state service, in bytes.
     pub max_value_bytes: usize,
-    /// Bound of the error of any node's time of day, in milliseconds.
+    /// Maximum error of the wall clock of any node, in milliseconds.
     pub max_clock_skew_ms: f64,
-    /// Steps of a cycle after which reports and users come first.
+    /// Number of steps after which a scheduling cycle pauses so that heartbeats and user requests
+    /// are handled first.
     pub slice_steps: u64,
-    /// Operators' constants.
+    /// Settings that operators can tune.
     pub tuning: Rc<Tuning>,
 }
 
 impl EngineConfig {
-    /// Seconds for which a leader that lost the state service goes on answering workers (rule 2).
+    /// Seconds for which a leader that has lost the state service continues to answer workers
+    /// (rule 2).
     pub fn renewal_s(&self) -> f64 {
         self.tuning.renewal_s(self.cancel_s, self.lease_s)
     }
@@ -105,21 +107,21 @@
 
 /// What a new leader found in the state service.
 pub struct InheritedState {
-    /// Of the grant that moved the block here (rule 1).
+    /// Revision of the grant that made this controller the leader (rule 1).
     pub revision: u64,
-    /// Version of the leader's key, on which every write depends (rule 1).
+    /// Version of the leader's key, which is a condition of every write (rule 1).
     pub leader_version: u64,
-    /// The grant, in parts.
+    /// The parts of the grant record.
     pub grant_parts: Vec<InheritedPart>,
     /// Unfinished jobs.
     pub jobs: Vec<InheritedJob>,
-    /// Jobs that are over whose progress still stands.
+    /// Finished jobs whose progress records still exist.
     pub finished_jobs: Vec<(String, RunRecord)>,
-    /// The predecessor's build kept no progress of jobs that were over: machines
-    /// count by their whole size until they are accounted for (rule 4).
+    /// The predecessor ran a build that kept no progress records of finished jobs: each machine
+    /// counts as used in full until it is accounted for (rule 4).
     pub count_whole_machines: bool,
-    /// A holder before us may have started tasks that no record tells of, and
-    /// not all machines have been accounted for since (rule 3).
+    /// An earlier leader may have started tasks that are not recorded, and not all machines have
+    /// been accounted for since then (rule 3).
     pub predecessor_degraded: bool,
     /// Machine types of the cloud.
     pub types: Vec<MachineType>,
@@ -133,17 +135,19 @@
     pub record: JobRecord,
     /// Version of the job's key.
     pub version: u64,
-    /// Its progress with the version of that key, if any is recorded.
+    /// The job's progress and the version of that record, if one exists.
     pub run: Option<(RunRecord, u64)>,
 }
 
+/// Pause of rentals of one machine type in one zone, as spot or ordinary machines, after a
+/// refusal.
 #[derive(Debug, Clone, PartialEq)]
 struct RentalBackoff {
     until: Time,
     backoff_s: f64,
 }
 
-/// A class's newest shape, to rent ahead for it.
+/// Requirements of the newest job of a class, for renting machines in advance.
 #[derive(Debug, Clone)]
 struct ClassSample {
     task_shape: Shape,
@@ -152,7 +156,7 @@
     spot: bool,
 }
 
-/// What the cloud shall do.
+/// A request to the cloud.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum CloudAction {
     /// Rent machines.
@@ -161,85 +165,93 @@
     Delete(Vec<String>),
 }
 
-/// The controller of a machine block.
+/// The state of a leader that schedules jobs on its fleet of machines.
 pub struct Engine {
     cfg: Rc<EngineConfig>,
+    /// Lowest fencing token of this leader.
     token: u64,
+    /// Version of the leader's key, a condition of every write.
     leader_version: u64,
     elected_at: Time,
     machine_types: Vec<MachineType>,
     jobs: BTreeMap<JobId, Job>,
     machines: BTreeMap<MachineId, Machine>,
     grant_parts: Vec<GrantPartState>,
-    /// Peers that may answer workers in our stead.
+    /// Peers that may renew workers' leases on behalf of this leader, by name.
     delegations: BTreeMap<String, Delegation>,
-    /// Machines with launches that no reply has carried yet, and perhaps some
-    /// more.
+    /// All machines with launches that no reply has carried yet, possibly among others.
     machines_with_unsent_launches: BTreeSet<MachineId>,
-    /// Jobs that are over whose progress still stands: removed when there is
-    /// time for it.
+    /// Finished jobs whose progress records can be deleted when nothing urgent is due.
     run_records_to_delete: BTreeSet<JobId>,
-    /// Jobs that are over whose attempts may still be about: their progress
-    /// stands until they are gone (rule 4).
+    /// Finished jobs with attempts that may still run: their progress records are kept until
+    /// these attempts are gone (rule 4).
     orphaned_jobs: OrphanedJobs<JobId, MachineId>,
+    /// Machines that are not accounted for count as used in full (rule 4).
     count_whole_machines: bool,
-    /// Machines that may hold tasks that no record tells of.
+    /// Machines that may hold tasks that are not recorded.
     unaccounted_machines: BTreeSet<MachineId>,
-    /// A record says that something may run that none tells of.
+    /// The state service holds a note that unrecorded tasks may run.
     recovery_pending: bool,
     /// Tasks may be started before they are recorded.
     degraded_mode: bool,
     attempt_counter: u64,
     request_counter: u64,
-    /// Rentals without an answer: asked again by the same name, which rents
-    /// nothing twice, before anything else is rented.
+    /// Rentals without an answer. Each is sent again before any other rental, under the same
+    /// request name, so that the cloud does not rent machines twice.
     unanswered_rentals: VecDeque<RentRequest>,
     learner: Learner,
+    /// Requirements of the newest job of each class.
     class_samples: BTreeMap<String, ClassSample>,
+    /// Pauses of rentals by machine type, zone and whether the machines are spot instances.
     rental_backoffs: BTreeMap<(usize, String, bool), RentalBackoff>,
+    /// When rentals were last planned.
     last_rental_at: Time,
     txn_in_flight: bool,
+    /// A scheduling cycle is to run.
     cycle_requested: bool,
-    /// What is left of a cycle that was cut short.
+    /// The rest of a scheduling cycle that was paused after a slice.
     unfinished_cycle: Option<SchedulingCycle>,
     cached_order: Option<CachedPriorityOrder>,
     starvation_guard: StarvationGuard,
     service_history: ServiceHistory,
-    /// False once a cycle has found nothing waiting.
+    /// False once a scheduling cycle has found no waiting job.
     may_have_waiting_jobs: bool,
-    /// Who may lose a task, as jobs come and go.
+    /// Jobs whose tasks may be evicted, by preemption class; updated as jobs come and go.
     preemptible_jobs: PreemptibleJobs<Priority, JobId>,
-    /// Jobs with tasks whose recovery is pending, by the machines that may hold them.
+    /// Jobs with tasks whose recovery is pending, by the machines that may hold these tasks.
     inherited_jobs_by_machine: BTreeMap<MachineId, Vec<JobId>>,
-    /// No waiting job's task is smaller than this in any amount.
+    /// Lower bound, for each resource, on the tasks of all waiting jobs.
     smallest_waiting_shape: Shape,
-    /// Work of cycles since it was last asked for.
+    /// Steps of scheduling cycles since the number was last read.
     cycle_steps: u64,
-    /// Jobs wait for a place with their image, for a moment only.
+    /// Jobs wait for a short time for capacity on a machine that has their image.
     jobs_await_image: bool,
+    /// A write failed because the leader's key has changed.
     leadership_lost: bool,
     next_status_at: Time,
     plans: Plans,
-    /// Machines whose deletion was answered, the newest last: names that never
-    /// come back, whatever a late list or report shows.
+    /// The names in `deleted_machines`, the newest last; the oldest are dropped first.
     deletion_order: VecDeque<MachineId>,
+    /// Machines whose deletion the cloud has confirmed. Names are not reused: a delayed list or
+    /// heartbeat that contains one of them is ignored.
     deleted_machines: BTreeSet<MachineId>,
 }
 
 impl Engine {
-    /// The engine of a new leader, at `now` on its steady clock and `unix_ms` milliseconds since 1970.
+    /// The engine of a new leader, at `now` on its monotonic clock and `unix_ms` milliseconds since
+    /// 1970.
     pub fn new(
         cfg: Rc<EngineConfig>,
         now: Time,
         unix_ms: u64,
-        inheritance: InheritedState,
+        inherited: InheritedState,
     ) -> Engine {
         let tuning = cfg.tuning.clone();
         let mut engine = Engine {
-            token: first_token(inheritance.revision),
-            leader_version: inheritance.leader_version,
+            token: first_token(inherited.revision),
+            leader_version: inherited.leader_version,
             elected_at: now,
-            machine_types: inheritance.types.clone(),
+            machine_types: inherited.types.clone(),
             jobs: BTreeMap::new(),
             machines: BTreeMap::new(),
             grant_parts: Vec::new(),
@@ -247,9 +259,9 @@
             machines_with_unsent_launches: BTreeSet::new(),
             run_records_to_delete: BTreeSet::new(),
             orphaned_jobs: OrphanedJobs::default(),
-            count_whole_machines: inheritance.count_whole_machines,
+            count_whole_machines: inherited.count_whole_machines,
             unaccounted_machines: BTreeSet::new(),
-            recovery_pending: inheritance.predecessor_degraded,
+            recovery_pending: inherited.predecessor_degraded,
             degraded_mode: false,
             attempt_counter: 0,
             request_counter: 0,
@@ -287,34 +299,35 @@
             deleted_machines: BTreeSet::new(),
             cfg,
         };
-        engine.inherit(now, unix_ms, inheritance);
+        engine.inherit(now, unix_ms, inherited);
         engine
     }
 
-    /// Takes in what earlier holders left: plans and machines first, which jobs refer to.
-    fn inherit(&mut self, now: Time, unix_ms: u64, inheritance: InheritedState) {
-        self.inherit_plans(now, inheritance.plans);
-        for part in inheritance.grant_parts {
+    /// Takes over the state of earlier leaders: first plans and machines, to which jobs refer.
+    fn inherit(&mut self, now: Time, unix_ms: u64, inherited: InheritedState) {
+        self.inherit_plans(now, inherited.plans);
+        for part in inherited.grant_parts {
             self.inherit_part(now, part);
         }
-        for (id, run) in inheritance.finished_jobs {
+        for (id, run) in inherited.finished_jobs {
             self.inherit_orphaned_attempts(&id, run);
         }
-        // In the order in which they came, which tells the rate of each class.
-        let mut jobs = inheritance.jobs;
+        // In the order of arrival, from which the arrival rate of each class is learned.
+        let mut jobs = inherited.jobs;
         jobs.sort_by_key(|job| job.record.accepted_ms);
         for job in jobs {
             self.insert_job(now, unix_ms, job.record, job.version, job.run);
         }
-        if inheritance.predecessor_degraded {
+        if inherited.predecessor_degraded {
             self.unaccounted_machines = self.machines.keys().cloned().collect();
         }
         self.inherit_recovery();
         self.inherit_reservations(now);
     }
 
-    /// Which machines may hold tasks whose recovery is pending. A host that the grant no
-    /// longer names was proven empty before it was taken off, so only named ones can.
+    /// Determines which machines may hold tasks whose recovery is pending. Only machines in the
+    /// grant record can: a machine is removed from the record only once it is certain that no
+    /// task runs on it.
     fn inherit_recovery(&mut self) {
         let known = &self.machines;
         for (id, job) in &mut self.jobs {
@@ -333,16 +346,17 @@
         }
     }
 
-    /// The revision of our grant.
+    /// The revision of this leader's grant.
     pub fn revision(&self) -> u64 {
         epoch(self.token)
     }
 
-    /// True once a write was refused because the leader's key is not ours.
+    /// True once a write was rejected because the leader's key no longer belongs to this leader.
     pub fn has_lost_leadership(&self) -> bool {
         self.leadership_lost
     }
 
+    /// Seconds without a heartbeat after which a machine counts as silent.
     fn silence_limit_s(&self) -> f64 {
         (self.cfg.tuning.silent_reports * self.cfg.heartbeat_interval_s).max(2.0)
     }
@@ -351,7 +365,7 @@
         self.machine_types.iter().position(|t| t.name == name)
     }
 
-    /// New prices, or the first catalogue.
+    /// Applies a new catalogue of machine types, for example with new prices.
     pub fn set_machine_types(&mut self, types: Vec<MachineType>) {
         let names: Vec<Option<String>> = self
             .machines
@@ -371,7 +385,8 @@
             job.smallest_cpus =
                 umbersail_policy::smallest_cpus(&job.spec, &self.machine_types).unwrap_or(f64::MAX);
         }
-        // What stands in them is by type, and types may have moved.
+        // The rest of a cycle, the cached order and the starvation guard refer to machine types
+        // by index, and the indices may have changed.
         self.unfinished_cycle = None;
         self.cached_order = None;
         self.starvation_guard = StarvationGuard::default();
--- a/crates/umbersail-control/src/engine/reachability.rs
+++ b/crates/umbersail-control/src/engine/reachability.rs
@@ -1,36 +1,38 @@
-//! Reachability: whether our answers reach a machine, by what its reports show of them.
-//! One whose reports arrive while it receives nothing has a one-way partition.
+//! Reachability: whether replies reach a machine, inferred from its heartbeats.
 //!
-//! A machine whose reports arrive while answers and commands don't reach it looks
-//! empty and well, and would draw launches for ever. What it was told and does not
-//! show is a sign; so is a session that ends although we answered. Nothing here
-//! bears on rule 3: what ran on it is settled by its reports and by its lease.
+//! A machine with a one-way partition sends heartbeats while replies and commands do not
+//! reach it. It looks empty and healthy, and launches would be sent to it again and again. Two
+//! things count as evidence: a later heartbeat does not show what a reply contained, or the
+//! agent session ends although a reply was sent. Rule 3 does not depend on this module: which
+//! tasks may run on the machine is decided by its heartbeats and its lease.
 
 use umbersail_wire::Report;
 
 use super::{EngineConfig, Time};
 
-/// A reply is dropped by the worker this long after the report was sent, s
-/// (the workers' protocol).
+/// A worker drops a reply that arrives this many seconds after the heartbeat was sent, as the
+/// protocol of the workers specifies.
 const REPLY_TIMEOUT_S: f64 = 4.0;
 
-/// The newest answer in turn.
+/// The newest reply to a periodic heartbeat.
 #[derive(Debug, Clone, Copy, PartialEq)]
 struct LastReply {
     session: u64,
-    /// The highest token that the machine has shown in what was answered, or has
-    /// taken up by a direct command since.
+    /// The highest token that the machine has shown, in the heartbeat that this reply answers
+    /// or since then in a response to a direct command.
     token_observed: u64,
+    /// The token that the reply carried.
     token: u64,
     sent_at: Time,
-    /// A report has been held against it: one answer is one sign at most.
+    /// A later heartbeat has been compared with this reply: each reply counts at most once.
     evaluated: bool,
 }
 
-/// What is known of one machine.
+/// Reachability of one machine.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 pub(crate) struct Reachability {
     last_reply: Option<LastReply>,
+    /// Replies that did not arrive, as far as later heartbeats show.
     missed_replies: u32,
     last_missed_at: Option<Time>,
     unreachable_since: Option<Time>,
@@ -45,7 +47,7 @@
         self.unreachable_since
     }
 
-    /// The report was answered, with this token.
+    /// A reply to this heartbeat was sent, with this token.
     pub fn reply_sent(&mut self, now: Time, report: &Report, token: u64) {
         self.last_reply = Some(LastReply {
             session: report.session,
@@ -56,17 +58,17 @@
         });
     }
 
-    /// It has answered a direct command: that says nothing of replies, in which
-    /// launches travel.
+    /// The machine has responded to a direct command. That is no evidence that replies, which
+    /// carry the launches, arrive.
     pub fn command_acknowledged(&mut self, report: &Report) {
-        if let Some(told) = &mut self.last_reply {
-            told.token_observed = told.token_observed.max(report.token);
+        if let Some(reply) = &mut self.last_reply {
+            reply.token_observed = reply.token_observed.max(report.token);
         }
     }
 
-    /// A newer report in turn. `launches`: some that it was told were taken up
-    /// (true) or none of them (false). True while it has to show that answers reach it: a
-    /// raised token in the next answer lets it.
+    /// Evaluates a newer periodic heartbeat. `launches`: whether the machine executed launches
+    /// that it was sent (true) or none of them (false). Returns true while the machine has yet
+    /// to show that replies reach it; a raised token in the next reply allows it to.
     pub fn observe(
         &mut self,
         now: Time,
@@ -75,25 +77,27 @@
         launches: Option<bool>,
     ) -> bool {
         let tuning = &cfg.tuning;
-        let Some(told) = &mut self.last_reply else {
+        let Some(reply) = &mut self.last_reply else {
             return false;
         };
-        // Not by a token of another holder, which is lower than any of ours.
-        let took_up = report.token > told.token_observed && report.token >= told.token;
-        if took_up || launches == Some(true) {
+        // A token of an earlier leader does not count: it is lower than any of this leader's.
+        let token_received = report.token > reply.token_observed && report.token >= reply.token;
+        if token_received || launches == Some(true) {
             *self = Reachability {
                 last_reply: self.last_reply,
                 ..Reachability::default()
             };
             return false;
         }
-        let pause = now - told.sent_at;
-        let token_missed = told.token > told.token_observed.max(report.token);
-        // Had it received the answer, its lease would have held for longer.
-        let session_missed = report.session > told.session && pause < cfg.lease_s - REPLY_TIMEOUT_S;
-        let first = !std::mem::replace(&mut told.evaluated, true);
+        let reply_age_s = now - reply.sent_at;
+        let token_missed = reply.token > reply.token_observed.max(report.token);
+        // If the reply had arrived, the machine's lease and with it the session would not have
+        // ended yet.
+        let session_missed =
+            report.session > reply.session && reply_age_s < cfg.lease_s - REPLY_TIMEOUT_S;
+        let first = !std::mem::replace(&mut reply.evaluated, true);
         let missed = token_missed || launches == Some(false) || session_missed;
-        if !(missed && first) || pause < tuning.unreachable_gap_s {
+        if !(missed && first) || reply_age_s < tuning.unreachable_gap_s {
             return self.missed_replies > 0;
         }
         if self
--- a/crates/umbersail-control/src/engine/reclaim.rs
+++ b/crates/umbersail-control/src/engine/reclaim.rs
@@ -1,18 +1,20 @@
-//! Machines about to be taken back, or not heard of: what can't finish there moves.
+//! Moves tasks off machines that the cloud will reclaim or that do not answer.
 
 use super::{Engine, JobId, PendingStop, Time};
 
 impl Engine {
-    /// Machines about to be taken back: what can't finish there moves now.
+    /// Stops tasks that cannot finish before their machine is reclaimed, and requeues
+    /// placements that were never launched on machines that are to be reclaimed or
+    /// deleted, silent or unreachable.
     pub(super) fn handle_reclaim_notices(&mut self, now: Time) {
         let mut stops: Vec<(JobId, u32, f64)> = Vec::new();
-        let silent_after = self.silence_limit_s();
-        let mut unplan: Vec<(JobId, u32)> = Vec::new();
+        let silence_limit_s = self.silence_limit_s();
+        let mut unlaunched: Vec<(JobId, u32)> = Vec::new();
         for machine in self.machines.values_mut() {
-            let leaving = machine.reclaim_at;
-            let silent = machine.silent_for(now) >= silent_after;
+            let reclaim_at = machine.reclaim_at;
+            let silent = machine.silent_for(now) >= silence_limit_s;
             let unreachable = machine.reachability.is_unreachable();
-            if leaving.is_none() && !silent && !unreachable && machine.delete_reason.is_none() {
+            if reclaim_at.is_none() && !silent && !unreachable && machine.delete_reason.is_none() {
                 continue;
             }
             for (id, task) in &machine.tasks {
@@ -23,11 +25,11 @@
                     continue;
                 };
                 if placement.launched_in.is_none() && placement.observed_state.is_none() {
-                    // Told to nobody: it can wait elsewhere at once.
-                    unplan.push((id.clone(), *task));
+                    // The worker never received the launch: the task can be requeued at once.
+                    unlaunched.push((id.clone(), *task));
                     continue;
                 }
-                let Some(until) = leaving else {
+                let Some(until) = reclaim_at else {
                     continue;
                 };
                 if machine.reclaim_handled || placement.pending_stop.is_some() {
@@ -39,11 +41,11 @@
                     stops.push((id.clone(), *task, job.save_grace_s()));
                 }
             }
-            if leaving.is_some() {
+            if reclaim_at.is_some() {
                 machine.reclaim_handled = true;
             }
         }
-        for (id, task) in unplan {
+        for (id, task) in unlaunched {
             self.requeue_task(&id, task);
         }
         for (id, task, grace_s) in stops {
--- a/crates/umbersail-control/src/engine/recovery.rs
+++ b/crates/umbersail-control/src/engine/recovery.rs
@@ -1,13 +1,14 @@
-//! What earlier holders may have left running: machines are accounted for one by one, by
-//! their heartbeats, their leases or the cloud (rules 3 and 4).
+//! Recovery after a failover: tasks that earlier leaders may have left running. Machines are
+//! accounted for one by one, by a heartbeat, by the expiry of their lease or by the cloud
+//! (rules 3 and 4).
 
 use tracing::info;
 
 use super::{Engine, JobId, MachineId};
 
 impl Engine {
-    /// Nothing of ours or of an earlier holder is on this machine except what
-    /// its newest report shows (rule 3).
+    /// Accounts for the machine: no task of this or an earlier leader is on it except those
+    /// that its newest heartbeat lists (rule 3).
     pub(super) fn account_for_machine(&mut self, name: &MachineId) {
         if let Some(machine) = self.machines.get_mut(name) {
             if !machine.inherited {
@@ -16,8 +17,8 @@
             machine.inherited = false;
         }
         self.finish_unrecorded_recovery(name);
-        // By machine, since a new leader hears of thousands of machines within
-        // a second and has thousands of jobs.
+        // Looked up by machine, because a new leader accounts for thousands of machines
+        // within a second while it has thousands of jobs.
         for id in self
             .inherited_jobs_by_machine
             .remove(name)
@@ -33,25 +34,25 @@
         self.mark_jobs_waiting();
     }
 
-    /// Whether tasks may be started before they are recorded, from now on.
-    pub fn set_degraded_mode(&mut self, open: bool) {
-        self.degraded_mode = open;
+    /// Turns degraded mode on or off: whether tasks may be started before they are recorded.
+    pub fn set_degraded_mode(&mut self, enabled: bool) {
+        self.degraded_mode = enabled;
     }
 
-    /// Jobs of which something was started that no record tells of yet.
+    /// Number of jobs with tasks that were started and are not recorded yet.
     pub fn unrecorded_job_count(&self) -> usize {
         self.jobs.values().filter(|j| j.is_unrecorded()).count()
     }
 
-    /// Whether tasks wait that might be started without a record.
+    /// Whether a job waits whose tasks may be started in degraded mode.
     pub fn has_jobs_for_degraded_mode(&self) -> bool {
         self.jobs
             .values()
             .any(|j| j.is_schedulable() && j.may_start_unrecorded())
     }
 
-    /// The machine is accounted for: once all are, nothing can run that no
-    /// record tells of.
+    /// Notes that the machine holds no unknown tasks. Once this holds for all machines, no task
+    /// can run that is neither recorded nor known to this leader.
     pub(super) fn finish_unrecorded_recovery(&mut self, name: &MachineId) {
         if !self.unaccounted_machines.remove(name) || !self.unaccounted_machines.is_empty() {
             return;
@@ -65,19 +66,19 @@
         for id in ended {
             self.remove_if_finished(&id);
         }
-        info!("all machines are accounted for: what runs is known");
+        info!("all machines are accounted for: every running task is known");
     }
 
-    /// Whether nothing runs any more that no record tells of. That all machines
-    /// are accounted for is not enough: a successor finds only what is recorded,
-    /// not what we saw in their reports.
+    /// Whether every running task is recorded. It is not enough that all machines are accounted
+    /// for: a successor finds only the records, not the heartbeats that this leader received.
     pub(super) fn is_recovery_complete(&self) -> bool {
         self.unaccounted_machines.is_empty()
             && self.unrecorded_job_count() == 0
             && !self.machines.values().any(|m| m.has_unsized_orphans)
     }
 
-    /// The machine holds nothing any more: lapsed, failed or deleted.
+    /// Requeues all tasks of a machine that can hold none any more: its lease has expired, or
+    /// the machine has failed or is deleted.
     pub(super) fn clear_machine(&mut self, name: &MachineId) {
         let tasks: Vec<(JobId, u32)> = self
             .machines
--- a/crates/umbersail-control/src/engine/status.rs
+++ b/crates/umbersail-control/src/engine/status.rs
@@ -1,11 +1,11 @@
-//! One line on machines and jobs for the log, and counts of machines.
+//! The status line for the log, and counts of machines and jobs.
 
 use std::collections::BTreeMap;
 
 use super::{Engine, Time};
 
 impl Engine {
-    /// One line on the whole block, for the on-call person.
+    /// One line for operators: machines by type and by spot or ordinary, jobs by class.
     pub fn status(&self, now: Time) -> String {
         let mut by_kind: BTreeMap<(String, bool), [usize; 4]> = BTreeMap::new();
         for m in self.machines.values() {
@@ -30,12 +30,12 @@
         }
         use std::fmt::Write;
         let mut out = String::new();
-        for ((name, spot), [boot, idle, busy, out_of_use]) in by_kind {
+        for ((name, spot), [boot, idle, busy, unavailable]) in by_kind {
             let kind = if spot { "spot" } else { "ordinary" };
             // Writing to a String cannot fail.
             let _ = write!(
                 out,
-                "{name}/{kind} {boot} booting {idle} idle {busy} busy {out_of_use} out; "
+                "{name}/{kind} {boot} booting {idle} idle {busy} busy {unavailable} unavailable; "
             );
         }
         for (class, [jobs, waiting, placed]) in by_class {
@@ -47,7 +47,7 @@
         out
     }
 
-    /// Number of machines, in whatever state.
+    /// Number of machines in any state.
     pub fn machine_count(&self) -> usize {
         self.machines.len()
     }
@@ -57,20 +57,21 @@
         self.jobs.len()
     }
 
-    /// Machines up, for logs and for judging whether workers reach us.
+    /// Numbers of machines that are not silent and of machines that have ever sent a heartbeat,
+    /// for logs and to detect that heartbeats do not reach this leader.
     pub fn live_machine_counts(&self, now: Time) -> (usize, usize) {
         let up = self
             .machines
             .values()
             .filter(|m| m.last_heartbeat.is_some());
         let limit = self.silence_limit_s();
-        let (mut live, mut all) = (0, 0);
+        let (mut live, mut total) = (0, 0);
         for m in up {
-            all += 1;
+            total += 1;
             if m.silent_for(now) < limit {
                 live += 1;
             }
         }
-        (live, all)
+        (live, total)
     }
 }
--- a/crates/umbersail-control/src/engine/task_ends.rs
+++ b/crates/umbersail-control/src/engine/task_ends.rs
@@ -1,5 +1,5 @@
-//! What follows from the end of a task: results, errors held against machines and jobs,
-//! quarantine.
+//! Handles the end of a task: records results, counts errors against machines and jobs, and
+//! quarantines machines.
 
 use tracing::{debug, info, warn};
 use umbersail_wire::{ExitCause, TaskReport};
@@ -7,13 +7,15 @@
 use super::{Engine, JobId, MachineId, PendingStop, Time};
 
 impl Engine {
+    /// A task has completed on the machine `name`. `is_placed_attempt`: by the attempt that
+    /// this leader has placed, not by an earlier one.
     pub(super) fn task_completed(
         &mut self,
         now: Time,
         name: &MachineId,
         id: &JobId,
         task: u32,
-        ours: bool,
+        is_placed_attempt: bool,
     ) {
         let Some(job) = self.jobs.get_mut(id) else {
             return;
@@ -26,7 +28,8 @@
         job.recovery_pending.remove(&task);
         job.requeued.remove(&task);
         job.mark_dirty(now);
-        // Here and not at its end: that may be seen in the watch first.
+        // The outcome is counted here rather than when the end has been recorded, because
+        // the watch may report the deleted job key before the transaction is answered.
         let ended = job.is_complete();
         let in_time = job
             .spec
@@ -39,7 +42,7 @@
         let Some(job) = self.jobs.get_mut(id) else {
             return;
         };
-        if ours
+        if is_placed_attempt
             && let Some(since) = job.placements.get(&task).and_then(|p| p.running_since)
             && let Some(placement) = job.placements.get(&task)
             && placement.launched_in.is_some()
@@ -49,8 +52,8 @@
             self.learner.ran(&class, now, estimate, now - since);
         }
         match job.placements.get_mut(&task) {
-            // A result that came late: the attempt in its stead is of no use.
-            Some(other) if !ours && other.may_be_known_to_worker() => {
+            // An earlier attempt completed: the attempt that replaced it is not needed.
+            Some(other) if !is_placed_attempt && other.may_be_known_to_worker() => {
                 other.pending_stop = Some(PendingStop::IMMEDIATE);
             }
             _ => drop(self.remove_placement(id, task)),
@@ -64,7 +67,7 @@
         self.remove_if_finished(id);
     }
 
-    /// One of our attempts ended without completing.
+    /// The placed attempt of a task ended without completing the task.
     pub(super) fn task_ended(
         &mut self,
         now: Time,
@@ -82,14 +85,14 @@
             return;
         };
         match cause {
-            ExitCause::Stopped => debug!(job = &**id, task, saved = ?entry.saved, "stopped"),
+            ExitCause::Stopped => debug!(job = &**id, task, saved = ?entry.saved, "task stopped"),
             ExitCause::Error => self.task_failed(now, name, id, ran_s),
             ExitCause::Unknown => {
                 job.backoff_until = Some(now + self.cfg.tuning.job_backoff_s);
                 info!(
                     job = &**id,
                     machine = &**name,
-                    "worker does not find the job: backs off"
+                    "the worker found no such job or task: backing off"
                 );
             }
             ExitCause::NoRoom | ExitCause::Busy => {
@@ -98,12 +101,18 @@
                     task,
                     machine = &**name,
                     ?cause,
-                    "start refused by the worker"
+                    "the worker refused to start the task: backing off"
                 );
                 job.backoff_until = Some(now + self.cfg.heartbeat_interval_s);
             }
             ExitCause::Done | ExitCause::Other => {
-                warn!(job = &**id, task, machine = &**name, ?cause, "ended");
+                warn!(
+                    job = &**id,
+                    task,
+                    machine = &**name,
+                    ?cause,
+                    "task ended without completing"
+                );
             }
         }
         if let Some(machine) = self.machines.get_mut(name)
@@ -113,8 +122,8 @@
         }
     }
 
-    /// A task failed after `ran_s` seconds: held against the job if it has failed on several
-    /// machines, else against the machine.
+    /// A task failed after `ran_s` seconds. The error is counted against the job if the job has
+    /// failed on several machines, otherwise against the machine.
     fn task_failed(&mut self, now: Time, name: &MachineId, id: &JobId, ran_s: f64) {
         let tuning = self.cfg.tuning.clone();
         let Some(job) = self.jobs.get_mut(id) else {
@@ -131,8 +140,8 @@
             self.count_machine_error(now, name, id);
             return;
         }
-        // It fails everywhere: it waits longer each time. Those of its tasks that were
-        // under way say nothing new.
+        // The job fails on every machine: its backoff doubles each time. Failures of tasks
+        // that were still running during the backoff do not extend it.
         if job.backoff_until.is_none() {
             let doubled_s = job.backoff_s * 2.0;
             job.backoff_s = doubled_s.clamp(tuning.job_backoff_s, tuning.job_backoff_most_s);
@@ -141,7 +150,7 @@
                 job = &**id,
                 errors = job.errors,
                 pause_s = job.backoff_s,
-                "fails on every machine: backs off"
+                "the job fails on every machine: backing off"
             );
         }
         if !was_suspect {
@@ -150,7 +159,8 @@
         }
     }
 
-    /// Counts an error of the job against the machine.
+    /// Counts an error of the job against the machine, which gets no more tasks if too many
+    /// errors of several jobs are counted.
     fn count_machine_error(&mut self, now: Time, name: &MachineId, id: &JobId) {
         let limit = self.cfg.tuning.quarantine_errors as u32;
         let Some(machine) = self.machines.get_mut(name) else {
@@ -159,12 +169,16 @@
         *machine.errors_by_job.entry(id.clone()).or_default() += 1;
         if machine.suspected_faulty_at.is_none() && machine.has_too_many_errors(limit) {
             machine.suspected_faulty_at = Some(now);
-            debug!(machine = &**name, "fails tasks of several jobs: gets none");
+            debug!(
+                machine = &**name,
+                "tasks of several jobs failed on the machine: no more tasks are placed on it"
+            );
         }
     }
 
-    /// Nothing is held against the job any more: it was the machines, and what it
-    /// took back of them is said again.
+    /// The job has proven not to be faulty: its errors are forgotten. If errors on machines
+    /// were withdrawn because the job was suspected, they are counted against those machines
+    /// again.
     pub(super) fn clear_job_errors(&mut self, id: &JobId) {
         let Some(job) = self
             .jobs
@@ -184,16 +198,17 @@
         self.cycle_requested = true;
     }
 
-    /// A job that fails everywhere says nothing of the machines where it did.
+    /// Removes the job's errors from all machines: a job that fails everywhere is no evidence
+    /// that a machine is faulty.
     pub(super) fn withdraw_machine_errors(&mut self, id: &JobId) {
         let Some(job) = self.jobs.get(id) else {
             return;
         };
-        let least = self.cfg.tuning.quarantine_errors as u32;
+        let limit = self.cfg.tuning.quarantine_errors as u32;
         for name in &job.failed_on_since_success {
             if let Some(machine) = self.machines.get_mut(name)
                 && machine.errors_by_job.remove(id).is_some()
-                && !machine.has_too_many_errors(least)
+                && !machine.has_too_many_errors(limit)
             {
                 machine.suspected_faulty_at = None;
             }
@@ -201,8 +216,8 @@
         self.cycle_requested = true;
     }
 
-    /// Gives machines back that still stand accused, once jobs that fail
-    /// everywhere have had the time to show themselves.
+    /// Quarantines suspected machines, which are then deleted. This happens only after a delay,
+    /// in which jobs that fail everywhere are recognised and their errors withdrawn.
     pub(super) fn quarantine_machines(&mut self, now: Time) {
         let hold_s = self.cfg.tuning.quarantine_hold_s;
         for (name, machine) in &mut self.machines {
@@ -211,11 +226,11 @@
                 .is_some_and(|at| now - at >= hold_s);
             if due && !machine.quarantined {
                 machine.quarantined = true;
-                machine.delete_reason = Some("quarantined: it fails tasks of several jobs");
+                machine.delete_reason = Some("quarantined: tasks of several jobs failed on it");
                 let errors: u32 = machine.errors_by_job.values().sum();
                 warn!(
                     machine = &**name,
-                    errors, "quarantined: it fails tasks of several jobs"
+                    errors, "machine quarantined: tasks of several jobs failed on it"
                 );
             }
         }
--- a/crates/umbersail-control/src/engine/write.rs
+++ b/crates/umbersail-control/src/engine/write.rs
@@ -1,5 +1,5 @@
-//! Transactions with the state service: one under way at a time, each on the
-//! condition of the leader's key, so that a late one fails.
+//! Transactions with the state service. At most one is in flight, and each has a condition on
+//! the version of the leader's key, so that a delayed write of a former leader fails.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -16,9 +16,10 @@
     RunRecord, job_key, over_key, run_key,
 };
 
-/// What a transaction writes of one job, to be remembered once it stands.
+/// What the engine updates once a transaction has been applied.
 #[derive(Debug, Clone)]
 enum WriteEffect {
+    /// The progress of a job is recorded.
     Run {
         id: JobId,
         high: u32,
@@ -26,84 +27,87 @@
         done: Bitmap,
         evictions: u32,
     },
+    /// The completion of a job is recorded.
     JobEnded(JobId),
-    /// The progress of a job that is over is gone.
+    /// The progress record of a finished job is deleted.
     RunDeleted(JobId),
-    /// Nothing runs that no record tells of.
+    /// The note that unrecorded tasks may run is deleted.
     RecoveryCompleted,
 }
 
-/// A transaction on its way.
+/// A transaction in flight.
 #[derive(Debug, Clone)]
 pub struct PendingTxn {
-    /// What is sent.
+    /// The conditions and changes to send.
     pub txn: Txn<Record>,
     effects: Vec<WriteEffect>,
     parts: Vec<WrittenPart>,
     plans: Vec<WrittenPlan>,
 }
 
-/// What is known of a transaction.
+/// The outcome of a transaction, as far as known.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum TxnOutcome {
-    /// It was applied.
+    /// The transaction was applied.
     Applied {
         /// The revision of all its changes.
         revision: u64,
     },
-    /// These keys did not have the version that was asked for.
+    /// Nothing was applied: some keys did not have the required versions.
     Conflict {
-        /// The keys.
+        /// These keys.
         failed: Vec<String>,
     },
-    /// The service says that it did nothing.
+    /// The state service answered that it did not execute the transaction.
     NotExecuted,
-    /// No answer: it may have been applied, or may be later.
+    /// No answer: the transaction may have been applied or may still be applied.
     Unknown,
 }
 
-/// Bytes of one transaction: the protocol's 64 KiB less room for its frame.
+/// Maximum size of one transaction in bytes: the protocol's 64 KiB less a reserve for framing.
 pub(super) const TXN_BYTES: usize = 48 * 1024;
-/// What a record and its conditions take beside the text of their parts.
+/// Assumed size of a record and its conditions, without the text of completed tasks and hosts.
 const RECORD_BYTES: usize = 400;
-/// What one machine's name takes in a record.
+/// Assumed size of one machine's name in a record.
 const HOST_BYTES: usize = 24;
 
 /// Why a job's record is written, most urgent first.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 enum WritePriority {
-    /// A launch or a stop waits for it, or an end has waited long. By age: a
-    /// job's launches gather in one record while it waits, ends do not, and ends
-    /// that gave way to launches were told too late.
+    /// A launch or a stop command waits for the record, or a completion has waited for long.
+    /// These are written in the order of age. While a job waits, its launches are collected in
+    /// one record, whereas completions cannot be combined: when completions always came after
+    /// launches, they were reported too late.
     Launch,
+    /// The job is complete.
     End,
-    /// Either of work that gives way: a guest's thousands of single tasks would take
-    /// all that can be written, so they leave half of the bucket to others.
+    /// A launch, stop or completion of a best-effort job. Thousands of single-task best-effort
+    /// jobs would use the whole write budget, so they leave half of the rate limit to others.
     BestEffort,
-    /// Nobody waits: results stay with their workers until they are recorded.
+    /// Nothing waits for the record: workers keep results until these are recorded.
     Progress,
 }
 
-/// A job whose record is due, and since when it has changed.
+/// A job whose record is due for writing.
 struct DueJob {
     priority: WritePriority,
     dirty_since: Time,
     id: JobId,
 }
 
-/// How much one transaction may carry.
+/// How much one transaction may contain.
 struct TxnLimits {
-    /// Changes in all.
+    /// Maximum number of changes in total.
     max_changes: usize,
-    /// Changes that the state service takes at once.
+    /// Number of changes that the state service accepts immediately.
     capacity: usize,
-    /// Of those, for writes that nobody waits for.
+    /// Part of `capacity` that may be used for writes that nothing waits for.
     background_capacity: usize,
-    /// Somebody waits for one of the records.
+    /// Something waits for one of the records.
     urgent: bool,
 }
 
-/// A transaction as it grows, with what its writing means to the engine.
+/// A transaction under construction, with its effects on the engine once applied.
 struct TxnBuilder {
     txn: Txn<Record>,
     effects: Vec<WriteEffect>,
@@ -141,12 +145,12 @@
     }
 }
 
-/// What a record of progress takes in a transaction.
+/// Assumed size of a progress record in a transaction, in bytes.
 fn run_record_bytes(record: &RunRecord) -> usize {
     RECORD_BYTES + record.done.len() + record.hosts.len() * HOST_BYTES
 }
 
-/// The record of an unfinished job's progress, as it should stand.
+/// The progress record that should be stored for a job.
 fn run_record(job: &Job, teams: &[TeamLimits]) -> RunRecord {
     let running = |p: &&Placement| p.observed_state.is_some_and(|s| s == TaskState::Running);
     RunRecord {
@@ -164,9 +168,9 @@
 }
 
 impl Engine {
-    /// Attempts of a completed job that are still about become strangers and are
-    /// stopped. They count from now on, not from the next report, and until their
-    /// machines show that they are gone (rule 4).
+    /// Registers the remaining attempts of a completed job as orphaned, so that they are
+    /// stopped. Their resources count as used from now on, not only from the next heartbeat,
+    /// until their machines show that the attempts are gone (rule 4).
     fn record_orphaned_attempts(&mut self, id: &JobId, job: &Job) {
         let mut machines: BTreeMap<MachineId, Option<(u64, u64)>> = BTreeMap::new();
         if job.inherited_extra_attempts() > 0 {
@@ -192,26 +196,36 @@
         );
     }
 
-    /// The next transaction, if one is due. `room` is how many changes the
-    /// state service takes at once; of those, `spare` may go to writes that
-    /// nobody waits for. What somebody waits for goes first and in small
-    /// transactions: a large one waits for its turn as a whole.
-    pub fn next_txn(&mut self, now: Time, room: usize, spare: usize) -> Option<PendingTxn> {
+    /// The next transaction, if one is due. `capacity` is the number of changes that the state
+    /// service accepts immediately; of these, `background_capacity` may be used for writes that
+    /// nothing waits for. Urgent writes go first and in small transactions, because a large
+    /// transaction is delayed as a whole until the rate limit admits it.
+    pub fn next_txn(
+        &mut self,
+        now: Time,
+        capacity: usize,
+        background_capacity: usize,
+    ) -> Option<PendingTxn> {
         if self.txn_in_flight || self.leadership_lost {
             return None;
         }
-        let due = self.due_jobs(now, spare);
+        let due = self.due_jobs(now, background_capacity);
         let urgent = due
             .iter()
             .any(|job| job.priority != WritePriority::Progress);
         let limits = TxnLimits {
-            max_changes: (self.cfg.max_txn_changes).min(if urgent { room.max(2) } else { spare }),
-            capacity: room,
-            background_capacity: spare,
+            max_changes: (self.cfg.max_txn_changes).min(if urgent {
+                capacity.max(2)
+            } else {
+                background_capacity
+            }),
+            capacity,
+            background_capacity,
             urgent,
         };
         let mut builder = TxnBuilder::new(self.leader_version);
-        let parts = self.write_due_parts(&mut builder.txn, due.is_empty() && spare > 0);
+        let parts =
+            self.write_due_parts(&mut builder.txn, due.is_empty() && background_capacity > 0);
         builder.bytes += parts.iter().map(WrittenPart::bytes).sum::<usize>();
         self.write_due_jobs(&mut builder, due, &limits);
         let plans = self.write_due_plans(now, &mut builder, &limits);
@@ -230,7 +244,7 @@
     }
 
     /// Jobs whose records are due, the most urgent first.
-    fn due_jobs(&self, now: Time, spare: usize) -> Vec<DueJob> {
+    fn due_jobs(&self, now: Time, background_capacity: usize) -> Vec<DueJob> {
         let mut due: Vec<DueJob> = self
             .jobs
             .iter()
@@ -238,7 +252,7 @@
             .filter_map(|(id, job)| {
                 let since = job.dirty_since?;
                 Some(DueJob {
-                    priority: self.write_priority(job, now - since, spare)?,
+                    priority: self.write_priority(job, now - since, background_capacity)?,
                     dirty_since: since,
                     id: id.clone(),
                 })
@@ -253,32 +267,36 @@
         due
     }
 
-    /// Why a job's record that changed `age_s` ago is written now, if it is.
-    fn write_priority(&self, job: &Job, age_s: f64, spare: usize) -> Option<WritePriority> {
+    /// The priority of writing a job's progress that changed `age_s` ago; `None` if the write
+    /// can wait.
+    fn write_priority(
+        &self,
+        job: &Job,
+        age_s: f64,
+        background_capacity: usize,
+    ) -> Option<WritePriority> {
         let tuning = &self.cfg.tuning;
-        let due = if job.is_complete() && age_s < tuning.end_patience_s {
+        let priority = if job.is_complete() && age_s < tuning.end_patience_s {
             WritePriority::End
         } else if job.is_complete() || job.is_write_urgent() {
             WritePriority::Launch
-        } else if spare > 0 && age_s >= tuning.write_delay_s {
+        } else if background_capacity > 0 && age_s >= tuning.write_delay_s {
             WritePriority::Progress
         } else {
             return None;
         };
-        match due {
+        match priority {
             WritePriority::Launch | WritePriority::End if job.spec.is_best_effort() => {
                 Some(WritePriority::BestEffort)
             }
-            due => Some(due),
+            priority => Some(priority),
         }
     }
 
+    /// Adds the records of due jobs, as far as the transaction has space.
     fn write_due_jobs(&mut self, builder: &mut TxnBuilder, due: Vec<DueJob>, limits: &TxnLimits) {
-        for DueJob {
-            priority: due, id, ..
-        } in due
-        {
-            let max_changes = match due {
+        for DueJob { priority, id, .. } in due {
+            let max_changes = match priority {
                 WritePriority::Progress | WritePriority::BestEffort => {
                     limits.max_changes.min(limits.background_capacity)
                 }
@@ -286,7 +304,8 @@
             };
             let changes = builder.txn.changes.len();
             let is_full = changes + 2 > max_changes && changes > 0;
-            if is_full || (due == WritePriority::BestEffort && limits.background_capacity < 2) {
+            if is_full || (priority == WritePriority::BestEffort && limits.background_capacity < 2)
+            {
                 break;
             }
             let Some(job) = self.jobs.get(&id) else {
@@ -303,7 +322,8 @@
         }
     }
 
-    /// Writes that the job is done: its key goes, its end comes (rule 6).
+    /// Writes that the job is complete: deletes the job's key and creates its outcome record
+    /// (rule 6).
     fn write_job_end(&mut self, builder: &mut TxnBuilder, id: &JobId, run_version: u64) {
         let Some(job) = self.jobs.get_mut(id) else {
             return;
@@ -311,13 +331,13 @@
         job.end_write_pending = true;
         builder.require(job_key(id), job.version);
         builder.delete(job_key(id));
-        let over = OverRecord {
+        let outcome = OverRecord {
             outcome: Outcome::Done,
             done: job.done.count(),
         };
-        builder.put(over_key(id), Record::Over(over));
+        builder.put(over_key(id), Record::Over(outcome));
         if job.extra_attempts() > 0 {
-            // Attempts are still about: the record stays, and says so.
+            // Further attempts may still run: the progress record is kept and lists them.
             let record = run_record(job, &self.cfg.teams);
             builder.bytes += run_record_bytes(&record);
             builder.require(run_key(id), run_version);
@@ -334,7 +354,8 @@
         builder.bytes += RECORD_BYTES;
     }
 
-    /// Writes a job's progress; false if the transaction has no room left for it.
+    /// Writes a job's progress; returns false if the transaction has no space left for the
+    /// record.
     fn write_progress(&mut self, builder: &mut TxnBuilder, id: &JobId, run_version: u64) -> bool {
         let Some(job) = self.jobs.get_mut(id) else {
             return true;
@@ -348,8 +369,8 @@
         builder.require(job_key(id), job.version);
         builder.require(run_key(id), run_version);
         job.dirty_since = None;
-        // From here on the record may lose the hosts that are not in this
-        // write: nothing may be started on the strength of the older one.
+        // This write may remove hosts from the record: from now on no launch may rely on hosts
+        // that only the older record contains.
         let hosts = job.machines();
         job.recorded_machines.retain(|host| hosts.contains(host));
         builder.effects.push(WriteEffect::Run {
@@ -363,7 +384,8 @@
         true
     }
 
-    /// Plans go after what jobs wait for, but not for ever: a rental waits for its plan.
+    /// Adds plans that are due. Urgent job records come first, but plans that have waited for
+    /// long are written anyway, because rentals wait for their plan to be recorded.
     fn write_due_plans(
         &mut self,
         now: Time,
@@ -380,14 +402,14 @@
         (self.plans.store).write(&mut builder.txn, max_plans, bytes_left)
     }
 
-    /// Removes progress of jobs that are over, in a quiet moment; beyond a bound it does not
-    /// wait for one, so that the list stays small.
+    /// Deletes progress records of finished jobs while nothing urgent is due. If too many
+    /// have accumulated, they are deleted even then, which bounds the list.
     fn delete_run_records(&self, builder: &mut TxnBuilder, limits: &TxnLimits) {
-        let crowded = self.run_records_to_delete.len() > self.cfg.tuning.cleared_most as usize;
-        if limits.urgent && !crowded {
+        let too_many = self.run_records_to_delete.len() > self.cfg.tuning.cleared_most as usize;
+        if limits.urgent && !too_many {
             return;
         }
-        let free = if crowded {
+        let free = if too_many {
             limits.capacity
         } else {
             limits.background_capacity
@@ -404,24 +426,24 @@
         }
     }
 
-    /// Removes the note that recovery is pending, once it is not (rule 3).
+    /// Deletes the note that unrecorded tasks may run, once recovery is complete (rule 3).
     fn write_recovery_complete(&self, builder: &mut TxnBuilder) {
-        let has_room = builder.txn.changes.len() < self.cfg.max_txn_changes;
-        if self.recovery_pending && has_room && self.is_recovery_complete() {
+        let has_space = builder.txn.changes.len() < self.cfg.max_txn_changes;
+        if self.recovery_pending && has_space && self.is_recovery_complete() {
             builder.delete(RECOVERY_PENDING_KEY.into());
             builder.effects.push(WriteEffect::RecoveryCompleted);
         }
     }
 
-    /// Machines that a job's record can name beside its completed tasks. The
-    /// record is never to outgrow the state service's bound: it would be
-    /// refused, and with it whatever stands in the same transaction.
+    /// Maximum number of machines that a job's progress record can list beside the completed
+    /// tasks. The record must stay below the state service's size limit for a value: a larger
+    /// one would be rejected, together with everything else in the same transaction.
     pub(super) fn max_recorded_machines(&self, tasks: u32) -> usize {
         let left = self.cfg.max_value_bytes.saturating_sub(RECORD_BYTES);
         left.saturating_sub(Bitmap::most_text(tasks)) / HOST_BYTES
     }
 
-    /// Takes in what became of a transaction.
+    /// Applies the outcome of a transaction.
     pub fn txn_finished(&mut self, now: Time, pending: PendingTxn, outcome: TxnOutcome) {
         self.txn_in_flight = false;
         match outcome {
@@ -445,8 +467,8 @@
                 }
             }
             TxnOutcome::NotExecuted => self.retry_txn(now, &pending, false),
-            // It may yet be applied: read what stands before the next try,
-            // whose conditions then exclude the late one or are excluded by it.
+            // The transaction may still be applied. The versions are read again before the
+            // retry, and their conditions ensure that only one of the two is applied.
             TxnOutcome::Unknown => self.retry_txn(now, &pending, true),
         }
     }
@@ -454,8 +476,8 @@
     fn txn_applied(&mut self, now: Time, pending: PendingTxn, revision: u64) {
         self.parts_applied(pending.parts, revision);
         self.plans.store.applied(now, pending.plans, revision);
-        for written in pending.effects {
-            match written {
+        for effect in pending.effects {
+            match effect {
                 WriteEffect::Run {
                     id,
                     high,
@@ -473,12 +495,13 @@
                             job.mark_dirty(now);
                         }
                     } else {
-                        // Cancelled while it was written, and nothing of it runs.
+                        // The job was cancelled while its progress was written, and none of its
+                        // tasks runs.
                         self.run_records_to_delete.insert(id);
                     }
                 }
                 WriteEffect::RecoveryCompleted => {
-                    info!("nothing runs that no record tells of");
+                    info!("recovery complete: every running task is recorded");
                     self.recovery_pending = false;
                 }
                 WriteEffect::RunDeleted(id) => {
@@ -490,35 +513,38 @@
                             job = &*id,
                             class = job.spec.class,
                             cpus = job.size(),
-                            began_s = job.start_delay_s.map(|s| s as u64),
+                            start_delay_s = job.start_delay_s.map(|s| s as u64),
                             took_s = (now - job.submitted_at) as u64,
                             late = job
                                 .spec
                                 .deadline_s
                                 .is_some_and(|d| now - job.submitted_at > d),
                             evictions = job.evictions,
-                            "done"
+                            "job completed"
                         );
                         self.record_orphaned_attempts(&id, &job);
                     }
                 }
             }
         }
-        // What waited for a record or an end need not wait for the next tick.
+        // Plans that waited for a record or a completion need not wait for the next tick.
         self.tick_calendar(now);
     }
 
+    /// Marks everything in a transaction as due again. `unknown`: the transaction may have been
+    /// applied or may still be applied.
     fn retry_txn(&mut self, now: Time, pending: &PendingTxn, unknown: bool) {
         if unknown {
             self.parts_outcome_unknown(&pending.parts);
             self.plans.store.unsure(&pending.plans);
         }
-        for written in &pending.effects {
-            let (WriteEffect::Run { id, .. } | WriteEffect::JobEnded(id)) = written else {
+        for effect in &pending.effects {
+            let (WriteEffect::Run { id, .. } | WriteEffect::JobEnded(id)) = effect else {
                 continue;
             };
             if unknown && !self.jobs.contains_key(id) {
-                // Cancelled while it was written: what may stand is removed.
+                // The job was cancelled while its record was written: the record is deleted in
+                // case it exists.
                 self.run_records_to_delete.insert(id.clone());
             }
             if let Some(job) = self.jobs.get_mut(id) {
@@ -531,8 +557,7 @@
         }
     }
 
-    /// Jobs and parts of the grant whose versions must be read before they are written
-    /// again.
+    /// Jobs and grant parts whose versions must be read before the next write.
     pub fn unknown_versions(&self) -> (Vec<String>, Vec<u32>) {
         let jobs = self
             .jobs
@@ -543,22 +568,23 @@
         (jobs, self.unread_parts())
     }
 
-    /// Plans whose versions must be read before they are written again.
+    /// Plans whose versions must be read before the next write.
     pub fn unread_plans(&self) -> Vec<String> {
         self.plans.store.unread()
     }
 
-    /// A fresh read of a plan: what stands, and its version.
+    /// Applies the recorded content of a plan that was read, with its version.
     pub fn plan_read(&mut self, now: Time, name: &str, found: Option<(Value, u64)>) {
         self.plans.store.read_back(now, name, found);
     }
 
-    /// A fresh read: does the job's key still exist, and which version has
-    /// its run record (0: none).
+    /// Applies a read of a job's keys: whether the job's key still exists, and the version of
+    /// its progress record (0 if there is none).
     pub fn version_read(&mut self, id: &str, exists: bool, run_version: u64) {
         if !exists {
             if let Some(job) = self.jobs.get_mut(id) {
-                // Ended by our own late write, or cancelled: over either way.
+                // The job was completed by this leader's delayed write or was cancelled; it is
+                // finished in both cases.
                 job.end_write_pending = true;
                 job.run_version = Some(run_version);
             }
