--- a/crates/umbersail-control/benches/scheduling_cycle.rs
+++ b/crates/umbersail-control/benches/scheduling_cycle.rs
@@ -13,7 +13,7 @@
 use umbersail_policy::TeamLimits;
 use umbersail_tuning::Tuning;
 use umbersail_wire::{
-    Change, Command, ExitCause, JobKind, JobSpec, MachineType, Priority, Report, TaskReport,
+    Change, Command, ExitCause, Heartbeat, JobKind, JobSpec, MachineType, Priority, TaskReport,
     TaskState,
 };
 
@@ -105,7 +105,7 @@
 
 struct Bench {
     engine: Engine,
-    reports: Vec<Report>,
+    reports: Vec<Heartbeat>,
     now: f64,
 }
 
@@ -123,7 +123,7 @@
             types: vec![machine_type()],
             plans: Vec::new(),
         };
-        let report = |machine| Report {
+        let report = |machine| Heartbeat {
             machine: name(machine),
             addr: "127.0.0.1:9".into(),
             machine_type: "m8".into(),
@@ -408,7 +408,7 @@
                 plans: Vec::new(),
             }
         };
-        let reports: BTreeMap<usize, Report> = Bench::machines(machines)
+        let reports: BTreeMap<usize, Heartbeat> = Bench::machines(machines)
             .reports
             .into_iter()
             .map(|mut report| {
--- a/crates/umbersail-control/src/capacity.rs
+++ b/crates/umbersail-control/src/capacity.rs
@@ -163,7 +163,7 @@
             max_connections: most.min(left).max(least),
             reserved: self.reserved_sockets.clone(),
             least_unreserved: least,
-            reserved_paths: vec![paths::REPORT.into(), paths::HEALTH.into()],
+            reserved_paths: vec![paths::HEARTBEAT.into(), paths::HEALTH.into()],
             idle_s: tuning.idle_connection_s,
             receive_s: tuning.receive_s,
             send_s: tuning.receive_s,
--- a/crates/umbersail-control/src/delegate.rs
+++ b/crates/umbersail-control/src/delegate.rs
@@ -9,7 +9,7 @@
 use std::rc::Rc;
 
 use umbersail_runtime::Time;
-use umbersail_wire::{Command, RenewedMachine, Report, TaskState};
+use umbersail_wire::{Command, Heartbeat, RenewedMachine, TaskState};
 
 use crate::engine::{epoch, split_task};
 
@@ -88,7 +88,7 @@
     /// The token with which this report may be answered in the leader's stead.
     /// Only workers that have shown the leader's token are answered: to it all
     /// others still belong to an earlier holder.
-    pub fn renew(&mut self, now: Time, report: &Report) -> Option<u64> {
+    pub fn renew(&mut self, now: Time, report: &Heartbeat) -> Option<u64> {
         let (revision, until) = self.delegation?;
         if now >= until || epoch(report.token) != revision {
             return None;
@@ -131,7 +131,7 @@
     /// are over, by the leader's word or by what `ended` knows. Stopping what is over
     /// harms nothing; that it is told with every answer is what lets a cancellation
     /// get through however long the leader itself reaches nobody (rule 2).
-    pub fn stops(&self, report: &Report, ended: impl Fn(&str) -> bool) -> Vec<Command> {
+    pub fn stops(&self, report: &Heartbeat, ended: impl Fn(&str) -> bool) -> Vec<Command> {
         let over = |task: &str| {
             split_task(task).is_some_and(|(id, _)| self.over.contains(id) || ended(id))
         };
@@ -145,7 +145,7 @@
     /// The leader has answered this report through us. One from before what we
     /// renewed the machine on, late or a copy, brings its worker no word: whoever
     /// waited for that answer has given up.
-    pub fn relayed(&mut self, report: &Report) {
+    pub fn relayed(&mut self, report: &Heartbeat) {
         if let Some(renewal) = self.renewals.get_mut(report.machine.as_str())
             && report.order() > renewal.order
         {
--- a/crates/umbersail-control/src/delegate/tests.rs
+++ b/crates/umbersail-control/src/delegate/tests.rs
@@ -5,12 +5,12 @@
 use super::*;
 use crate::engine::token_of;
 
-fn report(machine: &str, token: u64) -> Report {
+fn report(machine: &str, token: u64) -> Heartbeat {
     nth(1, machine, token)
 }
 
-fn nth(seq: u64, machine: &str, token: u64) -> Report {
-    Report {
+fn nth(seq: u64, machine: &str, token: u64) -> Heartbeat {
+    Heartbeat {
         machine: machine.into(),
         addr: String::new(),
         machine_type: String::new(),
--- a/crates/umbersail-control/src/engine/commands.rs
+++ b/crates/umbersail-control/src/engine/commands.rs
@@ -1,7 +1,7 @@
 //! What a worker is told in the reply to its heartbeat.
 
 use tracing::debug;
-use umbersail_wire::{Command, ExitCause, Report, TaskReport, TaskState};
+use umbersail_wire::{Command, ExitCause, Heartbeat, TaskReport, TaskState};
 
 use super::report::{join_task, split_task};
 use super::tokens::may_launch;
@@ -38,7 +38,7 @@
     /// The commands for the reply to a report that was taken. `may_start` is
     /// false once our lease is over: then tasks are kept alive and nothing is
     /// started (rule 2).
-    pub fn reply(&mut self, now: Time, report: &Report, may_start: bool) -> Vec<Command> {
+    pub fn reply(&mut self, now: Time, report: &Heartbeat, may_start: bool) -> Vec<Command> {
         let Some((name, _)) = self.machines.get_key_value(report.machine.as_str()) else {
             return Vec::new();
         };
@@ -63,7 +63,7 @@
     /// Stops of tasks whose jobs are over: no unfinished job is unknown to us, since a
     /// task is started only once its job is accepted, and we read those after our
     /// election (rule 2).
-    pub(super) fn stops_of_over(&self, report: &Report) -> Vec<Command> {
+    pub(super) fn stops_of_over(&self, report: &Heartbeat) -> Vec<Command> {
         let over = |task: &str| {
             let job = split_task(task).map(|(id, _)| self.jobs.get(id));
             job.is_some_and(|job| job.is_none_or(|job| job.cancelled))
@@ -81,7 +81,7 @@
         &mut self,
         now: Time,
         name: &MachineId,
-        report: &Report,
+        report: &Heartbeat,
         may_start: bool,
     ) -> Vec<Command> {
         let shown = report.tasks.iter();
@@ -130,7 +130,7 @@
         &mut self,
         now: Time,
         name: &MachineId,
-        report: &Report,
+        report: &Heartbeat,
         commands: &mut Vec<Command>,
     ) {
         let open = self.open;
--- a/crates/umbersail-control/src/engine/plans/images.rs
+++ b/crates/umbersail-control/src/engine/plans/images.rs
@@ -12,7 +12,7 @@
 use umbersail_images::{CacheView, Decision, FetchPriority, FetchRequest, ImageRecord, Settings};
 use umbersail_policy::names_type;
 use umbersail_tuning::Tuning;
-use umbersail_wire::{JobSpec, MachineType, Priority, Report, TaskState};
+use umbersail_wire::{Heartbeat, JobSpec, MachineType, Priority, TaskState};
 
 use super::{Engine, Job, JobId, MachineId, Plans, Time};
 use crate::engine::Machine;
@@ -218,7 +218,7 @@
         &mut self,
         now: Time,
         name: &MachineId,
-        report: &Report,
+        report: &Heartbeat,
     ) {
         if self.plans.images.hand_on {
             self.plans.images.cache_view.observe_report(name);
--- a/crates/umbersail-control/src/engine/reachability.rs
+++ b/crates/umbersail-control/src/engine/reachability.rs
@@ -6,7 +6,7 @@
 //! show is a sign; so is a session that ends although we answered. Nothing here
 //! bears on rule 3: what ran on it is settled by its reports and by its lease.
 
-use umbersail_wire::Report;
+use umbersail_wire::Heartbeat;
 
 use super::{EngineConfig, Time};
 
@@ -46,7 +46,7 @@
     }
 
     /// The report was answered, with this token.
-    pub fn answered(&mut self, now: Time, report: &Report, token: u64) {
+    pub fn answered(&mut self, now: Time, report: &Heartbeat, token: u64) {
         self.told = Some(LastReply {
             session: report.session,
             shown: report.token,
@@ -58,7 +58,7 @@
 
     /// It has answered a direct command: that says nothing of replies, in which
     /// launches travel.
-    pub fn commanded(&mut self, report: &Report) {
+    pub fn commanded(&mut self, report: &Heartbeat) {
         if let Some(told) = &mut self.told {
             told.shown = told.shown.max(report.token);
         }
@@ -71,7 +71,7 @@
         &mut self,
         now: Time,
         cfg: &EngineConfig,
-        report: &Report,
+        report: &Heartbeat,
         launches: Option<bool>,
     ) -> bool {
         let tuning = &cfg.tuning;
--- a/crates/umbersail-control/src/engine/report.rs
+++ b/crates/umbersail-control/src/engine/report.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeSet;
 
 use tracing::{debug, info};
-use umbersail_wire::{ExitCause, Report, TaskReport, TaskState};
+use umbersail_wire::{ExitCause, Heartbeat, TaskReport, TaskState};
 
 use super::{Engine, JobId, Machine, MachineId, Placement, Stop, Time, epoch};
 
@@ -31,17 +31,17 @@
 impl Engine {
     /// Takes a report that came to us; false if a newer one is known: a late
     /// one shows an old list and gets no answer.
-    pub fn report(&mut self, now: Time, report: &Report) -> bool {
+    pub fn report(&mut self, now: Time, report: &Heartbeat) -> bool {
         self.take_report(now, report, true).is_some()
     }
 
     /// Takes a report that a worker sent in answer to direct commands. It
     /// renews nothing, and a launch may still be on its way in a reply.
-    pub fn direct_report(&mut self, now: Time, report: &Report) {
+    pub fn direct_report(&mut self, now: Time, report: &Heartbeat) {
         self.take_report(now, report, false);
     }
 
-    fn take_report(&mut self, now: Time, report: &Report, in_turn: bool) -> Option<MachineId> {
+    fn take_report(&mut self, now: Time, report: &Heartbeat, in_turn: bool) -> Option<MachineId> {
         let name = self.reporting_machine(now, report)?;
         let machine = self.machines.get_mut(&name)?;
         if report.order() <= machine.order {
@@ -82,7 +82,7 @@
 
     /// The machine that a report is of, adopted if it is new; none if it is known to be
     /// gone.
-    fn reporting_machine(&mut self, now: Time, report: &Report) -> Option<MachineId> {
+    fn reporting_machine(&mut self, now: Time, report: &Heartbeat) -> Option<MachineId> {
         if let Some((name, _)) = self.machines.get_key_value(report.machine.as_str()) {
             return Some(name.clone());
         }
@@ -127,7 +127,7 @@
         &mut self,
         now: Time,
         name: &MachineId,
-        report: &Report,
+        report: &Heartbeat,
         in_turn: bool,
         launches: Option<bool>,
     ) {
@@ -171,7 +171,7 @@
         &mut self,
         now: Time,
         name: &MachineId,
-        report: &Report,
+        report: &Heartbeat,
         in_turn: bool,
     ) -> Option<bool> {
         let launches = self.return_missing(name, report, in_turn);
@@ -188,7 +188,12 @@
     }
 
     /// Returns tasks that were believed to be on the machine and are not shown.
-    fn return_missing(&mut self, name: &MachineId, report: &Report, in_turn: bool) -> Option<bool> {
+    fn return_missing(
+        &mut self,
+        name: &MachineId,
+        report: &Heartbeat,
+        in_turn: bool,
+    ) -> Option<bool> {
         let mut launches = None;
         // By attempt, which no two tasks share: a large machine shows dozens.
         let mut shown: Vec<u64> = report.tasks.iter().map(|t| t.attempt).collect();
@@ -225,7 +230,7 @@
     }
 
     /// Takes in all tasks that a report shows.
-    fn reconcile_shown(&mut self, now: Time, name: &MachineId, report: &Report) -> ShownTasks {
+    fn reconcile_shown(&mut self, now: Time, name: &MachineId, report: &Heartbeat) -> ShownTasks {
         let mut shown = ShownTasks::default();
         for entry in &report.tasks {
             let Some((id, task)) = split_task(&entry.task) else {
--- a/crates/umbersail-control/src/engine/tests.rs
+++ b/crates/umbersail-control/src/engine/tests.rs
@@ -29,8 +29,8 @@
 use umbersail_policy::TeamLimits;
 use umbersail_tuning::Tuning;
 use umbersail_wire::{
-    Change, Command, ExitCause, JobKind, JobSpec, ListedMachine, MachineState, MachineType,
-    Priority, Report, TaskReport, TaskState,
+    Change, Command, ExitCause, Heartbeat, JobKind, JobSpec, ListedMachine, MachineState,
+    MachineType, Priority, TaskReport, TaskState,
 };
 
 use super::*;
--- a/crates/umbersail-control/src/engine/tests/faults.rs
+++ b/crates/umbersail-control/src/engine/tests/faults.rs
@@ -357,7 +357,7 @@
 enum Late {
     Report {
         node: usize,
-        report: Report,
+        report: Heartbeat,
     },
     Direct {
         host: usize,
@@ -987,7 +987,7 @@
     }
 
     /// A worker executes an empty direct command, if it may.
-    fn command(&mut self, host: usize, token: u64, session: u64) -> Report {
+    fn command(&mut self, host: usize, token: u64, session: u64) -> Heartbeat {
         let t = self.t;
         let unreachable = self.is_unreachable(host);
         let host = &mut self.hosts[host];
@@ -1309,7 +1309,7 @@
 
     /// A node takes a report: as the leader, by handing it on, or in the
     /// leader's stead (`front.rs`, `peers.rs`).
-    fn ask(&mut self, node: usize, report: &Report, may_direct: bool) -> Result<Answer, String> {
+    fn ask(&mut self, node: usize, report: &Heartbeat, may_direct: bool) -> Result<Answer, String> {
         if !self.members[node].up {
             return Ok(Answer::Refused);
         }
@@ -1349,7 +1349,7 @@
     }
 
     /// `Node::take_report`.
-    fn answer(&mut self, node: usize, report: &Report) -> Result<Answer, String> {
+    fn answer(&mut self, node: usize, report: &Heartbeat) -> Result<Answer, String> {
         let (t, now) = (self.t, self.members[node].clock.at(self.t));
         let Some(lead) = &mut self.members[node].lead else {
             return Ok(Answer::Refused);
--- a/crates/umbersail-control/src/engine/tests/fixtures.rs
+++ b/crates/umbersail-control/src/engine/tests/fixtures.rs
@@ -105,9 +105,9 @@
         }
     }
 
-    pub(super) fn report(&mut self) -> Report {
+    pub(super) fn report(&mut self) -> Heartbeat {
         self.seq += 1;
-        Report {
+        Heartbeat {
             machine: self.name.clone(),
             addr: "127.0.0.1:9".into(),
             machine_type: "m8".into(),
@@ -164,7 +164,7 @@
 pub(super) fn converse(
     engine: &mut Engine,
     now: Time,
-    report: &Report,
+    report: &Heartbeat,
     may_start: bool,
 ) -> Option<Vec<Command>> {
     engine
--- a/crates/umbersail-control/src/engine/tests/images.rs
+++ b/crates/umbersail-control/src/engine/tests/images.rs
@@ -98,7 +98,7 @@
         }
     }
 
-    fn report(&self, worker: usize) -> Report {
+    fn report(&self, worker: usize) -> Heartbeat {
         let mut report = self.workers[worker].report_again();
         // Each at its own address, or holders could not be told apart.
         report.addr = format!("127.0.0.1:{}", 9000 + worker);
@@ -198,7 +198,7 @@
 
 impl Worker {
     /// The report of now, without a new number.
-    fn report_again(&self) -> Report {
+    fn report_again(&self) -> Heartbeat {
         let mut copy = Worker {
             name: self.name.clone(),
             zone: self.zone.clone(),
--- a/crates/umbersail-control/src/front.rs
+++ b/crates/umbersail-control/src/front.rs
@@ -11,8 +11,8 @@
 use umbersail_runtime::{Time, random, timeout};
 use umbersail_standby::ReadOutcome;
 use umbersail_wire::{
-    InvalidJob, JobIdOnly, JobKind, JobSpec, JobStage, JobStatus, Misdirected, Refusal, Report,
-    ReportReply, decode, encode, is_job_id, missing_field, paths,
+    Heartbeat, HeartbeatReply, InvalidJob, JobIdOnly, JobKind, JobSpec, JobStage, JobStatus,
+    Misdirected, Refusal, decode, encode, is_job_id, missing_field, paths,
 };
 
 use crate::all_replica_read::stage_of;
@@ -77,7 +77,7 @@
         let path = request.path();
         let method = request.method.as_str();
         match (method, path) {
-            ("POST", paths::REPORT) => self.on_report(&request.body).await,
+            ("POST", paths::HEARTBEAT) => self.on_report(&request.body).await,
             ("POST", paths::JOBS) => {
                 self.outside_heard_at.set(self.clock.now());
                 self.submit_or_relay(&request.body).await
@@ -86,7 +86,7 @@
                 self.outside_heard_at.set(self.clock.now());
                 Response::empty(if self.is_ready() { 200 } else { 503 })
             }
-            (_, paths::REPORT | paths::JOBS | paths::HEALTH) => Response::empty(405),
+            (_, paths::HEARTBEAT | paths::JOBS | paths::HEALTH) => Response::empty(405),
             _ => {
                 let Some(rest) = path
                     .strip_prefix(paths::JOBS)
@@ -128,7 +128,7 @@
     /// although it was just directed can't reach that node; it is helped here
     /// for a while.
     async fn on_report(&self, body: &[u8]) -> Response {
-        let Ok(report) = decode::<Report>(body) else {
+        let Ok(report) = decode::<Heartbeat>(body) else {
             warn!("malformed report");
             return Response::empty(400);
         };
@@ -200,7 +200,7 @@
     /// the successor that we named, who leads now or answers it in our stead for as
     /// long as we might (rule 2), with no difference to what is known of its tasks
     /// (rule 3). A worker that comes back found nobody; it is not sent again.
-    fn hand_off_target(&self, report: &Report, now: Time) -> Option<String> {
+    fn hand_off_target(&self, report: &Heartbeat, now: Time) -> Option<String> {
         let next = self.last_designated.borrow().clone()?;
         let comes_back = (self.handed_off.borrow_mut()).is_returning(&report.machine, false, now);
         (!comes_back).then_some(next)
@@ -213,7 +213,7 @@
 
     /// Whether the worker has shown the leader's token: it was answered there, and
     /// is here because it can't go on there.
-    fn has_seen_leader_token(&self, report: &Report) -> bool {
+    fn has_seen_leader_token(&self, report: &Heartbeat) -> bool {
         let leader = self.leader.borrow();
         (leader.as_ref()).is_some_and(|(_, revision)| epoch(report.token) == *revision)
     }
@@ -222,7 +222,7 @@
     /// launch for the machine is just being recorded, its reply waits for it,
     /// for a moment only: the worker gives up after 4 s.
     pub(crate) async fn take_report(&self, body: &[u8]) -> Response {
-        let report: Report = match decode(body) {
+        let report: Heartbeat = match decode(body) {
             Ok(report) => report,
             Err(e) => {
                 warn!(reason = %e, "malformed report");
@@ -256,7 +256,7 @@
         let reply = self.with_engine(revision, |engine| {
             let commands = engine.reply(now, &report, may_start);
             let token = engine.token_for(&report.machine);
-            ReportReply { token, commands }
+            HeartbeatReply { token, commands }
         });
         match reply {
             Some(reply) => Response::new(200, encode(&reply)),
@@ -265,7 +265,7 @@
     }
 
     /// The revision under which we may answer this report just now.
-    fn entitled(&self, report: &Report, now: Time) -> Option<u64> {
+    fn entitled(&self, report: &Heartbeat, now: Time) -> Option<u64> {
         let role = self.role.borrow();
         let Role::Leading(leading) = &*role else {
             return None;
--- a/crates/umbersail-control/src/leader/fencing.rs
+++ b/crates/umbersail-control/src/leader/fencing.rs
@@ -4,7 +4,7 @@
 
 use tracing::{debug, warn};
 use umbersail_runtime::{sleep, spawn};
-use umbersail_wire::{DirectCommands, Report, decode, encode, paths};
+use umbersail_wire::{DirectCommands, Heartbeat, decode, encode, paths};
 
 use crate::engine::Fencing;
 use crate::node::Node;
@@ -39,7 +39,7 @@
             .await;
         let machine = target.machine;
         match answer {
-            Ok((200 | 409, body)) => match decode::<Report>(&body) {
+            Ok((200 | 409, body)) => match decode::<Heartbeat>(&body) {
                 Ok(report) => {
                     let now = self.clock.now();
                     self.with_engine(revision, |e| e.direct_report(now, &report));
--- a/crates/umbersail-control/src/peers.rs
+++ b/crates/umbersail-control/src/peers.rs
@@ -6,7 +6,7 @@
 use tracing::{info, warn};
 use umbersail_http::{ClientError, Request, Response};
 use umbersail_runtime::{Time, random, sleep};
-use umbersail_wire::{Hello, JobIdOnly, Report, ReportReply, decode, encode, paths};
+use umbersail_wire::{Heartbeat, HeartbeatReply, Hello, JobIdOnly, decode, encode, paths};
 
 use crate::engine::epoch;
 use crate::node::{Node, ReportedProgress, Role};
@@ -184,7 +184,7 @@
     pub(crate) async fn peer_request(self: Rc<Self>, request: Request) -> Response {
         match (request.method.as_str(), request.path()) {
             ("POST", paths::PEER_HELLO) => {}
-            ("POST", paths::PEER_REPORT) => return self.take_report(&request.body).await,
+            ("POST", paths::PEER_HEARTBEAT) => return self.take_report(&request.body).await,
             ("POST", paths::PEER_SUBMIT) => return self.submit(&request.body).await,
             ("POST", path @ (paths::PEER_POLL | paths::PEER_CANCEL)) => {
                 return match decode::<JobIdOnly>(&request.body) {
@@ -203,7 +203,7 @@
             (
                 _,
                 paths::PEER_HELLO
-                | paths::PEER_REPORT
+                | paths::PEER_HEARTBEAT
                 | paths::PEER_SUBMIT
                 | paths::PEER_WATCH_LEADER
                 | paths::PEER_POLL
@@ -237,14 +237,14 @@
     pub(crate) async fn relay(
         &self,
         leader: &str,
-        report: &Report,
+        report: &Heartbeat,
         body: &[u8],
         direct: impl FnOnce() -> bool,
     ) -> Option<Response> {
         let silent = self.peers.borrow().get(leader).is_some_and(|p| p.silent);
         if !silent {
             match self
-                .request_from_peer(leader, paths::PEER_REPORT, body)
+                .request_from_peer(leader, paths::PEER_HEARTBEAT, body)
                 .await
             {
                 Ok((200, body)) => {
@@ -267,7 +267,7 @@
         let token = delegate.renew(now, report)?;
         let cache = self.cache.borrow();
         let commands = delegate.stops(report, |id| cache.get(id).is_some());
-        let reply = ReportReply { token, commands };
+        let reply = HeartbeatReply { token, commands };
         Some(Response::new(200, encode(&reply)))
     }
 
@@ -298,7 +298,7 @@
     }
 
     /// The leader's choice of a delegate in the worker's zone.
-    pub(crate) fn zone_delegate(&self, report: &Report) -> Option<String> {
+    pub(crate) fn zone_delegate(&self, report: &Heartbeat) -> Option<String> {
         if self.tuning.zone_proxy == 0.0 || report.zone == self.settings.zone {
             return None;
         }
--- a/crates/umbersail-control/tests/isolated.rs
+++ b/crates/umbersail-control/tests/isolated.rs
@@ -20,8 +20,8 @@
 };
 use umbersail_tuning::Tuning;
 use umbersail_wire::{
-    Command, ExitCause, JobKind, JobSpec, JobStage, JobStatus, Misdirected, Priority, Report,
-    ReportReply, TaskReport, TaskState, decode, encode,
+    Command, ExitCause, Heartbeat, HeartbeatReply, JobKind, JobSpec, JobStage, JobStatus,
+    Misdirected, Priority, TaskReport, TaskState, decode, encode,
 };
 
 const NODES: usize = 3;
@@ -267,8 +267,8 @@
         .unwrap();
 }
 
-fn new_report(machine: &str) -> Report {
-    Report {
+fn new_report(machine: &str) -> Heartbeat {
+    Heartbeat {
         machine: machine.into(),
         addr: "10.9.9.9:9".into(),
         machine_type: "m8".into(),
@@ -313,7 +313,7 @@
     scene: Rc<Scene>,
     http: Client,
     node: usize,
-    report: Report,
+    report: Heartbeat,
     /// When the newest report that was answered was sent, and the longest time between
     /// two of them.
     answered: f64,
@@ -350,7 +350,7 @@
         self.take(reply)
     }
 
-    async fn send(&mut self) -> Option<ReportReply> {
+    async fn send(&mut self) -> Option<HeartbeatReply> {
         self.report.seq += 1;
         let sent = self.scene.world.now();
         let to = front(self.node);
@@ -359,7 +359,7 @@
         let next = (self.node + 1) % NODES;
         match answer {
             Ok(a) if a.status == 200 => {
-                let reply = decode::<ReportReply>(&a.body).unwrap();
+                let reply = decode::<HeartbeatReply>(&a.body).unwrap();
                 if reply.token >= self.report.token {
                     self.gap_s = self.gap_s.max(sent - self.answered);
                     self.answered = sent;
@@ -379,7 +379,7 @@
         None
     }
 
-    fn take(&mut self, reply: ReportReply) -> bool {
+    fn take(&mut self, reply: HeartbeatReply) -> bool {
         if reply.token < self.report.token {
             return false;
         }
@@ -682,7 +682,7 @@
         sleep(1.0).await;
         let answer = told.borrow_mut().take().expect("it has woken");
         if answer.status == 200 {
-            let reply = decode::<ReportReply>(&answer.body).unwrap();
+            let reply = decode::<HeartbeatReply>(&answer.body).unwrap();
             let starts = |c: &Command| matches!(c, Command::Start { .. });
             assert!(!reply.commands.iter().any(starts), "{:?}", reply.commands);
         }
--- a/crates/umbersail-control/tests/isolated/successors.rs
+++ b/crates/umbersail-control/tests/isolated/successors.rs
@@ -113,9 +113,9 @@
                 (report.seq, report.token) = (seq, token);
                 async move {
                     let body = encode(&report);
-                    let answer = http.ask(front(leader), "POST", paths::REPORT, &body, 9.0);
+                    let answer = http.ask(front(leader), "POST", paths::HEARTBEAT, &body, 9.0);
                     let answer = answer.await.ok().filter(|a| a.status == 200)?;
-                    Some(decode::<ReportReply>(&answer.body).unwrap().token)
+                    Some(decode::<HeartbeatReply>(&answer.body).unwrap().token)
                 }
             });
             join_all(all)
--- a/crates/umbersail-control/tests/service.rs
+++ b/crates/umbersail-control/tests/service.rs
@@ -15,8 +15,8 @@
 use umbersail_runtime::{Routine, Runtime, SystemClock, sleep, spawn};
 use umbersail_tuning::Tuning;
 use umbersail_wire::{
-    Command, ExitCause, JobKind, JobSpec, JobStage, JobStatus, Misdirected, Priority, Refusal,
-    Report, ReportReply, TaskReport, TaskState, Value, decode, encode,
+    Command, ExitCause, Heartbeat, HeartbeatReply, JobKind, JobSpec, JobStage, JobStatus,
+    Misdirected, Priority, Refusal, TaskReport, TaskState, Value, decode, encode,
 };
 
 /// A loopback address that no other test and no other run uses: asking the
@@ -375,8 +375,8 @@
 }
 
 /// A worker with an empty machine that has just come up.
-fn new_worker(machine: &str) -> Report {
-    Report {
+fn new_worker(machine: &str) -> Heartbeat {
+    Heartbeat {
         machine: machine.into(),
         addr: "127.0.0.1:9".into(),
         machine_type: "m8".into(),
@@ -393,7 +393,7 @@
 /// Reports, to this node at first, until the answer is one of the leader's;
 /// says which node gave it. A worker that stays with the leader once it has
 /// found it is never served through the other node.
-async fn report(service: &Service, node: usize, report: &mut Report) -> (usize, ReportReply) {
+async fn report(service: &Service, node: usize, report: &mut Heartbeat) -> (usize, HeartbeatReply) {
     let mut node = node;
     for _ in 0..200 {
         report.seq += 1;
@@ -505,7 +505,7 @@
             let body = encode(&worker);
             let (status, answer) = service.ask(follower, "POST", "/v1/report", &body).await;
             assert_eq!(status, 200);
-            assert!(decode::<ReportReply>(&answer).unwrap().token > 0);
+            assert!(decode::<HeartbeatReply>(&answer).unwrap().token > 0);
         }
     });
 }
@@ -530,7 +530,7 @@
             if status == 421 {
                 break;
             }
-            token = decode::<ReportReply>(&answer).unwrap().token;
+            token = decode::<HeartbeatReply>(&answer).unwrap().token;
             worker.token = token;
             sleep(0.02).await;
         }
@@ -538,7 +538,7 @@
             worker.seq += 1;
             let body = encode(&worker);
             let (status, answer) = service.ask(between, "POST", "/v1/report", &body).await;
-            (status == 200).then(|| decode::<ReportReply>(&answer).unwrap())
+            (status == 200).then(|| decode::<HeartbeatReply>(&answer).unwrap())
         };
         assert_eq!(ask_between().await.expect("handed on").token, token);
         // The leader is gone, and nobody can be elected.
--- a/crates/umbersail-rehearsal/src/late.rs
+++ b/crates/umbersail-rehearsal/src/late.rs
@@ -11,7 +11,7 @@
 use rand_chacha::ChaCha8Rng;
 use umbersail_http::{Client, ClientLimits};
 use umbersail_runtime::{HostId, HostSpec, Notify, WorldHandle, sleep, spawn};
-use umbersail_wire::{Report, TaskState, encode, paths};
+use umbersail_wire::{Heartbeat, TaskState, encode, paths};
 
 use crate::history::{History, What};
 use crate::night::Failure;
@@ -55,7 +55,7 @@
     due: f64,
     node: usize,
     to: SocketAddr,
-    report: Report,
+    report: Heartbeat,
 }
 
 /// The place in the network where copies wait. It is a host of its own: a copy
@@ -64,14 +64,14 @@
     late: Cell<Option<Late>>,
     /// Copies are kept for the next leader, and come so long after its election.
     for_next: Cell<Option<Late>>,
-    kept: RefCell<BTreeMap<String, Vec<Report>>>,
+    kept: RefCell<BTreeMap<String, Vec<Heartbeat>>>,
     host: Cell<Option<HostId>>,
     fronts: RefCell<Vec<SocketAddr>>,
     /// Taken up by the host's routine as soon as they are there.
     new: Rc<RefCell<Vec<Copied>>>,
     under_way: Rc<Cell<usize>>,
     /// The newest report of each machine that was answered.
-    newest: Rc<RefCell<BTreeMap<String, Report>>>,
+    newest: Rc<RefCell<BTreeMap<String, Heartbeat>>>,
     history: History,
     wake: Rc<Notify>,
     rng: RefCell<ChaCha8Rng>,
@@ -162,7 +162,7 @@
 
     /// Keeps the report for the next leader, in place of some other one of its machine
     /// once there are enough.
-    fn keep(&self, report: &Report) {
+    fn keep(&self, report: &Heartbeat) {
         let Some(late) = self.for_next.get() else {
             return;
         };
@@ -200,7 +200,7 @@
     }
 
     /// A report was answered by one of the controllers.
-    pub fn saw(&self, world: &WorldHandle, node: usize, report: &Report) {
+    pub fn saw(&self, world: &WorldHandle, node: usize, report: &Heartbeat) {
         if self.host.get().is_none() {
             return;
         }
@@ -237,10 +237,10 @@
 /// of the answer is known.
 fn compare(
     copied: &Copied,
-    newest: &BTreeMap<String, Report>,
+    newest: &BTreeMap<String, Heartbeat>,
 ) -> Option<impl FnOnce(u16, f64) -> What + use<>> {
     let (copy, newest) = (&copied.report, newest.get(&copied.report.machine)?);
-    let count = |of: &Report, is: &dyn Fn(&str) -> bool, exited: bool| {
+    let count = |of: &Heartbeat, is: &dyn Fn(&str) -> bool, exited: bool| {
         let tasks = of.tasks.iter();
         let tasks = tasks.filter(|t| (t.state == TaskState::Exited) == exited && is(&t.task));
         tasks.count() as u32
@@ -277,7 +277,7 @@
     });
     let body = encode(&copied.report);
     let answer = client
-        .request(copied.to, "POST", paths::REPORT, &body, COPY_S)
+        .request(copied.to, "POST", paths::HEARTBEAT, &body, COPY_S)
         .await;
     answer.map_or(0, |(status, _)| status)
 }
@@ -290,8 +290,8 @@
     use umbersail_runtime::{NetworkConfig, Simulation, TcpListener};
     use umbersail_wire::decode;
 
-    fn report(seq: u64) -> Report {
-        Report {
+    fn report(seq: u64) -> Heartbeat {
+        Heartbeat {
             machine: "m1".into(),
             addr: String::new(),
             machine_type: String::new(),
@@ -320,8 +320,8 @@
                 let host = world.add_host(HostSpec::new(format!("n{n}"), at.ip(0, 0, n as u8 + 1)));
                 let (front, told, clock) = (*front, told.clone(), world.clone());
                 let handler: Handler = Rc::new(move |request| {
-                    assert_eq!(request.path(), paths::REPORT);
-                    let came: Report = decode(&request.body).unwrap();
+                    assert_eq!(request.path(), paths::HEARTBEAT);
+                    let came: Heartbeat = decode(&request.body).unwrap();
                     assert_eq!(came, report(3));
                     told.borrow_mut().push((n, clock.now()));
                     Box::pin(async { Response::empty(200) })
--- a/crates/umbersail-rehearsal/src/worker.rs
+++ b/crates/umbersail-rehearsal/src/worker.rs
@@ -13,8 +13,8 @@
 use umbersail_http::{Client, ClientLimits, Handler, Request, Response, serve};
 use umbersail_runtime::{Broadcast, TcpListener, random, sleep, spawn};
 use umbersail_wire::{
-    Command, DirectCommands, ExitCause, Misdirected, Report, ReportReply, TaskReport, TaskState,
-    decode, encode, paths,
+    Command, DirectCommands, ExitCause, Heartbeat, HeartbeatReply, Misdirected, TaskReport,
+    TaskState, decode, encode, paths,
 };
 
 use crate::fleet::Fleet;
@@ -452,7 +452,7 @@
         });
     }
 
-    fn report(&self, fleet: &Fleet) -> Report {
+    fn report(&self, fleet: &Fleet) -> Heartbeat {
         let now = fleet.world.now();
         let mut state = self.state.borrow_mut();
         state.seq += 1;
@@ -466,7 +466,7 @@
                 cause: t.cause,
                 saved: t.saved,
             });
-        Report {
+        Heartbeat {
             machine: self.name.clone(),
             addr: self.addr.to_string(),
             machine_type: self.kind.name.clone(),
@@ -720,7 +720,7 @@
             let report = self.report(&fleet);
             let body = encode(&report);
             let reply = client
-                .request(nodes[node], "POST", paths::REPORT, &body, REPLY_S)
+                .request(nodes[node], "POST", paths::HEARTBEAT, &body, REPLY_S)
                 .await;
             if reply.is_ok() {
                 fleet.late.saw(&fleet.world, node, &report);
@@ -787,7 +787,7 @@
 
     fn answered(&self, fleet: &Fleet, sent: f64, session: u64, body: &[u8]) {
         self.expire(fleet);
-        let Ok(reply) = decode::<ReportReply>(body) else {
+        let Ok(reply) = decode::<HeartbeatReply>(body) else {
             return;
         };
         {
--- a/crates/umbersail-wire/src/lib.rs
+++ b/crates/umbersail-wire/src/lib.rs
@@ -37,7 +37,7 @@
     /// Readiness of a node.
     pub const HEALTH: &str = "/ready";
     /// Reports of workers.
-    pub const REPORT: &str = "/v1/report";
+    pub const HEARTBEAT: &str = "/v1/report";
     /// Commands to a worker.
     pub const WORKER_COMMANDS: &str = "/orders";
     /// Machine types of the cloud.
@@ -63,7 +63,7 @@
     /// The leader asks to start tasks without a record while the state service is out.
     pub const PEER_DEGRADED_MODE: &str = "/peer/open";
     /// A worker's report, handed on by a node that it can reach.
-    pub const PEER_REPORT: &str = "/peer/report";
+    pub const PEER_HEARTBEAT: &str = "/peer/report";
     /// A submission handed on by a node that can't have it recorded itself.
     pub const PEER_SUBMIT: &str = "/peer/runs";
     /// A user's question on a job, and a cancellation, handed on by a node that the
--- a/crates/umbersail-wire/src/tests.rs
+++ b/crates/umbersail-wire/src/tests.rs
@@ -98,7 +98,7 @@
 
 #[test]
 fn worker_messages_keep_their_wire_names() {
-    let reply = ReportReply {
+    let reply = HeartbeatReply {
         token: 41,
         commands: vec![Command::Stop {
             task: "req-000377/1".into(),
@@ -121,9 +121,9 @@
             "{name}"
         );
     }
-    assert_eq!(decode::<ReportReply>(&bytes).unwrap(), reply);
+    assert_eq!(decode::<HeartbeatReply>(&bytes).unwrap(), reply);
 
-    let report = Report {
+    let report = Heartbeat {
         machine: "host-000231".into(),
         addr: "10.1.0.232:9000".into(),
         machine_type: "g8".into(),
@@ -150,7 +150,7 @@
             "{name}"
         );
     }
-    assert_eq!(decode::<Report>(&bytes).unwrap(), report);
+    assert_eq!(decode::<Heartbeat>(&bytes).unwrap(), report);
 }
 
 #[test]
--- a/crates/umbersail-wire/src/workers.rs
+++ b/crates/umbersail-wire/src/workers.rs
@@ -68,7 +68,7 @@
 
 /// A worker's report.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct Report {
+pub struct Heartbeat {
     /// Name of the machine.
     #[serde(rename = "hob")]
     pub machine: String,
@@ -101,7 +101,7 @@
     pub tasks: Vec<TaskReport>,
 }
 
-impl Report {
+impl Heartbeat {
     /// The larger one is the newer report of a machine.
     pub fn order(&self) -> (u64, u64) {
         (self.session, self.seq)
@@ -165,7 +165,7 @@
 
 /// The answer to a report.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct ReportReply {
+pub struct HeartbeatReply {
     /// The leader's token.
     #[serde(rename = "ladle")]
     pub token: u64,
--- a/crates/umbersail-wire/tests/golden_messages.rs
+++ b/crates/umbersail-wire/tests/golden_messages.rs
@@ -11,11 +11,11 @@
 use serde::de::DeserializeOwned;
 use umbersail_wire::{
     Catalogue, Change, Command, Condition, DegradedModeAnswer, DegradedModeRequest, DirectCommands,
-    ExitCause, Hello, JobIdOnly, JobKind, JobProgress, JobSpec, JobStage, JobStatus, KeyList,
-    KeyValue, LeaseGranted, LeaseRequest, ListedMachine, MachineList, MachineNames, MachineState,
-    MachineType, Misdirected, Priority, Refusal, RenewedMachine, RentRequest, ReplicaReadAnswer,
-    ReplicaReadEntry, ReplicaReadRequest, Report, ReportReply, TaskReport, TaskState, Txn,
-    TxnResult, Value, WatchEvent, WatchResult, decode, encode, paths,
+    ExitCause, Heartbeat, HeartbeatReply, Hello, JobIdOnly, JobKind, JobProgress, JobSpec,
+    JobStage, JobStatus, KeyList, KeyValue, LeaseGranted, LeaseRequest, ListedMachine, MachineList,
+    MachineNames, MachineState, MachineType, Misdirected, Priority, Refusal, RenewedMachine,
+    RentRequest, ReplicaReadAnswer, ReplicaReadEntry, ReplicaReadRequest, TaskReport, TaskState,
+    Txn, TxnResult, Value, WatchEvent, WatchResult, decode, encode, paths,
 };
 
 const GOLDEN: &str = include_str!("golden/messages.txt");
@@ -176,8 +176,8 @@
     golden.finish();
 }
 
-fn report() -> Report {
-    Report {
+fn report() -> Heartbeat {
+    Heartbeat {
         machine: "host-000231".into(),
         addr: "10.1.0.232:9000".into(),
         machine_type: "g8".into(),
@@ -202,8 +202,8 @@
     }
 }
 
-fn reply() -> ReportReply {
-    ReportReply {
+fn reply() -> HeartbeatReply {
+    HeartbeatReply {
         token: 41,
         commands: commands(),
     }
@@ -429,7 +429,7 @@
         (paths::JOBS, "/v2/runs"),
         (paths::CANCEL, "abort"),
         (paths::HEALTH, "/ready"),
-        (paths::REPORT, "/v1/report"),
+        (paths::HEARTBEAT, "/v1/report"),
         (paths::WORKER_COMMANDS, "/orders"),
         (paths::MACHINE_TYPES, "/catalog"),
         (paths::MACHINES, "/hosts"),
@@ -442,7 +442,7 @@
         (paths::PEER_HELLO, "/peer/hello"),
         (paths::PEER_WATCH_LEADER, "/peer/attend"),
         (paths::PEER_DEGRADED_MODE, "/peer/open"),
-        (paths::PEER_REPORT, "/peer/report"),
+        (paths::PEER_HEARTBEAT, "/peer/report"),
         (paths::PEER_SUBMIT, "/peer/runs"),
         (paths::PEER_POLL, "/peer/poll"),
         (paths::PEER_CANCEL, "/peer/abort"),
