--- a/crates/umbersail-control/src/all_replica_read.rs
+++ b/crates/umbersail-control/src/all_replica_read.rs
@@ -133,11 +133,11 @@
             return None;
         }
         let now = self.clock.now();
-        let drift = self.tuning.drift;
+        let drift = self.tuning.clock_drift;
         // What it has seen was at this time or later, and it remembers from this time
         // or before, whenever between question and answer it spoke.
         let seen = |ago_ms: u64| asked_at - ago_ms as f64 / 1000.0 * (1.0 + drift);
-        let remembers_from = now - answer.remembers_ms as f64 / 1000.0 * (1.0 - drift);
+        let remembers_from = now - answer.retention_ms as f64 / 1000.0 * (1.0 - drift);
         let replica_answer = |on: ReplicaReadEntry| ReplicaAnswer {
             ended: on.ended.as_ref().and_then(end_of),
             unfinished_at: on.unfinished_ago_ms.map(seen),
@@ -176,7 +176,7 @@
             unfinished_ago_ms: answer.unfinished_at.map(|at| ago_ms(at) + 1),
         };
         let answer = ReplicaReadAnswer {
-            remembers_ms: ago_ms(from),
+            retention_ms: ago_ms(from),
             jobs: request.ids.iter().zip(&answers).map(on).collect(),
         };
         Response::new(200, encode(&answer))
--- a/crates/umbersail-control/src/capacity.rs
+++ b/crates/umbersail-control/src/capacity.rs
@@ -65,7 +65,7 @@
         limits.rps,
         limits.write_rps,
         tuning.state_timeout_s,
-        tuning.state_silent_s,
+        tuning.state_unreachable_after_s,
     )
 }
 
--- a/crates/umbersail-control/src/capacity/tests.rs
+++ b/crates/umbersail-control/src/capacity/tests.rs
@@ -10,12 +10,12 @@
     // would take machines for lapsed that its delegate keeps renewing.
     let id = |n: u64| format!("req-{n:09}");
     let hello = Hello {
-        over: (0..4096).map(id).collect(),
-        cancelled: (0..1024).map(id).collect(),
+        ended_jobs: (0..4096).map(id).collect(),
+        cancelled_jobs: (0..1024).map(id).collect(),
         renewed: (0..6000)
             .map(|n| RenewedMachine {
                 machine: format!("host-{n:09}"),
-                ago_ms: 20_000,
+                reply_ago_ms: 20_000,
             })
             .collect(),
         progress: (0..500)
--- a/crates/umbersail-control/src/degraded_mode.rs
+++ b/crates/umbersail-control/src/degraded_mode.rs
@@ -40,7 +40,7 @@
                 let back_s = now - *back_at.get_or_insert(now);
                 state == DegradedMode::Active
                     && self.is_in_time(now)
-                    && back_s < self.tuning.degraded_mode_catch_up_s
+                    && back_s < self.tuning.degraded_mode_catch_up_max_s
                     && self.with_engine(token, |e| e.unrecorded_jobs() > FEW_UNRECORDED)
                         == Some(true)
             };
@@ -82,7 +82,7 @@
                 let workers = &self.settings.facts.workers;
                 let renewal_s = tuning.renewal_s(workers.cancel_s, workers.lease_s);
                 let renewed = l.lease.renew_until() - renewal_s;
-                now < l.lease.renew_until() && now < renewed + tuning.degraded_mode_s
+                now < l.lease.renew_until() && now < renewed + tuning.degraded_mode_max_s
             }
             _ => false,
         }
@@ -125,7 +125,7 @@
         };
         if let Some(answer) = answer.filter(|a| a.agreed) {
             // Before anything is started on the strength of its agreement.
-            self.on_cancelled_jobs(&answer.cancelled);
+            self.on_cancelled_jobs(&answer.cancelled_jobs);
             let peers = self.settings.peers.len();
             self.degraded_mode.borrow_mut().agreed(&peer.member, peers);
         } else {
@@ -166,6 +166,12 @@
             }
         }
         let cancelled = self.lately_cancelled();
-        Response::new(200, encode(&DegradedModeAnswer { agreed, cancelled }))
+        Response::new(
+            200,
+            encode(&DegradedModeAnswer {
+                agreed,
+                cancelled_jobs: cancelled,
+            }),
+        )
     }
 }
--- a/crates/umbersail-control/src/delegate.rs
+++ b/crates/umbersail-control/src/delegate.rs
@@ -96,10 +96,10 @@
         self.expire(now);
         let name = self.track(now, &report.machine)?;
         let renewal = self.renewals.get_mut(&name)?;
-        if report.order() <= renewal.order {
+        if report.ordering_key() <= renewal.order {
             return None;
         }
-        renewal.order = report.order();
+        renewal.order = report.ordering_key();
         if now - *renewal.first.get_or_insert(now) >= self.renewal_s {
             return None;
         }
@@ -147,7 +147,7 @@
     /// waited for that answer has given up.
     pub fn relayed(&mut self, report: &Heartbeat) {
         if let Some(renewal) = self.renewals.get_mut(report.machine.as_str())
-            && report.order() > renewal.order
+            && report.ordering_key() > renewal.order
         {
             renewal.first = None;
         }
@@ -161,7 +161,7 @@
         renewals
             .map(|(machine, renewal)| RenewedMachine {
                 machine: machine.to_string(),
-                ago_ms: ((now - renewal.last).max(0.0) * 1000.0) as u64,
+                reply_ago_ms: ((now - renewal.last).max(0.0) * 1000.0) as u64,
             })
             .collect()
     }
--- a/crates/umbersail-control/src/delegate/tests.rs
+++ b/crates/umbersail-control/src/delegate/tests.rs
@@ -77,7 +77,7 @@
     assert!(delegate.renew(2.0, &second).is_some());
     assert!(delegate.renew(8.0, &first).is_none());
     assert!(delegate.renew(8.0, &second).is_none());
-    assert_eq!(delegate.renewed(9.0)[0].ago_ms, 7000);
+    assert_eq!(delegate.renewed(9.0)[0].reply_ago_ms, 7000);
 }
 
 #[test]
@@ -90,7 +90,7 @@
     let renewed = delegate.renewed(5.0);
     assert_eq!(renewed.len(), 1);
     assert_eq!(
-        (renewed[0].machine.as_str(), renewed[0].ago_ms),
+        (renewed[0].machine.as_str(), renewed[0].reply_ago_ms),
         ("m1", 4000)
     );
     assert_eq!(delegate.renewed(20.0).len(), 1);
--- a/crates/umbersail-control/src/engine/commands.rs
+++ b/crates/umbersail-control/src/engine/commands.rs
@@ -152,11 +152,11 @@
             let Some(placement) = job.and_then(|job| job.live.get_mut(&task)) else {
                 continue;
             };
-            placement.ordered = Some(report.order());
+            placement.ordered = Some(report.ordering_key());
             commands.push(Command::Start {
                 task: join_task(&id, task),
                 attempt: placement.attempt,
-                holders,
+                image_sources: holders,
             });
             debug!(
                 job = &*id,
--- a/crates/umbersail-control/src/engine/delegations.rs
+++ b/crates/umbersail-control/src/engine/delegations.rs
@@ -60,13 +60,13 @@
         up_s: f64,
         renewed: &[RenewedMachine],
     ) {
-        let drift = self.cfg.tuning.drift;
+        let drift = self.cfg.tuning.clock_drift;
         if let Some(delegation) = self.delegations.get_mut(member) {
             delegation.known_to = asked_at;
             delegation.started = now - up_s * (1.0 - drift);
         }
         for entry in renewed {
-            let at = now - entry.ago_ms as f64 / 1000.0 * (1.0 - drift);
+            let at = now - entry.reply_ago_ms as f64 / 1000.0 * (1.0 - drift);
             if let Some(machine) = self.machines.get_mut(entry.machine.as_str()) {
                 machine.last_answer = Some(machine.last_answer.map_or(at, |known| known.max(at)));
             }
--- a/crates/umbersail-control/src/engine/evict.rs
+++ b/crates/umbersail-control/src/engine/evict.rs
@@ -37,7 +37,7 @@
     pub(super) fn is_ever_preemptible(&self, job: &Job) -> bool {
         let tuning = &self.cfg.tuning;
         !job.is_service()
-            && !job.is_spared(tuning.evict_loser_limit)
+            && !job.is_spared(tuning.max_evictions_per_task)
             && (job.spec.deadline_s.is_none()
                 || tuning.evict_deadline_work > 0.0
                 || tuning.reclaim_deadline_work > 0.0)
@@ -80,7 +80,7 @@
             hosts += 1;
             Some(host)
         });
-        let max_sets = self.cfg.tuning.evict_sets as usize;
+        let max_sets = self.cfg.tuning.max_eviction_sets as usize;
         let selection = select_victims(&job.shape, candidates, max_sets);
         searched.looked += looked;
         if hosts == 0 {
@@ -103,7 +103,7 @@
         // A job that fails everywhere would keep evicting for ever.
         job.waits()
             && !job.suspect
-            && job.errors < self.cfg.tuning.evict_errors_limit as u32
+            && job.errors < self.cfg.tuning.max_errors_of_evicting_job as u32
             && now >= job.evict_hold_until
     }
 
@@ -175,7 +175,7 @@
     /// Stops the victims, or lets those wait again that nobody was told of. The longest
     /// time that one has to save, in seconds.
     fn stop_victims(&mut self, now: Time, tasks: &[(JobId, u32)], usage: &mut [Usage]) -> f64 {
-        let limit = self.cfg.tuning.evict_loser_limit;
+        let limit = self.cfg.tuning.max_evictions_per_task;
         let mut saving_s: f64 = 0.0;
         for (id, task) in tasks {
             if self.unplace_unsent(id, *task, usage) {
@@ -285,7 +285,7 @@
             || placement.seen == Some(TaskState::Saving)
             || victim.is_service()
             || victim.cancelled
-            || victim.is_spared(tuning.evict_loser_limit)
+            || victim.is_spared(tuning.max_evictions_per_task)
         {
             return false;
         }
@@ -319,7 +319,7 @@
         } else {
             ran
         };
-        lost.max(self.cfg.tuning.min_work_price_s)
+        lost.max(self.cfg.tuning.min_eviction_price_s)
     }
 
     /// Whether a rented machine can be up before the job must start.
--- a/crates/umbersail-control/src/engine/grant.rs
+++ b/crates/umbersail-control/src/engine/grant.rs
@@ -86,7 +86,7 @@
 
     /// The machine is to be recorded before anything starts on it.
     pub(super) fn assign_part(&mut self, name: &MachineId) {
-        let most = self.cfg.tuning.grant_part_machines as usize;
+        let most = self.cfg.tuning.machines_per_grant_record as usize;
         let Some(machine) = self.machines.get_mut(name) else {
             return;
         };
--- a/crates/umbersail-control/src/engine/jobs.rs
+++ b/crates/umbersail-control/src/engine/jobs.rs
@@ -62,7 +62,7 @@
                 spot: record.spec.spot(),
             },
         );
-        if self.samples.len() > self.cfg.tuning.class_limit as usize {
+        if self.samples.len() > self.cfg.tuning.max_classes as usize {
             let known = &self.learner;
             self.samples.retain(|class, _| known.get(class).is_some());
         }
--- a/crates/umbersail-control/src/engine/listing.rs
+++ b/crates/umbersail-control/src/engine/listing.rs
@@ -125,7 +125,7 @@
             .refusals
             .get(&key)
             .map_or(tuning.refusal_backoff_s, |r| {
-                (r.pause * 2.0).min(tuning.refusal_backoff_most_s)
+                (r.pause * 2.0).min(tuning.refusal_backoff_max_s)
             });
         info!(
             machine_type = self.types[key.0].name,
@@ -145,7 +145,7 @@
 
     /// The delete was answered: the machines are gone with all on them.
     pub fn deleted(&mut self, names: &[String]) {
-        let most = self.cfg.tuning.gone_names as usize;
+        let most = self.cfg.tuning.max_deleted_machine_names as usize;
         for name in names {
             let name: MachineId = name.as_str().into();
             self.clear_machine(&name);
--- a/crates/umbersail-control/src/engine/mod.rs
+++ b/crates/umbersail-control/src/engine/mod.rs
@@ -250,11 +250,11 @@
             requests: 0,
             unanswered: VecDeque::new(),
             learner: Learner::new(
-                tuning.class_limit as usize,
+                tuning.max_classes as usize,
                 tuning.learn_weight,
                 Window {
-                    jobs: tuning.window_jobs,
-                    least_s: tuning.window_least_s,
+                    jobs: tuning.load_window_jobs,
+                    least_s: tuning.load_window_min_s,
                 },
             ),
             samples: BTreeMap::new(),
@@ -266,7 +266,7 @@
             cached_order: None,
             starvation_guard: StarvationGuard::default(),
             served: ServiceHistory::new(
-                2 * tuning.class_limit as usize,
+                2 * tuning.max_classes as usize,
                 tuning.service_window_jobs as usize,
             ),
             may_wait: true,
@@ -336,7 +336,7 @@
     }
 
     fn silent_after(&self) -> f64 {
-        (self.cfg.tuning.silent_reports * self.cfg.report_s).max(2.0)
+        (self.cfg.tuning.max_missed_heartbeats * self.cfg.report_s).max(2.0)
     }
 
     fn type_index(&self, name: &str) -> Option<usize> {
--- a/crates/umbersail-control/src/engine/order.rs
+++ b/crates/umbersail-control/src/engine/order.rs
@@ -330,13 +330,13 @@
         } else {
             f64::NEG_INFINITY
         };
-        (inside - (above - outside).max(0.0)).max(least) * self.cfg.tuning.pool_share
+        (inside - (above - outside).max(0.0)).max(least) * self.cfg.tuning.usable_cpu_share
     }
 
     /// Whether the order made last serves again: it was made a moment ago and no
     /// job has begun to wait since. What moves in it by time alone moves slowly.
     pub(super) fn is_order_fresh(&self, now: Time) -> bool {
-        let moment = 0.0..self.cfg.tuning.order_keep_s;
+        let moment = 0.0..self.cfg.tuning.order_reuse_s;
         let kept = self.cached_order.as_ref();
         kept.is_some_and(|kept| moment.contains(&(now - kept.at)))
     }
--- a/crates/umbersail-control/src/engine/plans/calendar.rs
+++ b/crates/umbersail-control/src/engine/plans/calendar.rs
@@ -51,11 +51,11 @@
         let settings = Settings {
             skew_ms: cfg.skew_ms.max(0.0) as u64,
             tick_ms: (2000.0 * tuning.tick_s) as u64,
-            write_delay_s: tuning.calendar_write_s,
-            failing_grace_s: tuning.calendar_mistaken_s,
-            retention_s: tuning.calendar_keep_s,
-            max_active_runs: tuning.calendar_runs as usize,
-            max_names: tuning.calendar_names as usize,
+            write_delay_s: tuning.calendar_write_delay_s,
+            failing_grace_s: tuning.calendar_failing_grace_s,
+            retention_s: tuning.calendar_retention_s,
+            max_active_runs: tuning.max_calendar_runs as usize,
+            max_names: tuning.max_calendar_job_names as usize,
         };
         Publishing {
             runs: RunTracker::new(Rc::new(calendar), settings),
@@ -202,7 +202,7 @@
         calendar.stirred = false;
         let looks = now >= calendar.next_look;
         if looks {
-            calendar.next_look = now + self.cfg.tuning.calendar_look_s;
+            calendar.next_look = now + self.cfg.tuning.calendar_refresh_s;
             self.look_at_members(at);
         }
         let outcome = self.plans.calendar.runs.tick(at);
@@ -221,7 +221,7 @@
             }
         }
         let calendar = &mut self.plans.calendar;
-        let most_s = self.cfg.tuning.calendar_look_s;
+        let most_s = self.cfg.tuning.calendar_refresh_s;
         calendar.next_tick = now + calendar.runs.next_tick_in_s(at).min(most_s);
     }
 
--- a/crates/umbersail-control/src/engine/plans/images.rs
+++ b/crates/umbersail-control/src/engine/plans/images.rs
@@ -326,7 +326,7 @@
                 }
             }
         }
-        let status_s = self.cfg.tuning.status_s;
+        let status_s = self.cfg.tuning.status_log_interval_s;
         if images.told_at.is_some_and(|at| now - at < status_s) {
             return;
         }
--- a/crates/umbersail-control/src/engine/plans/mod.rs
+++ b/crates/umbersail-control/src/engine/plans/mod.rs
@@ -34,7 +34,7 @@
 impl Plans {
     pub fn new(now: Time, unix_ms: u64, cfg: &EngineConfig) -> Plans {
         Plans {
-            store: PlanStore::new(cfg.tuning.plan_records as usize, cfg.value_bytes),
+            store: PlanStore::new(cfg.tuning.max_plan_records as usize, cfg.value_bytes),
             calendar: Publishing::new(cfg),
             reserve: Reserving::new(cfg),
             images: Images::new(now, &cfg.tuning),
--- a/crates/umbersail-control/src/engine/plans/reserve.rs
+++ b/crates/umbersail-control/src/engine/plans/reserve.rs
@@ -54,8 +54,8 @@
 pub(crate) fn facts<'a>(teams: &'a [umbersail_policy::TeamLimits], tuning: &Tuning) -> Facts<'a> {
     Facts {
         teams,
-        entries_most: (tuning.reserve_entries as usize).min(HOLDERS_MOST),
-        machines_most: tuning.reserve_machines as u32,
+        entries_most: (tuning.max_reservations as usize).min(HOLDERS_MOST),
+        machines_most: tuning.max_reservation_machines as u32,
     }
 }
 
@@ -71,21 +71,24 @@
         Reserving {
             entries,
             rules: Rules {
-                withdraw_s: tuning.reserve_withdraw_s,
-                margin_s: tuning.reserve_margin_s,
-                lead_most_s: tuning.reserve_lead_most_s,
-                boot_share: tuning.reserve_boot_share,
-                boot_patience: tuning.boot_patience,
-                boot_patience_s: tuning.boot_patience_s,
+                withdraw_s: tuning.reserve_settings_delay_s,
+                margin_s: tuning.reserve_lead_margin_s,
+                lead_most_s: tuning.reserve_max_lead_s,
+                boot_share: tuning.reserve_boot_quantile,
+                boot_patience: tuning.boot_timeout_factor,
+                boot_patience_s: tuning.boot_timeout_margin_s,
                 request_machines: MAX_RENTED_AT_ONCE,
-                requests_most: tuning.reserve_requests as usize,
-                machines_most: tuning.reserve_machines as u32,
-                floor_s: tuning.reserve_floor_s,
+                requests_most: tuning.max_reservation_requests as usize,
+                machines_most: tuning.max_reservation_machines as u32,
+                floor_s: tuning.reserve_borrow_after_s,
                 guarantee_wait_s: tuning.reserve_guarantee_wait_s,
             },
             records: BTreeMap::new(),
             bits: BTreeMap::new(),
-            boots: Boots::new(tuning.reserve_boots as usize, tuning.class_limit as usize),
+            boots: Boots::new(
+                tuning.max_boot_samples as usize,
+                tuning.max_classes as usize,
+            ),
             booting: BTreeMap::new(),
             sent: BTreeSet::new(),
             next_round: 0.0,
@@ -263,7 +266,7 @@
             }
         }
         let silent_after = self.silent_after();
-        let idle_s = self.cfg.tuning.reserve_adopt_idle_s;
+        let idle_s = self.cfg.tuning.reserve_adopt_after_s;
         let mut free = BTreeMap::new();
         for (name, machine) in &self.machines {
             if machine.reservations == 0
@@ -326,7 +329,7 @@
         let Some(report) = machine.last_report else {
             return Standing::Coming;
         };
-        let silent = now - report > self.cfg.tuning.reserve_out_s;
+        let silent = now - report > self.cfg.tuning.reserve_silent_after_s;
         let out =
             silent || (machine.reachability.is_unreachable() && !self.is_mostly_unreachable());
         if out || machine.quarantined || machine.notice_until.is_some() {
@@ -633,7 +636,7 @@
     /// What it costs to put work there: kept machines are for their own work first, and
     /// others go there only if they find nothing else.
     pub(in crate::engine) fn kept_cost(&self, place: u64, job: u64) -> f64 {
-        let prefer_s = self.cfg.tuning.reserve_prefer_s;
+        let prefer_s = self.cfg.tuning.reserve_placement_gain_s;
         match (place != 0, place & job & OWN != 0) {
             (false, _) => 0.0,
             (true, true) => -prefer_s,
@@ -667,7 +670,7 @@
         sent.retain(|name| named.iter().any(|(_, r)| r.request == *name));
         let again = sent.first().cloned();
         named.retain(|(_, r)| again.as_ref().is_none_or(|name| r.request == *name));
-        named.truncate(self.cfg.tuning.reserve_asks as usize);
+        named.truncate(self.cfg.tuning.reservation_requests_per_round as usize);
         for (entry, request) in &named {
             info!(
                 entry,
--- a/crates/umbersail-control/src/engine/reachability.rs
+++ b/crates/umbersail-control/src/engine/reachability.rs
@@ -93,12 +93,12 @@
         let session_missed = report.session > told.session && pause < cfg.lease_s - REPLY_S;
         let first = !std::mem::replace(&mut told.judged, true);
         let missed = token_missed || launches == Some(false) || session_missed;
-        if !(missed && first) || pause < tuning.unreachable_gap_s {
+        if !(missed && first) || pause < tuning.unreachable_min_gap_s {
             return self.signs > 0;
         }
         if self
             .last_sign
-            .is_some_and(|at| now - at > tuning.unreachable_fade_s)
+            .is_some_and(|at| now - at > tuning.unreachable_sign_ttl_s)
         {
             self.signs = 0;
         }
--- a/crates/umbersail-control/src/engine/rental.rs
+++ b/crates/umbersail-control/src/engine/rental.rs
@@ -60,7 +60,7 @@
                     .reachability
                     .unreachable_since()
                     .map_or(0.0, |at| now - at);
-                if now - report > tuning.vanish_s {
+                if now - report > tuning.silent_machine_delete_s {
                     machine.delete_reason = Some("silent for too long");
                 } else if !machine.confirmed && now - report > 2.0 * self.cfg.lease_s {
                     // The deletion of one that is gone already does nothing.
@@ -74,7 +74,7 @@
                 continue;
             }
             let boot_s = machine.type_index.map_or(60.0, |i| self.types[i].boot_s);
-            let patience = tuning.boot_patience * boot_s + tuning.boot_patience_s;
+            let patience = tuning.boot_timeout_factor * boot_s + tuning.boot_timeout_margin_s;
             // A machine that ran under an earlier holder needs time to find us.
             let since = machine.since.max(self.elected_at + 20.0 - patience);
             if now - since > patience {
@@ -290,8 +290,10 @@
             .filter(|t| job.shape.fits_in(&Shape::of_type(t)));
         let boot_s = boots.map(|t| t.boot_s).fold(f64::INFINITY, f64::min);
         match self.slack_s(now, job) {
-            Some(slack) if slack >= boot_s => tuning.turns_share * slack / self.run_s(job).max(1.0),
-            Some(_) => tuning.late_turns,
+            Some(slack) if slack >= boot_s => {
+                tuning.queueing_slack_share * slack / self.run_s(job).max(1.0)
+            }
+            Some(_) => tuning.max_late_turns,
             None => 0.0,
         }
     }
--- a/crates/umbersail-control/src/engine/report.rs
+++ b/crates/umbersail-control/src/engine/report.rs
@@ -44,7 +44,7 @@
     fn take_report(&mut self, now: Time, report: &Heartbeat, in_turn: bool) -> Option<MachineId> {
         let name = self.reporting_machine(now, report)?;
         let machine = self.machines.get_mut(&name)?;
-        if report.order() <= machine.order {
+        if report.ordering_key() <= machine.order {
             debug!(machine = &*name, "late report dropped");
             return None;
         }
@@ -52,7 +52,7 @@
             self.first_report(now, &name);
         }
         let machine = self.machines.get_mut(&name)?;
-        machine.order = report.order();
+        machine.order = report.ordering_key();
         machine.last_report = Some(now);
         machine.lease_expired = false;
         machine.missing_lists = 0;
@@ -177,7 +177,7 @@
         let launches = self.return_missing(name, report, in_turn);
         let shown = self.reconcile_shown(now, name, report);
         let over = |id: &JobId| shown.over.contains(id);
-        let settled = (self.orphaned_jobs).shown(name, report.order(), in_turn, over);
+        let settled = (self.orphaned_jobs).shown(name, report.ordering_key(), in_turn, over);
         self.cleared.extend(settled);
         if let Some(machine) = self.machines.get_mut(name) {
             self.schedule_wanted |= machine.orphaned_tasks && !shown.orphaned_tasks;
@@ -215,7 +215,7 @@
                 // A reply is dropped after 4 s and only one report is under
                 // way: a newer report in turn proves that the launch never
                 // took effect. An answer to direct commands proves nothing.
-                (None, Some(order)) => in_turn && report.order() > order,
+                (None, Some(order)) => in_turn && report.ordering_key() > order,
                 (None, None) => false,
             };
             if gone {
--- a/crates/umbersail-control/src/engine/task_ends.rs
+++ b/crates/umbersail-control/src/engine/task_ends.rs
@@ -134,7 +134,7 @@
         // under way say nothing new.
         if job.backoff_until.is_none() {
             let doubled_s = job.backoff_s * 2.0;
-            job.backoff_s = doubled_s.clamp(tuning.job_backoff_s, tuning.job_backoff_most_s);
+            job.backoff_s = doubled_s.clamp(tuning.job_backoff_s, tuning.job_backoff_max_s);
             job.backoff_until = Some(now + job.backoff_s);
             info!(
                 job = &**id,
--- a/crates/umbersail-control/src/engine/tests/cycles.rs
+++ b/crates/umbersail-control/src/engine/tests/cycles.rs
@@ -75,7 +75,8 @@
             }
             let upper = self.jobs.values().filter(|j| j.spec.priority > tier);
             let above: f64 = upper.map(|j| j.occupied() as f64 * j.shape.cpus).sum();
-            let of_machines = (inside - (above - outside).max(0.0)) * self.cfg.tuning.pool_share;
+            let of_machines =
+                (inside - (above - outside).max(0.0)) * self.cfg.tuning.usable_cpu_share;
             let key = (tier, types, spot);
             let members: Vec<&JobId> = ids
                 .iter()
@@ -287,7 +288,7 @@
         let job = &self.jobs[id];
         let reclaim = self.is_guaranteed(job, usage);
         if job.suspect
-            || job.errors >= tuning.evict_errors_limit as u32
+            || job.errors >= tuning.max_errors_of_evicting_job as u32
             || now < job.evict_hold_until
             || (!reclaim && job.spec.priority == Priority::Low)
             || (!reclaim && self.can_rent_in_time(now, job))
@@ -330,7 +331,8 @@
         if hosts.is_empty() {
             return false;
         }
-        let Some(choice) = select_victims(&job.shape, hosts, tuning.evict_sets as usize) else {
+        let Some(choice) = select_victims(&job.shape, hosts, tuning.max_eviction_sets as usize)
+        else {
             return true;
         };
         let mut saving_s: f64 = 0.0;
@@ -418,7 +420,7 @@
     let tuning = Tuning {
         evict_deadline_work: flag(&mut rng),
         reclaim_deadline_work: flag(&mut rng),
-        order_keep_s: 0.0,
+        order_reuse_s: 0.0,
         ..Tuning::default()
     };
     let limits = |name: &str, cpus, cpus_max| TeamLimits {
--- a/crates/umbersail-control/src/engine/tests/faults.rs
+++ b/crates/umbersail-control/src/engine/tests/faults.rs
@@ -751,7 +751,7 @@
         let tuning = &self.cfg.tuning;
         self.store.lease_end = self.t + tuning.leader_ttl_s;
         if let Some(lead) = &mut self.members[node].lead {
-            lead.start_until = now + tuning.leader_ttl_s * (1.0 - tuning.drift) - 0.1;
+            lead.start_until = now + tuning.leader_ttl_s * (1.0 - tuning.clock_drift) - 0.1;
             if is_read {
                 lead.engine.jobs_listed(now, unix_ms, jobs);
                 lead.renew_until = now + self.cfg.renewal_s();
@@ -832,7 +832,7 @@
     /// What `Node::run_degraded_mode` does, with everybody's agreement at once.
     fn run_degraded_mode(&mut self, node: usize, now: Time) {
         let reachable = self.sees_state(node);
-        let (t, degraded_mode_s) = (self.t, self.cfg.tuning.degraded_mode_s);
+        let (t, degraded_mode_s) = (self.t, self.cfg.tuning.degraded_mode_max_s);
         let renewal_s = self.cfg.renewal_s();
         let Some(lead) = &mut self.members[node].lead else {
             return;
@@ -1040,22 +1040,23 @@
             state_reachable: true,
             token: member.leader.map_or(0, |(_, revision)| revision),
             leader: member.leader.map(|(leader, _)| name(leader)),
-            machines: 0,
+            machine_count: 0,
             progress: vec![],
             renewal_ms,
-            over,
-            up_ms: ((now - member.started) * 1000.0) as u64,
+            ended_jobs: over,
+            uptime_ms: ((now - member.started) * 1000.0) as u64,
             renewed: member.delegate.renewed(now),
-            leads: member.lead.is_some(),
-            open: (member.lead.as_ref()).is_some_and(|l| l.degraded_mode.may_have_unrecorded()),
-            recorded: member.memory.recorded(),
+            is_leader: member.lead.is_some(),
+            unrecorded_starts: (member.lead.as_ref())
+                .is_some_and(|l| l.degraded_mode.may_have_unrecorded()),
+            recorded_token: member.memory.recorded(),
             ..umbersail_wire::Hello::default()
         }
     }
 
     /// What `Node::on_hello_reply` does.
     fn on_hello_reply(&mut self, node: usize, asked: Time, hello: &umbersail_wire::Hello) {
-        let drift = self.cfg.tuning.drift;
+        let drift = self.cfg.tuning.clock_drift;
         let now = self.members[node].clock.at(self.t);
         if let Some(leader) = &hello.leader {
             self.observe_leader(node, leader[6..].parse().unwrap(), hello.token);
@@ -1066,19 +1067,21 @@
             .filter(|_| hello.leader.as_ref() == Some(&hello.member))
         {
             let until = asked + renewal_ms as f64 / 1000.0 * (1.0 - drift);
-            member.delegate.delegated(hello.token, until, &hello.over);
+            member
+                .delegate
+                .delegated(hello.token, until, &hello.ended_jobs);
         }
-        if hello.leads && hello.leader.as_ref() == Some(&hello.member) {
+        if hello.is_leader && hello.leader.as_ref() == Some(&hello.member) {
             member
                 .memory
-                .holder_reported(asked, hello.token, hello.open);
-        } else if let Some(token) = hello.recorded {
+                .holder_reported(asked, hello.token, hello.unrecorded_starts);
+        } else if let Some(token) = hello.recorded_token {
             // Of its own former process only (`DegradedModeRecord::peer_reported`).
             let former_self = member.leader == Some((node, token)) && member.lead.is_none();
             member.memory.peer_reported(token, former_self);
         }
         if let Some(lead) = &mut member.lead {
-            let up_s = hello.up_ms as f64 / 1000.0;
+            let up_s = hello.uptime_ms as f64 / 1000.0;
             lead.engine
                 .renewed_by(now, &hello.member, asked, up_s, &hello.renewed);
         }
@@ -1359,7 +1362,10 @@
             return Ok(Answer::Refused);
         }
         let machine = &report.machine;
-        if !lead.answered.insert((machine.clone(), report.order())) {
+        if !lead
+            .answered
+            .insert((machine.clone(), report.ordering_key()))
+        {
             return Err(format!("{t:.1}: a copy from {machine} is answered"));
         }
         if lead.deleted.contains(machine) {
--- a/crates/umbersail-control/src/engine/tests/images.rs
+++ b/crates/umbersail-control/src/engine/tests/images.rs
@@ -35,9 +35,9 @@
     config(
         vec![team(0.0, 0.0)],
         Tuning {
-            images_hand_on: 1.0,
-            images_first: 8.0,
-            images_pieces: pieces,
+            peer_to_peer_images: 1.0,
+            initial_store_fetches: 8.0,
+            peer_to_peer_pieces: pieces,
             ..Tuning::default()
         },
     )
@@ -125,7 +125,11 @@
             task.state = TaskState::Fetching;
         }
         for command in commands {
-            if let Command::Start { holders, .. } = command {
+            if let Command::Start {
+                image_sources: holders,
+                ..
+            } = command
+            {
                 let name = self.workers[worker].name.clone();
                 self.obeyed.push((name, holders));
             }
--- a/crates/umbersail-control/src/engine/tests/leases.rs
+++ b/crates/umbersail-control/src/engine/tests/leases.rs
@@ -78,7 +78,7 @@
 fn renewed(machine: &str, ago_ms: u64) -> umbersail_wire::RenewedMachine {
     umbersail_wire::RenewedMachine {
         machine: machine.into(),
-        ago_ms,
+        reply_ago_ms: ago_ms,
     }
 }
 
--- a/crates/umbersail-control/src/engine/tests/reserve.rs
+++ b/crates/umbersail-control/src/engine/tests/reserve.rs
@@ -254,7 +254,7 @@
     let mut place = Place::new(entries(""));
     let (mut engine, mut workers) = place.opened();
     accept(&mut engine, 3.0, of_class("other", "req-1", 1, 8.0));
-    let floor_s = place.cfg.tuning.reserve_floor_s;
+    let floor_s = place.cfg.tuning.reserve_borrow_after_s;
     // It was submitted at 0.
     for now in [10.0, 100.0, floor_s - 1.0, floor_s + 1.0] {
         for worker in &mut workers {
--- a/crates/umbersail-control/src/engine/tick.rs
+++ b/crates/umbersail-control/src/engine/tick.rs
@@ -11,7 +11,7 @@
     /// Duties that no event brings up.
     pub fn tick(&mut self, now: Time) {
         if now >= self.next_status {
-            self.next_status = now + self.cfg.tuning.status_s;
+            self.next_status = now + self.cfg.tuning.status_log_interval_s;
             info!(status = self.status(now), "block");
         }
         self.expire_leases(now);
@@ -56,10 +56,10 @@
             return false;
         }
         let tuning = &self.cfg.tuning;
-        let lease_s = self.cfg.lease_s * (1.0 + tuning.drift) + tuning.lapse_margin_s;
+        let lease_s = self.cfg.lease_s * (1.0 + tuning.clock_drift) + tuning.lease_expiry_margin_s;
         // An earlier holder stops renewal_s after it lost the state service,
         // which was before we were elected.
-        let silenced_at = self.elected_at + self.cfg.renewal_s() * (1.0 + tuning.drift);
+        let silenced_at = self.elected_at + self.cfg.renewal_s() * (1.0 + tuning.clock_drift);
         let end = machine.renewed_by(silenced_at) + lease_s;
         now > end && !self.may_be_renewed(now, end, lease_s)
     }
@@ -73,7 +73,7 @@
                 rested = true;
             }
             let since = job.last_progress.max(job.submitted);
-            let log_after_s = job.next_wait_log.max(self.cfg.tuning.long_wait_s);
+            let log_after_s = job.next_wait_log.max(self.cfg.tuning.long_wait_log_s);
             if job.pending() > 0 && now - since > log_after_s {
                 job.next_wait_log = 2.0 * (now - since);
                 // What failed it once may be all that there is.
--- a/crates/umbersail-control/src/engine/tokens.rs
+++ b/crates/umbersail-control/src/engine/tokens.rs
@@ -77,7 +77,7 @@
             if !ready
                 || !machine.fenced
                 || machine.reachability.is_unreachable()
-                || due_in < self.cfg.tuning.increment_s
+                || due_in < self.cfg.tuning.heartbeat_request_after_s
                 || now - last < 0.0
                 || machine
                     .token_incremented_at
--- a/crates/umbersail-control/src/engine/write.rs
+++ b/crates/umbersail-control/src/engine/write.rs
@@ -254,11 +254,11 @@
     /// Why a job's record that changed `age_s` ago is written now, if it is.
     fn due_of(&self, job: &Job, age_s: f64, spare: usize) -> Option<Due> {
         let tuning = &self.cfg.tuning;
-        let due = if job.is_complete() && age_s < tuning.end_patience_s {
+        let due = if job.is_complete() && age_s < tuning.job_end_write_deadline_s {
             Due::End
         } else if job.is_complete() || job.is_write_urgent() {
             Due::Launch
-        } else if spare > 0 && age_s >= tuning.write_delay_s {
+        } else if spare > 0 && age_s >= tuning.task_end_write_delay_s {
             Due::Progress
         } else {
             return None;
@@ -314,7 +314,8 @@
             builder.require(run_key(id), run_version);
             builder.put(run_key(id), Record::Run(record));
         } else if run_version > 0 {
-            let full = self.cleared.len() >= self.cfg.tuning.cleared_most as usize;
+            let full =
+                self.cleared.len() >= self.cfg.tuning.max_deferred_progress_removals as usize;
             if full && builder.txn.changes.len() < self.cfg.txn_ops {
                 builder.delete(run_key(id));
             } else {
@@ -362,7 +363,7 @@
         limits: &TxnLimits,
     ) -> Vec<WrittenPlan> {
         let changes = builder.txn.changes.len();
-        let overdue = (self.plans.store).is_overdue(now, self.cfg.tuning.plan_patience_s);
+        let overdue = (self.plans.store).is_overdue(now, self.cfg.tuning.plan_write_deadline_s);
         let max_plans = match limits.urgent {
             false => limits.max_changes.saturating_sub(changes),
             true => usize::from(overdue && changes < self.cfg.txn_ops),
@@ -374,7 +375,7 @@
     /// Removes progress of jobs that are over, in a quiet moment; beyond a bound it does not
     /// wait for one, so that the list stays small.
     fn write_cleared(&self, builder: &mut TxnBuilder, limits: &TxnLimits) {
-        let crowded = self.cleared.len() > self.cfg.tuning.cleared_most as usize;
+        let crowded = self.cleared.len() > self.cfg.tuning.max_deferred_progress_removals as usize;
         if limits.urgent && !crowded {
             return;
         }
--- a/crates/umbersail-control/src/front.rs
+++ b/crates/umbersail-control/src/front.rs
@@ -237,7 +237,7 @@
             return Response::empty(503);
         }
         self.wake.notify();
-        let until = taken_at + self.tuning.launch_hold_s;
+        let until = taken_at + self.tuning.launch_wait_s;
         loop {
             let now = self.clock.now();
             let near = self.with_engine(revision, |e| e.launch_is_near(now, &report.machine));
@@ -369,7 +369,7 @@
     /// What the leader said of a job, if that is no older than a display may be.
     fn heard_counts(&self, id: &str) -> Option<(u32, u32)> {
         let heard = self.reported_progress.borrow();
-        let fresh = self.clock.now() - heard.at? < self.tuning.heard_fresh_s;
+        let fresh = self.clock.now() - heard.at? < self.tuning.job_progress_max_age_s;
         fresh.then(|| heard.jobs.get(id).copied()).flatten()
     }
 
@@ -548,7 +548,7 @@
         }
         // Where workers hand images on, one that no cache holds would be fetched again and
         // again, and pushed out while others read it.
-        let hand_on = self.tuning.images_hand_on >= 0.5;
+        let hand_on = self.tuning.peer_to_peer_images >= 0.5;
         let allowed =
             |t: &&umbersail_wire::MachineType| umbersail_policy::names_type(spec, &t.name);
         if hand_on && !(types.iter().filter(allowed)).any(|t| cache_holds(t, spec)) {
@@ -612,7 +612,7 @@
     Response::new(
         421,
         encode(&Misdirected {
-            report_to: Some(member),
+            heartbeat_to: Some(member),
         }),
     )
 }
--- a/crates/umbersail-control/src/health.rs
+++ b/crates/umbersail-control/src/health.rs
@@ -17,12 +17,12 @@
         let now = self.clock.now();
         self.state
             .last_answer()
-            .is_some_and(|at| now - at < self.tuning.blind_s)
+            .is_some_and(|at| now - at < self.tuning.state_lost_after_s)
     }
 
     /// Whether no peer has been heard of lately, though there are some.
     pub(crate) fn hears_no_peer(&self, now: Time) -> bool {
-        let lately = |at: Time| now - at < self.tuning.isolated_s;
+        let lately = |at: Time| now - at < self.tuning.isolated_after_s;
         !self.settings.peers.is_empty()
             && !(self.peers.borrow().values()).any(|p| p.heard_at.is_some_and(lately))
     }
@@ -31,14 +31,15 @@
     /// anything, nor any peer: then others lead, or soon will.
     pub(crate) fn is_isolated(&self, now: Time) -> bool {
         let silent = self.state.silent_since();
-        silent.is_some_and(|at| now - at >= self.tuning.isolated_s) && self.hears_no_peer(now)
+        silent.is_some_and(|at| now - at >= self.tuning.isolated_after_s) && self.hears_no_peer(now)
     }
 
     /// Whether it is only us whom the rest does not reach: isolated, and not by a cut
     /// of our zone, which would keep the balancer from us too. Our workers then reach
     /// the other nodes, and are better off there.
     pub(crate) fn is_isolated_alone(&self, now: Time) -> bool {
-        self.is_isolated(now) && now - self.outside_heard_at.get() < self.tuning.outside_s
+        self.is_isolated(now)
+            && now - self.outside_heard_at.get() < self.tuning.balancer_contact_max_age_s
     }
 
     /// A node that alone is blind takes itself out; when all are blind alike,
@@ -62,13 +63,13 @@
         };
         // Nobody can say whether the state service refuses others too; that takes
         // longer, so that no short outage among controllers that are apart counts.
-        let refused_s = 2.0 * self.tuning.blind_s;
+        let refused_s = 2.0 * self.tuning.state_lost_after_s;
         if self.is_isolated(now) || self.hears_no_peer(now) && now - last_answer >= refused_s {
             return false;
         }
         // A peer's word counts only if it is clearly newer than our own last
         // answer: at the start of an outage all of them still say "reachable".
-        let proven = last_answer + self.tuning.blind_s + self.tuning.peer_interval_s;
+        let proven = last_answer + self.tuning.state_lost_after_s + self.tuning.peer_interval_s;
         !self.peers.borrow().values().any(|p| {
             p.state_reachable && p.heard_at.is_some_and(|at| at > proven && now - at < 3.0)
         })
@@ -81,8 +82,8 @@
         loop {
             // Users are refused until it answers.
             let interval = match self.state.silent_since() {
-                Some(_) => SILENT_PROBE_S.min(self.tuning.probe_s),
-                None => self.tuning.probe_s,
+                Some(_) => SILENT_PROBE_S.min(self.tuning.state_probe_interval_s),
+                None => self.tuning.state_probe_interval_s,
             };
             sleep(interval).await;
             let now = self.clock.now();
--- a/crates/umbersail-control/src/leader/election.rs
+++ b/crates/umbersail-control/src/leader/election.rs
@@ -82,7 +82,7 @@
         loop {
             match self
                 .state
-                .watch::<LeaderRecord>(LEADER_KEY, from, self.tuning.watch_hold_s)
+                .watch::<LeaderRecord>(LEADER_KEY, from, self.tuning.watch_timeout_s)
                 .await
             {
                 Ok(result) => {
--- a/crates/umbersail-control/src/leader/fencing.rs
+++ b/crates/umbersail-control/src/leader/fencing.rs
@@ -18,7 +18,7 @@
             let Some(targets) = self.with_engine(token, |e| e.fence_targets(now)) else {
                 return;
             };
-            let round_s = self.tuning.fence_round_s;
+            let round_s = self.tuning.fence_interval_s;
             let most = (self.tuning.fence_per_s * round_s).ceil() as usize;
             for target in targets.into_iter().take(most) {
                 spawn(self.clone().bring_token(token, target));
--- a/crates/umbersail-control/src/leader/jobs.rs
+++ b/crates/umbersail-control/src/leader/jobs.rs
@@ -64,7 +64,7 @@
     /// Hears of accepted and cancelled jobs.
     pub(super) async fn watch_jobs(self: Rc<Self>, token: u64) {
         while let Some(from) = self.followed(token) {
-            let hold_s = self.tuning.watch_hold_s;
+            let hold_s = self.tuning.watch_timeout_s;
             match self.state.watch::<JobRecord>(JOBS, from, hold_s).await {
                 Ok(result) => self.apply_job_changes(token, result),
                 Err(StateError::Gone) => self.list_jobs(token).await,
--- a/crates/umbersail-control/src/leader/lease.rs
+++ b/crates/umbersail-control/src/leader/lease.rs
@@ -65,7 +65,7 @@
 
 impl Node {
     pub(super) fn start_end(&self, sent_at: Time) -> Time {
-        sent_at + self.tuning.leader_ttl_s * (1.0 - self.tuning.drift) - START_MARGIN_S
+        sent_at + self.tuning.leader_ttl_s * (1.0 - self.tuning.clock_drift) - START_MARGIN_S
     }
 
     /// Renews the lease until it is lost; counts its time from before each request. A renewal
--- a/crates/umbersail-control/src/leader/scheduler.rs
+++ b/crates/umbersail-control/src/leader/scheduler.rs
@@ -119,7 +119,7 @@
     /// Waits until something has changed; false if only the time was over.
     async fn wait_for_work(&self, next_s: Option<Time>) -> bool {
         let (least_s, most_s) = IDLE_S;
-        let wait_s = next_s.unwrap_or(self.tuning.write_delay_s.clamp(least_s, most_s));
+        let wait_s = next_s.unwrap_or(self.tuning.task_end_write_delay_s.clamp(least_s, most_s));
         let woken = pin!(self.wake.notified());
         matches!(select(woken, pin!(sleep(wait_s))).await, Either::Left(_))
     }
--- a/crates/umbersail-control/src/node.rs
+++ b/crates/umbersail-control/src/node.rs
@@ -193,9 +193,15 @@
             peers: RefCell::new(BTreeMap::new()),
             polls: BatchedPolls::default(),
             all_replica_reads: AllReplicaReads::default(),
-            cache: RefCell::new(TerminalCache::new(tuning.terminal_cache as usize)),
-            redirects: RefCell::new(RedirectTracker::new(tuning.relay_again_s, tuning.relay_s)),
-            handed_off: RefCell::new(RedirectTracker::new(tuning.relay_again_s, tuning.relay_s)),
+            cache: RefCell::new(TerminalCache::new(tuning.max_ended_jobs as usize)),
+            redirects: RefCell::new(RedirectTracker::new(
+                tuning.relay_detect_s,
+                tuning.relay_duration_s,
+            )),
+            handed_off: RefCell::new(RedirectTracker::new(
+                tuning.relay_detect_s,
+                tuning.relay_duration_s,
+            )),
             outside_heard_at: Cell::new(f64::MIN),
             last_designated: RefCell::default(),
             delegate: RefCell::new(Delegate::new(
@@ -334,12 +340,12 @@
 
 fn failure_detector(tuning: &Tuning) -> FailureDetector {
     FailureDetector::new(DetectorTimeouts {
-        rank_s: tuning.rank_s,
-        answer_s: tuning.answer_s,
-        silent_answer_s: tuning.silent_answer_s,
-        settle_s: tuning.settle_s,
-        slack_s: tuning.answer_slack_s,
-        cleared_s: tuning.cleared_s,
+        rank_s: tuning.standby_rank_delay_s,
+        answer_s: tuning.leader_answer_timeout_s,
+        silent_answer_s: tuning.silent_leader_answer_timeout_s,
+        settle_s: tuning.election_settle_s,
+        slack_s: tuning.leader_answer_slack_s,
+        cleared_s: tuning.suspicion_cleared_s,
     })
 }
 
--- a/crates/umbersail-control/src/peers.rs
+++ b/crates/umbersail-control/src/peers.rs
@@ -35,20 +35,20 @@
             state_reachable: self.sees_state(),
             token: leader.as_ref().map_or(0, |(_, token)| *token),
             leader: leader.as_ref().map(|(name, _)| name.clone()),
-            machines: 0,
+            machine_count: 0,
             progress: Vec::new(),
             renewal_ms: None,
-            over: Vec::new(),
-            cancelled: self.lately_cancelled(),
-            up_ms: ((now - self.started_at) * 1000.0) as u64,
+            ended_jobs: Vec::new(),
+            cancelled_jobs: self.lately_cancelled(),
+            uptime_ms: ((now - self.started_at) * 1000.0) as u64,
             renewed: Vec::new(),
-            leads: leading && !superseded && !self.resigning.get(),
-            resigns: leading && self.resigning.get(),
-            recorded: self.degraded_mode_record.borrow().recorded(),
-            open: leading && self.degraded_mode.borrow().may_have_unrecorded(),
-            standby: standby.map(|s| s.member),
-            lag_ms: (self.lag.get().mean_s() * 1000.0) as u64,
-            state_ago_ms: (self.state.last_answer())
+            is_leader: leading && !superseded && !self.resigning.get(),
+            is_resigning: leading && self.resigning.get(),
+            recorded_token: self.degraded_mode_record.borrow().recorded(),
+            unrecorded_starts: leading && self.degraded_mode.borrow().may_have_unrecorded(),
+            successor: standby.map(|s| s.member),
+            timer_lag_ms: (self.lag.get().mean_s() * 1000.0) as u64,
+            state_answer_ago_ms: (self.state.last_answer())
                 .map(|at| ((now - at).max(0.0) * 1000.0) as u64),
         }
     }
@@ -90,7 +90,7 @@
             {
                 leading.engine.delegate_to(member, until);
                 hello.renewal_ms = Some(((until - now) * 1000.0) as u64);
-                hello.over = over;
+                hello.ended_jobs = over;
             }
         }
         hello.renewed = self.delegate.borrow_mut().renewed(now);
@@ -105,15 +105,17 @@
             peer.answered_at = Some(now);
             peer.silent = false;
         }
-        if hello.leads {
+        if hello.is_leader {
             self.failure_detector
                 .borrow_mut()
                 .clear_suspicion(hello.token);
         }
-        if (hello.leads || hello.resigns) && hello.leader.as_deref() == Some(&*hello.member) {
+        if (hello.is_leader || hello.is_resigning)
+            && hello.leader.as_deref() == Some(&*hello.member)
+        {
             let mut memory = self.degraded_mode_record.borrow_mut();
-            memory.holder_reported(asked_at, hello.token, hello.open);
-        } else if let Some(token) = hello.recorded {
+            memory.holder_reported(asked_at, hello.token, hello.unrecorded_starts);
+        } else if let Some(token) = hello.recorded_token {
             // As good as the leader's own word if that was our former process (rule 3).
             let former_self = (self.leader.borrow().as_ref())
                 .is_some_and(|(name, t)| *name == self.settings.member && *t == token)
@@ -124,13 +126,15 @@
         if let Some(renewal_ms) = hello.renewal_ms
             && hello.leader.as_deref() == Some(&*hello.member)
         {
-            let renewal_s = renewal_ms as f64 / 1000.0 * (1.0 - self.tuning.drift);
-            self.delegate
-                .borrow_mut()
-                .delegated(hello.token, asked_at + renewal_s, &hello.over);
+            let renewal_s = renewal_ms as f64 / 1000.0 * (1.0 - self.tuning.clock_drift);
+            self.delegate.borrow_mut().delegated(
+                hello.token,
+                asked_at + renewal_s,
+                &hello.ended_jobs,
+            );
         }
         if let Role::Leading(leading) = &mut *self.role.borrow_mut() {
-            let up_s = hello.up_ms as f64 / 1000.0;
+            let up_s = hello.uptime_ms as f64 / 1000.0;
             let engine = &mut leading.engine;
             engine.renewed_by(now, &hello.member, asked_at, up_s, &hello.renewed);
         }
@@ -141,8 +145,10 @@
     fn hello_with_progress(&self) -> Hello {
         let mut hello = self.hello();
         if let Role::Leading(leading) = &*self.role.borrow() {
-            hello.machines = leading.engine.machine_count();
-            hello.progress = leading.engine.progress(self.tuning.progress_most as usize);
+            hello.machine_count = leading.engine.machine_count();
+            hello.progress = leading
+                .engine
+                .progress(self.tuning.max_progress_jobs as usize);
         }
         hello
     }
@@ -154,12 +160,12 @@
         if let Some(leader) = &hello.leader {
             self.observe_leader(leader, hello.token);
         }
-        self.on_cancelled_jobs(&hello.cancelled);
+        self.on_cancelled_jobs(&hello.cancelled_jobs);
         if hello.leader.as_deref() == Some(&*hello.member)
             && self.leader_name().as_deref() == Some(&*hello.member)
-            && hello.machines > 0
+            && hello.machine_count > 0
         {
-            self.keep_sockets_for(hello.machines);
+            self.keep_sockets_for(hello.machine_count);
             let jobs = hello.progress.iter();
             *self.reported_progress.borrow_mut() = ReportedProgress {
                 at: Some(self.clock.now()),
@@ -171,12 +177,16 @@
         let now = self.clock.now();
         peer.heard_at = Some(now);
         peer.state_reachable = hello.state_reachable;
-        peer.up_s = hello.up_ms as f64 / 1000.0;
-        peer.lag_s = hello.lag_ms as f64 / 1000.0;
-        peer.state_answer_at = hello.state_ago_ms.map(|ago| now - ago as f64 / 1000.0);
+        peer.up_s = hello.uptime_ms as f64 / 1000.0;
+        peer.lag_s = hello.timer_lag_ms as f64 / 1000.0;
+        peer.state_answer_at = hello
+            .state_answer_ago_ms
+            .map(|ago| now - ago as f64 / 1000.0);
         drop(peers);
-        if (hello.leads || hello.resigns) && self.leader_name().as_deref() == Some(&*hello.member) {
-            *self.designated_successor.borrow_mut() = hello.standby.clone();
+        if (hello.is_leader || hello.is_resigning)
+            && self.leader_name().as_deref() == Some(&*hello.member)
+        {
+            *self.designated_successor.borrow_mut() = hello.successor.clone();
         }
     }
 
@@ -439,7 +449,9 @@
             }
             let leads = self.leader_name().as_deref() == Some(&*peer.member);
             sleep(if leads {
-                self.tuning.leader_greet_s.min(self.tuning.peer_interval_s)
+                self.tuning
+                    .leader_hello_interval_s
+                    .min(self.tuning.peer_interval_s)
             } else {
                 self.tuning.peer_interval_s
             })
--- a/crates/umbersail-control/src/standby.rs
+++ b/crates/umbersail-control/src/standby.rs
@@ -48,7 +48,7 @@
                 continue;
             };
             let body = encode(&self.hello());
-            let wait_s = self.tuning.leader_watch_s + self.tuning.peer_timeout_s;
+            let wait_s = self.tuning.leader_watch_timeout_s + self.tuning.peer_timeout_s;
             let answer = self
                 .peer_http
                 .request(peer.addr, "POST", paths::PEER_WATCH_LEADER, &body, wait_s)
@@ -74,7 +74,7 @@
     /// The answer to such a question; true if its sender leads under this token.
     fn on_leader_watch_reply(&self, token: u64, hello: &Hello) -> bool {
         self.on_hello(hello);
-        if hello.leads && hello.token == token {
+        if hello.is_leader && hello.token == token {
             self.failure_detector.borrow_mut().clear_suspicion(token);
             return true;
         }
@@ -82,7 +82,7 @@
             .is_some_and(|(of, incarnation)| of == token && incarnation != hello.incarnation);
         if other {
             self.suspect(token, Evidence::Replaced);
-        } else if hello.resigns && hello.token == token {
+        } else if hello.is_resigning && hello.token == token {
             self.suspect(token, Evidence::Resigned);
         }
         false
@@ -94,7 +94,7 @@
             return Response::empty(400);
         };
         self.on_hello(&hello);
-        let until = self.clock.now() + self.tuning.leader_watch_s;
+        let until = self.clock.now() + self.tuning.leader_watch_timeout_s;
         loop {
             let now = self.clock.now();
             if !self.is_leading() || now >= until {
@@ -219,7 +219,7 @@
     pub(crate) async fn answer_suspicions(self: Rc<Self>, token: u64) {
         let mut from = token;
         loop {
-            let hold_s = self.tuning.watch_hold_s;
+            let hold_s = self.tuning.watch_timeout_s;
             match self
                 .state
                 .watch::<IgnoredAny>(SUSPICIONS, from, hold_s)
@@ -315,7 +315,7 @@
     /// an answer clearly after our last one.
     pub(crate) fn is_isolated_from_state(&self) -> bool {
         let now = self.clock.now();
-        let patience_s = self.tuning.refused_s;
+        let patience_s = self.tuning.state_loss_hand_over_s;
         let Some(last) = self.state.last_answer() else {
             return false;
         };
--- a/crates/umbersail-control/tests/isolated.rs
+++ b/crates/umbersail-control/tests/isolated.rs
@@ -367,7 +367,7 @@
                 return Some(reply);
             }
             Ok(a) if a.status == 421 => {
-                let named = decode::<Misdirected>(&a.body).unwrap().report_to;
+                let named = decode::<Misdirected>(&a.body).unwrap().heartbeat_to;
                 self.node = named.map_or(next, |name| name[1..].parse().unwrap());
                 sleep(0.25).await;
             }
--- a/crates/umbersail-control/tests/service.rs
+++ b/crates/umbersail-control/tests/service.rs
@@ -97,8 +97,8 @@
             let tuning = Tuning {
                 leader_ttl_s: 0.6,
                 leader_renew_s: 0.1,
-                write_delay_s: 0.05,
-                keep_margin_s,
+                task_end_write_delay_s: 0.05,
+                delegation_margin_s: keep_margin_s,
                 ..Tuning::default()
             };
             routines.push(Some(spawn(async move {
@@ -404,7 +404,7 @@
             200 => return (node, decode(&body).unwrap()),
             421 => {
                 let named: Misdirected = decode(&body).unwrap();
-                node = if named.report_to.as_deref() == Some("n0") {
+                node = if named.heartbeat_to.as_deref() == Some("n0") {
                     0
                 } else {
                     1
--- a/crates/umbersail-images/src/settings.rs
+++ b/crates/umbersail-images/src/settings.rs
@@ -29,15 +29,15 @@
     /// Reads the settings from the operator's tuning.
     pub fn from_tuning(tuning: &Tuning) -> Settings {
         Settings {
-            peer_to_peer: tuning.images_hand_on >= 0.5,
-            serve_partial: tuning.images_pieces >= 0.5,
-            sources_per_fetch: tuning.images_sources as usize,
-            fetches_per_source: tuning.images_load as u32,
-            initial_store_fetches: tuning.images_first as usize,
-            min_fetch_s: tuning.images_least_s,
-            slowdown_factor: tuning.images_slowed,
-            queue_expiry_s: tuning.images_stale_s,
-            max_images: tuning.images_most as usize,
+            peer_to_peer: tuning.peer_to_peer_images >= 0.5,
+            serve_partial: tuning.peer_to_peer_pieces >= 0.5,
+            sources_per_fetch: tuning.image_sources_per_fetch as usize,
+            fetches_per_source: tuning.image_uploads_per_machine as u32,
+            initial_store_fetches: tuning.initial_store_fetches as usize,
+            min_fetch_s: tuning.image_min_fetch_s,
+            slowdown_factor: tuning.slow_fetch_factor,
+            queue_expiry_s: tuning.fetch_turn_timeout_s,
+            max_images: tuning.max_tracked_images as usize,
         }
     }
 }
--- a/crates/umbersail-rehearsal/src/late.rs
+++ b/crates/umbersail-rehearsal/src/late.rs
@@ -250,7 +250,7 @@
         tasks.any(|t| t.task == task && t.state != TaskState::Exited)
     };
     let (machine, node) = (copy.machine.clone(), copied.node);
-    let (order, newest_order) = (copy.order(), newest.order());
+    let (order, newest_order) = (copy.ordering_key(), newest.ordering_key());
     let ended = count(copy, &|task| !is_active(task), false);
     let begun = count(copy, &is_active, true);
     Some(move |status, took_s| What::LateReport {
--- a/crates/umbersail-rehearsal/src/waves.rs
+++ b/crates/umbersail-rehearsal/src/waves.rs
@@ -67,7 +67,7 @@
     /// The defaults of `images.*`, with handing on.
     pub fn bounds(hand_on: bool) -> Settings {
         Settings::from_tuning(&umbersail_tuning::Tuning {
-            images_hand_on: f64::from(u8::from(hand_on)),
+            peer_to_peer_images: f64::from(u8::from(hand_on)),
             ..umbersail_tuning::Tuning::default()
         })
     }
--- a/crates/umbersail-rehearsal/src/worker.rs
+++ b/crates/umbersail-rehearsal/src/worker.rs
@@ -562,7 +562,10 @@
             };
             let key = (job.to_owned(), number.parse().unwrap_or(u32::MAX), *attempt);
             match command {
-                Command::Start { holders, .. } => self.launch(fleet, key, holders),
+                Command::Start {
+                    image_sources: holders,
+                    ..
+                } => self.launch(fleet, key, holders),
                 Command::Stop { grace_s, .. } => self.stop(fleet, &key, *grace_s),
                 Command::Forget { .. } => {
                     let mut state = self.state.borrow_mut();
@@ -737,7 +740,9 @@
                 }
                 Ok((200, body)) => self.answered(&fleet, sent, session, &body),
                 Ok((421, body)) => {
-                    let told = decode::<Misdirected>(&body).ok().and_then(|m| m.report_to);
+                    let told = decode::<Misdirected>(&body)
+                        .ok()
+                        .and_then(|m| m.heartbeat_to);
                     match told
                         .and_then(|name| fleet.member(&name))
                         .filter(|n| *n != node)
--- a/crates/umbersail-wire/src/jobs.rs
+++ b/crates/umbersail-wire/src/jobs.rs
@@ -98,9 +98,9 @@
 /// Most tasks of one job.
 pub const MAX_TASKS: u32 = 100_000;
 /// Longest name of a class, team, image, zone or machine type, in bytes.
-const MAX_TEXT_BYTES: usize = 200;
+const MAX_NAME_BYTES: usize = 200;
 /// Most machine types that a job may name.
-const MAX_TYPES: usize = 64;
+const MAX_MACHINE_TYPES: usize = 64;
 
 /// What is wrong with a submission, whatever the machines and teams are.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Error)]
@@ -109,7 +109,7 @@
     #[error("{0} is out of range")]
     OutOfRange(&'static str),
     /// A name is empty or too long.
-    #[error("{0} must have 1 to {MAX_TEXT_BYTES} bytes")]
+    #[error("{0} must have 1 to {MAX_NAME_BYTES} bytes")]
     TextLength(&'static str),
     /// The id is not of the protocol's form.
     #[error("id is not of the form req-000412")]
@@ -119,9 +119,9 @@
     TaskCount,
     /// A task takes nothing.
     #[error("a task takes something of its machine")]
-    TakesNothing,
+    NoResources,
     /// Too many machine types, or names of them out of bounds.
-    #[error("machine types must be up to {MAX_TYPES} names")]
+    #[error("machine types must be up to {MAX_MACHINE_TYPES} names")]
     MachineTypes,
 }
 
@@ -146,7 +146,7 @@
             }
         };
         let text = |name: &'static str, value: &str| {
-            if value.is_empty() || value.len() > MAX_TEXT_BYTES {
+            if value.is_empty() || value.len() > MAX_NAME_BYTES {
                 Err(InvalidJob::TextLength(name))
             } else {
                 Ok(())
@@ -165,7 +165,7 @@
         amount("gpus", self.gpus(), 0.0)?;
         amount("memory", self.memory_gb, 0.0)?;
         if self.cpus + self.gpus() + self.memory_gb <= 0.0 {
-            return Err(InvalidJob::TakesNothing);
+            return Err(InvalidJob::NoResources);
         }
         amount("image size", self.image_gb, 0.0)?;
         amount("estimate", self.estimate_s, 0.0)?;
@@ -175,10 +175,10 @@
             amount("deadline", deadline, 0.0)?;
         }
         if let Some(types) = &self.types
-            && (types.len() > MAX_TYPES
+            && (types.len() > MAX_MACHINE_TYPES
                 || types
                     .iter()
-                    .any(|t| t.is_empty() || t.len() > MAX_TEXT_BYTES))
+                    .any(|t| t.is_empty() || t.len() > MAX_NAME_BYTES))
         {
             return Err(InvalidJob::MachineTypes);
         }
--- a/crates/umbersail-wire/src/peers.rs
+++ b/crates/umbersail-wire/src/peers.rs
@@ -19,7 +19,8 @@
     /// Name of the machine.
     pub machine: String,
     /// Milliseconds since the last reply to it.
-    pub ago_ms: u64,
+    #[serde(rename = "ago_ms")]
+    pub reply_ago_ms: u64,
 }
 
 /// What controllers tell each other about once a second, both ways.
@@ -36,8 +37,8 @@
     /// Name of the leader that it knows.
     pub leader: Option<String>,
     /// The leader's word on the number of machines.
-    #[serde(default)]
-    pub machines: usize,
+    #[serde(rename = "machines", default)]
+    pub machine_count: usize,
     /// The leader's word on unfinished jobs, for display by the others.
     #[serde(default)]
     pub progress: Vec<JobProgress>,
@@ -47,38 +48,38 @@
     pub renewal_ms: Option<u64>,
     /// With that: jobs that are over of which tasks may still be about. Workers are told
     /// to stop those.
-    #[serde(default)]
-    pub over: Vec<String>,
+    #[serde(rename = "over", default)]
+    pub ended_jobs: Vec<String>,
     /// Jobs that it lately read or recorded to be cancelled.
-    #[serde(default)]
-    pub cancelled: Vec<String>,
+    #[serde(rename = "cancelled", default)]
+    pub cancelled_jobs: Vec<String>,
     /// How long the process has run.
-    #[serde(default)]
-    pub up_ms: u64,
+    #[serde(rename = "up_ms", default)]
+    pub uptime_ms: u64,
     /// Machines whose leases it lately renewed in the leader's stead.
     #[serde(rename = "kept", default)]
     pub renewed: Vec<RenewedMachine>,
     /// It leads and may have started tasks that no record tells of.
-    #[serde(default)]
-    pub open: bool,
+    #[serde(rename = "open", default)]
+    pub unrecorded_starts: bool,
     /// The leader that it knows to have recorded all that it started.
-    #[serde(default)]
-    pub recorded: Option<u64>,
+    #[serde(rename = "recorded", default)]
+    pub recorded_token: Option<u64>,
     /// It leads, and means to go on.
-    #[serde(default)]
-    pub leads: bool,
+    #[serde(rename = "leads", default)]
+    pub is_leader: bool,
     /// It leads and wants another to.
-    #[serde(default)]
-    pub resigns: bool,
+    #[serde(rename = "resigns", default)]
+    pub is_resigning: bool,
     /// The leader's word on who is to lead after it.
-    #[serde(default)]
-    pub standby: Option<String>,
+    #[serde(rename = "standby", default)]
+    pub successor: Option<String>,
     /// How late its timers fire on average.
-    #[serde(default)]
-    pub lag_ms: u64,
+    #[serde(rename = "lag_ms", default)]
+    pub timer_lag_ms: u64,
     /// How long ago the state service last answered it.
-    #[serde(default)]
-    pub state_ago_ms: Option<u64>,
+    #[serde(rename = "state_ago_ms", default)]
+    pub state_answer_ago_ms: Option<u64>,
 }
 
 /// A leader asks a peer to agree that it starts tasks without a record.
@@ -96,8 +97,8 @@
     /// Whether the peer agrees.
     pub agreed: bool,
     /// Jobs that the peer lately read or recorded to be cancelled.
-    #[serde(default)]
-    pub cancelled: Vec<String>,
+    #[serde(rename = "cancelled", default)]
+    pub cancelled_jobs: Vec<String>,
 }
 
 /// A controller that the state service does not answer asks every other what it knows
@@ -123,7 +124,8 @@
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ReplicaReadAnswer {
     /// For how long this process remembers each end that it has told, milliseconds.
-    pub remembers_ms: u64,
+    #[serde(rename = "remembers_ms")]
+    pub retention_ms: u64,
     /// What it knows of each job.
     #[serde(rename = "words")]
     pub jobs: Vec<ReplicaReadEntry>,
--- a/crates/umbersail-wire/src/workers.rs
+++ b/crates/umbersail-wire/src/workers.rs
@@ -103,7 +103,7 @@
 
 impl Heartbeat {
     /// The larger one is the newer report of a machine.
-    pub fn order(&self) -> (u64, u64) {
+    pub fn ordering_key(&self) -> (u64, u64) {
         (self.session, self.seq)
     }
 }
@@ -125,7 +125,7 @@
         /// first: a worker that knows of it fetches from them, and from the store once
         /// none of them gives. Empty: from the store.
         #[serde(rename = "lenders", default, skip_serializing_if = "Vec::is_empty")]
-        holders: Vec<String>,
+        image_sources: Vec<String>,
     },
     /// Stops a task.
     #[serde(rename = "halt")]
@@ -179,7 +179,7 @@
 pub struct Misdirected {
     /// Address for later reports.
     #[serde(rename = "foreman", default, skip_serializing_if = "Option::is_none")]
-    pub report_to: Option<String>,
+    pub heartbeat_to: Option<String>,
 }
 
 /// Commands sent straight to a worker.
--- a/crates/umbersail-wire/tests/former_peers.rs
+++ b/crates/umbersail-wire/tests/former_peers.rs
@@ -59,7 +59,7 @@
         renewal_ms: Some(14_000),
         renewed: vec![RenewedMachine {
             machine: "host-3".into(),
-            ago_ms: 250,
+            reply_ago_ms: 250,
         }],
         ..Hello::default()
     }
@@ -83,7 +83,7 @@
         }],
     };
     let answer = ReplicaReadAnswer {
-        remembers_ms: 90_000,
+        retention_ms: 90_000,
         jobs: vec![ReplicaReadEntry {
             ended: None,
             unfinished_ago_ms: Some(40),
--- a/crates/umbersail-wire/tests/golden_messages.rs
+++ b/crates/umbersail-wire/tests/golden_messages.rs
@@ -115,12 +115,12 @@
         Command::Start {
             task: "req-000412/4".into(),
             attempt: 2,
-            holders: Vec::new(),
+            image_sources: Vec::new(),
         },
         Command::Start {
             task: "req-000412/5".into(),
             attempt: 3,
-            holders: vec!["10.1.0.7:9000".into()],
+            image_sources: vec!["10.1.0.7:9000".into()],
         },
         Command::Stop {
             task: "req-000377/1".into(),
@@ -168,7 +168,12 @@
         ("misdirected", Some("bothy-2".into())),
         ("misdirected_nowhere", None),
     ] {
-        golden.check(name, Misdirected { report_to });
+        golden.check(
+            name,
+            Misdirected {
+                heartbeat_to: report_to,
+            },
+        );
     }
     check_state(&mut golden);
     check_cloud(&mut golden);
@@ -359,27 +364,27 @@
             state_reachable: true,
             token: 12,
             leader: Some("bothy-1".into()),
-            machines: 4000,
+            machine_count: 4000,
             progress: vec![JobProgress {
                 id: "req-1".into(),
                 done: 3,
                 running: 13,
             }],
             renewal_ms: Some(14_000),
-            over: vec!["req-2".into()],
-            cancelled: vec!["req-3".into()],
-            up_ms: 90_000,
+            ended_jobs: vec!["req-2".into()],
+            cancelled_jobs: vec!["req-3".into()],
+            uptime_ms: 90_000,
             renewed: vec![RenewedMachine {
                 machine: "host-3".into(),
-                ago_ms: 250,
+                reply_ago_ms: 250,
             }],
-            open: true,
-            recorded: Some(11),
-            leads: true,
-            resigns: false,
-            standby: Some("bothy-2".into()),
-            lag_ms: 12,
-            state_ago_ms: Some(40),
+            unrecorded_starts: true,
+            recorded_token: Some(11),
+            is_leader: true,
+            is_resigning: false,
+            successor: Some("bothy-2".into()),
+            timer_lag_ms: 12,
+            state_answer_ago_ms: Some(40),
         },
     );
     golden.check("hello_of_nobody", Hello::default());
@@ -394,7 +399,7 @@
         "degraded_mode_answer",
         DegradedModeAnswer {
             agreed: true,
-            cancelled: vec!["req-3".into()],
+            cancelled_jobs: vec!["req-3".into()],
         },
     );
     golden.check(
@@ -406,7 +411,7 @@
     golden.check(
         "replica_read_answer",
         ReplicaReadAnswer {
-            remembers_ms: 90_000,
+            retention_ms: 90_000,
             jobs: vec![
                 ReplicaReadEntry {
                     ended: Some(status(JobStage::Done, Some(16), None)),
