--- a/crates/umbersail-control/src/engine/commands.rs
+++ b/crates/umbersail-control/src/engine/commands.rs
@@ -134,7 +134,7 @@
         commands: &mut Vec<Command>,
     ) {
         let open = self.open;
-        for (id, task) in self.held_by_urgency(name) {
+        for (id, task) in self.tasks_by_priority(name) {
             let Some(job) = self.jobs.get(&id) else {
                 continue;
             };
@@ -145,7 +145,7 @@
             {
                 continue;
             }
-            let Some(holders) = self.may_fetch(now, name, &id, task) else {
+            let Some(holders) = self.request_fetch(now, name, &id, task) else {
                 continue;
             };
             let job = self.jobs.get_mut(&id);
--- a/crates/umbersail-control/src/engine/jobs.rs
+++ b/crates/umbersail-control/src/engine/jobs.rs
@@ -43,7 +43,9 @@
         version: u64,
         run: Option<(RunRecord, u64)>,
     ) {
-        self.plans.images.narrow(&mut record.spec, &self.types);
+        self.plans
+            .images
+            .restrict_types(&mut record.spec, &self.types);
         let id: JobId = record.spec.id.as_str().into();
         let age_s = unix_ms.saturating_sub(record.accepted_ms) as f64 / 1000.0;
         let smallest =
@@ -84,7 +86,7 @@
             self.preemptible.insert(job.preemption_class(), id.clone());
         }
         self.jobs.insert(id.clone(), job);
-        self.plan_for_job(now, &id);
+        self.plans_job_accepted(now, &id);
         self.note_waiting();
     }
 
@@ -184,7 +186,7 @@
 
     pub(super) fn remove_job(&mut self, id: &JobId) -> Option<Job> {
         let job = self.jobs.remove(id)?;
-        self.job_left_plans(&job);
+        self.plans_job_ended(&job);
         self.preemptible.remove(job.preemption_class(), id);
         Some(job)
     }
@@ -203,7 +205,7 @@
         if let Some(machine) = self.machines.get_mut(&placement.machine) {
             machine.release(id, task, &job.shape, job.image);
             if !machine.uses(job.image) {
-                self.plans.images.unused(job.image, &machine.name);
+                self.plans.images.cancel_fetch(job.image, &machine.name);
             }
         }
         self.schedule_wanted = true;
--- a/crates/umbersail-control/src/engine/listing.rs
+++ b/crates/umbersail-control/src/engine/listing.rs
@@ -84,7 +84,7 @@
 
     /// The cloud rented these for us.
     pub fn rented(&mut self, now: Time, request: &RentRequest, names: &[String]) {
-        self.boots_begin(now, names);
+        self.note_boots_started(now, names);
         let index = self.type_index(&request.machine_type);
         for name in names {
             let name: MachineId = name.as_str().into();
@@ -101,19 +101,19 @@
                 self.refusals.remove(&key);
             }
         }
-        self.reserve_answered(now, &request.request, Some(names));
+        self.reservation_request_answered(now, &request.request, Some(names));
     }
 
     /// No answer: it may have been granted, now or later.
     pub fn rent_unanswered(&mut self, request: RentRequest) {
-        if !self.is_reserving(&request.request) {
+        if !self.is_reservation_request(&request.request) {
             self.unanswered.push_back(request);
         }
     }
 
     /// The cloud has none of these now.
     pub fn rent_refused(&mut self, now: Time, request: &RentRequest) {
-        self.reserve_answered(now, &request.request, None);
+        self.reservation_request_answered(now, &request.request, None);
         if let Some(index) = self.type_index(&request.machine_type) {
             self.refuse(now, (index, request.zone.clone(), request.spot));
         }
@@ -149,7 +149,7 @@
         for name in names {
             let name: MachineId = name.as_str().into();
             self.clear_machine(&name);
-            self.plans.images.gone(&name);
+            self.plans.images.remove_machine(&name);
             if let Some(machine) = self.machines.remove(&name) {
                 self.leave_part(&name, machine.part);
             }
--- a/crates/umbersail-control/src/engine/mod.rs
+++ b/crates/umbersail-control/src/engine/mod.rs
@@ -51,8 +51,8 @@
 use order::CachedPriorityOrder;
 pub use plans::InheritedPlan;
 use plans::Plans;
-pub(crate) use plans::cache_holds;
-pub(crate) use plans::reserve_facts;
+pub(crate) use plans::image_fits_cache;
+pub(crate) use plans::reservation_limits;
 pub(crate) use report::split_task;
 use schedule::SchedulingCycle;
 use starvation_guard::StarvationGuard;
@@ -359,7 +359,7 @@
             machine.type_index = index;
         }
         for job in self.jobs.values_mut() {
-            self.plans.images.narrow(&mut job.spec, &self.types);
+            self.plans.images.restrict_types(&mut job.spec, &self.types);
             job.smallest_cpus =
                 umbersail_policy::smallest_cpus(&job.spec, &self.types).unwrap_or(f64::MAX);
         }
--- a/crates/umbersail-control/src/engine/placement.rs
+++ b/crates/umbersail-control/src/engine/placement.rs
@@ -203,7 +203,7 @@
             return None;
         }
         let view = self.view(places, index, key.image);
-        let kept = self.kept_cost(place.reservations, key.locality.reservations);
+        let kept = self.reservation_cost(place.reservations, key.locality.reservations);
         Some(cost_of(&key.constraint, &view, self.weights()) + kept)
     }
 
@@ -329,7 +329,7 @@
         let offers = found.iter().filter_map(|&index| {
             let view = self.view(places, index, job.image);
             let (cost, slots) = placement_cost(&task, &view, weights)?;
-            let kept = self.kept_cost(places.get(index).reservations, job.reservations);
+            let kept = self.reservation_cost(places.get(index).reservations, job.reservations);
             Some((cost + kept, index, slots))
         });
         let zone_limit = job.spec.tasks.div_ceil(2);
--- a/crates/umbersail-control/src/engine/plans/calendar.rs
+++ b/crates/umbersail-control/src/engine/plans/calendar.rs
@@ -24,14 +24,14 @@
 const HELD: &str = "an earlier step of its run";
 
 /// The calendar of the block.
-pub(in crate::engine) struct Publishing {
+pub(in crate::engine) struct CalendarState {
     runs: RunTracker,
     /// Records as they were put into the book of all plans and do not stand yet.
-    under_way: BTreeMap<RunKey, RecordWrite>,
+    pending_writes: BTreeMap<RunKey, RecordWrite>,
     /// A job came, ended or failed since the last tick.
-    stirred: bool,
+    changed: bool,
     next_tick: Time,
-    next_look: Time,
+    next_refresh: Time,
     /// Runs that can't be recorded, and that this has been said of.
     unrecorded: BTreeSet<RunKey>,
 }
@@ -40,8 +40,8 @@
     format!("{KIND}/{}/{}", run.0, run.1)
 }
 
-impl Publishing {
-    pub fn new(cfg: &EngineConfig) -> Publishing {
+impl CalendarState {
+    pub fn new(cfg: &EngineConfig) -> CalendarState {
         let tuning = &cfg.tuning;
         // Entries were checked before anything started.
         let calendar = Calendar::parse(&tuning.plan_entries).unwrap_or_else(|e| {
@@ -57,12 +57,12 @@
             max_active_runs: tuning.max_calendar_runs as usize,
             max_names: tuning.max_calendar_job_names as usize,
         };
-        Publishing {
+        CalendarState {
             runs: RunTracker::new(Rc::new(calendar), settings),
-            under_way: BTreeMap::new(),
-            stirred: true,
+            pending_writes: BTreeMap::new(),
+            changed: true,
             next_tick: f64::MIN,
-            next_look: f64::MIN,
+            next_refresh: f64::MIN,
             unrecorded: BTreeSet::new(),
         }
     }
@@ -88,7 +88,7 @@
     }
 
     /// Goes on with the runs that a holder before us recorded.
-    pub(super) fn inherit_runs(&mut self, now: Time) {
+    pub(super) fn inherit_calendar_runs(&mut self, now: Time) {
         let at = self.timestamp(now);
         for name in self.plans.store.names(KIND) {
             let entry = name
@@ -106,7 +106,7 @@
             };
             if let Err(reason) = taken {
                 warn!(plan = name, reason, "recorded plan set aside");
-                self.plans.store.set_aside(&name);
+                self.plans.store.ignore(&name);
             }
         }
     }
@@ -118,7 +118,7 @@
     }
 
     /// A job was accepted, or found by us as a new leader.
-    pub(super) fn job_for_run(&mut self, now: Time, id: &JobId) {
+    pub(super) fn calendar_job_accepted(&mut self, now: Time, id: &JobId) {
         if self.plans.calendar.runs.is_empty() {
             return;
         }
@@ -140,21 +140,21 @@
             run_s,
         };
         if self.plans.calendar.runs.job_accepted(at, accepted) {
-            self.plans.calendar.stirred = true;
-            self.apply_run(now, id);
+            self.plans.calendar.changed = true;
+            self.update_job_from_calendar(now, id);
         }
     }
 
     /// A job is over.
-    pub(super) fn job_left_run(&mut self, job: &Job) {
-        let (now, _) = self.plans.wall;
+    pub(super) fn calendar_job_ended(&mut self, job: &Job) {
+        let (now, _) = self.plans.wall_clock;
         let at = self.timestamp(now);
         let calendar = &mut self.plans.calendar;
-        calendar.stirred |= calendar.runs.job_ended(at, &job.spec.id);
+        calendar.changed |= calendar.runs.job_ended(at, &job.spec.id);
     }
 
     /// Whether a job is held back, and by when it should end.
-    fn apply_run(&mut self, now: Time, id: &JobId) {
+    fn update_job_from_calendar(&mut self, now: Time, id: &JobId) {
         let at = self.timestamp(now);
         let runs = &self.plans.calendar.runs;
         let held = runs.is_held(id).then_some(HELD);
@@ -183,41 +183,41 @@
         let store = &self.plans.store;
         let stands = |run: &RunKey| store.is_recorded(&record_name(run));
         let calendar = &mut self.plans.calendar;
-        let done: Vec<RunKey> = (calendar.under_way.keys())
+        let done: Vec<RunKey> = (calendar.pending_writes.keys())
             .filter(|run| stands(run))
             .cloned()
             .collect();
         let written: Vec<RecordWrite> = (done.iter())
-            .filter_map(|run| calendar.under_way.remove(run))
+            .filter_map(|run| calendar.pending_writes.remove(run))
             .collect();
         let mut released = false;
         for write in written {
             released |= calendar.runs.mark_written(at, &write);
             calendar.unrecorded.remove(&write.run);
-            calendar.stirred = true;
+            calendar.changed = true;
         }
-        if !calendar.stirred && now < calendar.next_tick {
+        if !calendar.changed && now < calendar.next_tick {
             return;
         }
-        calendar.stirred = false;
-        let looks = now >= calendar.next_look;
+        calendar.changed = false;
+        let looks = now >= calendar.next_refresh;
         if looks {
-            calendar.next_look = now + self.cfg.tuning.calendar_refresh_s;
-            self.look_at_members(at);
+            calendar.next_refresh = now + self.cfg.tuning.calendar_refresh_s;
+            self.refresh_calendar_members(at);
         }
         let outcome = self.plans.calendar.runs.tick(at);
         log_events(&outcome.events);
         if outcome.opened {
             let ids: Vec<JobId> = self.jobs.keys().cloned().collect();
             for id in ids {
-                self.job_for_run(now, &id);
+                self.calendar_job_accepted(now, &id);
             }
         }
-        self.record_runs(now, at);
+        self.write_calendar_records(now, at);
         if looks || released || outcome.released {
             let members: Vec<JobId> = self.calendar_members();
             for id in members {
-                self.apply_run(now, &id);
+                self.update_job_from_calendar(now, &id);
             }
         }
         let calendar = &mut self.plans.calendar;
@@ -227,7 +227,7 @@
 
     /// Jobs that fail wherever they run, and those that their users have cancelled:
     /// no step waits for them.
-    fn look_at_members(&mut self, at: Timestamp) {
+    fn refresh_calendar_members(&mut self, at: Timestamp) {
         let members: Vec<JobId> = self.calendar_members();
         for id in members {
             let runs = &mut self.plans.calendar.runs;
@@ -238,12 +238,12 @@
         }
     }
 
-    fn record_runs(&mut self, now: Time, at: Timestamp) {
+    fn write_calendar_records(&mut self, now: Time, at: Timestamp) {
         for write in self.plans.calendar.runs.due_writes(at) {
             let name = record_name(&write.run);
             let Some(record) = &write.record else {
                 self.plans.store.remove(now, &name);
-                self.plans.calendar.under_way.remove(&write.run);
+                self.plans.calendar.pending_writes.remove(&write.run);
                 self.plans.calendar.runs.mark_written(at, &write);
                 continue;
             };
@@ -251,7 +251,7 @@
                 Ok(()) => drop(
                     self.plans
                         .calendar
-                        .under_way
+                        .pending_writes
                         .insert(write.run.clone(), write),
                 ),
                 // Its later steps wait until it is due, or until there is room.
--- a/crates/umbersail-control/src/engine/plans/images.rs
+++ b/crates/umbersail-control/src/engine/plans/images.rs
@@ -23,84 +23,84 @@
 const VERSION: u32 = 1;
 /// A record that a successor found stands for so many seconds, until every machine that
 /// lives has shown what it fetches.
-const FOUND_S: f64 = 30.0;
+const INHERITED_RECORD_S: f64 = 30.0;
 /// A plan's name has room for so long a name of an image.
-const NAME_BYTES: usize = 120;
+const MAX_NAME_BYTES: usize = 120;
 
 /// Images under way.
 pub(in crate::engine) struct Images {
     cache_view: CacheView<MachineId, ImageKey>,
-    hand_on: bool,
+    peer_to_peer: bool,
     /// Names of images that count, by key: as many as the cache view tracks.
     names: BTreeMap<ImageKey, Rc<str>>,
-    most: usize,
-    found_at: Time,
-    told_at: Option<Time>,
+    max_names: usize,
+    inherited_at: Time,
+    logged_at: Option<Time>,
 }
 
 impl Images {
     pub fn new(now: Time, tuning: &Tuning) -> Images {
         let settings = Settings::from_tuning(tuning);
         Images {
-            hand_on: settings.peer_to_peer,
-            most: settings.max_images,
+            peer_to_peer: settings.peer_to_peer,
+            max_names: settings.max_images,
             cache_view: CacheView::new(settings),
             names: BTreeMap::new(),
-            found_at: now,
-            told_at: None,
+            inherited_at: now,
+            logged_at: None,
         }
     }
 
     /// Whether the machine is kept for others that want an image of its.
-    pub fn keeps(&self, machine: &MachineId) -> bool {
+    pub fn is_last_holder(&self, machine: &MachineId) -> bool {
         self.cache_view.is_last_holder(machine)
     }
 
     /// Whether its launch waits for its fetch's turn.
-    pub fn waits(&self, image: ImageKey, machine: &MachineId) -> bool {
+    pub fn is_queued(&self, image: ImageKey, machine: &MachineId) -> bool {
         self.cache_view.is_queued(&image, machine)
     }
 
     /// No task on the machine uses the image any more.
-    pub fn unused(&mut self, image: ImageKey, machine: &MachineId) {
+    pub fn cancel_fetch(&mut self, image: ImageKey, machine: &MachineId) {
         self.cache_view.cancel_fetch(&image, machine);
     }
 
-    pub fn gone(&mut self, machine: &MachineId) {
+    pub fn remove_machine(&mut self, machine: &MachineId) {
         self.cache_view.remove_machine(machine);
     }
 
     /// Types whose caches hold the image, where workers hand on; without, whatever
     /// the job allows.
-    pub fn narrow(&self, spec: &mut JobSpec, types: &[MachineType]) {
-        if !self.hand_on {
+    pub fn restrict_types(&self, spec: &mut JobSpec, types: &[MachineType]) {
+        if !self.peer_to_peer {
             return;
         }
         let allowed = types.iter().filter(|t| names_type(spec, &t.name));
-        let (fit, small): (Vec<_>, Vec<_>) = allowed.partition(|t| holds(t, spec));
+        let (fit, small): (Vec<_>, Vec<_>) = allowed.partition(|t| image_fits_cache(t, spec));
         // One that fits none was accepted under other settings, and waits.
         if !small.is_empty() && !fit.is_empty() {
             spec.types = Some(fit.into_iter().map(|t| t.name.clone()).collect());
         }
     }
 
-    fn remember(&mut self, image: ImageKey, name: &str) {
+    fn track_name(&mut self, image: ImageKey, name: &str) {
         if self.names.contains_key(&image) {
             return;
         }
-        if self.names.len() >= self.most {
+        if self.names.len() >= self.max_names {
             let cache_view = &self.cache_view;
             self.names
                 .retain(|image, _| !cache_view.counts(image).is_empty());
         }
-        if self.names.len() < 2 * self.most {
+        if self.names.len() < 2 * self.max_names {
             self.names.insert(image, name.into());
         }
     }
 }
 
 /// Whether the type's cache holds the job's image.
-pub(crate) fn holds(machine_type: &MachineType, spec: &JobSpec) -> bool {
+pub(crate) fn image_fits_cache(machine_type: &MachineType, spec: &JobSpec) -> bool {
     machine_type.cache_gb + 1e-6 >= spec.image_gb
 }
 
@@ -115,7 +115,7 @@
 
 fn plan_name(image: &str) -> String {
     let plain = |c: char| c.is_ascii_graphic();
-    let short = image.len() <= NAME_BYTES && image.chars().all(plain);
+    let short = image.len() <= MAX_NAME_BYTES && image.chars().all(plain);
     match short {
         true => format!("{KIND}/{image}"),
         // A key has no spaces and is short.
@@ -149,10 +149,10 @@
 impl Engine {
     /// What a machine holds, in the order in which fetches should begin: they share
     /// its rate.
-    pub(in crate::engine) fn held_by_urgency(&self, machine: &MachineId) -> Vec<(JobId, u32)> {
+    pub(in crate::engine) fn tasks_by_priority(&self, machine: &MachineId) -> Vec<(JobId, u32)> {
         let held = self.machines[machine].tasks.iter();
         let mut held: Vec<(JobId, u32)> = held.cloned().collect();
-        if self.plans.images.hand_on {
+        if self.plans.images.peer_to_peer {
             held.sort_by_key(|(id, task)| {
                 let job = self.jobs.get(id);
                 let attempt = job.and_then(|j| Some(j.live.get(task)?.attempt));
@@ -165,7 +165,7 @@
     /// Whether a launch may be told now, and whom its worker may fetch from; `None` if
     /// the fetch would only slow others that go first: the launch goes with a later reply,
     /// and until then nothing has started (rule 5).
-    pub(in crate::engine) fn may_fetch(
+    pub(in crate::engine) fn request_fetch(
         &mut self,
         now: Time,
         machine: &MachineId,
@@ -200,12 +200,12 @@
                 None
             }
             Decision::Start { sources } => {
-                if images.hand_on
+                if images.peer_to_peer
                     && images
                         .cache_view
                         .is_large(request.size_gb, request.rate_gb_s)
                 {
-                    images.remember(job.image, &job.spec.image);
+                    images.track_name(job.image, &job.spec.image);
                 }
                 let address = |m: &MachineId| Some(machines.get(m)?.addr?.to_string());
                 Some(sources.iter().filter_map(address).collect())
@@ -220,7 +220,7 @@
         name: &MachineId,
         report: &Heartbeat,
     ) {
-        if self.plans.images.hand_on {
+        if self.plans.images.peer_to_peer {
             self.plans.images.cache_view.observe_report(name);
         }
         let fetching = |state| state == TaskState::Fetching;
@@ -244,30 +244,30 @@
         for (image, attempt, job) in seen {
             if let Some(request) = request_of(&self.types, job, machine, attempt, shared) {
                 images.cache_view.observe_fetching(now, &request);
-                if images.hand_on
+                if images.peer_to_peer
                     && images
                         .cache_view
                         .is_large(request.size_gb, request.rate_gb_s)
                 {
-                    images.remember(image, &job.spec.image);
+                    images.track_name(image, &job.spec.image);
                 }
             }
         }
     }
 
     /// A task runs: its machine has the image, and may have lost others for it.
-    pub(in crate::engine) fn observe_image(
+    pub(in crate::engine) fn observe_cached_image(
         &mut self,
         now: Time,
         name: &MachineId,
         id: &JobId,
-        pushed_out: &[ImageKey],
+        evicted: &[ImageKey],
     ) {
         let (Some(job), Some(machine)) = (self.jobs.get(id), self.machines.get(name)) else {
             return;
         };
         let images = &mut self.plans.images;
-        for image in pushed_out {
+        for image in evicted {
             images.cache_view.remove(image, name);
         }
         if let Some(request) = request_of(&self.types, job, machine, 0, 1) {
@@ -285,7 +285,7 @@
                     Ok(()) => {
                         let image = ImageKey::of(&record.image);
                         let images = &mut self.plans.images;
-                        images.remember(image, &record.image);
+                        images.track_name(image, &record.image);
                         images.cache_view.restore(now, image, &record, |m| m.into());
                         info!(
                             image = record.image,
@@ -300,7 +300,7 @@
                 Err(e) => e.to_string(),
             };
             warn!(plan = name, reason, "recorded plan set aside");
-            self.plans.store.set_aside(&name);
+            self.plans.store.ignore(&name);
         }
     }
 
@@ -319,7 +319,7 @@
             }
             stand.insert(plan);
         }
-        if now - images.found_at > FOUND_S {
+        if now - images.inherited_at > INHERITED_RECORD_S {
             for plan in store.names(KIND) {
                 if !stand.contains(&plan) {
                     store.remove(now, &plan);
@@ -327,10 +327,10 @@
             }
         }
         let status_s = self.cfg.tuning.status_log_interval_s;
-        if images.told_at.is_some_and(|at| now - at < status_s) {
+        if images.logged_at.is_some_and(|at| now - at < status_s) {
             return;
         }
-        images.told_at = Some(now);
+        images.logged_at = Some(now);
         for (image, name) in &images.names {
             let counts = images.cache_view.counts(image);
             if counts.fetching + counts.waiting > 0 {
--- a/crates/umbersail-control/src/engine/plans/reserve.rs
+++ b/crates/umbersail-control/src/engine/plans/reserve.rs
@@ -22,11 +22,11 @@
 const KIND: &str = "reserve";
 /// Entries that hold machines at once: each has one bit for its own work and one for
 /// borrowers among a machine's reservations.
-pub(crate) const HOLDERS_MOST: usize = 32;
-const OWN: u64 = (1 << HOLDERS_MOST) - 1;
+pub(crate) const MAX_RESERVATIONS: usize = 32;
+const OWN_BITS: u64 = (1 << MAX_RESERVATIONS) - 1;
 /// Upper bound on rentals whose first report is awaited; the boot times of further ones
 /// are not learned from. Twice a fleet of 4,000 machines that is rented at once.
-const MAX_BOOTING: usize = 8192;
+const MAX_AWAITED_BOOTS: usize = 8192;
 
 /// Room on reserved machines.
 type Rooms<'a> = BTreeMap<&'a MachineId, Shape>;
@@ -34,7 +34,7 @@
 type Borrowers<'a> = BTreeMap<&'a MachineId, Vec<(&'a JobId, u32, &'a Job)>>;
 
 /// Reservations as this leader has them.
-pub(in crate::engine) struct Reserving {
+pub(in crate::engine) struct ReservationState {
     entries: Reservations,
     rules: Rules,
     records: BTreeMap<String, ReserveRecord>,
@@ -47,28 +47,34 @@
     sent: BTreeSet<String>,
     next_round: Time,
     /// Why a record can't be written, as last logged.
-    unwritten: BTreeMap<String, String>,
+    write_errors: BTreeMap<String, String>,
 }
 
 /// What an operator's entries are checked against.
-pub(crate) fn facts<'a>(teams: &'a [umbersail_policy::TeamLimits], tuning: &Tuning) -> Facts<'a> {
+pub(crate) fn reservation_limits<'a>(
+    teams: &'a [umbersail_policy::TeamLimits],
+    tuning: &Tuning,
+) -> Facts<'a> {
     Facts {
         teams,
-        entries_most: (tuning.max_reservations as usize).min(HOLDERS_MOST),
+        entries_most: (tuning.max_reservations as usize).min(MAX_RESERVATIONS),
         machines_most: tuning.max_reservation_machines as u32,
     }
 }
 
-impl Reserving {
-    pub fn new(cfg: &EngineConfig) -> Reserving {
+impl ReservationState {
+    pub fn new(cfg: &EngineConfig) -> ReservationState {
         let tuning = &cfg.tuning;
         // Checked before this process served anything.
-        let entries = Reservations::parse(&tuning.plan_entries, &facts(&cfg.teams, tuning));
+        let entries = Reservations::parse(
+            &tuning.plan_entries,
+            &reservation_limits(&cfg.teams, tuning),
+        );
         let entries = entries.unwrap_or_else(|e| {
             error!(key = e.key, reason = e.reason, "reservations are left out");
             Reservations::default()
         });
-        Reserving {
+        ReservationState {
             entries,
             rules: Rules {
                 withdraw_s: tuning.reserve_settings_delay_s,
@@ -92,7 +98,7 @@
             booting: BTreeMap::new(),
             sent: BTreeSet::new(),
             next_round: 0.0,
-            unwritten: BTreeMap::new(),
+            write_errors: BTreeMap::new(),
         }
     }
 
@@ -113,18 +119,18 @@
 }
 
 /// The bit of those that borrow from the holder of this one.
-fn borrowers(own: u64) -> u64 {
-    own << HOLDERS_MOST
+fn borrower_bit(own: u64) -> u64 {
+    own << MAX_RESERVATIONS
 }
 
 /// Room on kept machines, as rental reckons with it.
-pub(in crate::engine) struct KeptRoom<'a> {
+pub(in crate::engine) struct ReservedCapacity<'a> {
     rooms: Vec<(&'a Machine, usize, Shape)>,
 }
 
-impl KeptRoom<'_> {
+impl ReservedCapacity<'_> {
     /// Of a job's tasks that run or wait, those that kept machines have or will take.
-    pub fn serve(&mut self, engine: &Engine, job: &Job, tasks: u32) -> u32 {
+    pub fn assign(&mut self, engine: &Engine, job: &Job, tasks: u32) -> u32 {
         let kept = |p: &&super::super::Placement| {
             let machine = engine.machines.get(&p.machine);
             machine.is_some_and(|m| m.reservations != 0)
@@ -154,7 +160,7 @@
 
     /// Tasks of such a shape that machines kept for this class have room for beside
     /// what was served.
-    pub fn ready(&self, engine: &Engine, class: &str, shape: &Shape) -> u32 {
+    pub fn free_slots(&self, engine: &Engine, class: &str, shape: &Shape) -> u32 {
         let reserve = &engine.plans.reserve;
         let named = |name: &String| {
             let record = reserve.records.get(name);
@@ -184,7 +190,7 @@
                 Err(e) => {
                     let reason = e.to_string();
                     warn!(plan = key, reason, "recorded reservation set aside");
-                    self.plans.store.set_aside(&key);
+                    self.plans.store.ignore(&key);
                 }
             }
         }
@@ -201,11 +207,11 @@
                 .entry(name.clone())
                 .or_insert_with(|| Machine::new(name, index, batch.zone.clone(), batch.spot, now));
         }
-        self.mark_kept(now);
+        self.mark_reserved(now);
     }
 
     /// A job has come: its own kept machines are open to it at once.
-    pub(in crate::engine) fn reserve_for_job(&mut self, id: &JobId) {
+    pub(in crate::engine) fn set_job_reservations(&mut self, id: &JobId) {
         if let Some(job) = self.jobs.get(id) {
             let own = self.plans.reserve.own_bits(job);
             if let Some(job) = self.jobs.get_mut(id) {
@@ -234,8 +240,8 @@
             }
         }
         self.record_reservations(now);
-        self.mark_kept(now);
-        self.call_back(now);
+        self.mark_reserved(now);
+        self.reclaim_lent_machines(now);
     }
 
     fn plan_reservations(
@@ -392,16 +398,16 @@
             let put = plans
                 .store
                 .put(now, &format!("{KIND}/{name}"), VERSION, record);
-            let unwritten = &mut plans.reserve.unwritten;
+            let write_errors = &mut plans.reserve.write_errors;
             match put {
                 Ok(()) => {
-                    unwritten.remove(name);
+                    write_errors.remove(name);
                 }
                 Err(e) => {
                     let reason = e.to_string();
-                    if unwritten.get(name) != Some(&reason) {
+                    if write_errors.get(name) != Some(&reason) {
                         warn!(entry = name, reason, "reservation can't be recorded");
-                        unwritten.insert(name.clone(), reason);
+                        write_errors.insert(name.clone(), reason);
                     }
                 }
             }
@@ -409,14 +415,14 @@
     }
 
     /// Keeps held machines from others, and says for each waiting job whose it may use.
-    fn mark_kept(&mut self, now: Time) {
+    fn mark_reserved(&mut self, now: Time) {
         let reserve = &self.plans.reserve;
         let holders = reserve
             .records
             .iter()
             .filter(|(_, r)| r.machines().next().is_some());
         let bits: BTreeMap<String, u64> = holders
-            .take(HOLDERS_MOST)
+            .take(MAX_RESERVATIONS)
             .enumerate()
             .map(|(index, (name, _))| (name.clone(), 1 << index))
             .collect();
@@ -426,7 +432,7 @@
         let mut kept: BTreeMap<&str, u64> = BTreeMap::new();
         for (name, bit) in &bits {
             for machine in reserve.records[name].machines() {
-                *kept.entry(machine).or_default() |= bit | borrowers(*bit);
+                *kept.entry(machine).or_default() |= bit | borrower_bit(*bit);
             }
         }
         let mut changed = false;
@@ -435,7 +441,7 @@
             changed |= std::mem::replace(&mut machine.reservations, reservations) != reservations;
         }
         self.plans.reserve.bits = bits;
-        let reservations = self.pledges_of_jobs(now);
+        let reservations = self.usable_reservations(now);
         for (job, reservations) in self.jobs.values_mut().zip(reservations) {
             changed |= std::mem::replace(&mut job.reservations, reservations) != reservations;
         }
@@ -445,7 +451,7 @@
     }
 
     /// For each job, in order, the kept machines that it may use.
-    fn pledges_of_jobs(&self, now: Time) -> Vec<u64> {
+    fn usable_reservations(&self, now: Time) -> Vec<u64> {
         let reserve = &self.plans.reserve;
         let usage = self.guarantees_in_use();
         let own: Vec<u64> = self.jobs.values().map(|j| reserve.own_bits(j)).collect();
@@ -472,7 +478,7 @@
                         ..borrower
                     };
                     if own & bit == 0 && lends(terms, &borrower, wait & bit != 0, &reserve.rules) {
-                        all |= borrowers(*bit);
+                        all |= borrower_bit(*bit);
                     }
                 }
             }
@@ -484,18 +490,18 @@
     /// Stops borrowers where the work that a machine is held for waits and finds no room
     /// beside them. They count until a report shows them gone, and start elsewhere only
     /// then (rules 3 and 4).
-    fn call_back(&mut self, now: Time) {
+    fn reclaim_lent_machines(&mut self, now: Time) {
         if self.plans.reserve.bits.is_empty() {
             return;
         }
-        let (rooms, lent) = self.reserved_rooms(now);
+        let (rooms, lent) = self.reserved_room(now);
         if lent.is_empty() {
             return;
         }
         let stops = self.borrowers_to_stop(rooms, lent);
         let tasks = stops.len();
         for (id, task) in stops {
-            self.call_back_task(&id, task);
+            self.reclaim_from_task(&id, task);
         }
         if tasks > 0 {
             info!(tasks, "reserved machines are given back");
@@ -503,7 +509,7 @@
     }
 
     /// Room on reserved machines, and the borrowers there that give back.
-    fn reserved_rooms(&self, now: Time) -> (Rooms<'_>, Borrowers<'_>) {
+    fn reserved_room(&self, now: Time) -> (Rooms<'_>, Borrowers<'_>) {
         let (mut rooms, mut lent) = (Rooms::new(), Borrowers::new());
         let silent_after = self.silent_after();
         for (name, machine) in &self.machines {
@@ -535,7 +541,7 @@
     /// Whether a job's tasks on a reserved machine are borrowers that can be called back.
     fn gives_back(&self, now: Time, job: &Job, machine: &Machine) -> bool {
         let reserve = &self.plans.reserve;
-        job.reservations & machine.reservations & OWN == 0
+        job.reservations & machine.reservations & OWN_BITS == 0
             && reserve.records.iter().any(|(entry, record)| {
                 let bit = reserve.bits.get(entry).copied().unwrap_or(0);
                 machine.reservations & bit != 0
@@ -554,7 +560,7 @@
         let mut own: Vec<&Job> = self
             .jobs
             .values()
-            .filter(|j| j.reservations & OWN != 0 && waits_for_room(j))
+            .filter(|j| j.reservations & OWN_BITS != 0 && waits_for_room(j))
             .collect();
         own.sort_by(|a, b| {
             let tiers = b.spec.priority.cmp(&a.spec.priority);
@@ -564,7 +570,7 @@
             let mut wanted = job.startable();
             let may = |name: &MachineId| {
                 let machine = &self.machines[name];
-                machine.reservations & job.reservations & OWN != 0 && self.takes(job, machine)
+                machine.reservations & job.reservations & OWN_BITS != 0 && self.takes(job, machine)
             };
             for with_borrowers in [false, true] {
                 for (name, room) in &mut rooms {
@@ -591,7 +597,7 @@
         stops
     }
 
-    fn call_back_task(&mut self, id: &JobId, task: u32) {
+    fn reclaim_from_task(&mut self, id: &JobId, task: u32) {
         let Some(job) = self.jobs.get_mut(id) else {
             return;
         };
@@ -617,7 +623,7 @@
     }
 
     /// Room on kept machines; none if none is kept.
-    pub(in crate::engine) fn kept_room(&self) -> Option<KeptRoom<'_>> {
+    pub(in crate::engine) fn reserved_capacity(&self) -> Option<ReservedCapacity<'_>> {
         if self.plans.reserve.bits.is_empty() {
             return None;
         }
@@ -628,16 +634,16 @@
             let room = Shape::of_type(&self.types[index]).plus(&machine.used, -1.0);
             (!gone).then_some((machine, index, room))
         });
-        Some(KeptRoom {
+        Some(ReservedCapacity {
             rooms: rooms.collect(),
         })
     }
 
     /// What it costs to put work there: kept machines are for their own work first, and
     /// others go there only if they find nothing else.
-    pub(in crate::engine) fn kept_cost(&self, place: u64, job: u64) -> f64 {
+    pub(in crate::engine) fn reservation_cost(&self, place: u64, job: u64) -> f64 {
         let prefer_s = self.cfg.tuning.reserve_placement_gain_s;
-        match (place != 0, place & job & OWN != 0) {
+        match (place != 0, place & job & OWN_BITS != 0) {
             (false, _) => 0.0,
             (true, true) => -prefer_s,
             (true, false) => prefer_s,
@@ -646,7 +652,7 @@
 
     /// Requests to be sent now: those whose record stands, so that a successor knows
     /// their names. After one without an answer only that is asked again.
-    pub(in crate::engine) fn reserve_requests(&mut self) -> Vec<RentRequest> {
+    pub(in crate::engine) fn reservation_requests(&mut self) -> Vec<RentRequest> {
         let plans = &mut self.plans;
         let mut named: Vec<(&str, RentRequest)> = Vec::new();
         for (entry, record) in &plans.reserve.records {
@@ -688,7 +694,7 @@
 
     /// The cloud's answer to a request of ours: the machines, or none. False if it is
     /// no reservation's.
-    pub(in crate::engine) fn reserve_answered(
+    pub(in crate::engine) fn reservation_request_answered(
         &mut self,
         now: Time,
         request: &str,
@@ -704,20 +710,20 @@
             }
         }
         self.record_reservations(now);
-        self.mark_kept(now);
+        self.mark_reserved(now);
         true
     }
 
     /// Whether a request without an answer is a reservation's: then its record brings it
     /// up again.
-    pub(in crate::engine) fn is_reserving(&self, request: &str) -> bool {
+    pub(in crate::engine) fn is_reservation_request(&self, request: &str) -> bool {
         self.plans.reserve.sent.contains(request)
     }
 
     /// We rented these: how long they take to come up is learned.
-    pub(in crate::engine) fn boots_begin(&mut self, now: Time, names: &[String]) {
+    pub(in crate::engine) fn note_boots_started(&mut self, now: Time, names: &[String]) {
         let reserve = &mut self.plans.reserve;
-        if reserve.entries.is_empty() || reserve.booting.len() >= MAX_BOOTING {
+        if reserve.entries.is_empty() || reserve.booting.len() >= MAX_AWAITED_BOOTS {
             return;
         }
         for name in names {
@@ -726,7 +732,7 @@
     }
 
     /// One of them came up, or was given up.
-    pub(in crate::engine) fn boot_ended(&mut self, now: Time, name: &MachineId) {
+    pub(in crate::engine) fn note_boot_ended(&mut self, now: Time, name: &MachineId) {
         let reserve = &mut self.plans.reserve;
         let machine = self.machines.get(name).and_then(|m| m.type_index);
         if let Some(at) = reserve.booting.remove(name)
--- a/crates/umbersail-control/src/engine/plans/store.rs
+++ b/crates/umbersail-control/src/engine/plans/store.rs
@@ -29,7 +29,7 @@
 
 /// Why a plan can't be recorded.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
-pub enum BookError {
+pub enum PlanWriteError {
     #[error("{0} plans are recorded already (plans.records): remove one or raise the bound")]
     Full(usize),
     #[error("its record takes {0} bytes, more than the state service's bound on a value")]
@@ -40,11 +40,11 @@
 
 /// Why a recorded plan can't be read.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
-pub enum ReadError {
+pub enum PlanReadError {
     #[error("version {0} is not known to this build")]
     Version(u32),
     #[error("not a plan of this kind: {0}")]
-    Nonsense(String),
+    Malformed(String),
 }
 
 #[derive(Debug, Default)]
@@ -57,9 +57,9 @@
     /// Since when the two differ.
     due_since: Option<Time>,
     /// Not a plan at all: left as it stands until somebody writes its name.
-    aside: bool,
+    ignored: bool,
     /// A creation by us had no answer and may yet be carried out where no record stands.
-    creation_open: bool,
+    creation_uncertain: bool,
 }
 
 /// A plan on its way to the state service.
@@ -72,7 +72,7 @@
 /// All plans by kind and name.
 pub struct PlanStore {
     entries: BTreeMap<String, Entry>,
-    most: usize,
+    max_plans: usize,
     value_bytes: usize,
 }
 
@@ -80,10 +80,10 @@
 const FRAME_BYTES: usize = 300;
 
 impl PlanStore {
-    pub fn new(most: usize, value_bytes: usize) -> PlanStore {
+    pub fn new(max_plans: usize, value_bytes: usize) -> PlanStore {
         PlanStore {
             entries: BTreeMap::new(),
-            most,
+            max_plans,
             value_bytes,
         }
     }
@@ -106,7 +106,7 @@
                 Ok(())
             }
             Err(e) => {
-                entry.aside = true;
+                entry.ignored = true;
                 Err((found.name, e.to_string()))
             }
         }
@@ -130,24 +130,24 @@
         &self,
         name: &str,
         version: u32,
-    ) -> Result<Option<T>, ReadError> {
+    ) -> Result<Option<T>, PlanReadError> {
         let Some(record) = self.entries.get(name).and_then(|e| e.wanted.as_ref()) else {
             return Ok(None);
         };
         if record.version != version {
-            return Err(ReadError::Version(record.version));
+            return Err(PlanReadError::Version(record.version));
         }
         from_value(&record.plan)
             .map(Some)
-            .map_err(|e| ReadError::Nonsense(e.to_string()))
+            .map_err(|e| PlanReadError::Malformed(e.to_string()))
     }
 
     /// Leaves a record as it stands; nobody is told of it any more.
-    pub fn set_aside(&mut self, name: &str) {
+    pub fn ignore(&mut self, name: &str) {
         if let Some(entry) = self.entries.get_mut(name) {
             entry.wanted = None;
             entry.due_since = None;
-            entry.aside = true;
+            entry.ignored = true;
         }
     }
 
@@ -161,8 +161,8 @@
         name: &str,
         version: u32,
         plan: &impl Serialize,
-    ) -> Result<(), BookError> {
-        let plan = to_value(plan).map_err(|e| BookError::Unencodable(e.to_string()))?;
+    ) -> Result<(), PlanWriteError> {
+        let plan = to_value(plan).map_err(|e| PlanWriteError::Unencodable(e.to_string()))?;
         let record = PlanRecord {
             version,
             plan,
@@ -170,31 +170,31 @@
         };
         let bytes = encode(&record).len();
         if bytes > self.value_bytes {
-            return Err(BookError::TooLarge(bytes));
+            return Err(PlanWriteError::TooLarge(bytes));
         }
         let recorded = || self.entries.values().filter(|e| !e.is_tombstone()).count();
-        if !self.entries.contains_key(name) && recorded() >= self.most {
-            return Err(BookError::Full(recorded()));
+        if !self.entries.contains_key(name) && recorded() >= self.max_plans {
+            return Err(PlanWriteError::Full(recorded()));
         }
         let entry = self.entries.entry(name.to_owned()).or_insert(Entry {
             version: Some(0),
             ..Entry::default()
         });
-        entry.aside = false;
+        entry.ignored = false;
         entry.wanted = Some(record);
-        entry.note(now);
+        entry.update_due(now);
         Ok(())
     }
 
     /// The plan shall be gone.
     pub fn remove(&mut self, now: Time, name: &str) {
         if let Some(entry) = self.entries.get_mut(name)
-            && !entry.aside
+            && !entry.ignored
         {
             entry.wanted = None;
-            entry.note(now);
+            entry.update_due(now);
         }
-        self.forget_gone(name);
+        self.drop_if_removed(name);
     }
 
     /// Whether the state service holds the plan just as it should stand: what a
@@ -202,12 +202,13 @@
     pub fn is_recorded(&self, name: &str) -> bool {
         self.entries
             .get(name)
-            .is_some_and(|e| !e.aside && e.version.is_some() && !e.differs())
+            .is_some_and(|e| !e.ignored && e.version.is_some() && !e.differs())
     }
 
-    fn forget_gone(&mut self, name: &str) {
-        let gone =
-            |e: &Entry| !e.aside && e.wanted.is_none() && e.version == Some(0) && !e.creation_open;
+    fn drop_if_removed(&mut self, name: &str) {
+        let gone = |e: &Entry| {
+            !e.ignored && e.wanted.is_none() && e.version == Some(0) && !e.creation_uncertain
+        };
         if self.entries.get(name).is_some_and(gone) {
             self.entries.remove(name);
         }
@@ -245,7 +246,7 @@
                 key: key.clone(),
                 version: entry.version.unwrap_or(0),
             });
-            let tombstone = entry.creation_open.then(PlanRecord::tombstone);
+            let tombstone = entry.creation_uncertain.then(PlanRecord::tombstone);
             txn.changes.push(match entry.wanted.clone().or(tombstone) {
                 Some(record) => Change::Put {
                     key,
@@ -263,57 +264,57 @@
     }
 
     /// These stand now, with this version.
-    pub fn applied(&mut self, now: Time, written: Vec<WrittenPlan>, version: u64) {
+    pub fn mark_written(&mut self, now: Time, written: Vec<WrittenPlan>, version: u64) {
         for plan in written {
             if let Some(entry) = self.entries.get_mut(&plan.name) {
-                let stands = plan.record.is_some() || entry.creation_open;
+                let stands = plan.record.is_some() || entry.creation_uncertain;
                 entry.version = Some(if stands { version } else { 0 });
                 entry.recorded = plan.record;
                 entry.due_since = None;
-                entry.note(now);
+                entry.update_due(now);
             }
-            self.forget_gone(&plan.name);
+            self.drop_if_removed(&plan.name);
         }
     }
 
     /// They may stand or not: each is read before it is written again.
-    pub fn unsure(&mut self, written: &[WrittenPlan]) {
+    pub fn mark_uncertain(&mut self, written: &[WrittenPlan]) {
         for plan in written {
             if let Some(entry) = self.entries.get_mut(&plan.name) {
-                entry.creation_open |= entry.version == Some(0);
+                entry.creation_uncertain |= entry.version == Some(0);
             }
-            self.moved(&plan.name);
+            self.mark_version_unknown(&plan.name);
         }
     }
 
     /// A write found another version than we know: our own late one.
-    pub fn moved(&mut self, name: &str) {
+    pub fn mark_version_unknown(&mut self, name: &str) {
         if let Some(entry) = self.entries.get_mut(name) {
             entry.version = None;
         }
     }
 
     /// Plans whose versions must be read before they are written.
-    pub fn unread(&self) -> Vec<String> {
+    pub fn unknown_versions(&self) -> Vec<String> {
         let unread = self.entries.iter().filter(|(_, e)| e.version.is_none());
         unread.map(|(name, _)| name.clone()).collect()
     }
 
     /// A fresh read: the record and its version, if it exists.
-    pub fn read_back(&mut self, now: Time, name: &str, found: Option<(Value, u64)>) {
+    pub fn set_stored(&mut self, now: Time, name: &str, found: Option<(Value, u64)>) {
         if let Some(entry) = self.entries.get_mut(name) {
             entry.version = Some(found.as_ref().map_or(0, |(_, version)| *version));
             let record = found.and_then(|(value, _)| from_value::<PlanRecord>(&value).ok());
             entry.recorded = record.filter(|r| !r.gone);
             entry.due_since = None;
-            entry.note(now);
+            entry.update_due(now);
         }
-        self.forget_gone(name);
+        self.drop_if_removed(name);
     }
 }
 
 impl Entry {
-    fn note(&mut self, now: Time) {
+    fn update_due(&mut self, now: Time) {
         if self.differs() {
             self.due_since.get_or_insert(now);
         } else {
@@ -323,11 +324,11 @@
 
     /// Whether what stands is not what should: also nothing where a tombstone is due.
     fn differs(&self) -> bool {
-        let bare = self.wanted.is_none() && self.creation_open && self.version == Some(0);
+        let bare = self.wanted.is_none() && self.creation_uncertain && self.version == Some(0);
         self.wanted != self.recorded || bare
     }
 
     fn is_tombstone(&self) -> bool {
-        self.creation_open && self.wanted.is_none() && !self.differs()
+        self.creation_uncertain && self.wanted.is_none() && !self.differs()
     }
 }
--- a/crates/umbersail-control/src/engine/rental.rs
+++ b/crates/umbersail-control/src/engine/rental.rs
@@ -8,7 +8,7 @@
 };
 use umbersail_wire::{MachineType, RentRequest};
 
-use super::plans::KeptRoom;
+use super::plans::ReservedCapacity;
 use super::{CloudAction, Engine, Job, Machine, MachineId, Time, epoch};
 
 /// Most names in one deletion, and machines in one rental, by the protocol.
@@ -27,7 +27,7 @@
             Some(request) => vec![request],
             None => self.plan(now),
         };
-        requests.extend(self.reserve_requests());
+        requests.extend(self.reservation_requests());
         let mut deletes: Vec<String> = Vec::new();
         for (name, machine) in &mut self.machines {
             if let Some(reason) = machine.delete_reason
@@ -88,7 +88,7 @@
             }
         }
         for name in late {
-            self.boot_ended(now, &name);
+            self.note_boot_ended(now, &name);
         }
     }
 
@@ -110,7 +110,7 @@
         let dt = (now - self.last_rental).max(0.0);
         self.last_rental = now;
         self.learner.fade(dt, self.cfg.tuning.load_window_s);
-        let mut kept = self.kept_room();
+        let mut kept = self.reserved_capacity();
         let mut demands = self.demands(now, kept.as_mut());
         let warm = self.warm_demands(now, &demands, kept.as_ref());
         demands.extend(warm);
@@ -138,7 +138,7 @@
         &self,
         now: Time,
         demands: &[(String, Demand)],
-        kept: Option<&KeptRoom<'_>>,
+        kept: Option<&ReservedCapacity<'_>>,
     ) -> Vec<(String, Demand)> {
         let tuning = &self.cfg.tuning;
         let mut now_by_class: BTreeMap<&str, u32> = BTreeMap::new();
@@ -153,7 +153,7 @@
             let Some(stats) = self.learner.get(class).filter(|s| !s.is_silent(now)) else {
                 continue;
             };
-            let reserved = kept.map_or(0, |kept| kept.ready(self, class, &sample.shape));
+            let reserved = kept.map_or(0, |kept| kept.free_slots(self, class, &sample.shape));
             let there = now_by_class.get(&**class).copied().unwrap_or(0) + reserved;
             let tasks = |times: f64| (stats.load * times + stats.tasks_per_job).ceil() as u32;
             let reserve = tasks(tuning.headroom).saturating_sub(there);
@@ -224,7 +224,7 @@
                 continue;
             };
             let in_use = !machine.tasks.is_empty() || machine.reservations != 0;
-            if in_use || self.plans.images.keeps(&name) {
+            if in_use || self.plans.images.is_last_holder(&name) {
                 continue;
             }
             let cpus = machine.type_index.map_or(0.0, |i| self.types[i].cpus);
@@ -300,7 +300,11 @@
 
     /// Tasks that run or wait, by class and shape, as far as their teams'
     /// limits let them run at once.
-    fn demands(&self, now: Time, mut kept: Option<&mut KeptRoom<'_>>) -> Vec<(String, Demand)> {
+    fn demands(
+        &self,
+        now: Time,
+        mut kept: Option<&mut ReservedCapacity<'_>>,
+    ) -> Vec<(String, Demand)> {
         let mut left: Vec<f64> = (0..self.cfg.teams.len())
             .map(|team| self.limit_cpus(Some(team)))
             .collect();
@@ -325,7 +329,7 @@
                 left[team] -= f64::from(tasks) * job.shape.cpus;
             }
             if let Some(kept) = &mut kept {
-                tasks -= kept.serve(self, job, tasks);
+                tasks -= kept.assign(self, job, tasks);
             }
             if tasks == 0 {
                 continue;
--- a/crates/umbersail-control/src/engine/report.rs
+++ b/crates/umbersail-control/src/engine/report.rs
@@ -117,7 +117,7 @@
         if let Some(machine) = self.machines.get_mut(name).filter(|m| !m.inherited) {
             machine.idle_since = now;
             debug!(machine = &**name, "up");
-            self.boot_ended(now, name);
+            self.note_boot_ended(now, name);
         }
     }
 
@@ -388,7 +388,7 @@
         if let Some(machine) = self.machines.get_mut(name) {
             let cache = machine.type_index.map_or(0.0, |i| self.types[i].cache_gb);
             let pushed_out = machine.fetched(image, size, cache);
-            self.observe_image(now, name, id, &pushed_out);
+            self.observe_cached_image(now, name, id, &pushed_out);
         }
     }
 }
--- a/crates/umbersail-control/src/engine/tests/calendar.rs
+++ b/crates/umbersail-control/src/engine/tests/calendar.rs
@@ -152,7 +152,7 @@
     /// Half a second: a tick, a cycle, records, and reports with their answers.
     fn step(&mut self) {
         self.now += 0.5;
-        self.engine.set_wall(self.now, wall(self.now));
+        self.engine.set_wall_clock(self.now, wall(self.now));
         self.engine.tick(self.now);
         self.engine.schedule(self.now);
         self.write();
--- a/crates/umbersail-control/src/engine/tests/plans.rs
+++ b/crates/umbersail-control/src/engine/tests/plans.rs
@@ -122,7 +122,7 @@
     let book = &mut engine.plans.store;
     assert_eq!(book.read("note/good", 1), Ok(Some(Note { steps: 3 })));
     assert!(book.read::<Note>("note/newer", 1).is_err());
-    book.set_aside("note/newer");
+    book.ignore("note/newer");
     assert_eq!(book.names("note"), ["note/good"]);
     assert!(
         engine.next_txn(5.0, 20, 20).is_none(),
--- a/crates/umbersail-control/src/engine/tokens.rs
+++ b/crates/umbersail-control/src/engine/tokens.rs
@@ -64,7 +64,7 @@
                 if job.live.get(task).is_some_and(unsent_launches) {
                     waits = true;
                     ready |= may_launch(job, *task, name, self.open)
-                        && !self.plans.images.waits(job.image, name);
+                        && !self.plans.images.is_queued(job.image, name);
                 }
             }
             if !waits {
--- a/crates/umbersail-control/src/engine/write.rs
+++ b/crates/umbersail-control/src/engine/write.rs
@@ -422,7 +422,7 @@
                     } else if let Some(index) = key.strip_prefix(GRANT_PARTS) {
                         self.part_moved(index);
                     } else if let Some(name) = key.strip_prefix(PLANS) {
-                        self.plans.store.moved(name);
+                        self.plans.store.mark_version_unknown(name);
                     } else if let Some(id) = key.strip_prefix(JOBS) {
                         self.job_dropped(id);
                     } else if let Some(id) = key.strip_prefix(RUNS)
@@ -441,7 +441,7 @@
 
     fn txn_applied(&mut self, now: Time, pending: PendingTxn, revision: u64) {
         self.parts_applied(pending.parts, revision);
-        self.plans.store.applied(now, pending.plans, revision);
+        self.plans.store.mark_written(now, pending.plans, revision);
         for written in pending.written {
             match written {
                 Written::Run {
@@ -496,7 +496,7 @@
     fn txn_again(&mut self, now: Time, pending: &PendingTxn, unknown: bool) {
         if unknown {
             self.parts_unsure(&pending.parts);
-            self.plans.store.unsure(&pending.plans);
+            self.plans.store.mark_uncertain(&pending.plans);
         }
         for written in &pending.written {
             let (Written::Run { id, .. } | Written::End(id)) = written else {
@@ -530,12 +530,12 @@
 
     /// Plans whose versions must be read before they are written again.
     pub fn unread_plans(&self) -> Vec<String> {
-        self.plans.store.unread()
+        self.plans.store.unknown_versions()
     }
 
     /// A fresh read of a plan: what stands, and its version.
     pub fn plan_read(&mut self, now: Time, name: &str, found: Option<(Value, u64)>) {
-        self.plans.store.read_back(now, name, found);
+        self.plans.store.set_stored(now, name, found);
     }
 
     /// A fresh read: does the job's key still exist, and which version has
--- a/crates/umbersail-control/src/front.rs
+++ b/crates/umbersail-control/src/front.rs
@@ -16,7 +16,7 @@
 };
 
 use crate::all_replica_read::stage_of;
-use crate::engine::{TxnOutcome, cache_holds, epoch};
+use crate::engine::{TxnOutcome, epoch, image_fits_cache};
 use crate::node::{Node, Role};
 use crate::polls::PollOutcome;
 use crate::records::{
@@ -551,7 +551,7 @@
         let hand_on = self.tuning.peer_to_peer_images >= 0.5;
         let allowed =
             |t: &&umbersail_wire::MachineType| umbersail_policy::names_type(spec, &t.name);
-        if hand_on && !(types.iter().filter(allowed)).any(|t| cache_holds(t, spec)) {
+        if hand_on && !(types.iter().filter(allowed)).any(|t| image_fits_cache(t, spec)) {
             return Err(Rejection::ImageTooLarge(spec.image_gb));
         }
         match umbersail_policy::smallest_cpus(spec, &types) {
--- a/crates/umbersail-control/src/leader/scheduler.rs
+++ b/crates/umbersail-control/src/leader/scheduler.rs
@@ -99,7 +99,7 @@
             return;
         }
         pacing.last_tick = now;
-        engine.set_wall(now, self.clock.unix_ms());
+        engine.set_wall_clock(now, self.clock.unix_ms());
         engine.tick(now);
         self.keep_sockets_for(engine.machine_count());
     }
--- a/crates/umbersail-control/src/plans.rs
+++ b/crates/umbersail-control/src/plans.rs
@@ -9,7 +9,7 @@
 use umbersail_tuning::Tuning;
 use umbersail_wire::{KeyList, KeyValue, Value, decode, paths};
 
-use crate::engine::reserve_facts;
+use crate::engine::reservation_limits;
 use crate::records::{PLANS, PlanRecord};
 use crate::settings::Settings;
 
@@ -34,7 +34,7 @@
         .and_then(|calendar| calendar.check_teams(|team| teams.iter().any(|t| t.name == team)))
         .map_err(|e| refused(e.key, e.reason))?;
     let limits = settings.team_limits();
-    let facts = reserve_facts(&limits, tuning);
+    let facts = reservation_limits(&limits, tuning);
     Reservations::parse(&tuning.plan_entries, &facts).map_err(|e| refused(e.key, e.reason))?;
     let prefixes = [umbersail_calendar::PREFIX, umbersail_reserve::PREFIX];
     let known = |key: &&String| prefixes.iter().any(|p| key.starts_with(p));
@@ -74,8 +74,9 @@
     let refused = |key, reason| PlanError { key, reason };
     let calendar = Calendar::parse(&tuning.plan_entries).map_err(|e| refused(e.key, e.reason))?;
     let limits = settings.team_limits();
-    let reservations = Reservations::parse(&tuning.plan_entries, &reserve_facts(&limits, tuning))
-        .map_err(|e| refused(e.key, e.reason))?;
+    let reservations =
+        Reservations::parse(&tuning.plan_entries, &reservation_limits(&limits, tuning))
+            .map_err(|e| refused(e.key, e.reason))?;
     let runs = calendar.entries.iter().map(|(name, entry)| {
         let (last, next) = entry.openings.around(now_ms);
         let open = last.filter(|opening| entry.due(*opening) > now_ms);
