--- a/crates/umbersail-control/src/engine/tests/late.rs
+++ b/crates/umbersail-control/src/engine/tests/late.rs
@@ -1,7 +1,7 @@
 //! Transactions that get no answer and are carried out late, after newer ones: each as
 //! the code builds it, against the state service's own logic.
 
-use umbersail_kv::{Bounds, KvStore, Outcome as Carried};
+use umbersail_kv::{KvStore, Limits, Outcome as Carried};
 
 use super::*;
 use crate::records::{
@@ -26,7 +26,7 @@
 impl Scene {
     fn new() -> Scene {
         let mut scene = Scene {
-            store: KvStore::new(Bounds::default()),
+            store: KvStore::new(Limits::default()),
             engine: fresh(vec![team(0.0, 0.0)]),
             now: 1.0,
         };
@@ -367,12 +367,12 @@
     scene.apply(&newer).unwrap();
     scene.fails_late(&late);
     // Also once that leader has ended, while the lease of the late one still runs.
-    scene.store.end(scene.now, 3).unwrap();
+    scene.store.revoke(scene.now, 3).unwrap();
     assert_eq!(scene.version(LEADER_KEY), 0);
     scene.fails_late(&late);
     // Given up, its lease was ended: it fails whatever its conditions say.
     let given_up = scene.election("bothy-1", false);
-    scene.store.end(scene.now, 4).unwrap();
+    scene.store.revoke(scene.now, 4).unwrap();
     scene.fails_late(&given_up);
 }
 
--- a/crates/umbersail-control/tests/standin/mod.rs
+++ b/crates/umbersail-control/tests/standin/mod.rs
@@ -6,8 +6,8 @@
 use std::rc::Rc;
 
 use umbersail_http::{Handler, Request, Response, ServerLimits, serve};
-use umbersail_kv::api::{Call, watched};
-use umbersail_kv::{Bounds, KvStore};
+use umbersail_kv::api::{KvRequest, watch_reply};
+use umbersail_kv::{KvStore, Limits};
 use umbersail_runtime::{TcpListener, sleep, spawn};
 use umbersail_wire::{Catalogue, Change, MachineList, MachineType, Txn, Value, encode};
 
@@ -55,7 +55,7 @@
 impl StateService {
     pub fn start() -> Rc<StateService> {
         let service = Rc::new(StateService {
-            store: RefCell::new(KvStore::new(Bounds::default())),
+            store: RefCell::new(KvStore::new(Limits::default())),
             now: Cell::new(0.0),
             down: Cell::new(false),
             held_answer: RefCell::default(),
@@ -108,15 +108,16 @@
         if self.down.get() {
             return Response::empty(503);
         }
-        let (status, body) = match Call::parse(&request.method, &request.target, &request.body) {
-            Ok(Call::Watch {
-                under,
+        let (status, body) = match KvRequest::parse(&request.method, &request.target, &request.body)
+        {
+            Ok(KvRequest::Watch {
+                prefix: under,
                 from,
-                hold_s,
+                wait_s: hold_s,
             }) => self.watch(&under, from, hold_s).await,
             Ok(call) => {
                 let reply = call.execute(&mut self.store.borrow_mut(), self.now.get());
-                if let Call::Txn(txn) = &call {
+                if let KvRequest::Txn(txn) = &call {
                     self.hold_answer(txn).await;
                 }
                 reply
@@ -141,7 +142,7 @@
     async fn watch(&self, under: &str, from: u64, hold_s: f64) -> (u16, Vec<u8>) {
         let mut waited = 0.0;
         loop {
-            let due = watched(&self.store.borrow(), under, from, waited >= hold_s);
+            let due = watch_reply(&self.store.borrow(), under, from, waited >= hold_s);
             if let Some(reply) = due {
                 return reply;
             }
--- a/crates/umbersail-kv/src/api.rs
+++ b/crates/umbersail-kv/src/api.rs
@@ -6,24 +6,24 @@
     LeaseGranted, LeaseRequest, Txn, TxnResult, WatchResult, decode, encode, paths,
 };
 
-use crate::{KvStore, Outcome, Refusal, Time};
+use crate::{KvStore, Outcome, RequestError, Time};
 
 /// Status and body of an answer.
 pub type Reply = (u16, Vec<u8>);
 
 /// One request.
 #[derive(Debug, Clone, PartialEq)]
-pub enum Call {
+pub enum KvRequest {
     /// Reads a key.
     Get(String),
     /// Lists keys.
     List {
         /// Prefix of the keys.
-        under: String,
+        prefix: String,
         /// Key after which the listing continues.
         from: Option<String>,
         /// Largest number of items.
-        most: usize,
+        limit: usize,
     },
     /// Executes a transaction.
     Txn(Txn<Value>),
@@ -32,52 +32,52 @@
     /// Renews a lease.
     Renew(u64),
     /// Ends a lease.
-    End(u64),
-    /// Answered by [`watched`], at once or later.
+    Revoke(u64),
+    /// Answered by [`watch_reply`], at once or later.
     Watch {
         /// Prefix of the keys.
-        under: String,
+        prefix: String,
         /// First revision of interest.
         from: u64,
         /// Seconds to wait for a change.
-        hold_s: f64,
+        wait_s: f64,
     },
 }
 
 /// One parameter of a request's query.
-pub fn parameter<'a>(target: &'a str, name: &str) -> Option<&'a str> {
+pub fn query_parameter<'a>(target: &'a str, name: &str) -> Option<&'a str> {
     let (_, query) = target.split_once('?')?;
     let mut pairs = query.split('&').filter_map(|pair| pair.split_once('='));
     pairs.find(|(key, _)| *key == name).map(|(_, value)| value)
 }
 
-impl Call {
+impl KvRequest {
     /// Reads a request; `target` is the path with its query.
     ///
     /// # Errors
     /// The status that refuses it: 400 malformed, 404 no such path.
-    pub fn parse(method: &str, target: &str, body: &[u8]) -> Result<Call, u16> {
+    pub fn parse(method: &str, target: &str, body: &[u8]) -> Result<KvRequest, u16> {
         let path = target.split('?').next().unwrap_or("");
-        let text = |name| parameter(target, name).map(str::to_owned);
-        let number = |name: &str, usual: u64| match parameter(target, name) {
+        let text = |name| query_parameter(target, name).map(str::to_owned);
+        let number = |name: &str, usual: u64| match query_parameter(target, name) {
             Some(text) => text.parse::<u64>().map_err(|_| 400u16),
             None => Ok(usual),
         };
         match (method, path) {
-            ("GET", paths::KEYS) => Ok(Call::List {
-                under: text("under").unwrap_or_default(),
+            ("GET", paths::KEYS) => Ok(KvRequest::List {
+                prefix: text("under").unwrap_or_default(),
                 from: text("from"),
-                most: number("most", 1000)? as usize,
+                limit: number("most", 1000)? as usize,
             }),
-            ("GET", paths::WATCH) => Ok(Call::Watch {
-                under: text("under").unwrap_or_default(),
+            ("GET", paths::WATCH) => Ok(KvRequest::Watch {
+                prefix: text("under").unwrap_or_default(),
                 from: number("from", 0)?,
-                hold_s: number("hold_ms", 0)?.min(60_000) as f64 / 1000.0,
+                wait_s: number("hold_ms", 0)?.min(60_000) as f64 / 1000.0,
             }),
-            ("POST", paths::TXN) => decode(body).map(Call::Txn).map_err(|_| 400),
-            ("POST", paths::LEASES) => decode(body).map(Call::Grant).map_err(|_| 400),
+            ("POST", paths::TXN) => decode(body).map(KvRequest::Txn).map_err(|_| 400),
+            ("POST", paths::LEASES) => decode(body).map(KvRequest::Grant).map_err(|_| 400),
             ("GET", path) => match path.strip_prefix("/keys/") {
-                Some(key) => Ok(Call::Get(key.to_owned())),
+                Some(key) => Ok(KvRequest::Get(key.to_owned())),
                 None => Err(404),
             },
             (method, path) => {
@@ -85,8 +85,8 @@
                 let (id, verb) = rest.split_once('/').unwrap_or((rest, ""));
                 let id = id.parse().map_err(|_| 404u16)?;
                 match (method, verb) {
-                    ("DELETE", "") => Ok(Call::End(id)),
-                    ("POST", paths::RENEW) => Ok(Call::Renew(id)),
+                    ("DELETE", "") => Ok(KvRequest::Revoke(id)),
+                    ("POST", paths::RENEW) => Ok(KvRequest::Renew(id)),
                     _ => Err(404),
                 }
             }
@@ -94,56 +94,58 @@
     }
 
     /// Puts and deletes, which have a limit of their own.
-    pub fn writes(&self) -> usize {
+    pub fn change_count(&self) -> usize {
         match self {
-            Call::Txn(txn) => txn.changes.len(),
+            KvRequest::Txn(txn) => txn.changes.len(),
             _ => 0,
         }
     }
 
     /// Executes it; a watch gets what there is.
     pub fn execute(&self, store: &mut KvStore, now: Time) -> Reply {
-        let done = |outcome: Result<(), Refusal>| match outcome {
+        let done = |outcome: Result<(), RequestError>| match outcome {
             Ok(()) => (200, Vec::new()),
-            Err(refusal) => refused(&refusal),
+            Err(error) => error_reply(&error),
         };
         match self {
-            Call::Get(key) => match store.get(key) {
+            KvRequest::Get(key) => match store.get(key) {
                 Some(found) => (200, encode(&found)),
-                None => (404, result(store.revision(), Vec::new())),
+                None => (404, txn_result(store.revision(), Vec::new())),
             },
-            Call::List { under, from, most } => {
-                (200, encode(&store.list(under, from.as_deref(), *most)))
-            }
-            Call::Txn(txn) => match store.txn(now, txn) {
-                Ok(Outcome::Applied { revision }) => (200, result(revision, Vec::new())),
-                Ok(Outcome::Failed { keys }) => (409, result(store.revision(), keys)),
+            KvRequest::List {
+                prefix,
+                from,
+                limit,
+            } => (200, encode(&store.list(prefix, from.as_deref(), *limit))),
+            KvRequest::Txn(txn) => match store.txn(now, txn) {
+                Ok(Outcome::Applied { revision }) => (200, txn_result(revision, Vec::new())),
+                Ok(Outcome::Failed { keys }) => (409, txn_result(store.revision(), keys)),
                 // Not 404, which would say that there is no such path.
-                Err(Refusal::NoSuchLease) => (400, error("no such lease")),
-                Err(refusal) => refused(&refusal),
+                Err(RequestError::NoSuchLease) => (400, error_body("no such lease")),
+                Err(error) => error_reply(&error),
             },
-            Call::Grant(wanted) => match store.grant(now, wanted.ttl_ms) {
+            KvRequest::Grant(request) => match store.grant(now, request.ttl_ms) {
                 Ok(lease) => (200, encode(&LeaseGranted { lease })),
-                Err(refusal) => refused(&refusal),
+                Err(error) => error_reply(&error),
             },
-            Call::Renew(id) => done(store.renew(now, *id)),
-            Call::End(id) => done(store.end(now, *id)),
-            Call::Watch { under, from, .. } => seen(store, under, *from).0,
+            KvRequest::Renew(id) => done(store.renew(now, *id)),
+            KvRequest::Revoke(id) => done(store.revoke(now, *id)),
+            KvRequest::Watch { prefix, from, .. } => watch_state(store, prefix, *from).0,
         }
     }
 }
 
 /// The answer to a watch, if it is due: something has changed, the time is over,
 /// or the changes are not kept any more (410).
-pub fn watched(store: &KvStore, under: &str, from: u64, over: bool) -> Option<Reply> {
-    let (reply, due) = seen(store, under, from);
+pub fn watch_reply(store: &KvStore, prefix: &str, from: u64, over: bool) -> Option<Reply> {
+    let (reply, due) = watch_state(store, prefix, from);
     (due || over).then_some(reply)
 }
 
 /// The answer to a watch as things stand, and whether somebody waits for it.
-fn seen(store: &KvStore, under: &str, from: u64) -> (Reply, bool) {
-    match store.changes(under, from) {
-        Err(refusal) => (refused(&refusal), true),
+fn watch_state(store: &KvStore, prefix: &str, from: u64) -> (Reply, bool) {
+    match store.changes_since(prefix, from) {
+        Err(error) => (error_reply(&error), true),
         Ok(events) => {
             let (revision, due) = (store.revision(), !events.is_empty());
             ((200, encode(&WatchResult { revision, events })), due)
@@ -151,18 +153,18 @@
     }
 }
 
-fn result(revision: u64, failed: Vec<String>) -> Vec<u8> {
+fn txn_result(revision: u64, failed: Vec<String>) -> Vec<u8> {
     encode(&TxnResult { revision, failed })
 }
 
-fn error(text: &str) -> Vec<u8> {
+fn error_body(text: &str) -> Vec<u8> {
     encode(&std::collections::BTreeMap::from([("error", text)]))
 }
 
-fn refused(refusal: &Refusal) -> Reply {
-    match refusal {
-        Refusal::Malformed(reason) => (400, error(reason)),
-        Refusal::NoSuchLease => (404, error("no such lease")),
-        Refusal::Compacted => (410, Vec::new()),
+fn error_reply(error: &RequestError) -> Reply {
+    match error {
+        RequestError::Malformed(reason) => (400, error_body(reason)),
+        RequestError::NoSuchLease => (404, error_body("no such lease")),
+        RequestError::Compacted => (410, Vec::new()),
     }
 }
--- a/crates/umbersail-kv/src/lib.rs
+++ b/crates/umbersail-kv/src/lib.rs
@@ -5,10 +5,10 @@
 //! requests, keeps data on a disk or plays an outage stands elsewhere.
 //!
 //! ```
-//! use umbersail_kv::{Bounds, KvStore, Outcome};
+//! use umbersail_kv::{KvStore, Limits, Outcome};
 //! use umbersail_wire::{Change, Condition, Txn};
 //!
-//! let mut ledger = KvStore::new(Bounds::default());
+//! let mut ledger = KvStore::new(Limits::default());
 //! let txn = Txn {
 //!     conditions: vec![Condition { key: "a/b".into(), version: 0 }],
 //!     changes: vec![Change::Put { key: "a/b".into(), value: 7.into(), lease: None }],
@@ -35,15 +35,15 @@
 use thiserror::Error;
 use umbersail_wire::{Change, KeyList, KeyValue, Txn, WatchEvent};
 
-pub use limit::Bucket;
+pub use limit::TokenBucket;
 pub use size::json_bytes;
 
 /// Seconds on the service's steady clock.
 pub type Time = f64;
 
-/// Bounds of the protocol; sizes in bytes of the JSON form.
+/// Limits of the protocol; sizes in bytes of the JSON form.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Bounds {
+pub struct Limits {
     /// Puts and deletes of one transaction; four times as many conditions.
     pub txn_ops: usize,
     /// Bytes of one transaction.
@@ -55,25 +55,25 @@
     /// Bytes of one listing.
     pub list_bytes: usize,
     /// Changes that a watch may still ask for.
-    pub changes: usize,
+    pub kept_changes: usize,
 }
 
-impl Default for Bounds {
+impl Default for Limits {
     fn default() -> Self {
-        Bounds {
+        Limits {
             txn_ops: 32,
             txn_bytes: 64 * 1024,
             value_bytes: 32 * 1024,
             list_items: 1000,
             list_bytes: 512 * 1024,
-            changes: 10_000,
+            kept_changes: 10_000,
         }
     }
 }
 
 /// Why a request can't be executed as it is.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
-pub enum Refusal {
+pub enum RequestError {
     /// The request violates the protocol.
     #[error("malformed: {0}")]
     Malformed(&'static str),
@@ -110,14 +110,14 @@
 #[derive(Debug, Clone)]
 struct Lease {
     ttl_s: f64,
-    end: Time,
+    expires_at: Time,
     keys: BTreeSet<String>,
 }
 
 /// Keys, leases and the newest changes.
 #[derive(Debug)]
 pub struct KvStore {
-    bounds: Bounds,
+    limits: Limits,
     revision: u64,
     keys: BTreeMap<String, Entry>,
     leases: BTreeMap<u64, Lease>,
@@ -127,18 +127,20 @@
     compacted: u64,
 }
 
-fn check_key(key: &str) -> Result<(), Refusal> {
+fn check_key(key: &str) -> Result<(), RequestError> {
     if key.is_empty() || key.len() > 200 || key.contains(' ') {
-        return Err(Refusal::Malformed("a key has 1 to 200 bytes and no spaces"));
+        return Err(RequestError::Malformed(
+            "a key has 1 to 200 bytes and no spaces",
+        ));
     }
     Ok(())
 }
 
 impl KvStore {
     /// An empty store.
-    pub fn new(bounds: Bounds) -> KvStore {
+    pub fn new(limits: Limits) -> KvStore {
         KvStore {
-            bounds,
+            limits,
             revision: 0,
             keys: BTreeMap::new(),
             leases: BTreeMap::new(),
@@ -174,18 +176,19 @@
     }
 
     /// Keys with a prefix, in order, after `from`, as many as one answer holds.
-    pub fn list(&self, under: &str, from: Option<&str>, most: usize) -> KeyList<Value> {
-        let most = most.clamp(1, self.bounds.list_items);
+    pub fn list(&self, prefix: &str, from: Option<&str>, limit: usize) -> KeyList<Value> {
+        let limit = limit.clamp(1, self.limits.list_items);
         let start = match from {
-            Some(from) if from >= under => Bound::Excluded(from.to_owned()),
-            _ => Bound::Included(under.to_owned()),
+            Some(from) if from >= prefix => Bound::Excluded(from.to_owned()),
+            _ => Bound::Included(prefix.to_owned()),
         };
         let mut items: Vec<KeyValue<Value>> = Vec::new();
         let (mut bytes, mut more) = (0, false);
         let range = self.keys.range((start, Bound::Unbounded));
-        for (key, entry) in range.take_while(|(key, _)| key.starts_with(under)) {
+        for (key, entry) in range.take_while(|(key, _)| key.starts_with(prefix)) {
             let size = json_bytes(&entry.value) + key.len() + 32;
-            if items.len() >= most || (bytes + size > self.bounds.list_bytes && !items.is_empty()) {
+            if items.len() >= limit || (bytes + size > self.limits.list_bytes && !items.is_empty())
+            {
                 more = true;
                 break;
             }
@@ -206,9 +209,9 @@
     /// Applies a transaction whole or not at all.
     ///
     /// # Errors
-    /// `Malformed` if it is out of bounds, `NoSuchLease` if a put names a lease
+    /// `Malformed` if it is out of limits, `NoSuchLease` if a put names a lease
     /// that has ended, whatever its conditions say.
-    pub fn txn(&mut self, now: Time, txn: &Txn<Value>) -> Result<Outcome, Refusal> {
+    pub fn txn(&mut self, now: Time, txn: &Txn<Value>) -> Result<Outcome, RequestError> {
         self.expire(now);
         self.check_txn(txn)?;
         let version = |key: &str| self.keys.get(key).map_or(0, |e| e.version);
@@ -226,7 +229,7 @@
         for change in &txn.changes {
             match change {
                 Change::Put { key, value, lease } => self.put(key, value, *lease),
-                Change::Delete { key } => self.drop_key(key),
+                Change::Delete { key } => self.delete_key(key),
             }
         }
         Ok(Outcome::Applied {
@@ -234,10 +237,10 @@
         })
     }
 
-    fn check_txn(&self, txn: &Txn<Value>) -> Result<(), Refusal> {
-        let bounds = &self.bounds;
-        if txn.changes.len() > bounds.txn_ops || txn.conditions.len() > 4 * bounds.txn_ops {
-            return Err(Refusal::Malformed("too many changes or conditions"));
+    fn check_txn(&self, txn: &Txn<Value>) -> Result<(), RequestError> {
+        let limits = &self.limits;
+        if txn.changes.len() > limits.txn_ops || txn.conditions.len() > 4 * limits.txn_ops {
+            return Err(RequestError::Malformed("too many changes or conditions"));
         }
         let mut bytes = 0;
         for condition in &txn.conditions {
@@ -249,19 +252,19 @@
             let (Change::Put { key, .. } | Change::Delete { key }) = change;
             check_key(key)?;
             if !named.insert(key) {
-                return Err(Refusal::Malformed("a key is changed twice"));
+                return Err(RequestError::Malformed("a key is changed twice"));
             }
             bytes += key.len() + 16;
             if let Change::Put { value, .. } = change {
                 let size = json_bytes(value);
-                if size > bounds.value_bytes {
-                    return Err(Refusal::Malformed("a value is too large"));
+                if size > limits.value_bytes {
+                    return Err(RequestError::Malformed("a value is too large"));
                 }
                 bytes += size;
             }
         }
-        if bytes > bounds.txn_bytes {
-            return Err(Refusal::Malformed("the transaction is too large"));
+        if bytes > limits.txn_bytes {
+            return Err(RequestError::Malformed("the transaction is too large"));
         }
         let ended = |change: &Change<Value>| match change {
             Change::Put {
@@ -270,7 +273,7 @@
             _ => false,
         };
         match txn.changes.iter().any(ended) {
-            true => Err(Refusal::NoSuchLease),
+            true => Err(RequestError::NoSuchLease),
             false => Ok(()),
         }
     }
@@ -289,7 +292,7 @@
         if let Some(lease) = lease.and_then(|id| self.leases.get_mut(&id)) {
             lease.keys.insert(key.to_owned());
         }
-        self.remember(WatchEvent {
+        self.log_event(WatchEvent {
             put: Some(key.to_owned()),
             delete: None,
             value: Some(value.clone()),
@@ -297,12 +300,12 @@
         });
     }
 
-    fn drop_key(&mut self, key: &str) {
+    fn delete_key(&mut self, key: &str) {
         let Some(entry) = self.keys.remove(key) else {
             return;
         };
         self.detach(key, entry.lease);
-        self.remember(WatchEvent {
+        self.log_event(WatchEvent {
             put: None,
             delete: Some(key.to_owned()),
             value: None,
@@ -316,9 +319,9 @@
         }
     }
 
-    fn remember(&mut self, event: WatchEvent<Value>) {
+    fn log_event(&mut self, event: WatchEvent<Value>) {
         self.log.push_back(event);
-        while self.log.len() > self.bounds.changes {
+        while self.log.len() > self.limits.kept_changes {
             if let Some(old) = self.log.pop_front() {
                 self.compacted = old.version;
             }
@@ -329,14 +332,18 @@
     ///
     /// # Errors
     /// `Compacted` if some of them may not be kept any more.
-    pub fn changes(&self, under: &str, from: u64) -> Result<Vec<WatchEvent<Value>>, Refusal> {
+    pub fn changes_since(
+        &self,
+        prefix: &str,
+        from: u64,
+    ) -> Result<Vec<WatchEvent<Value>>, RequestError> {
         if from < self.compacted {
-            return Err(Refusal::Compacted);
+            return Err(RequestError::Compacted);
         }
         let start = self.log.partition_point(|e| e.version <= from);
         let named = |e: &&WatchEvent<Value>| {
             let key = e.put.as_ref().or(e.delete.as_ref());
-            key.is_some_and(|k| k.starts_with(under))
+            key.is_some_and(|k| k.starts_with(prefix))
         };
         Ok(self.log.range(start..).filter(named).cloned().collect())
     }
@@ -345,15 +352,15 @@
     ///
     /// # Errors
     /// `Malformed` outside of 100 to 600,000.
-    pub fn grant(&mut self, now: Time, ttl_ms: u64) -> Result<u64, Refusal> {
+    pub fn grant(&mut self, now: Time, ttl_ms: u64) -> Result<u64, RequestError> {
         if !(100..=600_000).contains(&ttl_ms) {
-            return Err(Refusal::Malformed("ttl_ms is 100 to 600000"));
+            return Err(RequestError::Malformed("ttl_ms is 100 to 600000"));
         }
         self.last_lease += 1;
         let ttl_s = ttl_ms as f64 / 1000.0;
         let lease = Lease {
             ttl_s,
-            end: now + ttl_s,
+            expires_at: now + ttl_s,
             keys: BTreeSet::new(),
         };
         self.leases.insert(self.last_lease, lease);
@@ -364,10 +371,13 @@
     ///
     /// # Errors
     /// `NoSuchLease` once it has ended, also in the very instant of its end.
-    pub fn renew(&mut self, now: Time, lease: u64) -> Result<(), Refusal> {
+    pub fn renew(&mut self, now: Time, lease: u64) -> Result<(), RequestError> {
         self.expire(now);
-        let lease = self.leases.get_mut(&lease).ok_or(Refusal::NoSuchLease)?;
-        lease.end = now + lease.ttl_s;
+        let lease = self
+            .leases
+            .get_mut(&lease)
+            .ok_or(RequestError::NoSuchLease)?;
+        lease.expires_at = now + lease.ttl_s;
         Ok(())
     }
 
@@ -375,44 +385,47 @@
     ///
     /// # Errors
     /// `NoSuchLease` if it has ended before.
-    pub fn end(&mut self, now: Time, lease: u64) -> Result<(), Refusal> {
+    pub fn revoke(&mut self, now: Time, lease: u64) -> Result<(), RequestError> {
         self.expire(now);
-        let lease = self.leases.remove(&lease).ok_or(Refusal::NoSuchLease)?;
-        self.drop_keys(lease.keys);
+        let lease = self
+            .leases
+            .remove(&lease)
+            .ok_or(RequestError::NoSuchLease)?;
+        self.delete_keys(lease.keys);
         Ok(())
     }
 
-    fn drop_keys(&mut self, keys: BTreeSet<String>) {
+    fn delete_keys(&mut self, keys: BTreeSet<String>) {
         if !keys.is_empty() {
             self.revision += 1;
         }
         for key in keys {
-            self.drop_key(&key);
+            self.delete_key(&key);
         }
     }
 
     /// Ends the leases whose time is over; true if a key went with one.
     pub fn expire(&mut self, now: Time) -> bool {
-        let over = |(id, lease): (&u64, &Lease)| (lease.end <= now).then_some(*id);
+        let over = |(id, lease): (&u64, &Lease)| (lease.expires_at <= now).then_some(*id);
         let ended: Vec<u64> = self.leases.iter().filter_map(over).collect();
         let before = self.revision;
         for id in ended {
             if let Some(lease) = self.leases.remove(&id) {
-                self.drop_keys(lease.keys);
+                self.delete_keys(lease.keys);
             }
         }
         self.revision != before
     }
 
     /// When the next lease ends unless it is renewed.
-    pub fn next_end(&self) -> Option<Time> {
-        self.leases.values().map(|l| l.end).reduce(f64::min)
+    pub fn next_expiry(&self) -> Option<Time> {
+        self.leases.values().map(|l| l.expires_at).reduce(f64::min)
     }
 
     /// After an outage every lease has its full time again.
-    pub fn resume(&mut self, now: Time) {
+    pub fn restart_leases(&mut self, now: Time) {
         for lease in self.leases.values_mut() {
-            lease.end = now + lease.ttl_s;
+            lease.expires_at = now + lease.ttl_s;
         }
     }
 }
--- a/crates/umbersail-kv/src/tests.rs
+++ b/crates/umbersail-kv/src/tests.rs
@@ -29,7 +29,7 @@
 #[test]
 fn a_lease_takes_its_keys_along_and_a_put_without_one_detaches() {
     // Guards against a leader's key that outlives its leader.
-    let mut store = KvStore::new(Bounds::default());
+    let mut store = KvStore::new(Limits::default());
     let lease = store.grant(0.0, 5000).unwrap();
     let both = vec![put("leader", 1, Some(lease)), put("kept", 1, Some(lease))];
     store.txn(0.0, &txn(&[], both)).unwrap();
@@ -39,11 +39,11 @@
     store.renew(4.0, lease).unwrap();
     assert!(store.get("leader").is_some() && !store.expire(8.9));
     // In the very instant of its end a renewal comes too late.
-    assert_eq!(store.renew(9.0, lease), Err(Refusal::NoSuchLease));
+    assert_eq!(store.renew(9.0, lease), Err(RequestError::NoSuchLease));
     assert!(store.get("leader").is_none() && store.get("kept").is_some());
     let late = txn(&[], vec![put("leader", 3, Some(lease))]);
-    assert_eq!(store.txn(9.0, &late), Err(Refusal::NoSuchLease));
-    let seen = store.changes("leader", 0).unwrap();
+    assert_eq!(store.txn(9.0, &late), Err(RequestError::NoSuchLease));
+    let seen = store.changes_since("leader", 0).unwrap();
     assert_eq!(seen.len(), 2);
     assert_eq!(seen[1].delete.as_deref(), Some("leader"));
 }
@@ -51,17 +51,17 @@
 #[test]
 fn an_outage_gives_every_lease_its_full_time_again() {
     // Guards against a leader that is deposed because the service was away.
-    let mut store = KvStore::new(Bounds::default());
+    let mut store = KvStore::new(Limits::default());
     let lease = store.grant(0.0, 3000).unwrap();
-    store.resume(100.0);
-    assert_eq!(store.next_end(), Some(103.0));
+    store.restart_leases(100.0);
+    assert_eq!(store.next_expiry(), Some(103.0));
     assert_eq!(store.renew(102.9, lease), Ok(()));
 }
 
 #[test]
 fn bounds_hold_to_the_byte() {
     // Guards against records that the real service refuses and ours takes.
-    let mut store = KvStore::new(Bounds::default());
+    let mut store = KvStore::new(Limits::default());
     let text = |n: usize| Value::from("x".repeat(n - 2));
     let value = |n| Change::Put {
         key: "k".into(),
@@ -70,7 +70,7 @@
     };
     assert!(store.txn(0.0, &txn(&[], vec![value(32 * 1024)])).is_ok());
     let over = store.txn(0.0, &txn(&[], vec![value(32 * 1024 + 1)]));
-    assert_eq!(over, Err(Refusal::Malformed("a value is too large")));
+    assert_eq!(over, Err(RequestError::Malformed("a value is too large")));
     let many = (0..33).map(|n| put(&format!("k{n}"), 1, None)).collect();
     assert!(store.txn(0.0, &txn(&[], many)).is_err());
     assert!(store.txn(0.0, &txn(&[("a b", 0)], vec![])).is_err());
@@ -84,26 +84,26 @@
 #[test]
 fn watches_are_told_of_what_is_kept_and_of_nothing_older() {
     // Guards against a watcher that misses a change and never hears of it.
-    let bounds = Bounds {
-        changes: 5,
-        ..Bounds::default()
+    let limits = Limits {
+        kept_changes: 5,
+        ..Limits::default()
     };
-    let mut store = KvStore::new(bounds);
+    let mut store = KvStore::new(limits);
     for n in 0..8 {
         store
             .txn(0.0, &txn(&[], vec![put("c/k", n, None)]))
             .unwrap();
     }
-    assert_eq!(store.changes("c/", 2), Err(Refusal::Compacted));
-    assert_eq!(store.changes("c/", 3).unwrap().len(), 5);
-    assert_eq!(store.changes("d/", 3).unwrap().len(), 0);
-    assert_eq!(store.changes("c/", 8).unwrap().len(), 0);
+    assert_eq!(store.changes_since("c/", 2), Err(RequestError::Compacted));
+    assert_eq!(store.changes_since("c/", 3).unwrap().len(), 5);
+    assert_eq!(store.changes_since("d/", 3).unwrap().len(), 0);
+    assert_eq!(store.changes_since("c/", 8).unwrap().len(), 0);
 }
 
 #[test]
 fn a_listing_goes_on_where_the_last_one_ended() {
     // Guards against keys that are left out between two pages.
-    let mut store = KvStore::new(Bounds::default());
+    let mut store = KvStore::new(Limits::default());
     for n in 0..25 {
         let key = format!("c/{n:02}");
         store.txn(0.0, &txn(&[], vec![put(&key, n, None)])).unwrap();
@@ -134,7 +134,7 @@
     fn the_log_replayed_is_the_store(
         ops in prop::collection::vec((0..4u8, 0..5u8, 0..3u64, 0.0..2.0f64), 1..60)
     ) {
-        let mut store = KvStore::new(Bounds::default());
+        let mut store = KvStore::new(Limits::default());
         let (mut now, mut leases) = (0.0, vec![]);
         for (what, key, version, wait) in ops {
             now += wait;
@@ -155,7 +155,7 @@
             prop_assert!(store.revision() >= before);
         }
         let mut replayed = BTreeMap::new();
-        for event in store.changes("", 0).unwrap() {
+        for event in store.changes_since("", 0).unwrap() {
             match (event.put, event.delete) {
                 (Some(key), _) => drop(replayed.insert(key, event.version)),
                 (_, Some(key)) => drop(replayed.remove(&key)),
@@ -171,10 +171,10 @@
 fn requests_are_read_and_answered_by_the_protocol() {
     // Guards against a stand-in, or a service, that answers what clients of the
     // published protocol don't expect.
-    use crate::api::{Call, parameter};
+    use crate::api::{KvRequest, query_parameter};
     use umbersail_wire::{KeyList, LeaseGranted, TxnResult, WatchResult, decode, encode};
-    let mut store = KvStore::new(Bounds::default());
-    let mut ask = |now: f64, method: &str, target: &str, body: Vec<u8>| match Call::parse(
+    let mut store = KvStore::new(Limits::default());
+    let mut ask = |now: f64, method: &str, target: &str, body: Vec<u8>| match KvRequest::parse(
         method, target, &body,
     ) {
         Ok(call) => call.execute(&mut store, now),
@@ -229,5 +229,5 @@
             "{target}"
         );
     }
-    assert_eq!(parameter("/keys?a=1&b=2", "b"), Some("2"));
+    assert_eq!(query_parameter("/keys?a=1&b=2", "b"), Some("2"));
 }
--- a/crates/umbersail-rehearsal/src/fleet.rs
+++ b/crates/umbersail-rehearsal/src/fleet.rs
@@ -10,8 +10,8 @@
 use rand_chacha::ChaCha8Rng;
 use rand_distr::{Distribution, LogNormal};
 use umbersail_http::{Handler, Request, Response, serve};
-use umbersail_kv::Bucket;
-use umbersail_kv::api::parameter;
+use umbersail_kv::TokenBucket;
+use umbersail_kv::api::query_parameter;
 use umbersail_runtime::{HostId, HostSpec, TcpListener, WorldHandle, sleep};
 use umbersail_wire::{
     Catalogue, JobSpec, ListedMachine, MachineList, MachineNames, MachineState, MachineType,
@@ -105,7 +105,7 @@
     hires: RefCell<BTreeMap<String, Vec<String>>>,
     /// Machines that a list has named.
     listed: RefCell<BTreeSet<String>>,
-    bucket: RefCell<Bucket>,
+    bucket: RefCell<TokenBucket>,
     rng: RefCell<ChaCha8Rng>,
     created: Cell<u32>,
 }
@@ -121,7 +121,7 @@
         let (members, fronts) = controllers.into_iter().unzip();
         let store = night.store.clone().map(StoreHost::new);
         Rc::new(Fleet {
-            bucket: RefCell::new(Bucket::new(night.cloud.rps, 2.0)),
+            bucket: RefCell::new(TokenBucket::new(night.cloud.rps, 2.0)),
             late: LateReports::new(seed, history.clone()),
             late_commands: Cell::new(None),
             late_answers: Cell::new(None),
@@ -425,12 +425,12 @@
         match (request.method.as_str(), request.path()) {
             ("GET", paths::MACHINE_TYPES) => answer(200, &self.catalogue()),
             ("GET", paths::MACHINES) => {
-                let most = parameter(&request.target, "most")
+                let most = query_parameter(&request.target, "most")
                     .and_then(|m| m.parse().ok())
                     .unwrap_or(500);
                 answer(
                     200,
-                    &self.list(parameter(&request.target, "from").unwrap_or(""), most),
+                    &self.list(query_parameter(&request.target, "from").unwrap_or(""), most),
                 )
             }
             ("POST", paths::MACHINES) => match decode(&request.body) {
--- a/crates/umbersail-rehearsal/src/kv_store_host.rs
+++ b/crates/umbersail-rehearsal/src/kv_store_host.rs
@@ -11,8 +11,8 @@
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use umbersail_http::{Handler, Request, Response, ServerLimits, serve};
-use umbersail_kv::api::{Call, watched};
-use umbersail_kv::{Bounds, Bucket, KvStore, Outcome};
+use umbersail_kv::api::{KvRequest, watch_reply};
+use umbersail_kv::{KvStore, Limits, Outcome, TokenBucket};
 use umbersail_runtime::{Broadcast, TcpListener, WorldHandle, sleep, spawn};
 use umbersail_wire::{Change, Txn, TxnResult, Value, decode, encode};
 
@@ -55,8 +55,8 @@
     world: WorldHandle,
     ledger: RefCell<KvStore>,
     changed: Broadcast,
-    requests: RefCell<Bucket>,
-    writes: RefCell<Bucket>,
+    requests: RefCell<TokenBucket>,
+    writes: RefCell<TokenBucket>,
     down: Cell<bool>,
     /// Seconds that every answer takes on top.
     pub slow_s: Cell<f64>,
@@ -84,17 +84,17 @@
         controllers: usize,
         seed: u64,
     ) -> Rc<KvStoreHost> {
-        let bounds = Bounds {
+        let bounds = Limits {
             txn_ops: state.txn_ops,
             value_bytes: (state.value_kb * 1024.0) as usize,
-            ..Bounds::default()
+            ..Limits::default()
         };
         Rc::new(KvStoreHost {
             world,
             ledger: RefCell::new(KvStore::new(bounds)),
             changed: Broadcast::default(),
-            requests: RefCell::new(Bucket::new(state.rps, 1.0)),
-            writes: RefCell::new(Bucket::new(state.write_rps, 1.0)),
+            requests: RefCell::new(TokenBucket::new(state.rps, 1.0)),
+            writes: RefCell::new(TokenBucket::new(state.write_rps, 1.0)),
             down: Cell::new(false),
             slow_s: Cell::new(0.0),
             refused: RefCell::new(vec![false; controllers]),
@@ -136,7 +136,7 @@
     pub fn set_down(&self, down: bool) {
         self.down.set(down);
         if !down {
-            self.ledger.borrow_mut().resume(self.world.now());
+            self.ledger.borrow_mut().restart_leases(self.world.now());
             self.changed.raise();
         }
     }
@@ -190,7 +190,7 @@
             Change::Put { key, .. } | Change::Delete { key } => key.clone(),
         };
         let keys: Vec<String> = txn.changes.iter().map(key).collect();
-        let since = self.ledger.borrow().changes("", sent_at);
+        let since = self.ledger.borrow().changes_since("", sent_at);
         let changed: BTreeSet<String> = since
             .into_iter()
             .flatten()
@@ -259,23 +259,23 @@
         if !taken {
             return Response::empty(429);
         }
-        let call = match Call::parse(&request.method, &request.target, &request.body) {
+        let call = match KvRequest::parse(&request.method, &request.target, &request.body) {
             Ok(call) => call,
             Err(status) => return Response::empty(status),
         };
-        if let Call::Watch {
-            under,
+        if let KvRequest::Watch {
+            prefix: under,
             from,
-            hold_s,
+            wait_s: hold_s,
         } = &call
         {
             return self.watch(controller, under, *from, now + hold_s).await;
         }
-        let writes = call.writes() as f64;
+        let writes = call.change_count() as f64;
         if writes > 0.0 && !self.writes.borrow_mut().take(now, writes) {
             return Response::empty(429);
         }
-        if let Call::Txn(txn) = &call
+        if let KvRequest::Txn(txn) = &call
             && let Some(wait_s) = self.puts_off()
         {
             // Its sender may give up and end meanwhile: it is on its way all the same.
@@ -289,7 +289,7 @@
         if self.ledger.borrow().revision() != before {
             self.changed.raise();
             self.tell_election();
-            if let Call::Txn(txn) = &call {
+            if let KvRequest::Txn(txn) = &call {
                 self.figures.applied(txn);
                 self.granted.applied(&self.history, txn);
             }
@@ -297,7 +297,7 @@
         if self.unanswered.get() > 0.0 && status == CONFLICT && writes > 0.0 {
             self.tell_conflict(controller, &body);
         }
-        if let Call::Txn(txn) = &call
+        if let KvRequest::Txn(txn) = &call
             && self.loses_answer()
         {
             self.tell_lost_answer(controller, txn, status == APPLIED);
@@ -313,7 +313,7 @@
             let now = self.world.now();
             let away = self.away(controller);
             if !away {
-                let due = watched(&self.ledger.borrow(), under, from, now >= until);
+                let due = watch_reply(&self.ledger.borrow(), under, from, now >= until);
                 if let Some((status, body)) = due {
                     return Response::new(status, body);
                 }
