--- a/crates/umbersail-rehearsal/src/night.rs
+++ b/crates/umbersail-rehearsal/src/night.rs
@@ -738,8 +738,7 @@
         let waits = umbersail_tuning::CONSTANTS.iter().filter(|c| c.unit == "s");
         for constant in waits {
             let set = night.controllers.properties.get(constant.key).copied();
-            let value =
-                (set.unwrap_or(constant.default) / times).clamp(constant.least, constant.most);
+            let value = (set.unwrap_or(constant.default) / times).clamp(constant.min, constant.max);
             night
                 .controllers
                 .properties
--- a/crates/umbersail-tuning/tests/property_names.rs
+++ b/crates/umbersail-tuning/tests/property_names.rs
@@ -1,10 +1,10 @@
-//! Operators' files name properties by keys that stay as they are, whatever the fields are
-//! called. `property_names.txt` lists those of the build in production.
+//! The keys of properties in operators' files must not change when the fields of `Tuning` are
+//! renamed. `property_names.txt` lists the keys of the build in production.
 
 use umbersail_tuning::CONSTANTS;
 
 #[test]
-fn every_property_of_the_build_in_production_is_known_by_its_name() {
+fn every_property_key_of_the_build_in_production_is_known() {
     let known: Vec<&str> = CONSTANTS.iter().map(|constant| constant.key).collect();
     let missing: Vec<&str> = include_str!("property_names.txt")
         .lines()
--- a/crates/umbersail/src/main.rs
+++ b/crates/umbersail/src/main.rs
@@ -143,7 +143,7 @@
     for c in umbersail_tuning::CONSTANTS {
         println!(
             "# {}\n# {} to {}, {}\n{} = {}\n",
-            c.reason, c.least, c.most, c.unit, c.key, c.default
+            c.reason, c.min, c.max, c.unit, c.key, c.default
         );
     }
 }
