--- a/crates/umbersail-control/src/engine/plans/calendar.rs
+++ b/crates/umbersail-control/src/engine/plans/calendar.rs
@@ -1,8 +1,8 @@
-//! The publishing calendar in the engine: which jobs wait for an earlier step of their
-//! run, and by when they should end. It starts and stops nothing itself: a job held back
-//! has no task that a cycle may place, and what of it runs goes on (rules 3 and 5 stand
-//! as they are). What lets a step begin is recorded first, like all that a successor has
-//! to know (rule 6).
+//! The publishing calendar in the engine: which jobs wait for an earlier step of their run,
+//! and when each job is due. The calendar itself starts and stops no task. A scheduling cycle
+//! places no task of a held job, and tasks of such a job that already run continue, so rules
+//! 3 and 5 are unaffected. The event that lets a step begin is recorded first, like
+//! everything that the next leader has to know (rule 6).
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::rc::Rc;
@@ -16,23 +16,24 @@
 
 use super::super::{BlockedReason, Engine, EngineConfig, Job, JobId, Time};
 
-/// What the names of its records begin with, and their version.
+/// Kind of the calendar's records: the prefix of their names.
 pub(super) const KIND: &str = "calendar";
+/// Version of the format of the calendar's records.
 const VERSION: u32 = 1;
 
-/// Why a held job waits.
+/// The reason that is logged for a held job.
 const HELD: &str = "an earlier step of its run";
 
-/// The calendar of the block.
+/// State of the calendar's runs.
 pub(in crate::engine) struct CalendarState {
     runs: RunTracker,
-    /// Records as they were put into the book of all plans and do not stand yet.
+    /// Records that were put into the plan store and are not yet recorded.
     pending_writes: BTreeMap<RunKey, RecordWrite>,
-    /// A job came, ended or failed since the last tick.
+    /// Whether a job arrived, ended or failed since the last tick.
     changed: bool,
     next_tick: Time,
     next_refresh: Time,
-    /// Runs that can't be recorded, and that this has been said of.
+    /// Runs that cannot be recorded and for which this was logged.
     unrecorded: BTreeSet<RunKey>,
 }
 
@@ -43,9 +44,9 @@
 impl CalendarState {
     pub fn new(cfg: &EngineConfig) -> CalendarState {
         let tuning = &cfg.tuning;
-        // Entries were checked before anything started.
+        // The entries were validated when the process started, so parsing does not fail here.
         let calendar = Calendar::parse(&tuning.plan_entries).unwrap_or_else(|e| {
-            warn!(reason = %e, "calendar left out");
+            warn!(reason = %e, "ignoring the calendar: its entries are invalid");
             Calendar::default()
         });
         let settings = Settings {
@@ -87,7 +88,7 @@
         }
     }
 
-    /// Goes on with the runs that a holder before us recorded.
+    /// Continues the runs that previous leaders recorded.
     pub(super) fn inherit_calendar_runs(&mut self, now: Time) {
         let at = self.timestamp(now);
         for name in self.plans.store.names(KIND) {
@@ -96,28 +97,29 @@
                 .and_then(|rest| rest.strip_prefix('/')?.split_once('/'))
                 .map(|(entry, _)| entry);
             let read = self.plans.store.read::<RunRecord>(&name, VERSION);
-            let taken = match (entry, read) {
+            let inherited = match (entry, read) {
                 (Some(entry), Ok(Some(record))) => {
                     let runs = &mut self.plans.calendar.runs;
                     runs.inherit(at, entry, record).map_err(|e| e.to_string())
                 }
                 (_, Err(e)) => Err(e.to_string()),
-                _ => Err("its name has no entry and opening".to_owned()),
+                _ => Err("the record's name lacks the entry or the opening time".to_owned()),
             };
-            if let Err(reason) = taken {
-                warn!(plan = name, reason, "recorded plan set aside");
+            if let Err(reason) = inherited {
+                warn!(plan = name, reason, "ignoring an unusable recorded plan");
                 self.plans.store.ignore(&name);
             }
         }
     }
 
-    /// Jobs that belong to runs under way.
+    /// Jobs that belong to active runs.
     fn calendar_members(&self) -> Vec<JobId> {
         let members = self.plans.calendar.runs.members();
         members.map(|id| id.clone().into()).collect()
     }
 
-    /// A job was accepted, or found by us as a new leader.
+    /// Called when a job was accepted, and for each job that a new leader finds: adds the job
+    /// to the run it belongs to.
     pub(super) fn calendar_job_accepted(&mut self, now: Time, id: &JobId) {
         if self.plans.calendar.runs.is_empty() {
             return;
@@ -126,7 +128,7 @@
         let Some(job) = self.jobs.get(id) else {
             return;
         };
-        // A service does not end, so no step can wait for it.
+        // A service does not end, so no step can wait for its end.
         if job.spec.kind != JobKind::Array || job.cancelled {
             return;
         }
@@ -145,7 +147,7 @@
         }
     }
 
-    /// A job is over.
+    /// Called when a job has ended: the job's run no longer waits for its end.
     pub(super) fn calendar_job_ended(&mut self, job: &Job) {
         let (now, _) = self.plans.wall_clock;
         let at = self.timestamp(now);
@@ -153,7 +155,7 @@
         calendar.changed |= calendar.runs.job_ended(at, &job.spec.id);
     }
 
-    /// Whether a job is held back, and by when it should end.
+    /// Updates whether a job is held and when the job is due, according to its run.
     fn update_job_from_calendar(&mut self, now: Time, id: &JobId) {
         let at = self.timestamp(now);
         let runs = &self.plans.calendar.runs;
@@ -174,20 +176,20 @@
         }
     }
 
-    /// What the calendar does as time goes by, and as jobs come and end.
+    /// Runs the calendar's work that is due: after a change of its jobs and periodically.
     pub(in crate::engine) fn tick_calendar(&mut self, now: Time) {
         if self.plans.calendar.runs.is_empty() {
             return;
         }
         let at = self.timestamp(now);
         let store = &self.plans.store;
-        let stands = |run: &RunKey| store.is_recorded(&record_name(run));
+        let is_recorded = |run: &RunKey| store.is_recorded(&record_name(run));
         let calendar = &mut self.plans.calendar;
-        let done: Vec<RunKey> = (calendar.pending_writes.keys())
-            .filter(|run| stands(run))
+        let recorded: Vec<RunKey> = (calendar.pending_writes.keys())
+            .filter(|run| is_recorded(run))
             .cloned()
             .collect();
-        let written: Vec<RecordWrite> = (done.iter())
+        let written: Vec<RecordWrite> = (recorded.iter())
             .filter_map(|run| calendar.pending_writes.remove(run))
             .collect();
         let mut released = false;
@@ -200,8 +202,8 @@
             return;
         }
         calendar.changed = false;
-        let looks = now >= calendar.next_refresh;
-        if looks {
+        let refresh = now >= calendar.next_refresh;
+        if refresh {
             calendar.next_refresh = now + self.cfg.tuning.calendar_refresh_s;
             self.refresh_calendar_members(at);
         }
@@ -214,19 +216,19 @@
             }
         }
         self.write_calendar_records(now, at);
-        if looks || released || outcome.released {
+        if refresh || released || outcome.released {
             let members: Vec<JobId> = self.calendar_members();
             for id in members {
                 self.update_job_from_calendar(now, &id);
             }
         }
         let calendar = &mut self.plans.calendar;
-        let most_s = self.cfg.tuning.calendar_refresh_s;
-        calendar.next_tick = now + calendar.runs.next_tick_in_s(at).min(most_s);
+        let refresh_s = self.cfg.tuning.calendar_refresh_s;
+        calendar.next_tick = now + calendar.runs.next_tick_in_s(at).min(refresh_s);
     }
 
-    /// Jobs that fail wherever they run, and those that their users have cancelled:
-    /// no step waits for them.
+    /// Tells the runs which of their jobs fail on every machine and which were cancelled or
+    /// have ended: no step waits for such jobs.
     fn refresh_calendar_members(&mut self, at: Timestamp) {
         let members: Vec<JobId> = self.calendar_members();
         for id in members {
@@ -238,6 +240,7 @@
         }
     }
 
+    /// Puts the records of runs that are due into the plan store.
     fn write_calendar_records(&mut self, now: Time, at: Timestamp) {
         for write in self.plans.calendar.runs.due_writes(at) {
             let name = record_name(&write.run);
@@ -254,9 +257,10 @@
                         .pending_writes
                         .insert(write.run.clone(), write),
                 ),
-                // Its later steps wait until it is due, or until there is room.
+                // The later steps of the run wait until its due time, or until there is room
+                // for the record.
                 Err(e) if self.plans.calendar.unrecorded.insert(write.run) => {
-                    warn!(plan = name, reason = %e, "run can't be recorded");
+                    warn!(plan = name, reason = %e, "cannot record a run of the calendar");
                 }
                 Err(_) => {}
             }
--- a/crates/umbersail-control/src/engine/plans/images.rs
+++ b/crates/umbersail-control/src/engine/plans/images.rs
@@ -1,8 +1,8 @@
-//! Large images that many machines want: what the engine reports to the cache
-//! view of `umbersail-images`, and what it asks before a launch is told.
+//! Distribution of large images that many machines need: what the engine reports to the cache
+//! view of `umbersail-images`, and what it asks the cache view before it sends a launch.
 //!
-//! Only launches wait for a fetch's turn, and only ones that no worker was told of: what
-//! was told is settled by reports as ever (rules 3 and 5).
+//! Only a launch that has not been sent to its worker waits for its turn to fetch. A launch
+//! that was sent is decided by heartbeats as usual (rules 3 and 5).
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::rc::Rc;
@@ -18,20 +18,21 @@
 use crate::engine::Machine;
 use crate::engine::report::split_task;
 
-/// The kind of these plans' records.
+/// Kind of the image records: the prefix of their names.
 const KIND: &str = "images";
+/// Version of the format of the image records.
 const VERSION: u32 = 1;
-/// A record that a successor found stands for so many seconds, until every machine that
-/// lives has shown what it fetches.
+/// How long a new leader keeps the records of its predecessor, in seconds: by then every live
+/// machine has shown in its heartbeats what it fetches.
 const INHERITED_RECORD_S: f64 = 30.0;
-/// A plan's name has room for so long a name of an image.
+/// Longest image name, in bytes, that is used in the name of a record.
 const MAX_NAME_BYTES: usize = 120;
 
-/// Images under way.
+/// State of the images that are being distributed.
 pub(in crate::engine) struct Images {
     cache_view: CacheView<MachineId, ImageKey>,
     peer_to_peer: bool,
-    /// Names of images that count, by key: as many as the cache view tracks.
+    /// Names of the tracked images, by key.
     names: BTreeMap<ImageKey, Rc<str>>,
     max_names: usize,
     inherited_at: Time,
@@ -51,39 +52,43 @@
         }
     }
 
-    /// Whether the machine is kept for others that want an image of its.
+    /// Whether the machine has the only copy of an image in its zone while other machines fetch
+    /// that image or wait for it. Such a machine is not returned.
     pub fn is_last_holder(&self, machine: &MachineId) -> bool {
         self.cache_view.is_last_holder(machine)
     }
 
-    /// Whether its launch waits for its fetch's turn.
+    /// Whether a launch on the machine waits for its turn to fetch the image.
     pub fn is_queued(&self, image: ImageKey, machine: &MachineId) -> bool {
         self.cache_view.is_queued(&image, machine)
     }
 
-    /// No task on the machine uses the image any more.
+    /// Cancels the machine's fetch of an image that no task on the machine uses any more.
     pub fn cancel_fetch(&mut self, image: ImageKey, machine: &MachineId) {
         self.cache_view.cancel_fetch(&image, machine);
     }
 
+    /// Forgets a machine that no longer exists, with its cache.
     pub fn remove_machine(&mut self, machine: &MachineId) {
         self.cache_view.remove_machine(machine);
     }
 
-    /// Types whose caches hold the image, where workers hand on; without, whatever
-    /// the job allows.
+    /// Restricts a job to machine types whose caches are large enough for its image, if
+    /// peer-to-peer transfer is enabled.
     pub fn restrict_types(&self, spec: &mut JobSpec, types: &[MachineType]) {
         if !self.peer_to_peer {
             return;
         }
         let allowed = types.iter().filter(|t| names_type(spec, &t.name));
         let (fit, small): (Vec<_>, Vec<_>) = allowed.partition(|t| image_fits_cache(t, spec));
-        // One that fits none was accepted under other settings, and waits.
+        // A job whose image fits no cache was accepted under other settings. It keeps its
+        // types and waits.
         if !small.is_empty() && !fit.is_empty() {
             spec.types = Some(fit.into_iter().map(|t| t.name.clone()).collect());
         }
     }
 
+    /// Remembers the name of a tracked image.
     fn track_name(&mut self, image: ImageKey, name: &str) {
         if self.names.contains_key(&image) {
             return;
@@ -99,7 +104,7 @@
     }
 }
 
-/// Whether the type's cache holds the job's image.
+/// Whether the cache of a machine type is large enough for the job's image.
 pub(crate) fn image_fits_cache(machine_type: &MachineType, spec: &JobSpec) -> bool {
     machine_type.cache_gb + 1e-6 >= spec.image_gb
 }
@@ -118,18 +123,18 @@
     let short = image.len() <= MAX_NAME_BYTES && image.chars().all(plain);
     match short {
         true => format!("{KIND}/{image}"),
-        // A key has no spaces and is short.
+        // The state service allows only short keys without spaces.
         false => format!("{KIND}/#{:?}", ImageKey::of(image)),
     }
 }
 
-/// The request for a job's image on a machine.
+/// The request to fetch a job's image on a machine; `None` if the machine's type is unknown.
 fn request_of<'a>(
     types: &[MachineType],
     job: &'a Job,
     machine: &'a Machine,
     attempt: u64,
-    shared: usize,
+    concurrent: usize,
 ) -> Option<FetchRequest<'a, MachineId, ImageKey>> {
     Some(FetchRequest {
         image: &job.image,
@@ -137,34 +142,36 @@
         rate_gb_s: types.get(machine.type_index?)?.fetch_gb_per_s,
         machine: &machine.name,
         zone: &machine.zone,
-        // Cycles place the most urgent first, and number attempts as they do.
+        // A cycle places the most urgent tasks first and numbers the attempts in that order.
         priority: FetchPriority {
             tier: tier(job.spec.priority),
             order: attempt,
         },
-        concurrent_fetches: shared,
+        concurrent_fetches: concurrent,
     })
 }
 
 impl Engine {
-    /// What a machine holds, in the order in which fetches should begin: they share
-    /// its rate.
+    /// The tasks of a machine in the order in which their images should be fetched: concurrent
+    /// fetches share the machine's bandwidth.
     pub(in crate::engine) fn tasks_by_priority(&self, machine: &MachineId) -> Vec<(JobId, u32)> {
-        let held = self.machines[machine].tasks.iter();
-        let mut held: Vec<(JobId, u32)> = held.cloned().collect();
+        let tasks = self.machines[machine].tasks.iter();
+        let mut tasks: Vec<(JobId, u32)> = tasks.cloned().collect();
         if self.plans.images.peer_to_peer {
-            held.sort_by_key(|(id, task)| {
+            tasks.sort_by_key(|(id, task)| {
                 let job = self.jobs.get(id);
                 let attempt = job.and_then(|j| Some(j.live.get(task)?.attempt));
                 (job.map(|j| tier(j.spec.priority)), attempt)
             });
         }
-        held
+        tasks
     }
 
-    /// Whether a launch may be told now, and whom its worker may fetch from; `None` if
-    /// the fetch would only slow others that go first: the launch goes with a later reply,
-    /// and until then nothing has started (rule 5).
+    /// Requests a fetch for a launch that is about to be sent. Returns the addresses of the
+    /// workers that the image can be fetched from; the list is empty if the image comes from
+    /// the image store or is already cached. Returns `None` if the fetch would only slow down
+    /// fetches of higher priority: the launch is then sent with a later reply, and until then
+    /// no task has started (rule 5).
     pub(in crate::engine) fn request_fetch(
         &mut self,
         now: Time,
@@ -172,23 +179,24 @@
         id: &JobId,
         task: u32,
     ) -> Option<Vec<String>> {
-        let at_once = Some(Vec::new());
+        let no_sources = Some(Vec::new());
         let silent_after = self.silent_after();
         let (Some(job), Some(known)) = (self.jobs.get(id), self.machines.get(machine)) else {
-            return at_once;
+            return no_sources;
         };
         let Some(attempt) = job.live.get(&task).map(|p| p.attempt) else {
-            return at_once;
+            return no_sources;
         };
         if known.images.contains(&job.image) {
-            return at_once;
+            return no_sources;
         }
-        let shared = known.image_uses.len();
-        let Some(request) = request_of(&self.types, job, known, attempt, shared) else {
-            return at_once;
+        let concurrent = known.image_uses.len();
+        let Some(request) = request_of(&self.types, job, known, attempt, concurrent) else {
+            return no_sources;
         };
         let machines = &self.machines;
-        // Neither unreachable nor noticed nor about to lapse.
+        // A usable source is reachable, has no reclaim notice, and its lease is not about to
+        // expire.
         let usable = |m: &MachineId| {
             let holder = machines.get(m);
             holder.is_some_and(|m| m.addr.is_some() && m.takes_tasks(now, silent_after))
@@ -196,7 +204,12 @@
         let images = &mut self.plans.images;
         match images.cache_view.request(now, &request, usable) {
             Decision::Wait => {
-                debug!(job = &**id, task, machine = &**machine, "waits to fetch");
+                debug!(
+                    job = &**id,
+                    task,
+                    machine = &**machine,
+                    "launch waits for its turn to fetch the image"
+                );
                 None
             }
             Decision::Start { sources } => {
@@ -213,36 +226,37 @@
         }
     }
 
-    /// What a machine's newest report shows of its fetches.
+    /// Reports to the cache view which images a machine fetches according to its newest
+    /// heartbeat.
     pub(in crate::engine) fn observe_fetches(
         &mut self,
         now: Time,
         name: &MachineId,
-        report: &Heartbeat,
+        heartbeat: &Heartbeat,
     ) {
         if self.plans.images.peer_to_peer {
             self.plans.images.cache_view.observe_report(name);
         }
         let fetching = |state| state == TaskState::Fetching;
-        if !report.tasks.iter().any(|t| fetching(t.state)) {
+        if !heartbeat.tasks.iter().any(|t| fetching(t.state)) {
             return;
         }
         let Some(machine) = self.machines.get(name) else {
             return;
         };
-        let mut seen: Vec<(ImageKey, u64, &Job)> = Vec::new();
-        for entry in report.tasks.iter().filter(|t| fetching(t.state)) {
+        let mut fetches: Vec<(ImageKey, u64, &Job)> = Vec::new();
+        for entry in heartbeat.tasks.iter().filter(|t| fetching(t.state)) {
             let job = split_task(&entry.task).and_then(|(id, _)| self.jobs.get(id));
             if let Some(job) = job
-                && !seen.iter().any(|(image, ..)| *image == job.image)
+                && !fetches.iter().any(|(image, ..)| *image == job.image)
             {
-                seen.push((job.image, entry.attempt, job));
+                fetches.push((job.image, entry.attempt, job));
             }
         }
-        let shared = seen.len();
+        let concurrent = fetches.len();
         let images = &mut self.plans.images;
-        for (image, attempt, job) in seen {
-            if let Some(request) = request_of(&self.types, job, machine, attempt, shared) {
+        for (image, attempt, job) in fetches {
+            if let Some(request) = request_of(&self.types, job, machine, attempt, concurrent) {
                 images.cache_view.observe_fetching(now, &request);
                 if images.peer_to_peer
                     && images
@@ -255,7 +269,8 @@
         }
     }
 
-    /// A task runs: its machine has the image, and may have lost others for it.
+    /// Called when a task runs: the machine has the task's image, and may have evicted other
+    /// images from its cache for it.
     pub(in crate::engine) fn observe_cached_image(
         &mut self,
         now: Time,
@@ -275,8 +290,8 @@
         }
     }
 
-    /// What a holder before us recorded: rates, and who fetches from the store. The rest
-    /// is in reports; no fetch is begun anew.
+    /// Restores what previous leaders recorded: transfer rates, and the machines that fetch
+    /// from the image store. Everything else is in heartbeats; no fetch is restarted.
     pub(super) fn inherit_images(&mut self, now: Time) {
         for name in self.plans.store.names(KIND) {
             let found = self.plans.store.read::<ImageRecord>(&name, VERSION);
@@ -290,7 +305,7 @@
                         info!(
                             image = record.image,
                             from_store = record.from_store.len(),
-                            "image under way taken over"
+                            "took over the distribution of an image"
                         );
                         continue;
                     }
@@ -299,29 +314,30 @@
                 Ok(None) => continue,
                 Err(e) => e.to_string(),
             };
-            warn!(plan = name, reason, "recorded plan set aside");
+            warn!(plan = name, reason, "ignoring an unusable recorded plan");
             self.plans.store.ignore(&name);
         }
     }
 
-    /// Keeps the records of images under way, and tells of them now and then.
+    /// Updates the records of images that are being distributed and logs their status
+    /// periodically.
     pub(super) fn tick_images(&mut self, now: Time) {
         let Plans { images, store, .. } = &mut self.plans;
         let names = &images.names;
         let name = |image: &ImageKey| names.get(image).map_or(String::new(), |n| n.to_string());
         let machine = |m: &MachineId| m.to_string();
         let records = images.cache_view.records(name, machine);
-        let mut stand = BTreeSet::new();
+        let mut current = BTreeSet::new();
         for (image, record) in records.iter().filter(|(image, _)| !image.is_empty()) {
             let plan = plan_name(image);
             if let Err(e) = store.put(now, &plan, VERSION, record) {
-                debug!(image, reason = %e, "image under way not recorded");
+                debug!(image, reason = %e, "cannot record the distribution of an image");
             }
-            stand.insert(plan);
+            current.insert(plan);
         }
         if now - images.inherited_at > INHERITED_RECORD_S {
             for plan in store.names(KIND) {
-                if !stand.contains(&plan) {
+                if !current.contains(&plan) {
                     store.remove(now, &plan);
                 }
             }
@@ -339,10 +355,10 @@
                     image = &**name,
                     fetching = counts.fetching,
                     waiting = counts.waiting,
-                    have = counts.cached,
+                    cached = counts.cached,
                     store_gb_s = rates.store_gb_s(),
-                    handed_gb_s = rates.peer_gb_s(),
-                    "image under way"
+                    peer_gb_s = rates.peer_gb_s(),
+                    "status of image distribution"
                 );
             }
         }
--- a/crates/umbersail-control/src/engine/plans/mod.rs
+++ b/crates/umbersail-control/src/engine/plans/mod.rs
@@ -1,8 +1,10 @@
-//! Recorded plans: what the engine asks them, and the book that keeps their records.
+//! Plans: the publishing calendar, reservations and image distribution, and the store of
+//! their records.
 //!
-//! Plans order starts, keep room and rent ahead; with none recorded and none set the
-//! engine decides as it would without this file. What a plan decides is pure and stands
-//! in packages below; here it meets jobs, machines and the state service.
+//! Plans order the start of jobs, reserve machines and rent machines in advance. If no plan
+//! is configured or recorded, the engine decides as if this module did not exist. The
+//! decisions of each plan are pure functions in packages of their own; this module connects
+//! them to the engine's jobs and machines and to the state service.
 
 mod calendar;
 mod images;
@@ -21,13 +23,14 @@
 pub use store::InheritedPlan;
 pub(super) use store::{PlanStore, WrittenPlan};
 
-/// All plans of the block.
+/// All plans of the cluster.
 pub(super) struct Plans {
     pub store: PlanStore,
     pub calendar: CalendarState,
     pub reserve: ReservationState,
     pub images: Images,
-    /// Time of day, in milliseconds since 1970, at a moment of our steady clock.
+    /// A moment of the monotonic clock and the time of day at that moment, in milliseconds
+    /// since 1970.
     wall_clock: (Time, u64),
 }
 
@@ -42,7 +45,8 @@
         }
     }
 
-    /// Time of day in milliseconds since 1970, within the bound that the settings give.
+    /// Time of day in milliseconds since 1970. Its error is at most the clock skew that the
+    /// settings allow.
     pub fn unix_ms(&self, now: Time) -> u64 {
         let (at, unix_ms) = self.wall_clock;
         unix_ms.saturating_add_signed(((now - at) * 1000.0) as i64)
@@ -50,39 +54,39 @@
 }
 
 impl Engine {
-    /// The time of day, as the clock says it now.
+    /// Sets the time of day that belongs to `now`.
     pub fn set_wall_clock(&mut self, now: Time, unix_ms: u64) {
         self.plans.wall_clock = (now, unix_ms);
     }
 
-    /// Takes in what a holder before us recorded.
+    /// Restores the plans that previous leaders recorded.
     pub(super) fn inherit_plans(&mut self, now: Time, found: Vec<InheritedPlan>) {
         for plan in found {
             if let Err((name, reason)) = self.plans.store.inherit(plan) {
-                warn!(plan = name, reason, "recorded plan set aside");
+                warn!(plan = name, reason, "ignoring an unusable recorded plan");
             }
         }
         self.inherit_calendar_runs(now);
         self.inherit_images(now);
     }
 
-    /// A job was accepted, or found by us as a new leader.
+    /// Called when a job was accepted, and for each job that a new leader finds.
     pub(super) fn plans_job_accepted(&mut self, now: Time, id: &JobId) {
         self.calendar_job_accepted(now, id);
         self.set_job_reservations(id);
     }
 
-    /// A job is over: completed, or cancelled by its user.
+    /// Called when a job has completed or was cancelled by its user.
     pub(super) fn plans_job_ended(&mut self, job: &Job) {
         self.calendar_job_ended(job);
     }
 
-    /// What plans want rented beside the jobs that are there, by class.
+    /// Machines that plans need rented in addition to those for existing jobs, by class.
     pub(super) fn planned_demands(&self, _now: Time) -> Vec<(String, Demand)> {
         Vec::new()
     }
 
-    /// What plans do as time goes by.
+    /// Runs the periodic work of all plans.
     pub(super) fn tick_plans(&mut self, now: Time) {
         self.tick_calendar(now);
         self.tick_reservations(now);
--- a/crates/umbersail-control/src/engine/plans/reserve.rs
+++ b/crates/umbersail-control/src/engine/plans/reserve.rs
@@ -1,6 +1,7 @@
-//! Reservations in the engine: machines that are held are kept for their work, requests
-//! that stand recorded are sent, and borrowers give back. What is held, rented and
-//! lent is decided in `umbersail-reserve`.
+//! Reservations in the engine. This module keeps reserved machines for the work that they are
+//! reserved for, sends the rental requests that are recorded, and stops borrowers when the
+//! machines are needed. Which machines are reserved, rented and lent is decided in
+//! `umbersail-reserve`.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -18,39 +19,43 @@
     BlockedReason, Engine, EngineConfig, Job, JobId, Machine, MachineId, Stop, Time, epoch,
 };
 
-/// Names of records: this and the entry's name.
+/// Kind of the reservation records: the prefix of their names, followed by the entry's name.
 const KIND: &str = "reserve";
-/// Entries that hold machines at once: each has one bit for its own work and one for
-/// borrowers among a machine's reservations.
+/// Maximum number of entries that have machines at once: each entry uses two bits of a
+/// machine's `reservations`, one for its own work and one for borrowers.
 pub(crate) const MAX_RESERVATIONS: usize = 32;
+/// The bits of the entries' own work.
 const OWN_BITS: u64 = (1 << MAX_RESERVATIONS) - 1;
-/// Upper bound on rentals whose first report is awaited; the boot times of further ones
-/// are not learned from. Twice a fleet of 4,000 machines that is rented at once.
+/// Maximum number of rented machines whose first heartbeat is awaited in order to learn their
+/// boot times; the boot times of further machines are not learned. The value is twice a fleet
+/// of 4,000 machines that is rented at once.
 const MAX_AWAITED_BOOTS: usize = 8192;
 
-/// Room on reserved machines.
-type Rooms<'a> = BTreeMap<&'a MachineId, Shape>;
+/// Free capacity of reserved machines.
+type FreeCapacity<'a> = BTreeMap<&'a MachineId, Shape>;
 /// Tasks that borrow reserved machines, each with its job.
 type Borrowers<'a> = BTreeMap<&'a MachineId, Vec<(&'a JobId, u32, &'a Job)>>;
 
-/// Reservations as this leader has them.
+/// The leader's state of all reservations.
 pub(in crate::engine) struct ReservationState {
     entries: Reservations,
     rules: Rules,
     records: BTreeMap<String, ReserveRecord>,
-    /// By entry with machines: its own bit.
+    /// For each entry that has machines, the bit of its own work.
     bits: BTreeMap<String, u64>,
+    /// Boot times learned for each machine type.
     boots: Boots,
-    /// When we rented machines that have not reported yet.
+    /// Rented machines that have sent no heartbeat yet, with the time of the rental.
     booting: BTreeMap<MachineId, Time>,
-    /// Requests that were sent and not answered: by their names again.
+    /// Names of the rental requests that were sent and not answered. They are sent again under
+    /// the same names.
     sent: BTreeSet<String>,
     next_round: Time,
-    /// Why a record can't be written, as last logged.
+    /// For each entry whose record cannot be written, the reason that was logged last.
     write_errors: BTreeMap<String, String>,
 }
 
-/// What an operator's entries are checked against.
+/// The teams and limits that an operator's entries are validated against.
 pub(crate) fn reservation_limits<'a>(
     teams: &'a [umbersail_policy::TeamLimits],
     tuning: &Tuning,
@@ -65,13 +70,17 @@
 impl ReservationState {
     pub fn new(cfg: &EngineConfig) -> ReservationState {
         let tuning = &cfg.tuning;
-        // Checked before this process served anything.
+        // The entries were validated when the process started, so parsing does not fail here.
         let entries = Reservations::parse(
             &tuning.plan_entries,
             &reservation_limits(&cfg.teams, tuning),
         );
         let entries = entries.unwrap_or_else(|e| {
-            error!(key = e.key, reason = e.reason, "reservations are left out");
+            error!(
+                key = e.key,
+                reason = e.reason,
+                "ignoring all reservations: an entry is invalid"
+            );
             Reservations::default()
         });
         ReservationState {
@@ -106,7 +115,7 @@
         self.entries.is_empty() && self.records.is_empty()
     }
 
-    /// The bits of entries whose machines are held for such work.
+    /// The bits of the entries that reserve machines for the job's work.
     fn own_bits(&self, job: &Job) -> u64 {
         let spec = &job.spec;
         let covers = |name: &String| {
@@ -118,29 +127,30 @@
     }
 }
 
-/// The bit of those that borrow from the holder of this one.
+/// The bit for borrowers that belongs to the bit of an entry's own work.
 fn borrower_bit(own: u64) -> u64 {
     own << MAX_RESERVATIONS
 }
 
-/// Room on kept machines, as rental reckons with it.
+/// Free capacity of reserved machines, as used by the rental of further machines.
 pub(in crate::engine) struct ReservedCapacity<'a> {
     rooms: Vec<(&'a Machine, usize, Shape)>,
 }
 
 impl ReservedCapacity<'_> {
-    /// Of a job's tasks that run or wait, those that kept machines have or will take.
+    /// Assigns a job's waiting tasks to reserved machines. Returns how many of the `tasks`
+    /// (running and waiting) run on reserved machines or were assigned to them.
     pub fn assign(&mut self, engine: &Engine, job: &Job, tasks: u32) -> u32 {
-        let kept = |p: &&super::super::Placement| {
+        let on_reserved = |p: &&super::super::Placement| {
             let machine = engine.machines.get(&p.machine);
             machine.is_some_and(|m| m.reservations != 0)
         };
-        let there = job.live.values().filter(kept).count() as u32;
+        let running = job.live.values().filter(on_reserved).count() as u32;
         let own = engine.plans.reserve.own_bits(job);
         let mut waiting = tasks
             .saturating_sub(job.occupied() as u32)
             .min(job.startable());
-        let mut taken = 0;
+        let mut assigned = 0;
         if own != 0 {
             for (machine, _, room) in &mut self.rooms {
                 if waiting == 0 {
@@ -152,14 +162,14 @@
                 let slots = job.shape.slots_in(room).min(waiting);
                 room.add(&job.shape, -f64::from(slots));
                 waiting -= slots;
-                taken += slots;
+                assigned += slots;
             }
         }
-        (there + taken).min(tasks)
+        (running + assigned).min(tasks)
     }
 
-    /// Tasks of such a shape that machines kept for this class have room for beside
-    /// what was served.
+    /// How many tasks of a shape fit on the machines that are reserved for a class, in addition
+    /// to the tasks that were assigned.
     pub fn free_slots(&self, engine: &Engine, class: &str, shape: &Shape) -> u32 {
         let reserve = &engine.plans.reserve;
         let named = |name: &String| {
@@ -177,8 +187,8 @@
 }
 
 impl Engine {
-    /// Takes in what holders before us recorded of reservations. Machines that they
-    /// hold are known from here on, listed yet or not.
+    /// Restores the reservations that previous leaders recorded. Their machines are known from
+    /// now on, even if the cloud's list does not contain them yet.
     pub(in crate::engine) fn inherit_reservations(&mut self, now: Time) {
         for key in self.plans.store.names(KIND) {
             let name = key[KIND.len() + 1..].to_owned();
@@ -189,7 +199,10 @@
                 Ok(None) => {}
                 Err(e) => {
                     let reason = e.to_string();
-                    warn!(plan = key, reason, "recorded reservation set aside");
+                    warn!(
+                        plan = key,
+                        reason, "ignoring an unusable recorded reservation"
+                    );
                     self.plans.store.ignore(&key);
                 }
             }
@@ -210,7 +223,8 @@
         self.mark_reserved(now);
     }
 
-    /// A job has come: its own kept machines are open to it at once.
+    /// Called when a job was accepted: allows the job to use the machines that are reserved for
+    /// its work at once, without waiting for the next round.
     pub(in crate::engine) fn set_job_reservations(&mut self, id: &JobId) {
         if let Some(job) = self.jobs.get(id) {
             let own = self.plans.reserve.own_bits(job);
@@ -220,7 +234,7 @@
         }
     }
 
-    /// One round, at its time: see [`umbersail_reserve::plan`].
+    /// Runs one round of reservations when it is due: see [`umbersail_reserve::plan`].
     pub(in crate::engine) fn tick_reservations(&mut self, now: Time) {
         if self.plans.reserve.is_idle() || now < self.plans.reserve.next_round {
             return;
@@ -317,7 +331,7 @@
             boots: &reserve.boots,
             rules: &reserve.rules,
         };
-        // The token differs for every holder, so no name is used twice.
+        // The fencing token differs for every leader, so no request name is used twice.
         let mut new_request = || {
             *requests += 1;
             format!("{}-{}-{requests}", self.cfg.member, epoch(self.token))
@@ -325,6 +339,8 @@
         plan(&reserve.entries, records, &view, &mut new_request)
     }
 
+    /// State of a reserved machine: booting, available, lent to borrowers that stay, or not
+    /// available.
     fn standing(
         &self,
         now: Time,
@@ -332,10 +348,10 @@
         machine: &Machine,
         usage: &[Usage],
     ) -> Standing {
-        let Some(report) = machine.last_report else {
+        let Some(last_heartbeat) = machine.last_report else {
             return Standing::Coming;
         };
-        let silent = now - report > self.cfg.tuning.reserve_silent_after_s;
+        let silent = now - last_heartbeat > self.cfg.tuning.reserve_silent_after_s;
         let out =
             silent || (machine.reachability.is_unreachable() && !self.is_mostly_unreachable());
         if out || machine.quarantined || machine.notice_until.is_some() {
@@ -357,7 +373,7 @@
         }
     }
 
-    /// What teams use, if any has a guarantee.
+    /// The resources that each team uses; empty if no team has a guarantee.
     fn guarantees_in_use(&self) -> Vec<Usage> {
         match self.cfg.teams.iter().any(|t| t.has_guarantee()) {
             true => self.team_usage(&Shape::default()),
@@ -375,7 +391,7 @@
         }
     }
 
-    /// Whether the machine could have a task of the job if it were empty.
+    /// Whether a task of the job could run on the machine if the machine were empty.
     fn takes(&self, job: &Job, machine: &Machine) -> bool {
         machine.type_index.is_some_and(|index| {
             let t = &self.types[index];
@@ -386,7 +402,7 @@
         })
     }
 
-    /// Puts records where a successor finds them.
+    /// Puts the records of all reservations into the plan store, for the next leader.
     fn record_reservations(&mut self, now: Time) {
         let plans = &mut self.plans;
         for key in plans.store.names(KIND) {
@@ -406,7 +422,7 @@
                 Err(e) => {
                     let reason = e.to_string();
                     if write_errors.get(name) != Some(&reason) {
-                        warn!(entry = name, reason, "reservation can't be recorded");
+                        warn!(entry = name, reason, "cannot record a reservation");
                         write_errors.insert(name.clone(), reason);
                     }
                 }
@@ -414,14 +430,15 @@
         }
     }
 
-    /// Keeps held machines from others, and says for each waiting job whose it may use.
+    /// Sets which entries reserve each machine, and for each job the entries whose machines it
+    /// may use.
     fn mark_reserved(&mut self, now: Time) {
         let reserve = &self.plans.reserve;
-        let holders = reserve
+        let with_machines = reserve
             .records
             .iter()
             .filter(|(_, r)| r.machines().next().is_some());
-        let bits: BTreeMap<String, u64> = holders
+        let bits: BTreeMap<String, u64> = with_machines
             .take(MAX_RESERVATIONS)
             .enumerate()
             .map(|(index, (name, _))| (name.clone(), 1 << index))
@@ -429,15 +446,15 @@
         if bits.is_empty() && reserve.bits.is_empty() {
             return;
         }
-        let mut kept: BTreeMap<&str, u64> = BTreeMap::new();
+        let mut reserved: BTreeMap<&str, u64> = BTreeMap::new();
         for (name, bit) in &bits {
             for machine in reserve.records[name].machines() {
-                *kept.entry(machine).or_default() |= bit | borrower_bit(*bit);
+                *reserved.entry(machine).or_default() |= bit | borrower_bit(*bit);
             }
         }
         let mut changed = false;
         for (name, machine) in &mut self.machines {
-            let reservations = kept.get(&**name).copied().unwrap_or(0);
+            let reservations = reserved.get(&**name).copied().unwrap_or(0);
             changed |= std::mem::replace(&mut machine.reservations, reservations) != reservations;
         }
         self.plans.reserve.bits = bits;
@@ -450,18 +467,18 @@
         }
     }
 
-    /// For each job, in order, the kept machines that it may use.
+    /// For each job, in order, the bits of the entries whose machines the job may use.
     fn usable_reservations(&self, now: Time) -> Vec<u64> {
         let reserve = &self.plans.reserve;
         let usage = self.guarantees_in_use();
         let own: Vec<u64> = self.jobs.values().map(|j| reserve.own_bits(j)).collect();
-        // Of each holder: whether its own work waits for a place on its machines.
-        let mut wait = 0;
+        // The entries whose own work waits for free capacity on their machines.
+        let mut waiting = 0;
         for (job, own) in self.jobs.values().zip(&own) {
-            if *own & !wait != 0 && waits_for_room(job) {
-                let takes = |m: &&Machine| m.reservations & own != 0 && self.takes(job, m);
-                for machine in self.machines.values().filter(takes) {
-                    wait |= machine.reservations & own;
+            if *own & !waiting != 0 && waits_for_room(job) {
+                let suits = |m: &&Machine| m.reservations & own != 0 && self.takes(job, m);
+                for machine in self.machines.values().filter(suits) {
+                    waiting |= machine.reservations & own;
                 }
             }
         }
@@ -477,7 +494,8 @@
                         guaranteed: of_other,
                         ..borrower
                     };
-                    if own & bit == 0 && lends(terms, &borrower, wait & bit != 0, &reserve.rules) {
+                    if own & bit == 0 && lends(terms, &borrower, waiting & bit != 0, &reserve.rules)
+                    {
                         all |= borrower_bit(*bit);
                     }
                 }
@@ -487,14 +505,14 @@
         reservations
     }
 
-    /// Stops borrowers where the work that a machine is held for waits and finds no room
-    /// beside them. They count until a report shows them gone, and start elsewhere only
-    /// then (rules 3 and 4).
+    /// Stops borrowers on machines whose own work waits and has too little free capacity there.
+    /// A stopped task counts as running until a heartbeat shows that it has exited, and starts
+    /// elsewhere only then (rules 3 and 4).
     fn reclaim_lent_machines(&mut self, now: Time) {
         if self.plans.reserve.bits.is_empty() {
             return;
         }
-        let (rooms, lent) = self.reserved_room(now);
+        let (rooms, lent) = self.reclaimable_capacity(now);
         if lent.is_empty() {
             return;
         }
@@ -504,13 +522,16 @@
             self.reclaim_from_task(&id, task);
         }
         if tasks > 0 {
-            info!(tasks, "reserved machines are given back");
+            info!(
+                tasks,
+                "stopping borrowers: reserved machines are needed for their own work"
+            );
         }
     }
 
-    /// Room on reserved machines, and the borrowers there that give back.
-    fn reserved_room(&self, now: Time) -> (Rooms<'_>, Borrowers<'_>) {
-        let (mut rooms, mut lent) = (Rooms::new(), Borrowers::new());
+    /// Free capacity of reserved machines, and the borrowers there that can be stopped.
+    fn reclaimable_capacity(&self, now: Time) -> (FreeCapacity<'_>, Borrowers<'_>) {
+        let (mut rooms, mut lent) = (FreeCapacity::new(), Borrowers::new());
         let silent_after = self.silent_after();
         for (name, machine) in &self.machines {
             let Some(index) = machine.type_index else {
@@ -538,7 +559,7 @@
         (rooms, lent)
     }
 
-    /// Whether a job's tasks on a reserved machine are borrowers that can be called back.
+    /// Whether a job's tasks on a reserved machine are borrowers that can be stopped.
     fn gives_back(&self, now: Time, job: &Job, machine: &Machine) -> bool {
         let reserve = &self.plans.reserve;
         job.reservations & machine.reservations & OWN_BITS == 0
@@ -550,10 +571,11 @@
             })
     }
 
-    /// Whom waiting work of the reservations' own needs stopped: free room is filled first.
+    /// The borrowers that must stop so that waiting work of the reservations can start. Free
+    /// capacity is used first.
     fn borrowers_to_stop(
         &self,
-        mut rooms: Rooms<'_>,
+        mut rooms: FreeCapacity<'_>,
         mut lent: Borrowers<'_>,
     ) -> Vec<(JobId, u32)> {
         let mut stops: Vec<(JobId, u32)> = Vec::new();
@@ -568,7 +590,7 @@
         });
         for job in own {
             let mut wanted = job.startable();
-            let may = |name: &MachineId| {
+            let may_use = |name: &MachineId| {
                 let machine = &self.machines[name];
                 machine.reservations & job.reservations & OWN_BITS != 0 && self.takes(job, machine)
             };
@@ -577,7 +599,7 @@
                     if wanted == 0 {
                         break;
                     }
-                    if !may(name) {
+                    if !may_use(name) {
                         continue;
                     }
                     if with_borrowers && let Some(tasks) = lent.get_mut(*name) {
@@ -597,6 +619,7 @@
         stops
     }
 
+    /// Stops a borrower.
     fn reclaim_from_task(&mut self, id: &JobId, task: u32) {
         let Some(job) = self.jobs.get_mut(id) else {
             return;
@@ -606,7 +629,8 @@
             return;
         };
         if !placement.told() {
-            // Told to nobody: it can wait elsewhere at once.
+            // The launch was not sent to the worker, so the task can be placed elsewhere at
+            // once.
             self.return_task(id, task);
             return;
         }
@@ -614,7 +638,7 @@
             job = &**id,
             task,
             machine = &*placement.machine,
-            "gives a reserved machine back"
+            "stopping a borrower on a reserved machine"
         );
         placement.stop = Some(Stop {
             grace_s,
@@ -622,13 +646,13 @@
         });
     }
 
-    /// Room on kept machines; none if none is kept.
+    /// Free capacity of reserved machines; `None` if no machine is reserved.
     pub(in crate::engine) fn reserved_capacity(&self) -> Option<ReservedCapacity<'_>> {
         if self.plans.reserve.bits.is_empty() {
             return None;
         }
-        let kept = self.machines.values().filter(|m| m.reservations != 0);
-        let rooms = kept.filter_map(|machine| {
+        let reserved = self.machines.values().filter(|m| m.reservations != 0);
+        let rooms = reserved.filter_map(|machine| {
             let index = machine.type_index?;
             let gone = machine.delete_reason.is_some() || machine.notice_until.is_some();
             let room = Shape::of_type(&self.types[index]).plus(&machine.used, -1.0);
@@ -639,22 +663,24 @@
         })
     }
 
-    /// What it costs to put work there: kept machines are for their own work first, and
-    /// others go there only if they find nothing else.
-    pub(in crate::engine) fn reservation_cost(&self, place: u64, job: u64) -> f64 {
-        let prefer_s = self.cfg.tuning.reserve_placement_gain_s;
-        match (place != 0, place & job & OWN_BITS != 0) {
+    /// Placement cost that reservations add, from the `reservations` of the machine and of the
+    /// job. A reservation's own work prefers reserved machines; other jobs use them only if no
+    /// other machine is suitable.
+    pub(in crate::engine) fn reservation_cost(&self, machine: u64, job: u64) -> f64 {
+        let gain_s = self.cfg.tuning.reserve_placement_gain_s;
+        match (machine != 0, machine & job & OWN_BITS != 0) {
             (false, _) => 0.0,
-            (true, true) => -prefer_s,
-            (true, false) => prefer_s,
+            (true, true) => -gain_s,
+            (true, false) => gain_s,
         }
     }
 
-    /// Requests to be sent now: those whose record stands, so that a successor knows
-    /// their names. After one without an answer only that is asked again.
+    /// The rental requests to be sent now. A request is sent only after its record is written,
+    /// so that the next leader knows its name. While a sent request has no answer, only that
+    /// request is sent again.
     pub(in crate::engine) fn reservation_requests(&mut self) -> Vec<RentRequest> {
         let plans = &mut self.plans;
-        let mut named: Vec<(&str, RentRequest)> = Vec::new();
+        let mut due: Vec<(&str, RentRequest)> = Vec::new();
         for (entry, record) in &plans.reserve.records {
             if !plans.store.is_recorded(&format!("{KIND}/{entry}")) {
                 continue;
@@ -668,16 +694,16 @@
                         spot: batch.spot,
                         count: batch.count,
                     };
-                    named.push((entry, request));
+                    due.push((entry, request));
                 }
             }
         }
         let sent = &mut plans.reserve.sent;
-        sent.retain(|name| named.iter().any(|(_, r)| r.request == *name));
-        let again = sent.first().cloned();
-        named.retain(|(_, r)| again.as_ref().is_none_or(|name| r.request == *name));
-        named.truncate(self.cfg.tuning.reservation_requests_per_round as usize);
-        for (entry, request) in &named {
+        sent.retain(|name| due.iter().any(|(_, r)| r.request == *name));
+        let unanswered = sent.first().cloned();
+        due.retain(|(_, r)| unanswered.as_ref().is_none_or(|name| r.request == *name));
+        due.truncate(self.cfg.tuning.reservation_requests_per_round as usize);
+        for (entry, request) in &due {
             info!(
                 entry,
                 request = request.request,
@@ -685,15 +711,15 @@
                 zone = request.zone,
                 spot = request.spot,
                 count = request.count,
-                "rents for a reservation"
+                "renting machines for a reservation"
             );
             sent.insert(request.request.clone());
         }
-        named.into_iter().map(|(_, request)| request).collect()
+        due.into_iter().map(|(_, request)| request).collect()
     }
 
-    /// The cloud's answer to a request of ours: the machines, or none. False if it is
-    /// no reservation's.
+    /// Takes the cloud's answer to a rental request: the machines' names, or `None` if the
+    /// request was refused. Returns false if the request does not belong to a reservation.
     pub(in crate::engine) fn reservation_request_answered(
         &mut self,
         now: Time,
@@ -714,13 +740,13 @@
         true
     }
 
-    /// Whether a request without an answer is a reservation's: then its record brings it
-    /// up again.
+    /// Whether an unanswered request belongs to a reservation. Such a request is sent again
+    /// because the reservation's record names it.
     pub(in crate::engine) fn is_reservation_request(&self, request: &str) -> bool {
         self.plans.reserve.sent.contains(request)
     }
 
-    /// We rented these: how long they take to come up is learned.
+    /// Called when machines were rented, in order to learn their boot times.
     pub(in crate::engine) fn note_boots_started(&mut self, now: Time, names: &[String]) {
         let reserve = &mut self.plans.reserve;
         if reserve.entries.is_empty() || reserve.booting.len() >= MAX_AWAITED_BOOTS {
@@ -731,7 +757,7 @@
         }
     }
 
-    /// One of them came up, or was given up.
+    /// Called when a machine has booted or its boot was given up.
     pub(in crate::engine) fn note_boot_ended(&mut self, now: Time, name: &MachineId) {
         let reserve = &mut self.plans.reserve;
         let machine = self.machines.get(name).and_then(|m| m.type_index);
@@ -744,6 +770,7 @@
     }
 }
 
+/// Whether the machine certainly runs no task.
 fn is_empty(machine: &Machine) -> bool {
     machine.last_report.is_some()
         && machine.fenced
@@ -752,7 +779,7 @@
         && !machine.inherited
 }
 
-/// Whether it waits for machines rather than for its team's limit.
+/// Whether the job waits for machines rather than for its team's limit.
 fn waits_for_room(job: &Job) -> bool {
     job.startable() > 0 && job.blocked != BlockedReason::TeamLimit
 }
--- a/crates/umbersail-control/src/engine/plans/store.rs
+++ b/crates/umbersail-control/src/engine/plans/store.rs
@@ -1,10 +1,13 @@
-//! The records of plans as they should be and as the state service holds them.
+//! The records of plans: as they should be, and as the state service holds them.
 //!
-//! Every record is written on the condition of the leader's key and of its own version,
-//! like a part of the grant: a late write fails, and what a successor lists after its
-//! election is final. A record that does not exist has no version of its own, so one whose
-//! creation had no answer is not deleted under the same leader, or the late creation would
-//! find what it asks for: a tombstone takes its place, which the next leader deletes.
+//! Like a part of the grant, every record is written on condition that the leader's key and
+//! the record's own version are unchanged. A late write therefore fails, and the records that
+//! the next leader lists after its election are final.
+//!
+//! The creation of a record is conditional on version 0, because a record that does not exist
+//! has no version. If a creation got no answer, its request may still be executed later. The
+//! same leader must then not delete the record, because the late creation would find its
+//! condition fulfilled. It writes a tombstone instead, which the next leader deletes.
 
 use std::collections::BTreeMap;
 
@@ -16,68 +19,72 @@
 use super::Time;
 use crate::records::{PlanRecord, Record, plan_key};
 
-/// A recorded plan found by a new leader.
+/// A recorded plan that a new leader read from the state service.
 #[derive(Debug, Clone)]
 pub struct InheritedPlan {
-    /// Kind and name, without the prefix of all plans.
+    /// Kind and name of the plan, without the key prefix of all plans.
     pub name: String,
-    /// Version of its key.
+    /// Version of the record's key.
     pub version: u64,
-    /// The record, not yet looked into.
+    /// The record, not decoded yet.
     pub value: Value,
 }
 
-/// Why a plan can't be recorded.
+/// Why a plan cannot be recorded.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 pub enum PlanWriteError {
-    #[error("{0} plans are recorded already (plans.records): remove one or raise the bound")]
+    #[error("{0} plans are already recorded: remove one or raise the limit plans.records")]
     Full(usize),
-    #[error("its record takes {0} bytes, more than the state service's bound on a value")]
+    #[error("the record has {0} bytes, more than the state service's limit on a value")]
     TooLarge(usize),
-    #[error("its record can't be put into MessagePack: {0}")]
+    #[error("the plan cannot be encoded as MessagePack: {0}")]
     Unencodable(String),
 }
 
-/// Why a recorded plan can't be read.
+/// Why a recorded plan cannot be read.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 pub enum PlanReadError {
-    #[error("version {0} is not known to this build")]
+    #[error("this build does not support version {0} of the record")]
     Version(u32),
-    #[error("not a plan of this kind: {0}")]
+    #[error("the record is not a plan of this kind: {0}")]
     Malformed(String),
 }
 
+/// The desired and the recorded state of one plan.
 #[derive(Debug, Default)]
 struct Entry {
-    /// 0: it does not exist; absent: unknown, to be read before it is written.
+    /// Version of the record's key. 0: the key does not exist; absent: the version is unknown
+    /// and must be read before the next write.
     version: Option<u64>,
-    /// As it should stand; absent: removed.
+    /// The record as it should be; absent if it should be deleted.
     wanted: Option<PlanRecord>,
+    /// The record as the state service holds it.
     recorded: Option<PlanRecord>,
-    /// Since when the two differ.
+    /// The time since which `wanted` and `recorded` differ.
     due_since: Option<Time>,
-    /// Not a plan at all: left as it stands until somebody writes its name.
+    /// The record is unusable and stays unchanged until a plan of its name is put.
     ignored: bool,
-    /// A creation by us had no answer and may yet be carried out where no record stands.
+    /// This leader's creation of the record got no answer and may still be executed while no
+    /// record exists.
     creation_uncertain: bool,
 }
 
-/// A plan on its way to the state service.
+/// A plan that is part of a transaction without an answer yet.
 #[derive(Debug, Clone)]
 pub struct WrittenPlan {
     name: String,
     record: Option<PlanRecord>,
 }
 
-/// All plans by kind and name.
+/// All plans, by kind and name.
 pub struct PlanStore {
     entries: BTreeMap<String, Entry>,
     max_plans: usize,
     value_bytes: usize,
 }
 
-/// What a record's key, condition and frame take in a transaction.
-const FRAME_BYTES: usize = 300;
+/// Bytes that a record's key, condition and framing take in a transaction.
+const OVERHEAD_BYTES: usize = 300;
 
 impl PlanStore {
     pub fn new(max_plans: usize, value_bytes: usize) -> PlanStore {
@@ -88,14 +95,16 @@
         }
     }
 
-    /// Takes a record in; its name and the reason if it is none and is set aside.
+    /// Adds a record that a previous leader wrote. If it is not a plan's record, it is
+    /// ignored, and its name and the reason are returned.
     pub fn inherit(&mut self, found: InheritedPlan) -> Result<(), (String, String)> {
         let record = from_value::<PlanRecord>(&found.value);
         let entry = self.entries.entry(found.name.clone()).or_default();
         entry.version = Some(found.version);
         match record {
             Ok(record) if record.gone => {
-                // Its late creation fails under us: nothing needs to stand there.
+                // The uncertain creation was the previous leader's and now fails because the
+                // leader's key has changed, so the tombstone can be deleted.
                 entry.recorded = Some(record);
                 entry.due_since = Some(0.0);
                 Ok(())
@@ -112,7 +121,7 @@
         }
     }
 
-    /// Names of a kind's plans, those to be removed and those set aside left out.
+    /// Names of the plans of a kind, except those that are to be deleted or are ignored.
     pub fn names(&self, kind: &str) -> Vec<String> {
         let of_kind = |name: &str| name.strip_prefix(kind).is_some_and(|n| n.starts_with('/'));
         self.entries
@@ -122,10 +131,11 @@
             .collect()
     }
 
-    /// Reads a plan as it should stand; none if there is none.
+    /// Returns a plan as it should be recorded; `None` if there is no such plan.
     ///
     /// # Errors
-    /// If it is of another version, or not of this kind: it is then to be set aside.
+    /// If the record has another version or is not a plan of this kind. The caller should then
+    /// call [`PlanStore::ignore`].
     pub fn read<T: DeserializeOwned>(
         &self,
         name: &str,
@@ -142,7 +152,7 @@
             .map_err(|e| PlanReadError::Malformed(e.to_string()))
     }
 
-    /// Leaves a record as it stands; nobody is told of it any more.
+    /// Leaves a record unchanged in the state service and no longer lists or returns it.
     pub fn ignore(&mut self, name: &str) {
         if let Some(entry) = self.entries.get_mut(name) {
             entry.wanted = None;
@@ -151,10 +161,10 @@
         }
     }
 
-    /// The plan shall stand so. Equal to what stands already, it costs nothing.
+    /// Sets the plan that should be recorded. If it equals the record, nothing is written.
     ///
     /// # Errors
-    /// If it can't be recorded: then nothing has changed.
+    /// If the plan cannot be recorded. The store is then unchanged.
     pub fn put(
         &mut self,
         now: Time,
@@ -186,7 +196,7 @@
         Ok(())
     }
 
-    /// The plan shall be gone.
+    /// Requests the deletion of a plan's record.
     pub fn remove(&mut self, now: Time, name: &str) {
         if let Some(entry) = self.entries.get_mut(name)
             && !entry.ignored
@@ -197,8 +207,8 @@
         self.drop_if_removed(name);
     }
 
-    /// Whether the state service holds the plan just as it should stand: what a
-    /// successor is to know before we act is recorded.
+    /// Whether the state service holds the plan exactly as it should be. A caller that must
+    /// not act before a successor could read the plan waits for this.
     pub fn is_recorded(&self, name: &str) -> bool {
         self.entries
             .get(name)
@@ -206,21 +216,22 @@
     }
 
     fn drop_if_removed(&mut self, name: &str) {
-        let gone = |e: &Entry| {
+        let is_removed = |e: &Entry| {
             !e.ignored && e.wanted.is_none() && e.version == Some(0) && !e.creation_uncertain
         };
-        if self.entries.get(name).is_some_and(gone) {
+        if self.entries.get(name).is_some_and(is_removed) {
             self.entries.remove(name);
         }
     }
 
-    /// Whether something waits to be written, for longer than `patience_s`.
-    pub fn is_overdue(&self, now: Time, patience_s: f64) -> bool {
-        let late = |e: &Entry| e.due_since.is_some_and(|since| now - since > patience_s);
+    /// Whether any plan has waited to be written for longer than `max_wait_s`.
+    pub fn is_overdue(&self, now: Time, max_wait_s: f64) -> bool {
+        let late = |e: &Entry| e.due_since.is_some_and(|since| now - since > max_wait_s);
         self.entries.values().any(late)
     }
 
-    /// Adds what waits longest to a transaction, within `changes` and `bytes`.
+    /// Adds the plans that have waited longest to a transaction, at most `changes` plans and
+    /// `bytes` bytes.
     pub fn write(
         &self,
         txn: &mut Txn<Record>,
@@ -236,7 +247,7 @@
         due.sort_by(|a, b| a.0.total_cmp(&b.0).then(a.1.cmp(b.1)));
         let mut written = Vec::new();
         for (_, name, entry) in due.into_iter().take(changes) {
-            let size = FRAME_BYTES + entry.wanted.as_ref().map_or(0, |r| encode(r).len());
+            let size = OVERHEAD_BYTES + entry.wanted.as_ref().map_or(0, |r| encode(r).len());
             if size > bytes {
                 break;
             }
@@ -263,12 +274,12 @@
         written
     }
 
-    /// These stand now, with this version.
+    /// The transaction that wrote these plans was applied; `version` is their new version.
     pub fn mark_written(&mut self, now: Time, written: Vec<WrittenPlan>, version: u64) {
         for plan in written {
             if let Some(entry) = self.entries.get_mut(&plan.name) {
-                let stands = plan.record.is_some() || entry.creation_uncertain;
-                entry.version = Some(if stands { version } else { 0 });
+                let exists = plan.record.is_some() || entry.creation_uncertain;
+                entry.version = Some(if exists { version } else { 0 });
                 entry.recorded = plan.record;
                 entry.due_since = None;
                 entry.update_due(now);
@@ -277,7 +288,8 @@
         }
     }
 
-    /// They may stand or not: each is read before it is written again.
+    /// The transaction with these plans got no answer, so it may or may not have been applied:
+    /// each record is read before it is written again.
     pub fn mark_uncertain(&mut self, written: &[WrittenPlan]) {
         for plan in written {
             if let Some(entry) = self.entries.get_mut(&plan.name) {
@@ -287,20 +299,22 @@
         }
     }
 
-    /// A write found another version than we know: our own late one.
+    /// The version of a record is not the expected one, because an earlier write of this
+    /// leader was applied late: the version is read before the next write.
     pub fn mark_version_unknown(&mut self, name: &str) {
         if let Some(entry) = self.entries.get_mut(name) {
             entry.version = None;
         }
     }
 
-    /// Plans whose versions must be read before they are written.
+    /// Names of the plans whose versions must be read before they are written.
     pub fn unknown_versions(&self) -> Vec<String> {
-        let unread = self.entries.iter().filter(|(_, e)| e.version.is_none());
-        unread.map(|(name, _)| name.clone()).collect()
+        let unknown = self.entries.iter().filter(|(_, e)| e.version.is_none());
+        unknown.map(|(name, _)| name.clone()).collect()
     }
 
-    /// A fresh read: the record and its version, if it exists.
+    /// Takes the result of a new read: the record and its version, or `None` if the key does
+    /// not exist.
     pub fn set_stored(&mut self, now: Time, name: &str, found: Option<(Value, u64)>) {
         if let Some(entry) = self.entries.get_mut(name) {
             entry.version = Some(found.as_ref().map_or(0, |(_, version)| *version));
@@ -314,6 +328,7 @@
 }
 
 impl Entry {
+    /// Sets or clears the time since which a write is due.
     fn update_due(&mut self, now: Time) {
         if self.differs() {
             self.due_since.get_or_insert(now);
@@ -322,10 +337,12 @@
         }
     }
 
-    /// Whether what stands is not what should: also nothing where a tombstone is due.
+    /// Whether the record is not as it should be. This includes a missing tombstone: no record
+    /// exists, but a creation may still be executed.
     fn differs(&self) -> bool {
-        let bare = self.wanted.is_none() && self.creation_uncertain && self.version == Some(0);
-        self.wanted != self.recorded || bare
+        let lacks_tombstone =
+            self.wanted.is_none() && self.creation_uncertain && self.version == Some(0);
+        self.wanted != self.recorded || lacks_tombstone
     }
 
     fn is_tombstone(&self) -> bool {
