--- a/crates/umbersail-wire/src/cloud.rs
+++ b/crates/umbersail-wire/src/cloud.rs
@@ -1,35 +1,35 @@
 use serde::{Deserialize, Serialize};
 
-/// A type of machine.
+/// A machine type that the cloud offers.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct MachineType {
     /// Name of the type.
     pub name: String,
-    /// CPUs.
+    /// CPUs of a machine.
     #[serde(rename = "cores")]
     pub cpus: f64,
-    /// GPUs.
+    /// GPUs of a machine.
     #[serde(default)]
     pub gpus: f64,
-    /// Memory in GB.
+    /// Memory of a machine in GB.
     #[serde(rename = "mem_gb")]
     pub memory_gb: f64,
     /// Size of the image cache in GB.
     #[serde(default)]
     pub cache_gb: f64,
-    /// Download rate in GB/s.
+    /// Rate at which a machine fetches images, in GB/s.
     #[serde(rename = "pull_gb_per_s")]
     pub fetch_gb_per_s: f64,
-    /// Price of an ordinary machine per hour.
+    /// Price of an on-demand machine per hour.
     #[serde(rename = "rate")]
     pub price: f64,
-    /// Nominal price of a spot machine per hour, if there are any.
+    /// Nominal price of a spot machine per hour; absent if the type has no spot machines.
     #[serde(rename = "market_price", default)]
     pub spot_price: Option<f64>,
     /// Typical boot time in seconds.
     #[serde(rename = "startup_s")]
     pub boot_s: f64,
-    /// Zones that offer it.
+    /// Zones that offer the type.
     #[serde(rename = "fields")]
     pub zones: Vec<String>,
 }
@@ -37,7 +37,7 @@
 /// The machine types that can be rented.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize, Default)]
 pub struct Catalogue {
-    /// The types.
+    /// The machine types.
     #[serde(rename = "breeds")]
     pub types: Vec<MachineType>,
 }
@@ -45,13 +45,13 @@
 /// A request for machines.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RentRequest {
-    /// Identifies the request: repeating it rents nothing more.
+    /// Identifies the request: repeating the same name rents no further machines.
     #[serde(rename = "hire")]
     pub request: String,
     /// Name of the machine type.
     #[serde(rename = "breed")]
     pub machine_type: String,
-    /// The zone.
+    /// Zone of the machines.
     #[serde(rename = "field")]
     pub zone: String,
     /// Whether to rent spot machines.
@@ -62,7 +62,7 @@
     pub count: u32,
 }
 
-/// Names of machines: rented, or to be deleted.
+/// Names of machines: those that a request rented, or those that are to be deleted.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct MachineNames {
     /// Names of the machines.
@@ -74,35 +74,35 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum MachineState {
-    /// It boots.
+    /// The machine is booting.
     Booting,
-    /// It runs.
+    /// The machine is running.
     Running,
-    /// It has stopped on its own.
+    /// The machine has stopped without being deleted.
     Failed,
 }
 
 /// A rented machine.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct ListedMachine {
-    /// Its name.
+    /// Name of the machine.
     pub id: String,
-    /// Address of its worker, once known.
+    /// Address of the machine's worker; absent until the cloud knows the address.
     #[serde(rename = "endpoint", default)]
     pub addr: Option<String>,
-    /// Name of its type.
+    /// Name of the machine type.
     #[serde(rename = "breed")]
     pub machine_type: String,
-    /// Its zone.
+    /// Zone of the machine.
     #[serde(rename = "field")]
     pub zone: String,
-    /// Whether it is a spot machine.
+    /// Whether the machine is a spot instance.
     #[serde(rename = "borrowed", default)]
     pub spot: Option<bool>,
-    /// Its state.
+    /// State of the machine.
     #[serde(rename = "stage")]
     pub state: MachineState,
-    /// Seconds since it was requested.
+    /// Seconds since the machine was requested.
     pub age_s: f64,
 }
 
@@ -112,7 +112,7 @@
     /// The machines.
     #[serde(rename = "hobs")]
     pub machines: Vec<ListedMachine>,
-    /// Whether there are more.
+    /// Whether further machines follow on the next page.
     #[serde(default)]
     pub more: bool,
 }
--- a/crates/umbersail-wire/src/jobs.rs
+++ b/crates/umbersail-wire/src/jobs.rs
@@ -6,10 +6,10 @@
 
 use crate::decode;
 
-/// What a job's tasks are.
+/// How the tasks of a job run.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum JobKind {
-    /// Independent tasks, each runs to completion.
+    /// Job array: independent tasks, each of which runs to completion.
     #[serde(rename = "array")]
     Array,
     /// Replicas that run until the job is cancelled.
@@ -17,35 +17,35 @@
     Service,
 }
 
-/// Priority, lowest first.
+/// Priority tier of a job, lowest first.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Priority {
     /// The lowest priority.
     Low,
-    /// The usual priority.
+    /// The default priority.
     Normal,
-    /// Precedes normal jobs.
+    /// Goes before normal jobs.
     High,
     /// The highest priority.
     Production,
 }
 
-/// A job as its user submits it, and as its record keeps it.
+/// A job as the user submits it and as its record stores it.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct JobSpec {
     /// Name of the job.
     pub id: String,
-    /// Its class.
+    /// Class of the job; run times and load are learned for each class.
     #[serde(rename = "recipe")]
     pub class: String,
-    /// Its team.
+    /// Team that owns the job.
     #[serde(rename = "crew")]
     pub team: String,
-    /// Array or service.
+    /// Whether the job is an array or a service.
     #[serde(rename = "cut")]
     pub kind: JobKind,
-    /// Its priority.
+    /// Priority of the job.
     #[serde(rename = "urgency")]
     pub priority: Priority,
     /// Number of tasks.
@@ -60,72 +60,72 @@
     /// Memory of a task in GB.
     #[serde(rename = "mem_gb")]
     pub memory_gb: f64,
-    /// Name of its image.
+    /// Name of the container image.
     #[serde(rename = "kit")]
     pub image: String,
-    /// Size of its image in GB.
+    /// Size of the image in GB.
     #[serde(rename = "size_gb")]
     pub image_gb: f64,
-    /// Machine types that it may use; all if absent.
+    /// Machine types that the job may use; all if absent.
     #[serde(rename = "breeds", default, skip_serializing_if = "Option::is_none")]
     pub types: Option<Vec<String>>,
-    /// Zone that it must use.
+    /// Zone that the job must use; any zone if absent.
     #[serde(rename = "field", default, skip_serializing_if = "Option::is_none")]
     pub zone: Option<String>,
-    /// Whether all tasks must run in one zone.
+    /// Whether all tasks must run in the same zone.
     #[serde(rename = "together", default)]
     pub one_zone: Option<bool>,
-    /// Whether at most half of the tasks may run in one zone.
+    /// Whether at most half of the tasks may run in any one zone.
     #[serde(default)]
     pub spread: Option<bool>,
-    /// Whether it may run on spot machines.
+    /// Whether the job may run on spot machines.
     #[serde(rename = "borrowed", default)]
     pub spot: Option<bool>,
     /// The owner's estimate of a task's run time in seconds.
     #[serde(rename = "cook_s")]
     pub estimate_s: f64,
-    /// Seconds between checkpoints; absent or 0 if it saves none.
+    /// Seconds between checkpoints; absent or 0 if the job saves none.
     #[serde(rename = "stir_s", default)]
     pub checkpoint_s: Option<f64>,
     /// Seconds that saving a checkpoint takes.
     #[serde(rename = "bottle_s", default)]
     pub save_s: Option<f64>,
-    /// Deadline in seconds after its submission.
+    /// Deadline in seconds after the submission; absent if the job has none.
     #[serde(rename = "serve_s", default, skip_serializing_if = "Option::is_none")]
     pub deadline_s: Option<f64>,
 }
 
-/// Most tasks of one job.
+/// Maximum number of tasks of a job.
 pub const MAX_TASKS: u32 = 100_000;
-/// Longest name of a class, team, image, zone or machine type, in bytes.
+/// Maximum length in bytes of the name of a class, team, image, zone or machine type.
 const MAX_NAME_BYTES: usize = 200;
-/// Most machine types that a job may name.
+/// Maximum number of machine types that a job may name.
 const MAX_MACHINE_TYPES: usize = 64;
 
-/// What is wrong with a submission, whatever the machines and teams are.
+/// Why a submission is invalid, independently of the configured machines and teams.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Error)]
 pub enum InvalidJob {
-    /// An amount is negative, not a number or absurd.
+    /// An amount is negative, not a number or above 1e9.
     #[error("{0} is out of range")]
     OutOfRange(&'static str),
     /// A name is empty or too long.
     #[error("{0} must have 1 to {MAX_NAME_BYTES} bytes")]
     TextLength(&'static str),
-    /// The id is not of the protocol's form.
+    /// The id does not have the form that the protocol defines.
     #[error("id is not of the form req-000412")]
     Id,
-    /// There are no tasks or too many.
+    /// The job has no tasks or too many.
     #[error("a job has 1 to {MAX_TASKS} tasks")]
     TaskCount,
-    /// A task takes nothing.
+    /// A task requests neither CPUs nor GPUs nor memory.
     #[error("a task takes something of its machine")]
     NoResources,
-    /// Too many machine types, or names of them out of bounds.
+    /// The job names too many machine types, or one with an empty or too long name.
     #[error("machine types must be up to {MAX_MACHINE_TYPES} names")]
     MachineTypes,
 }
 
-/// True for ids of the protocol's form: `req-` and digits.
+/// Whether an id has the form that the protocol defines: `req-` and 1 to 20 digits.
 pub fn is_job_id(id: &str) -> bool {
     id.strip_prefix("req-").is_some_and(|digits| {
         !digits.is_empty() && digits.len() <= 20 && digits.bytes().all(|b| b.is_ascii_digit())
@@ -133,10 +133,11 @@
 }
 
 impl JobSpec {
-    /// Rejects values that no job may have, whatever the machines and teams are.
+    /// Rejects values that are invalid for any job, independently of the configured machines
+    /// and teams.
     ///
     /// # Errors
-    /// The first value that is out of bounds.
+    /// Returns the first value that is out of its bounds.
     pub fn check(&self) -> Result<(), InvalidJob> {
         let amount = |name: &'static str, value: f64, least: f64| {
             if value.is_finite() && value >= least && value <= 1e9 {
@@ -188,81 +189,81 @@
         Ok(())
     }
 
-    /// Work of the lowest priority that nobody expects by a certain time: where
-    /// something is scarce it leaves what there is to others.
+    /// Whether the job is best-effort: lowest priority and no deadline. Such a job yields
+    /// scarce resources to others.
     pub fn is_best_effort(&self) -> bool {
         self.priority == Priority::Low && self.deadline_s.is_none()
     }
 
-    /// GPUs of a task; 0 if absent.
+    /// GPUs of a task; 0 if the field is absent.
     pub fn gpus(&self) -> f64 {
         self.gpus.unwrap_or(0.0)
     }
 
-    /// Whether all tasks must run in one zone.
+    /// Whether all tasks must run in the same zone; false if the field is absent.
     pub fn one_zone(&self) -> bool {
         self.one_zone.unwrap_or(false)
     }
 
-    /// Whether at most half of the tasks may run in one zone.
+    /// Whether at most half of the tasks may run in any one zone; false if the field is absent.
     pub fn spread(&self) -> bool {
         self.spread.unwrap_or(false)
     }
 
-    /// Whether it may run on spot machines.
+    /// Whether the job may run on spot machines; false if the field is absent.
     pub fn spot(&self) -> bool {
         self.spot.unwrap_or(false)
     }
 
-    /// Seconds between checkpoints; 0 if there are none.
+    /// Seconds between checkpoints; 0 if the job saves none.
     pub fn checkpoint_s(&self) -> f64 {
         self.checkpoint_s.unwrap_or(0.0)
     }
 
-    /// Seconds that saving a checkpoint takes; 0 if absent.
+    /// Seconds that saving a checkpoint takes; 0 if the field is absent.
     pub fn save_s(&self) -> f64 {
         self.save_s.unwrap_or(0.0)
     }
 }
 
-/// Fields that every submission has, though records of jobs may do without them.
+/// Fields that every submission must have although a job's record may omit them.
 const SUBMITTED_FIELDS: [&str; 6] = [
     "gpus", "together", "spread", "borrowed", "stir_s", "bottle_s",
 ];
 
-/// The first field that a submission lacks and that a record need not have; what a record
-/// has to have is missed when it is decoded.
+/// The first field that a submission lacks although a record may omit it. The fields that a
+/// record needs too are checked when the submission is decoded.
 pub fn missing_field(submission: &[u8]) -> Option<&'static str> {
     let fields: BTreeMap<String, IgnoredAny> = decode(submission).ok()?;
     let is_missing = |field: &&&str| !fields.contains_key(**field);
     SUBMITTED_FIELDS.iter().find(is_missing).copied()
 }
 
-/// Why a submission is refused for good.
+/// The answer to a submission that is refused permanently.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Refusal {
-    /// Why it was refused, in one sentence.
+    /// The reason for the refusal, in one sentence.
     pub error: String,
 }
 
-/// Only the id of a submission, however broken the rest is.
+/// Only the id of a submission, readable even if other fields are invalid.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct JobIdOnly {
     /// Name of the job.
     pub id: String,
 }
 
-/// A job's state as its user sees it.
+/// State of a job as the user sees it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum JobStage {
-    /// No task runs.
+    /// No task of the job is running.
     Queued,
-    /// Tasks run.
+    /// At least one task is running.
     Running,
     /// All tasks are complete.
     Done,
-    /// It was cancelled.
+    /// The job was cancelled.
     Cancelled,
 }
 
@@ -271,7 +272,7 @@
 pub struct JobStatus {
     /// Name of the job.
     pub id: String,
-    /// Its state.
+    /// State of the job.
     #[serde(rename = "stage")]
     pub state: JobStage,
     /// Number of tasks that are done.
--- a/crates/umbersail-wire/src/lib.rs
+++ b/crates/umbersail-wire/src/lib.rs
@@ -1,8 +1,8 @@
-//! Every message of the protocol, with its names on the wire.
+//! Every message of the protocol, with the names that its fields have on the wire.
 //!
-//! The wire has names of its own for common things; they stand only here, as
-//! `serde` renames. Everything else in the project uses the field's standard
-//! terms. Clients written in Rust can use this package as it is.
+//! The protocol's names differ from the standard terms that the rest of the project uses.
+//! They appear only in this package, as `serde` renames. Clients written in Rust can use
+//! this package unchanged.
 #![deny(missing_docs)]
 #![warn(
     clippy::too_many_lines,
@@ -28,15 +28,15 @@
 pub use state::*;
 pub use workers::*;
 
-/// Paths of the service and of the systems that it uses.
+/// Paths of the scheduler's API and of the services that it uses.
 pub mod paths {
     /// Jobs.
     pub const JOBS: &str = "/v2/runs";
     /// Last part of the path that cancels a job.
     pub const CANCEL: &str = "abort";
-    /// Readiness of a node.
+    /// Readiness of a controller.
     pub const HEALTH: &str = "/ready";
-    /// Reports of workers.
+    /// Heartbeats of workers.
     pub const HEARTBEAT: &str = "/v1/report";
     /// Commands to a worker.
     pub const WORKER_COMMANDS: &str = "/orders";
@@ -44,7 +44,7 @@
     pub const MACHINE_TYPES: &str = "/catalog";
     /// Machines of the cloud.
     pub const MACHINES: &str = "/hosts";
-    /// Returns machines to the cloud.
+    /// Deletion of rented machines.
     pub const DELETE_MACHINES: &str = "/hosts/delete";
     /// Keys of the state service.
     pub const KEYS: &str = "/keys";
@@ -56,26 +56,28 @@
     pub const RENEW: &str = "renew";
     /// Watches of the state service.
     pub const WATCH: &str = "/follow";
-    /// Greetings between controllers.
+    /// Hello messages between controllers.
     pub const PEER_HELLO: &str = "/peer/hello";
-    /// A hello whose answer waits until its receiver does not lead any more.
+    /// A hello message that its receiver answers only once it is no longer the leader.
     pub const PEER_WATCH_LEADER: &str = "/peer/attend";
-    /// The leader asks to start tasks without a record while the state service is out.
+    /// The leader's request to start tasks without a record while the state service is
+    /// unavailable (degraded mode).
     pub const PEER_DEGRADED_MODE: &str = "/peer/open";
-    /// A worker's report, handed on by a node that it can reach.
+    /// A worker's heartbeat, relayed by a controller that the worker can reach.
     pub const PEER_HEARTBEAT: &str = "/peer/report";
-    /// A submission handed on by a node that can't have it recorded itself.
+    /// A submission, forwarded by a controller that cannot have the job recorded itself.
     pub const PEER_SUBMIT: &str = "/peer/runs";
-    /// A user's question on a job, and a cancellation, handed on by a node that the
-    /// state service alone refuses. Their body names the job.
+    /// A user's poll of a job, forwarded by a controller that the state service refuses
+    /// while it answers others. The body names the job.
     pub const PEER_POLL: &str = "/peer/poll";
-    /// A cancellation, forwarded like a poll.
+    /// A cancellation, forwarded in the same way as a poll.
     pub const PEER_CANCEL: &str = "/peer/abort";
-    /// What a controller knows of jobs, asked of all while the state service is out.
+    /// A question to every controller on what it knows of jobs, asked while the state service
+    /// is unavailable.
     pub const PEER_REPLICA_READ: &str = "/peer/word";
 }
 
-/// The bytes are not the message that was expected.
+/// Why bytes could not be decoded as the expected message.
 #[derive(Debug, Error)]
 pub enum DecodeError {
     /// The message is not a map.
@@ -86,38 +88,40 @@
     Invalid(#[from] rmp_serde::decode::Error),
 }
 
-/// A message as a MessagePack map keyed by text.
+/// Encodes a message as a MessagePack map with text keys.
 pub fn encode<T: Serialize>(message: &T) -> Vec<u8> {
-    // Every type here has text keys and no fallible serializer: an error is
-    // impossible, and an empty body is refused by every receiver.
+    // Every type of this package has text keys and no fallible serializer, so encoding
+    // cannot fail. Every receiver refuses an empty body.
     rmp_serde::to_vec_named(message).unwrap_or_default()
 }
 
-/// Reads a message; it must be a map, unknown fields are ignored.
+/// Decodes a message. The bytes must be a MessagePack map; unknown fields are ignored.
 ///
 /// # Errors
 /// If the bytes are not a MessagePack map, or a field is missing or invalid.
 pub fn decode<'a, T: Deserialize<'a>>(bytes: &'a [u8]) -> Result<T, DecodeError> {
     match bytes.first() {
-        // fixmap, map 16, map 32: a struct would also be read from a list.
+        // Markers of fixmap, map 16 and map 32. The check is needed because the decoder
+        // would also accept a list for a struct.
         Some(0x80..=0x8f | 0xde | 0xdf) => Ok(rmp_serde::from_slice(bytes)?),
         _ => Err(DecodeError::NotAMap),
     }
 }
 
-/// A record as data whose reader need not know its type: maps keyed by text.
+/// Converts a record to a generic value (maps with text keys) that can be stored without
+/// knowing its type.
 ///
 /// # Errors
-/// If the type can't be put into MessagePack, for instance a map without text keys.
+/// If the record cannot be represented in MessagePack, for instance a map without text keys.
 pub fn to_value<T: Serialize>(record: &T) -> Result<Value, DecodeError> {
     let bytes = encode(record);
     Ok(rmp_serde::from_slice(&bytes)?)
 }
 
-/// Reads a record of a known type; unknown fields are ignored.
+/// Converts a generic value to a record of a known type; unknown fields are ignored.
 ///
 /// # Errors
-/// If the data is of another shape.
+/// If the value does not have the form of the record.
 pub fn from_value<T: serde::de::DeserializeOwned>(value: &Value) -> Result<T, DecodeError> {
     decode(&encode(value))
 }
--- a/crates/umbersail-wire/src/peers.rs
+++ b/crates/umbersail-wire/src/peers.rs
@@ -2,7 +2,7 @@
 
 use crate::JobStatus;
 
-/// How far an unfinished job is.
+/// Progress of an unfinished job.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct JobProgress {
     /// Name of the job.
@@ -13,120 +13,129 @@
     pub running: u32,
 }
 
-/// A machine whose lease a delegate renewed in the leader's stead.
+/// A machine whose lease a delegate renewed on the leader's behalf.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RenewedMachine {
     /// Name of the machine.
     pub machine: String,
-    /// Milliseconds since the last reply to it.
+    /// Milliseconds since the delegate last answered a heartbeat of the machine.
     #[serde(rename = "ago_ms")]
     pub reply_ago_ms: u64,
 }
 
-/// What controllers tell each other about once a second, both ways.
+/// The message that controllers exchange about once a second, both as request and as
+/// answer.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Hello {
     /// Name of the sender.
     pub member: String,
-    /// Differs for each start of the process.
+    /// A number that differs for each start of the process.
     pub incarnation: u64,
-    /// Whether the state service answered it lately.
+    /// Whether the state service has recently answered the sender.
     pub state_reachable: bool,
-    /// Highest token that it knows, and who holds it.
+    /// Highest fencing token that the sender knows.
     pub token: u64,
-    /// Name of the leader that it knows.
+    /// Name of the leader that holds this token, if the sender knows the leader.
     pub leader: Option<String>,
-    /// The leader's word on the number of machines.
+    /// Number of machines, set by the leader only.
     #[serde(rename = "machines", default)]
     pub machine_count: usize,
-    /// The leader's word on unfinished jobs, for display by the others.
+    /// Progress of unfinished jobs, set by the leader only; followers show these counts to
+    /// users.
     #[serde(default)]
     pub progress: Vec<JobProgress>,
-    /// In an answer of the leader: for how long from its question on the other
-    /// may answer workers in the leader's stead.
+    /// In an answer of the leader: for how many milliseconds the receiver may answer
+    /// workers on the leader's behalf, counted from the moment when it sent its request.
     #[serde(rename = "keep_ms", default)]
     pub renewal_ms: Option<u64>,
-    /// With that: jobs that are over of which tasks may still be about. Workers are told
-    /// to stop those.
+    /// Sent with `renewal_ms`: ended jobs of which tasks may still be running. The receiver
+    /// tells workers to stop these tasks.
     #[serde(rename = "over", default)]
     pub ended_jobs: Vec<String>,
-    /// Jobs that it lately read or recorded to be cancelled.
+    /// Jobs that the sender has recently recorded as cancelled, or whose cancellation it has
+    /// recently read.
     #[serde(rename = "cancelled", default)]
     pub cancelled_jobs: Vec<String>,
-    /// How long the process has run.
+    /// Milliseconds since the process started.
     #[serde(rename = "up_ms", default)]
     pub uptime_ms: u64,
-    /// Machines whose leases it lately renewed in the leader's stead.
+    /// Machines whose leases the sender has recently renewed on the leader's behalf.
     #[serde(rename = "kept", default)]
     pub renewed: Vec<RenewedMachine>,
-    /// It leads and may have started tasks that no record tells of.
+    /// Whether the sender is the leader and may have started tasks without a record
+    /// (degraded mode).
     #[serde(rename = "open", default)]
     pub unrecorded_starts: bool,
-    /// The leader that it knows to have recorded all that it started.
+    /// Fencing token of the leader that, as far as the sender knows, has recorded every task
+    /// it started.
     #[serde(rename = "recorded", default)]
     pub recorded_token: Option<u64>,
-    /// It leads, and means to go on.
+    /// Whether the sender is the leader and intends to remain the leader.
     #[serde(rename = "leads", default)]
     pub is_leader: bool,
-    /// It leads and wants another to.
+    /// Whether the sender is the leader and wants to hand over leadership.
     #[serde(rename = "resigns", default)]
     pub is_resigning: bool,
-    /// The leader's word on who is to lead after it.
+    /// Name of the controller that is to succeed the leader, set by the leader only.
     #[serde(rename = "standby", default)]
     pub successor: Option<String>,
-    /// How late its timers fire on average.
+    /// Average delay of the sender's timers in milliseconds.
     #[serde(rename = "lag_ms", default)]
     pub timer_lag_ms: u64,
-    /// How long ago the state service last answered it.
+    /// Milliseconds since the state service last answered the sender.
     #[serde(rename = "state_ago_ms", default)]
     pub state_answer_ago_ms: Option<u64>,
 }
 
-/// A leader asks a peer to agree that it starts tasks without a record.
+/// The leader's request that a peer agrees to degraded mode: starting tasks without a
+/// record.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct DegradedModeRequest {
     /// Name of the leader.
     pub member: String,
-    /// The leader's token.
+    /// The leader's fencing token.
     pub token: u64,
 }
 
-/// The peer's answer.
+/// A peer's answer to a [`DegradedModeRequest`].
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct DegradedModeAnswer {
     /// Whether the peer agrees.
     pub agreed: bool,
-    /// Jobs that the peer lately read or recorded to be cancelled.
+    /// Jobs that the peer has recently recorded as cancelled, or whose cancellation it has
+    /// recently read.
     #[serde(rename = "cancelled", default)]
     pub cancelled_jobs: Vec<String>,
 }
 
-/// A controller that the state service does not answer asks every other what it knows
-/// of these jobs.
+/// A controller that gets no answer from the state service asks every other controller
+/// what that one knows of these jobs.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ReplicaReadRequest {
     /// Names of the jobs.
     pub ids: Vec<String>,
 }
 
-/// One replica's answer on a job.
+/// One controller's answer on one job.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ReplicaReadEntry {
-    /// How it has ended, if this controller has read or recorded that.
+    /// Final status of the job, if this controller has read or recorded that the job ended.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub ended: Option<JobStatus>,
-    /// How long ago at most the state service showed it unfinished, milliseconds.
+    /// Upper bound, in milliseconds, on the time since the state service showed the job as
+    /// unfinished.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub unfinished_ago_ms: Option<u64>,
 }
 
-/// The answer, in the order of the question.
+/// The answer to a [`ReplicaReadRequest`], in the order of its jobs.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ReplicaReadAnswer {
-    /// For how long this process remembers each end that it has told, milliseconds.
+    /// For how many milliseconds this process has kept the end of every job that it reported
+    /// to users.
     #[serde(rename = "remembers_ms")]
     pub retention_ms: u64,
-    /// What it knows of each job.
+    /// One entry for each job.
     #[serde(rename = "words")]
     pub jobs: Vec<ReplicaReadEntry>,
 }
--- a/crates/umbersail-wire/src/state.rs
+++ b/crates/umbersail-wire/src/state.rs
@@ -7,7 +7,7 @@
     pub key: String,
     /// Its value.
     pub value: V,
-    /// Version of the value.
+    /// Revision of the store at which the value was set.
     #[serde(rename = "stamp")]
     pub version: u64,
 }
@@ -18,7 +18,7 @@
     /// Keys with their values.
     #[serde(rename = "pairs")]
     pub items: Vec<KeyValue<V>>,
-    /// Whether there are more.
+    /// Whether further keys follow on the next page.
     #[serde(default)]
     pub more: bool,
     /// Revision of the store.
@@ -26,12 +26,12 @@
     pub revision: u64,
 }
 
-/// The key has this version; 0: it does not exist.
+/// A condition of a transaction: the key has this version.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Condition {
     /// The key.
     pub key: String,
-    /// Version that it must have; 0 if it must not exist.
+    /// Version that the key must have; 0 if the key must not exist.
     #[serde(rename = "stamp")]
     pub version: u64,
 }
@@ -59,7 +59,7 @@
     },
 }
 
-/// A transaction: all changes if all conditions hold, else none.
+/// A transaction: applies all changes if all conditions hold, and none otherwise.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Txn<V> {
     /// The conditions.
@@ -70,7 +70,7 @@
     pub changes: Vec<Change<V>>,
 }
 
-/// Answer to a transaction, and to a read of a key that does not exist.
+/// The answer to a transaction, and to a read of a key that does not exist.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TxnResult {
     /// Revision of the store.
@@ -91,12 +91,12 @@
 /// A granted lease.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LeaseGranted {
-    /// Its number.
+    /// Number of the lease.
     #[serde(rename = "tenancy")]
     pub lease: u64,
 }
 
-/// One change seen by a watch.
+/// One change of a watched key.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct WatchEvent<V> {
     /// The key that was set.
@@ -116,7 +116,7 @@
     /// The value that was set.
     #[serde(default = "none", skip_serializing_if = "Option::is_none")]
     pub value: Option<V>,
-    /// Version of the value.
+    /// Revision of the store at which the key changed.
     #[serde(rename = "stamp")]
     pub version: u64,
 }
@@ -131,7 +131,7 @@
     /// Revision of the store.
     #[serde(rename = "ledger_count")]
     pub revision: u64,
-    /// The changes in order.
+    /// The changes, oldest first.
     #[serde(rename = "log")]
     pub events: Vec<WatchEvent<V>>,
 }
--- a/crates/umbersail-wire/src/tests.rs
+++ b/crates/umbersail-wire/src/tests.rs
@@ -1,6 +1,6 @@
 use crate::*;
 
-/// The protocol's own example of a submission, as MessagePack.
+/// The example submission of the protocol's specification.
 #[derive(serde::Serialize)]
 struct Example<'a> {
     id: &'a str,
@@ -23,7 +23,7 @@
     stir_s: f64,
     bottle_s: f64,
     serve_s: Option<f64>,
-    unheard_of: (u8, u8),
+    unknown_field: (u8, u8),
 }
 
 fn example() -> Example<'static> {
@@ -48,12 +48,12 @@
         stir_s: 30.0,
         bottle_s: 4.0,
         serve_s: Some(900.0),
-        unheard_of: (1, 2),
+        unknown_field: (1, 2),
     }
 }
 
 #[test]
-fn a_submission_is_read_by_its_wire_names_and_unknown_fields_are_ignored() {
+fn submissions_are_decoded_by_wire_names_and_unknown_fields_are_ignored() {
     let job: JobSpec = decode(&encode(&example())).unwrap();
     assert_eq!(job.class, "train");
     assert_eq!(job.team, "vision");
@@ -69,26 +69,26 @@
 }
 
 #[test]
-fn broken_submissions_are_told_apart() {
+fn invalid_submissions_are_rejected() {
     let job: JobSpec = decode(&encode(&example())).unwrap();
-    let broken = |change: &dyn Fn(&mut JobSpec)| {
+    let is_invalid = |change: &dyn Fn(&mut JobSpec)| {
         let mut job = job.clone();
         change(&mut job);
         job.check().is_err()
     };
-    assert!(broken(&|j| j.tasks = 0));
-    assert!(broken(&|j| j.tasks = MAX_TASKS + 1));
-    assert!(broken(&|j| j.cpus = f64::NAN));
-    assert!(broken(&|j| j.cpus = -1.0));
-    assert!(broken(&|j| j.estimate_s = f64::INFINITY));
-    assert!(broken(&|j| j.id = "job-1".into()));
-    assert!(broken(&|j| j.id = "req-../x".into()));
-    let mut odd = example();
-    odd.cut = "swarm";
-    assert!(decode::<JobSpec>(&encode(&odd)).is_err());
-    let mut odd = example();
-    odd.urgency = "urgent";
-    assert!(decode::<JobSpec>(&encode(&odd)).is_err());
+    assert!(is_invalid(&|j| j.tasks = 0));
+    assert!(is_invalid(&|j| j.tasks = MAX_TASKS + 1));
+    assert!(is_invalid(&|j| j.cpus = f64::NAN));
+    assert!(is_invalid(&|j| j.cpus = -1.0));
+    assert!(is_invalid(&|j| j.estimate_s = f64::INFINITY));
+    assert!(is_invalid(&|j| j.id = "job-1".into()));
+    assert!(is_invalid(&|j| j.id = "req-../x".into()));
+    let mut invalid = example();
+    invalid.cut = "swarm";
+    assert!(decode::<JobSpec>(&encode(&invalid)).is_err());
+    let mut invalid = example();
+    invalid.urgency = "urgent";
+    assert!(decode::<JobSpec>(&encode(&invalid)).is_err());
     assert!(matches!(
         decode::<JobSpec>(&rmp_serde::to_vec(&example()).unwrap()),
         Err(DecodeError::NotAMap)
@@ -123,7 +123,7 @@
     }
     assert_eq!(decode::<HeartbeatReply>(&bytes).unwrap(), reply);
 
-    let report = Heartbeat {
+    let heartbeat = Heartbeat {
         machine: "host-000231".into(),
         addr: "10.1.0.232:9000".into(),
         machine_type: "g8".into(),
@@ -141,7 +141,7 @@
             saved: None,
         }],
     };
-    let bytes = encode(&report);
+    let bytes = encode(&heartbeat);
     for name in [
         "hob", "endpoint", "breed", "field", "shift", "tally", "portions", "exited", "cause",
     ] {
@@ -150,7 +150,7 @@
             "{name}"
         );
     }
-    assert_eq!(decode::<Heartbeat>(&bytes).unwrap(), report);
+    assert_eq!(decode::<Heartbeat>(&bytes).unwrap(), heartbeat);
 }
 
 #[test]
--- a/crates/umbersail-wire/src/workers.rs
+++ b/crates/umbersail-wire/src/workers.rs
@@ -3,19 +3,19 @@
 /// State of a task on a worker.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum TaskState {
-    /// It waits for its image.
+    /// The worker is fetching the task's image.
     #[serde(rename = "pulling")]
     Fetching,
-    /// Holds its place while the others of its gang come up.
+    /// The image is present; the task waits until the other tasks of its gang are ready.
     #[serde(rename = "waiting")]
     Waiting,
-    /// It runs.
+    /// The task is running.
     #[serde(rename = "running")]
     Running,
-    /// It saves its work before it stops.
+    /// The task is saving a checkpoint before it stops.
     #[serde(rename = "flushing")]
     Saving,
-    /// It has exited.
+    /// The task has exited.
     #[serde(rename = "exited")]
     Exited,
 }
@@ -23,16 +23,16 @@
 /// Why a task has exited.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ExitCause {
-    /// It has completed.
+    /// The task has completed.
     #[serde(rename = "done")]
     Done,
-    /// It was stopped by command.
+    /// The task was stopped by a command.
     #[serde(rename = "stopped")]
     Stopped,
-    /// It failed.
+    /// The task failed.
     #[serde(rename = "error")]
     Error,
-    /// Refused: the machine has no room for it.
+    /// Refused: the machine has too few free resources for the task.
     #[serde(rename = "no_room")]
     NoRoom,
     /// Refused: another attempt of the task is on the machine.
@@ -41,12 +41,12 @@
     /// Refused: there is no such job or task.
     #[serde(rename = "no_such")]
     Unknown,
-    /// A cause that this version does not know.
+    /// A cause that this version does not define.
     #[serde(other)]
     Other,
 }
 
-/// One task in a worker's report.
+/// One task in a worker's heartbeat.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct TaskReport {
     /// Name of the task.
@@ -55,18 +55,18 @@
     /// Number of the attempt.
     #[serde(rename = "try")]
     pub attempt: u64,
-    /// Its state.
+    /// State of the attempt.
     #[serde(rename = "stage")]
     pub state: TaskState,
-    /// Why it has exited.
+    /// Why the attempt has exited.
     #[serde(rename = "cause", default, skip_serializing_if = "Option::is_none")]
     pub cause: Option<ExitCause>,
-    /// Whether its progress was saved.
+    /// Whether a checkpoint was saved before the exit.
     #[serde(rename = "kept", default, skip_serializing_if = "Option::is_none")]
     pub saved: Option<bool>,
 }
 
-/// A worker's report.
+/// A worker's periodic message to the controllers.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Heartbeat {
     /// Name of the machine.
@@ -78,22 +78,22 @@
     /// Name of the machine type.
     #[serde(rename = "breed")]
     pub machine_type: String,
-    /// The zone.
+    /// Zone of the machine.
     #[serde(rename = "field")]
     pub zone: String,
-    /// Whether it is a spot machine.
+    /// Whether the machine is a spot instance.
     #[serde(rename = "borrowed", default)]
     pub spot: Option<bool>,
     /// Session of the worker; a new one begins when its lease expires.
     #[serde(rename = "shift")]
     pub session: u64,
-    /// Increases with every report.
+    /// Increases with every heartbeat of the session.
     #[serde(rename = "tally")]
     pub seq: u64,
-    /// Highest token that the worker has seen.
+    /// Highest fencing token that the worker has seen.
     #[serde(rename = "ladle", default)]
     pub token: u64,
-    /// Seconds until the cloud reclaims the machine, once that is announced.
+    /// Seconds until the cloud reclaims the machine, once the cloud has announced it.
     #[serde(rename = "recall_s", default)]
     pub notice_s: Option<f64>,
     /// The tasks on the machine.
@@ -102,7 +102,7 @@
 }
 
 impl Heartbeat {
-    /// The larger one is the newer report of a machine.
+    /// Of two heartbeats of a machine, the one with the larger key is the newer.
     pub fn ordering_key(&self) -> (u64, u64) {
         (self.session, self.seq)
     }
@@ -122,8 +122,9 @@
         #[serde(rename = "try")]
         attempt: u64,
         /// Addresses of workers that have the task's image or are fetching it, nearest
-        /// first: a worker that knows of it fetches from them, and from the store once
-        /// none of them gives. Empty: from the store.
+        /// first. A worker that supports peer-to-peer transfer fetches the image from
+        /// them, and from the image store if none of them serves it. If empty, the worker
+        /// fetches from the image store.
         #[serde(rename = "lenders", default, skip_serializing_if = "Vec::is_empty")]
         image_sources: Vec<String>,
     },
@@ -136,11 +137,11 @@
         /// Number of the attempt.
         #[serde(rename = "try")]
         attempt: u64,
-        /// Seconds that it has to save its work.
+        /// Seconds that the task has for saving a checkpoint.
         #[serde(rename = "cooldown_s")]
         grace_s: f64,
     },
-    /// Removes an exited task from the reports.
+    /// Tells the worker to omit an exited task from further heartbeats.
     #[serde(rename = "reap")]
     Forget {
         /// Name of the task.
@@ -153,45 +154,45 @@
 }
 
 impl Command {
-    /// Stops an attempt that a report shows, with `grace_s` seconds to save.
-    pub fn stop(shown: &TaskReport, grace_s: f64) -> Command {
+    /// Stops an attempt that a heartbeat lists, with `grace_s` seconds to save a checkpoint.
+    pub fn stop(listed: &TaskReport, grace_s: f64) -> Command {
         Command::Stop {
-            task: shown.task.clone(),
-            attempt: shown.attempt,
+            task: listed.task.clone(),
+            attempt: listed.attempt,
             grace_s,
         }
     }
 }
 
-/// The answer to a report.
+/// The answer to a heartbeat.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct HeartbeatReply {
-    /// The leader's token.
+    /// The leader's fencing token.
     #[serde(rename = "ladle")]
     pub token: u64,
-    /// Commands to carry out.
+    /// Commands that the worker is to execute.
     #[serde(rename = "orders")]
     pub commands: Vec<Command>,
 }
 
-/// Names the node to report to.
+/// Directs a worker to the controller that its heartbeats should go to.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Misdirected {
-    /// Address for later reports.
+    /// Name of that controller; absent if none is known.
     #[serde(rename = "foreman", default, skip_serializing_if = "Option::is_none")]
     pub heartbeat_to: Option<String>,
 }
 
-/// Commands sent straight to a worker.
+/// Commands that the leader sends to a worker without waiting for its next heartbeat.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct DirectCommands {
-    /// The leader's token.
+    /// The leader's fencing token.
     #[serde(rename = "ladle")]
     pub token: u64,
-    /// Session of the worker that the commands are meant for.
+    /// Session of the worker that the commands are addressed to.
     #[serde(rename = "shift")]
     pub session: u64,
-    /// Commands to carry out.
+    /// Commands that the worker is to execute.
     #[serde(rename = "orders")]
     pub commands: Vec<Command>,
 }
--- a/crates/umbersail-wire/tests/former_peers.rs
+++ b/crates/umbersail-wire/tests/former_peers.rs
@@ -1,10 +1,10 @@
-//! Messages between controllers stay readable between this build and the one before it,
-//! so that a rolling restart may mix them.
+//! Messages between controllers stay readable between this build and the previous one, so
+//! that a rolling restart can mix the two builds.
 
 use serde::{Deserialize, Serialize};
 use umbersail_wire::{Hello, RenewedMachine, ReplicaReadAnswer, ReplicaReadEntry, decode, encode};
 
-/// What the build before calls the fields of [`Hello`] that have other names here.
+/// [`Hello`] with the field names of the previous build, as far as they differ.
 #[derive(Debug, PartialEq, Serialize, Deserialize)]
 struct FormerHello {
     member: String,
@@ -22,7 +22,7 @@
     ago_ms: u64,
 }
 
-/// The answer about jobs as the build before has it.
+/// [`ReplicaReadAnswer`] with the field names of the previous build.
 #[derive(Debug, PartialEq, Serialize, Deserialize)]
 struct FormerAnswer {
     remembers_ms: u64,
@@ -66,16 +66,16 @@
 }
 
 #[test]
-fn a_greeting_is_read_by_the_build_before_and_read_from_it() {
-    // Guards against a delegate that loses its time to renew, or whose renewals are not
-    // counted, while builds are mixed.
+fn hello_messages_are_exchanged_with_the_previous_build() {
+    // Guards against renamed fields: while builds are mixed, a delegate would lose its
+    // permission to renew leases, or the leader would not count its renewals.
     assert_eq!(decode::<Hello>(&encode(&former_hello())).unwrap(), hello());
     let read = decode::<FormerHello>(&encode(&hello())).unwrap();
     assert_eq!(read, former_hello());
 }
 
 #[test]
-fn an_answer_about_jobs_is_read_by_the_build_before_and_read_from_it() {
+fn replica_read_answers_are_exchanged_with_the_previous_build() {
     let former = FormerAnswer {
         remembers_ms: 90_000,
         words: vec![FormerEntry {
--- a/crates/umbersail-wire/tests/golden_messages.rs
+++ b/crates/umbersail-wire/tests/golden_messages.rs
@@ -1,8 +1,8 @@
-//! Every message keeps its bytes: what this build writes is what the build in production
-//! writes, and what that one wrote is read as what it was.
+//! Every message keeps its bytes: this build encodes each message as the build in
+//! production does, and decodes the bytes of that build to the same message.
 //!
-//! `golden/messages.txt` holds the bytes as the build in production wrote them, a line for
-//! each message. A line changes only together with a plan for mixed builds.
+//! `golden/messages.txt` holds the bytes that the build in production wrote, one line for
+//! each message. A line may change only together with a plan for running mixed builds.
 
 use std::collections::BTreeMap;
 use std::fmt::Debug;
@@ -20,7 +20,8 @@
 
 const GOLDEN: &str = include_str!("golden/messages.txt");
 
-/// Compares messages with the lines of the golden file, and counts which were compared.
+/// Compares messages with the lines of the golden file and tracks the lines that have not
+/// been compared yet.
 struct Golden {
     lines: BTreeMap<&'static str, &'static str>,
     differing: Vec<String>,
@@ -161,19 +162,14 @@
         "status_cancelled",
         status(JobStage::Cancelled, Some(0), Some(0)),
     );
-    golden.check("report", report());
-    golden.check("report_reply", reply());
+    golden.check("report", heartbeat());
+    golden.check("report_reply", heartbeat_reply());
     golden.check("direct_commands", direct_commands());
-    for (name, report_to) in [
+    for (name, heartbeat_to) in [
         ("misdirected", Some("bothy-2".into())),
         ("misdirected_nowhere", None),
     ] {
-        golden.check(
-            name,
-            Misdirected {
-                heartbeat_to: report_to,
-            },
-        );
+        golden.check(name, Misdirected { heartbeat_to });
     }
     check_state(&mut golden);
     check_cloud(&mut golden);
@@ -181,7 +177,7 @@
     golden.finish();
 }
 
-fn report() -> Heartbeat {
+fn heartbeat() -> Heartbeat {
     Heartbeat {
         machine: "host-000231".into(),
         addr: "10.1.0.232:9000".into(),
@@ -207,7 +203,7 @@
     }
 }
 
-fn reply() -> HeartbeatReply {
+fn heartbeat_reply() -> HeartbeatReply {
     HeartbeatReply {
         token: 41,
         commands: commands(),
@@ -428,8 +424,8 @@
 
 #[test]
 fn paths_are_those_of_the_build_in_production() {
-    // Guards against a renamed constant that takes the path along: the other build would
-    // answer 404 for as long as both run.
+    // Guards against a path that changes together with the name of its constant: the other
+    // build would answer 404 for as long as both builds run.
     let known = [
         (paths::JOBS, "/v2/runs"),
         (paths::CANCEL, "abort"),
