--- a/crates/umbersail-kv/src/api.rs
+++ b/crates/umbersail-kv/src/api.rs
@@ -1,5 +1,5 @@
-//! The protocol's requests, read and answered without I/O: whoever serves them
-//! brings connections, limits and waiting.
+//! Parses and answers the protocol's requests without I/O. The caller provides connections,
+//! rate limits and waiting.
 
 use rmpv::Value;
 use umbersail_wire::{
@@ -11,7 +11,7 @@
 /// Status and body of an answer.
 pub type Reply = (u16, Vec<u8>);
 
-/// One request.
+/// One request to the store.
 #[derive(Debug, Clone, PartialEq)]
 pub enum KvRequest {
     /// Reads a key.
@@ -22,7 +22,7 @@
         prefix: String,
         /// Key after which the listing continues.
         from: Option<String>,
-        /// Largest number of items.
+        /// Maximum number of items.
         limit: usize,
     },
     /// Executes a transaction.
@@ -31,20 +31,20 @@
     Grant(LeaseRequest),
     /// Renews a lease.
     Renew(u64),
-    /// Ends a lease.
+    /// Ends a lease and deletes its keys.
     Revoke(u64),
-    /// Answered by [`watch_reply`], at once or later.
+    /// Waits for changes; answered by [`watch_reply`], at once or later.
     Watch {
         /// Prefix of the keys.
         prefix: String,
-        /// First revision of interest.
+        /// Revision after which changes are wanted.
         from: u64,
-        /// Seconds to wait for a change.
+        /// Longest time to wait for a change, in seconds.
         wait_s: f64,
     },
 }
 
-/// One parameter of a request's query.
+/// Value of one parameter of a request's query.
 pub fn query_parameter<'a>(target: &'a str, name: &str) -> Option<&'a str> {
     let (_, query) = target.split_once('?')?;
     let mut pairs = query.split('&').filter_map(|pair| pair.split_once('='));
@@ -52,16 +52,16 @@
 }
 
 impl KvRequest {
-    /// Reads a request; `target` is the path with its query.
+    /// Parses a request; `target` is the path with its query.
     ///
     /// # Errors
-    /// The status that refuses it: 400 malformed, 404 no such path.
+    /// The HTTP status to answer with: 400 for a malformed request, 404 for an unknown path.
     pub fn parse(method: &str, target: &str, body: &[u8]) -> Result<KvRequest, u16> {
         let path = target.split('?').next().unwrap_or("");
         let text = |name| query_parameter(target, name).map(str::to_owned);
-        let number = |name: &str, usual: u64| match query_parameter(target, name) {
+        let number = |name: &str, default: u64| match query_parameter(target, name) {
             Some(text) => text.parse::<u64>().map_err(|_| 400u16),
-            None => Ok(usual),
+            None => Ok(default),
         };
         match (method, path) {
             ("GET", paths::KEYS) => Ok(KvRequest::List {
@@ -93,7 +93,7 @@
         }
     }
 
-    /// Puts and deletes, which have a limit of their own.
+    /// Number of puts and deletes, which have a rate limit of their own.
     pub fn change_count(&self) -> usize {
         match self {
             KvRequest::Txn(txn) => txn.changes.len(),
@@ -101,7 +101,7 @@
         }
     }
 
-    /// Executes it; a watch gets what there is.
+    /// Executes the request; a watch is answered at once with the changes that exist.
     pub fn execute(&self, store: &mut KvStore, now: Time) -> Reply {
         let done = |outcome: Result<(), RequestError>| match outcome {
             Ok(()) => (200, Vec::new()),
@@ -120,7 +120,7 @@
             KvRequest::Txn(txn) => match store.txn(now, txn) {
                 Ok(Outcome::Applied { revision }) => (200, txn_result(revision, Vec::new())),
                 Ok(Outcome::Failed { keys }) => (409, txn_result(store.revision(), keys)),
-                // Not 404, which would say that there is no such path.
+                // Not 404: on this path it would mean that the path does not exist.
                 Err(RequestError::NoSuchLease) => (400, error_body("no such lease")),
                 Err(error) => error_reply(&error),
             },
@@ -135,14 +135,15 @@
     }
 }
 
-/// The answer to a watch, if it is due: something has changed, the time is over,
-/// or the changes are not kept any more (410).
-pub fn watch_reply(store: &KvStore, prefix: &str, from: u64, over: bool) -> Option<Reply> {
+/// The answer to a watch if it is due: a key has changed, the waiting time is over
+/// (`timed_out`), or the changes have been compacted (410).
+pub fn watch_reply(store: &KvStore, prefix: &str, from: u64, timed_out: bool) -> Option<Reply> {
     let (reply, due) = watch_state(store, prefix, from);
-    (due || over).then_some(reply)
+    (due || timed_out).then_some(reply)
 }
 
-/// The answer to a watch as things stand, and whether somebody waits for it.
+/// The answer to a watch in the store's current state, and whether it is due: there are
+/// changes or an error to report.
 fn watch_state(store: &KvStore, prefix: &str, from: u64) -> (Reply, bool) {
     match store.changes_since(prefix, from) {
         Err(error) => (error_reply(&error), true),
--- a/crates/umbersail-kv/src/lib.rs
+++ b/crates/umbersail-kv/src/lib.rs
@@ -1,20 +1,21 @@
-//! The state service without I/O and clock: keys with revisions, leases,
-//! transactions, changes for watches, and limits, by the published protocol.
+//! The key-value store of the state service, without I/O and clock: keys with revisions,
+//! leases, transactions, changes for watches, and limits, according to the published
+//! protocol.
 //!
-//! Time goes in as seconds on the service's own steady clock. What answers
-//! requests, keeps data on a disk or plays an outage stands elsewhere.
+//! The caller passes the time as seconds of the service's own monotonic clock. Serving
+//! requests, storing data on disk and simulating outages are not part of this package.
 //!
 //! ```
 //! use umbersail_kv::{KvStore, Limits, Outcome};
 //! use umbersail_wire::{Change, Condition, Txn};
 //!
-//! let mut ledger = KvStore::new(Limits::default());
+//! let mut store = KvStore::new(Limits::default());
 //! let txn = Txn {
 //!     conditions: vec![Condition { key: "a/b".into(), version: 0 }],
 //!     changes: vec![Change::Put { key: "a/b".into(), value: 7.into(), lease: None }],
 //! };
-//! assert_eq!(ledger.txn(0.0, &txn), Ok(Outcome::Applied { revision: 1 }));
-//! assert_eq!(ledger.txn(0.0, &txn), Ok(Outcome::Failed { keys: vec!["a/b".into()] }));
+//! assert_eq!(store.txn(0.0, &txn), Ok(Outcome::Applied { revision: 1 }));
+//! assert_eq!(store.txn(0.0, &txn), Ok(Outcome::Failed { keys: vec!["a/b".into()] }));
 //! ```
 #![deny(missing_docs)]
 #![warn(
@@ -38,23 +39,24 @@
 pub use limit::TokenBucket;
 pub use size::json_bytes;
 
-/// Seconds on the service's steady clock.
+/// Seconds of the service's monotonic clock.
 pub type Time = f64;
 
-/// Limits of the protocol; sizes in bytes of the JSON form.
+/// Limits of the protocol; sizes are bytes of the JSON form.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Limits {
-    /// Puts and deletes of one transaction; four times as many conditions.
+    /// Maximum number of puts and deletes of one transaction. Four times as many conditions
+    /// are allowed.
     pub txn_ops: usize,
-    /// Bytes of one transaction.
+    /// Maximum size of one transaction.
     pub txn_bytes: usize,
-    /// Bytes of one value.
+    /// Maximum size of one value.
     pub value_bytes: usize,
-    /// Items and bytes of one listing.
+    /// Maximum number of items of one listing.
     pub list_items: usize,
-    /// Bytes of one listing.
+    /// Maximum size of one listing.
     pub list_bytes: usize,
-    /// Changes that a watch may still ask for.
+    /// Number of changes that are kept for watches.
     pub kept_changes: usize,
 }
 
@@ -71,7 +73,7 @@
     }
 }
 
-/// Why a request can't be executed as it is.
+/// Why a request cannot be executed.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 pub enum RequestError {
     /// The request violates the protocol.
@@ -80,12 +82,12 @@
     /// The lease does not exist or has expired.
     #[error("no such lease")]
     NoSuchLease,
-    /// Changes from that revision on are not kept any more.
+    /// Changes after the requested revision are no longer kept.
     #[error("compacted: read the keys again")]
     Compacted,
 }
 
-/// What became of a transaction.
+/// The result of a transaction.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Outcome {
     /// All puts and deletes were applied.
@@ -93,9 +95,9 @@
         /// Revision of the store afterwards.
         revision: u64,
     },
-    /// These keys did not have the version that was asked for.
+    /// Conditions did not hold, and nothing was changed.
     Failed {
-        /// The keys.
+        /// The keys whose version was not the expected one.
         keys: Vec<String>,
     },
 }
@@ -114,7 +116,7 @@
     keys: BTreeSet<String>,
 }
 
-/// Keys, leases and the newest changes.
+/// Keys with their values, leases, and the newest changes.
 #[derive(Debug)]
 pub struct KvStore {
     limits: Limits,
@@ -123,7 +125,7 @@
     leases: BTreeMap<u64, Lease>,
     last_lease: u64,
     log: VecDeque<WatchEvent<Value>>,
-    /// The newest revision whose changes are not kept any more.
+    /// The newest revision whose changes are no longer kept.
     compacted: u64,
 }
 
@@ -150,7 +152,8 @@
         }
     }
 
-    /// Counts every transaction that changed something.
+    /// Revision of the store: increases with every transaction and lease expiry that changes a
+    /// key.
     pub fn revision(&self) -> u64 {
         self.revision
     }
@@ -165,7 +168,7 @@
         self.keys.is_empty()
     }
 
-    /// One key; `None` if it does not exist.
+    /// Returns a key with its value; `None` if it does not exist.
     pub fn get(&self, key: &str) -> Option<KeyValue<Value>> {
         let entry = self.keys.get(key)?;
         Some(KeyValue {
@@ -175,7 +178,8 @@
         })
     }
 
-    /// Keys with a prefix, in order, after `from`, as many as one answer holds.
+    /// Lists the keys with a prefix in order, starting after `from`: at most `limit` keys and
+    /// as many as fit into one answer.
     pub fn list(&self, prefix: &str, from: Option<&str>, limit: usize) -> KeyList<Value> {
         let limit = limit.clamp(1, self.limits.list_items);
         let start = match from {
@@ -206,11 +210,11 @@
         }
     }
 
-    /// Applies a transaction whole or not at all.
+    /// Applies a transaction completely or not at all.
     ///
     /// # Errors
-    /// `Malformed` if it is out of limits, `NoSuchLease` if a put names a lease
-    /// that has ended, whatever its conditions say.
+    /// `Malformed` if the transaction exceeds the limits; `NoSuchLease` if a put names a lease
+    /// that has ended, even if the conditions do not hold.
     pub fn txn(&mut self, now: Time, txn: &Txn<Value>) -> Result<Outcome, RequestError> {
         self.expire(now);
         self.check_txn(txn)?;
@@ -331,7 +335,7 @@
     /// Changes of keys with a prefix after a revision, oldest first.
     ///
     /// # Errors
-    /// `Compacted` if some of them may not be kept any more.
+    /// `Compacted` if some of these changes may no longer be kept.
     pub fn changes_since(
         &self,
         prefix: &str,
@@ -348,10 +352,10 @@
         Ok(self.log.range(start..).filter(named).cloned().collect())
     }
 
-    /// A lease for so many milliseconds.
+    /// Grants a lease of `ttl_ms` milliseconds and returns its number.
     ///
     /// # Errors
-    /// `Malformed` outside of 100 to 600,000.
+    /// `Malformed` if `ttl_ms` is not within 100 to 600,000.
     pub fn grant(&mut self, now: Time, ttl_ms: u64) -> Result<u64, RequestError> {
         if !(100..=600_000).contains(&ttl_ms) {
             return Err(RequestError::Malformed("ttl_ms is 100 to 600000"));
@@ -367,10 +371,10 @@
         Ok(self.last_lease)
     }
 
-    /// Its full time again.
+    /// Renews a lease: it expires after its full duration from now.
     ///
     /// # Errors
-    /// `NoSuchLease` once it has ended, also in the very instant of its end.
+    /// `NoSuchLease` if the lease has ended. A lease has ended at the exact time of its expiry.
     pub fn renew(&mut self, now: Time, lease: u64) -> Result<(), RequestError> {
         self.expire(now);
         let lease = self
@@ -381,10 +385,10 @@
         Ok(())
     }
 
-    /// Ends a lease, and with it the keys attached to it.
+    /// Ends a lease and deletes the keys attached to it.
     ///
     /// # Errors
-    /// `NoSuchLease` if it has ended before.
+    /// `NoSuchLease` if the lease has already ended.
     pub fn revoke(&mut self, now: Time, lease: u64) -> Result<(), RequestError> {
         self.expire(now);
         let lease = self
@@ -404,12 +408,12 @@
         }
     }
 
-    /// Ends the leases whose time is over; true if a key went with one.
+    /// Ends the leases that have expired. Returns whether a key was deleted with a lease.
     pub fn expire(&mut self, now: Time) -> bool {
-        let over = |(id, lease): (&u64, &Lease)| (lease.expires_at <= now).then_some(*id);
-        let ended: Vec<u64> = self.leases.iter().filter_map(over).collect();
+        let expired = |(id, lease): (&u64, &Lease)| (lease.expires_at <= now).then_some(*id);
+        let expired: Vec<u64> = self.leases.iter().filter_map(expired).collect();
         let before = self.revision;
-        for id in ended {
+        for id in expired {
             if let Some(lease) = self.leases.remove(&id) {
                 self.delete_keys(lease.keys);
             }
@@ -417,12 +421,12 @@
         self.revision != before
     }
 
-    /// When the next lease ends unless it is renewed.
+    /// When the next lease expires unless it is renewed.
     pub fn next_expiry(&self) -> Option<Time> {
         self.leases.values().map(|l| l.expires_at).reduce(f64::min)
     }
 
-    /// After an outage every lease has its full time again.
+    /// Restarts the duration of every lease, as the service does after an outage.
     pub fn restart_leases(&mut self, now: Time) {
         for lease in self.leases.values_mut() {
             lease.expires_at = now + lease.ttl_s;
--- a/crates/umbersail-kv/src/limit.rs
+++ b/crates/umbersail-kv/src/limit.rs
@@ -1,8 +1,8 @@
-//! Limits on requests a second, with a burst.
+//! Limits on the number of requests per second, with bursts.
 
 use crate::Time;
 
-/// A bucket that fills at a rate and holds a burst.
+/// A token bucket: filled at a constant rate, and its capacity is the largest burst.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct TokenBucket {
     rate: f64,
@@ -12,7 +12,8 @@
 }
 
 impl TokenBucket {
-    /// `rate` a second, with bursts of `burst_s` seconds' worth.
+    /// A full bucket with `rate` tokens per second, which holds the tokens of `burst_s`
+    /// seconds.
     pub fn new(rate: f64, burst_s: f64) -> TokenBucket {
         let capacity = (rate * burst_s).max(1.0);
         TokenBucket {
@@ -23,7 +24,7 @@
         }
     }
 
-    /// Takes so much if it is there.
+    /// Takes `amount` tokens; returns false and takes none if there are fewer.
     pub fn take(&mut self, now: Time, amount: f64) -> bool {
         self.tokens =
             (self.tokens + (now - self.refilled_at).max(0.0) * self.rate).min(self.capacity);
--- a/crates/umbersail-kv/src/size.rs
+++ b/crates/umbersail-kv/src/size.rs
@@ -1,7 +1,8 @@
-//! How long a value is in the protocol's JSON form.
+//! Size of a value in the protocol's JSON form.
 
 use rmpv::Value;
 
+/// Length in bytes of a text as a JSON string, with quotes and escapes.
 fn text_bytes(text: &str) -> usize {
     let extra = |c: char| match c {
         '"' | '\\' | '\n' | '\r' | '\t' | '\u{8}' | '\u{c}' => 1,
@@ -11,7 +12,7 @@
     text.len() + 2 + text.chars().map(extra).sum::<usize>()
 }
 
-/// Bytes of the value as JSON, without spaces.
+/// Length in bytes of a value as JSON without whitespace.
 pub fn json_bytes(value: &Value) -> usize {
     match value {
         Value::Nil => 4,
--- a/crates/umbersail-kv/src/tests.rs
+++ b/crates/umbersail-kv/src/tests.rs
@@ -1,5 +1,5 @@
-//! The store against hand-made histories and a naive model. Each test names
-//! the failure that it guards against.
+//! Tests of the store with fixed sequences of operations and with random ones. Each test
+//! names the failure that it guards against.
 
 use super::*;
 use proptest::prelude::*;
@@ -27,30 +27,30 @@
 }
 
 #[test]
-fn a_lease_takes_its_keys_along_and_a_put_without_one_detaches() {
-    // Guards against a leader's key that outlives its leader.
+fn an_ended_lease_deletes_its_keys_and_a_put_without_lease_detaches() {
+    // Guards against a leader's key that still exists after the leader's lease has ended.
     let mut store = KvStore::new(Limits::default());
     let lease = store.grant(0.0, 5000).unwrap();
-    let both = vec![put("leader", 1, Some(lease)), put("kept", 1, Some(lease))];
-    store.txn(0.0, &txn(&[], both)).unwrap();
+    let attached = vec![put("leader", 1, Some(lease)), put("kept", 1, Some(lease))];
+    store.txn(0.0, &txn(&[], attached)).unwrap();
     store
         .txn(1.0, &txn(&[], vec![put("kept", 2, None)]))
         .unwrap();
     store.renew(4.0, lease).unwrap();
     assert!(store.get("leader").is_some() && !store.expire(8.9));
-    // In the very instant of its end a renewal comes too late.
+    // A renewal at the exact time of the expiry is too late.
     assert_eq!(store.renew(9.0, lease), Err(RequestError::NoSuchLease));
     assert!(store.get("leader").is_none() && store.get("kept").is_some());
     let late = txn(&[], vec![put("leader", 3, Some(lease))]);
     assert_eq!(store.txn(9.0, &late), Err(RequestError::NoSuchLease));
-    let seen = store.changes_since("leader", 0).unwrap();
-    assert_eq!(seen.len(), 2);
-    assert_eq!(seen[1].delete.as_deref(), Some("leader"));
+    let changes = store.changes_since("leader", 0).unwrap();
+    assert_eq!(changes.len(), 2);
+    assert_eq!(changes[1].delete.as_deref(), Some("leader"));
 }
 
 #[test]
-fn an_outage_gives_every_lease_its_full_time_again() {
-    // Guards against a leader that is deposed because the service was away.
+fn every_lease_has_its_full_duration_after_an_outage() {
+    // Guards against a leader that loses its lease because the service was unavailable.
     let mut store = KvStore::new(Limits::default());
     let lease = store.grant(0.0, 3000).unwrap();
     store.restart_leases(100.0);
@@ -59,8 +59,8 @@
 }
 
 #[test]
-fn bounds_hold_to_the_byte() {
-    // Guards against records that the real service refuses and ours takes.
+fn size_limits_are_exact_to_the_byte() {
+    // Guards against records that this store accepts and the production service refuses.
     let mut store = KvStore::new(Limits::default());
     let text = |n: usize| Value::from("x".repeat(n - 2));
     let value = |n| Change::Put {
@@ -82,8 +82,8 @@
 }
 
 #[test]
-fn watches_are_told_of_what_is_kept_and_of_nothing_older() {
-    // Guards against a watcher that misses a change and never hears of it.
+fn watches_get_kept_changes_and_an_error_for_compacted_ones() {
+    // Guards against a watcher that misses a compacted change without an error.
     let limits = Limits {
         kept_changes: 5,
         ..Limits::default()
@@ -101,23 +101,23 @@
 }
 
 #[test]
-fn a_listing_goes_on_where_the_last_one_ended() {
-    // Guards against keys that are left out between two pages.
+fn a_listing_continues_where_the_previous_page_ended() {
+    // Guards against keys that are missing between two pages.
     let mut store = KvStore::new(Limits::default());
     for n in 0..25 {
         let key = format!("c/{n:02}");
         store.txn(0.0, &txn(&[], vec![put(&key, n, None)])).unwrap();
     }
-    let (mut seen, mut from) = (0, None::<String>);
+    let (mut listed, mut from) = (0, None::<String>);
     loop {
         let page = store.list("c/", from.as_deref(), 10);
-        seen += page.items.len();
+        listed += page.items.len();
         from = page.items.last().map(|i| i.key.clone());
         if !page.more {
             break;
         }
     }
-    assert_eq!(seen, 25);
+    assert_eq!(listed, 25);
 }
 
 proptest! {
@@ -128,10 +128,10 @@
         ..ProptestConfig::default()
     })]
 
-    /// Guards against versions that repeat or go back, and against changes that
-    /// a watch is not told of: the log replayed gives the keys.
+    /// Guards against versions that repeat or decrease, and against changes that are missing
+    /// from the log of watches: replaying the log must yield the keys of the store.
     #[test]
-    fn the_log_replayed_is_the_store(
+    fn replaying_the_log_yields_the_keys_of_the_store(
         ops in prop::collection::vec((0..4u8, 0..5u8, 0..3u64, 0.0..2.0f64), 1..60)
     ) {
         let mut store = KvStore::new(Limits::default());
@@ -145,8 +145,8 @@
                 1 => drop(store.txn(now, &txn(&[], vec![put(&key, version, leases.last().copied())]))),
                 2 => drop(store.txn(now, &txn(&[], vec![Change::Delete { key: key.clone() }]))),
                 _ => {
-                    let stands = store.get(&key).map_or(0, |k| k.version);
-                    let outcome = store.txn(now, &txn(&[(&key, stands)], vec![put(&key, 1, None)]));
+                    let current = store.get(&key).map_or(0, |k| k.version);
+                    let outcome = store.txn(now, &txn(&[(&key, current)], vec![put(&key, 1, None)]));
                     let expired = store.get(&key).is_none();
                     let applied = matches!(outcome, Ok(Outcome::Applied { .. }));
                     prop_assert!(applied || expired);
@@ -162,15 +162,15 @@
                 _ => {}
             }
         }
-        let stands = store.keys.iter().map(|(k, e)| (k.clone(), e.version)).collect();
-        prop_assert_eq!(replayed, stands);
+        let stored = store.keys.iter().map(|(k, e)| (k.clone(), e.version)).collect();
+        prop_assert_eq!(replayed, stored);
     }
 }
 
 #[test]
-fn requests_are_read_and_answered_by_the_protocol() {
-    // Guards against a stand-in, or a service, that answers what clients of the
-    // published protocol don't expect.
+fn requests_are_parsed_and_answered_as_the_protocol_defines() {
+    // Guards against a test double or a service whose answers clients of the published
+    // protocol do not expect.
     use crate::api::{KvRequest, query_parameter};
     use umbersail_wire::{KeyList, LeaseGranted, TxnResult, WatchResult, decode, encode};
     let mut store = KvStore::new(Limits::default());
@@ -212,12 +212,12 @@
         (404, 2)
     );
     let (status, body) = ask(1.0, "POST", "/multi", write(0, Some(lease)));
-    assert_eq!(status, 400, "a put with a lease that is over");
+    assert_eq!(status, 400, "a put with a lease that has ended");
     assert!(String::from_utf8_lossy(&body).contains("no such lease"));
     let (_, body) = ask(1.0, "GET", "/follow?under=c/&from=1", vec![]);
-    let seen = decode::<WatchResult<Value>>(&body).unwrap();
-    assert_eq!(seen.events[0].delete.as_deref(), Some("c/k"));
-    for (method, target, wanted) in [
+    let watched = decode::<WatchResult<Value>>(&body).unwrap();
+    assert_eq!(watched.events[0].delete.as_deref(), Some("c/k"));
+    for (method, target, expected) in [
         ("GET", "/keys?most=x", 400),
         ("POST", "/multi", 400),
         ("POST", "/holds/x/renew", 404),
@@ -225,7 +225,7 @@
     ] {
         assert_eq!(
             ask(1.0, method, target, b"\x01".to_vec()).0,
-            wanted,
+            expected,
             "{target}"
         );
     }
