--- a/crates/umbersail-control/src/engine/tokens.rs
+++ b/crates/umbersail-control/src/engine/tokens.rs
@@ -64,7 +64,7 @@
                 if job.live.get(task).is_some_and(unsent_launches) {
                     waits = true;
                     ready |= may_launch(job, *task, name, self.open)
-                        && !self.plans.images.waits(job.image, name);
+                        && !self.plans.images.is_queued(job.image, name);
                 }
             }
             if !waits {
@@ -77,7 +77,7 @@
             if !ready
                 || !machine.fenced
                 || machine.reachability.is_unreachable()
-                || due_in < self.cfg.tuning.increment_s
+                || due_in < self.cfg.tuning.heartbeat_request_after_s
                 || now - last < 0.0
                 || machine
                     .token_incremented_at
--- a/crates/umbersail-wire/tests/golden_messages.rs
+++ b/crates/umbersail-wire/tests/golden_messages.rs
@@ -1,8 +1,8 @@
-//! Every message keeps its bytes: what this build writes is what the build in production
-//! writes, and what that one wrote is read as what it was.
+//! Every message keeps its bytes: this build encodes each message as the build in
+//! production does, and decodes the bytes of that build to the same message.
 //!
-//! `golden/messages.txt` holds the bytes as the build in production wrote them, a line for
-//! each message. A line changes only together with a plan for mixed builds.
+//! `golden/messages.txt` holds the bytes that the build in production wrote, one line for
+//! each message. A line may change only together with a plan for running mixed builds.
 
 use std::collections::BTreeMap;
 use std::fmt::Debug;
@@ -11,16 +11,17 @@
 use serde::de::DeserializeOwned;
 use umbersail_wire::{
     Catalogue, Change, Command, Condition, DegradedModeAnswer, DegradedModeRequest, DirectCommands,
-    ExitCause, Hello, JobIdOnly, JobKind, JobProgress, JobSpec, JobStage, JobStatus, KeyList,
-    KeyValue, LeaseGranted, LeaseRequest, ListedMachine, MachineList, MachineNames, MachineState,
-    MachineType, Misdirected, Priority, Refusal, RenewedMachine, RentRequest, ReplicaReadAnswer,
-    ReplicaReadEntry, ReplicaReadRequest, Report, ReportReply, TaskReport, TaskState, Txn,
-    TxnResult, Value, WatchEvent, WatchResult, decode, encode, paths,
+    ExitCause, Heartbeat, HeartbeatReply, Hello, JobIdOnly, JobKind, JobProgress, JobSpec,
+    JobStage, JobStatus, KeyList, KeyValue, LeaseGranted, LeaseRequest, ListedMachine, MachineList,
+    MachineNames, MachineState, MachineType, Misdirected, Priority, Refusal, RenewedMachine,
+    RentRequest, ReplicaReadAnswer, ReplicaReadEntry, ReplicaReadRequest, TaskReport, TaskState,
+    Txn, TxnResult, Value, WatchEvent, WatchResult, decode, encode, paths,
 };
 
 const GOLDEN: &str = include_str!("golden/messages.txt");
 
-/// Compares messages with the lines of the golden file, and counts which were compared.
+/// Compares messages with the lines of the golden file and tracks the lines that have not
+/// been compared yet.
 struct Golden {
     lines: BTreeMap<&'static str, &'static str>,
     differing: Vec<String>,
@@ -115,12 +116,12 @@
         Command::Start {
             task: "req-000412/4".into(),
             attempt: 2,
-            holders: Vec::new(),
+            image_sources: Vec::new(),
         },
         Command::Start {
             task: "req-000412/5".into(),
             attempt: 3,
-            holders: vec!["10.1.0.7:9000".into()],
+            image_sources: vec!["10.1.0.7:9000".into()],
         },
         Command::Stop {
             task: "req-000377/1".into(),
@@ -161,14 +162,14 @@
         "status_cancelled",
         status(JobStage::Cancelled, Some(0), Some(0)),
     );
-    golden.check("report", report());
-    golden.check("report_reply", reply());
+    golden.check("report", heartbeat());
+    golden.check("report_reply", heartbeat_reply());
     golden.check("direct_commands", direct_commands());
-    for (name, report_to) in [
+    for (name, heartbeat_to) in [
         ("misdirected", Some("bothy-2".into())),
         ("misdirected_nowhere", None),
     ] {
-        golden.check(name, Misdirected { report_to });
+        golden.check(name, Misdirected { heartbeat_to });
     }
     check_state(&mut golden);
     check_cloud(&mut golden);
@@ -176,8 +177,8 @@
     golden.finish();
 }
 
-fn report() -> Report {
-    Report {
+fn heartbeat() -> Heartbeat {
+    Heartbeat {
         machine: "host-000231".into(),
         addr: "10.1.0.232:9000".into(),
         machine_type: "g8".into(),
@@ -202,8 +203,8 @@
     }
 }
 
-fn reply() -> ReportReply {
-    ReportReply {
+fn heartbeat_reply() -> HeartbeatReply {
+    HeartbeatReply {
         token: 41,
         commands: commands(),
     }
@@ -359,27 +360,27 @@
             state_reachable: true,
             token: 12,
             leader: Some("bothy-1".into()),
-            machines: 4000,
+            machine_count: 4000,
             progress: vec![JobProgress {
                 id: "req-1".into(),
                 done: 3,
                 running: 13,
             }],
             renewal_ms: Some(14_000),
-            over: vec!["req-2".into()],
-            cancelled: vec!["req-3".into()],
-            up_ms: 90_000,
+            ended_jobs: vec!["req-2".into()],
+            cancelled_jobs: vec!["req-3".into()],
+            uptime_ms: 90_000,
             renewed: vec![RenewedMachine {
                 machine: "host-3".into(),
-                ago_ms: 250,
+                reply_ago_ms: 250,
             }],
-            open: true,
-            recorded: Some(11),
-            leads: true,
-            resigns: false,
-            standby: Some("bothy-2".into()),
-            lag_ms: 12,
-            state_ago_ms: Some(40),
+            unrecorded_starts: true,
+            recorded_token: Some(11),
+            is_leader: true,
+            is_resigning: false,
+            successor: Some("bothy-2".into()),
+            timer_lag_ms: 12,
+            state_answer_ago_ms: Some(40),
         },
     );
     golden.check("hello_of_nobody", Hello::default());
@@ -394,7 +395,7 @@
         "degraded_mode_answer",
         DegradedModeAnswer {
             agreed: true,
-            cancelled: vec!["req-3".into()],
+            cancelled_jobs: vec!["req-3".into()],
         },
     );
     golden.check(
@@ -406,7 +407,7 @@
     golden.check(
         "replica_read_answer",
         ReplicaReadAnswer {
-            remembers_ms: 90_000,
+            retention_ms: 90_000,
             jobs: vec![
                 ReplicaReadEntry {
                     ended: Some(status(JobStage::Done, Some(16), None)),
@@ -423,13 +424,13 @@
 
 #[test]
 fn paths_are_those_of_the_build_in_production() {
-    // Guards against a renamed constant that takes the path along: the other build would
-    // answer 404 for as long as both run.
+    // Guards against a path that changes together with the name of its constant: the other
+    // build would answer 404 for as long as both builds run.
     let known = [
         (paths::JOBS, "/v2/runs"),
         (paths::CANCEL, "abort"),
         (paths::HEALTH, "/ready"),
-        (paths::REPORT, "/v1/report"),
+        (paths::HEARTBEAT, "/v1/report"),
         (paths::WORKER_COMMANDS, "/orders"),
         (paths::MACHINE_TYPES, "/catalog"),
         (paths::MACHINES, "/hosts"),
@@ -442,7 +443,7 @@
         (paths::PEER_HELLO, "/peer/hello"),
         (paths::PEER_WATCH_LEADER, "/peer/attend"),
         (paths::PEER_DEGRADED_MODE, "/peer/open"),
-        (paths::PEER_REPORT, "/peer/report"),
+        (paths::PEER_HEARTBEAT, "/peer/report"),
         (paths::PEER_SUBMIT, "/peer/runs"),
         (paths::PEER_POLL, "/peer/poll"),
         (paths::PEER_CANCEL, "/peer/abort"),
