--- a/crates/umbersail-control/src/engine/plans/images.rs
+++ b/crates/umbersail-control/src/engine/plans/images.rs
@@ -16,7 +16,7 @@
 
 use super::{Engine, Job, JobId, MachineId, Plans, Time};
 use crate::engine::Machine;
-use crate::engine::report::split_task;
+use crate::engine::heartbeats::split_task;
 
 /// Kind of the image records: the prefix of their names.
 const KIND: &str = "images";
@@ -160,7 +160,7 @@
         if self.plans.images.peer_to_peer {
             tasks.sort_by_key(|(id, task)| {
                 let job = self.jobs.get(id);
-                let attempt = job.and_then(|j| Some(j.live.get(task)?.attempt));
+                let attempt = job.and_then(|j| Some(j.placements.get(task)?.attempt));
                 (job.map(|j| tier(j.spec.priority)), attempt)
             });
         }
@@ -180,18 +180,18 @@
         task: u32,
     ) -> Option<Vec<String>> {
         let no_sources = Some(Vec::new());
-        let silent_after = self.silent_after();
+        let silent_after = self.silence_limit_s();
         let (Some(job), Some(known)) = (self.jobs.get(id), self.machines.get(machine)) else {
             return no_sources;
         };
-        let Some(attempt) = job.live.get(&task).map(|p| p.attempt) else {
+        let Some(attempt) = job.placements.get(&task).map(|p| p.attempt) else {
             return no_sources;
         };
         if known.images.contains(&job.image) {
             return no_sources;
         }
         let concurrent = known.image_uses.len();
-        let Some(request) = request_of(&self.types, job, known, attempt, concurrent) else {
+        let Some(request) = request_of(&self.machine_types, job, known, attempt, concurrent) else {
             return no_sources;
         };
         let machines = &self.machines;
@@ -199,7 +199,7 @@
         // expire.
         let usable = |m: &MachineId| {
             let holder = machines.get(m);
-            holder.is_some_and(|m| m.addr.is_some() && m.takes_tasks(now, silent_after))
+            holder.is_some_and(|m| m.addr.is_some() && m.accepts_tasks(now, silent_after))
         };
         let images = &mut self.plans.images;
         match images.cache_view.request(now, &request, usable) {
@@ -256,7 +256,9 @@
         let concurrent = fetches.len();
         let images = &mut self.plans.images;
         for (image, attempt, job) in fetches {
-            if let Some(request) = request_of(&self.types, job, machine, attempt, concurrent) {
+            if let Some(request) =
+                request_of(&self.machine_types, job, machine, attempt, concurrent)
+            {
                 images.cache_view.observe_fetching(now, &request);
                 if images.peer_to_peer
                     && images
@@ -285,7 +287,7 @@
         for image in evicted {
             images.cache_view.remove(image, name);
         }
-        if let Some(request) = request_of(&self.types, job, machine, 0, 1) {
+        if let Some(request) = request_of(&self.machine_types, job, machine, 0, 1) {
             images.cache_view.observe_cached(now, &request);
         }
     }
--- a/crates/umbersail-control/src/engine/plans/mod.rs
+++ b/crates/umbersail-control/src/engine/plans/mod.rs
@@ -37,7 +37,7 @@
 impl Plans {
     pub fn new(now: Time, unix_ms: u64, cfg: &EngineConfig) -> Plans {
         Plans {
-            store: PlanStore::new(cfg.tuning.max_plan_records as usize, cfg.value_bytes),
+            store: PlanStore::new(cfg.tuning.max_plan_records as usize, cfg.max_value_bytes),
             calendar: CalendarState::new(cfg),
             reserve: ReservationState::new(cfg),
             images: Images::new(now, &cfg.tuning),
--- a/crates/umbersail-control/src/leader/fencing.rs
+++ b/crates/umbersail-control/src/leader/fencing.rs
@@ -6,7 +6,7 @@
 use umbersail_runtime::{sleep, spawn};
 use umbersail_wire::{DirectCommands, Heartbeat, decode, encode, paths};
 
-use crate::engine::Fencing;
+use crate::engine::FencingCommand;
 use crate::node::Node;
 
 impl Node {
@@ -15,7 +15,7 @@
     pub(super) async fn run_fencing(self: Rc<Self>, token: u64) {
         loop {
             let now = self.clock.now();
-            let Some(targets) = self.with_engine(token, |e| e.fence_targets(now)) else {
+            let Some(targets) = self.with_engine(token, |e| e.fencing_commands(now)) else {
                 return;
             };
             let round_s = self.tuning.fence_interval_s;
@@ -27,7 +27,7 @@
         }
     }
 
-    pub(super) async fn bring_token(self: Rc<Self>, revision: u64, target: Fencing) {
+    pub(super) async fn bring_token(self: Rc<Self>, revision: u64, target: FencingCommand) {
         let body = encode(&DirectCommands {
             token: target.token,
             session: target.session.max(1),
@@ -42,7 +42,7 @@
             Ok((200 | 409, body)) => match decode::<Heartbeat>(&body) {
                 Ok(report) => {
                     let now = self.clock.now();
-                    self.with_engine(revision, |e| e.direct_report(now, &report));
+                    self.with_engine(revision, |e| e.receive_command_response(now, &report));
                     self.wake.notify();
                 }
                 Err(e) => warn!(machine, reason = %e, "malformed answer of a worker"),
