--- a/crates/umbersail-control/benches/scheduling_cycle.rs
+++ b/crates/umbersail-control/benches/scheduling_cycle.rs
@@ -9,7 +9,7 @@
 use umbersail_control::engine::{
     Engine, EngineConfig, Inheritance, InheritedJob, InheritedPart, TxnOutcome,
 };
-use umbersail_control::records::{GrantPart, GrantedMachine, JobRecord, Record, RunRecord};
+use umbersail_control::records::{GrantPart, GrantedMachine, JobProgressRecord, JobRecord, Record};
 use umbersail_policy::TeamLimits;
 use umbersail_tuning::Tuning;
 use umbersail_wire::{
@@ -202,7 +202,7 @@
         let changes = pending.map(|p| p.txn.changes).unwrap_or_default();
         let evictions = changes.iter().map(|change| match change {
             Change::Put {
-                value: Record::Run(run),
+                value: Record::JobProgress(run),
                 ..
             } => run.evictions,
             _ => 0,
@@ -378,10 +378,10 @@
                 record: record(spec(&format!("run-{job}"), Priority::High, 40, 2.0)),
                 version: 70,
                 run: Some((
-                    RunRecord {
-                        high: 40,
+                    JobProgressRecord {
+                        high_water: 40,
                         hosts: (10 * job..10 * job + 10).map(name).collect(),
-                        ..RunRecord::default()
+                        ..JobProgressRecord::default()
                     },
                     60,
                 )),
--- a/crates/umbersail-control/src/all_replica_read.rs
+++ b/crates/umbersail-control/src/all_replica_read.rs
@@ -15,7 +15,7 @@
 };
 
 use crate::node::Node;
-use crate::records::{Outcome, OverRecord};
+use crate::records::{EndedJobRecord, Outcome};
 use crate::settings::Peer;
 
 /// How long a poll waits for others to be asked about with it, in seconds.
@@ -28,7 +28,7 @@
 #[derive(Default)]
 struct ReadBatch {
     jobs: RefCell<BTreeSet<String>>,
-    outcomes: RefCell<BTreeMap<String, ReadOutcome<OverRecord>>>,
+    outcomes: RefCell<BTreeMap<String, ReadOutcome<EndedJobRecord>>>,
     over: Cell<bool>,
     done: Broadcast,
 }
@@ -42,7 +42,7 @@
 
 impl Node {
     /// Reads a job from all replicas (rule 6).
-    pub(crate) async fn all_replica_read(self: &Rc<Self>, id: &str) -> ReadOutcome<OverRecord> {
+    pub(crate) async fn all_replica_read(self: &Rc<Self>, id: &str) -> ReadOutcome<EndedJobRecord> {
         if !self.all_answer() {
             return ReadOutcome::Unknown;
         }
@@ -76,7 +76,7 @@
         let peers = self.peers.borrow();
         (self.settings.peers.iter()).all(|peer| {
             peers.get(&peer.member).is_some_and(|state| {
-                !state.silent && state.answered_at.is_some_and(|at| now - at < fresh_s)
+                !state.unresponsive && state.answered_at.is_some_and(|at| now - at < fresh_s)
             })
         })
     }
@@ -93,16 +93,16 @@
         let peers = self.settings.peers.iter();
         let answers = join_all(peers.map(|peer| self.read_one(peer, &jobs))).await;
         let ours = self.own_answers(&jobs);
-        let all: Option<Vec<Vec<ReplicaAnswer<OverRecord>>>> =
+        let all: Option<Vec<Vec<ReplicaAnswer<EndedJobRecord>>>> =
             answers.into_iter().chain([Some(ours)]).collect();
         if let Some(all) = all {
             let mut outcomes = round.outcomes.borrow_mut();
             for (index, id) in jobs.into_iter().enumerate() {
-                let answers: Vec<ReplicaAnswer<OverRecord>> =
+                let answers: Vec<ReplicaAnswer<EndedJobRecord>> =
                     all.iter().map(|answers| answers[index]).collect();
                 let outcome = read_outcome(&answers);
                 if let ReadOutcome::Ended(over) = outcome {
-                    self.remember_end(&id, over);
+                    self.cache_end(&id, over);
                 }
                 outcomes.insert(id, outcome);
             }
@@ -117,7 +117,7 @@
         &self,
         peer: &Peer,
         jobs: &[String],
-    ) -> Option<Vec<ReplicaAnswer<OverRecord>>> {
+    ) -> Option<Vec<ReplicaAnswer<EndedJobRecord>>> {
         let body = encode(&ReplicaReadRequest { ids: jobs.into() });
         let asked_at = self.clock.now();
         let wait_s = self.tuning.peer_timeout_s;
@@ -146,11 +146,11 @@
         Some(answer.jobs.into_iter().map(replica_answer).collect())
     }
 
-    fn own_answers(&self, jobs: &[String]) -> Vec<ReplicaAnswer<OverRecord>> {
-        let cache = self.cache.borrow();
+    fn own_answers(&self, jobs: &[String]) -> Vec<ReplicaAnswer<EndedJobRecord>> {
+        let cache = self.terminal_cache.borrow();
         let replica_answer = |id: &String| ReplicaAnswer {
             ended: cache.get(id),
-            unfinished_at: self.polls.unfinished_at(id),
+            unfinished_at: self.batched_polls.unfinished_at(id),
             remembers_from: cache.complete_from().max(self.started_at),
         };
         jobs.iter().map(replica_answer).collect()
@@ -165,7 +165,7 @@
         let ago_ms = |at: Time| ((now - at).max(0.0) * 1000.0) as u64;
         let answers = self.own_answers(&request.ids);
         let from = (answers.first()).map_or(now, |answer| answer.remembers_from);
-        let on = |(id, answer): (&String, &ReplicaAnswer<OverRecord>)| ReplicaReadEntry {
+        let on = |(id, answer): (&String, &ReplicaAnswer<EndedJobRecord>)| ReplicaReadEntry {
             ended: answer.ended.map(|over| JobStatus {
                 id: id.clone(),
                 state: stage_of(over),
@@ -183,20 +183,20 @@
     }
 }
 
-fn end_of(status: &JobStatus) -> Option<OverRecord> {
+fn end_of(status: &JobStatus) -> Option<EndedJobRecord> {
     let outcome = match status.state {
         JobStage::Done => Outcome::Done,
         JobStage::Cancelled => Outcome::Cancelled,
         _ => return None,
     };
-    Some(OverRecord {
+    Some(EndedJobRecord {
         outcome,
         done: status.done.unwrap_or(0),
     })
 }
 
 /// The stage that tells this end.
-pub(crate) fn stage_of(over: OverRecord) -> JobStage {
+pub(crate) fn stage_of(over: EndedJobRecord) -> JobStage {
     match over.outcome {
         Outcome::Done => JobStage::Done,
         Outcome::Cancelled => JobStage::Cancelled,
--- a/crates/umbersail-control/src/capacity.rs
+++ b/crates/umbersail-control/src/capacity.rs
@@ -10,7 +10,7 @@
 use crate::cloud::CloudClient;
 use crate::node::Node;
 use crate::settings::Settings;
-use crate::state::StateClient;
+use crate::state::KeyValueClient;
 
 /// Connections to the state service.
 const STATE_CONNECTIONS: usize = 48;
@@ -46,13 +46,13 @@
 /// Least requests a second to the cloud: without any nothing is ever listed.
 const MIN_CLOUD_RPS: f64 = 0.1;
 
-pub(crate) fn state_client(
+pub(crate) fn key_value_client(
     tuning: &Tuning,
     settings: &Settings,
     clock: Rc<dyn Clock>,
-) -> StateClient {
+) -> KeyValueClient {
     let limits = &settings.facts.state;
-    StateClient::new(
+    KeyValueClient::new(
         Client::new(ClientLimits {
             max_body_bytes: MAX_STATE_BODY_BYTES,
             max_per_address: STATE_CONNECTIONS,
@@ -126,7 +126,7 @@
 
 impl Node {
     /// The state service's limits hold for all nodes together.
-    pub(crate) fn share_limits(&self, leading: bool) {
+    pub(crate) fn apply_rate_limits(&self, leading: bool) {
         let facts = &self.settings.facts;
         let others = self.settings.peers.len().max(1) as f64;
         let share = |leader: f64| {
@@ -136,7 +136,7 @@
                 (1.0 - leader) / others
             }
         };
-        self.state.set_rates(
+        self.kv.set_rates(
             facts.state.rps * share(self.tuning.state_share_leader),
             facts.state.write_rps * share(self.tuning.write_share_leader),
             leading,
@@ -180,7 +180,7 @@
 
     /// Keeps a front connection for each worker, and some for those that come
     /// back by a new one before the old one is known to be gone.
-    pub(crate) fn keep_sockets_for(&self, machines: usize) {
+    pub(crate) fn reserve_sockets_for(&self, machines: usize) {
         self.reserved_sockets.set(machines + machines / 8 + 4);
     }
 }
--- a/crates/umbersail-control/src/cloud.rs
+++ b/crates/umbersail-control/src/cloud.rs
@@ -17,7 +17,7 @@
 
 /// What came of a rental request.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Rented {
+pub enum RentOutcome {
     Machines(Vec<String>),
     NoCapacity,
     /// Perhaps rented, now or later: the machines would show up in the list.
@@ -120,11 +120,11 @@
         }
     }
 
-    pub async fn rent(&self, request: &RentRequest) -> Rented {
+    pub async fn rent(&self, request: &RentRequest) -> RentOutcome {
         match self.call("POST", paths::MACHINES, &encode(request)).await {
             Some((200, body)) => match self.read::<MachineNames>("rental", &body) {
-                Some(names) => Rented::Machines(names.machines),
-                None => Rented::Unknown,
+                Some(names) => RentOutcome::Machines(names.machines),
+                None => RentOutcome::Unknown,
             },
             Some((503, body)) => {
                 // "no capacity" and "trouble" both mean: not now.
@@ -132,18 +132,18 @@
                     answer = &*String::from_utf8_lossy(&body),
                     "cloud refuses a rental"
                 );
-                Rented::NoCapacity
+                RentOutcome::NoCapacity
             }
-            Some((429, _)) => Rented::Unknown,
+            Some((429, _)) => RentOutcome::Unknown,
             Some((status, _)) => {
                 warn!(
                     status,
                     machine_type = request.machine_type,
                     "rental refused"
                 );
-                Rented::NoCapacity
+                RentOutcome::NoCapacity
             }
-            None => Rented::Unknown,
+            None => RentOutcome::Unknown,
         }
     }
 
--- a/crates/umbersail-control/src/degraded_mode.rs
+++ b/crates/umbersail-control/src/degraded_mode.rs
@@ -14,7 +14,7 @@
 use crate::node::{Node, Role};
 use crate::records::LEADER_KEY;
 use crate::settings::Peer;
-use crate::state::{StateError, Urgency};
+use crate::state::{KeyValueError, RequestPriority};
 
 /// How often a leader looks whether it should open or shut, and how long it
 /// waits after a peer has not agreed, seconds.
@@ -51,7 +51,7 @@
                 info!("starts without a record are over");
                 self.degraded_mode.borrow_mut().close();
                 self.with_engine(token, |e| e.set_degraded(false));
-                self.wake.notify();
+                self.scheduler_wakeup.notify();
             }
             let recorded = || self.with_engine(token, |e| e.unrecorded_jobs()) == Some(0);
             if state == DegradedMode::Draining && recorded() {
@@ -72,7 +72,7 @@
 
     fn state_is_out(&self, now: Time) -> bool {
         let after_s = self.tuning.degraded_mode_after_s;
-        (self.state.failing_since()).is_some_and(|at| now - at >= after_s)
+        (self.kv.failing_since()).is_some_and(|at| now - at >= after_s)
     }
 
     fn is_in_time(&self, now: Time) -> bool {
@@ -105,7 +105,7 @@
         }
         info!("starts without a record, with all peers' agreement: the state service is out");
         self.with_engine(token, |e| e.set_degraded(true));
-        self.wake.notify();
+        self.scheduler_wakeup.notify();
         true
     }
 
@@ -152,12 +152,12 @@
         let mut agreed = false;
         if is_leader(self) {
             let probe = self
-                .state
-                .get::<IgnoredAny>(LEADER_KEY, Urgency::Vital)
+                .kv
+                .get::<IgnoredAny>(LEADER_KEY, RequestPriority::Critical)
                 .await;
             let out = matches!(
                 probe,
-                Err(StateError::Unavailable(_) | StateError::NoAnswer(_))
+                Err(KeyValueError::Unavailable(_) | KeyValueError::NoAnswer(_))
             );
             if is_leader(self) {
                 let now = self.clock.now();
--- a/crates/umbersail-control/src/engine/grant.rs
+++ b/crates/umbersail-control/src/engine/grant.rs
@@ -12,7 +12,7 @@
 
 use super::write::TXN_BYTES;
 use super::{Engine, Machine, MachineId};
-use crate::records::{GrantPart, GrantedMachine, Record, part_key};
+use crate::records::{GrantPart, GrantedMachine, Record, grant_part_key};
 
 /// One part as it should be and as the state service holds it.
 #[derive(Debug, Default)]
@@ -136,7 +136,7 @@
                 break;
             }
             bytes += size;
-            let key = part_key(index as u32);
+            let key = grant_part_key(index as u32);
             txn.conditions.push(Condition {
                 key: key.clone(),
                 version,
--- a/crates/umbersail-control/src/engine/job.rs
+++ b/crates/umbersail-control/src/engine/job.rs
@@ -6,7 +6,7 @@
 use umbersail_wire::{JobKind, JobSpec, Priority, TaskState};
 
 use super::{MachineId, Time};
-use crate::records::RunRecord;
+use crate::records::JobProgressRecord;
 
 /// Why a job's waiting tasks were not placed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -140,7 +140,7 @@
         submitted: Time,
         team: Option<usize>,
         smallest_cpus: f64,
-        run: Option<(RunRecord, u64)>,
+        run: Option<(JobProgressRecord, u64)>,
     ) -> Job {
         let (run, run_version) = run.unwrap_or_default();
         let done = Bitmap::from_text(&run.done, spec.tasks).unwrap_or_else(|_| {
@@ -150,7 +150,7 @@
             );
             Bitmap::new(spec.tasks)
         });
-        let high = run.high.min(spec.tasks);
+        let high = run.high_water.min(spec.tasks);
         let hosts: BTreeSet<MachineId> = run.hosts.iter().map(|h| h.as_str().into()).collect();
         let mut job = Job {
             shape: Shape::of_task(&spec),
@@ -165,7 +165,7 @@
             recovery_pending: (0..high).filter(|t| !done.contains(*t)).collect(),
             inherited: hosts.clone(),
             anywhere: false,
-            extra: run.extra,
+            extra: run.orphaned_attempts,
             cancelled: false,
             ending: false,
             evictions: run.evictions,
--- a/crates/umbersail-control/src/engine/jobs.rs
+++ b/crates/umbersail-control/src/engine/jobs.rs
@@ -9,7 +9,7 @@
 
 use super::job::{Placement, Stop};
 use super::{ClassSample, Engine, Job, JobId, Time};
-use crate::records::{JobRecord, RunRecord};
+use crate::records::{JobProgressRecord, JobRecord};
 
 impl Engine {
     /// Completed and running tasks of a job. What an earlier holder started, by its record,
@@ -41,7 +41,7 @@
         unix_ms: u64,
         mut record: JobRecord,
         version: u64,
-        run: Option<(RunRecord, u64)>,
+        run: Option<(JobProgressRecord, u64)>,
     ) {
         self.plans.images.narrow(&mut record.spec, &self.types);
         let id: JobId = record.spec.id.as_str().into();
@@ -161,7 +161,7 @@
 
     /// Progress of a job that was over before we were elected: what it did not
     /// hold as completed may still run on the machines that it names.
-    pub(super) fn inherit_orphaned_attempts(&mut self, id: &str, run: RunRecord) {
+    pub(super) fn inherit_orphaned_attempts(&mut self, id: &str, run: JobProgressRecord) {
         let name: JobId = id.into();
         let teams = &self.cfg.teams;
         let known = |m: &&String| self.machines.contains_key(m.as_str());
@@ -172,7 +172,7 @@
                 gpus,
                 memory_gb,
             }),
-            attempts: run.high.saturating_sub(run.done_count) + run.extra,
+            attempts: run.high_water.saturating_sub(run.done_count) + run.orphaned_attempts,
             machines: (run.hosts.iter().filter(known))
                 .map(|m| (m.as_str().into(), None))
                 .collect(),
--- a/crates/umbersail-control/src/engine/mod.rs
+++ b/crates/umbersail-control/src/engine/mod.rs
@@ -41,7 +41,7 @@
 use umbersail_tuning::Tuning;
 use umbersail_wire::{MachineType, Priority, RentRequest};
 
-use crate::records::{JobRecord, RunRecord};
+use crate::records::{JobProgressRecord, JobRecord};
 use delegations::Delegation;
 pub use grant::InheritedPart;
 use grant::Part;
@@ -114,7 +114,7 @@
     /// Unfinished jobs.
     pub jobs: Vec<InheritedJob>,
     /// Jobs that are over whose progress still stands.
-    pub over: Vec<(String, RunRecord)>,
+    pub over: Vec<(String, JobProgressRecord)>,
     /// The predecessor's build kept no progress of jobs that were over: machines
     /// count by their whole size until they are accounted for (rule 4).
     pub whole_machines: bool,
@@ -134,7 +134,7 @@
     /// Version of the job's key.
     pub version: u64,
     /// Its progress with the version of that key, if any is recorded.
-    pub run: Option<(RunRecord, u64)>,
+    pub run: Option<(JobProgressRecord, u64)>,
 }
 
 #[derive(Debug, Clone, PartialEq)]
--- a/crates/umbersail-control/src/engine/plans/store.rs
+++ b/crates/umbersail-control/src/engine/plans/store.rs
@@ -94,7 +94,7 @@
         let entry = self.entries.entry(found.name.clone()).or_default();
         entry.version = Some(found.version);
         match record {
-            Ok(record) if record.gone => {
+            Ok(record) if record.is_tombstone => {
                 // Its late creation fails under us: nothing needs to stand there.
                 entry.recorded = Some(record);
                 entry.due_since = Some(0.0);
@@ -166,7 +166,7 @@
         let record = PlanRecord {
             version,
             plan,
-            gone: false,
+            is_tombstone: false,
         };
         let bytes = encode(&record).len();
         if bytes > self.value_bytes {
@@ -304,7 +304,7 @@
         if let Some(entry) = self.entries.get_mut(name) {
             entry.version = Some(found.as_ref().map_or(0, |(_, version)| *version));
             let record = found.and_then(|(value, _)| from_value::<PlanRecord>(&value).ok());
-            entry.recorded = record.filter(|r| !r.gone);
+            entry.recorded = record.filter(|r| !r.is_tombstone);
             entry.due_since = None;
             entry.note(now);
         }
--- a/crates/umbersail-control/src/engine/tests.rs
+++ b/crates/umbersail-control/src/engine/tests.rs
@@ -35,6 +35,6 @@
 
 use super::*;
 use crate::records::{
-    GRANT_PARTS, GrantPart, GrantedMachine, RECOVERY_PENDING_KEY, Record, job_key, run_key,
+    GRANT_PARTS, GrantPart, GrantedMachine, RECOVERY_PENDING_KEY, Record, job_key, progress_key,
 };
 use fixtures::*;
--- a/crates/umbersail-control/src/engine/tests/calendar.rs
+++ b/crates/umbersail-control/src/engine/tests/calendar.rs
@@ -26,7 +26,7 @@
 struct Place {
     file: String,
     jobs: BTreeMap<String, (JobSpec, u64)>,
-    runs: BTreeMap<String, RunRecord>,
+    runs: BTreeMap<String, JobProgressRecord>,
     plans: BTreeMap<String, (Value, u64)>,
     engine: Engine,
     workers: Vec<Worker>,
@@ -129,7 +129,7 @@
                 };
                 if let Some(id) = key.strip_prefix("jobs/") {
                     self.jobs.remove(id);
-                } else if let (Some(id), Some(Record::Run(run))) =
+                } else if let (Some(id), Some(Record::JobProgress(run))) =
                     (key.strip_prefix("runs/"), value)
                 {
                     self.runs.insert(id.into(), run.clone());
@@ -333,7 +333,7 @@
     let empty = PlanRecord {
         version: 1,
         plan: to_value(&bad).unwrap(),
-        gone: false,
+        is_tombstone: false,
     };
     for record in [
         to_value(&newer).unwrap(),
--- a/crates/umbersail-control/src/engine/tests/cycles.rs
+++ b/crates/umbersail-control/src/engine/tests/cycles.rs
@@ -721,7 +721,7 @@
     let pending = engine.next_txn(1.0, 20, 20).unwrap();
     let run = pending.txn.changes.iter().find_map(|c| match c {
         Change::Put {
-            value: Record::Run(run),
+            value: Record::JobProgress(run),
             ..
         } => Some(run.clone()),
         _ => None,
--- a/crates/umbersail-control/src/engine/tests/evictions.rs
+++ b/crates/umbersail-control/src/engine/tests/evictions.rs
@@ -26,11 +26,9 @@
     accept(&mut engine, 4.0, high);
     assert_eq!(stops(&worker.turn(&mut engine, 4.0)), 0, "not recorded yet");
     let changes = commit(&mut engine, 4.5);
-    assert!(
-        changes
-            .iter()
-            .any(|c| matches!(c, Change::Put { value: Record::Run(r), .. } if r.evictions == 1))
-    );
+    assert!(changes.iter().any(
+        |c| matches!(c, Change::Put { value: Record::JobProgress(r), .. } if r.evictions == 1)
+    ));
     assert_eq!(stops(&worker.turn(&mut engine, 5.0)), 1);
     worker.turn(&mut engine, 6.0);
     commit(&mut engine, 6.0);
--- a/crates/umbersail-control/src/engine/tests/failures.rs
+++ b/crates/umbersail-control/src/engine/tests/failures.rs
@@ -107,7 +107,7 @@
 fn a_successor_knows_a_mistaken_job_and_tries_one_task_of_it() {
     let mut run = inheritance_of(spec("req-1", 20, 0.1));
     let record = run.jobs[0].run.as_mut().unwrap();
-    (record.0.suspect, record.0.high, record.0.hosts) = (true, 0, vec![]);
+    (record.0.suspect, record.0.high_water, record.0.hosts) = (true, 0, vec![]);
     let mut engine = Engine::new(config(vec![team(0.0, 0.0)], Tuning::default()), 0.0, 0, run);
     let mut worker = ready_worker(&mut engine, "m1", "a");
     commit(&mut engine, 1.0);
@@ -125,7 +125,7 @@
     let changes = commit(&mut engine, 9.5);
     assert!(
         (changes.iter())
-            .any(|c| matches!(c, Change::Put { value: Record::Run(r), .. } if !r.suspect))
+            .any(|c| matches!(c, Change::Put { value: Record::JobProgress(r), .. } if !r.suspect))
     );
     assert_eq!(starts(&worker.turn(&mut engine, 10.0)).len(), 19);
 }
--- a/crates/umbersail-control/src/engine/tests/faults.rs
+++ b/crates/umbersail-control/src/engine/tests/faults.rs
@@ -19,9 +19,11 @@
 
 use super::*;
 use crate::delegate::Delegate;
-use crate::records::{GRANT_KEY, JOBS, JobRecord, LEADER_KEY, LeaderRecord, RUNS, over_key};
 use crate::records::{
-    GrantRecord, Outcome, OverRecord, RECOVERY_PENDING_KEY, RecoveryPendingRecord,
+    EndedJobRecord, GrantRecord, Outcome, RECOVERY_PENDING_KEY, RecoveryPendingRecord,
+};
+use crate::records::{
+    GRANT_KEY, JOB_PROGRESS, JOBS, JobRecord, LEADER_KEY, LeaderRecord, ended_job_key,
 };
 use umbersail_standby::{DegradedMode, DegradedModeRecord};
 
@@ -314,8 +316,8 @@
     }
 
     fn inheritance(&self, revision: u64) -> Inheritance {
-        let run = |id: &str| match self.keys.get(&run_key(id)) {
-            Some((Record::Run(run), version)) => Some((run.clone(), *version)),
+        let run = |id: &str| match self.keys.get(&progress_key(id)) {
+            Some((Record::JobProgress(run), version)) => Some((run.clone(), *version)),
             _ => None,
         };
         let jobs = self
@@ -335,7 +337,10 @@
             _ => None,
         };
         let known: Vec<InheritedJob> = jobs.collect();
-        let over = self.keys.keys().filter_map(|key| key.strip_prefix(RUNS));
+        let over = self
+            .keys
+            .keys()
+            .filter_map(|key| key.strip_prefix(JOB_PROGRESS));
         Inheritance {
             revision,
             leader_version: revision,
@@ -583,7 +588,7 @@
             return;
         };
         let id = job.spec.id;
-        let over = OverRecord {
+        let over = EndedJobRecord {
             outcome: Outcome::Cancelled,
             done: 0,
         };
@@ -595,8 +600,8 @@
             changes: vec![
                 Change::Delete { key: job_key(&id) },
                 Change::Put {
-                    key: over_key(&id),
-                    value: Record::Over(over),
+                    key: ended_job_key(&id),
+                    value: Record::EndedJob(over),
                     lease: None,
                 },
             ],
@@ -909,10 +914,13 @@
             let (jobs, parts) = engine.unknown_versions();
             for id in jobs {
                 let exists = self.store.version(&job_key(&id)) > 0;
-                engine.version_read(&id, exists, self.store.version(&run_key(&id)));
+                engine.version_read(&id, exists, self.store.version(&progress_key(&id)));
             }
             for part in parts {
-                engine.part_read(part, self.store.version(&crate::records::part_key(part)));
+                engine.part_read(
+                    part,
+                    self.store.version(&crate::records::grant_part_key(part)),
+                );
             }
         }
         for _ in 0..4 {
--- a/crates/umbersail-control/src/engine/tests/fixtures.rs
+++ b/crates/umbersail-control/src/engine/tests/fixtures.rs
@@ -220,10 +220,10 @@
 }
 
 pub(super) fn inheritance_of(job: JobSpec) -> Inheritance {
-    let run = RunRecord {
-        high: 2,
+    let run = JobProgressRecord {
+        high_water: 2,
         hosts: vec!["m1".into()],
-        ..RunRecord::default()
+        ..JobProgressRecord::default()
     };
     Inheritance {
         parts: vec![InheritedPart {
--- a/crates/umbersail-control/src/engine/tests/images.rs
+++ b/crates/umbersail-control/src/engine/tests/images.rs
@@ -179,8 +179,8 @@
                 Record::Job(job) => inheritance.jobs.push(InheritedJob {
                     record: job.clone(),
                     version: *version,
-                    run: match self.keys.get(&run_key(&job.spec.id)) {
-                        Some((Record::Run(run), version)) => Some((run.clone(), *version)),
+                    run: match self.keys.get(&progress_key(&job.spec.id)) {
+                        Some((Record::JobProgress(run), version)) => Some((run.clone(), *version)),
                         _ => None,
                     },
                 }),
@@ -382,7 +382,7 @@
     let plan = crate::records::PlanRecord {
         version: 1,
         plan: Value::from("nonsense"),
-        gone: false,
+        is_tombstone: false,
     };
     let inheritance = Inheritance {
         plans: vec![InheritedPlan {
--- a/crates/umbersail-control/src/engine/tests/late.rs
+++ b/crates/umbersail-control/src/engine/tests/late.rs
@@ -5,8 +5,9 @@
 
 use super::*;
 use crate::records::{
-    LEADER_KEY, LeaderRecord, LivenessRecord, Outcome, OverRecord, acceptance, cancellation,
-    catalogue, election, liveness, over_key, part_key, plan_key, suspicion,
+    EndedJobRecord, LEADER_KEY, LeaderRecord, LivenessRecord, Outcome, acceptance_txn,
+    cancellation_txn, catalogue_txn, election_txn, ended_job_key, grant_part_key, liveness_txn,
+    plan_key, suspicion_txn,
 };
 
 type Sent = umbersail_wire::Txn<Record>;
@@ -65,7 +66,7 @@
             incarnation: 1,
         };
         let (former, grant) = (self.version(LEADER_KEY), self.version("grants/fleet"));
-        election(leader, lease, former, (grant, false), predecessor_degraded)
+        election_txn(leader, lease, former, (grant, false), predecessor_degraded)
     }
 
     fn elect(&mut self, member: &str) -> Option<u64> {
@@ -95,11 +96,11 @@
             let (jobs, parts) = self.engine.unknown_versions();
             for id in jobs {
                 let exists = self.version(&job_key(&id)) > 0;
-                let version = self.version(&run_key(&id));
+                let version = self.version(&progress_key(&id));
                 self.engine.version_read(&id, exists, version);
             }
             for index in parts {
-                let version = self.version(&part_key(index));
+                let version = self.version(&grant_part_key(index));
                 self.engine.part_read(index, version);
             }
             for name in self.engine.unread_plans() {
@@ -121,7 +122,7 @@
 
     /// A job is accepted, and the leader hears of it.
     fn accept(&mut self, id: &str) -> Sent {
-        let txn = acceptance(record(spec(id, 2, 2.0)));
+        let txn = acceptance_txn(record(spec(id, 2, 2.0)));
         let version = self.apply(&txn).unwrap();
         self.engine
             .job_accepted(self.now, 0, record(spec(id, 2, 2.0)), version);
@@ -129,12 +130,12 @@
     }
 
     fn cancel(&mut self, id: &str) -> Sent {
-        let over = OverRecord {
+        let over = EndedJobRecord {
             outcome: Outcome::Cancelled,
             done: 0,
         };
         let version = self.version(&job_key(id));
-        let txn = cancellation(id, version, over);
+        let txn = cancellation_txn(id, version, over);
         self.apply(&txn).unwrap();
         txn
     }
@@ -187,10 +188,10 @@
     let mut scene = Scene::new();
     let mut worker = scene.worker("m1");
     scene.accept("req-000001");
-    let late = cancellation(
+    let late = cancellation_txn(
         "req-000001",
         scene.version(&job_key("req-000001")),
-        OverRecord {
+        EndedJobRecord {
             outcome: Outcome::Cancelled,
             done: 0,
         },
@@ -198,7 +199,10 @@
     scene.settle();
     scene.run_out(&mut worker);
     scene.settle();
-    assert!(scene.version(&over_key("req-000001")) > 0, "it is done");
+    assert!(
+        scene.version(&ended_job_key("req-000001")) > 0,
+        "it is done"
+    );
     scene.fails_late(&late);
     scene.accept("req-000002");
     let told = scene.cancel("req-000002");
@@ -213,16 +217,20 @@
     let mut worker = scene.worker("m1");
     scene.accept("req-000001");
     let first = scene.unanswered();
-    assert!(first.changes.len() == 1 && scene.version(&run_key("req-000001")) == 0);
+    assert!(first.changes.len() == 1 && scene.version(&progress_key("req-000001")) == 0);
     scene.settle();
     assert!(
-        scene.version(&run_key("req-000001")) > 0,
+        scene.version(&progress_key("req-000001")) > 0,
         "the retry stands"
     );
     scene.fails_late(&first);
     scene.run_out(&mut worker);
     scene.settle();
-    assert_eq!(scene.version(&run_key("req-000001")), 0, "over and removed");
+    assert_eq!(
+        scene.version(&progress_key("req-000001")),
+        0,
+        "over and removed"
+    );
     scene.fails_late(&first);
 }
 
@@ -256,7 +264,7 @@
     (scene.engine).txn_done(now, pending, TxnOutcome::Applied { revision });
     let removal = scene.unanswered();
     assert!(removal.changes.contains(&Change::Delete {
-        key: run_key("req-000001")
+        key: progress_key("req-000001")
     }));
     scene.elect("bothy-1").unwrap();
     scene.fails_late(&removal);
@@ -276,7 +284,7 @@
     let now = scene.now;
     (scene.engine).txn_done(now, pending, TxnOutcome::Unknown);
     scene.settle();
-    assert_eq!(scene.version(&run_key("req-000001")), 0);
+    assert_eq!(scene.version(&progress_key("req-000001")), 0);
 }
 
 #[test]
@@ -399,8 +407,8 @@
     // `unsettled` removed by one that does not know what happened since.
     let mut scene = Scene::new();
     let token = scene.version(LEADER_KEY);
-    let old = catalogue(token, 0, vec![]);
-    let new = catalogue(token, 0, vec![machine_type()]);
+    let old = catalogue_txn(token, 0, vec![]);
+    let new = catalogue_txn(token, 0, vec![machine_type()]);
     scene.apply(&new).unwrap();
     scene.fails_late(&old);
     let open = scene.election("bothy-1", true);
@@ -427,10 +435,10 @@
     scene.apply(&again).unwrap();
     assert!(scene.version(RECOVERY_PENDING_KEY) > 0);
     scene.fails_late(&settled);
-    scene.fails_late(&suspicion("bothy-0", second));
-    scene.fails_late(&liveness(LivenessRecord {
+    scene.fails_late(&suspicion_txn("bothy-0", second));
+    scene.fails_late(&liveness_txn(LivenessRecord {
         token: second,
-        open: false,
-        answers: 1,
+        may_have_unrecorded: false,
+        newest_suspicion: 1,
     }));
 }
--- a/crates/umbersail-control/src/engine/tests/launches.rs
+++ b/crates/umbersail-control/src/engine/tests/launches.rs
@@ -12,8 +12,8 @@
     assert_eq!(starts(&worker.turn(&mut engine, 1.0)).len(), 0);
     let changes = commit(&mut engine, 1.0);
     assert!(changes.iter().any(
-        |c| matches!(c, Change::Put { key, value: Record::Run(r), .. }
-        if *key == run_key("req-1") && r.high == 2 && r.hosts == ["m1"])
+        |c| matches!(c, Change::Put { key, value: Record::JobProgress(r), .. }
+        if *key == progress_key("req-1") && r.high_water == 2 && r.hosts == ["m1"])
     ));
     assert_eq!(starts(&worker.turn(&mut engine, 2.0)).len(), 2);
     assert_eq!(starts(&worker.turn(&mut engine, 3.0)).len(), 0);
@@ -83,7 +83,7 @@
     assert!(changes.iter().any(|c| matches!(
         c,
         Change::Put {
-            value: Record::Over(_),
+            value: Record::EndedJob(_),
             ..
         }
     )));
--- a/crates/umbersail-control/src/engine/tests/limits.rs
+++ b/crates/umbersail-control/src/engine/tests/limits.rs
@@ -27,14 +27,14 @@
     whole_machines: bool,
     size: Option<(f64, f64, f64)>,
 ) -> Engine {
-    let run = RunRecord {
-        high: 4,
+    let run = JobProgressRecord {
+        high_water: 4,
         done_count: 2,
-        extra: 1,
+        orphaned_attempts: 1,
         hosts: vec!["m1".into(), "gone".into()],
         team: "t".into(),
         size,
-        ..RunRecord::default()
+        ..JobProgressRecord::default()
     };
     let mut found = inheritance_of(spec("req-1", 3, 2.0));
     found.jobs.clear();
@@ -57,7 +57,7 @@
         let told = starts(&other.turn(&mut engine, 2.0)).len();
         assert_eq!(told, first, "8 CPUs by 2, less three attempts of req-9");
         let removes = |changes: &[Change<Record>]| {
-            let of_it = |c: &Change<Record>| matches!(c, Change::Delete { key } if *key == run_key("req-9"));
+            let of_it = |c: &Change<Record>| matches!(c, Change::Delete { key } if *key == progress_key("req-9"));
             changes.iter().any(of_it)
         };
         // m1 still runs one: it counts, is stopped, and its record stays.
@@ -89,7 +89,7 @@
     accept(&mut engine, 1.0, spec("req-2", 2, 2.0));
     let kept = commit(&mut engine, 5.0);
     let removes =
-        |c: &Change<Record>| matches!(c, Change::Delete { key } if *key == run_key("req-1"));
+        |c: &Change<Record>| matches!(c, Change::Delete { key } if *key == progress_key("req-1"));
     assert!(!kept.iter().any(removes));
     assert_eq!(starts(&other.turn(&mut engine, 5.0)).len(), 0);
     let mut old = Worker::new("m1", "a");
--- a/crates/umbersail-control/src/engine/tests/plans.rs
+++ b/crates/umbersail-control/src/engine/tests/plans.rs
@@ -74,7 +74,7 @@
     let stood = PlanRecord {
         version: 1,
         plan: to_value(&Note { steps: 1 }).unwrap(),
-        gone: false,
+        is_tombstone: false,
     };
     engine.plan_read(2.0, "note/a", Some((to_value(&stood).unwrap(), 77)));
     let pending = engine.next_txn(2.0, 20, 20).unwrap();
@@ -94,7 +94,7 @@
     let good = PlanRecord {
         version: 1,
         plan: to_value(&Note { steps: 3 }).unwrap(),
-        gone: false,
+        is_tombstone: false,
     };
     let newer = PlanRecord {
         version: 9,
--- a/crates/umbersail-control/src/engine/tests/starvation_guard.rs
+++ b/crates/umbersail-control/src/engine/tests/starvation_guard.rs
@@ -111,10 +111,10 @@
             version: 50,
             run,
         };
-        let run = RunRecord {
-            high: running,
+        let run = JobProgressRecord {
+            high_water: running,
             running,
-            ..RunRecord::default()
+            ..JobProgressRecord::default()
         };
         let mut engine = Engine::new(
             config(vec![team(0.0, 0.0)], Tuning::default()),
--- a/crates/umbersail-control/src/engine/tests/takeovers.rs
+++ b/crates/umbersail-control/src/engine/tests/takeovers.rs
@@ -102,8 +102,8 @@
     let written = commit(&mut engine, 2.6);
     let at = |found: &dyn Fn(&Change<Record>) -> bool| written.iter().position(found);
     let names_it = |c: &Change<Record>| {
-        matches!(c, Change::Put { value: Record::Run(run), .. }
-            if run.high == 4 && run.hosts.iter().any(|h| h == "m1"))
+        matches!(c, Change::Put { value: Record::JobProgress(run), .. }
+            if run.high_water == 4 && run.hosts.iter().any(|h| h == "m1"))
     };
     let settles =
         |c: &Change<Record>| matches!(c, Change::Delete { key } if key == RECOVERY_PENDING_KEY);
--- a/crates/umbersail-control/src/engine/tests/writes.rs
+++ b/crates/umbersail-control/src/engine/tests/writes.rs
@@ -22,7 +22,7 @@
             .txn
             .conditions
             .iter()
-            .any(|c| c.key == run_key("req-1") && c.version == 0)
+            .any(|c| c.key == progress_key("req-1") && c.version == 0)
     );
     engine.txn_done(1.0, pending, TxnOutcome::Unknown);
     assert_eq!(engine.unknown_versions().0, ["req-1"]);
@@ -35,7 +35,7 @@
             .txn
             .conditions
             .iter()
-            .any(|c| c.key == run_key("req-1") && c.version == 90)
+            .any(|c| c.key == progress_key("req-1") && c.version == 90)
     );
     engine.txn_done(2.0, pending, TxnOutcome::Applied { revision: 91 });
     assert_eq!(starts(&worker.turn(&mut engine, 3.0)).len(), 1);
@@ -191,7 +191,7 @@
     accept(&mut engine, 4.0, spec("req-2", 1, 2.0));
     let launch = engine.next_txn(4.0, 0, 0).unwrap();
     assert!(
-        matches!(&launch.txn.changes[..], [Change::Put { key, .. }] if *key == run_key("req-2"))
+        matches!(&launch.txn.changes[..], [Change::Put { key, .. }] if *key == progress_key("req-2"))
     );
     engine.txn_done(4.0, launch, TxnOutcome::Applied { revision: 2000 });
 
@@ -207,6 +207,6 @@
         rest.txn
             .changes
             .iter()
-            .any(|c| matches!(c, Change::Delete { key } if *key == run_key("req-1")))
+            .any(|c| matches!(c, Change::Delete { key } if *key == progress_key("req-1")))
     );
 }
--- a/crates/umbersail-control/src/engine/tests/zones.rs
+++ b/crates/umbersail-control/src/engine/tests/zones.rs
@@ -12,7 +12,12 @@
     let (run, _) = inheritance.jobs[0].run.as_mut().unwrap();
     let mut done = umbersail_policy::Bitmap::new(4);
     done.insert(0);
-    (run.high, run.done, run.done_count, run.extra) = (1, done.to_text(), 1, 1);
+    (
+        run.high_water,
+        run.done,
+        run.done_count,
+        run.orphaned_attempts,
+    ) = (1, done.to_text(), 1, 1);
     let config = config(vec![team(0.0, 0.0)], Tuning::default());
     let mut engine = Engine::new(config, 0.0, 0, inheritance);
     let mut same_zone = ready_worker(&mut engine, "m2", "a");
--- a/crates/umbersail-control/src/engine/write.rs
+++ b/crates/umbersail-control/src/engine/write.rs
@@ -12,8 +12,8 @@
 use super::plans::WrittenPlan;
 use super::{Engine, Job, JobId, MachineId, Placement, Time};
 use crate::records::{
-    GRANT_PARTS, JOBS, LEADER_KEY, Outcome, OverRecord, PLANS, RECOVERY_PENDING_KEY, RUNS, Record,
-    RunRecord, job_key, over_key, run_key,
+    EndedJobRecord, GRANT_PARTS, JOB_PROGRESS, JOBS, JobProgressRecord, LEADER_KEY, Outcome, PLANS,
+    RECOVERY_PENDING_KEY, Record, ended_job_key, job_key, progress_key,
 };
 
 /// What a transaction writes of one job, to be remembered once it stands.
@@ -142,21 +142,21 @@
 }
 
 /// What a record of progress takes in a transaction.
-fn run_record_bytes(record: &RunRecord) -> usize {
+fn run_record_bytes(record: &JobProgressRecord) -> usize {
     RECORD_BYTES + record.done.len() + record.hosts.len() * HOST_BYTES
 }
 
 /// The record of an unfinished job's progress, as it should stand.
-fn run_record(job: &Job, teams: &[TeamLimits]) -> RunRecord {
+fn run_record(job: &Job, teams: &[TeamLimits]) -> JobProgressRecord {
     let running = |p: &&Placement| p.seen.is_some_and(|s| s == TaskState::Running);
-    RunRecord {
-        high: job.next.max(job.recorded_high),
+    JobProgressRecord {
+        high_water: job.next.max(job.recorded_high),
         done: job.done.to_text(),
         hosts: job.hosts().iter().map(|h| h.to_string()).collect(),
         evictions: job.evictions,
         done_count: job.done.count(),
         running: job.live.values().filter(running).count() as u32,
-        extra: job.extra(),
+        orphaned_attempts: job.extra(),
         team: job.team.map_or_else(String::new, |t| teams[t].name.clone()),
         size: Some((job.shape.cpus, job.shape.gpus, job.shape.memory_gb)),
         suspect: job.suspect,
@@ -302,21 +302,21 @@
         job.ending = true;
         builder.require(job_key(id), job.version);
         builder.delete(job_key(id));
-        let over = OverRecord {
+        let over = EndedJobRecord {
             outcome: Outcome::Done,
             done: job.done.count(),
         };
-        builder.put(over_key(id), Record::Over(over));
+        builder.put(ended_job_key(id), Record::EndedJob(over));
         if job.extra() > 0 {
             // Attempts are still about: the record stays, and says so.
             let record = run_record(job, &self.cfg.teams);
             builder.bytes += run_record_bytes(&record);
-            builder.require(run_key(id), run_version);
-            builder.put(run_key(id), Record::Run(record));
+            builder.require(progress_key(id), run_version);
+            builder.put(progress_key(id), Record::JobProgress(record));
         } else if run_version > 0 {
             let full = self.cleared.len() >= self.cfg.tuning.cleared_most as usize;
             if full && builder.txn.changes.len() < self.cfg.txn_ops {
-                builder.delete(run_key(id));
+                builder.delete(progress_key(id));
             } else {
                 self.cleared.insert(id.clone());
             }
@@ -337,7 +337,7 @@
         }
         builder.bytes += bytes;
         builder.require(job_key(id), job.version);
-        builder.require(run_key(id), run_version);
+        builder.require(progress_key(id), run_version);
         job.dirty_since = None;
         // From here on the record may lose the hosts that are not in this
         // write: nothing may be started on the strength of the older one.
@@ -345,12 +345,12 @@
         job.recorded_hosts.retain(|host| hosts.contains(host));
         builder.written.push(Written::Run {
             id: id.clone(),
-            high: record.high,
+            high: record.high_water,
             hosts,
             done: job.done.clone(),
             evictions: job.evictions,
         });
-        builder.put(run_key(id), Record::Run(record));
+        builder.put(progress_key(id), Record::JobProgress(record));
         true
     }
 
@@ -385,7 +385,7 @@
                 break;
             }
             if !self.jobs.contains_key(id) {
-                builder.delete(run_key(id));
+                builder.delete(progress_key(id));
                 builder.written.push(Written::Cleared(id.clone()));
             }
         }
@@ -424,7 +424,7 @@
                         self.plans.store.moved(name);
                     } else if let Some(id) = key.strip_prefix(JOBS) {
                         self.job_dropped(id);
-                    } else if let Some(id) = key.strip_prefix(RUNS)
+                    } else if let Some(id) = key.strip_prefix(JOB_PROGRESS)
                         && let Some(job) = self.jobs.get_mut(id)
                     {
                         job.run_version = None;
--- a/crates/umbersail-control/src/front.rs
+++ b/crates/umbersail-control/src/front.rs
@@ -20,9 +20,10 @@
 use crate::node::{Node, Role};
 use crate::polls::PollOutcome;
 use crate::records::{
-    JobRecord, Outcome, OverRecord, RunRecord, acceptance, cancellation, job_key, over_key, run_key,
+    EndedJobRecord, JobProgressRecord, JobRecord, Outcome, acceptance_txn, cancellation_txn,
+    ended_job_key, job_key, progress_key,
 };
-use crate::state::{StateError, Urgency};
+use crate::state::{KeyValueError, RequestPriority};
 
 /// Why a submission is not taken.
 #[derive(Debug, Error)]
@@ -67,23 +68,23 @@
 /// What the state service holds of a job, read after the request arrived.
 enum JobLookup {
     Unfinished(u64),
-    Over(OverRecord),
+    Over(EndedJobRecord),
     Nothing,
 }
 
 impl Node {
     /// Answers one request on the front address.
-    pub async fn front(self: Rc<Self>, request: Request) -> Response {
+    pub async fn handle_front_request(self: Rc<Self>, request: Request) -> Response {
         let path = request.path();
         let method = request.method.as_str();
         match (method, path) {
-            ("POST", paths::REPORT) => self.on_report(&request.body).await,
+            ("POST", paths::REPORT) => self.handle_heartbeat(&request.body).await,
             ("POST", paths::JOBS) => {
-                self.outside_heard_at.set(self.clock.now());
+                self.outside_contact_at.set(self.clock.now());
                 self.submit_or_relay(&request.body).await
             }
             ("GET", paths::HEALTH) => {
-                self.outside_heard_at.set(self.clock.now());
+                self.outside_contact_at.set(self.clock.now());
                 Response::empty(if self.is_ready() { 200 } else { 503 })
             }
             (_, paths::REPORT | paths::JOBS | paths::HEALTH) => Response::empty(405),
@@ -94,7 +95,7 @@
                 else {
                     return Response::empty(404);
                 };
-                self.outside_heard_at.set(self.clock.now());
+                self.outside_contact_at.set(self.clock.now());
                 match (method, rest.split_once('/')) {
                     ("GET", None) => self.poll_or_relay(rest).await,
                     ("POST", Some((id, paths::CANCEL))) => self.cancel_or_relay(id).await,
@@ -127,14 +128,14 @@
     /// or handed on by a node that stands between. A worker that comes back
     /// although it was just directed can't reach that node; it is helped here
     /// for a while.
-    async fn on_report(&self, body: &[u8]) -> Response {
+    async fn handle_heartbeat(&self, body: &[u8]) -> Response {
         let Ok(report) = decode::<Report>(body) else {
             warn!("malformed report");
             return Response::empty(400);
         };
         let now = self.clock.now();
         if report.zone != self.settings.zone {
-            self.outside_heard_at.set(now);
+            self.outside_contact_at.set(now);
         }
         let redirects = &self.redirects;
         let comes_back = || {
@@ -143,14 +144,14 @@
                 .is_returning(&report.machine, false, now)
         };
         if matches!(&*self.role.borrow(), Role::Leading(_)) {
-            if self.is_isolated_alone(now)
+            if self.is_only_node_isolated(now)
                 && let Some(member) = self.hand_off_target(&report, now)
             {
                 return directed(member);
             }
             let response = match self.zone_delegate(&report) {
                 Some(member) if !comes_back() => return directed(member),
-                _ => self.take_report(body).await,
+                _ => self.accept_heartbeat(body).await,
             };
             if self.has_successor()
                 && let Some(member) = self.hand_off_target(&report, now)
@@ -170,16 +171,20 @@
         };
         // It reaches the leader itself, as far as we can tell, and is not to be kept
         // by us, who have no commands for it. One that comes back is.
-        if self.is_isolated_alone(now)
+        if self.is_only_node_isolated(now)
             && !self
-                .handed_off
+                .handed_off_workers
                 .borrow_mut()
                 .is_returning(&report.machine, false, now)
         {
             return directed(leader);
         }
         let between = self.is_zone_proxy(&leader, &report.zone);
-        let cut_off = self.peers.borrow().get(&leader).is_some_and(|p| p.silent);
+        let cut_off = self
+            .peers
+            .borrow()
+            .get(&leader)
+            .is_some_and(|p| p.unresponsive);
         if between || cut_off {
             let direct = || !comes_back();
             if let Some(response) = self.relay(&leader, &report, body, direct).await {
@@ -202,7 +207,8 @@
     /// (rule 3). A worker that comes back found nobody; it is not sent again.
     fn hand_off_target(&self, report: &Report, now: Time) -> Option<String> {
         let next = self.last_designated.borrow().clone()?;
-        let comes_back = (self.handed_off.borrow_mut()).is_returning(&report.machine, false, now);
+        let comes_back =
+            (self.handed_off_workers.borrow_mut()).is_returning(&report.machine, false, now);
         (!comes_back).then_some(next)
     }
 
@@ -221,7 +227,7 @@
     /// The leader's part of a report, come directly or through a peer. If a
     /// launch for the machine is just being recorded, its reply waits for it,
     /// for a moment only: the worker gives up after 4 s.
-    pub(crate) async fn take_report(&self, body: &[u8]) -> Response {
+    pub(crate) async fn accept_heartbeat(&self, body: &[u8]) -> Response {
         let report: Report = match decode(body) {
             Ok(report) => report,
             Err(e) => {
@@ -236,7 +242,7 @@
         if self.with_engine(revision, |e| e.report(taken_at, &report)) != Some(true) {
             return Response::empty(503);
         }
-        self.wake.notify();
+        self.scheduler_wakeup.notify();
         let until = taken_at + self.tuning.launch_hold_s;
         loop {
             let now = self.clock.now();
@@ -245,7 +251,7 @@
                 break;
             }
             // A step further or out of time: looked at again either way.
-            let _ = timeout(until - now, self.progress.raised()).await;
+            let _ = timeout(until - now, self.scheduler_progress.raised()).await;
         }
         // A moment has passed: are we still entitled, under the same token?
         let now = self.clock.now();
@@ -293,18 +299,22 @@
 
     /// Jobs first: a job goes from there to `over/` and never back, so not
     /// found in this order means that it was never accepted.
-    async fn find(&self, id: &str, urgency: Urgency) -> Result<JobLookup, StateError> {
-        if let Some(over) = self.cache.borrow().get(id) {
+    async fn find(&self, id: &str, priority: RequestPriority) -> Result<JobLookup, KeyValueError> {
+        if let Some(over) = self.terminal_cache.borrow().get(id) {
             return Ok(JobLookup::Over(over));
         }
         let sent_at = self.clock.now();
-        if let Some((_, version)) = self.state.get::<IgnoredAny>(&job_key(id), urgency).await? {
-            self.polls.record_version(id, version, sent_at);
+        if let Some((_, version)) = self.kv.get::<IgnoredAny>(&job_key(id), priority).await? {
+            self.batched_polls.record_version(id, version, sent_at);
             return Ok(JobLookup::Unfinished(version));
         }
-        match self.state.get::<OverRecord>(&over_key(id), urgency).await? {
+        match self
+            .kv
+            .get::<EndedJobRecord>(&ended_job_key(id), priority)
+            .await?
+        {
             Some((over, _)) => {
-                self.remember_end(id, over);
+                self.cache_end(id, over);
                 Ok(JobLookup::Over(over))
             }
             None => Ok(JobLookup::Nothing),
@@ -313,9 +323,9 @@
 
     /// The job has ended, and that is recorded; whoever is told so from here on is told
     /// what we remember.
-    pub(crate) fn remember_end(&self, id: &str, over: OverRecord) {
+    pub(crate) fn cache_end(&self, id: &str, over: EndedJobRecord) {
         let now = self.clock.now();
-        self.cache.borrow_mut().put(now, id, over);
+        self.terminal_cache.borrow_mut().put(now, id, over);
     }
 
     /// A node that the state service alone refuses asks a peer; where it answers nobody
@@ -347,7 +357,7 @@
         if !is_job_id(id) {
             return Response::empty(404);
         }
-        if let Some(over) = self.cache.borrow().get(id) {
+        if let Some(over) = self.terminal_cache.borrow().get(id) {
             return ended(id, over);
         }
         match self.compare_version(id).await {
@@ -355,7 +365,7 @@
             PollOutcome::Unanswered => return self.retry_later(),
             PollOutcome::Unknown => {}
         }
-        match self.find(id, Urgency::Poll).await {
+        match self.find(id, RequestPriority::Poll).await {
             Ok(JobLookup::Unfinished(..)) => self.unfinished(id, 200).await,
             Ok(JobLookup::Over(over)) => ended(id, over),
             Ok(JobLookup::Nothing) => Response::empty(404),
@@ -376,8 +386,11 @@
     /// What the job's record says, or if it can't be read what the leader said last,
     /// however old: a job that was called running is not called waiting for an outage.
     async fn recorded_counts(&self, id: &str) -> (u32, u32) {
-        let key = run_key(id);
-        let record = self.state.get::<RunRecord>(&key, Urgency::Poll).await;
+        let key = progress_key(id);
+        let record = self
+            .kv
+            .get::<JobProgressRecord>(&key, RequestPriority::Poll)
+            .await;
         match record {
             Ok(Some((run, _))) => (run.done_count, run.running_at_least()),
             Ok(None) => (0, 0),
@@ -409,7 +422,7 @@
     /// A node whose own share of the limits is used up, or that the state
     /// service refuses, asks a peer to take the submission before it refuses.
     async fn submit_or_relay(&self, body: &[u8]) -> Response {
-        if !self.state.has_room(1.0) {
+        if !self.kv.has_budget(1.0) {
             // The leader's share of the limits is the largest.
             if let Some(leader) = self.leader_name()
                 && !is_best_effort_submission(body)
@@ -447,28 +460,29 @@
         let (class, team) = (spec.class.clone(), spec.team.clone());
         let (tasks, cpus) = (spec.tasks, spec.cpus);
         // A flood of what can wait must not use up what others are accepted with.
-        let urgency = if spec.is_best_effort() {
-            Urgency::BestEffort
+        let priority = if spec.is_best_effort() {
+            RequestPriority::BestEffort
         } else {
-            Urgency::Prompt
+            RequestPriority::Interactive
         };
-        if let Some(over) = self.cache.borrow().get(&id) {
+        if let Some(over) = self.terminal_cache.borrow().get(&id) {
             return ended(&id, over);
         }
         let record = JobRecord {
             spec,
             accepted_ms: self.clock.unix_ms(),
         };
-        let txn = acceptance(record);
+        let txn = acceptance_txn(record);
         let sent_at = self.clock.now();
-        match self.state.txn(&txn, urgency).await {
+        match self.kv.txn(&txn, priority).await {
             // Rule 6: told only now that the state service holds it.
             TxnOutcome::Applied { revision } => {
-                self.polls.record_version(&id, revision, sent_at);
+                self.batched_polls.record_version(&id, revision, sent_at);
                 info!(job = id, class, team, tasks, cpus, "accepted");
                 status_body(201, &id, JobStage::Queued, None)
             }
-            TxnOutcome::Conflict { .. } => match self.find(&id, Urgency::Prompt).await {
+            TxnOutcome::Conflict { .. } => match self.find(&id, RequestPriority::Interactive).await
+            {
                 Ok(JobLookup::Unfinished(..)) => self.unfinished(&id, 200).await,
                 Ok(JobLookup::Over(over)) => ended(&id, over),
                 _ => self.retry_later(),
@@ -487,7 +501,7 @@
     /// A known job is answered from its record, however its repetition looks.
     async fn refuse(&self, id: &str, rejection: &Rejection) -> Response {
         if is_job_id(id) {
-            match self.find(id, Urgency::Prompt).await {
+            match self.find(id, RequestPriority::Interactive).await {
                 Ok(JobLookup::Unfinished(..)) => return self.unfinished(id, 200).await,
                 Ok(JobLookup::Over(over)) => return ended(id, over),
                 Ok(JobLookup::Nothing) => {}
@@ -542,7 +556,7 @@
 
     /// Whether a machine type takes a task of the job.
     fn check_types(&self, spec: &JobSpec) -> Result<(), Rejection> {
-        let types = self.types.borrow();
+        let types = self.machine_types.borrow();
         if types.is_empty() {
             return Err(Rejection::TypesUnknown);
         }
@@ -566,19 +580,19 @@
         }
         // A conflict means that the job moved on since it was read.
         for _ in 0..3 {
-            match self.find(id, Urgency::Prompt).await {
+            match self.find(id, RequestPriority::Interactive).await {
                 Ok(JobLookup::Unfinished(version)) => {
                     // The job's progress stays until the leader knows that
                     // nothing of it runs: a successor counts it (rule 4).
-                    let over = OverRecord {
+                    let over = EndedJobRecord {
                         outcome: Outcome::Cancelled,
                         done: 0,
                     };
-                    let txn = cancellation(id, version, over);
-                    match self.state.txn(&txn, Urgency::Prompt).await {
+                    let txn = cancellation_txn(id, version, over);
+                    match self.kv.txn(&txn, RequestPriority::Interactive).await {
                         TxnOutcome::Applied { .. } => {
                             info!(job = id, "cancellation recorded");
-                            self.remember_end(id, over);
+                            self.cache_end(id, over);
                             return ended(id, over);
                         }
                         TxnOutcome::Conflict { .. } => {}
@@ -617,7 +631,7 @@
     )
 }
 
-fn ended(id: &str, over: OverRecord) -> Response {
+fn ended(id: &str, over: EndedJobRecord) -> Response {
     status_body(200, id, stage_of(over), Some((over.done, 0)))
 }
 
--- a/crates/umbersail-control/src/health.rs
+++ b/crates/umbersail-control/src/health.rs
@@ -6,22 +6,22 @@
 
 use crate::node::{Node, PeerState};
 use crate::records::{LEADER_KEY, LeaderRecord};
-use crate::state::Urgency;
+use crate::state::RequestPriority;
 
 /// How often a state service that is out of reach is asked for, seconds.
 const SILENT_PROBE_S: Time = 0.3;
 
 impl Node {
     /// Whether the state service answered us lately.
-    pub(crate) fn sees_state(&self) -> bool {
+    pub(crate) fn is_store_reachable(&self) -> bool {
         let now = self.clock.now();
-        self.state
-            .last_answer()
+        self.kv
+            .last_success()
             .is_some_and(|at| now - at < self.tuning.blind_s)
     }
 
     /// Whether no peer has been heard of lately, though there are some.
-    pub(crate) fn hears_no_peer(&self, now: Time) -> bool {
+    pub(crate) fn hears_from_no_peer(&self, now: Time) -> bool {
         let lately = |at: Time| now - at < self.tuning.isolated_s;
         !self.settings.peers.is_empty()
             && !(self.peers.borrow().values()).any(|p| p.heard_at.is_some_and(lately))
@@ -30,40 +30,40 @@
     /// Whether we reach neither the state service, which has not even refused
     /// anything, nor any peer: then others lead, or soon will.
     pub(crate) fn is_isolated(&self, now: Time) -> bool {
-        let silent = self.state.silent_since();
-        silent.is_some_and(|at| now - at >= self.tuning.isolated_s) && self.hears_no_peer(now)
+        let silent = self.kv.unresponsive_since();
+        silent.is_some_and(|at| now - at >= self.tuning.isolated_s) && self.hears_from_no_peer(now)
     }
 
     /// Whether it is only us whom the rest does not reach: isolated, and not by a cut
     /// of our zone, which would keep the balancer from us too. Our workers then reach
     /// the other nodes, and are better off there.
-    pub(crate) fn is_isolated_alone(&self, now: Time) -> bool {
-        self.is_isolated(now) && now - self.outside_heard_at.get() < self.tuning.outside_s
+    pub(crate) fn is_only_node_isolated(&self, now: Time) -> bool {
+        self.is_isolated(now) && now - self.outside_contact_at.get() < self.tuning.outside_s
     }
 
     /// A node that alone is blind takes itself out; when all are blind alike,
     /// leaving would only add the balancer's penalty to the outage.
     pub(crate) fn is_ready(&self) -> bool {
-        if self.types.borrow().is_empty() {
+        if self.machine_types.borrow().is_empty() {
             return false;
         }
-        if self.sees_state() {
+        if self.is_store_reachable() {
             return true;
         }
         let now = self.clock.now();
-        let Some(last_answer) = self.state.last_answer() else {
+        let Some(last_answer) = self.kv.last_success() else {
             // Started in an outage: refused like all others, it takes users as they do,
             // and the balancer need not wait for it afterwards.
-            let refused = self.state.silent_since().is_none() && self.state.is_heard();
+            let refused = self.kv.unresponsive_since().is_none() && self.kv.has_ever_responded();
             let reached = |p: &PeerState| p.state_reachable;
             return refused
-                && !self.hears_no_peer(now)
+                && !self.hears_from_no_peer(now)
                 && !self.peers.borrow().values().any(reached);
         };
         // Nobody can say whether the state service refuses others too; that takes
         // longer, so that no short outage among controllers that are apart counts.
         let refused_s = 2.0 * self.tuning.blind_s;
-        if self.is_isolated(now) || self.hears_no_peer(now) && now - last_answer >= refused_s {
+        if self.is_isolated(now) || self.hears_from_no_peer(now) && now - last_answer >= refused_s {
             return false;
         }
         // A peer's word counts only if it is clearly newer than our own last
@@ -77,24 +77,20 @@
     /// Asks the state service for something small when nothing else has been
     /// asked lately. Without it a node that no user asks would hold itself
     /// blind, and leave the balancer, although all is well.
-    pub(crate) async fn probe_state(self: Rc<Self>) {
+    pub(crate) async fn probe_store(self: Rc<Self>) {
         loop {
             // Users are refused until it answers.
-            let interval = match self.state.silent_since() {
+            let interval = match self.kv.unresponsive_since() {
                 Some(_) => SILENT_PROBE_S.min(self.tuning.probe_s),
                 None => self.tuning.probe_s,
             };
             sleep(interval).await;
             let now = self.clock.now();
-            if self
-                .state
-                .last_answer()
-                .is_none_or(|at| now - at >= interval)
-            {
-                // What comes of it is seen by `sees_state`.
+            if self.kv.last_success().is_none_or(|at| now - at >= interval) {
+                // What comes of it is seen by `is_store_reachable`.
                 let _ = self
-                    .state
-                    .get::<LeaderRecord>(LEADER_KEY, Urgency::Patient)
+                    .kv
+                    .get::<LeaderRecord>(LEADER_KEY, RequestPriority::Background)
                     .await;
             }
         }
--- a/crates/umbersail-control/src/leader/cloud.rs
+++ b/crates/umbersail-control/src/leader/cloud.rs
@@ -7,11 +7,11 @@
 use umbersail_runtime::sleep;
 use umbersail_wire::MachineType;
 
-use crate::cloud::Rented;
+use crate::cloud::RentOutcome;
 use crate::engine::{CloudAction, TxnOutcome};
 use crate::node::Node;
-use crate::records::{CATALOGUE_KEY, catalogue};
-use crate::state::Urgency;
+use crate::records::{CATALOGUE_KEY, catalogue_txn};
+use crate::state::RequestPriority;
 
 impl Node {
     /// Lists, rents and returns machines.
@@ -26,7 +26,7 @@
                 if let Some(types) = self.cloud.catalogue().await
                     && !types.is_empty()
                 {
-                    *self.types.borrow_mut() = types.clone();
+                    *self.machine_types.borrow_mut() = types.clone();
                     if !catalogue_recorded {
                         catalogue_recorded = self.record_catalogue(token, types.clone()).await;
                     }
@@ -41,7 +41,7 @@
                     }
                     listed_at = now;
                     self.with_engine(token, |e| e.listing(now, &list));
-                    self.wake.notify();
+                    self.scheduler_wakeup.notify();
                 } else {
                     debug!("cloud gave no list");
                 }
@@ -65,15 +65,15 @@
 
     async fn record_catalogue(&self, token: u64, types: Vec<MachineType>) -> bool {
         let read = self
-            .state
-            .get::<IgnoredAny>(CATALOGUE_KEY, Urgency::Patient)
+            .kv
+            .get::<IgnoredAny>(CATALOGUE_KEY, RequestPriority::Background)
             .await;
         let Ok(found) = read else {
             return false;
         };
-        let txn = catalogue(token, found.map_or(0, |(_, version)| version), types);
+        let txn = catalogue_txn(token, found.map_or(0, |(_, version)| version), types);
         matches!(
-            self.state.txn(&txn, Urgency::Patient).await,
+            self.kv.txn(&txn, RequestPriority::Background).await,
             TxnOutcome::Applied { .. }
         )
     }
@@ -89,15 +89,15 @@
                         e.delete_unanswered(&names);
                     }
                 });
-                self.wake.notify();
+                self.scheduler_wakeup.notify();
             }
             CloudAction::Rent(request) => {
                 let rented = self.cloud.rent(&request).await;
                 let now = self.clock.now();
                 self.with_engine(token, |e| match rented {
-                    Rented::Machines(names) => e.rented(now, &request, &names),
-                    Rented::NoCapacity => e.rent_refused(now, &request),
-                    Rented::Unknown => e.rent_unanswered(request),
+                    RentOutcome::Machines(names) => e.rented(now, &request, &names),
+                    RentOutcome::NoCapacity => e.rent_refused(now, &request),
+                    RentOutcome::Unknown => e.rent_unanswered(request),
                 });
             }
         }
--- a/crates/umbersail-control/src/leader/election.rs
+++ b/crates/umbersail-control/src/leader/election.rs
@@ -13,9 +13,9 @@
 use crate::engine::TxnOutcome;
 use crate::node::Node;
 use crate::records::{
-    GRANT_KEY, GrantRecord, LEADER_KEY, LeaderRecord, RECOVERY_PENDING_KEY, election,
+    GRANT_KEY, GrantRecord, LEADER_KEY, LeaderRecord, RECOVERY_PENDING_KEY, election_txn,
 };
-use crate::state::{StateError, Urgency};
+use crate::state::{KeyValueError, RequestPriority};
 
 /// What the election shows.
 #[derive(Debug, Clone, Copy)]
@@ -43,8 +43,8 @@
     pub(crate) async fn follow(self: Rc<Self>) -> Option<u64> {
         loop {
             let found = self
-                .state
-                .get::<LeaderRecord>(LEADER_KEY, Urgency::Patient)
+                .kv
+                .get::<LeaderRecord>(LEADER_KEY, RequestPriority::Background)
                 .await;
             match found {
                 Ok(Some((record, token))) => {
@@ -54,7 +54,7 @@
                         return Some(token);
                     }
                     self.observe_leader(&record.member, token);
-                    self.elected.set(Some((token, record.incarnation)));
+                    self.leader_key_read.set(Some((token, record.incarnation)));
                     let ended = pin!(self.wait_for_end(token));
                     match select(ended, pin!(self.campaign_requested.notified())).await {
                         Either::Left((true, _)) => return None,
@@ -81,7 +81,7 @@
         let mut from = revision;
         loop {
             match self
-                .state
+                .kv
                 .watch::<LeaderRecord>(LEADER_KEY, from, self.tuning.watch_hold_s)
                 .await
             {
@@ -93,7 +93,7 @@
                         None => {}
                     }
                 }
-                Err(StateError::Gone) => return false,
+                Err(KeyValueError::Gone) => return false,
                 Err(_) => {
                     sleep(0.3).await;
                     return false;
@@ -104,7 +104,7 @@
 
     /// Tries once to become the leader; if it does, leads until that is over.
     pub(crate) async fn campaign(self: Rc<Self>, former: Option<u64>) {
-        if self.types.borrow().is_empty() {
+        if self.machine_types.borrow().is_empty() {
             sleep(0.3).await;
             return;
         }
@@ -120,7 +120,7 @@
             sleep(self.campaign_rank() as f64 * 0.1 + jitter).await;
         }
         let asked_at = self.clock.now();
-        let Ok(lease) = self.state.grant_lease(self.tuning.leader_ttl_s).await else {
+        let Ok(lease) = self.kv.grant_lease(self.tuning.leader_ttl_s).await else {
             sleep(0.3).await;
             return;
         };
@@ -130,7 +130,7 @@
         match elected {
             Some(elected) => self.run_term(lease, asked_at, elected).await,
             None => {
-                self.state.end_lease(lease).await;
+                self.kv.end_lease(lease).await;
                 sleep(0.1).await;
             }
         }
@@ -140,8 +140,8 @@
     /// revision is the block's token (rule 1).
     async fn commit_election(&self, lease: u64, former: Option<u64>) -> Option<Elected> {
         let found = self
-            .state
-            .get::<GrantRecord>(GRANT_KEY, Urgency::Vital)
+            .kv
+            .get::<GrantRecord>(GRANT_KEY, RequestPriority::Critical)
             .await
             .ok()?;
         let whole_machines = found
@@ -152,8 +152,8 @@
         let version = found.map_or(0, |(_, version)| version);
         // Written by an election only, which the grant's version excludes.
         let recovery_pending = self
-            .state
-            .get::<IgnoredAny>(RECOVERY_PENDING_KEY, Urgency::Vital)
+            .kv
+            .get::<IgnoredAny>(RECOVERY_PENDING_KEY, RequestPriority::Critical)
             .await
             .ok()?
             .is_some();
@@ -168,14 +168,14 @@
             incarnation: self.incarnation,
         };
         let grant = (version, plans);
-        let txn = election(
+        let txn = election_txn(
             leader,
             lease,
             former.unwrap_or(0),
             grant,
             predecessor_degraded,
         );
-        match self.state.txn(&txn, Urgency::Vital).await {
+        match self.kv.txn(&txn, RequestPriority::Critical).await {
             TxnOutcome::Applied { revision } => Some(Elected {
                 token: revision,
                 predecessor_degraded,
--- a/crates/umbersail-control/src/leader/fencing.rs
+++ b/crates/umbersail-control/src/leader/fencing.rs
@@ -21,20 +21,20 @@
             let round_s = self.tuning.fence_round_s;
             let most = (self.tuning.fence_per_s * round_s).ceil() as usize;
             for target in targets.into_iter().take(most) {
-                spawn(self.clone().bring_token(token, target));
+                spawn(self.clone().send_token(token, target));
             }
             sleep(round_s).await;
         }
     }
 
-    pub(super) async fn bring_token(self: Rc<Self>, revision: u64, target: Fencing) {
+    pub(super) async fn send_token(self: Rc<Self>, revision: u64, target: Fencing) {
         let body = encode(&DirectCommands {
             token: target.token,
             session: target.session.max(1),
             commands: Vec::new(),
         });
         let answer = self
-            .http
+            .worker_http
             .request(target.addr, "POST", paths::WORKER_COMMANDS, &body, 2.0)
             .await;
         let machine = target.machine;
@@ -43,7 +43,7 @@
                 Ok(report) => {
                     let now = self.clock.now();
                     self.with_engine(revision, |e| e.direct_report(now, &report));
-                    self.wake.notify();
+                    self.scheduler_wakeup.notify();
                 }
                 Err(e) => warn!(machine, reason = %e, "malformed answer of a worker"),
             },
--- a/crates/umbersail-control/src/leader/jobs.rs
+++ b/crates/umbersail-control/src/leader/jobs.rs
@@ -8,14 +8,14 @@
 
 use crate::node::{Node, Role};
 use crate::records::{JOBS, JobRecord};
-use crate::state::{StateError, Urgency};
+use crate::state::{KeyValueError, RequestPriority};
 
 impl Node {
     /// How far the engine knows what was accepted and cancelled, if we lead.
     pub(super) fn followed(&self, token: u64) -> Option<u64> {
         match &*self.role.borrow() {
             Role::Leading(leading) if leading.engine.revision() == token => {
-                Some(leading.followed.get())
+                Some(leading.jobs_revision.get())
             }
             _ => None,
         }
@@ -39,9 +39,9 @@
             }
         });
         if let Role::Leading(leading) = &*self.role.borrow() {
-            leading.followed.set(followed.max(result.revision));
+            leading.jobs_revision.set(followed.max(result.revision));
         }
-        self.wake.notify();
+        self.scheduler_wakeup.notify();
     }
 
     /// Reads what was accepted and cancelled up to now; false if that is not known.
@@ -49,7 +49,7 @@
         let Some(from) = self.followed(token) else {
             return false;
         };
-        match self.state.changes::<JobRecord>(JOBS, from).await {
+        match self.kv.changes_since::<JobRecord>(JOBS, from).await {
             Ok(result) => {
                 self.apply_job_changes(token, result);
                 true
@@ -65,9 +65,9 @@
     pub(super) async fn watch_jobs(self: Rc<Self>, token: u64) {
         while let Some(from) = self.followed(token) {
             let hold_s = self.tuning.watch_hold_s;
-            match self.state.watch::<JobRecord>(JOBS, from, hold_s).await {
+            match self.kv.watch::<JobRecord>(JOBS, from, hold_s).await {
                 Ok(result) => self.apply_job_changes(token, result),
-                Err(StateError::Gone) => self.list_jobs(token).await,
+                Err(KeyValueError::Gone) => self.list_jobs(token).await,
                 Err(_) => sleep(0.3).await,
             }
         }
@@ -75,7 +75,10 @@
 
     /// The changes since what we know are not to be had any more.
     async fn list_jobs(&self, token: u64) {
-        let listed = self.state.list::<JobRecord>(JOBS, Urgency::Patient).await;
+        let listed = self
+            .kv
+            .list::<JobRecord>(JOBS, RequestPriority::Background)
+            .await;
         let Ok((pairs, revision)) = listed else {
             return;
         };
@@ -83,7 +86,7 @@
             return;
         }
         let (now, unix_ms) = (self.clock.now(), self.clock.unix_ms());
-        let ended = |id: &str| self.cache.borrow().get(id).is_some();
+        let ended = |id: &str| self.terminal_cache.borrow().get(id).is_some();
         let records = pairs
             .into_iter()
             .filter(|p| !ended(&p.value.spec.id))
@@ -91,8 +94,8 @@
             .collect();
         self.with_engine(token, |e| e.jobs_listed(now, unix_ms, records));
         if let Role::Leading(leading) = &*self.role.borrow() {
-            leading.followed.set(revision);
+            leading.jobs_revision.set(revision);
         }
-        self.wake.notify();
+        self.scheduler_wakeup.notify();
     }
 }
--- a/crates/umbersail-control/src/leader/lease.rs
+++ b/crates/umbersail-control/src/leader/lease.rs
@@ -11,7 +11,7 @@
 use crate::engine::TxnOutcome;
 use crate::node::Node;
 use crate::records::LEADER_KEY;
-use crate::state::{StateError, Urgency};
+use crate::state::{KeyValueError, RequestPriority};
 
 /// While the state service fails, renewals are tried this much sooner.
 const FAILING_INTERVAL_SHARE: f64 = 0.4;
@@ -75,7 +75,7 @@
     /// or behind a cut, while renewals succeed (rule 2).
     pub(super) async fn keep_lease(self: Rc<Self>, lease: Rc<LeaderLease>, renewal_s: f64) {
         while !lease.is_lost() {
-            let failing = self.state.failing_since().is_some();
+            let failing = self.kv.failing_since().is_some();
             let share = if failing { FAILING_INTERVAL_SHARE } else { 1.0 };
             sleep(self.tuning.leader_renew_s * share).await;
             self.renew_once(&lease, renewal_s).await;
@@ -92,15 +92,17 @@
             }],
             changes: Vec::new(),
         };
-        let renewed = self.state.renew_lease(lease.id, self.tuning.leader_renew_s);
-        let compared = self.state.txn(&key_is_ours, Urgency::Vital);
+        let renewed = self.kv.renew_lease(lease.id, self.tuning.leader_renew_s);
+        let compared = self.kv.txn(&key_is_ours, RequestPriority::Critical);
         let read = self.read_job_changes(lease.token);
         let (renewed, compared, read) = join3(renewed, compared, read).await;
         // Without an engine nobody is answered, and what it will know is reckoned when it is
         // there.
         let changes_known = read || self.followed(lease.token).is_none();
         match (renewed, compared) {
-            (_, TxnOutcome::Conflict { .. }) | (Err(StateError::Gone), _) => lease.lost.set(true),
+            (_, TxnOutcome::Conflict { .. }) | (Err(KeyValueError::Gone), _) => {
+                lease.lost.set(true)
+            }
             (Ok(()), TxnOutcome::Applied { .. }) => {
                 lease.start_until.set(self.start_end(sent_at));
                 if changes_known {
--- a/crates/umbersail-control/src/leader/mod.rs
+++ b/crates/umbersail-control/src/leader/mod.rs
@@ -20,7 +20,7 @@
 use umbersail_runtime::{Time, sleep};
 
 use crate::engine::Engine;
-use crate::node::{Leading, Node, Role, TaskGroup};
+use crate::node::{LeaderState, Node, Role, TaskGroup};
 use election::Elected;
 pub(crate) use lease::LeaderLease;
 use recovery::Recovered;
@@ -71,7 +71,7 @@
     /// asked for.
     async fn run_term(self: Rc<Self>, lease_id: u64, asked_at: Time, elected: Elected) {
         let token = elected.token;
-        self.share_limits(true);
+        self.apply_rate_limits(true);
         self.observe_leader(&self.settings.member, token);
         info!(
             token,
@@ -99,17 +99,17 @@
                 took_s = now - asked_at,
                 "state recovered"
             );
-            *self.role.borrow_mut() = Role::Leading(Box::new(Leading::new(
+            *self.role.borrow_mut() = Role::Leading(Box::new(LeaderState::new(
                 engine,
                 lease.clone(),
                 recovered.revision,
             )));
             self.clone().start_term_tasks(token, &mut tasks);
-            self.changed.raise();
+            self.role_changed.raise();
             let reason = self.wait_for_term_end(&lease).await;
             warn!(token, %reason, "leadership is over");
         }
-        tasks.end();
+        tasks.cancel();
         self.leave_term(lease_id, token).await;
     }
 
@@ -131,9 +131,9 @@
             .held_by_us(self.clock.now(), token, unrecorded);
         *self.role.borrow_mut() = Role::Following;
         self.set_resigning(false);
-        self.changed.raise();
-        self.share_limits(false);
-        self.state.end_lease(lease_id).await;
+        self.role_changed.raise();
+        self.apply_rate_limits(false);
+        self.kv.end_lease(lease_id).await;
         sleep(AFTER_TERM_S).await;
     }
 
--- a/crates/umbersail-control/src/leader/recovery.rs
+++ b/crates/umbersail-control/src/leader/recovery.rs
@@ -10,8 +10,10 @@
 use super::election::Elected;
 use crate::engine::{Inheritance, InheritedJob, InheritedPart, InheritedPlan};
 use crate::node::Node;
-use crate::records::{GRANT_PARTS, GrantPart, JOBS, JobRecord, PLANS, RUNS, RunRecord};
-use crate::state::{StateError, Urgency};
+use crate::records::{
+    GRANT_PARTS, GrantPart, JOB_PROGRESS, JOBS, JobProgressRecord, JobRecord, PLANS,
+};
+use crate::state::{KeyValueError, RequestPriority};
 
 /// Pause before what could not be read is read again, in seconds.
 const RETRY_S: Time = 0.2;
@@ -61,17 +63,28 @@
         None
     }
 
-    async fn try_read_predecessor(&self, elected: Elected) -> Result<Recovered, StateError> {
+    async fn try_read_predecessor(&self, elected: Elected) -> Result<Recovered, KeyValueError> {
         let jobs_read_at = self.clock.now();
-        let jobs = self.state.list::<JobRecord>(JOBS, Urgency::Vital).await;
-        let runs = self.state.list::<RunRecord>(RUNS, Urgency::Vital).await;
+        let jobs = self
+            .kv
+            .list::<JobRecord>(JOBS, RequestPriority::Critical)
+            .await;
+        let runs = self
+            .kv
+            .list::<JobProgressRecord>(JOB_PROGRESS, RequestPriority::Critical)
+            .await;
         let parts = self
-            .state
-            .list::<GrantPart>(GRANT_PARTS, Urgency::Vital)
+            .kv
+            .list::<GrantPart>(GRANT_PARTS, RequestPriority::Critical)
             .await;
         let ((jobs, revision), (runs, _), (parts, _)) = (jobs?, runs?, parts?);
         let plans = match elected.plans {
-            true => self.state.list::<Value>(PLANS, Urgency::Vital).await?.0,
+            true => {
+                self.kv
+                    .list::<Value>(PLANS, RequestPriority::Critical)
+                    .await?
+                    .0
+            }
             false => Vec::new(),
         };
         let mut progress = progress_by_job(runs);
@@ -79,7 +92,8 @@
             .into_iter()
             .map(|pair| {
                 let id = &pair.value.spec.id;
-                self.polls.record_version(id, pair.version, jobs_read_at);
+                self.batched_polls
+                    .record_version(id, pair.version, jobs_read_at);
                 InheritedJob {
                     run: progress.remove(id),
                     record: pair.value,
@@ -96,7 +110,7 @@
             over: over.collect(),
             whole_machines: elected.whole_machines,
             predecessor_degraded: elected.predecessor_degraded,
-            types: self.types.borrow().clone(),
+            types: self.machine_types.borrow().clone(),
             plans: plans.into_iter().map(inherited_plan).collect(),
         };
         Ok(Recovered {
@@ -108,9 +122,11 @@
 }
 
 /// Records of progress with their versions, by job.
-fn progress_by_job(runs: Vec<KeyValue<RunRecord>>) -> BTreeMap<String, (RunRecord, u64)> {
-    let by_job = |pair: KeyValue<RunRecord>| {
-        let id = pair.key.strip_prefix(RUNS)?.to_owned();
+fn progress_by_job(
+    runs: Vec<KeyValue<JobProgressRecord>>,
+) -> BTreeMap<String, (JobProgressRecord, u64)> {
+    let by_job = |pair: KeyValue<JobProgressRecord>| {
+        let id = pair.key.strip_prefix(JOB_PROGRESS)?.to_owned();
         Some((id, (pair.value, pair.version)))
     };
     runs.into_iter().filter_map(by_job).collect()
--- a/crates/umbersail-control/src/leader/scheduler.rs
+++ b/crates/umbersail-control/src/leader/scheduler.rs
@@ -12,8 +12,11 @@
 
 use crate::engine::{Engine, Fencing, PendingTxn, TxnOutcome};
 use crate::node::Node;
-use crate::records::{JobRecord, OVER, Record, RunRecord, job_key, part_key, plan_key, run_key};
-use crate::state::{StateError, Urgency};
+use crate::records::{
+    ENDED_JOBS, JobProgressRecord, JobRecord, Record, grant_part_key, job_key, plan_key,
+    progress_key,
+};
+use crate::state::{KeyValueError, RequestPriority};
 
 /// Pause after a transaction or a read that the state service did not carry out, seconds.
 const RETRY_S: Time = 0.2;
@@ -48,7 +51,7 @@
         while let Some(step) = self.scheduler_step(token, &mut pacing) {
             if self.degraded_mode.borrow().allows_starts() && step.txn.is_none() {
                 // Nothing can be written, or need be: launches go without.
-                self.progress.raise();
+                self.scheduler_progress.raise();
                 self.raise_tokens(token);
                 self.wait_for_work(step.next_s).await;
                 continue;
@@ -68,7 +71,7 @@
 
     fn scheduler_step(&self, token: u64, pacing: &mut Pacing) -> Option<Step> {
         let now = self.clock.now();
-        let (room, spare) = self.state.write_room();
+        let (room, spare) = self.kv.write_budget();
         self.with_engine(token, |engine| {
             self.tick_if_due(now, engine, pacing);
             self.schedule_if_due(now, engine, pacing);
@@ -77,7 +80,7 @@
                 (false, true) => Some(self.tuning.cycle_interval_s),
                 (false, false) => None,
             };
-            if self.degraded_mode.borrow().allows_starts() && self.state.failing_since().is_some() {
+            if self.degraded_mode.borrow().allows_starts() && self.kv.failing_since().is_some() {
                 return Step {
                     txn: None,
                     unknown_versions: Default::default(),
@@ -101,7 +104,7 @@
         pacing.last_tick = now;
         engine.set_wall(now, self.clock.unix_ms());
         engine.tick(now);
-        self.keep_sockets_for(engine.machine_count());
+        self.reserve_sockets_for(engine.machine_count());
     }
 
     fn schedule_if_due(&self, now: Time, engine: &mut Engine, pacing: &mut Pacing) {
@@ -113,14 +116,14 @@
         pacing.last_cycle = now;
         engine.schedule(now);
         charge(engine.take_steps() as f64 * self.tuning.step_ns * 1e-9);
-        self.progress.raise();
+        self.scheduler_progress.raise();
     }
 
     /// Waits until something has changed; false if only the time was over.
     async fn wait_for_work(&self, next_s: Option<Time>) -> bool {
         let (least_s, most_s) = IDLE_S;
         let wait_s = next_s.unwrap_or(self.tuning.write_delay_s.clamp(least_s, most_s));
-        let woken = pin!(self.wake.notified());
+        let woken = pin!(self.scheduler_wakeup.notified());
         matches!(select(woken, pin!(sleep(wait_s))).await, Either::Left(_))
     }
 
@@ -133,14 +136,14 @@
 
     fn send_tokens(self: &Rc<Self>, token: u64, increments: Vec<Fencing>) {
         for increment in increments {
-            spawn(self.clone().bring_token(token, increment));
+            spawn(self.clone().send_token(token, increment));
         }
     }
 
     /// Sends a transaction and tells the engine what became of it; false if the leader's key
     /// is not ours.
     async fn write(self: &Rc<Self>, token: u64, pending: PendingTxn) -> bool {
-        let outcome = self.state.txn(&pending.txn, Urgency::Patient).await;
+        let outcome = self.kv.txn(&pending.txn, RequestPriority::Background).await;
         if !matches!(outcome, TxnOutcome::Applied { .. }) {
             debug!(?outcome, "transaction");
             if outcome == TxnOutcome::NotExecuted {
@@ -149,13 +152,13 @@
         }
         let now = self.clock.now();
         if matches!(outcome, TxnOutcome::Applied { .. }) {
-            self.remember_ends(&pending.txn);
+            self.cache_ends(&pending.txn);
         }
         let after = self.with_engine(token, |engine| {
             engine.txn_done(now, pending, outcome);
             (engine.is_lost(), engine.token_increments(now))
         });
-        self.progress.raise();
+        self.scheduler_progress.raise();
         let Some((false, increments)) = after else {
             return false;
         };
@@ -165,13 +168,13 @@
 
     /// Ends of jobs that are recorded now: their users are told without a read, also
     /// while the state service is out (rule 6).
-    fn remember_ends(&self, txn: &Txn<Record>) {
+    fn cache_ends(&self, txn: &Txn<Record>) {
         for change in &txn.changes {
             if let Change::Put { key, value, .. } = change
-                && let Record::Over(over) = value
-                && let Some(id) = key.strip_prefix(OVER)
+                && let Record::EndedJob(over) = value
+                && let Some(id) = key.strip_prefix(ENDED_JOBS)
             {
-                self.remember_end(id, *over);
+                self.cache_end(id, *over);
             }
         }
     }
@@ -197,29 +200,39 @@
         token: u64,
         jobs: Vec<String>,
         parts: Vec<u32>,
-    ) -> Result<(), StateError> {
+    ) -> Result<(), KeyValueError> {
         for id in jobs {
-            let (job_key, run_key) = (job_key(&id), run_key(&id));
-            let job = self.state.get::<JobRecord>(&job_key, Urgency::Patient);
+            let (job_key, progress_key) = (job_key(&id), progress_key(&id));
+            let job = self
+                .kv
+                .get::<JobRecord>(&job_key, RequestPriority::Background);
             let job = job.await;
-            let run = self.state.get::<RunRecord>(&run_key, Urgency::Patient);
+            let run = self
+                .kv
+                .get::<JobProgressRecord>(&progress_key, RequestPriority::Background);
             let (run, job) = (run.await?, job?);
             let version = run.map_or(0, |(_, version)| version);
             self.with_engine(token, |e| e.version_read(&id, job.is_some(), version));
         }
         for index in parts {
-            let key = part_key(index);
-            let found = self.state.get::<IgnoredAny>(&key, Urgency::Patient).await?;
+            let key = grant_part_key(index);
+            let found = self
+                .kv
+                .get::<IgnoredAny>(&key, RequestPriority::Background)
+                .await?;
             let version = found.map_or(0, |(_, version)| version);
             self.with_engine(token, |e| e.part_read(index, version));
         }
         Ok(())
     }
 
-    async fn read_plans(&self, token: u64, names: Vec<String>) -> Result<(), StateError> {
+    async fn read_plans(&self, token: u64, names: Vec<String>) -> Result<(), KeyValueError> {
         for name in names {
             let key = plan_key(&name);
-            let found = self.state.get::<Value>(&key, Urgency::Patient).await?;
+            let found = self
+                .kv
+                .get::<Value>(&key, RequestPriority::Background)
+                .await?;
             let now = self.clock.now();
             self.with_engine(token, |e| e.plan_read(now, &name, found));
         }
--- a/crates/umbersail-control/src/node.rs
+++ b/crates/umbersail-control/src/node.rs
@@ -16,7 +16,7 @@
 use umbersail_wire::MachineType;
 
 use crate::all_replica_read::AllReplicaReads;
-use crate::capacity::{cloud_client, peer_client, state_client, worker_client};
+use crate::capacity::{cloud_client, key_value_client, peer_client, worker_client};
 use crate::cloud::CloudClient;
 use crate::delegate::Delegate;
 use crate::engine::{Engine, EngineConfig};
@@ -26,30 +26,30 @@
 use crate::redirects::RedirectTracker;
 use crate::retry_backoff::RetryBackoff;
 use crate::settings::Settings;
-use crate::state::{StateClient, Urgency};
+use crate::state::{KeyValueClient, RequestPriority};
 use crate::terminal_cache::TerminalCache;
 
 /// What this node is just now.
 pub(crate) enum Role {
     Following,
-    Leading(Box<Leading>),
+    Leading(Box<LeaderState>),
 }
 
 /// The leader's part.
-pub(crate) struct Leading {
+pub(crate) struct LeaderState {
     pub engine: Engine,
     pub lease: Rc<LeaderLease>,
     /// The engine knows what was accepted and cancelled up to this revision.
-    pub followed: Cell<u64>,
+    pub jobs_revision: Cell<u64>,
     pub superseded: Cell<bool>,
 }
 
-impl Leading {
-    pub fn new(engine: Engine, lease: Rc<LeaderLease>, followed: u64) -> Leading {
-        Leading {
+impl LeaderState {
+    pub fn new(engine: Engine, lease: Rc<LeaderLease>, jobs_revision: u64) -> LeaderState {
+        LeaderState {
             engine,
             lease,
-            followed: Cell::new(followed),
+            jobs_revision: Cell::new(jobs_revision),
             superseded: Cell::new(false),
         }
     }
@@ -64,13 +64,13 @@
     pub answered_at: Option<Time>,
     /// What was last handed on to it had no answer at all, and it has not
     /// answered since.
-    pub silent: bool,
+    pub unresponsive: bool,
     /// How long its process had run when it was last heard of, and how late
     /// its timers fired, seconds.
-    pub up_s: f64,
+    pub uptime_s: f64,
     pub lag_s: f64,
     /// When the state service last answered it, on our clock.
-    pub state_answer_at: Option<Time>,
+    pub store_answer_at: Option<Time>,
 }
 
 /// The leader's newest word on unfinished jobs: tasks done and running.
@@ -85,26 +85,26 @@
     pub(crate) settings: Settings,
     pub(crate) tuning: Rc<Tuning>,
     pub(crate) clock: Rc<dyn Clock>,
-    pub(crate) state: StateClient,
+    pub(crate) kv: KeyValueClient,
     pub(crate) cloud: CloudClient,
     /// For workers.
-    pub(crate) http: Client,
+    pub(crate) worker_http: Client,
     pub(crate) peer_http: Client,
     pub(crate) incarnation: u64,
     pub(crate) role: RefCell<Role>,
     /// The newest leader that we know of, with its token.
     pub(crate) leader: RefCell<Option<(String, u64)>>,
-    pub(crate) types: RefCell<Vec<MachineType>>,
+    pub(crate) machine_types: RefCell<Vec<MachineType>>,
     pub(crate) peers: RefCell<BTreeMap<String, PeerState>>,
-    pub(crate) cache: RefCell<TerminalCache>,
-    pub(crate) polls: BatchedPolls,
+    pub(crate) terminal_cache: RefCell<TerminalCache>,
+    pub(crate) batched_polls: BatchedPolls,
     pub(crate) all_replica_reads: AllReplicaReads,
     pub(crate) redirects: RefCell<RedirectTracker>,
     /// Workers that we sent to other nodes because we are isolated, or lead no more.
-    pub(crate) handed_off: RefCell<RedirectTracker>,
+    pub(crate) handed_off_workers: RefCell<RedirectTracker>,
     /// When somebody was last heard of whom a cut of our zone would keep from us: the
     /// balancer, a user, a worker of another zone.
-    pub(crate) outside_heard_at: Cell<Time>,
+    pub(crate) outside_contact_at: Cell<Time>,
     /// The last successor that we named while we led.
     pub(crate) last_designated: RefCell<Option<String>>,
     pub(crate) delegate: RefCell<Delegate>,
@@ -114,9 +114,9 @@
     /// Front connections kept for workers, by the number of machines.
     pub(crate) reserved_sockets: Rc<Cell<usize>>,
     /// Wakes the leader's scheduler.
-    pub(crate) wake: Notify,
+    pub(crate) scheduler_wakeup: Notify,
     /// Raised when the leader has planned or recorded something.
-    pub(crate) progress: Broadcast,
+    pub(crate) scheduler_progress: Broadcast,
     /// Wakes the leader's failure detector: we may not be it any more.
     pub(crate) step_down: Notify,
     /// What speaks against the leader.
@@ -129,19 +129,19 @@
     /// only if we agree to none meanwhile.
     pub(crate) campaigning: Cell<bool>,
     /// The version of the newest leader's key that was read, and its process.
-    pub(crate) elected: Cell<Option<(u64, u64)>>,
+    pub(crate) leader_key_read: Cell<Option<(u64, u64)>>,
     /// Whom the leader named to lead after it.
     pub(crate) designated_successor: RefCell<Option<String>>,
     /// We lead, and want another to.
     pub(crate) resigning: Cell<bool>,
     /// Having handed the lead over, we don't take it back before then.
     pub(crate) step_down_backoff_until: Cell<Time>,
-    pub(crate) lag: Cell<Lag>,
+    pub(crate) timer_lag: Cell<Lag>,
     /// What we know of a holder's starts without a record, and our own.
     pub(crate) degraded_mode_record: RefCell<DegradedModeRecord>,
     pub(crate) degraded_mode: RefCell<DegradedMode>,
     /// Raised when we begin or cease to lead, or want another to.
-    pub(crate) changed: Broadcast,
+    pub(crate) role_changed: Broadcast,
 }
 
 /// Runs a node until the process is killed.
@@ -160,14 +160,15 @@
     );
     let (limits, back_limits) = node.server_limits();
     let front_node = node.clone();
-    let handler: Handler = Rc::new(move |request| Box::pin(front_node.clone().front(request)));
+    let handler: Handler =
+        Rc::new(move |request| Box::pin(front_node.clone().handle_front_request(request)));
     let back_node = node.clone();
     let back_handler: Handler =
         Rc::new(move |request| Box::pin(back_node.clone().peer_request(request)));
     spawn(serve(front, limits, handler));
     spawn(serve(back, back_limits, back_handler));
-    spawn(node.clone().learn_types());
-    spawn(node.clone().probe_state());
+    spawn(node.clone().load_machine_types());
+    spawn(node.clone().probe_store());
     spawn(node.clone().measure_lag());
     spawn(node.clone().watch_leader());
     spawn(node.clone().run_failure_detector());
@@ -182,21 +183,24 @@
         let facts = &settings.facts;
         let node = Rc::new(Node {
             tuning: Rc::new(tuning.clone()),
-            state: state_client(&tuning, &settings, clock.clone()),
+            kv: key_value_client(&tuning, &settings, clock.clone()),
             cloud: cloud_client(&tuning, &settings, clock.clone()),
-            http: worker_client(&tuning, &settings),
+            worker_http: worker_client(&tuning, &settings),
             peer_http: peer_client(&tuning, &settings),
             incarnation: random(|rng| rng.random()),
             role: RefCell::new(Role::Following),
             leader: RefCell::new(None),
-            types: RefCell::new(Vec::new()),
+            machine_types: RefCell::new(Vec::new()),
             peers: RefCell::new(BTreeMap::new()),
-            polls: BatchedPolls::default(),
+            batched_polls: BatchedPolls::default(),
             all_replica_reads: AllReplicaReads::default(),
-            cache: RefCell::new(TerminalCache::new(tuning.terminal_cache as usize)),
+            terminal_cache: RefCell::new(TerminalCache::new(tuning.terminal_cache as usize)),
             redirects: RefCell::new(RedirectTracker::new(tuning.relay_again_s, tuning.relay_s)),
-            handed_off: RefCell::new(RedirectTracker::new(tuning.relay_again_s, tuning.relay_s)),
-            outside_heard_at: Cell::new(f64::MIN),
+            handed_off_workers: RefCell::new(RedirectTracker::new(
+                tuning.relay_again_s,
+                tuning.relay_s,
+            )),
+            outside_contact_at: Cell::new(f64::MIN),
             last_designated: RefCell::default(),
             delegate: RefCell::new(Delegate::new(
                 facts.workers.lease_s,
@@ -206,26 +210,26 @@
             reported_progress: RefCell::default(),
             retry_backoff: RefCell::default(),
             reserved_sockets: Rc::default(),
-            wake: Notify::default(),
-            progress: Broadcast::default(),
+            scheduler_wakeup: Notify::default(),
+            scheduler_progress: Broadcast::default(),
             step_down: Notify::default(),
             failure_detector: RefCell::new(failure_detector(&tuning)),
             suspected: Notify::default(),
             confirmed_failure: Cell::default(),
             campaign_requested: Notify::default(),
             campaigning: Cell::default(),
-            elected: Cell::default(),
+            leader_key_read: Cell::default(),
             designated_successor: RefCell::default(),
             resigning: Cell::default(),
             step_down_backoff_until: Cell::new(f64::MIN),
-            lag: Cell::default(),
+            timer_lag: Cell::default(),
             degraded_mode_record: RefCell::default(),
             degraded_mode: RefCell::default(),
-            changed: Broadcast::default(),
+            role_changed: Broadcast::default(),
             clock,
             settings,
         });
-        node.share_limits(false);
+        node.apply_rate_limits(false);
         node
     }
 
@@ -299,11 +303,11 @@
 
     /// Learns the machine types once: from a leader's record, else from the
     /// cloud.
-    async fn learn_types(self: Rc<Self>) {
-        while self.types.borrow().is_empty() {
+    async fn load_machine_types(self: Rc<Self>) {
+        while self.machine_types.borrow().is_empty() {
             let recorded = self
-                .state
-                .get::<CatalogueRecord>(CATALOGUE_KEY, Urgency::Patient)
+                .kv
+                .get::<CatalogueRecord>(CATALOGUE_KEY, RequestPriority::Background)
                 .await;
             let types = match recorded {
                 Ok(Some((record, _))) => Some(record.types),
@@ -312,7 +316,7 @@
             match types {
                 Some(types) if !types.is_empty() => {
                     info!(types = types.len(), "machine types known");
-                    *self.types.borrow_mut() = types;
+                    *self.machine_types.borrow_mut() = types;
                     return;
                 }
                 _ => {
@@ -352,7 +356,7 @@
         self.0.push(spawn(duty));
     }
 
-    pub fn end(self) {
+    pub fn cancel(self) {
         for routine in self.0 {
             routine.cancel();
         }
--- a/crates/umbersail-control/src/peers.rs
+++ b/crates/umbersail-control/src/peers.rs
@@ -32,7 +32,7 @@
         Hello {
             member: self.settings.member.clone(),
             incarnation: self.incarnation,
-            state_reachable: self.sees_state(),
+            state_reachable: self.is_store_reachable(),
             token: leader.as_ref().map_or(0, |(_, token)| *token),
             leader: leader.as_ref().map(|(name, _)| name.clone()),
             machines: 0,
@@ -47,9 +47,8 @@
             recorded: self.degraded_mode_record.borrow().recorded(),
             open: leading && self.degraded_mode.borrow().may_have_unrecorded(),
             standby: standby.map(|s| s.member),
-            lag_ms: (self.lag.get().mean_s() * 1000.0) as u64,
-            state_ago_ms: (self.state.last_answer())
-                .map(|at| ((now - at).max(0.0) * 1000.0) as u64),
+            lag_ms: (self.timer_lag.get().mean_s() * 1000.0) as u64,
+            state_ago_ms: (self.kv.last_success()).map(|at| ((now - at).max(0.0) * 1000.0) as u64),
         }
     }
 
@@ -58,7 +57,7 @@
     /// workers ends early enough without (rule 2).
     pub(crate) fn lately_cancelled(&self) -> Vec<String> {
         let since = self.clock.now() - self.settings.facts.workers.cancel_s;
-        let cache = self.cache.borrow();
+        let cache = self.terminal_cache.borrow();
         let newest = cache.cancelled_since(since).take(MAX_CANCELLED);
         newest.cloned().collect()
     }
@@ -70,7 +69,7 @@
             ids.iter().for_each(|id| leading.engine.job_dropped(id));
         }
         if !ids.is_empty() {
-            self.wake.notify();
+            self.scheduler_wakeup.notify();
         }
     }
 
@@ -103,7 +102,7 @@
         let now = self.clock.now();
         if let Some(peer) = self.peers.borrow_mut().get_mut(&hello.member) {
             peer.answered_at = Some(now);
-            peer.silent = false;
+            peer.unresponsive = false;
         }
         if hello.leads {
             self.failure_detector
@@ -159,7 +158,7 @@
             && self.leader_name().as_deref() == Some(&*hello.member)
             && hello.machines > 0
         {
-            self.keep_sockets_for(hello.machines);
+            self.reserve_sockets_for(hello.machines);
             let jobs = hello.progress.iter();
             *self.reported_progress.borrow_mut() = ReportedProgress {
                 at: Some(self.clock.now()),
@@ -171,9 +170,9 @@
         let now = self.clock.now();
         peer.heard_at = Some(now);
         peer.state_reachable = hello.state_reachable;
-        peer.up_s = hello.up_ms as f64 / 1000.0;
+        peer.uptime_s = hello.up_ms as f64 / 1000.0;
         peer.lag_s = hello.lag_ms as f64 / 1000.0;
-        peer.state_answer_at = hello.state_ago_ms.map(|ago| now - ago as f64 / 1000.0);
+        peer.store_answer_at = hello.state_ago_ms.map(|ago| now - ago as f64 / 1000.0);
         drop(peers);
         if (hello.leads || hello.resigns) && self.leader_name().as_deref() == Some(&*hello.member) {
             *self.designated_successor.borrow_mut() = hello.standby.clone();
@@ -184,7 +183,7 @@
     pub(crate) async fn peer_request(self: Rc<Self>, request: Request) -> Response {
         match (request.method.as_str(), request.path()) {
             ("POST", paths::PEER_HELLO) => {}
-            ("POST", paths::PEER_REPORT) => return self.take_report(&request.body).await,
+            ("POST", paths::PEER_REPORT) => return self.accept_heartbeat(&request.body).await,
             ("POST", paths::PEER_SUBMIT) => return self.submit(&request.body).await,
             ("POST", path @ (paths::PEER_POLL | paths::PEER_CANCEL)) => {
                 return match decode::<JobIdOnly>(&request.body) {
@@ -241,7 +240,11 @@
         body: &[u8],
         direct: impl FnOnce() -> bool,
     ) -> Option<Response> {
-        let silent = self.peers.borrow().get(leader).is_some_and(|p| p.silent);
+        let silent = self
+            .peers
+            .borrow()
+            .get(leader)
+            .is_some_and(|p| p.unresponsive);
         if !silent {
             match self
                 .request_from_peer(leader, paths::PEER_REPORT, body)
@@ -265,7 +268,7 @@
         let now = self.clock.now();
         let mut delegate = self.delegate.borrow_mut();
         let token = delegate.renew(now, report)?;
-        let cache = self.cache.borrow();
+        let cache = self.terminal_cache.borrow();
         let commands = delegate.stops(report, |id| cache.get(id).is_some());
         let reply = ReportReply { token, commands };
         Some(Response::new(200, encode(&reply)))
@@ -275,13 +278,13 @@
     fn mark_silent(&self, member: &str) {
         let mut peers = self.peers.borrow_mut();
         let peer = peers.entry(member.to_owned()).or_default();
-        if !peer.silent && self.leader_name().as_deref() == Some(member) {
+        if !peer.unresponsive && self.leader_name().as_deref() == Some(member) {
             info!(
                 leader = member,
                 "does not answer: a delegate renews its workers' leases"
             );
         }
-        peer.silent = true;
+        peer.unresponsive = true;
     }
 
     /// Whether this node stands between the leader and a worker: it is in the
@@ -321,7 +324,7 @@
             .filter(|p| {
                 let state = peers.get(&p.member);
                 state.is_some_and(|s| {
-                    !s.silent && s.answered_at.is_some_and(|at| now - at < fresh_s)
+                    !s.unresponsive && s.answered_at.is_some_and(|at| now - at < fresh_s)
                 })
             })
             .collect();
@@ -365,7 +368,9 @@
         let peers = self.peers.borrow();
         let able = |name: &String| {
             peers.get(name).is_some_and(|p| {
-                p.state_reachable && !p.silent && p.heard_at.is_some_and(|at| now - at < fresh_s)
+                p.state_reachable
+                    && !p.unresponsive
+                    && p.heard_at.is_some_and(|at| now - at < fresh_s)
             })
         };
         let leader = self.leader_name();
--- a/crates/umbersail-control/src/polls.rs
+++ b/crates/umbersail-control/src/polls.rs
@@ -11,7 +11,7 @@
 use crate::engine::TxnOutcome;
 use crate::node::Node;
 use crate::records::job_key;
-use crate::state::Urgency;
+use crate::state::RequestPriority;
 
 /// How long a poll waits for others to be compared with it, in seconds: users wait
 /// 2 s for an answer.
@@ -77,7 +77,7 @@
     /// asked (rule 6): many polls share one request, since each job's key never
     /// changes before its end.
     pub(crate) async fn compare_version(self: &Rc<Self>, id: &str) -> PollOutcome {
-        let Some((version, _)) = self.polls.versions.borrow().get(id).copied() else {
+        let Some((version, _)) = self.batched_polls.versions.borrow().get(id).copied() else {
             return PollOutcome::Unknown;
         };
         let round = self.join_batch(id, version);
@@ -86,7 +86,7 @@
         }
         match &*round.moved.borrow() {
             Some(moved) if moved.contains(id) => {
-                self.polls.forget(id);
+                self.batched_polls.forget(id);
                 PollOutcome::Unknown
             }
             Some(_) => PollOutcome::Unfinished,
@@ -96,7 +96,7 @@
 
     fn join_batch(self: &Rc<Self>, id: &str, version: u64) -> Rc<PollBatch> {
         let most = CONDITIONS_PER_CHANGE * self.settings.facts.state.txn_ops;
-        let mut open_batch = self.polls.open_batch.borrow_mut();
+        let mut open_batch = self.batched_polls.open_batch.borrow_mut();
         let full = |round: &Rc<PollBatch>| round.versions.borrow().len() >= most;
         let round = match open_batch.take().filter(|round| !full(round)) {
             Some(round) => round,
@@ -116,7 +116,7 @@
         sleep(GATHER_S).await;
         {
             // Whoever asks from here on is too late for this comparison.
-            let mut open_batch = self.polls.open_batch.borrow_mut();
+            let mut open_batch = self.batched_polls.open_batch.borrow_mut();
             if open_batch.as_ref().is_some_and(|g| Rc::ptr_eq(g, &round)) {
                 *open_batch = None;
             }
@@ -136,10 +136,10 @@
                 changes: Vec::new(),
             };
             let sent_at = self.clock.now();
-            match self.state.txn(&txn, Urgency::Poll).await {
+            match self.kv.txn(&txn, RequestPriority::Poll).await {
                 TxnOutcome::Applied { .. } => {
                     for (id, version) in &left {
-                        self.polls.record_version(id, *version, sent_at);
+                        self.batched_polls.record_version(id, *version, sent_at);
                     }
                     break true;
                 }
--- a/crates/umbersail-control/src/records.rs
+++ b/crates/umbersail-control/src/records.rs
@@ -22,9 +22,9 @@
 /// Unfinished jobs, as accepted.
 pub const JOBS: &str = "jobs/";
 /// Progress of unfinished jobs, written by the controller only.
-pub const RUNS: &str = "runs/";
+pub const JOB_PROGRESS: &str = "runs/";
 /// Finished jobs, kept for ever.
-pub const OVER: &str = "over/";
+pub const ENDED_JOBS: &str = "over/";
 
 /// Plans of any kind: each under its kind and name.
 pub const PLANS: &str = "plans/";
@@ -40,7 +40,7 @@
 }
 
 /// Key of a part of the grant.
-pub fn part_key(index: u32) -> String {
+pub fn grant_part_key(index: u32) -> String {
     format!("{GRANT_PARTS}{index}")
 }
 
@@ -50,13 +50,13 @@
 }
 
 /// Key of a job's progress.
-pub fn run_key(id: &str) -> String {
-    format!("{RUNS}{id}")
+pub fn progress_key(id: &str) -> String {
+    format!("{JOB_PROGRESS}{id}")
 }
 
 /// Key of a job's end.
-pub fn over_key(id: &str) -> String {
-    format!("{OVER}{id}")
+pub fn ended_job_key(id: &str) -> String {
+    format!("{ENDED_JOBS}{id}")
 }
 
 /// Who leads.
@@ -119,10 +119,10 @@
 /// How far a job has come. Written before a task is started on a machine, so
 /// that a successor knows which machines may hold which tasks.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize, Default)]
-pub struct RunRecord {
+pub struct JobProgressRecord {
     /// Tasks from this number on were never started.
     #[serde(rename = "hi")]
-    pub high: u32,
+    pub high_water: u32,
     /// Completed tasks, see `Bitmap::to_text`.
     #[serde(default)]
     pub done: String,
@@ -140,7 +140,7 @@
     pub running: u32,
     /// Attempts of completed tasks that may still be about.
     #[serde(rename = "ex", default, skip_serializing_if = "is_zero")]
-    pub extra: u32,
+    pub orphaned_attempts: u32,
     /// Whose it is and what one task takes, for when the job's own key is gone.
     #[serde(rename = "tm", default)]
     pub team: String,
@@ -152,11 +152,11 @@
     pub suspect: bool,
 }
 
-impl RunRecord {
+impl JobProgressRecord {
     /// Running tasks for display. The record is written before tasks start and seldom when
     /// they do: one runs at least while a machine may hold one that is not done.
     pub fn running_at_least(&self) -> u32 {
-        let may_run = !self.hosts.is_empty() && self.high > self.done_count;
+        let may_run = !self.hosts.is_empty() && self.high_water > self.done_count;
         self.running.max(u32::from(may_run))
     }
 }
@@ -178,7 +178,7 @@
 
 /// The end of a job, kept for ever.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub struct OverRecord {
+pub struct EndedJobRecord {
     /// How it ended.
     pub outcome: Outcome,
     /// Completed tasks.
@@ -206,15 +206,15 @@
     /// Version of the leader's key.
     pub token: u64,
     /// Whether it may have started tasks that no record tells of.
-    #[serde(default = "unsaid")]
-    pub open: bool,
+    #[serde(rename = "open", default = "assume_unrecorded")]
+    pub may_have_unrecorded: bool,
     /// The newest suspicion that it had seen before it said so.
-    #[serde(default)]
-    pub answers: u64,
+    #[serde(rename = "answers", default)]
+    pub newest_suspicion: u64,
 }
 
 /// Who does not say whether it is open may be.
-fn unsaid() -> bool {
+fn assume_unrecorded() -> bool {
     true
 }
 
@@ -235,8 +235,8 @@
     pub plan: Value,
     /// A tombstone: there is no plan, and a late creation of one is to fail. To an older
     /// build it is a plan of a version that it does not know.
-    #[serde(default, skip_serializing_if = "std::ops::Not::not")]
-    pub gone: bool,
+    #[serde(rename = "gone", default, skip_serializing_if = "std::ops::Not::not")]
+    pub is_tombstone: bool,
 }
 
 impl PlanRecord {
@@ -245,7 +245,7 @@
         PlanRecord {
             version: 0,
             plan: Value::Nil,
-            gone: true,
+            is_tombstone: true,
         }
     }
 }
@@ -262,10 +262,10 @@
     GrantPart(GrantPart),
     /// Under [`JOBS`].
     Job(JobRecord),
-    /// Under [`RUNS`].
-    Run(RunRecord),
-    /// Under [`OVER`].
-    Over(OverRecord),
+    /// Under [`JOB_PROGRESS`].
+    JobProgress(JobProgressRecord),
+    /// Under [`ENDED_JOBS`].
+    EndedJob(EndedJobRecord),
     /// Under [`CATALOGUE_KEY`].
     Catalogue(CatalogueRecord),
     /// Under [`SUSPICIONS`].
@@ -299,8 +299,8 @@
 
 /// Accepts a job. A first try carried out late finds the job, or its end, which is kept
 /// for ever.
-pub fn acceptance(record: JobRecord) -> Txn<Record> {
-    let (job, over) = (job_key(&record.spec.id), over_key(&record.spec.id));
+pub fn acceptance_txn(record: JobRecord) -> Txn<Record> {
+    let (job, over) = (job_key(&record.spec.id), ended_job_key(&record.spec.id));
     let absent = |key: &String| Condition {
         key: key.clone(),
         version: 0,
@@ -313,7 +313,7 @@
 
 /// Cancels a job whose key has this version. The key keeps it until the job ends and
 /// never comes back, so a first try carried out late finds it gone.
-pub fn cancellation(id: &str, version: u64, over: OverRecord) -> Txn<Record> {
+pub fn cancellation_txn(id: &str, version: u64, over: EndedJobRecord) -> Txn<Record> {
     Txn {
         conditions: vec![Condition {
             key: job_key(id),
@@ -321,14 +321,14 @@
         }],
         changes: vec![
             Change::Delete { key: job_key(id) },
-            put(over_key(id), Record::Over(over)),
+            put(ended_job_key(id), Record::EndedJob(over)),
         ],
     }
 }
 
 /// Makes `leader` the holder of the block. Every election moves the grant, so one carried
 /// out late fails after any other, also when that one's leader has ended.
-pub fn election(
+pub fn election_txn(
     leader: LeaderRecord,
     lease: u64,
     former: u64,
@@ -368,7 +368,7 @@
 
 /// Records the machine types in place of those of this version: a first try carried out
 /// late does not undo a retry.
-pub fn catalogue(token: u64, version: u64, types: Vec<MachineType>) -> Txn<Record> {
+pub fn catalogue_txn(token: u64, version: u64, types: Vec<MachineType>) -> Txn<Record> {
     let record = Record::Catalogue(CatalogueRecord { types });
     let mut txn = under(token, put(CATALOGUE_KEY.into(), record));
     txn.conditions.push(Condition {
@@ -379,13 +379,13 @@
 }
 
 /// Asks the leader whether it lives; one question more does no harm.
-pub fn suspicion(member: &str, token: u64) -> Txn<Record> {
+pub fn suspicion_txn(member: &str, token: u64) -> Txn<Record> {
     let record = Record::Suspicion(SuspicionRecord { token });
     under(token, put(suspicion_key(member), record))
 }
 
 /// The leader's answer; it says to which suspicion, so that a late one proves nothing newer.
-pub fn liveness(record: LivenessRecord) -> Txn<Record> {
+pub fn liveness_txn(record: LivenessRecord) -> Txn<Record> {
     under(
         record.token,
         put(LIVENESS_KEY.into(), Record::Liveness(record)),
--- a/crates/umbersail-control/src/settings.rs
+++ b/crates/umbersail-control/src/settings.rs
@@ -43,10 +43,10 @@
     },
     /// This node has no name.
     #[error("member: must not be empty")]
-    NoMember,
+    MissingMember,
     /// This node stands among its own peers.
     #[error("known: names this member, {0}")]
-    KnowsItself(String),
+    ListsItselfAsPeer(String),
     /// A team's amount is negative, or none.
     #[error("facts.teams {team}: {key}: {value} must not be negative")]
     NegativeTeamAmount {
@@ -113,9 +113,9 @@
     /// The workers' intervals.
     pub workers: Workers,
     /// Limits of the state service.
-    pub state: StateFacts,
+    pub state: KeyValueLimits,
     /// Limits of the cloud.
-    pub cloud: CloudFacts,
+    pub cloud: CloudLimits,
     /// What one controller has.
     pub resources: Resources,
     /// Bound of the error of any node's time of day, in milliseconds.
@@ -178,7 +178,7 @@
 
 /// Limits of the state service, for all controllers together.
 #[derive(Debug, Clone, Deserialize)]
-pub struct StateFacts {
+pub struct KeyValueLimits {
     /// Requests a second.
     pub rps: f64,
     /// Changes a second.
@@ -191,7 +191,7 @@
 
 /// Limits of the cloud.
 #[derive(Debug, Clone, Deserialize)]
-pub struct CloudFacts {
+pub struct CloudLimits {
     /// Requests a second.
     pub rps: f64,
     /// Seconds by which its list is late.
@@ -261,10 +261,10 @@
     fn check(&self) -> Result<(), InvalidSettings> {
         self.check_amounts()?;
         if self.member.is_empty() {
-            return Err(InvalidSettings::NoMember);
+            return Err(InvalidSettings::MissingMember);
         }
         if self.peers.iter().any(|p| p.member == self.member) {
-            return Err(InvalidSettings::KnowsItself(self.member.clone()));
+            return Err(InvalidSettings::ListsItselfAsPeer(self.member.clone()));
         }
         self.facts.teams.iter().try_for_each(Team::check)
     }
--- a/crates/umbersail-control/src/standby.rs
+++ b/crates/umbersail-control/src/standby.rs
@@ -14,9 +14,9 @@
 
 use crate::engine::TxnOutcome;
 use crate::node::{Node, Role};
-use crate::records::{LIVENESS_KEY, LivenessRecord, SUSPICIONS, liveness, suspicion};
+use crate::records::{LIVENESS_KEY, LivenessRecord, SUSPICIONS, liveness_txn, suspicion_txn};
 use crate::settings::Peer;
-use crate::state::{StateError, Urgency};
+use crate::state::{KeyValueError, RequestPriority};
 
 /// How often a node looks how late its timers fire, seconds.
 const LAG_LOOK_S: Time = 0.25;
@@ -78,7 +78,7 @@
             self.failure_detector.borrow_mut().clear_suspicion(token);
             return true;
         }
-        let other = (self.elected.get())
+        let other = (self.leader_key_read.get())
             .is_some_and(|(of, incarnation)| of == token && incarnation != hello.incarnation);
         if other {
             self.suspect(token, Evidence::Replaced);
@@ -101,7 +101,7 @@
                 break;
             }
             // Out of time, or something has changed: looked at again either way.
-            let _ = timeout(until - now, self.changed.raised()).await;
+            let _ = timeout(until - now, self.role_changed.raised()).await;
         }
         Response::new(200, encode(&self.hello()))
     }
@@ -162,9 +162,10 @@
         let Some((_, token)) = self.remote_leader() else {
             return;
         };
-        let txn = suspicion(&self.settings.member, token);
+        let txn = suspicion_txn(&self.settings.member, token);
         let put_at = self.clock.now();
-        let TxnOutcome::Applied { revision } = self.state.txn(&txn, Urgency::Vital).await else {
+        let TxnOutcome::Applied { revision } = self.kv.txn(&txn, RequestPriority::Critical).await
+        else {
             // Another leads already, or nobody can say anything just now.
             sleep(AGAIN_S).await;
             return;
@@ -172,7 +173,7 @@
         let asked = self.clock.now();
         let answer_s = self.failure_detector.borrow().answer_s(asked);
         let answer = self
-            .state
+            .kv
             .watch::<LivenessRecord>(LIVENESS_KEY, revision, answer_s)
             .await;
         let now = self.clock.now();
@@ -182,10 +183,10 @@
                 // Its word is as good as in a greeting, if it answers our question:
                 // one written for an earlier question may come late (rule 3).
                 let words = result.events.iter().filter_map(|e| e.value.as_ref());
-                let ours = |a: &&LivenessRecord| a.token == token && a.answers >= revision;
+                let ours = |a: &&LivenessRecord| a.token == token && a.newest_suspicion >= revision;
                 for alive in words.filter(ours) {
                     let mut memory = self.degraded_mode_record.borrow_mut();
-                    memory.holder_reported(put_at, token, alive.open);
+                    memory.holder_reported(put_at, token, alive.may_have_unrecorded);
                 }
                 self.failure_detector.borrow_mut().answered(now, token);
             }
@@ -220,32 +221,28 @@
         let mut from = token;
         loop {
             let hold_s = self.tuning.watch_hold_s;
-            match self
-                .state
-                .watch::<IgnoredAny>(SUSPICIONS, from, hold_s)
-                .await
-            {
+            match self.kv.watch::<IgnoredAny>(SUSPICIONS, from, hold_s).await {
                 Ok(result) => {
                     from = from.max(result.revision);
                     let newest = result.events.iter().map(|e| e.version).max();
                     let Some(answers) = newest else {
                         continue;
                     };
-                    let txn = liveness(LivenessRecord {
+                    let txn = liveness_txn(LivenessRecord {
                         token,
-                        open: self.degraded_mode.borrow().may_have_unrecorded(),
-                        answers,
+                        may_have_unrecorded: self.degraded_mode.borrow().may_have_unrecorded(),
+                        newest_suspicion: answers,
                     });
-                    let outcome = self.state.txn(&txn, Urgency::Vital).await;
+                    let outcome = self.kv.txn(&txn, RequestPriority::Critical).await;
                     if matches!(outcome, TxnOutcome::Conflict { .. }) {
                         self.mark_superseded();
                         return;
                     }
                 }
-                Err(StateError::Gone) => {
+                Err(KeyValueError::Gone) => {
                     let listed = self
-                        .state
-                        .list::<IgnoredAny>(SUSPICIONS, Urgency::Patient)
+                        .kv
+                        .list::<IgnoredAny>(SUSPICIONS, RequestPriority::Background)
                         .await;
                     if let Ok((_, revision)) = listed {
                         from = revision;
@@ -261,7 +258,7 @@
         if let Role::Leading(leading) = &*self.role.borrow() {
             leading.superseded.set(true);
         }
-        self.changed.raise();
+        self.role_changed.raise();
         self.step_down.notify();
     }
 
@@ -272,9 +269,9 @@
             let at = self.clock.now();
             sleep(LAG_LOOK_S).await;
             let late_s = self.clock.now() - at - LAG_LOOK_S;
-            let mut lag = self.lag.get();
+            let mut lag = self.timer_lag.get();
             lag.fired(late_s);
-            self.lag.set(lag);
+            self.timer_lag.set(lag);
         }
     }
 
@@ -290,9 +287,9 @@
                     .is_some_and(|at| now - at < 3.0 * self.tuning.peer_interval_s);
                 Some(Candidate {
                     member: peer.member.clone(),
-                    able: fresh && !state.silent && state.state_reachable,
+                    able: fresh && !state.unresponsive && state.state_reachable,
                     apart: peer.zone != self.settings.zone,
-                    up_s: state.up_s + (now - state.heard_at?),
+                    up_s: state.uptime_s + (now - state.heard_at?),
                     lag_s: state.lag_s,
                 })
             })
@@ -308,7 +305,13 @@
         };
         let now = self.clock.now();
         let next = self.successor();
-        hands_over(now, elected, self.lag.get().mean_s(), next.as_ref(), bounds)
+        hands_over(
+            now,
+            elected,
+            self.timer_lag.get().mean_s(),
+            next.as_ref(),
+            bounds,
+        )
     }
 
     /// Whether the state service refuses us while it answers a peer: that peer had
@@ -316,12 +319,12 @@
     pub(crate) fn is_isolated_from_state(&self) -> bool {
         let now = self.clock.now();
         let patience_s = self.tuning.refused_s;
-        let Some(last) = self.state.last_answer() else {
+        let Some(last) = self.kv.last_success() else {
             return false;
         };
         now - last > patience_s
             && (self.peers.borrow().values())
-                .any(|p| p.state_answer_at.is_some_and(|at| at > last + patience_s))
+                .any(|p| p.store_answer_at.is_some_and(|at| at > last + patience_s))
     }
 
     /// Says, while we lead, whether we want another to lead.
@@ -330,7 +333,7 @@
             if resigns {
                 info!("the state service answers others and not us: another is to lead");
             }
-            self.changed.raise();
+            self.role_changed.raise();
         }
     }
 }
--- a/crates/umbersail-control/src/state.rs
+++ b/crates/umbersail-control/src/state.rs
@@ -18,10 +18,10 @@
 use crate::records::Record;
 
 #[derive(Debug, Error, Clone, PartialEq, Eq)]
-pub enum StateError {
+pub enum KeyValueError {
     /// Over our share of the limits, or over the service's.
     #[error("over budget")]
-    Busy,
+    RateLimited,
     /// Not executed, says the service, or it was never sent.
     #[error("unavailable: {0}")]
     Unavailable(String),
@@ -79,7 +79,7 @@
     }
 
     /// Takes `n` even if they are not there.
-    pub fn force(&mut self, now: Time, n: f64) {
+    pub fn force_take(&mut self, now: Time, n: f64) {
         self.refill(now);
         self.level = (self.level - n).max(-self.rate);
     }
@@ -87,25 +87,25 @@
 
 /// How a call stands towards the budget.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Urgency {
+pub enum RequestPriority {
     /// Leadership hangs on it: never held back.
-    Vital,
+    Critical,
     /// Waits for its turn.
-    Patient,
+    Background,
     /// Refused at once when there is no room: the user asks again in a few
     /// seconds, and submissions must not suffer from a storm of polls.
     Poll,
     /// Somebody waits for an answer: refused when there is no room, but may
     /// overdraw by one second's worth, so that a submission is not refused
     /// because records of ends were written just before.
-    Prompt,
-    /// Like `Prompt`, for what gives way to all else: overdraws no writes, and leaves a
+    Interactive,
+    /// Like `Interactive`, for what gives way to all else: overdraws no writes, and leaves a
     /// leader half of them for launches. Polls can't keep it out.
     BestEffort,
 }
 
 #[derive(Clone)]
-pub struct StateClient {
+pub struct KeyValueClient {
     inner: Rc<Inner>,
 }
 
@@ -116,20 +116,20 @@
     requests: RefCell<TokenBucket>,
     writes: RefCell<TokenBucket>,
     timeout_s: f64,
-    last_answer: Cell<Option<Time>>,
+    last_success: Cell<Option<Time>>,
     /// Since when requests have failed, with no answer in between.
     failing_since: Cell<Option<Time>>,
     /// When anything at all was last heard of it, be it a refusal, and since when
     /// what we ask has had no answer of any kind.
     heard_at: Cell<Time>,
-    silent_since: Cell<Option<Time>>,
+    unresponsive_since: Cell<Option<Time>>,
     /// Silent for this long it counts as out of reach, seconds.
     silent_s: f64,
     malformed: Cell<u64>,
     leads: Cell<bool>,
 }
 
-impl StateClient {
+impl KeyValueClient {
     pub fn new(
         http: Client,
         addr: SocketAddr,
@@ -138,8 +138,8 @@
         write_rps: f64,
         timeout_s: f64,
         silent_s: f64,
-    ) -> StateClient {
-        StateClient {
+    ) -> KeyValueClient {
+        KeyValueClient {
             inner: Rc::new(Inner {
                 http,
                 addr,
@@ -147,10 +147,10 @@
                 requests: RefCell::new(TokenBucket::new(rps)),
                 writes: RefCell::new(TokenBucket::new(write_rps)),
                 timeout_s,
-                last_answer: Cell::new(None),
+                last_success: Cell::new(None),
                 failing_since: Cell::new(None),
                 heard_at: Cell::new(f64::MIN),
-                silent_since: Cell::new(None),
+                unresponsive_since: Cell::new(None),
                 silent_s,
                 malformed: Cell::new(0),
                 leads: Cell::new(false),
@@ -166,8 +166,8 @@
     }
 
     /// When the service last answered a request as it should.
-    pub fn last_answer(&self) -> Option<Time> {
-        self.inner.last_answer.get()
+    pub fn last_success(&self) -> Option<Time> {
+        self.inner.last_success.get()
     }
 
     /// Since when it has answered none of our requests.
@@ -176,19 +176,19 @@
     }
 
     /// Whether it has answered anything yet, be it a refusal.
-    pub fn is_heard(&self) -> bool {
+    pub fn has_ever_responded(&self) -> bool {
         self.inner.heard_at.get() > f64::MIN
     }
 
     /// Since when it has not even refused what we asked, if that is so. In an outage
     /// it refuses; one that is silent can't be reached.
-    pub fn silent_since(&self) -> Option<Time> {
-        self.inner.silent_since.get()
+    pub fn unresponsive_since(&self) -> Option<Time> {
+        self.inner.unresponsive_since.get()
     }
 
     fn is_out_of_reach(&self) -> bool {
         let now = self.inner.clock.now();
-        self.silent_since()
+        self.unresponsive_since()
             .is_some_and(|at| now - at >= self.inner.silent_s)
     }
 
@@ -198,10 +198,10 @@
         let inner = &self.inner;
         if answered {
             inner.heard_at.set(inner.clock.now());
-            inner.silent_since.set(None);
-        } else if inner.silent_since.get().is_none() {
+            inner.unresponsive_since.set(None);
+        } else if inner.unresponsive_since.get().is_none() {
             inner
-                .silent_since
+                .unresponsive_since
                 .set(Some(sent_at.max(inner.heard_at.get())));
         }
     }
@@ -215,7 +215,7 @@
 
     /// Changes that can be written at once, and how many of those may go to
     /// writes that nobody waits for: half of the bucket is kept for others.
-    pub fn write_room(&self) -> (usize, usize) {
+    pub fn write_budget(&self) -> (usize, usize) {
         let mut writes = self.inner.writes.borrow_mut();
         writes.refill(self.inner.clock.now());
         let spare = writes.level - writes.rate / 2.0;
@@ -223,54 +223,57 @@
     }
 
     /// Whether a prompt call with so many changes would be admitted.
-    pub fn has_room(&self, writes: f64) -> bool {
+    pub fn has_budget(&self, writes: f64) -> bool {
         let now = self.inner.clock.now();
         let requests = self.inner.requests.borrow_mut().has_credit(now);
         requests && (writes == 0.0 || self.inner.writes.borrow_mut().has_credit(now))
     }
 
-    async fn admit(&self, urgency: Urgency, writes: f64) -> Result<(), StateError> {
-        let waits = matches!(urgency, Urgency::Vital | Urgency::Patient);
+    async fn admit(&self, priority: RequestPriority, writes: f64) -> Result<(), KeyValueError> {
+        let waits = matches!(
+            priority,
+            RequestPriority::Critical | RequestPriority::Background
+        );
         if !waits && self.is_out_of_reach() {
             // Somebody waits for an answer: told at once. What leadership and the
             // probe ask shows when it is back.
-            return Err(StateError::Unavailable("out of reach".into()));
+            return Err(KeyValueError::Unavailable("out of reach".into()));
         }
-        while !self.try_admit(urgency, writes) {
-            if urgency != Urgency::Patient {
-                return Err(StateError::Busy);
+        while !self.try_admit(priority, writes) {
+            if priority != RequestPriority::Background {
+                return Err(KeyValueError::RateLimited);
             }
             sleep(0.05).await;
         }
         Ok(())
     }
 
-    fn try_admit(&self, urgency: Urgency, writes: f64) -> bool {
+    fn try_admit(&self, priority: RequestPriority, writes: f64) -> bool {
         let now = self.inner.clock.now();
-        let room = self.has_room(writes);
+        let room = self.has_budget(writes);
         let mut requests = self.inner.requests.borrow_mut();
         let mut budget = self.inner.writes.borrow_mut();
         let leads = self.inner.leads.get();
         let kept = if leads { budget.rate / 2.0 } else { 0.0 };
-        let admitted = match urgency {
-            Urgency::Vital => true,
-            Urgency::Prompt => room,
-            Urgency::BestEffort => room && budget.level - kept >= writes,
-            Urgency::Patient | Urgency::Poll => false,
+        let admitted = match priority {
+            RequestPriority::Critical => true,
+            RequestPriority::Interactive => room,
+            RequestPriority::BestEffort => room && budget.level - kept >= writes,
+            RequestPriority::Background | RequestPriority::Poll => false,
         };
         if admitted {
-            requests.force(now, 1.0);
-            budget.force(now, writes);
+            requests.force_take(now, 1.0);
+            budget.force_take(now, writes);
             return true;
         }
-        if urgency == Urgency::BestEffort {
+        if priority == RequestPriority::BestEffort {
             return false;
         }
         if !requests.take(now, 1.0) {
             return false;
         }
         if writes > 0.0 && !budget.take(now, writes) {
-            requests.force(now, -1.0);
+            requests.force_take(now, -1.0);
             return false;
         }
         true
@@ -282,7 +285,7 @@
         target: &str,
         body: &[u8],
         timeout_s: f64,
-    ) -> Result<(u16, Vec<u8>), StateError> {
+    ) -> Result<(u16, Vec<u8>), KeyValueError> {
         let sent_at = self.inner.clock.now();
         let result = self
             .inner
@@ -295,52 +298,52 @@
         match result {
             Ok((429, _)) => {
                 debug!(method, target, "state service: over its limit");
-                Err(StateError::Busy)
+                Err(KeyValueError::RateLimited)
             }
             Ok((503, _)) => {
                 self.failed();
-                Err(StateError::Unavailable("503".into()))
+                Err(KeyValueError::Unavailable("503".into()))
             }
             Ok((status, body)) if status < 500 => {
                 // A watch opened before an outage ends with 200 during it: it
                 // says nothing about whether requests are served.
                 if !target.starts_with(paths::WATCH) {
-                    self.inner.last_answer.set(Some(self.inner.clock.now()));
+                    self.inner.last_success.set(Some(self.inner.clock.now()));
                     self.inner.failing_since.set(None);
                 }
                 Ok((status, body))
             }
-            Ok((status, _)) => Err(StateError::NoAnswer(format!("status {status}"))),
+            Ok((status, _)) => Err(KeyValueError::NoAnswer(format!("status {status}"))),
             Err(e) if e.is_not_sent() => {
                 self.failed();
-                Err(StateError::Unavailable(e.to_string()))
+                Err(KeyValueError::Unavailable(e.to_string()))
             }
             Err(e) => {
                 self.failed();
-                Err(StateError::NoAnswer(e.to_string()))
+                Err(KeyValueError::NoAnswer(e.to_string()))
             }
         }
     }
 
-    fn read<T: DeserializeOwned>(&self, what: &str, body: &[u8]) -> Result<T, StateError> {
+    fn read<T: DeserializeOwned>(&self, what: &str, body: &[u8]) -> Result<T, KeyValueError> {
         decode(body).map_err(|e| self.malformed_answer(what, &e.to_string()))
     }
 
     /// A malformed answer is logged, counted and taken for none.
-    fn malformed_answer(&self, what: &str, reason: &str) -> StateError {
+    fn malformed_answer(&self, what: &str, reason: &str) -> KeyValueError {
         let count = self.inner.malformed.get() + 1;
         self.inner.malformed.set(count);
         warn!(what, reason, count, "malformed answer of the state service");
-        StateError::NoAnswer("malformed".into())
+        KeyValueError::NoAnswer("malformed".into())
     }
 
     /// A key's value and version, read now.
     pub async fn get<T: DeserializeOwned>(
         &self,
         key: &str,
-        urgency: Urgency,
-    ) -> Result<Option<(T, u64)>, StateError> {
-        self.admit(urgency, 0.0).await?;
+        priority: RequestPriority,
+    ) -> Result<Option<(T, u64)>, KeyValueError> {
+        self.admit(priority, 0.0).await?;
         let target = format!("{}/{key}", paths::KEYS);
         match self.call("GET", &target, b"", self.inner.timeout_s).await? {
             (200, body) => {
@@ -357,12 +360,12 @@
     pub async fn list<T: DeserializeOwned>(
         &self,
         prefix: &str,
-        urgency: Urgency,
-    ) -> Result<(Vec<KeyValue<T>>, u64), StateError> {
+        priority: RequestPriority,
+    ) -> Result<(Vec<KeyValue<T>>, u64), KeyValueError> {
         let mut items: Vec<KeyValue<T>> = Vec::new();
         let mut revision = None;
         loop {
-            self.admit(urgency, 0.0).await?;
+            self.admit(priority, 0.0).await?;
             let mut target = format!("{}?under={prefix}&most=500", paths::KEYS);
             if let Some(last) = items.last() {
                 target.push_str("&from=");
@@ -388,8 +391,12 @@
         }
     }
 
-    pub async fn txn(&self, txn: &Txn<Record>, urgency: Urgency) -> TxnOutcome {
-        if self.admit(urgency, txn.changes.len() as f64).await.is_err() {
+    pub async fn txn(&self, txn: &Txn<Record>, priority: RequestPriority) -> TxnOutcome {
+        if self
+            .admit(priority, txn.changes.len() as f64)
+            .await
+            .is_err()
+        {
             return TxnOutcome::NotExecuted;
         }
         let body = encode(txn);
@@ -417,13 +424,15 @@
                 );
                 TxnOutcome::NotExecuted
             }
-            Err(StateError::Busy | StateError::Unavailable(_)) => TxnOutcome::NotExecuted,
+            Err(KeyValueError::RateLimited | KeyValueError::Unavailable(_)) => {
+                TxnOutcome::NotExecuted
+            }
             Err(_) => TxnOutcome::Unknown,
         }
     }
 
-    pub async fn grant_lease(&self, ttl_s: f64) -> Result<u64, StateError> {
-        self.admit(Urgency::Vital, 0.0).await?;
+    pub async fn grant_lease(&self, ttl_s: f64) -> Result<u64, KeyValueError> {
+        self.admit(RequestPriority::Critical, 0.0).await?;
         let body = encode(&LeaseRequest {
             ttl_ms: (ttl_s * 1000.0) as u64,
         });
@@ -436,19 +445,19 @@
         }
     }
 
-    pub async fn renew_lease(&self, lease: u64, timeout_s: f64) -> Result<(), StateError> {
-        self.admit(Urgency::Vital, 0.0).await?;
+    pub async fn renew_lease(&self, lease: u64, timeout_s: f64) -> Result<(), KeyValueError> {
+        self.admit(RequestPriority::Critical, 0.0).await?;
         let target = format!("{}/{lease}/{}", paths::LEASES, paths::RENEW);
         match self.call("POST", &target, b"", timeout_s).await? {
             (200, _) => Ok(()),
-            (404, _) => Err(StateError::Gone),
+            (404, _) => Err(KeyValueError::Gone),
             (status, _) => Err(self.malformed_answer("renewal", &format!("status {status}"))),
         }
     }
 
     pub async fn end_lease(&self, lease: u64) {
         let target = format!("{}/{lease}", paths::LEASES);
-        if self.admit(Urgency::Vital, 0.0).await.is_ok() {
+        if self.admit(RequestPriority::Critical, 0.0).await.is_ok() {
             // Without an answer the lease simply runs out.
             let _ = self
                 .call("DELETE", &target, b"", self.inner.timeout_s)
@@ -462,18 +471,18 @@
         prefix: &str,
         from: u64,
         hold_s: f64,
-    ) -> Result<WatchResult<T>, StateError> {
-        self.admit(Urgency::Patient, 0.0).await?;
+    ) -> Result<WatchResult<T>, KeyValueError> {
+        self.admit(RequestPriority::Background, 0.0).await?;
         self.follow(prefix, from, hold_s).await
     }
 
     /// The changes under a prefix after a revision, up to now: leadership hangs on it.
-    pub async fn changes<T: DeserializeOwned>(
+    pub async fn changes_since<T: DeserializeOwned>(
         &self,
         prefix: &str,
         from: u64,
-    ) -> Result<WatchResult<T>, StateError> {
-        self.admit(Urgency::Vital, 0.0).await?;
+    ) -> Result<WatchResult<T>, KeyValueError> {
+        self.admit(RequestPriority::Critical, 0.0).await?;
         self.follow(prefix, from, 0.0).await
     }
 
@@ -482,7 +491,7 @@
         prefix: &str,
         from: u64,
         hold_s: f64,
-    ) -> Result<WatchResult<T>, StateError> {
+    ) -> Result<WatchResult<T>, KeyValueError> {
         let hold_ms = (hold_s * 1000.0) as u64;
         let target = format!(
             "{}?under={prefix}&from={from}&hold_ms={hold_ms}",
@@ -491,7 +500,7 @@
         let timeout_s = hold_s + self.inner.timeout_s;
         match self.call("GET", &target, b"", timeout_s).await? {
             (200, body) => self.read("watch", &body),
-            (410, _) => Err(StateError::Gone),
+            (410, _) => Err(KeyValueError::Gone),
             (status, _) => Err(self.malformed_answer("watch", &format!("status {status}"))),
         }
     }
@@ -506,7 +515,7 @@
         let mut budget = TokenBucket::new(10.0);
         assert!((0..10).all(|_| budget.take(0.0, 1.0)));
         assert!(!budget.take(0.0, 1.0));
-        budget.force(0.0, 5.0);
+        budget.force_take(0.0, 5.0);
         assert!(!budget.take(0.4, 1.0));
         assert!(budget.take(0.7, 1.0));
     }
--- a/crates/umbersail-control/src/terminal_cache.rs
+++ b/crates/umbersail-control/src/terminal_cache.rs
@@ -5,12 +5,12 @@
 
 use umbersail_runtime::Time;
 
-use crate::records::{Outcome, OverRecord};
+use crate::records::{EndedJobRecord, Outcome};
 
 /// Ends of jobs, the newest few.
 pub(crate) struct TerminalCache {
     most: usize,
-    ends: BTreeMap<String, OverRecord>,
+    ends: BTreeMap<String, EndedJobRecord>,
     /// When each was taken in, the oldest first.
     order: VecDeque<(Time, String)>,
     /// All that were taken in after this are still here.
@@ -27,7 +27,7 @@
         }
     }
 
-    pub fn get(&self, id: &str) -> Option<OverRecord> {
+    pub fn get(&self, id: &str) -> Option<EndedJobRecord> {
         self.ends.get(id).copied()
     }
 
@@ -46,7 +46,7 @@
         self.complete_from
     }
 
-    pub fn put(&mut self, now: Time, id: &str, over: OverRecord) {
+    pub fn put(&mut self, now: Time, id: &str, over: EndedJobRecord) {
         if self.most == 0 {
             return;
         }
--- a/crates/umbersail-control/tests/golden_records.rs
+++ b/crates/umbersail-control/tests/golden_records.rs
@@ -9,10 +9,10 @@
 
 use serde::de::DeserializeOwned;
 use umbersail_control::records::{
-    CATALOGUE_KEY, CatalogueRecord, GRANT_KEY, GrantPart, GrantRecord, GrantedMachine, JobRecord,
-    LEADER_KEY, LIVENESS_KEY, LeaderRecord, LivenessRecord, Outcome, OverRecord, PlanRecord,
-    RECOVERY_PENDING_KEY, Record, RecoveryPendingRecord, RunRecord, SuspicionRecord, job_key,
-    over_key, part_key, plan_key, run_key, suspicion_key,
+    CATALOGUE_KEY, CatalogueRecord, EndedJobRecord, GRANT_KEY, GrantPart, GrantRecord,
+    GrantedMachine, JobProgressRecord, JobRecord, LEADER_KEY, LIVENESS_KEY, LeaderRecord,
+    LivenessRecord, Outcome, PlanRecord, RECOVERY_PENDING_KEY, Record, RecoveryPendingRecord,
+    SuspicionRecord, ended_job_key, grant_part_key, job_key, plan_key, progress_key, suspicion_key,
 };
 use umbersail_wire::{JobKind, JobSpec, MachineType, Priority, Value, decode, encode};
 
@@ -43,15 +43,15 @@
     }
 }
 
-fn run() -> RunRecord {
-    RunRecord {
-        high: 7,
+fn run() -> JobProgressRecord {
+    JobProgressRecord {
+        high_water: 7,
         done: "b:0f".into(),
         hosts: vec!["host-1".into(), "host-2".into()],
         evictions: 2,
         done_count: 4,
         running: 3,
-        extra: 1,
+        orphaned_attempts: 1,
         team: "vision".into(),
         size: Some((8.0, 1.0, 64.0)),
         suspect: true,
@@ -75,7 +75,7 @@
 
 /// Each record with its name in the golden file and its key.
 fn records() -> Vec<(&'static str, String, Record)> {
-    let over = |outcome| Record::Over(OverRecord { outcome, done: 16 });
+    let over = |outcome| Record::EndedJob(EndedJobRecord { outcome, done: 16 });
     let member = || "bothy-1".to_owned();
     vec![
         (
@@ -105,7 +105,7 @@
         ),
         (
             "grant_part",
-            part_key(3),
+            grant_part_key(3),
             Record::GrantPart(GrantPart {
                 machines: vec![GrantedMachine {
                     name: "host-1".into(),
@@ -124,16 +124,24 @@
                 accepted_ms: 1_700_000_000_123,
             }),
         ),
-        ("run", run_key("req-000412"), Record::Run(run())),
+        (
+            "run",
+            progress_key("req-000412"),
+            Record::JobProgress(run()),
+        ),
         (
             "run_of_nothing",
-            run_key("req-000413"),
-            Record::Run(RunRecord::default()),
+            progress_key("req-000413"),
+            Record::JobProgress(JobProgressRecord::default()),
+        ),
+        (
+            "over_done",
+            ended_job_key("req-000412"),
+            over(Outcome::Done),
         ),
-        ("over_done", over_key("req-000412"), over(Outcome::Done)),
         (
             "over_cancelled",
-            over_key("req-000412"),
+            ended_job_key("req-000412"),
             over(Outcome::Cancelled),
         ),
         (
@@ -153,8 +161,8 @@
             LIVENESS_KEY.into(),
             Record::Liveness(LivenessRecord {
                 token: 41,
-                open: false,
-                answers: 40,
+                may_have_unrecorded: false,
+                newest_suspicion: 40,
             }),
         ),
         (
@@ -168,7 +176,7 @@
             Record::Plan(PlanRecord {
                 version: 1,
                 plan: Value::from("plan"),
-                gone: false,
+                is_tombstone: false,
             }),
         ),
         (
@@ -208,8 +216,8 @@
             Record::Grant(expected) => assert_reads(&record, expected),
             Record::GrantPart(expected) => assert_reads(&record, expected),
             Record::Job(expected) => assert_reads(&record, expected),
-            Record::Run(expected) => assert_reads(&record, expected),
-            Record::Over(expected) => assert_reads(&record, expected),
+            Record::JobProgress(expected) => assert_reads(&record, expected),
+            Record::EndedJob(expected) => assert_reads(&record, expected),
             Record::Catalogue(expected) => assert_reads(&record, expected),
             Record::Suspicion(expected) => assert_reads(&record, expected),
             Record::Liveness(expected) => assert_reads(&record, expected),
