--- a/crates/umbersail-control/src/engine/plans/store.rs
+++ b/crates/umbersail-control/src/engine/plans/store.rs
@@ -102,7 +102,7 @@
         let entry = self.entries.entry(found.name.clone()).or_default();
         entry.version = Some(found.version);
         match record {
-            Ok(record) if record.gone => {
+            Ok(record) if record.is_tombstone => {
                 // The uncertain creation was the previous leader's and now fails because the
                 // leader's key has changed, so the tombstone can be deleted.
                 entry.recorded = Some(record);
@@ -176,7 +176,7 @@
         let record = PlanRecord {
             version,
             plan,
-            gone: false,
+            is_tombstone: false,
         };
         let bytes = encode(&record).len();
         if bytes > self.value_bytes {
@@ -319,7 +319,7 @@
         if let Some(entry) = self.entries.get_mut(name) {
             entry.version = Some(found.as_ref().map_or(0, |(_, version)| *version));
             let record = found.and_then(|(value, _)| from_value::<PlanRecord>(&value).ok());
-            entry.recorded = record.filter(|r| !r.gone);
+            entry.recorded = record.filter(|r| !r.is_tombstone);
             entry.due_since = None;
             entry.update_due(now);
         }
