--- a/crates/umbersail-control/src/all_replica_read.rs
+++ b/crates/umbersail-control/src/all_replica_read.rs
@@ -137,11 +137,11 @@
         // What it has seen was at this time or later, and it remembers from this time
         // or before, whenever between question and answer it spoke.
         let seen = |ago_ms: u64| asked_at - ago_ms as f64 / 1000.0 * (1.0 + drift);
-        let remembers_from = now - answer.remembers_ms as f64 / 1000.0 * (1.0 - drift);
+        let complete_since = now - answer.remembers_ms as f64 / 1000.0 * (1.0 - drift);
         let replica_answer = |on: ReplicaReadEntry| ReplicaAnswer {
             ended: on.ended.as_ref().and_then(end_of),
             unfinished_at: on.unfinished_ago_ms.map(seen),
-            remembers_from,
+            complete_since,
         };
         Some(answer.jobs.into_iter().map(replica_answer).collect())
     }
@@ -151,7 +151,7 @@
         let replica_answer = |id: &String| ReplicaAnswer {
             ended: cache.get(id),
             unfinished_at: self.polls.unfinished_at(id),
-            remembers_from: cache.complete_from().max(self.started_at),
+            complete_since: cache.complete_from().max(self.started_at),
         };
         jobs.iter().map(replica_answer).collect()
     }
@@ -164,7 +164,7 @@
         let now = self.clock.now();
         let ago_ms = |at: Time| ((now - at).max(0.0) * 1000.0) as u64;
         let answers = self.own_answers(&request.ids);
-        let from = (answers.first()).map_or(now, |answer| answer.remembers_from);
+        let from = (answers.first()).map_or(now, |answer| answer.complete_since);
         let on = |(id, answer): (&String, &ReplicaAnswer<OverRecord>)| ReplicaReadEntry {
             ended: answer.ended.map(|over| JobStatus {
                 id: id.clone(),
--- a/crates/umbersail-control/src/degraded_mode.rs
+++ b/crates/umbersail-control/src/degraded_mode.rs
@@ -18,45 +18,46 @@
 
 /// How often a leader looks whether it should open or shut, and how long it
 /// waits after a peer has not agreed, seconds.
-const LOOK_S: Time = 0.1;
-const REFUSED_S: Time = 1.0;
+const CHECK_INTERVAL_S: Time = 0.1;
+const REFUSAL_BACKOFF_S: Time = 1.0;
 /// Jobs with starts that are not recorded for which nothing is held up long.
-const FEW_UNRECORDED: usize = 8;
+const MAX_UNRECORDED_JOBS_AT_EXIT: usize = 8;
 
 impl Node {
     /// Opens and shuts as the state service goes and comes back.
     pub(crate) async fn run_degraded_mode(self: Rc<Self>, token: u64) {
-        let mut back_at: Option<Time> = None;
+        let mut available_since: Option<Time> = None;
         loop {
-            sleep(LOOK_S).await;
+            sleep(CHECK_INTERVAL_S).await;
             let now = self.clock.now();
-            let state = self.degraded_mode.borrow().clone();
-            let wanted = if self.state_is_out(now) {
-                back_at = None;
+            let mode = self.degraded_mode.borrow().clone();
+            let wanted = if self.state_is_unavailable(now) {
+                available_since = None;
                 self.wants_degraded_mode(now, token)
             } else {
                 // Records of what was started and of what has ended meanwhile
                 // take a while: until most are written, starts go on without.
-                let back_s = now - *back_at.get_or_insert(now);
-                state == DegradedMode::Active
-                    && self.is_in_time(now)
-                    && back_s < self.tuning.degraded_mode_catch_up_s
-                    && self.with_engine(token, |e| e.unrecorded_jobs() > FEW_UNRECORDED)
+                let available_s = now - *available_since.get_or_insert(now);
+                mode == DegradedMode::Active
+                    && self.is_within_start_deadline(now)
+                    && available_s < self.tuning.degraded_mode_catch_up_s
+                    && self
+                        .with_engine(token, |e| e.unrecorded_jobs() > MAX_UNRECORDED_JOBS_AT_EXIT)
                         == Some(true)
             };
-            if state == DegradedMode::Off && wanted && !self.request_degraded_mode(token).await {
-                sleep(REFUSED_S).await;
+            if mode == DegradedMode::Off && wanted && !self.request_degraded_mode(token).await {
+                sleep(REFUSAL_BACKOFF_S).await;
             }
-            if state == DegradedMode::Active && !wanted {
+            if mode == DegradedMode::Active && !wanted {
                 info!("starts without a record are over");
-                self.degraded_mode.borrow_mut().close();
+                self.degraded_mode.borrow_mut().stop_starts();
                 self.with_engine(token, |e| e.set_degraded(false));
                 self.wake.notify();
             }
-            let recorded = || self.with_engine(token, |e| e.unrecorded_jobs()) == Some(0);
-            if state == DegradedMode::Draining && recorded() {
+            let all_recorded = || self.with_engine(token, |e| e.unrecorded_jobs()) == Some(0);
+            if mode == DegradedMode::Draining && all_recorded() {
                 info!("all that was started is recorded");
-                self.degraded_mode.borrow_mut().recorded();
+                self.degraded_mode.borrow_mut().on_all_recorded();
             }
         }
     }
@@ -64,18 +65,18 @@
     /// Whether tasks should be started without a record just now: the state
     /// service answers nothing, something waits, and our time is not over.
     fn wants_degraded_mode(&self, now: Time, token: u64) -> bool {
-        self.state_is_out(now)
-            && self.is_in_time(now)
-            && (self.degraded_mode.borrow().allows_starts()
+        self.state_is_unavailable(now)
+            && self.is_within_start_deadline(now)
+            && (self.degraded_mode.borrow().allows_unrecorded_starts()
                 || self.with_engine(token, |e| e.has_waiting_for_degraded_mode()) == Some(true))
     }
 
-    fn state_is_out(&self, now: Time) -> bool {
+    fn state_is_unavailable(&self, now: Time) -> bool {
         let after_s = self.tuning.degraded_mode_after_s;
         (self.state.failing_since()).is_some_and(|at| now - at >= after_s)
     }
 
-    fn is_in_time(&self, now: Time) -> bool {
+    fn is_within_start_deadline(&self, now: Time) -> bool {
         let tuning = &self.tuning;
         match &*self.role.borrow() {
             Role::Leading(l) if !l.superseded.get() => {
@@ -98,7 +99,9 @@
         }
         join_all(peers.iter().map(|peer| self.request_agreement(token, peer))).await;
         let now = self.clock.now();
-        if !self.wants_degraded_mode(now, token) || !self.degraded_mode.borrow().allows_starts() {
+        if !self.wants_degraded_mode(now, token)
+            || !self.degraded_mode.borrow().allows_unrecorded_starts()
+        {
             // Whoever agreed hears with our next greeting that nothing came of it.
             *self.degraded_mode.borrow_mut() = DegradedMode::Off;
             return false;
@@ -127,7 +130,9 @@
             // Before anything is started on the strength of its agreement.
             self.on_cancelled_jobs(&answer.cancelled);
             let peers = self.settings.peers.len();
-            self.degraded_mode.borrow_mut().agreed(&peer.member, peers);
+            self.degraded_mode
+                .borrow_mut()
+                .on_peer_agreed(&peer.member, peers);
         } else {
             debug!(
                 peer = peer.member,
@@ -139,30 +144,32 @@
     /// A peer's part: agreed only if it leads as far as we know, and the state
     /// service answers us no more than it. While an election of ours is under way
     /// nothing is agreed to: it was sent by what we knew of such starts before.
-    pub(crate) async fn answer_degraded_mode_request(&self, body: &[u8]) -> Response {
+    pub(crate) async fn handle_degraded_mode_request(&self, body: &[u8]) -> Response {
         let Ok(request) = decode::<DegradedModeRequest>(body) else {
             return Response::empty(400);
         };
-        let is_leader = |node: &Node| {
+        let is_current_leader = |node: &Node| {
             let leader = node.leader.borrow();
-            let named =
+            let is_known_leader =
                 (leader.as_ref()).is_some_and(|(m, t)| *m == request.member && *t == request.token);
-            named && !node.campaigning.get() && matches!(&*node.role.borrow(), Role::Following)
+            is_known_leader
+                && !node.campaigning.get()
+                && matches!(&*node.role.borrow(), Role::Following)
         };
         let mut agreed = false;
-        if is_leader(self) {
+        if is_current_leader(self) {
             let probe = self
                 .state
                 .get::<IgnoredAny>(LEADER_KEY, Urgency::Vital)
                 .await;
-            let out = matches!(
+            let is_unavailable = matches!(
                 probe,
                 Err(StateError::Unavailable(_) | StateError::NoAnswer(_))
             );
-            if is_leader(self) {
+            if is_current_leader(self) {
                 let now = self.clock.now();
                 let mut memory = self.degraded_mode_record.borrow_mut();
-                agreed = memory.agree(now, request.token, request.token, out);
+                agreed = memory.agree(now, request.token, request.token, is_unavailable);
             }
         }
         let cancelled = self.lately_cancelled();
--- a/crates/umbersail-control/src/engine/accounting.rs
+++ b/crates/umbersail-control/src/engine/accounting.rs
@@ -84,7 +84,8 @@
             self.return_task(&id, task);
         }
         self.account(name);
-        self.cleared.extend(self.orphaned_jobs.gone(name));
+        self.cleared
+            .extend(self.orphaned_jobs.on_machine_empty(name));
         if let Some(machine) = self.machines.get_mut(name) {
             machine.orphaned_tasks = false;
             machine.unsized_orphans = false;
--- a/crates/umbersail-control/src/engine/report.rs
+++ b/crates/umbersail-control/src/engine/report.rs
@@ -177,7 +177,7 @@
         let launches = self.return_missing(name, report, in_turn);
         let shown = self.reconcile_shown(now, name, report);
         let over = |id: &JobId| shown.over.contains(id);
-        let settled = (self.orphaned_jobs).shown(name, report.order(), in_turn, over);
+        let settled = (self.orphaned_jobs).on_heartbeat(name, report.order(), in_turn, over);
         self.cleared.extend(settled);
         if let Some(machine) = self.machines.get_mut(name) {
             self.schedule_wanted |= machine.orphaned_tasks && !shown.orphaned_tasks;
@@ -241,7 +241,7 @@
                 None if entry.state != TaskState::Exited => {
                     let id: JobId = id.into();
                     shown.orphaned_tasks = true;
-                    shown.unsized_orphans |= !self.orphaned_jobs.counts(&id);
+                    shown.unsized_orphans |= !self.orphaned_jobs.has_known_shape(&id);
                     shown.over.insert(id);
                 }
                 None => {}
--- a/crates/umbersail-control/src/engine/schedule.rs
+++ b/crates/umbersail-control/src/engine/schedule.rs
@@ -222,7 +222,7 @@
             || (machine.inherited
                 && (self.whole_machines
                     || self.unaccounted_machines.contains(&machine.name)
-                    || self.orphaned_jobs.is_unsized_at(&machine.name)))
+                    || self.orphaned_jobs.may_hold_unknown_shape(&machine.name)))
     }
 
     /// What each team's tasks use. Unaccounted ones count as present (rule 4):
@@ -238,7 +238,7 @@
                 usage[team].add(&job.shape, counted as f64);
             }
         }
-        self.orphaned_jobs.add_to(&mut usage);
+        self.orphaned_jobs.add_usage_to(&mut usage);
         for (team, used) in self.cfg.teams.iter().zip(&mut usage) {
             if team.is_limited() {
                 used.add(unaccounted, 1.0);
--- a/crates/umbersail-control/src/engine/tests/faults.rs
+++ b/crates/umbersail-control/src/engine/tests/faults.rs
@@ -23,7 +23,7 @@
 use crate::records::{
     GrantRecord, Outcome, OverRecord, RECOVERY_PENDING_KEY, RecoveryPendingRecord,
 };
-use umbersail_standby::{DegradedMode, DegradedModeRecord};
+use umbersail_standby::{DegradedMode, DegradedModeMemory};
 
 const NODES: usize = 3;
 const WORKERS: usize = 5;
@@ -255,7 +255,7 @@
     started: Time,
     delegate: Delegate,
     leader: Option<(usize, u64)>,
-    memory: DegradedModeRecord,
+    memory: DegradedModeMemory,
     lead: Option<Lead>,
     next_duty: f64,
     next_greeting: f64,
@@ -417,7 +417,7 @@
                 started: clock.at(0.0),
                 delegate: Delegate::new(LEASE_S, cfg.renewal_s()),
                 leader: None,
-                memory: DegradedModeRecord::default(),
+                memory: DegradedModeMemory::default(),
                 lead: None,
                 next_duty: rng.random_range(0.0..0.5),
                 next_greeting: rng.random_range(0.0..1.0),
@@ -623,7 +623,7 @@
                 member.up = true;
                 member.started = member.clock.at(self.t);
                 member.delegate = Delegate::new(LEASE_S, self.cfg.renewal_s());
-                member.memory = DegradedModeRecord::default();
+                member.memory = DegradedModeMemory::default();
             }
         }
     }
@@ -705,7 +705,7 @@
             match self.store.keys.get(LEADER_KEY) {
                 Some((Record::Leader(record), revision)) => {
                     let revision = *revision;
-                    self.members[node].memory.read(revision);
+                    self.members[node].memory.observe_leader_key(revision);
                     let leader = record.member[6..].parse().unwrap();
                     let ours = record.incarnation == self.members[node].started.to_bits();
                     let suspects = self.is_on(Kind::Suspicions, |f| f.node == node);
@@ -735,9 +735,11 @@
         if over && let Some(lead) = self.members[node].lead.take() {
             let (revision, open) = (
                 lead.engine.revision(),
-                lead.degraded_mode.may_have_unrecorded(),
+                lead.degraded_mode.may_have_unrecorded_starts(),
             );
-            self.members[node].memory.held_by_us(now, revision, open);
+            self.members[node]
+                .memory
+                .on_own_term_ended(now, revision, open);
         }
         self.run_degraded_mode(node, now);
         self.tend(node, now);
@@ -785,7 +787,7 @@
             lease: None,
         };
         let before = self.store.version(GRANT_KEY);
-        let open = before > 0 && self.members[node].memory.may_have_unrecorded(before);
+        let open = before > 0 && self.members[node].memory.may_have_unrecorded_starts(before);
         let predecessor_degraded = open || self.store.version(RECOVERY_PENDING_KEY) > 0;
         let mut changes = vec![
             put(LEADER_KEY, Record::Leader(leader)),
@@ -847,12 +849,12 @@
                 lead.degraded_mode = DegradedMode::Requesting(Default::default());
             }
             DegradedMode::Active if reachable || !in_time => {
-                lead.degraded_mode.close();
+                lead.degraded_mode.stop_starts();
                 lead.engine.set_degraded(false);
                 return;
             }
             DegradedMode::Draining if lead.engine.unrecorded_jobs() == 0 => {
-                lead.degraded_mode.recorded();
+                lead.degraded_mode.on_all_recorded();
                 return;
             }
             _ => return,
@@ -871,11 +873,11 @@
                 .as_mut()
                 .filter(|_| agreed && answered)
             {
-                lead.degraded_mode.agreed(&name(peer), NODES - 1);
+                lead.degraded_mode.on_peer_agreed(&name(peer), NODES - 1);
             }
         }
         if let Some(lead) = &mut self.members[node].lead {
-            if lead.degraded_mode.allows_starts() {
+            if lead.degraded_mode.allows_unrecorded_starts() {
                 lead.engine.set_degraded(true);
                 self.opened += 1;
             } else {
@@ -1047,8 +1049,9 @@
             up_ms: ((now - member.started) * 1000.0) as u64,
             renewed: member.delegate.renewed(now),
             leads: member.lead.is_some(),
-            open: (member.lead.as_ref()).is_some_and(|l| l.degraded_mode.may_have_unrecorded()),
-            recorded: member.memory.recorded(),
+            open: (member.lead.as_ref())
+                .is_some_and(|l| l.degraded_mode.may_have_unrecorded_starts()),
+            recorded: member.memory.fully_recorded_token(),
             ..umbersail_wire::Hello::default()
         }
     }
@@ -1071,11 +1074,11 @@
         if hello.leads && hello.leader.as_ref() == Some(&hello.member) {
             member
                 .memory
-                .holder_reported(asked, hello.token, hello.open);
+                .on_leader_report(asked, hello.token, hello.open);
         } else if let Some(token) = hello.recorded {
-            // Of its own former process only (`DegradedModeRecord::peer_reported`).
+            // Of its own former process only (`DegradedModeMemory::on_peer_report`).
             let former_self = member.leader == Some((node, token)) && member.lead.is_none();
-            member.memory.peer_reported(token, former_self);
+            member.memory.on_peer_report(token, former_self);
         }
         if let Some(lead) = &mut member.lead {
             let up_s = hello.up_ms as f64 / 1000.0;
@@ -1365,7 +1368,7 @@
         if lead.deleted.contains(machine) {
             return Err(format!("{t:.1}: {machine} is deleted and counted on"));
         }
-        let may_start = lead.degraded_mode.allows_starts() || now < lead.start_until;
+        let may_start = lead.degraded_mode.allows_unrecorded_starts() || now < lead.start_until;
         let commands = lead.engine.reply(now, report, may_start);
         Ok(Answer::Reply(
             lead.engine.token_for(&report.machine),
--- a/crates/umbersail-control/src/front.rs
+++ b/crates/umbersail-control/src/front.rs
@@ -287,7 +287,7 @@
 
     /// Whether our lease still covers the start of tasks (rule 2).
     fn may_start(&self, now: Time) -> bool {
-        let open = self.degraded_mode.borrow().allows_starts();
+        let open = self.degraded_mode.borrow().allows_unrecorded_starts();
         matches!(&*self.role.borrow(), Role::Leading(l) if open || now < l.lease.start_until())
     }
 
@@ -421,8 +421,8 @@
         }
         let response = self.submit(body).await;
         if response.status == 503
-            && let Some(helper) = self.helper(is_best_effort_submission(body))
-            && let Some(taken) = self.relay_submission(&helper, body).await
+            && let Some(peer) = self.helper(is_best_effort_submission(body))
+            && let Some(taken) = self.relay_submission(&peer, body).await
         {
             return taken;
         }
--- a/crates/umbersail-control/src/leader/election.rs
+++ b/crates/umbersail-control/src/leader/election.rs
@@ -48,7 +48,9 @@
                 .await;
             match found {
                 Ok(Some((record, token))) => {
-                    self.degraded_mode_record.borrow_mut().read(token);
+                    self.degraded_mode_record
+                        .borrow_mut()
+                        .observe_leader_key(token);
                     if is_former_self(&record, &self.settings.member, self.incarnation) {
                         info!(token, "the leader's key is of our former self: taken over");
                         return Some(token);
@@ -161,7 +163,7 @@
             && self
                 .degraded_mode_record
                 .borrow()
-                .may_have_unrecorded(version);
+                .may_have_unrecorded_starts(version);
         let predecessor_degraded = open || recovery_pending;
         let leader = LeaderRecord {
             member: self.settings.member.clone(),
--- a/crates/umbersail-control/src/leader/mod.rs
+++ b/crates/umbersail-control/src/leader/mod.rs
@@ -118,17 +118,19 @@
         tasks.start(self.clone().watch_jobs(token));
         tasks.start(self.clone().run_cloud(token));
         tasks.start(self.clone().run_fencing(token));
-        tasks.start(self.clone().answer_suspicions(token));
+        tasks.start(self.clone().answer_liveness_probes(token));
         tasks.start(self.run_degraded_mode(token));
     }
 
     async fn leave_term(&self, lease_id: u64, token: u64) {
         // What we know of our own starts, should we succeed ourselves.
         let unrecorded =
-            std::mem::take(&mut *self.degraded_mode.borrow_mut()).may_have_unrecorded();
-        self.degraded_mode_record
-            .borrow_mut()
-            .held_by_us(self.clock.now(), token, unrecorded);
+            std::mem::take(&mut *self.degraded_mode.borrow_mut()).may_have_unrecorded_starts();
+        self.degraded_mode_record.borrow_mut().on_own_term_ended(
+            self.clock.now(),
+            token,
+            unrecorded,
+        );
         *self.role.borrow_mut() = Role::Following;
         self.set_resigning(false);
         self.changed.raise();
--- a/crates/umbersail-control/src/leader/scheduler.rs
+++ b/crates/umbersail-control/src/leader/scheduler.rs
@@ -46,7 +46,7 @@
             last_tick: f64::MIN,
         };
         while let Some(step) = self.scheduler_step(token, &mut pacing) {
-            if self.degraded_mode.borrow().allows_starts() && step.txn.is_none() {
+            if self.degraded_mode.borrow().allows_unrecorded_starts() && step.txn.is_none() {
                 // Nothing can be written, or need be: launches go without.
                 self.progress.raise();
                 self.raise_tokens(token);
@@ -77,7 +77,9 @@
                 (false, true) => Some(self.tuning.cycle_interval_s),
                 (false, false) => None,
             };
-            if self.degraded_mode.borrow().allows_starts() && self.state.failing_since().is_some() {
+            if self.degraded_mode.borrow().allows_unrecorded_starts()
+                && self.state.failing_since().is_some()
+            {
                 return Step {
                     txn: None,
                     unknown_versions: Default::default(),
--- a/crates/umbersail-control/src/node.rs
+++ b/crates/umbersail-control/src/node.rs
@@ -11,7 +11,9 @@
 use umbersail_runtime::{
     Broadcast, Clock, Notify, Routine, TcpListener, Time, random, sleep, spawn,
 };
-use umbersail_standby::{DegradedMode, DegradedModeRecord, DetectorTimeouts, FailureDetector, Lag};
+use umbersail_standby::{
+    DegradedMode, DegradedModeMemory, DetectorTimeouts, FailureDetector, TimerLag,
+};
 use umbersail_tuning::Tuning;
 use umbersail_wire::MachineType;
 
@@ -136,9 +138,9 @@
     pub(crate) resigning: Cell<bool>,
     /// Having handed the lead over, we don't take it back before then.
     pub(crate) step_down_backoff_until: Cell<Time>,
-    pub(crate) lag: Cell<Lag>,
+    pub(crate) lag: Cell<TimerLag>,
     /// What we know of a holder's starts without a record, and our own.
-    pub(crate) degraded_mode_record: RefCell<DegradedModeRecord>,
+    pub(crate) degraded_mode_record: RefCell<DegradedModeMemory>,
     pub(crate) degraded_mode: RefCell<DegradedMode>,
     /// Raised when we begin or cease to lead, or want another to.
     pub(crate) changed: Broadcast,
@@ -168,7 +170,7 @@
     spawn(serve(back, back_limits, back_handler));
     spawn(node.clone().learn_types());
     spawn(node.clone().probe_state());
-    spawn(node.clone().measure_lag());
+    spawn(node.clone().measure_timer_lag());
     spawn(node.clone().watch_leader());
     spawn(node.clone().run_failure_detector());
     for peer in node.settings.peers.clone() {
@@ -288,7 +290,7 @@
         self.delegate.borrow_mut().superseded(token);
         self.failure_detector
             .borrow_mut()
-            .leader(self.clock.now(), token);
+            .observe_leader(self.clock.now(), token);
         if let Role::Leading(leading) = &*self.role.borrow()
             && leading.engine.revision() < token
         {
@@ -334,12 +336,12 @@
 
 fn failure_detector(tuning: &Tuning) -> FailureDetector {
     FailureDetector::new(DetectorTimeouts {
-        rank_s: tuning.rank_s,
-        answer_s: tuning.answer_s,
-        silent_answer_s: tuning.silent_answer_s,
-        settle_s: tuning.settle_s,
-        slack_s: tuning.answer_slack_s,
-        cleared_s: tuning.cleared_s,
+        stagger_s: tuning.rank_s,
+        probe_timeout_s: tuning.answer_s,
+        unresponsive_probe_timeout_s: tuning.silent_answer_s,
+        post_election_grace_s: tuning.settle_s,
+        probe_slack_s: tuning.answer_slack_s,
+        probe_backoff_s: tuning.cleared_s,
     })
 }
 
--- a/crates/umbersail-control/src/peers.rs
+++ b/crates/umbersail-control/src/peers.rs
@@ -11,7 +11,7 @@
 use crate::engine::epoch;
 use crate::node::{Node, ReportedProgress, Role};
 use crate::settings::Peer;
-use crate::standby::evidence_of;
+use crate::standby::evidence_from_error;
 
 /// Upper bound on jobs told of in a greeting as lately cancelled: some 12 KiB, a burst of
 /// cancellations on a fleet of 4,000 machines. The newest go first.
@@ -24,7 +24,7 @@
             Role::Leading(leading) => (true, leading.superseded.get()),
             Role::Following => (false, false),
         };
-        let standby = leading.then(|| self.successor()).flatten();
+        let standby = leading.then(|| self.choose_successor()).flatten();
         if let Some(next) = &standby {
             *self.last_designated.borrow_mut() = Some(next.member.clone());
         }
@@ -44,8 +44,8 @@
             renewed: Vec::new(),
             leads: leading && !superseded && !self.resigning.get(),
             resigns: leading && self.resigning.get(),
-            recorded: self.degraded_mode_record.borrow().recorded(),
-            open: leading && self.degraded_mode.borrow().may_have_unrecorded(),
+            recorded: self.degraded_mode_record.borrow().fully_recorded_token(),
+            open: leading && self.degraded_mode.borrow().may_have_unrecorded_starts(),
             standby: standby.map(|s| s.member),
             lag_ms: (self.lag.get().mean_s() * 1000.0) as u64,
             state_ago_ms: (self.state.last_answer())
@@ -112,14 +112,14 @@
         }
         if (hello.leads || hello.resigns) && hello.leader.as_deref() == Some(&*hello.member) {
             let mut memory = self.degraded_mode_record.borrow_mut();
-            memory.holder_reported(asked_at, hello.token, hello.open);
+            memory.on_leader_report(asked_at, hello.token, hello.open);
         } else if let Some(token) = hello.recorded {
             // As good as the leader's own word if that was our former process (rule 3).
             let former_self = (self.leader.borrow().as_ref())
                 .is_some_and(|(name, t)| *name == self.settings.member && *t == token)
                 && matches!(&*self.role.borrow(), Role::Following);
             let mut memory = self.degraded_mode_record.borrow_mut();
-            memory.peer_reported(token, former_self);
+            memory.on_peer_report(token, former_self);
         }
         if let Some(renewal_ms) = hello.renewal_ms
             && hello.leader.as_deref() == Some(&*hello.member)
@@ -198,7 +198,7 @@
             }
             ("POST", paths::PEER_REPLICA_READ) => return self.answer_replica_read(&request.body),
             ("POST", paths::PEER_DEGRADED_MODE) => {
-                return self.answer_degraded_mode_request(&request.body).await;
+                return self.handle_degraded_mode_request(&request.body).await;
             }
             (
                 _,
@@ -452,6 +452,6 @@
             Some((leader, token)) if leader == member => *token,
             _ => return,
         };
-        self.suspect(token, evidence_of(error));
+        self.suspect(token, evidence_from_error(error));
     }
 }
--- a/crates/umbersail-control/src/standby.rs
+++ b/crates/umbersail-control/src/standby.rs
@@ -9,7 +9,9 @@
 use tracing::{debug, info};
 use umbersail_http::{ClientError, Response};
 use umbersail_runtime::{Time, sleep, timeout};
-use umbersail_standby::{Candidate, DetectorStep, Evidence, HandOver, hands_over, next_leader};
+use umbersail_standby::{
+    Candidate, DetectorStep, Evidence, HandoverLimits, next_leader, should_hand_over,
+};
 use umbersail_wire::{Hello, decode, encode, paths};
 
 use crate::engine::TxnOutcome;
@@ -19,11 +21,11 @@
 use crate::state::{StateError, Urgency};
 
 /// How often a node looks how late its timers fire, seconds.
-const LAG_LOOK_S: Time = 0.25;
+const LAG_SAMPLE_S: Time = 0.25;
 /// Between two tries at a leader that does not answer, and at the most while
 /// nothing speaks against it, seconds.
-const AGAIN_S: Time = 0.2;
-const REST_S: Time = 5.0;
+const RETRY_S: Time = 0.2;
+const IDLE_CHECK_S: Time = 5.0;
 
 impl Node {
     /// Whether this node leads and means to go on.
@@ -44,7 +46,7 @@
     pub(crate) async fn watch_leader(self: Rc<Self>) {
         loop {
             let Some((peer, token)) = self.remote_leader() else {
-                sleep(AGAIN_S).await;
+                sleep(RETRY_S).await;
                 continue;
             };
             let body = encode(&self.hello());
@@ -56,7 +58,7 @@
             match answer {
                 Ok((200, body)) => {
                     let Ok(hello) = decode::<Hello>(&body) else {
-                        sleep(REST_S).await;
+                        sleep(IDLE_CHECK_S).await;
                         continue;
                     };
                     if self.on_leader_watch_reply(token, &hello) {
@@ -64,10 +66,10 @@
                     }
                 }
                 // An older build: what its greetings tell must do.
-                Ok(_) => sleep(REST_S).await,
-                Err(e) => self.suspect(token, evidence_of(&e)),
+                Ok(_) => sleep(IDLE_CHECK_S).await,
+                Err(e) => self.suspect(token, evidence_from_error(&e)),
             }
-            sleep(AGAIN_S).await;
+            sleep(RETRY_S).await;
         }
     }
 
@@ -78,10 +80,10 @@
             self.failure_detector.borrow_mut().clear_suspicion(token);
             return true;
         }
-        let other = (self.elected.get())
+        let is_other_process = (self.elected.get())
             .is_some_and(|(of, incarnation)| of == token && incarnation != hello.incarnation);
-        if other {
-            self.suspect(token, Evidence::Replaced);
+        if is_other_process {
+            self.suspect(token, Evidence::ProcessReplaced);
         } else if hello.resigns && hello.token == token {
             self.suspect(token, Evidence::Resigned);
         }
@@ -94,14 +96,14 @@
             return Response::empty(400);
         };
         self.on_hello(&hello);
-        let until = self.clock.now() + self.tuning.leader_watch_s;
+        let deadline = self.clock.now() + self.tuning.leader_watch_s;
         loop {
             let now = self.clock.now();
-            if !self.is_leading() || now >= until {
+            if !self.is_leading() || now >= deadline {
                 break;
             }
             // Out of time, or something has changed: looked at again either way.
-            let _ = timeout(until - now, self.changed.raised()).await;
+            let _ = timeout(deadline - now, self.changed.raised()).await;
         }
         Response::new(200, encode(&self.hello()))
     }
@@ -125,8 +127,8 @@
         if designated_successor.as_deref() == Some(&*self.settings.member) {
             return 0;
         }
-        let before = |p: &&Peer| p.member < self.settings.member;
-        1 + self.settings.peers.iter().filter(before).count()
+        let sorts_before_us = |p: &&Peer| p.member < self.settings.member;
+        1 + self.settings.peers.iter().filter(sorts_before_us).count()
     }
 
     /// Weighs what speaks against the leader, for ever.
@@ -136,20 +138,20 @@
             let step = self
                 .failure_detector
                 .borrow()
-                .step(now, self.campaign_rank());
+                .next_step(now, self.campaign_rank());
             let wait_s = match step {
-                DetectorStep::Rest => REST_S,
-                DetectorStep::Wait(until) => until - now,
-                DetectorStep::Ask => {
+                DetectorStep::Idle => IDLE_CHECK_S,
+                DetectorStep::WaitUntil(until) => until - now,
+                DetectorStep::ProbeLeader => {
                     self.probe_leader().await;
                     0.05
                 }
-                DetectorStep::Replace(token) => {
+                DetectorStep::ReplaceLeader(token) => {
                     self.confirm_leader_failure(
                         token,
                         "its own word, or another process in its place",
                     );
-                    AGAIN_S
+                    RETRY_S
                 }
             };
             let _ = select(pin!(self.suspected.notified()), pin!(sleep(wait_s))).await;
@@ -163,17 +165,20 @@
             return;
         };
         let txn = suspicion(&self.settings.member, token);
-        let put_at = self.clock.now();
+        let probe_started_at = self.clock.now();
         let TxnOutcome::Applied { revision } = self.state.txn(&txn, Urgency::Vital).await else {
             // Another leads already, or nobody can say anything just now.
-            sleep(AGAIN_S).await;
+            sleep(RETRY_S).await;
             return;
         };
-        let asked = self.clock.now();
-        let answer_s = self.failure_detector.borrow().answer_s(asked);
+        let probe_written_at = self.clock.now();
+        let timeout_s = self
+            .failure_detector
+            .borrow()
+            .probe_timeout_s(probe_written_at);
         let answer = self
             .state
-            .watch::<LivenessRecord>(LIVENESS_KEY, revision, answer_s)
+            .watch::<LivenessRecord>(LIVENESS_KEY, revision, timeout_s)
             .await;
         let now = self.clock.now();
         match answer {
@@ -181,15 +186,23 @@
                 info!(token, "the leader answers by the state service");
                 // Its word is as good as in a greeting, if it answers our question:
                 // one written for an earlier question may come late (rule 3).
-                let words = result.events.iter().filter_map(|e| e.value.as_ref());
-                let ours = |a: &&LivenessRecord| a.token == token && a.answers >= revision;
-                for alive in words.filter(ours) {
+                let replies = result.events.iter().filter_map(|e| e.value.as_ref());
+                let is_reply_to_probe =
+                    |a: &&LivenessRecord| a.token == token && a.answers >= revision;
+                for reply in replies.filter(is_reply_to_probe) {
                     let mut memory = self.degraded_mode_record.borrow_mut();
-                    memory.holder_reported(put_at, token, alive.open);
+                    memory.on_leader_report(probe_started_at, token, reply.open);
                 }
-                self.failure_detector.borrow_mut().answered(now, token);
+                self.failure_detector
+                    .borrow_mut()
+                    .on_probe_reply(now, token);
             }
-            Ok(_) if self.failure_detector.borrow().unanswered(asked, now) => {
+            Ok(_)
+                if self
+                    .failure_detector
+                    .borrow()
+                    .probe_timed_out(probe_written_at, now) =>
+            {
                 self.confirm_leader_failure(
                     token,
                     "no answer, neither here nor by the state service",
@@ -204,11 +217,13 @@
 
     fn confirm_leader_failure(&self, token: u64, reason: &str) {
         // It may have said something in the meantime, or another may lead.
-        let rested = matches!(
-            self.failure_detector.borrow().step(self.clock.now(), 0),
-            DetectorStep::Rest | DetectorStep::Wait(_)
+        let no_longer_suspected = matches!(
+            self.failure_detector
+                .borrow()
+                .next_step(self.clock.now(), 0),
+            DetectorStep::Idle | DetectorStep::WaitUntil(_)
         );
-        if !rested && self.remote_leader().is_some_and(|(_, t)| t == token) {
+        if !no_longer_suspected && self.remote_leader().is_some_and(|(_, t)| t == token) {
             info!(token, reason, "the leader is to be replaced");
             self.confirmed_failure.set(Some(token));
             self.campaign_requested.notify();
@@ -216,7 +231,7 @@
     }
 
     /// The leader answers whoever asks by the state service whether it lives.
-    pub(crate) async fn answer_suspicions(self: Rc<Self>, token: u64) {
+    pub(crate) async fn answer_liveness_probes(self: Rc<Self>, token: u64) {
         let mut from = token;
         loop {
             let hold_s = self.tuning.watch_hold_s;
@@ -233,7 +248,7 @@
                     };
                     let txn = liveness(LivenessRecord {
                         token,
-                        open: self.degraded_mode.borrow().may_have_unrecorded(),
+                        open: self.degraded_mode.borrow().may_have_unrecorded_starts(),
                         answers,
                     });
                     let outcome = self.state.txn(&txn, Urgency::Vital).await;
@@ -251,7 +266,7 @@
                         from = revision;
                     }
                 }
-                Err(_) => sleep(AGAIN_S).await,
+                Err(_) => sleep(RETRY_S).await,
             }
         }
     }
@@ -267,19 +282,19 @@
 
     /// Looks how late timers fire, for ever: a node short of processor time shows
     /// it there first.
-    pub(crate) async fn measure_lag(self: Rc<Self>) {
+    pub(crate) async fn measure_timer_lag(self: Rc<Self>) {
         loop {
-            let at = self.clock.now();
-            sleep(LAG_LOOK_S).await;
-            let late_s = self.clock.now() - at - LAG_LOOK_S;
+            let started_at = self.clock.now();
+            sleep(LAG_SAMPLE_S).await;
+            let delay_s = self.clock.now() - started_at - LAG_SAMPLE_S;
             let mut lag = self.lag.get();
-            lag.fired(late_s);
+            lag.record_delay(delay_s);
             self.lag.set(lag);
         }
     }
 
     /// The one that is to lead after us.
-    pub(crate) fn successor(&self) -> Option<Candidate> {
+    pub(crate) fn choose_successor(&self) -> Option<Candidate> {
         let now = self.clock.now();
         let peers = self.peers.borrow();
         let candidates: Vec<Candidate> = (self.settings.peers.iter())
@@ -290,9 +305,9 @@
                     .is_some_and(|at| now - at < 3.0 * self.tuning.peer_interval_s);
                 Some(Candidate {
                     member: peer.member.clone(),
-                    able: fresh && !state.silent && state.state_reachable,
-                    apart: peer.zone != self.settings.zone,
-                    up_s: state.up_s + (now - state.heard_at?),
+                    eligible: fresh && !state.silent && state.state_reachable,
+                    in_other_zone: peer.zone != self.settings.zone,
+                    uptime_s: state.up_s + (now - state.heard_at?),
                     lag_s: state.lag_s,
                 })
             })
@@ -302,26 +317,26 @@
 
     /// Whether we compute so late that another does better to lead.
     pub(crate) fn is_overloaded(&self, elected: Time) -> bool {
-        let bounds = HandOver {
-            lag_s: self.tuning.hand_over_lag_s,
-            after_s: self.tuning.hand_over_after_s,
+        let limits = HandoverLimits {
+            max_lag_s: self.tuning.hand_over_lag_s,
+            min_term_s: self.tuning.hand_over_after_s,
         };
         let now = self.clock.now();
-        let next = self.successor();
-        hands_over(now, elected, self.lag.get().mean_s(), next.as_ref(), bounds)
+        let next = self.choose_successor();
+        should_hand_over(now, elected, self.lag.get().mean_s(), next.as_ref(), limits)
     }
 
     /// Whether the state service refuses us while it answers a peer: that peer had
     /// an answer clearly after our last one.
     pub(crate) fn is_isolated_from_state(&self) -> bool {
         let now = self.clock.now();
-        let patience_s = self.tuning.refused_s;
+        let margin_s = self.tuning.refused_s;
         let Some(last) = self.state.last_answer() else {
             return false;
         };
-        now - last > patience_s
+        now - last > margin_s
             && (self.peers.borrow().values())
-                .any(|p| p.state_answer_at.is_some_and(|at| at > last + patience_s))
+                .any(|p| p.state_answer_at.is_some_and(|at| at > last + margin_s))
     }
 
     /// Says, while we lead, whether we want another to lead.
@@ -336,9 +351,9 @@
 }
 
 /// What a request without an answer says.
-pub(crate) fn evidence_of(error: &ClientError) -> Evidence {
+pub(crate) fn evidence_from_error(error: &ClientError) -> Evidence {
     match error {
-        ClientError::Closed(_) => Evidence::Closed,
-        _ => Evidence::Silent,
+        ClientError::Closed(_) => Evidence::ConnectionClosed,
+        _ => Evidence::Unresponsive,
     }
 }
--- a/crates/umbersail-standby/src/all_replica_read.rs
+++ b/crates/umbersail-standby/src/all_replica_read.rs
@@ -12,7 +12,7 @@
     /// Each end that this controller has told anybody since then is one that it
     /// remembers. A process that starts has told nothing, and knows nothing of what
     /// the one before it told.
-    pub remembers_from: Time,
+    pub complete_since: Time,
 }
 
 /// What may be told of the job.
@@ -42,7 +42,7 @@
     let Some(seen) = seen.reduce(f64::max) else {
         return ReadOutcome::Unknown;
     };
-    if answers.iter().all(|w| w.remembers_from < seen) {
+    if answers.iter().all(|w| w.complete_since < seen) {
         ReadOutcome::Unfinished
     } else {
         ReadOutcome::Unknown
@@ -57,10 +57,10 @@
     fn a_job_is_unfinished_only_if_everybody_remembers_enough_and_no_end() {
         // Guards against an older answer than another node has given: by one that was
         // restarted since, one that has forgotten, or one that has told the end.
-        let replica_answer = |ended, unfinished_at, remembers_from| ReplicaAnswer {
+        let replica_answer = |ended, unfinished_at, complete_since| ReplicaAnswer {
             ended,
             unfinished_at,
-            remembers_from,
+            complete_since,
         };
         let ours = replica_answer(None, Some(50.0), 0.0);
         assert_eq!(read_outcome::<u8>(&[ours]), ReadOutcome::Unfinished);
--- a/crates/umbersail-standby/src/lib.rs
+++ b/crates/umbersail-standby/src/lib.rs
@@ -4,16 +4,22 @@
 //! ```
 //! use umbersail_standby::{Evidence, DetectorTimeouts, DetectorStep, FailureDetector};
 //!
-//! let timeouts = DetectorTimeouts { rank_s: 0.4, answer_s: 0.5, silent_answer_s: 1.2,
-//!     settle_s: 6.0, slack_s: 0.4, cleared_s: 5.0 };
+//! let timeouts = DetectorTimeouts {
+//!     stagger_s: 0.4,
+//!     probe_timeout_s: 0.5,
+//!     unresponsive_probe_timeout_s: 1.2,
+//!     post_election_grace_s: 6.0,
+//!     probe_slack_s: 0.4,
+//!     probe_backoff_s: 5.0,
+//! };
 //! let mut failure_detector = FailureDetector::new(timeouts);
-//! failure_detector.leader(0.0, 412);
+//! failure_detector.observe_leader(0.0, 412);
 //! // Its connection was closed: perhaps it has ended, perhaps a filter did that.
-//! failure_detector.suspect(10.0, 412, Evidence::Closed);
-//! assert_eq!(failure_detector.step(10.0, 0), DetectorStep::Ask);
+//! failure_detector.suspect(10.0, 412, Evidence::ConnectionClosed);
+//! assert_eq!(failure_detector.next_step(10.0, 0), DetectorStep::ProbeLeader);
 //! // Another process answers in its place: that proves it.
-//! failure_detector.suspect(10.1, 412, Evidence::Replaced);
-//! assert_eq!(failure_detector.step(10.1, 0), DetectorStep::Replace(412));
+//! failure_detector.suspect(10.1, 412, Evidence::ProcessReplaced);
+//! assert_eq!(failure_detector.next_step(10.1, 0), DetectorStep::ReplaceLeader(412));
 //! ```
 #![deny(missing_docs)]
 #![warn(
@@ -30,7 +36,7 @@
 mod succession;
 
 pub use all_replica_read::{ReadOutcome, ReplicaAnswer, read_outcome};
-pub use degraded_mode::{DegradedMode, DegradedModeRecord};
+pub use degraded_mode::{DegradedMode, DegradedModeMemory};
 pub use failure_detector::{DetectorStep, DetectorTimeouts, Evidence, FailureDetector, Time};
-pub use orphaned_attempts::{Order, OrphanedAttempts, OrphanedJobs};
-pub use succession::{Candidate, HandOver, Lag, hands_over, next_leader};
+pub use orphaned_attempts::{HeartbeatOrder, OrphanedAttempts, OrphanedJobs};
+pub use succession::{Candidate, HandoverLimits, TimerLag, next_leader, should_hand_over};
--- a/crates/umbersail-standby/src/orphaned_attempts.rs
+++ b/crates/umbersail-standby/src/orphaned_attempts.rs
@@ -5,7 +5,7 @@
 use umbersail_policy::{Shape, Usage};
 
 /// A report's place among those of its machine: (session, count).
-pub type Order = (u64, u64);
+pub type HeartbeatOrder = (u64, u64);
 
 /// A job that is over whose attempts may still be about.
 #[derive(Debug, Clone, PartialEq)]
@@ -19,7 +19,7 @@
     /// Machines that may hold them. One leaves with a report that shows our token
     /// and nothing of the job; where an order stands, only with a later report
     /// that came in turn, since a launch may have been on its way.
-    pub machines: BTreeMap<M, Option<Order>>,
+    pub machines: BTreeMap<M, Option<HeartbeatOrder>>,
 }
 
 /// All of them, by job and by machine.
@@ -74,12 +74,12 @@
     }
 
     /// Whether this job's attempts are counted here by their own size.
-    pub fn counts(&self, job: &J) -> bool {
+    pub fn has_known_shape(&self, job: &J) -> bool {
         self.jobs.get(job).is_some_and(|r| r.shape.is_some())
     }
 
     /// Whether this machine may hold attempts of unknown size.
-    pub fn is_unsized_at(&self, machine: &M) -> bool {
+    pub fn may_hold_unknown_shape(&self, machine: &M) -> bool {
         self.by_machine.get(machine).is_some_and(|jobs| {
             jobs.iter()
                 .any(|job| self.jobs.get(job).is_some_and(|r| r.shape.is_none()))
@@ -89,24 +89,28 @@
     /// A machine's report with our token shows active tasks of just those jobs
     /// that `active` names. Jobs of which nothing is left come back: their
     /// records may go.
-    pub fn shown(
+    pub fn on_heartbeat(
         &mut self,
         machine: &M,
-        order: Order,
-        in_turn: bool,
+        order: HeartbeatOrder,
+        in_sequence: bool,
         active: impl Fn(&J) -> bool,
     ) -> Vec<J> {
-        self.leave(machine, |job, after| {
-            !active(job) && after.is_none_or(|after| in_turn && order > after)
+        self.settle_where(machine, |job, after| {
+            !active(job) && after.is_none_or(|after| in_sequence && order > after)
         })
     }
 
     /// The machine is proven empty: its lease has lapsed, or it is gone.
-    pub fn gone(&mut self, machine: &M) -> Vec<J> {
-        self.leave(machine, |_, _| true)
+    pub fn on_machine_empty(&mut self, machine: &M) -> Vec<J> {
+        self.settle_where(machine, |_, _| true)
     }
 
-    fn leave(&mut self, machine: &M, leaves: impl Fn(&J, Option<Order>) -> bool) -> Vec<J> {
+    fn settle_where(
+        &mut self,
+        machine: &M,
+        is_settled: impl Fn(&J, Option<HeartbeatOrder>) -> bool,
+    ) -> Vec<J> {
         let Some(jobs) = self.by_machine.get_mut(machine) else {
             return Vec::new();
         };
@@ -116,7 +120,7 @@
                 return false;
             };
             let after = orphaned_attempts.machines.get(machine).copied().flatten();
-            if !leaves(job, after) {
+            if !is_settled(job, after) {
                 return true;
             }
             orphaned_attempts.machines.remove(machine);
@@ -135,7 +139,7 @@
     }
 
     /// Adds what may still run to its team's use.
-    pub fn add_to(&self, usage: &mut [Usage]) {
+    pub fn add_usage_to(&self, usage: &mut [Usage]) {
         for orphaned_attempts in self.jobs.values() {
             if let (Some(shape), Some(used)) = (
                 orphaned_attempts.shape,
@@ -153,7 +157,7 @@
 
     fn orphaned_attempts(
         attempts: u32,
-        machines: &[(&'static str, Option<Order>)],
+        machines: &[(&'static str, Option<HeartbeatOrder>)],
     ) -> OrphanedAttempts<&'static str> {
         OrphanedAttempts {
             team: Some(0),
@@ -171,41 +175,63 @@
     fn orphaned_attempts_count_until_their_last_machine_has_shown_that_nothing_is_left() {
         // Guards against a team's limit broken by a cancelled job's tasks on
         // machines that a new leader has not heard of yet.
-        let mut left: OrphanedJobs<&str, &str> = OrphanedJobs::default();
-        assert!(!left.insert("none", orphaned_attempts(0, &[("m1", None)])));
-        assert!(left.insert(
+        let mut orphaned_jobs: OrphanedJobs<&str, &str> = OrphanedJobs::default();
+        assert!(!orphaned_jobs.insert("none", orphaned_attempts(0, &[("m1", None)])));
+        assert!(orphaned_jobs.insert(
             "job",
             orphaned_attempts(3, &[("m1", None), ("m2", Some((1, 5)))])
         ));
-        let used = |left: &OrphanedJobs<&str, &str>| {
+        let used = |orphaned_jobs: &OrphanedJobs<&str, &str>| {
             let mut usage = [Usage::default()];
-            left.add_to(&mut usage);
+            orphaned_jobs.add_usage_to(&mut usage);
             usage[0].cpus
         };
-        assert_eq!(used(&left), 6.0);
-        assert!(left.shown(&"m1", (1, 1), false, |_| true).is_empty());
-        assert!(left.shown(&"m1", (1, 2), false, |_| false).is_empty());
+        assert_eq!(used(&orphaned_jobs), 6.0);
+        assert!(
+            orphaned_jobs
+                .on_heartbeat(&"m1", (1, 1), false, |_| true)
+                .is_empty()
+        );
+        assert!(
+            orphaned_jobs
+                .on_heartbeat(&"m1", (1, 2), false, |_| false)
+                .is_empty()
+        );
         // A launch may be on its way: only a later report in turn settles it.
-        assert!(left.shown(&"m2", (1, 6), false, |_| false).is_empty());
-        assert!(left.shown(&"m2", (1, 5), true, |_| false).is_empty());
-        assert_eq!(used(&left), 6.0);
-        assert_eq!(left.shown(&"m2", (1, 6), true, |_| false), ["job"]);
-        assert_eq!(used(&left), 0.0);
-        assert!(left.is_empty() && left.gone(&"m2").is_empty());
+        assert!(
+            orphaned_jobs
+                .on_heartbeat(&"m2", (1, 6), false, |_| false)
+                .is_empty()
+        );
+        assert!(
+            orphaned_jobs
+                .on_heartbeat(&"m2", (1, 5), true, |_| false)
+                .is_empty()
+        );
+        assert_eq!(used(&orphaned_jobs), 6.0);
+        assert_eq!(
+            orphaned_jobs.on_heartbeat(&"m2", (1, 6), true, |_| false),
+            ["job"]
+        );
+        assert_eq!(used(&orphaned_jobs), 0.0);
+        assert!(orphaned_jobs.is_empty() && orphaned_jobs.on_machine_empty(&"m2").is_empty());
     }
 
     #[test]
     fn a_record_without_size_closes_its_machines_by_their_whole_size() {
         // Guards against records of an older build, which did not say it.
-        let mut left: OrphanedJobs<&str, &str> = OrphanedJobs::default();
+        let mut orphaned_jobs: OrphanedJobs<&str, &str> = OrphanedJobs::default();
         let unsized_one = OrphanedAttempts {
             shape: None,
             ..orphaned_attempts(1, &[("m1", None)])
         };
-        left.insert("old", unsized_one);
-        assert!(left.is_unsized_at(&"m1") && !left.is_unsized_at(&"m2"));
-        assert!(!left.counts(&"old"));
-        assert_eq!(left.gone(&"m1"), ["old"]);
-        assert!(!left.is_unsized_at(&"m1"));
+        orphaned_jobs.insert("old", unsized_one);
+        assert!(
+            orphaned_jobs.may_hold_unknown_shape(&"m1")
+                && !orphaned_jobs.may_hold_unknown_shape(&"m2")
+        );
+        assert!(!orphaned_jobs.has_known_shape(&"old"));
+        assert_eq!(orphaned_jobs.on_machine_empty(&"m1"), ["old"]);
+        assert!(!orphaned_jobs.may_hold_unknown_shape(&"m1"));
     }
 }
--- a/crates/umbersail-standby/tests/model/degraded_mode.rs
+++ b/crates/umbersail-standby/tests/model/degraded_mode.rs
@@ -31,7 +31,7 @@
         let mut next = self.clone();
         let memory = &mut next.nodes[i].memory;
         if fault == InjectedFault::AgreementWithoutRead {
-            memory.update(|m| m.read(token.into()));
+            memory.update(|m| m.observe_leader_key(token.into()));
         }
         if !memory.update(|m| m.agree(AGREED, token.into(), newest.into(), out)) {
             return None;
--- a/crates/umbersail-standby/tests/model/election.rs
+++ b/crates/umbersail-standby/tests/model/election.rs
@@ -35,7 +35,7 @@
             out.push(self.with(|w| {
                 w.nodes[i].newest = w.key;
                 let key = u64::from(w.key);
-                w.nodes[i].memory.update(|m| m.read(key));
+                w.nodes[i].memory.update(|m| m.observe_leader_key(key));
                 if node.first == 0 {
                     w.nodes[i].first = w.key;
                 }
@@ -60,7 +60,7 @@
             ) && node.first > 0
                 && node.first < self.key;
             let trusted = match node.memory.fingerprint {
-                _ if !node.memory.real.may_have_unrecorded(key) => true,
+                _ if !node.memory.real.may_have_unrecorded_starts(key) => true,
                 (token, ..) if token != self.key && in_time => true,
                 (_, 0, _) => fault == InjectedFault::TrustWithoutMemory,
                 (_, 2, _) => fault == InjectedFault::AgreementForgotten,
@@ -119,7 +119,11 @@
             });
             let recorded = match (leader, other.leader) {
                 (Some(_), _) => shut.map(|l| l.token),
-                (None, None) => other.memory.real.recorded().map(|token| token as u8),
+                (None, None) => other
+                    .memory
+                    .real
+                    .fully_recorded_token()
+                    .map(|token| token as u8),
                 (None, Some(_)) => None,
             };
             out.push(self.with(|w| {
@@ -130,7 +134,7 @@
                 {
                     w.nodes[i].first = leader.token - 1;
                     let before = u64::from(leader.token) - 1;
-                    w.nodes[i].memory.update(|m| m.read(before));
+                    w.nodes[i].memory.update(|m| m.observe_leader_key(before));
                 }
                 if let Some(token) = recorded {
                     w.receive_recorded_claim(i, token, leader.is_some(), false, fault);
@@ -186,10 +190,10 @@
         let asked = if stale { BEFORE } else { AFTER };
         self.nodes[i].memory.update(|memory| {
             if from_leader || fault == InjectedFault::PeerRecordedClaimTrusted {
-                memory.holder_reported(asked, token.into(), false);
+                memory.on_leader_report(asked, token.into(), false);
             } else {
                 let any = fault == InjectedFault::PeerClaimOfLiveLeaderTrusted;
-                memory.peer_reported(token.into(), former_self || any);
+                memory.on_peer_report(token.into(), former_self || any);
             }
         });
     }
--- a/crates/umbersail-standby/tests/model/late_writes.rs
+++ b/crates/umbersail-standby/tests/model/late_writes.rs
@@ -40,7 +40,7 @@
                         let following = w.nodes.iter_mut().filter(|n| n.leader.is_none());
                         following.for_each(|n| {
                             n.memory
-                                .update(|m| m.holder_reported(AFTER, token.into(), false));
+                                .update(|m| m.on_leader_report(AFTER, token.into(), false));
                         });
                     }
                 }
--- a/crates/umbersail-standby/tests/model/leader.rs
+++ b/crates/umbersail-standby/tests/model/leader.rs
@@ -43,7 +43,7 @@
                 w.abandon_requests(leader.token, fault);
                 w.nodes[i]
                     .memory
-                    .update(|m| m.held_by_us(AGREED, leader.token.into(), open));
+                    .update(|m| m.on_own_term_ended(AGREED, leader.token.into(), open));
                 w.nodes[i].leader = None;
             }));
         }
--- a/crates/umbersail-standby/tests/model/memory.rs
+++ b/crates/umbersail-standby/tests/model/memory.rs
@@ -2,7 +2,7 @@
 
 use std::hash::{Hash, Hasher};
 
-use umbersail_standby::DegradedModeRecord;
+use umbersail_standby::DegradedModeMemory;
 
 use crate::state::TOKEN_LIMIT;
 
@@ -16,37 +16,37 @@
 /// and how many tokens are no newer than the first that it read.
 #[derive(Debug, Clone)]
 pub struct Memory {
-    pub real: DegradedModeRecord,
+    pub real: DegradedModeMemory,
     pub fingerprint: (u8, u8, u8),
 }
 
 impl Default for Memory {
     fn default() -> Memory {
-        let real = DegradedModeRecord::default();
+        let real = DegradedModeMemory::default();
         let fingerprint = fingerprint(&real);
         Memory { real, fingerprint }
     }
 }
 
 /// Derives the fingerprint from what the memory replies to probes.
-fn fingerprint(memory: &DegradedModeRecord) -> (u8, u8, u8) {
+fn fingerprint(memory: &DegradedModeMemory) -> (u8, u8, u8) {
     let told = |asked: f64| {
         let mut probe = memory.clone();
         (0..=TOKEN_LIMIT).find(|token| {
-            probe.holder_reported(asked, u64::from(*token), false);
-            probe.recorded() == Some(u64::from(*token))
+            probe.on_leader_report(asked, u64::from(*token), false);
+            probe.fully_recorded_token() == Some(u64::from(*token))
         })
     };
     let token = told(AFTER).unwrap_or(u8::MAX);
-    let known = match memory.recorded() {
+    let known = match memory.fully_recorded_token() {
         Some(_) => 1,
         None if told(BEFORE) != Some(token) => 2,
         None => 0,
     };
     let mut probe = memory.clone();
-    probe.held_by_us(AGREED, u64::MAX - 1, false);
-    let older = (0..=TOKEN_LIMIT).filter(|t| probe.may_have_unrecorded(u64::from(*t)));
-    let first = match probe.may_have_unrecorded(u64::MAX) {
+    probe.on_own_term_ended(AGREED, u64::MAX - 1, false);
+    let older = (0..=TOKEN_LIMIT).filter(|t| probe.may_have_unrecorded_starts(u64::from(*t)));
+    let first = match probe.may_have_unrecorded_starts(u64::MAX) {
         true => 0,
         false => older.count() as u8,
     };
@@ -54,7 +54,7 @@
 }
 
 impl Memory {
-    pub fn update<R>(&mut self, update: impl FnOnce(&mut DegradedModeRecord) -> R) -> R {
+    pub fn update<R>(&mut self, update: impl FnOnce(&mut DegradedModeMemory) -> R) -> R {
         let result = update(&mut self.real);
         self.fingerprint = fingerprint(&self.real);
         result
--- a/crates/umbersail-standby/tests/model/state.rs
+++ b/crates/umbersail-standby/tests/model/state.rs
@@ -176,14 +176,14 @@
             newer_report: 0,
         };
         let mut memory = Memory::default();
-        memory.update(|m| m.read(1));
+        memory.update(|m| m.observe_leader_key(1));
         let leader = Node {
             newest: 1,
             memory: memory.clone(),
             first: 1,
             leader: Some(leader),
         };
-        memory.update(|m| m.holder_reported(AFTER, 1, false));
+        memory.update(|m| m.on_leader_report(AFTER, 1, false));
         let follower = Node {
             newest: 1,
             memory,
