--- a/crates/umbersail-control/src/all_replica_read.rs
+++ b/crates/umbersail-control/src/all_replica_read.rs
@@ -19,58 +19,58 @@
 use crate::settings::Peer;
 
 /// How long a poll waits for others to be asked about with it, in seconds.
-const GATHER_S: f64 = 0.05;
-/// Upper bound on jobs read in one round, some 50 KiB in the request and four times that
-/// in an answer; polls of further jobs are refused until the next round.
-const MAX_JOBS_PER_ROUND: usize = 4096;
+const BATCH_WINDOW_S: f64 = 0.05;
+/// Upper bound on jobs read in one batch, some 50 KiB in the request and four times that
+/// in an answer; polls of further jobs are refused until the next batch.
+const MAX_JOBS_PER_BATCH: usize = 4096;
 
 /// Jobs that are asked about together.
 #[derive(Default)]
 struct ReadBatch {
     jobs: RefCell<BTreeSet<String>>,
     outcomes: RefCell<BTreeMap<String, ReadOutcome<OverRecord>>>,
-    over: Cell<bool>,
-    done: Broadcast,
+    completed: Cell<bool>,
+    completion: Broadcast,
 }
 
-/// The round that gathers, and whether one is under way.
+/// The batch that gathers, and whether one is under way.
 #[derive(Default)]
 pub(crate) struct AllReplicaReads {
     open_batch: RefCell<Option<Rc<ReadBatch>>>,
-    under_way: Cell<bool>,
+    in_progress: Cell<bool>,
 }
 
 impl Node {
     /// Reads a job from all replicas (rule 6).
     pub(crate) async fn all_replica_read(self: &Rc<Self>, id: &str) -> ReadOutcome<OverRecord> {
-        if !self.all_answer() {
+        if !self.all_peers_responsive() {
             return ReadOutcome::Unknown;
         }
-        let round = {
+        let batch = {
             let mut open_batch = self.all_replica_reads.open_batch.borrow_mut();
-            let round = open_batch.get_or_insert_with(|| {
-                let round = Rc::new(ReadBatch::default());
+            let batch = open_batch.get_or_insert_with(|| {
+                let batch = Rc::new(ReadBatch::default());
                 // A routine of its own: whoever asked first may hang up.
-                spawn(self.clone().read_all(round.clone()));
-                round
+                spawn(self.clone().run_read_batch(batch.clone()));
+                batch
             });
-            let mut jobs = round.jobs.borrow_mut();
-            if jobs.len() >= MAX_JOBS_PER_ROUND && !jobs.contains(id) {
+            let mut jobs = batch.jobs.borrow_mut();
+            if jobs.len() >= MAX_JOBS_PER_BATCH && !jobs.contains(id) {
                 return ReadOutcome::Unknown;
             }
             jobs.insert(id.to_owned());
-            round.clone()
+            batch.clone()
         };
-        while !round.over.get() {
-            round.done.raised().await;
+        while !batch.completed.get() {
+            batch.completion.raised().await;
         }
-        let outcomes = round.outcomes.borrow();
+        let outcomes = batch.outcomes.borrow();
         outcomes.get(id).copied().unwrap_or(ReadOutcome::Unknown)
     }
 
     /// Whether each peer has answered us lately: with one away nothing can be said,
     /// and the others are not troubled.
-    fn all_answer(&self) -> bool {
+    fn all_peers_responsive(&self) -> bool {
         let now = self.clock.now();
         let fresh_s = 3.0 * self.tuning.peer_interval_s;
         let peers = self.peers.borrow();
@@ -81,22 +81,22 @@
         })
     }
 
-    async fn read_all(self: Rc<Self>, round: Rc<ReadBatch>) {
-        sleep(GATHER_S).await;
-        while self.all_replica_reads.under_way.get() {
-            sleep(GATHER_S).await;
+    async fn run_read_batch(self: Rc<Self>, batch: Rc<ReadBatch>) {
+        sleep(BATCH_WINDOW_S).await;
+        while self.all_replica_reads.in_progress.get() {
+            sleep(BATCH_WINDOW_S).await;
         }
-        self.all_replica_reads.under_way.set(true);
+        self.all_replica_reads.in_progress.set(true);
         // Whoever asks from here on is too late for these answers.
         *self.all_replica_reads.open_batch.borrow_mut() = None;
-        let jobs: Vec<String> = round.jobs.borrow().iter().cloned().collect();
+        let jobs: Vec<String> = batch.jobs.borrow().iter().cloned().collect();
         let peers = self.settings.peers.iter();
-        let answers = join_all(peers.map(|peer| self.read_one(peer, &jobs))).await;
+        let answers = join_all(peers.map(|peer| self.read_from_peer(peer, &jobs))).await;
         let ours = self.own_answers(&jobs);
         let all: Option<Vec<Vec<ReplicaAnswer<OverRecord>>>> =
             answers.into_iter().chain([Some(ours)]).collect();
         if let Some(all) = all {
-            let mut outcomes = round.outcomes.borrow_mut();
+            let mut outcomes = batch.outcomes.borrow_mut();
             for (index, id) in jobs.into_iter().enumerate() {
                 let answers: Vec<ReplicaAnswer<OverRecord>> =
                     all.iter().map(|answers| answers[index]).collect();
@@ -107,13 +107,13 @@
                 outcomes.insert(id, outcome);
             }
         }
-        self.all_replica_reads.under_way.set(false);
-        round.over.set(true);
-        round.done.raise();
+        self.all_replica_reads.in_progress.set(false);
+        batch.completed.set(true);
+        batch.completion.raise();
     }
 
     /// One peer's answers, in the order of the jobs; none if it does not answer in time.
-    async fn read_one(
+    async fn read_from_peer(
         &self,
         peer: &Peer,
         jobs: &[String],
@@ -136,28 +136,28 @@
         let drift = self.tuning.drift;
         // What it has seen was at this time or later, and it remembers from this time
         // or before, whenever between question and answer it spoke.
-        let seen = |ago_ms: u64| asked_at - ago_ms as f64 / 1000.0 * (1.0 + drift);
+        let seen_at = |ago_ms: u64| asked_at - ago_ms as f64 / 1000.0 * (1.0 + drift);
         let complete_since = now - answer.remembers_ms as f64 / 1000.0 * (1.0 - drift);
-        let replica_answer = |on: ReplicaReadEntry| ReplicaAnswer {
-            ended: on.ended.as_ref().and_then(end_of),
-            unfinished_at: on.unfinished_ago_ms.map(seen),
+        let to_answer = |entry: ReplicaReadEntry| ReplicaAnswer {
+            ended: entry.ended.as_ref().and_then(over_record_from),
+            unfinished_at: entry.unfinished_ago_ms.map(seen_at),
             complete_since,
         };
-        Some(answer.jobs.into_iter().map(replica_answer).collect())
+        Some(answer.jobs.into_iter().map(to_answer).collect())
     }
 
     fn own_answers(&self, jobs: &[String]) -> Vec<ReplicaAnswer<OverRecord>> {
         let cache = self.cache.borrow();
-        let replica_answer = |id: &String| ReplicaAnswer {
+        let to_answer = |id: &String| ReplicaAnswer {
             ended: cache.get(id),
             unfinished_at: self.polls.unfinished_at(id),
             complete_since: cache.complete_from().max(self.started_at),
         };
-        jobs.iter().map(replica_answer).collect()
+        jobs.iter().map(to_answer).collect()
     }
 
     /// A peer asks what we know.
-    pub(crate) fn answer_replica_read(&self, body: &[u8]) -> Response {
+    pub(crate) fn handle_replica_read(&self, body: &[u8]) -> Response {
         let Ok(request) = decode::<ReplicaReadRequest>(body) else {
             return Response::empty(400);
         };
@@ -165,10 +165,10 @@
         let ago_ms = |at: Time| ((now - at).max(0.0) * 1000.0) as u64;
         let answers = self.own_answers(&request.ids);
         let from = (answers.first()).map_or(now, |answer| answer.complete_since);
-        let on = |(id, answer): (&String, &ReplicaAnswer<OverRecord>)| ReplicaReadEntry {
+        let to_entry = |(id, answer): (&String, &ReplicaAnswer<OverRecord>)| ReplicaReadEntry {
             ended: answer.ended.map(|over| JobStatus {
                 id: id.clone(),
-                state: stage_of(over),
+                state: terminal_stage(over),
                 done: Some(over.done),
                 running: None,
             }),
@@ -177,13 +177,13 @@
         };
         let answer = ReplicaReadAnswer {
             remembers_ms: ago_ms(from),
-            jobs: request.ids.iter().zip(&answers).map(on).collect(),
+            jobs: request.ids.iter().zip(&answers).map(to_entry).collect(),
         };
         Response::new(200, encode(&answer))
     }
 }
 
-fn end_of(status: &JobStatus) -> Option<OverRecord> {
+fn over_record_from(status: &JobStatus) -> Option<OverRecord> {
     let outcome = match status.state {
         JobStage::Done => Outcome::Done,
         JobStage::Cancelled => Outcome::Cancelled,
@@ -196,7 +196,7 @@
 }
 
 /// The stage that tells this end.
-pub(crate) fn stage_of(over: OverRecord) -> JobStage {
+pub(crate) fn terminal_stage(over: OverRecord) -> JobStage {
     match over.outcome {
         Outcome::Done => JobStage::Done,
         Outcome::Cancelled => JobStage::Cancelled,
--- a/crates/umbersail-control/src/degraded_mode.rs
+++ b/crates/umbersail-control/src/degraded_mode.rs
@@ -172,7 +172,7 @@
                 agreed = memory.agree(now, request.token, request.token, is_unavailable);
             }
         }
-        let cancelled = self.lately_cancelled();
+        let cancelled = self.recently_cancelled();
         Response::new(200, encode(&DegradedModeAnswer { agreed, cancelled }))
     }
 }
--- a/crates/umbersail-control/src/front.rs
+++ b/crates/umbersail-control/src/front.rs
@@ -15,7 +15,7 @@
     ReportReply, decode, encode, is_job_id, missing_field, paths,
 };
 
-use crate::all_replica_read::stage_of;
+use crate::all_replica_read::terminal_stage;
 use crate::engine::{TxnOutcome, cache_holds, epoch};
 use crate::node::{Node, Role};
 use crate::polls::PollOutcome;
@@ -182,14 +182,15 @@
         let cut_off = self.peers.borrow().get(&leader).is_some_and(|p| p.silent);
         if between || cut_off {
             let direct = || !comes_back();
-            if let Some(response) = self.relay(&leader, &report, body, direct).await {
+            if let Some(response) = self.relay_heartbeat(&leader, &report, body, direct).await {
                 return response;
             }
         } else if redirects.borrow_mut().is_returning(
             &report.machine,
             self.has_seen_leader_token(&report),
             now,
-        ) && let Some(response) = self.relay(&leader, &report, body, || false).await
+        ) && let Some(response) =
+            self.relay_heartbeat(&leader, &report, body, || false).await
         {
             return response;
         }
@@ -421,7 +422,7 @@
         }
         let response = self.submit(body).await;
         if response.status == 503
-            && let Some(peer) = self.helper(is_best_effort_submission(body))
+            && let Some(peer) = self.peer_with_state_access(is_best_effort_submission(body))
             && let Some(taken) = self.relay_submission(&peer, body).await
         {
             return taken;
@@ -618,7 +619,7 @@
 }
 
 fn ended(id: &str, over: OverRecord) -> Response {
-    status_body(200, id, stage_of(over), Some((over.done, 0)))
+    status_body(200, id, terminal_stage(over), Some((over.done, 0)))
 }
 
 fn status_body(status: u16, id: &str, state: JobStage, counts: Option<(u32, u32)>) -> Response {
--- a/crates/umbersail-control/src/node.rs
+++ b/crates/umbersail-control/src/node.rs
@@ -165,7 +165,7 @@
     let handler: Handler = Rc::new(move |request| Box::pin(front_node.clone().front(request)));
     let back_node = node.clone();
     let back_handler: Handler =
-        Rc::new(move |request| Box::pin(back_node.clone().peer_request(request)));
+        Rc::new(move |request| Box::pin(back_node.clone().handle_peer_request(request)));
     spawn(serve(front, limits, handler));
     spawn(serve(back, back_limits, back_handler));
     spawn(node.clone().learn_types());
--- a/crates/umbersail-control/src/peers.rs
+++ b/crates/umbersail-control/src/peers.rs
@@ -15,10 +15,10 @@
 
 /// Upper bound on jobs told of in a greeting as lately cancelled: some 12 KiB, a burst of
 /// cancellations on a fleet of 4,000 machines. The newest go first.
-const MAX_CANCELLED: usize = 1024;
+const MAX_CANCELLED_IN_HELLO: usize = 1024;
 
 impl Node {
-    pub(crate) fn hello(&self) -> Hello {
+    pub(crate) fn build_hello(&self) -> Hello {
         let now = self.clock.now();
         let (leading, superseded) = match &*self.role.borrow() {
             Role::Leading(leading) => (true, leading.superseded.get()),
@@ -39,7 +39,7 @@
             progress: Vec::new(),
             renewal_ms: None,
             over: Vec::new(),
-            cancelled: self.lately_cancelled(),
+            cancelled: self.recently_cancelled(),
             up_ms: ((now - self.started_at) * 1000.0) as u64,
             renewed: Vec::new(),
             leads: leading && !superseded && !self.resigning.get(),
@@ -56,10 +56,10 @@
     /// Jobs that we lately read or recorded to be cancelled. The leader may not be able
     /// to read of them, and hears it from us: a help only, since its time to answer
     /// workers ends early enough without (rule 2).
-    pub(crate) fn lately_cancelled(&self) -> Vec<String> {
+    pub(crate) fn recently_cancelled(&self) -> Vec<String> {
         let since = self.clock.now() - self.settings.facts.workers.cancel_s;
         let cache = self.cache.borrow();
-        let newest = cache.cancelled_since(since).take(MAX_CANCELLED);
+        let newest = cache.cancelled_since(since).take(MAX_CANCELLED_IN_HELLO);
         newest.cloned().collect()
     }
 
@@ -77,8 +77,8 @@
     /// What we say when a peer has greeted us: whom we answered in the leader's
     /// stead, and as the leader, for how long the peer may do so. Both are
     /// told in answers only, since only who asked knows when that was.
-    fn hello_reply(&self, member: &str) -> Hello {
-        let mut hello = self.hello();
+    fn build_hello_reply(&self, member: &str) -> Hello {
+        let mut hello = self.build_hello();
         let now = self.clock.now();
         if let Role::Leading(leading) = &mut *self.role.borrow_mut()
             && !leading.superseded.get()
@@ -138,8 +138,8 @@
 
     /// What we say of our own accord: a leader adds how far the jobs are, so
     /// that the others need not read it for each poll.
-    fn hello_with_progress(&self) -> Hello {
-        let mut hello = self.hello();
+    fn build_hello_with_progress(&self) -> Hello {
+        let mut hello = self.build_hello();
         if let Role::Leading(leading) = &*self.role.borrow() {
             hello.machines = leading.engine.machine_count();
             hello.progress = leading.engine.progress(self.tuning.progress_most as usize);
@@ -181,7 +181,7 @@
     }
 
     /// A request on the back address.
-    pub(crate) async fn peer_request(self: Rc<Self>, request: Request) -> Response {
+    pub(crate) async fn handle_peer_request(self: Rc<Self>, request: Request) -> Response {
         match (request.method.as_str(), request.path()) {
             ("POST", paths::PEER_HELLO) => {}
             ("POST", paths::PEER_REPORT) => return self.take_report(&request.body).await,
@@ -196,7 +196,7 @@
             ("POST", paths::PEER_WATCH_LEADER) => {
                 return self.handle_leader_watch(&request.body).await;
             }
-            ("POST", paths::PEER_REPLICA_READ) => return self.answer_replica_read(&request.body),
+            ("POST", paths::PEER_REPLICA_READ) => return self.handle_replica_read(&request.body),
             ("POST", paths::PEER_DEGRADED_MODE) => {
                 return self.handle_degraded_mode_request(&request.body).await;
             }
@@ -218,7 +218,7 @@
         match decode::<Hello>(&request.body) {
             Ok(hello) => {
                 self.on_hello(&hello);
-                Response::new(200, encode(&self.hello_reply(&hello.member)))
+                Response::new(200, encode(&self.build_hello_reply(&hello.member)))
             }
             Err(e) => {
                 warn!(reason = %e, "malformed hello of a peer");
@@ -234,7 +234,7 @@
     ///
     /// `direct` is whether the worker may try the leader itself: where peers'
     /// connections are refused, that may do.
-    pub(crate) async fn relay(
+    pub(crate) async fn relay_heartbeat(
         &self,
         leader: &str,
         report: &Report,
@@ -243,10 +243,7 @@
     ) -> Option<Response> {
         let silent = self.peers.borrow().get(leader).is_some_and(|p| p.silent);
         if !silent {
-            match self
-                .request_from_peer(leader, paths::PEER_REPORT, body)
-                .await
-            {
+            match self.send_to_peer(leader, paths::PEER_REPORT, body).await {
                 Ok((200, body)) => {
                     self.delegate.borrow_mut().relayed(report);
                     return Some(Response::new(200, body));
@@ -334,7 +331,7 @@
     /// accepted; the user asks again.
     pub(crate) async fn relay_submission(&self, peer: &str, body: &[u8]) -> Option<Response> {
         match self
-            .request_from_peer(peer, paths::PEER_SUBMIT, body)
+            .send_to_peer(peer, paths::PEER_SUBMIT, body)
             .await
             .ok()?
         {
@@ -349,9 +346,11 @@
         if !self.is_isolated_from_state() {
             return None;
         }
-        let helper = self.helper(true).or_else(|| self.helper(false))?;
+        let peer = self
+            .peer_with_state_access(true)
+            .or_else(|| self.peer_with_state_access(false))?;
         let body = encode(&JobIdOnly { id: id.into() });
-        match self.request_from_peer(&helper, path, &body).await.ok()? {
+        match self.send_to_peer(&peer, path, &body).await.ok()? {
             (status @ (200 | 404), body) => Some(Response::new(status, body)),
             _ => None,
         }
@@ -359,7 +358,7 @@
 
     /// A peer that the state service lately answered: for what gives way any but the
     /// leader, else the leader if it is one.
-    pub(crate) fn helper(&self, is_best_effort: bool) -> Option<String> {
+    pub(crate) fn peer_with_state_access(&self, avoid_leader: bool) -> Option<String> {
         let now = self.clock.now();
         let fresh_s = 3.0 * self.tuning.peer_interval_s;
         let peers = self.peers.borrow();
@@ -369,7 +368,7 @@
             })
         };
         let leader = self.leader_name();
-        if is_best_effort {
+        if avoid_leader {
             let others = peers.keys().filter(|n| Some(*n) != leader.as_ref());
             let others: Vec<&String> = others.filter(|n| able(n)).collect();
             let any = random(|rng| rng.random_range(0..others.len().max(1)));
@@ -380,7 +379,7 @@
             .or_else(|| peers.keys().find(|name| able(name)).cloned())
     }
 
-    async fn request_from_peer(
+    async fn send_to_peer(
         &self,
         member: &str,
         path: &str,
@@ -399,7 +398,7 @@
     pub(crate) async fn exchange_hellos(self: Rc<Self>, peer: Peer) {
         let mut reachable = true;
         loop {
-            let body = encode(&self.hello_with_progress());
+            let body = encode(&self.build_hello_with_progress());
             let asked_at = self.clock.now();
             let answer = self
                 .peer_http
@@ -411,7 +410,7 @@
                     self.tuning.peer_timeout_s,
                 )
                 .await;
-            let heard = match answer {
+            let answered = match answer {
                 Ok((200, body)) => match decode::<Hello>(&body) {
                     Ok(hello) => {
                         self.on_hello_reply(asked_at, &hello);
@@ -433,9 +432,9 @@
                 }
                 _ => false,
             };
-            if heard != reachable {
-                info!(peer = peer.member, reachable = heard, "peer");
-                reachable = heard;
+            if answered != reachable {
+                info!(peer = peer.member, reachable = answered, "peer");
+                reachable = answered;
             }
             let leads = self.leader_name().as_deref() == Some(&*peer.member);
             sleep(if leads {
--- a/crates/umbersail-control/src/standby.rs
+++ b/crates/umbersail-control/src/standby.rs
@@ -49,7 +49,7 @@
                 sleep(RETRY_S).await;
                 continue;
             };
-            let body = encode(&self.hello());
+            let body = encode(&self.build_hello());
             let wait_s = self.tuning.leader_watch_s + self.tuning.peer_timeout_s;
             let answer = self
                 .peer_http
@@ -105,7 +105,7 @@
             // Out of time, or something has changed: looked at again either way.
             let _ = timeout(deadline - now, self.changed.raised()).await;
         }
-        Response::new(200, encode(&self.hello()))
+        Response::new(200, encode(&self.build_hello()))
     }
 
     /// Something speaks against the leader whose key has this version.
