--- a/crates/umbersail-control/src/delegate.rs
+++ b/crates/umbersail-control/src/delegate.rs
@@ -19,14 +19,14 @@
 /// Upper bound on jobs known to be over, in jobs. Above it the leader's newest list
 /// replaces the earlier ones, which only matter until the leader has told of the same
 /// jobs again.
-const MAX_OVER_JOBS: usize = 16_384;
+const MAX_FINISHED_JOBS: usize = 16_384;
 
 /// When a machine was answered in the leader's stead.
 #[derive(Debug, Clone, Copy)]
 struct Renewal {
     /// For the first time since the leader last answered it through us.
-    first: Option<Time>,
-    last: Time,
+    first_since_leader: Option<Time>,
+    last_at: Time,
     /// (session, count) of the newest report that we answered in its stead: a
     /// copy of it, or of one before, says nothing and gets no answer.
     order: (u64, u64),
@@ -43,7 +43,7 @@
     delegation: Option<(u64, Time)>,
     /// Jobs that are over, as the leader told with its delegation: whoever is answered in
     /// its stead is told to stop them, as the leader would tell it (rule 2).
-    over: BTreeSet<String>,
+    finished_jobs: BTreeSet<String>,
     renewals: BTreeMap<Rc<str>, Renewal>,
     /// Every renewal with its time, the oldest first, so that expiry costs what has
     /// expired and not the size of the fleet.
@@ -56,7 +56,7 @@
             lease_s,
             renewal_s,
             delegation: None,
-            over: BTreeSet::new(),
+            finished_jobs: BTreeSet::new(),
             renewals: BTreeMap::new(),
             expiry: VecDeque::new(),
         }
@@ -64,22 +64,22 @@
 
     /// The leader with this grant delegates to us until then, and knows these jobs to be
     /// over of which tasks may still be about.
-    pub fn delegated(&mut self, revision: u64, until: Time, over: &[String]) {
+    pub fn on_delegation(&mut self, revision: u64, until: Time, finished_jobs: &[String]) {
         let newer = self
             .delegation
             .is_none_or(|(known, end)| revision > known || (revision == known && until > end));
         // What is over stays so: an older word adds to a newer one.
-        if newer && self.over.len() + over.len() > MAX_OVER_JOBS {
-            self.over.clear();
+        if newer && self.finished_jobs.len() + finished_jobs.len() > MAX_FINISHED_JOBS {
+            self.finished_jobs.clear();
         }
-        self.over.extend(over.iter().cloned());
+        self.finished_jobs.extend(finished_jobs.iter().cloned());
         if newer {
             self.delegation = Some((revision, until));
         }
     }
 
     /// A grant with this revision exists: an older leader's word is over.
-    pub fn superseded(&mut self, revision: u64) {
+    pub fn on_newer_leader(&mut self, revision: u64) {
         if self.delegation.is_some_and(|(known, _)| known < revision) {
             self.delegation = None;
         }
@@ -100,10 +100,10 @@
             return None;
         }
         renewal.order = report.order();
-        if now - *renewal.first.get_or_insert(now) >= self.renewal_s {
+        if now - *renewal.first_since_leader.get_or_insert(now) >= self.renewal_s {
             return None;
         }
-        renewal.last = now;
+        renewal.last_at = now;
         self.expiry.push_back((now, name));
         Some(report.token)
     }
@@ -118,8 +118,8 @@
         }
         let name: Rc<str> = machine.into();
         let renewal = Renewal {
-            first: None,
-            last: now,
+            first_since_leader: None,
+            last_at: now,
             order: (0, 0),
         };
         self.renewals.insert(name.clone(), renewal);
@@ -131,13 +131,13 @@
     /// are over, by the leader's word or by what `ended` knows. Stopping what is over
     /// harms nothing; that it is told with every answer is what lets a cancellation
     /// get through however long the leader itself reaches nobody (rule 2).
-    pub fn stops(&self, report: &Report, ended: impl Fn(&str) -> bool) -> Vec<Command> {
-        let over = |task: &str| {
-            split_task(task).is_some_and(|(id, _)| self.over.contains(id) || ended(id))
+    pub fn stop_commands(&self, report: &Report, ended: impl Fn(&str) -> bool) -> Vec<Command> {
+        let is_finished = |task: &str| {
+            split_task(task).is_some_and(|(id, _)| self.finished_jobs.contains(id) || ended(id))
         };
         let active = (report.tasks.iter()).filter(|entry| entry.state != TaskState::Exited);
         active
-            .filter(|entry| over(&entry.task))
+            .filter(|entry| is_finished(&entry.task))
             .map(|entry| Command::stop(entry, 0.0))
             .collect()
     }
@@ -145,23 +145,23 @@
     /// The leader has answered this report through us. One from before what we
     /// renewed the machine on, late or a copy, brings its worker no word: whoever
     /// waited for that answer has given up.
-    pub fn relayed(&mut self, report: &Report) {
+    pub fn on_relayed_reply(&mut self, report: &Report) {
         if let Some(renewal) = self.renewals.get_mut(report.machine.as_str())
             && report.order() > renewal.order
         {
-            renewal.first = None;
+            renewal.first_since_leader = None;
         }
     }
 
     /// Machines answered within the last two leases: who was answered longer
     /// ago has lapsed, or was answered by somebody else since.
-    pub fn renewed(&mut self, now: Time) -> Vec<RenewedMachine> {
+    pub fn recent_renewals(&mut self, now: Time) -> Vec<RenewedMachine> {
         self.expire(now);
         let renewals = self.renewals.iter();
         renewals
             .map(|(machine, renewal)| RenewedMachine {
                 machine: machine.to_string(),
-                ago_ms: ((now - renewal.last).max(0.0) * 1000.0) as u64,
+                ago_ms: ((now - renewal.last_at).max(0.0) * 1000.0) as u64,
             })
             .collect()
     }
@@ -172,7 +172,7 @@
         while let Some((at, name)) = self.expiry.front()
             && now - at >= max_age_s
         {
-            let is_last = |renewal: &Renewal| renewal.last <= *at;
+            let is_last = |renewal: &Renewal| renewal.last_at <= *at;
             if self.renewals.get(name).is_some_and(is_last) {
                 self.renewals.remove(name);
             }
--- a/crates/umbersail-control/src/delegate/tests.rs
+++ b/crates/umbersail-control/src/delegate/tests.rs
@@ -31,19 +31,19 @@
     let mut delegate = Delegate::new(10.0, 100.0);
     let token = token_of(7) + 3;
     assert_eq!(delegate.renew(0.0, &report("m1", token)), None);
-    delegate.delegated(7, 16.0, &[]);
+    delegate.on_delegation(7, 16.0, &[]);
     assert_eq!(delegate.renew(1.0, &report("m1", token)), Some(token));
     assert_eq!(delegate.renew(1.0, &report("m2", token_of(6))), None);
     assert_eq!(delegate.renew(1.0, &report("m2", token_of(8))), None);
     assert_eq!(delegate.renew(16.0, &report("m1", token)), None);
     // An answer that was under way does not shorten a later word.
-    delegate.delegated(7, 20.0, &[]);
-    delegate.delegated(7, 18.0, &[]);
+    delegate.on_delegation(7, 20.0, &[]);
+    delegate.on_delegation(7, 18.0, &[]);
     assert!(delegate.renew(19.0, &nth(2, "m1", token)).is_some());
-    delegate.superseded(8);
+    delegate.on_newer_leader(8);
     assert_eq!(delegate.renew(19.5, &report("m1", token)), None);
-    delegate.delegated(7, 30.0, &[]);
-    delegate.superseded(7);
+    delegate.on_delegation(7, 30.0, &[]);
+    delegate.on_newer_leader(7);
     assert!(delegate.renew(20.0, &report("m3", token)).is_some());
 }
 
@@ -55,15 +55,15 @@
     let m1 = |seq| nth(seq, "m1", token_of(7));
     for second in 0..16u32 {
         let now = f64::from(second);
-        delegate.delegated(7, now + 16.0, &[]);
+        delegate.on_delegation(7, now + 16.0, &[]);
         assert!(delegate.renew(now, &m1(u64::from(second) + 1)).is_some());
     }
     assert!(delegate.renew(16.0, &m1(17)).is_none());
     assert!(delegate.renew(16.5, &report("m2", token_of(7))).is_some());
     // The leader answered a copy: its worker has heard nothing of that.
-    delegate.relayed(&m1(8));
+    delegate.on_relayed_reply(&m1(8));
     assert!(delegate.renew(16.6, &m1(18)).is_none());
-    delegate.relayed(&m1(19));
+    delegate.on_relayed_reply(&m1(19));
     assert!(delegate.renew(17.0, &m1(20)).is_some());
 }
 
@@ -71,13 +71,13 @@
 fn a_copy_of_a_renewed_report_is_not_renewed_again() {
     // Guards against copies that hold off the lapse of a machine that is dead.
     let mut delegate = Delegate::new(10.0, 100.0);
-    delegate.delegated(7, 100.0, &[]);
+    delegate.on_delegation(7, 100.0, &[]);
     let (first, second) = (nth(1, "m1", token_of(7)), nth(2, "m1", token_of(7)));
     assert!(delegate.renew(1.0, &first).is_some());
     assert!(delegate.renew(2.0, &second).is_some());
     assert!(delegate.renew(8.0, &first).is_none());
     assert!(delegate.renew(8.0, &second).is_none());
-    assert_eq!(delegate.renewed(9.0)[0].ago_ms, 7000);
+    assert_eq!(delegate.recent_renewals(9.0)[0].ago_ms, 7000);
 }
 
 #[test]
@@ -85,16 +85,16 @@
     // Guards against a leader that hears of nothing and takes a machine
     // for lapsed which was answered a moment ago.
     let mut delegate = Delegate::new(10.0, 100.0);
-    delegate.delegated(7, 100.0, &[]);
+    delegate.on_delegation(7, 100.0, &[]);
     assert!(delegate.renew(1.0, &report("m1", token_of(7))).is_some());
-    let renewed = delegate.renewed(5.0);
+    let renewed = delegate.recent_renewals(5.0);
     assert_eq!(renewed.len(), 1);
     assert_eq!(
         (renewed[0].machine.as_str(), renewed[0].ago_ms),
         ("m1", 4000)
     );
-    assert_eq!(delegate.renewed(20.0).len(), 1);
-    assert!(delegate.renewed(21.5).is_empty());
+    assert_eq!(delegate.recent_renewals(20.0).len(), 1);
+    assert!(delegate.recent_renewals(21.5).is_empty());
 }
 
 #[test]
@@ -102,7 +102,7 @@
     // Guards against a cancellation that never reaches a worker which peers keep one
     // after the other: each within its time, and together beyond what it may take.
     let mut delegate = Delegate::new(10.0, 100.0);
-    delegate.delegated(7, 50.0, &["req-1".into()]);
+    delegate.on_delegation(7, 50.0, &["req-1".into()]);
     let mut shown = report("m1", token_of(7));
     let task = |task: &str, state| TaskReport {
         task: task.into(),
@@ -118,7 +118,7 @@
         task("req-3/0", TaskState::Running),
     ];
     let stopped = |delegate: &Delegate| -> Vec<String> {
-        let commands = delegate.stops(&shown, |id| id == "req-2");
+        let commands = delegate.stop_commands(&shown, |id| id == "req-2");
         let stops = commands.into_iter().map(|c| match c {
             Command::Stop {
                 task, grace_s: 0.0, ..
@@ -129,9 +129,9 @@
     };
     assert_eq!(stopped(&delegate), ["req-1/0", "req-2/0"]);
     // An answer that was under way knows less: nothing is forgotten for it.
-    delegate.delegated(7, 40.0, &[]);
+    delegate.on_delegation(7, 40.0, &[]);
     assert_eq!(stopped(&delegate), ["req-1/0", "req-2/0"]);
-    delegate.delegated(7, 60.0, &["req-3".into()]);
+    delegate.on_delegation(7, 60.0, &["req-3".into()]);
     assert_eq!(stopped(&delegate), ["req-1/0", "req-2/0", "req-3/0"]);
 }
 
@@ -141,7 +141,7 @@
     // whenever the leader could not be reached.
     let machines = 4000;
     let mut delegate = Delegate::new(10.0, 100.0);
-    delegate.delegated(7, 100.0, &[]);
+    delegate.on_delegation(7, 100.0, &[]);
     for round in 1..=20u64 {
         for machine in 0..machines {
             let name = format!("host-{machine:06}");
@@ -149,9 +149,9 @@
             assert!(renewed.is_some(), "{name} in round {round}");
         }
     }
-    assert_eq!(delegate.renewed(21.0).len(), machines);
+    assert_eq!(delegate.recent_renewals(21.0).len(), machines);
     // All but what was renewed last has expired, and nothing is left behind.
-    assert_eq!(delegate.renewed(39.9).len(), machines);
-    assert!(delegate.renewed(40.0).is_empty());
+    assert_eq!(delegate.recent_renewals(39.9).len(), machines);
+    assert!(delegate.recent_renewals(40.0).is_empty());
     assert!(delegate.renewals.is_empty() && delegate.expiry.is_empty());
 }
--- a/crates/umbersail-control/src/engine/tests/delegates.rs
+++ b/crates/umbersail-control/src/engine/tests/delegates.rs
@@ -31,12 +31,12 @@
         }
         let over = engine.over_jobs().unwrap();
         for delegate in &mut delegates {
-            delegate.delegated(TOKEN, now + renewal_s, &over);
+            delegate.on_delegation(TOKEN, now + renewal_s, &over);
         }
         let report = worker.report();
         if delegates[at].renew(now, &report).is_some() {
             last = second;
-            if stops(&delegates[at].stops(&report, |_| false)) > 0 {
+            if stops(&delegates[at].stop_commands(&report, |_| false)) > 0 {
                 told.get_or_insert(second);
             }
         } else {
--- a/crates/umbersail-control/src/engine/tests/faults.rs
+++ b/crates/umbersail-control/src/engine/tests/faults.rs
@@ -676,7 +676,7 @@
             return;
         }
         member.leader = Some((leader, revision));
-        member.delegate.superseded(revision);
+        member.delegate.on_newer_leader(revision);
         if let Some(lead) = &mut member.lead
             && lead.engine.revision() < revision
         {
@@ -1047,7 +1047,7 @@
             renewal_ms,
             over,
             up_ms: ((now - member.started) * 1000.0) as u64,
-            renewed: member.delegate.renewed(now),
+            renewed: member.delegate.recent_renewals(now),
             leads: member.lead.is_some(),
             open: (member.lead.as_ref())
                 .is_some_and(|l| l.degraded_mode.may_have_unrecorded_starts()),
@@ -1069,7 +1069,9 @@
             .filter(|_| hello.leader.as_ref() == Some(&hello.member))
         {
             let until = asked + renewal_ms as f64 / 1000.0 * (1.0 - drift);
-            member.delegate.delegated(hello.token, until, &hello.over);
+            member
+                .delegate
+                .on_delegation(hello.token, until, &hello.over);
         }
         if hello.leads && hello.leader.as_ref() == Some(&hello.member) {
             member
@@ -1336,7 +1338,7 @@
             if matches!(answer, Answer::Reply(..)) {
                 // Or its answer is lost on the way, and the worker is kept.
                 if self.rng.random_bool(0.97) {
-                    self.members[node].delegate.relayed(report);
+                    self.members[node].delegate.on_relayed_reply(report);
                     return Ok(answer);
                 }
             } else {
@@ -1346,7 +1348,7 @@
         let now = self.members[node].clock.at(self.t);
         let delegate = &mut self.members[node].delegate;
         Ok(match delegate.renew(now, report) {
-            Some(token) => Answer::Reply(token, delegate.stops(report, |_| false)),
+            Some(token) => Answer::Reply(token, delegate.stop_commands(report, |_| false)),
             None => Answer::Directed(leader),
         })
     }
--- a/crates/umbersail-control/src/node.rs
+++ b/crates/umbersail-control/src/node.rs
@@ -287,7 +287,7 @@
         }
         *leader = Some((member.to_owned(), token));
         drop(leader);
-        self.delegate.borrow_mut().superseded(token);
+        self.delegate.borrow_mut().on_newer_leader(token);
         self.failure_detector
             .borrow_mut()
             .observe_leader(self.clock.now(), token);
--- a/crates/umbersail-control/src/peers.rs
+++ b/crates/umbersail-control/src/peers.rs
@@ -93,7 +93,7 @@
                 hello.over = over;
             }
         }
-        hello.renewed = self.delegate.borrow_mut().renewed(now);
+        hello.renewed = self.delegate.borrow_mut().recent_renewals(now);
         hello
     }
 
@@ -125,9 +125,11 @@
             && hello.leader.as_deref() == Some(&*hello.member)
         {
             let renewal_s = renewal_ms as f64 / 1000.0 * (1.0 - self.tuning.drift);
-            self.delegate
-                .borrow_mut()
-                .delegated(hello.token, asked_at + renewal_s, &hello.over);
+            self.delegate.borrow_mut().on_delegation(
+                hello.token,
+                asked_at + renewal_s,
+                &hello.over,
+            );
         }
         if let Role::Leading(leading) = &mut *self.role.borrow_mut() {
             let up_s = hello.up_ms as f64 / 1000.0;
@@ -245,7 +247,7 @@
         if !silent {
             match self.send_to_peer(leader, paths::PEER_REPORT, body).await {
                 Ok((200, body)) => {
-                    self.delegate.borrow_mut().relayed(report);
+                    self.delegate.borrow_mut().on_relayed_reply(report);
                     return Some(Response::new(200, body));
                 }
                 Ok(_) => return None,
@@ -263,7 +265,7 @@
         let mut delegate = self.delegate.borrow_mut();
         let token = delegate.renew(now, report)?;
         let cache = self.cache.borrow();
-        let commands = delegate.stops(report, |id| cache.get(id).is_some());
+        let commands = delegate.stop_commands(report, |id| cache.get(id).is_some());
         let reply = ReportReply { token, commands };
         Some(Response::new(200, encode(&reply)))
     }
