--- a/crates/umbersail-control/src/engine/heartbeats.rs
+++ b/crates/umbersail-control/src/engine/heartbeats.rs
@@ -182,7 +182,7 @@
         let launches = self.requeue_missing_tasks(name, report, in_turn);
         let shown = self.reconcile_reported_tasks(now, name, report);
         let over = |id: &JobId| shown.finished_jobs.contains(id);
-        let settled = (self.orphaned_jobs).shown(name, report.ordering_key(), in_turn, over);
+        let settled = (self.orphaned_jobs).on_heartbeat(name, report.ordering_key(), in_turn, over);
         self.run_records_to_delete.extend(settled);
         if let Some(machine) = self.machines.get_mut(name) {
             self.cycle_requested |= machine.has_orphaned_tasks && !shown.orphaned_tasks;
@@ -256,7 +256,7 @@
                 None if entry.state != TaskState::Exited => {
                     let id: JobId = id.into();
                     shown.orphaned_tasks = true;
-                    shown.unsized_orphans |= !self.orphaned_jobs.counts(&id);
+                    shown.unsized_orphans |= !self.orphaned_jobs.has_known_shape(&id);
                     shown.finished_jobs.insert(id);
                 }
                 None => {}
--- a/crates/umbersail-control/src/engine/tests/faults.rs
+++ b/crates/umbersail-control/src/engine/tests/faults.rs
@@ -25,7 +25,7 @@
 use crate::records::{
     GRANT_KEY, JOB_PROGRESS, JOBS, JobRecord, LEADER_KEY, LeaderRecord, ended_job_key,
 };
-use umbersail_standby::{DegradedMode, DegradedModeRecord};
+use umbersail_standby::{DegradedMode, DegradedModeMemory};
 
 const NODES: usize = 3;
 const WORKERS: usize = 5;
@@ -257,7 +257,7 @@
     started: Time,
     delegate: Delegate,
     leader: Option<(usize, u64)>,
-    memory: DegradedModeRecord,
+    memory: DegradedModeMemory,
     lead: Option<Lead>,
     next_duty: f64,
     next_greeting: f64,
@@ -422,7 +422,7 @@
                 started: clock.at(0.0),
                 delegate: Delegate::new(LEASE_S, cfg.renewal_s()),
                 leader: None,
-                memory: DegradedModeRecord::default(),
+                memory: DegradedModeMemory::default(),
                 lead: None,
                 next_duty: rng.random_range(0.0..0.5),
                 next_greeting: rng.random_range(0.0..1.0),
@@ -628,7 +628,7 @@
                 member.up = true;
                 member.started = member.clock.at(self.t);
                 member.delegate = Delegate::new(LEASE_S, self.cfg.renewal_s());
-                member.memory = DegradedModeRecord::default();
+                member.memory = DegradedModeMemory::default();
             }
         }
     }
@@ -681,7 +681,7 @@
             return;
         }
         member.leader = Some((leader, revision));
-        member.delegate.superseded(revision);
+        member.delegate.on_newer_leader(revision);
         if let Some(lead) = &mut member.lead
             && lead.engine.revision() < revision
         {
@@ -710,7 +710,7 @@
             match self.store.keys.get(LEADER_KEY) {
                 Some((Record::Leader(record), revision)) => {
                     let revision = *revision;
-                    self.members[node].memory.read(revision);
+                    self.members[node].memory.observe_leader_key(revision);
                     let leader = record.member[6..].parse().unwrap();
                     let ours = record.incarnation == self.members[node].started.to_bits();
                     let suspects = self.is_on(Kind::Suspicions, |f| f.node == node);
@@ -740,9 +740,11 @@
         if over && let Some(lead) = self.members[node].lead.take() {
             let (revision, open) = (
                 lead.engine.revision(),
-                lead.degraded_mode.may_have_unrecorded(),
+                lead.degraded_mode.may_have_unrecorded_starts(),
             );
-            self.members[node].memory.held_by_us(now, revision, open);
+            self.members[node]
+                .memory
+                .on_own_term_ended(now, revision, open);
         }
         self.run_degraded_mode(node, now);
         self.tend(node, now);
@@ -790,7 +792,7 @@
             lease: None,
         };
         let before = self.store.version(GRANT_KEY);
-        let open = before > 0 && self.members[node].memory.may_have_unrecorded(before);
+        let open = before > 0 && self.members[node].memory.may_have_unrecorded_starts(before);
         let predecessor_degraded = open || self.store.version(RECOVERY_PENDING_KEY) > 0;
         let mut changes = vec![
             put(LEADER_KEY, Record::Leader(leader)),
@@ -852,12 +854,12 @@
                 lead.degraded_mode = DegradedMode::Requesting(Default::default());
             }
             DegradedMode::Active if reachable || !in_time => {
-                lead.degraded_mode.close();
+                lead.degraded_mode.stop_starts();
                 lead.engine.set_degraded_mode(false);
                 return;
             }
             DegradedMode::Draining if lead.engine.unrecorded_job_count() == 0 => {
-                lead.degraded_mode.recorded();
+                lead.degraded_mode.on_all_recorded();
                 return;
             }
             _ => return,
@@ -876,11 +878,11 @@
                 .as_mut()
                 .filter(|_| agreed && answered)
             {
-                lead.degraded_mode.agreed(&name(peer), NODES - 1);
+                lead.degraded_mode.on_peer_agreed(&name(peer), NODES - 1);
             }
         }
         if let Some(lead) = &mut self.members[node].lead {
-            if lead.degraded_mode.allows_starts() {
+            if lead.degraded_mode.allows_unrecorded_starts() {
                 lead.engine.set_degraded_mode(true);
                 self.opened += 1;
             } else {
@@ -1054,11 +1056,11 @@
             renewal_ms,
             ended_jobs: over,
             uptime_ms: ((now - member.started) * 1000.0) as u64,
-            renewed: member.delegate.renewed(now),
+            renewed: member.delegate.recent_renewals(now),
             is_leader: member.lead.is_some(),
             unrecorded_starts: (member.lead.as_ref())
-                .is_some_and(|l| l.degraded_mode.may_have_unrecorded()),
-            recorded_token: member.memory.recorded(),
+                .is_some_and(|l| l.degraded_mode.may_have_unrecorded_starts()),
+            recorded_token: member.memory.fully_recorded_token(),
             ..umbersail_wire::Hello::default()
         }
     }
@@ -1078,16 +1080,16 @@
             let until = asked + renewal_ms as f64 / 1000.0 * (1.0 - drift);
             member
                 .delegate
-                .delegated(hello.token, until, &hello.ended_jobs);
+                .on_delegation(hello.token, until, &hello.ended_jobs);
         }
         if hello.is_leader && hello.leader.as_ref() == Some(&hello.member) {
             member
                 .memory
-                .holder_reported(asked, hello.token, hello.unrecorded_starts);
+                .on_leader_report(asked, hello.token, hello.unrecorded_starts);
         } else if let Some(token) = hello.recorded_token {
-            // Of its own former process only (`DegradedModeRecord::peer_reported`).
+            // Of its own former process only (`DegradedModeMemory::on_peer_report`).
             let former_self = member.leader == Some((node, token)) && member.lead.is_none();
-            member.memory.peer_reported(token, former_self);
+            member.memory.on_peer_report(token, former_self);
         }
         if let Some(lead) = &mut member.lead {
             let up_s = hello.uptime_ms as f64 / 1000.0;
@@ -1345,7 +1347,7 @@
             if matches!(answer, Answer::Reply(..)) {
                 // Or its answer is lost on the way, and the worker is kept.
                 if self.rng.random_bool(0.97) {
-                    self.members[node].delegate.relayed(report);
+                    self.members[node].delegate.on_relayed_reply(report);
                     return Ok(answer);
                 }
             } else {
@@ -1355,7 +1357,7 @@
         let now = self.members[node].clock.at(self.t);
         let delegate = &mut self.members[node].delegate;
         Ok(match delegate.renew(now, report) {
-            Some(token) => Answer::Reply(token, delegate.stops(report, |_| false)),
+            Some(token) => Answer::Reply(token, delegate.stop_commands(report, |_| false)),
             None => Answer::Directed(leader),
         })
     }
@@ -1381,7 +1383,7 @@
         if lead.deleted.contains(machine) {
             return Err(format!("{t:.1}: {machine} is deleted and counted on"));
         }
-        let may_start = lead.degraded_mode.allows_starts() || now < lead.start_until;
+        let may_start = lead.degraded_mode.allows_unrecorded_starts() || now < lead.start_until;
         let commands = lead.engine.reply(now, report, may_start);
         Ok(Answer::Reply(
             lead.engine.token_for(&report.machine),
--- a/crates/umbersail-control/src/front.rs
+++ b/crates/umbersail-control/src/front.rs
@@ -15,7 +15,7 @@
     Misdirected, Refusal, decode, encode, is_job_id, missing_field, paths,
 };
 
-use crate::all_replica_read::stage_of;
+use crate::all_replica_read::terminal_stage;
 use crate::engine::{TxnOutcome, epoch, image_fits_cache};
 use crate::node::{Node, Role};
 use crate::polls::PollOutcome;
@@ -187,14 +187,15 @@
             .is_some_and(|p| p.unresponsive);
         if between || cut_off {
             let direct = || !comes_back();
-            if let Some(response) = self.relay(&leader, &report, body, direct).await {
+            if let Some(response) = self.relay_heartbeat(&leader, &report, body, direct).await {
                 return response;
             }
         } else if redirects.borrow_mut().is_returning(
             &report.machine,
             self.has_seen_leader_token(&report),
             now,
-        ) && let Some(response) = self.relay(&leader, &report, body, || false).await
+        ) && let Some(response) =
+            self.relay_heartbeat(&leader, &report, body, || false).await
         {
             return response;
         }
@@ -293,7 +294,7 @@
 
     /// Whether our lease still covers the start of tasks (rule 2).
     fn may_start(&self, now: Time) -> bool {
-        let open = self.degraded_mode.borrow().allows_starts();
+        let open = self.degraded_mode.borrow().allows_unrecorded_starts();
         matches!(&*self.role.borrow(), Role::Leading(l) if open || now < l.lease.start_until())
     }
 
@@ -434,8 +435,8 @@
         }
         let response = self.submit(body).await;
         if response.status == 503
-            && let Some(helper) = self.helper(is_best_effort_submission(body))
-            && let Some(taken) = self.relay_submission(&helper, body).await
+            && let Some(peer) = self.peer_with_state_access(is_best_effort_submission(body))
+            && let Some(taken) = self.relay_submission(&peer, body).await
         {
             return taken;
         }
@@ -632,7 +633,7 @@
 }
 
 fn ended(id: &str, over: EndedJobRecord) -> Response {
-    status_body(200, id, stage_of(over), Some((over.done, 0)))
+    status_body(200, id, terminal_stage(over), Some((over.done, 0)))
 }
 
 fn status_body(status: u16, id: &str, state: JobStage, counts: Option<(u32, u32)>) -> Response {
--- a/crates/umbersail-control/src/peers.rs
+++ b/crates/umbersail-control/src/peers.rs
@@ -11,20 +11,20 @@
 use crate::engine::epoch;
 use crate::node::{Node, ReportedProgress, Role};
 use crate::settings::Peer;
-use crate::standby::evidence_of;
+use crate::standby::evidence_from_error;
 
 /// Upper bound on jobs told of in a greeting as lately cancelled: some 12 KiB, a burst of
 /// cancellations on a fleet of 4,000 machines. The newest go first.
-const MAX_CANCELLED: usize = 1024;
+const MAX_CANCELLED_IN_HELLO: usize = 1024;
 
 impl Node {
-    pub(crate) fn hello(&self) -> Hello {
+    pub(crate) fn build_hello(&self) -> Hello {
         let now = self.clock.now();
         let (leading, superseded) = match &*self.role.borrow() {
             Role::Leading(leading) => (true, leading.superseded.get()),
             Role::Following => (false, false),
         };
-        let standby = leading.then(|| self.successor()).flatten();
+        let standby = leading.then(|| self.choose_successor()).flatten();
         if let Some(next) = &standby {
             *self.last_designated.borrow_mut() = Some(next.member.clone());
         }
@@ -39,13 +39,13 @@
             progress: Vec::new(),
             renewal_ms: None,
             ended_jobs: Vec::new(),
-            cancelled_jobs: self.lately_cancelled(),
+            cancelled_jobs: self.recently_cancelled(),
             uptime_ms: ((now - self.started_at) * 1000.0) as u64,
             renewed: Vec::new(),
             is_leader: leading && !superseded && !self.resigning.get(),
             is_resigning: leading && self.resigning.get(),
-            recorded_token: self.degraded_mode_record.borrow().recorded(),
-            unrecorded_starts: leading && self.degraded_mode.borrow().may_have_unrecorded(),
+            recorded_token: self.degraded_mode_record.borrow().fully_recorded_token(),
+            unrecorded_starts: leading && self.degraded_mode.borrow().may_have_unrecorded_starts(),
             successor: standby.map(|s| s.member),
             timer_lag_ms: (self.timer_lag.get().mean_s() * 1000.0) as u64,
             state_answer_ago_ms: (self.kv.last_success())
@@ -56,10 +56,10 @@
     /// Jobs that we lately read or recorded to be cancelled. The leader may not be able
     /// to read of them, and hears it from us: a help only, since its time to answer
     /// workers ends early enough without (rule 2).
-    pub(crate) fn lately_cancelled(&self) -> Vec<String> {
+    pub(crate) fn recently_cancelled(&self) -> Vec<String> {
         let since = self.clock.now() - self.settings.facts.workers.cancel_s;
         let cache = self.terminal_cache.borrow();
-        let newest = cache.cancelled_since(since).take(MAX_CANCELLED);
+        let newest = cache.cancelled_since(since).take(MAX_CANCELLED_IN_HELLO);
         newest.cloned().collect()
     }
 
@@ -77,8 +77,8 @@
     /// What we say when a peer has greeted us: whom we answered in the leader's
     /// stead, and as the leader, for how long the peer may do so. Both are
     /// told in answers only, since only who asked knows when that was.
-    fn hello_reply(&self, member: &str) -> Hello {
-        let mut hello = self.hello();
+    fn build_hello_reply(&self, member: &str) -> Hello {
+        let mut hello = self.build_hello();
         let now = self.clock.now();
         if let Role::Leading(leading) = &mut *self.role.borrow_mut()
             && !leading.superseded.get()
@@ -93,7 +93,7 @@
                 hello.ended_jobs = over;
             }
         }
-        hello.renewed = self.delegate.borrow_mut().renewed(now);
+        hello.renewed = self.delegate.borrow_mut().recent_renewals(now);
         hello
     }
 
@@ -114,24 +114,19 @@
             && hello.leader.as_deref() == Some(&*hello.member)
         {
             let mut memory = self.degraded_mode_record.borrow_mut();
-            memory.holder_reported(asked_at, hello.token, hello.unrecorded_starts);
+            memory.on_leader_report(asked_at, hello.token, hello.unrecorded_starts);
         } else if let Some(token) = hello.recorded_token {
             // As good as the leader's own word if that was our former process (rule 3).
             let former_self = (self.leader.borrow().as_ref())
                 .is_some_and(|(name, t)| *name == self.settings.member && *t == token)
                 && matches!(&*self.role.borrow(), Role::Following);
             let mut memory = self.degraded_mode_record.borrow_mut();
-            memory.peer_reported(token, former_self);
+            memory.on_peer_report(token, former_self);
         }
         if let Some(renewal_ms) = hello.renewal_ms
             && hello.leader.as_deref() == Some(&*hello.member)
         {
-            let renewal_s = renewal_ms as f64 / 1000.0 * (1.0 - self.tuning.clock_drift);
-            self.delegate.borrow_mut().delegated(
-                hello.token,
-                asked_at + renewal_s,
-                &hello.ended_jobs,
-            );
+let renewal_s = renewal_ms as f64 / 1000 . 0 * ( 1 . 0 - self . tuning . clock_drift ) ; self . delegate . borrow_mut ( ) . on_delegation ( hello . token , asked_at + renewal_s , & hello . ended_jobs ) ;
         }
         if let Role::Leading(leading) = &mut *self.role.borrow_mut() {
             let up_s = hello.uptime_ms as f64 / 1000.0;
@@ -142,8 +137,8 @@
 
     /// What we say of our own accord: a leader adds how far the jobs are, so
     /// that the others need not read it for each poll.
-    fn hello_with_progress(&self) -> Hello {
-        let mut hello = self.hello();
+    fn build_hello_with_progress(&self) -> Hello {
+        let mut hello = self.build_hello();
         if let Role::Leading(leading) = &*self.role.borrow() {
             hello.machine_count = leading.engine.machine_count();
             hello.progress = leading
@@ -191,7 +186,7 @@
     }
 
     /// A request on the back address.
-    pub(crate) async fn peer_request(self: Rc<Self>, request: Request) -> Response {
+    pub(crate) async fn handle_peer_request(self: Rc<Self>, request: Request) -> Response {
         match (request.method.as_str(), request.path()) {
             ("POST", paths::PEER_HELLO) => {}
             ("POST", paths::PEER_HEARTBEAT) => return self.accept_heartbeat(&request.body).await,
@@ -206,9 +201,9 @@
             ("POST", paths::PEER_WATCH_LEADER) => {
                 return self.handle_leader_watch(&request.body).await;
             }
-            ("POST", paths::PEER_REPLICA_READ) => return self.answer_replica_read(&request.body),
+            ("POST", paths::PEER_REPLICA_READ) => return self.handle_replica_read(&request.body),
             ("POST", paths::PEER_DEGRADED_MODE) => {
-                return self.answer_degraded_mode_request(&request.body).await;
+                return self.handle_degraded_mode_request(&request.body).await;
             }
             (
                 _,
@@ -228,7 +223,7 @@
         match decode::<Hello>(&request.body) {
             Ok(hello) => {
                 self.on_hello(&hello);
-                Response::new(200, encode(&self.hello_reply(&hello.member)))
+                Response::new(200, encode(&self.build_hello_reply(&hello.member)))
             }
             Err(e) => {
                 warn!(reason = %e, "malformed hello of a peer");
@@ -244,7 +239,7 @@
     ///
     /// `direct` is whether the worker may try the leader itself: where peers'
     /// connections are refused, that may do.
-    pub(crate) async fn relay(
+    pub(crate) async fn relay_heartbeat(
         &self,
         leader: &str,
         report: &Heartbeat,
@@ -257,12 +252,9 @@
             .get(leader)
             .is_some_and(|p| p.unresponsive);
         if !silent {
-            match self
-                .request_from_peer(leader, paths::PEER_HEARTBEAT, body)
-                .await
-            {
+            match self.send_to_peer(leader, paths::PEER_HEARTBEAT, body).await {
                 Ok((200, body)) => {
-                    self.delegate.borrow_mut().relayed(report);
+                    self.delegate.borrow_mut().on_relayed_reply(report);
                     return Some(Response::new(200, body));
                 }
                 Ok(_) => return None,
@@ -280,7 +272,7 @@
         let mut delegate = self.delegate.borrow_mut();
         let token = delegate.renew(now, report)?;
         let cache = self.terminal_cache.borrow();
-        let commands = delegate.stops(report, |id| cache.get(id).is_some());
+        let commands = delegate.stop_commands(report, |id| cache.get(id).is_some());
         let reply = HeartbeatReply { token, commands };
         Some(Response::new(200, encode(&reply)))
     }
@@ -348,7 +340,7 @@
     /// accepted; the user asks again.
     pub(crate) async fn relay_submission(&self, peer: &str, body: &[u8]) -> Option<Response> {
         match self
-            .request_from_peer(peer, paths::PEER_SUBMIT, body)
+            .send_to_peer(peer, paths::PEER_SUBMIT, body)
             .await
             .ok()?
         {
@@ -363,9 +355,11 @@
         if !self.is_isolated_from_state() {
             return None;
         }
-        let helper = self.helper(true).or_else(|| self.helper(false))?;
+        let peer = self
+            .peer_with_state_access(true)
+            .or_else(|| self.peer_with_state_access(false))?;
         let body = encode(&JobIdOnly { id: id.into() });
-        match self.request_from_peer(&helper, path, &body).await.ok()? {
+        match self.send_to_peer(&peer, path, &body).await.ok()? {
             (status @ (200 | 404), body) => Some(Response::new(status, body)),
             _ => None,
         }
@@ -373,7 +367,7 @@
 
     /// A peer that the state service lately answered: for what gives way any but the
     /// leader, else the leader if it is one.
-    pub(crate) fn helper(&self, is_best_effort: bool) -> Option<String> {
+    pub(crate) fn peer_with_state_access(&self, avoid_leader: bool) -> Option<String> {
         let now = self.clock.now();
         let fresh_s = 3.0 * self.tuning.peer_interval_s;
         let peers = self.peers.borrow();
@@ -385,7 +379,7 @@
             })
         };
         let leader = self.leader_name();
-        if is_best_effort {
+        if avoid_leader {
             let others = peers.keys().filter(|n| Some(*n) != leader.as_ref());
             let others: Vec<&String> = others.filter(|n| able(n)).collect();
             let any = random(|rng| rng.random_range(0..others.len().max(1)));
@@ -396,7 +390,7 @@
             .or_else(|| peers.keys().find(|name| able(name)).cloned())
     }
 
-    async fn request_from_peer(
+    async fn send_to_peer(
         &self,
         member: &str,
         path: &str,
@@ -415,7 +409,7 @@
     pub(crate) async fn exchange_hellos(self: Rc<Self>, peer: Peer) {
         let mut reachable = true;
         loop {
-            let body = encode(&self.hello_with_progress());
+            let body = encode(&self.build_hello_with_progress());
             let asked_at = self.clock.now();
             let answer = self
                 .peer_http
@@ -427,7 +421,7 @@
                     self.tuning.peer_timeout_s,
                 )
                 .await;
-            let heard = match answer {
+            let answered = match answer {
                 Ok((200, body)) => match decode::<Hello>(&body) {
                     Ok(hello) => {
                         self.on_hello_reply(asked_at, &hello);
@@ -449,9 +443,9 @@
                 }
                 _ => false,
             };
-            if heard != reachable {
-                info!(peer = peer.member, reachable = heard, "peer");
-                reachable = heard;
+            if answered != reachable {
+                info!(peer = peer.member, reachable = answered, "peer");
+                reachable = answered;
             }
             let leads = self.leader_name().as_deref() == Some(&*peer.member);
             sleep(if leads {
@@ -470,6 +464,6 @@
             Some((leader, token)) if leader == member => *token,
             _ => return,
         };
-        self.suspect(token, evidence_of(error));
+        self.suspect(token, evidence_from_error(error));
     }
 }
