--- a/crates/umbersail-control/src/degraded_mode.rs
+++ b/crates/umbersail-control/src/degraded_mode.rs
@@ -41,9 +41,9 @@
                 mode == DegradedMode::Active
                     && self.is_within_start_deadline(now)
                     && available_s < self.tuning.degraded_mode_catch_up_max_s
-                    && self
-                        .with_engine(token, |e| e.unrecorded_job_count() > MAX_UNRECORDED_JOBS_AT_EXIT)
-                        == Some(true)
+                    && self.with_engine(token, |e| {
+                        e.unrecorded_job_count() > MAX_UNRECORDED_JOBS_AT_EXIT
+                    }) == Some(true)
             };
             if mode == DegradedMode::Off && wanted && !self.request_degraded_mode(token).await {
                 sleep(REFUSAL_BACKOFF_S).await;
--- a/crates/umbersail-control/src/engine/recovery.rs
+++ b/crates/umbersail-control/src/engine/recovery.rs
@@ -87,7 +87,9 @@
         for (id, task) in tasks {
             self.requeue_task(&id, task);
         }
-self . account_for_machine ( name ) ; self . run_records_to_delete . extend ( self . orphaned_jobs . on_machine_empty ( name ) ) ;
+        self.account_for_machine(name);
+        self.run_records_to_delete
+            .extend(self.orphaned_jobs.on_machine_empty(name));
         if let Some(machine) = self.machines.get_mut(name) {
             machine.has_orphaned_tasks = false;
             machine.has_unsized_orphans = false;
--- a/crates/umbersail-control/src/peers.rs
+++ b/crates/umbersail-control/src/peers.rs
@@ -126,7 +126,12 @@
         if let Some(renewal_ms) = hello.renewal_ms
             && hello.leader.as_deref() == Some(&*hello.member)
         {
-let renewal_s = renewal_ms as f64 / 1000 . 0 * ( 1 . 0 - self . tuning . clock_drift ) ; self . delegate . borrow_mut ( ) . on_delegation ( hello . token , asked_at + renewal_s , & hello . ended_jobs ) ;
+            let renewal_s = renewal_ms as f64 / 1000.0 * (1.0 - self.tuning.clock_drift);
+            self.delegate.borrow_mut().on_delegation(
+                hello.token,
+                asked_at + renewal_s,
+                &hello.ended_jobs,
+            );
         }
         if let Role::Leading(leading) = &mut *self.role.borrow_mut() {
             let up_s = hello.uptime_ms as f64 / 1000.0;
--- a/crates/umbersail-control/src/standby.rs
+++ b/crates/umbersail-control/src/standby.rs
@@ -245,7 +245,10 @@
                     };
                     let txn = liveness_txn(LivenessRecord {
                         token,
-                        may_have_unrecorded: self.degraded_mode.borrow().may_have_unrecorded_starts(),
+                        may_have_unrecorded: self
+                            .degraded_mode
+                            .borrow()
+                            .may_have_unrecorded_starts(),
                         newest_suspicion: answers,
                     });
                     let outcome = self.kv.txn(&txn, RequestPriority::Critical).await;
@@ -319,7 +322,14 @@
             min_term_s: self.tuning.hand_over_after_s,
         };
         let now = self.clock.now();
-let next = self . choose_successor ( ) ; should_hand_over ( now , elected , self . timer_lag . get ( ) . mean_s ( ) , next . as_ref ( ) , limits )
+        let next = self.choose_successor();
+        should_hand_over(
+            now,
+            elected,
+            self.timer_lag.get().mean_s(),
+            next.as_ref(),
+            limits,
+        )
     }
 
     /// Whether the state service refuses us while it answers a peer: that peer had
