--- a/crates/umbersail-control/src/engine/evict.rs
+++ b/crates/umbersail-control/src/engine/evict.rs
@@ -6,7 +6,7 @@
 use tracing::info;
 use umbersail_cycle::{Locality, PreemptionClass};
 use umbersail_policy::{
-    EvictionHost, PreemptibleTask, Selection, Shape, Usage, select_victims, type_allowed,
+    EvictionHost, PreemptibleTask, Shape, Usage, VictimSet, allows_machine, select_victims,
 };
 use umbersail_wire::{Priority, TaskState};
 
@@ -160,7 +160,7 @@
                         job: id.clone(),
                         task: *task,
                         shape: victim.shape,
-                        price: self.price(now, victim, placement),
+                        lost_work_s: self.price(now, victim, placement),
                     })
             })
             .collect();
@@ -292,7 +292,8 @@
         // Never below the victim team's guarantee.
         let beyond = victim.team.is_none_or(|team| {
             let limits = &self.cfg.teams[team];
-            !limits.has_guarantee() || usage[team].cpus - victim.shape.cpus >= limits.cpus - 1e-6
+            !limits.has_guarantee()
+                || usage[team].cpus - victim.shape.cpus >= limits.guaranteed_cpus - 1e-6
         });
         if !beyond {
             return false;
@@ -332,7 +333,7 @@
                 && t.boot_s <= slack
                 && t.zones.iter().any(|zone| {
                     [true, false].into_iter().any(|spot| {
-                        type_allowed(&job.spec, &t.name, zone, spot)
+                        allows_machine(&job.spec, &t.name, zone, spot)
                             && !self.is_refused(now, index, zone, spot)
                     })
                 })
@@ -340,7 +341,7 @@
     }
 }
 
-fn log_eviction(id: &JobId, selection: &Selection<MachineId, JobId>, reclaim: bool) {
+fn log_eviction(id: &JobId, selection: &VictimSet<MachineId, JobId>, reclaim: bool) {
     let victims: Vec<String> = selection
         .tasks
         .iter()
@@ -354,10 +355,10 @@
         job = &**id,
         machine = &*selection.machine,
         ?victims,
-        price_s = selection.price,
-        median_s = selection.median,
-        sets = selection.sets,
-        jobs = selection.jobs,
+        price_s = selection.lost_work_s,
+        median_s = selection.median_lost_work_s,
+        sets = selection.set_count,
+        jobs = selection.job_count,
         reason,
         "evicts"
     );
--- a/crates/umbersail-control/src/engine/jobs.rs
+++ b/crates/umbersail-control/src/engine/jobs.rs
@@ -67,12 +67,12 @@
             self.samples.retain(|class, _| known.get(class).is_some());
         }
         self.learner
-            .arrived(&record.spec.class, now - age_s, record.spec.tasks);
+            .record_arrival(&record.spec.class, now - age_s, record.spec.tasks);
         if record.spec.kind == umbersail_wire::JobKind::Array {
             let run_s = self
                 .learner
-                .run_s(&record.spec.class, record.spec.estimate_s);
-            self.learner.brought(
+                .expected_run_s(&record.spec.class, record.spec.estimate_s);
+            self.learner.record_work(
                 &record.spec.class,
                 now,
                 run_s * f64::from(record.spec.tasks),
--- a/crates/umbersail-control/src/engine/locality.rs
+++ b/crates/umbersail-control/src/engine/locality.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 
 use umbersail_cycle::Locality;
-use umbersail_policy::{Shape, Usage, names_type};
+use umbersail_policy::{Shape, Usage, allows_type};
 use umbersail_wire::MachineType;
 
 use super::schedule::CycleSlice;
@@ -97,7 +97,7 @@
         let types = self.types.iter().enumerate();
         Locality {
             types: types
-                .map(|(index, t)| names_type(&job.spec, &t.name) && open(index, t))
+                .map(|(index, t)| allows_type(&job.spec, &t.name) && open(index, t))
                 .collect(),
             zone: job.spec.zone.clone(),
             spot: job.spec.spot(),
--- a/crates/umbersail-control/src/engine/mod.rs
+++ b/crates/umbersail-control/src/engine/mod.rs
@@ -36,7 +36,7 @@
 use std::rc::Rc;
 
 use umbersail_cycle::PreemptibleJobs;
-use umbersail_policy::{Learner, ServiceHistory, Shape, TeamLimits, Window};
+use umbersail_policy::{Learner, LoadWindow, ServiceHistory, Shape, TeamLimits};
 use umbersail_standby::OrphanedJobs;
 use umbersail_tuning::Tuning;
 use umbersail_wire::{MachineType, Priority, RentRequest};
@@ -252,9 +252,9 @@
             learner: Learner::new(
                 tuning.class_limit as usize,
                 tuning.learn_weight,
-                Window {
+                LoadWindow {
                     jobs: tuning.window_jobs,
-                    least_s: tuning.window_least_s,
+                    min_s: tuning.window_least_s,
                 },
             ),
             samples: BTreeMap::new(),
--- a/crates/umbersail-control/src/engine/notices.rs
+++ b/crates/umbersail-control/src/engine/notices.rs
@@ -34,7 +34,9 @@
                     continue;
                 }
                 let ran = placement.running_since.map_or(0.0, |since| now - since);
-                let run_s = self.learner.run_s(&job.spec.class, job.spec.estimate_s);
+                let run_s = self
+                    .learner
+                    .expected_run_s(&job.spec.class, job.spec.estimate_s);
                 if job.is_service() || ran + (until - now) < run_s {
                     stops.push((id.clone(), *task, job.save_grace_s()));
                 }
--- a/crates/umbersail-control/src/engine/order.rs
+++ b/crates/umbersail-control/src/engine/order.rs
@@ -3,7 +3,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 use imbl::Vector;
-use umbersail_policy::{DeadlineDemand, Shape, Usage, max_on_time, names_type};
+use umbersail_policy::{DeadlineDemand, Shape, Usage, allows_type, max_on_time};
 use umbersail_wire::{MachineType, Priority};
 
 use super::schedule::ClusterSnapshot;
@@ -69,7 +69,8 @@
 impl Engine {
     /// Estimated seconds that a task of this job runs.
     pub(super) fn run_s(&self, job: &Job) -> f64 {
-        self.learner.run_s(&job.spec.class, job.spec.estimate_s)
+        self.learner
+            .expected_run_s(&job.spec.class, job.spec.estimate_s)
     }
 
     /// Seconds until the job must start to meet its deadline, with the fetch of
@@ -97,7 +98,7 @@
             return false;
         };
         let team = &self.cfg.teams[index];
-        team.has_guarantee() && team.guarantees(&usage[index].plus(&job.shape, 1.0))
+        team.has_guarantee() && team.is_within_guarantee(&usage[index].plus(&job.shape, 1.0))
     }
 
     /// Within how many seconds the job should start, if it is soon.
@@ -263,7 +264,7 @@
     /// The machines that a job competes for, and with which tier.
     fn pool(&self, job: &Job) -> Pool {
         let fits = |t: &MachineType| {
-            job.shape.fits_in(&Shape::of_type(t)) && names_type(&job.spec, &t.name)
+            job.shape.fits_in(&Shape::of_type(t)) && allows_type(&job.spec, &t.name)
         };
         Pool {
             tier: job.spec.priority,
@@ -274,7 +275,7 @@
 
     /// CPUs that a team may use at once; infinite without a limit.
     pub(super) fn limit_cpus(&self, team: Option<usize>) -> f64 {
-        let limit = team.map_or(0.0, |t| self.cfg.teams[t].cpus_max);
+        let limit = team.map_or(0.0, |t| self.cfg.teams[t].max_cpus);
         match limit > 0.0 {
             true => limit,
             false => f64::INFINITY,
@@ -375,7 +376,7 @@
                 continue;
             }
             for (t, most) in self.types.iter().zip(most) {
-                if names_type(&job.spec, &t.name) && job.shape.fits_in(&Shape::of_type(t)) {
+                if allows_type(&job.spec, &t.name) && job.shape.fits_in(&Shape::of_type(t)) {
                     *most = most.max(job.smallest_cpus);
                 }
             }
--- a/crates/umbersail-control/src/engine/placement.rs
+++ b/crates/umbersail-control/src/engine/placement.rs
@@ -5,8 +5,8 @@
 use tracing::debug;
 use umbersail_cycle::{CandidateSlots, Cheapest, ImageKey, Locality, Rankings};
 use umbersail_policy::{
-    MachineView, PlaceWeights, PlacementConstraint, TaskView, Usage, cost_of, placement_cost,
-    quota_room,
+    CostProfile, MachineView, PlacementWeights, TaskView, Usage, machine_cost, placement_cost,
+    remaining_quota,
 };
 
 use umbersail_wire::Priority;
@@ -75,7 +75,7 @@
         };
         self.close_claimed_slots(job.spec.priority, slice);
         let quota = match job.team {
-            Some(team) => quota_room(&self.cfg.teams[team], &slice.usage[team], &job.shape),
+            Some(team) => remaining_quota(&self.cfg.teams[team], &slice.usage[team], &job.shape),
             None => 0,
         };
         if quota == 0 {
@@ -177,12 +177,12 @@
         placed
     }
 
-    pub(super) fn weights(&self) -> PlaceWeights {
+    pub(super) fn weights(&self) -> PlacementWeights {
         let tuning = &self.cfg.tuning;
-        PlaceWeights {
+        PlacementWeights {
             image: tuning.image_weight_s,
             oversize: tuning.oversize_cost,
-            ordinary: tuning.ordinary_cost,
+            on_demand: tuning.ordinary_cost,
         }
     }
 
@@ -204,7 +204,7 @@
         }
         let view = self.view(places, index, key.image);
         let kept = self.kept_cost(place.reservations, key.locality.reservations);
-        Some(cost_of(&key.constraint, &view, self.weights()) + kept)
+        Some(machine_cost(&key.profile, &view, self.weights()) + kept)
     }
 
     pub(super) fn view<'a>(
@@ -223,7 +223,7 @@
             free: place.free,
             has_image,
             fetching_image,
-            report_in_s: place.report_in_s,
+            heartbeat_due_in_s: place.heartbeat_due_in_s,
         }
     }
 
@@ -256,7 +256,7 @@
         let rankings = rankings.get_or_insert_with(|| Rankings::new(places.len()));
         let key = RankingKey {
             image: job.image,
-            constraint: PlacementConstraint {
+            profile: CostProfile {
                 image_gb: job.spec.image_gb,
                 smallest_cpus: job.smallest_cpus,
                 spot: job.spec.spot(),
--- a/crates/umbersail-control/src/engine/plans/images.rs
+++ b/crates/umbersail-control/src/engine/plans/images.rs
@@ -10,7 +10,7 @@
 use tracing::{debug, info, warn};
 use umbersail_cycle::ImageKey;
 use umbersail_images::{CacheView, Decision, FetchPriority, FetchRequest, ImageRecord, Settings};
-use umbersail_policy::names_type;
+use umbersail_policy::allows_type;
 use umbersail_tuning::Tuning;
 use umbersail_wire::{JobSpec, MachineType, Priority, Report, TaskState};
 
@@ -76,7 +76,7 @@
         if !self.hand_on {
             return;
         }
-        let allowed = types.iter().filter(|t| names_type(spec, &t.name));
+        let allowed = types.iter().filter(|t| allows_type(spec, &t.name));
         let (fit, small): (Vec<_>, Vec<_>) = allowed.partition(|t| holds(t, spec));
         // One that fits none was accepted under other settings, and waits.
         if !small.is_empty() && !fit.is_empty() {
--- a/crates/umbersail-control/src/engine/plans/reserve.rs
+++ b/crates/umbersail-control/src/engine/plans/reserve.rs
@@ -371,7 +371,7 @@
         machine.type_index.is_some_and(|index| {
             let t = &self.types[index];
             job.shape.fits_in(&Shape::of_type(t))
-                && umbersail_policy::names_type(&job.spec, &t.name)
+                && umbersail_policy::allows_type(&job.spec, &t.name)
                 && job.spec.zone.as_ref().is_none_or(|z| *z == machine.zone)
                 && (job.spec.spot() || !machine.spot)
         })
--- a/crates/umbersail-control/src/engine/rental.rs
+++ b/crates/umbersail-control/src/engine/rental.rs
@@ -109,7 +109,7 @@
     fn plan(&mut self, now: Time) -> Vec<RentRequest> {
         let dt = (now - self.last_rental).max(0.0);
         self.last_rental = now;
-        self.learner.fade(dt, self.cfg.tuning.load_window_s);
+        self.learner.decay_load(dt, self.cfg.tuning.load_window_s);
         let mut kept = self.kept_room();
         let mut demands = self.demands(now, kept.as_mut());
         let warm = self.warm_demands(now, &demands, kept.as_ref());
@@ -143,14 +143,14 @@
         let tuning = &self.cfg.tuning;
         let mut now_by_class: BTreeMap<&str, u32> = BTreeMap::new();
         for (class, demand) in demands {
-            *now_by_class.entry(class).or_default() += demand.now;
+            *now_by_class.entry(class).or_default() += demand.tasks;
         }
         let mut warm_demands = Vec::new();
         for (class, sample) in &self.samples {
             if self.cfg.guarantee_aim.is_none() && !self.cfg.start_aims.contains_key(class) {
                 continue;
             }
-            let Some(stats) = self.learner.get(class).filter(|s| !s.is_silent(now)) else {
+            let Some(stats) = self.learner.get(class).filter(|s| !s.is_inactive(now)) else {
                 continue;
             };
             let reserved = kept.map_or(0, |kept| kept.ready(self, class, &sample.shape));
@@ -162,10 +162,10 @@
                 types: sample.types.clone(),
                 zone: sample.zone.clone(),
                 spot: sample.spot,
-                now: 0,
-                turns: 0.0,
-                reserve,
-                warm: tasks(tuning.warm_headroom).saturating_sub(there + reserve),
+                tasks: 0,
+                max_turnovers: 0.0,
+                spare: reserve,
+                warm_spare: tasks(tuning.warm_headroom).saturating_sub(there + reserve),
             };
             warm_demands.push((class.clone(), demand));
         }
@@ -217,7 +217,13 @@
     /// cover must be there at once, and with it the images that only machines in use have.
     fn return_surplus(&mut self, surplus: Vec<MachineId>, fleet: &[FleetMachine<MachineId>]) {
         let headroom = self.cfg.tuning.headroom;
-        let guaranteed = self.cfg.teams.iter().map(|t| t.cpus).sum::<f64>() * headroom;
+        let guaranteed = self
+            .cfg
+            .teams
+            .iter()
+            .map(|t| t.guaranteed_cpus)
+            .sum::<f64>()
+            * headroom;
         let mut kept: f64 = fleet.iter().map(|m| self.types[m.type_index].cpus).sum();
         for name in surplus {
             let Some(machine) = self.machines.get_mut(&name) else {
@@ -263,7 +269,7 @@
     fn idle_limit_s(&self, now: Time, machine_type: &MachineType, most_s: f64) -> f64 {
         let room = Shape::of_type(machine_type);
         let quiet = self.samples.iter().all(|(class, sample)| {
-            let silent = |stats: &ClassStats| stats.is_silent(now);
+            let silent = |stats: &ClassStats| stats.is_inactive(now);
             !sample.shape.fits_in(&room) || self.learner.get(class).is_some_and(silent)
         });
         if quiet && !self.samples.is_empty() {
@@ -350,8 +356,8 @@
                 let index = *indices.entry((key, begins)).or_insert(next);
                 match demands.get_mut(index) {
                     Some((_, demand)) => {
-                        demand.now += tasks;
-                        demand.turns = demand.turns.min(turns);
+                        demand.tasks += tasks;
+                        demand.max_turnovers = demand.max_turnovers.min(turns);
                     }
                     None => demands.push((
                         job.spec.class.clone(),
@@ -360,10 +366,10 @@
                             types: job.spec.types.clone(),
                             zone: job.spec.zone.clone(),
                             spot: job.spec.spot(),
-                            now: tasks,
-                            turns,
-                            reserve: 0,
-                            warm: 0,
+                            tasks,
+                            max_turnovers: turns,
+                            spare: 0,
+                            warm_spare: 0,
                         },
                     )),
                 }
--- a/crates/umbersail-control/src/engine/schedule.rs
+++ b/crates/umbersail-control/src/engine/schedule.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 
 use umbersail_cycle::{CandidateSlots, CycleQueue, ImageKey, Locality, Rankings, Slot, Steps};
-use umbersail_policy::{PlacementConstraint, Shape, Usage};
+use umbersail_policy::{CostProfile, Shape, Usage};
 use umbersail_wire::Priority;
 
 use super::evict::EvictionCandidates;
@@ -62,7 +62,7 @@
 #[derive(Debug, Clone, PartialEq)]
 pub(super) struct RankingKey {
     pub image: ImageKey,
-    pub constraint: PlacementConstraint,
+    pub profile: CostProfile,
     pub locality: Locality,
 }
 
@@ -197,7 +197,7 @@
                 zone: &machine.zone,
                 spot: machine.spot,
                 free,
-                report_in_s: (self.cfg.report_s - machine.silent_for(now)).max(0.0),
+                heartbeat_due_in_s: (self.cfg.report_s - machine.silent_for(now)).max(0.0),
                 reservations: machine.reservations,
             };
             fleet
--- a/crates/umbersail-control/src/engine/starvation_guard.rs
+++ b/crates/umbersail-control/src/engine/starvation_guard.rs
@@ -10,7 +10,9 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 use tracing::info;
-use umbersail_policy::{Shape, UnstartedJob, Usage, boosted_jobs, free_in_s, quota_room};
+use umbersail_policy::{
+    Shape, UnstartedJob, Usage, boosted_jobs, remaining_quota, seconds_until_free,
+};
 use umbersail_wire::Priority;
 
 use super::schedule::ClusterSnapshot;
@@ -193,9 +195,9 @@
                 || least
                     .range(tier..)
                     .all(|(_, cpus)| *cpus > job.shape.cpus / 2.0);
-            let room = job
-                .team
-                .map_or(0, |t| quota_room(&self.cfg.teams[t], &usage[t], &job.shape));
+            let room = job.team.map_or(0, |t| {
+                remaining_quota(&self.cfg.teams[t], &usage[t], &job.shape)
+            });
             if barred || has >= most.min(room) {
                 continue;
             }
@@ -294,7 +296,7 @@
             });
             let wanted = job.shape.cpus + others.cpus;
             let free = room.cpus - machine.used.cpus;
-            let Some(wait_s) = free_in_s(free, wanted, ends.collect()) else {
+            let Some(wait_s) = seconds_until_free(free, wanted, ends.collect()) else {
                 continue;
             };
             if best.as_ref().is_none_or(|(least, _)| wait_s < *least) {
@@ -337,9 +339,9 @@
             let Some(job) = self.jobs.get(&place.job) else {
                 continue;
             };
-            let room = job
-                .team
-                .map_or(0, |t| quota_room(&self.cfg.teams[t], &usage[t], &job.shape));
+            let room = job.team.map_or(0, |t| {
+                remaining_quota(&self.cfg.teams[t], &usage[t], &job.shape)
+            });
             let Some(reserved) = reserved.get(&job.spec.priority).filter(|_| room > 0) else {
                 continue;
             };
@@ -403,7 +405,7 @@
         job.counted = true;
         let size = job.size();
         for name in served_names(job) {
-            self.served.ended(&name, size, in_time);
+            self.served.record(&name, size, in_time);
         }
     }
 
@@ -413,7 +415,7 @@
         let least = tuning.service_min_jobs as usize;
         let from = |name: &str| {
             self.served
-                .underserved_from(name, tuning.underserved_share_below, least)
+                .underserved_min_size(name, tuning.underserved_share_below, least)
         };
         let names = self.served.names();
         names
--- a/crates/umbersail-control/src/engine/task_ends.rs
+++ b/crates/umbersail-control/src/engine/task_ends.rs
@@ -46,7 +46,7 @@
         {
             let estimate = job.spec.estimate_s;
             let class = job.spec.class.clone();
-            self.learner.ran(&class, now, estimate, now - since);
+            self.learner.record_run(&class, now, estimate, now - since);
         }
         match job.live.get_mut(&task) {
             // A result that came late: the attempt in its stead is of no use.
--- a/crates/umbersail-control/src/engine/tests/cycles.rs
+++ b/crates/umbersail-control/src/engine/tests/cycles.rs
@@ -5,8 +5,8 @@
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
 use umbersail_policy::{
-    DeadlineDemand, EvictionHost, MachineView, PlaceWeights, PreemptibleTask, TaskView, Usage,
-    max_on_time, quota_room, rank_machines, select_victims, type_allowed,
+    DeadlineDemand, EvictionHost, MachineView, PlacementWeights, PreemptibleTask, TaskView, Usage,
+    allows_machine, max_on_time, rank_machines, remaining_quota, select_victims,
 };
 
 use super::*;
@@ -151,22 +151,22 @@
             if !members.iter().any(|id| is_its(&id)) {
                 continue;
             }
-            if team.cpus_max == 0.0 {
+            if team.max_cpus == 0.0 {
                 return f64::INFINITY;
             }
             let upper = |j: &&Job| j.team == Some(index) && j.spec.priority > tier;
             let jobs = self.jobs.values().filter(upper);
             let above: f64 = jobs.map(|j| j.occupied() as f64 * j.shape.cpus).sum();
-            allowed += (team.cpus_max - above).max(0.0);
+            allowed += (team.max_cpus - above).max(0.0);
         }
         allowed
     }
 
     fn plain_place(&mut self, now: Time, id: &JobId, usage: &mut [Usage], order: &[JobId]) -> bool {
         let job = &self.jobs[id];
-        let mut quota = job
-            .team
-            .map_or(0, |t| quota_room(&self.cfg.teams[t], &usage[t], &job.shape));
+        let mut quota = job.team.map_or(0, |t| {
+            remaining_quota(&self.cfg.teams[t], &usage[t], &job.shape)
+        });
         if quota == 0 {
             self.set_blocked(id, BlockedReason::TeamLimit);
             return false;
@@ -190,7 +190,7 @@
             let free = Shape::of_type(t).plus(&m.used, -1.0);
             if !job.shape.fits_in(&free)
                 || !m.takes_tasks(now, silent_after)
-                || !type_allowed(&job.spec, &t.name, &m.zone, m.spot)
+                || !allows_machine(&job.spec, &t.name, &m.zone, m.spot)
                 || job.error_machines.contains(&m.name)
                 || closed(t)
                 || m.claim.as_ref().is_some_and(|c| {
@@ -212,7 +212,7 @@
                 spot: m.spot,
                 free,
                 has_image,
-                report_in_s: (self.cfg.report_s - m.silent_for(now)).max(0.0),
+                heartbeat_due_in_s: (self.cfg.report_s - m.silent_for(now)).max(0.0),
                 fetching_image: !has_image && m.tasks.iter().any(same),
             });
         }
@@ -253,10 +253,10 @@
             only_zone: only_zone.as_deref(),
             reserved_types: &[],
         };
-        let weights = PlaceWeights {
+        let weights = PlacementWeights {
             image: tuning.image_weight_s,
             oversize: tuning.oversize_cost,
-            ordinary: tuning.ordinary_cost,
+            on_demand: tuning.ordinary_cost,
         };
         let limit = if job.spec.spread() {
             job.spec.tasks.div_ceil(2)
@@ -298,7 +298,7 @@
         for m in self.machines.values() {
             let t = &self.types[m.type_index.unwrap()];
             if !m.takes_tasks(now, self.silent_after())
-                || !type_allowed(&job.spec, &t.name, &m.zone, m.spot)
+                || !allows_machine(&job.spec, &t.name, &m.zone, m.spot)
                 || !job.shape.fits_in(&Shape::of_type(t))
             {
                 continue;
@@ -314,7 +314,7 @@
                             job: other.clone(),
                             task: *task,
                             shape: victim.shape,
-                            price: self.price(now, victim, placement),
+                            lost_work_s: self.price(now, victim, placement),
                         })
                 })
                 .collect();
@@ -659,7 +659,7 @@
             e.jobs.get_mut("req-low").unwrap().evictions = 3
         }),
         ("its team down to its guarantee", 0, |e| {
-            Rc::get_mut(&mut e.cfg).unwrap().teams[0].cpus = 8.0;
+            Rc::get_mut(&mut e.cfg).unwrap().teams[0].guaranteed_cpus = 8.0;
         }),
     ];
     for (what, evictions, turn) in turns {
--- a/crates/umbersail-control/src/engine/tests/fixtures.rs
+++ b/crates/umbersail-control/src/engine/tests/fixtures.rs
@@ -45,8 +45,8 @@
 pub(super) fn team(cpus: f64, cpus_max: f64) -> TeamLimits {
     TeamLimits {
         name: "t".into(),
-        cpus,
-        cpus_max,
+        guaranteed_cpus: cpus,
+        max_cpus: cpus_max,
         ..TeamLimits::default()
     }
 }
--- a/crates/umbersail-control/src/engine/tests/starvation_guard.rs
+++ b/crates/umbersail-control/src/engine/tests/starvation_guard.rs
@@ -181,7 +181,7 @@
             let size = if large { 8.0 } else { 2.0 };
             engine
                 .served
-                .ended("class c", size, !large || n / 5 >= missed);
+                .record("class c", size, !large || n / 5 >= missed);
         }
         let mut due = |id: &str, tasks| {
             let spec = JobSpec {
@@ -205,7 +205,7 @@
     let zones = |one_zone: bool| {
         let mut engine = served(0.6);
         let mut workers = [("m1", "a"), ("m2", "b")].map(|(m, z)| ready_worker(&mut engine, m, z));
-        (0..8).for_each(|_| engine.served.ended("class c", 16.0, false));
+        (0..8).for_each(|_| engine.served.record("class c", 16.0, false));
         accept(&mut engine, 1.0, small(1000));
         let large = JobSpec {
             deadline_s: Some(400.0),
--- a/crates/umbersail-control/src/engine/write.rs
+++ b/crates/umbersail-control/src/engine/write.rs
@@ -405,7 +405,7 @@
     /// refused, and with it whatever stands in the same transaction.
     pub(super) fn most_hosts(&self, tasks: u32) -> usize {
         let left = self.cfg.value_bytes.saturating_sub(RECORD_BYTES);
-        left.saturating_sub(Bitmap::most_text(tasks)) / HOST_BYTES
+        left.saturating_sub(Bitmap::max_text_len(tasks)) / HOST_BYTES
     }
 
     /// Takes in what became of a transaction.
--- a/crates/umbersail-control/src/front.rs
+++ b/crates/umbersail-control/src/front.rs
@@ -550,7 +550,7 @@
         // again, and pushed out while others read it.
         let hand_on = self.tuning.images_hand_on >= 0.5;
         let allowed =
-            |t: &&umbersail_wire::MachineType| umbersail_policy::names_type(spec, &t.name);
+            |t: &&umbersail_wire::MachineType| umbersail_policy::allows_type(spec, &t.name);
         if hand_on && !(types.iter().filter(allowed)).any(|t| cache_holds(t, spec)) {
             return Err(Rejection::ImageTooLarge(spec.image_gb));
         }
--- a/crates/umbersail-control/src/settings.rs
+++ b/crates/umbersail-control/src/settings.rs
@@ -250,10 +250,10 @@
     pub fn team_limits(&self) -> Vec<TeamLimits> {
         let teams = self.facts.teams.iter().map(|t| TeamLimits {
             name: t.name.clone(),
-            cpus: t.cpus,
-            cpus_max: t.cpus_max,
-            gpus: t.gpus,
-            gpus_max: t.gpus_max,
+            guaranteed_cpus: t.cpus,
+            max_cpus: t.cpus_max,
+            guaranteed_gpus: t.gpus,
+            max_gpus: t.gpus_max,
         });
         teams.collect()
     }
--- a/crates/umbersail-cycle/src/lib.rs
+++ b/crates/umbersail-cycle/src/lib.rs
@@ -11,7 +11,7 @@
 //!
 //! let shape = |cpus| Shape { cpus, gpus: 0.0, memory_gb: 1.0 };
 //! let mut slots: CandidateSlots<&str> = CandidateSlots::new();
-//! slots.push("m1", Slot { type_index: 0, zone: "a", spot: true, free: shape(8.0), report_in_s: 0.4, reservations: 0 }, &[]);
+//! slots.push("m1", Slot { type_index: 0, zone: "a", spot: true, free: shape(8.0), heartbeat_due_in_s: 0.4, reservations: 0 }, &[]);
 //!
 //! let any = Locality { types: vec![true], zone: None, spot: true, reservations: 0 };
 //! assert_eq!(slots.fitting(&any, &shape(6.0), |_| true), [0]);
--- a/crates/umbersail-cycle/src/slots.rs
+++ b/crates/umbersail-cycle/src/slots.rs
@@ -40,7 +40,7 @@
     /// Free resources.
     pub free: Shape,
     /// Seconds until its next report is due: launches travel in the reply.
-    pub report_in_s: f64,
+    pub heartbeat_due_in_s: f64,
     /// Whose reservations keep it, one bit each; none: it is anybody's.
     pub reservations: u64,
 }
@@ -59,7 +59,7 @@
     /// Free resources.
     pub free: Shape,
     /// Seconds until its next report is due.
-    pub report_in_s: f64,
+    pub heartbeat_due_in_s: f64,
     /// Whose reservations reserve it, one bit each; 0 if it is not reserved.
     pub reservations: u64,
     /// Where the images that it has stand.
@@ -133,7 +133,7 @@
             zone,
             spot: spot.spot,
             free: spot.free,
-            report_in_s: spot.report_in_s,
+            heartbeat_due_in_s: spot.heartbeat_due_in_s,
             reservations: spot.reservations,
             images: (start, self.images.len()),
             coming: Vec::new(),
--- a/crates/umbersail-policy/src/bitmap.rs
+++ b/crates/umbersail-policy/src/bitmap.rs
@@ -48,14 +48,14 @@
     }
 
     /// Bytes that the text of so many tasks takes at most.
-    pub fn most_text(size: u32) -> usize {
+    pub fn max_text_len(size: u32) -> usize {
         size.div_ceil(64) as usize * 16 + 1
     }
 
     /// Ranges such as `0-3,7` while that is the shorter form, else hexadecimal
     /// words behind a `#`: 100,000 tasks take 25 KB at most.
     pub fn to_text(&self) -> String {
-        let most = Bitmap::most_text(self.size);
+        let most = Bitmap::max_text_len(self.size);
         let mut ranges = String::new();
         let mut index = 0;
         while index < self.size {
--- a/crates/umbersail-policy/src/evict.rs
+++ b/crates/umbersail-policy/src/evict.rs
@@ -14,7 +14,7 @@
     /// Resources that it uses.
     pub shape: Shape,
     /// Seconds of work lost by stopping it.
-    pub price: f64,
+    pub lost_work_s: f64,
 }
 
 /// A machine that the blocked task may use, with what may be evicted there.
@@ -30,78 +30,78 @@
 
 /// The chosen set.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Selection<M, J> {
+pub struct VictimSet<M, J> {
     /// The machine that gets room.
     pub machine: M,
     /// The tasks to evict, by job and number.
     pub tasks: Vec<(J, u32)>,
     /// Seconds of work lost in all.
-    pub price: f64,
+    pub lost_work_s: f64,
     /// Number of jobs that lose tasks.
-    pub jobs: usize,
+    pub job_count: usize,
     /// The threshold alpha, and how many sets it was the median of.
-    pub median: f64,
+    pub median_lost_work_s: f64,
     /// Number of candidate sets.
-    pub sets: usize,
+    pub set_count: usize,
 }
 
 /// How one of the candidate sets is chosen (the paper's sections 4.2.1 to
 /// 4.2.3). The service uses the third; the others are there to compare.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Preference {
+pub enum VictimPreference {
     /// MOV: the least price.
-    LeastPrice,
+    LeastWorkLost,
     /// MLIP: the fewest jobs.
     FewestJobs,
     /// MOML: the fewest jobs among those priced at or below the median.
-    FewestBelowMedian,
+    FewestJobsBelowMedian,
 }
 
 /// Among the candidate sets priced at or below the median, the one that
 /// touches the fewest jobs; the cheaper one where that is equal.
 pub fn select_victims<M, J>(
-    need: &Shape,
+    needed: &Shape,
     hosts: impl IntoIterator<Item = EvictionHost<M, J>>,
-    most_sets: usize,
-) -> Option<Selection<M, J>>
+    max_sets: usize,
+) -> Option<VictimSet<M, J>>
 where
     M: Clone + PartialEq,
     J: Clone + Ord,
 {
-    choose(
-        candidate_sets(need, hosts, most_sets),
-        Preference::FewestBelowMedian,
+    choose_victims(
+        candidate_victim_sets(needed, hosts, max_sets),
+        VictimPreference::FewestJobsBelowMedian,
     )
 }
 
 /// Sets whose removal makes room, at most so many. Hosts are asked for one at a
 /// time and no further than the sets go: on a large fleet most are never built.
-pub fn candidate_sets<M, J>(
-    need: &Shape,
+pub fn candidate_victim_sets<M, J>(
+    needed: &Shape,
     hosts: impl IntoIterator<Item = EvictionHost<M, J>>,
-    most_sets: usize,
-) -> Vec<Selection<M, J>>
+    max_sets: usize,
+) -> Vec<VictimSet<M, J>>
 where
     M: Clone + PartialEq,
     J: Clone + Ord,
 {
-    let mut sets: Vec<Selection<M, J>> = Vec::new();
+    let mut sets: Vec<VictimSet<M, J>> = Vec::new();
     let mut seen: Vec<EvictionHost<M, J>> = Vec::new();
     for host in hosts {
-        if sets.len() >= most_sets {
+        if sets.len() >= max_sets {
             break;
         }
-        sets.extend(grow(need, &host, 0));
+        sets.extend(grow(needed, &host, 0));
         seen.push(host);
     }
     // Orders in which a set is grown: cheapest first, largest first, and job
     // by job, each a different trade between price and number of jobs.
     for order in 1..3 {
         for host in &seen {
-            if sets.len() >= most_sets {
+            if sets.len() >= max_sets {
                 break;
             }
-            if let Some(set) = grow(need, host, order)
+            if let Some(set) = grow(needed, host, order)
                 && !sets
                     .iter()
                     .any(|s| s.machine == set.machine && s.tasks == set.tasks)
@@ -114,27 +114,31 @@
 }
 
 /// One of the sets by a preference, with the median and their number.
-pub fn choose<M, J>(sets: Vec<Selection<M, J>>, preference: Preference) -> Option<Selection<M, J>> {
-    let mut prices: Vec<f64> = sets.iter().map(|s| s.price).collect();
+pub fn choose_victims<M, J>(
+    sets: Vec<VictimSet<M, J>>,
+    preference: VictimPreference,
+) -> Option<VictimSet<M, J>> {
+    let mut prices: Vec<f64> = sets.iter().map(|s| s.lost_work_s).collect();
     prices.sort_by(f64::total_cmp);
     let median = median(&prices)?;
     let count = sets.len();
-    let by_price = |a: &Selection<M, J>, b: &Selection<M, J>| a.price.total_cmp(&b.price);
+    let by_lost_work =
+        |a: &VictimSet<M, J>, b: &VictimSet<M, J>| a.lost_work_s.total_cmp(&b.lost_work_s);
     let chosen = match preference {
-        Preference::LeastPrice => sets
+        VictimPreference::LeastWorkLost => sets
             .into_iter()
-            .min_by(|a, b| by_price(a, b).then(a.jobs.cmp(&b.jobs))),
-        Preference::FewestJobs => sets
+            .min_by(|a, b| by_lost_work(a, b).then(a.job_count.cmp(&b.job_count))),
+        VictimPreference::FewestJobs => sets
             .into_iter()
-            .min_by(|a, b| a.jobs.cmp(&b.jobs).then(by_price(a, b))),
-        Preference::FewestBelowMedian => sets
+            .min_by(|a, b| a.job_count.cmp(&b.job_count).then(by_lost_work(a, b))),
+        VictimPreference::FewestJobsBelowMedian => sets
             .into_iter()
-            .filter(|s| s.price <= median)
-            .min_by(|a, b| a.jobs.cmp(&b.jobs).then(by_price(a, b))),
+            .filter(|s| s.lost_work_s <= median)
+            .min_by(|a, b| a.job_count.cmp(&b.job_count).then(by_lost_work(a, b))),
     };
-    chosen.map(|s| Selection {
-        median,
-        sets: count,
+    chosen.map(|s| VictimSet {
+        median_lost_work_s: median,
+        set_count: count,
         ..s
     })
 }
@@ -149,18 +153,18 @@
 }
 
 fn grow<M: Clone, J: Clone + Ord>(
-    need: &Shape,
+    needed: &Shape,
     host: &EvictionHost<M, J>,
     order: u8,
-) -> Option<Selection<M, J>> {
+) -> Option<VictimSet<M, J>> {
     let mut tasks: Vec<&PreemptibleTask<J>> = host.running.iter().collect();
     match order {
-        0 => tasks.sort_by(|a, b| a.price.total_cmp(&b.price)),
+        0 => tasks.sort_by(|a, b| a.lost_work_s.total_cmp(&b.lost_work_s)),
         1 => tasks.sort_by(|a, b| {
             b.shape
                 .cpus
                 .total_cmp(&a.shape.cpus)
-                .then(a.price.total_cmp(&b.price))
+                .then(a.lost_work_s.total_cmp(&b.lost_work_s))
         }),
         _ => {
             let weight = |job: &J| {
@@ -174,26 +178,26 @@
                 weight(&b.job)
                     .total_cmp(&weight(&a.job))
                     .then(a.job.cmp(&b.job))
-                    .then(a.price.total_cmp(&b.price))
+                    .then(a.lost_work_s.total_cmp(&b.lost_work_s))
             });
         }
     }
     let mut room = host.free;
     let mut chosen: Vec<&PreemptibleTask<J>> = Vec::new();
     for task in tasks {
-        if need.fits_in(&room) {
+        if needed.fits_in(&room) {
             break;
         }
         room.add(&task.shape, 1.0);
         chosen.push(task);
     }
-    if chosen.is_empty() || !need.fits_in(&room) {
+    if chosen.is_empty() || !needed.fits_in(&room) {
         return None;
     }
     // Growth may have passed over the mark by members that are not needed.
     for i in (0..chosen.len()).rev() {
         let without = room.plus(&chosen[i].shape, -1.0);
-        if chosen.len() > 1 && need.fits_in(&without) {
+        if chosen.len() > 1 && needed.fits_in(&without) {
             room = without;
             chosen.remove(i);
         }
@@ -203,13 +207,13 @@
     let mut jobs: Vec<&J> = tasks.iter().map(|(j, _)| j).collect();
     jobs.dedup();
     let jobs = jobs.len();
-    Some(Selection {
+    Some(VictimSet {
         machine: host.machine.clone(),
-        price: chosen.iter().map(|r| r.price).sum(),
+        lost_work_s: chosen.iter().map(|r| r.lost_work_s).sum(),
         tasks,
-        jobs,
-        median: 0.0,
-        sets: 0,
+        job_count: jobs,
+        median_lost_work_s: 0.0,
+        set_count: 0,
     })
 }
 
@@ -238,7 +242,7 @@
                     job,
                     task,
                     shape: cpus(c),
-                    price,
+                    lost_work_s: price,
                 })
                 .collect(),
         }
@@ -257,7 +261,7 @@
     fn one_set_is_its_own_median() {
         let got = select_victims(&cpus(4.0), [host(1, 0.0, &[("a", 0, 4.0, 9.0)])], 16).unwrap();
         assert_eq!(got.tasks, vec![("a", 0)]);
-        assert_eq!((got.median, got.sets), (9.0, 1));
+        assert_eq!((got.median_lost_work_s, got.set_count), (9.0, 1));
     }
 
     #[test]
@@ -281,7 +285,7 @@
         ];
         let got = select_victims(&cpus(4.0), hosts, 16).unwrap();
         assert_eq!(got.machine, 1);
-        assert_eq!(got.jobs, 2);
+        assert_eq!(got.job_count, 2);
     }
 
     #[test]
@@ -291,7 +295,7 @@
             host(2, 0.0, &[("b", 0, 4.0, 4.0)]),
         ];
         let got = select_victims(&cpus(4.0), hosts, 16).unwrap();
-        assert_eq!((got.median, got.machine), (3.0, 1));
+        assert_eq!((got.median_lost_work_s, got.machine), (3.0, 1));
     }
 
     #[test]
@@ -300,7 +304,7 @@
             .map(|m| host(m, 0.0, &[("a", 0, 4.0, 5.0)]))
             .collect();
         let got = select_victims(&cpus(4.0), hosts, 16).unwrap();
-        assert_eq!((got.price, got.sets), (5.0, 16));
+        assert_eq!((got.lost_work_s, got.set_count), (5.0, 16));
     }
 
     #[test]
--- a/crates/umbersail-policy/src/first_fit.rs
+++ b/crates/umbersail-policy/src/first_fit.rs
@@ -8,19 +8,19 @@
 #[derive(Debug, Clone)]
 pub struct FirstFit {
     /// Heap order: the children of `i` are `2i` and `2i + 1`, bins are the leaves.
-    most: Vec<Shape>,
+    max_free: Vec<Shape>,
     leaves: usize,
     bins: usize,
 }
 
 /// Room for nothing, not even for a task that takes nothing.
-const NONE: Shape = Shape {
+const NO_ROOM: Shape = Shape {
     cpus: f64::NEG_INFINITY,
     gpus: f64::NEG_INFINITY,
     memory_gb: f64::NEG_INFINITY,
 };
 
-fn most_of(a: &Shape, b: &Shape) -> Shape {
+fn elementwise_max(a: &Shape, b: &Shape) -> Shape {
     Shape {
         cpus: a.cpus.max(b.cpus),
         gpus: a.gpus.max(b.gpus),
@@ -30,37 +30,38 @@
 
 impl FirstFit {
     /// Bins with this much room each.
-    pub fn new(rooms: &[Shape]) -> FirstFit {
-        let leaves = rooms.len().next_power_of_two();
-        let mut most = vec![NONE; 2 * leaves];
-        most[leaves..leaves + rooms.len()].copy_from_slice(rooms);
+    pub fn new(capacities: &[Shape]) -> FirstFit {
+        let leaves = capacities.len().next_power_of_two();
+        let mut max_free = vec![NO_ROOM; 2 * leaves];
+        max_free[leaves..leaves + capacities.len()].copy_from_slice(capacities);
         for node in (1..leaves).rev() {
-            most[node] = most_of(&most[2 * node], &most[2 * node + 1]);
+            max_free[node] = elementwise_max(&max_free[2 * node], &max_free[2 * node + 1]);
         }
         FirstFit {
-            most,
+            max_free,
             leaves,
-            bins: rooms.len(),
+            bins: capacities.len(),
         }
     }
 
     /// What room a bin has.
-    pub fn room(&self, bin: usize) -> &Shape {
-        &self.most[self.leaves + bin]
+    pub fn free(&self, bin: usize) -> &Shape {
+        &self.max_free[self.leaves + bin]
     }
 
     /// So much of a bin is taken.
     pub fn take(&mut self, bin: usize, shape: &Shape, times: u32) {
         let mut node = self.leaves + bin;
-        self.most[node].add(shape, -f64::from(times));
+        self.max_free[node].add(shape, -f64::from(times));
         while node > 1 {
             node /= 2;
-            self.most[node] = most_of(&self.most[2 * node], &self.most[2 * node + 1]);
+            self.max_free[node] =
+                elementwise_max(&self.max_free[2 * node], &self.max_free[2 * node + 1]);
         }
     }
 
     /// The first bin from `from` on that takes the shape.
-    pub fn next(&self, from: usize, shape: &Shape) -> Option<usize> {
+    pub fn first_from(&self, from: usize, shape: &Shape) -> Option<usize> {
         if from >= self.bins {
             return None;
         }
@@ -68,7 +69,7 @@
         // Up and to the right until a subtree may hold one, then down into it,
         // and on to the right where the parts of its best came from two bins.
         loop {
-            if shape.fits_in(&self.most[node]) {
+            if shape.fits_in(&self.max_free[node]) {
                 if node >= self.leaves {
                     return Some(node - self.leaves);
                 }
@@ -114,11 +115,11 @@
             for (from, cpus, memory_gb) in asks {
                 let ask = shape(cpus, memory_gb);
                 let found = (from..plain.len()).find(|i| ask.fits_in(&plain[*i]));
-                prop_assert_eq!(tree.next(from, &ask), found);
+                prop_assert_eq!(tree.first_from(from, &ask), found);
                 if let Some(bin) = found {
                     tree.take(bin, &ask, 1);
                     plain[bin].add(&ask, -1.0);
-                    prop_assert_eq!(tree.room(bin), &plain[bin]);
+                    prop_assert_eq!(tree.free(bin), &plain[bin]);
                 }
             }
             Ok(())
--- a/crates/umbersail-policy/src/lib.rs
+++ b/crates/umbersail-policy/src/lib.rs
@@ -21,16 +21,17 @@
 
 pub use bitmap::{Bitmap, BitmapError};
 pub use evict::{
-    EvictionHost, PreemptibleTask, Preference, Selection, candidate_sets, choose, select_victims,
+    EvictionHost, PreemptibleTask, VictimPreference, VictimSet, candidate_victim_sets,
+    choose_victims, select_victims,
 };
 pub use first_fit::FirstFit;
-pub use learn::{ClassStats, Learner, Window};
+pub use learn::{ClassStats, Learner, LoadWindow};
 pub use order::{DeadlineDemand, max_on_time};
 pub use place::{
-    MachineView, PlaceWeights, PlacementConstraint, TaskView, cost_of, names_type, placement_cost,
-    rank_machines, smallest_cpus, type_allowed,
+    CostProfile, MachineView, PlacementWeights, TaskView, allows_machine, allows_type,
+    machine_cost, placement_cost, rank_machines, smallest_cpus,
 };
-pub use quota::{TeamLimits, Usage, quota_room};
-pub use rent::{Demand, FleetMachine, IdleLimits, Plan, ScaleOutRequest, plan_rental};
+pub use quota::{TeamLimits, Usage, remaining_quota};
+pub use rent::{Demand, FleetMachine, IdleLimits, RentalPlan, ScaleOutRequest, plan_rental};
 pub use shape::Shape;
-pub use starvation::{ServiceHistory, UnstartedJob, boosted_jobs, free_in_s};
+pub use starvation::{ServiceHistory, UnstartedJob, boosted_jobs, seconds_until_free};
--- a/crates/umbersail-policy/src/place.rs
+++ b/crates/umbersail-policy/src/place.rs
@@ -20,7 +20,7 @@
     /// The image is on its way there for another task.
     pub fetching_image: bool,
     /// Until its next report is due: launches travel in the reply.
-    pub report_in_s: f64,
+    pub heartbeat_due_in_s: f64,
 }
 
 /// What placement wants to know of a task.
@@ -39,14 +39,14 @@
 }
 
 /// Whether the job allows this type of machine.
-pub fn names_type(spec: &JobSpec, machine_type: &str) -> bool {
+pub fn allows_type(spec: &JobSpec, machine_type: &str) -> bool {
     let types = spec.types.as_ref();
     types.is_none_or(|types| types.iter().any(|t| t == machine_type))
 }
 
 /// Whether the job allows machines of this type, zone and kind at all.
-pub fn type_allowed(spec: &JobSpec, machine_type: &str, zone: &str, spot: bool) -> bool {
-    names_type(spec, machine_type)
+pub fn allows_machine(spec: &JobSpec, machine_type: &str, zone: &str, spot: bool) -> bool {
+    allows_type(spec, machine_type)
         && spec.zone.as_ref().is_none_or(|z| z == zone)
         && (!spot || spec.spot())
 }
@@ -57,7 +57,7 @@
     types
         .iter()
         .filter(|t| {
-            names_type(spec, &t.name)
+            allows_type(spec, &t.name)
                 && spec.zone.as_ref().is_none_or(|z| t.zones.contains(z))
                 && shape.fits_in(&Shape::of_type(t))
         })
@@ -67,13 +67,13 @@
 
 /// Weights of the terms of a placement's cost, all in seconds.
 #[derive(Debug, Clone, Copy)]
-pub struct PlaceWeights {
+pub struct PlacementWeights {
     /// For each second that fetching the image takes.
     pub image: f64,
     /// For a larger type than the task needs.
     pub oversize: f64,
     /// For an ordinary machine where a spot one would do.
-    pub ordinary: f64,
+    pub on_demand: f64,
 }
 
 /// What a placement costs, in seconds, and how many tasks the machine takes;
@@ -81,7 +81,7 @@
 pub fn placement_cost<M>(
     task: &TaskView<'_>,
     m: &MachineView<'_, M>,
-    weights: PlaceWeights,
+    weights: PlacementWeights,
 ) -> Option<(f64, u32)> {
     if task.only_zone.is_some_and(|z| z != m.zone) {
         return None;
@@ -96,18 +96,18 @@
     if oversize && task.reserved_types.contains(&m.machine_type.name) {
         return None;
     }
-    let constraint = PlacementConstraint {
+    let profile = CostProfile {
         image_gb: task.spec.image_gb,
         smallest_cpus: task.smallest_cpus,
         spot: task.spec.spot(),
     };
-    Some((cost_of(&constraint, m, weights), slots))
+    Some((machine_cost(&profile, m, weights), slots))
 }
 
 /// What the cost of a placement depends on beside the machine: jobs that are
 /// alike in it, and in their image, rank machines alike.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct PlacementConstraint {
+pub struct CostProfile {
     /// Size of the image in GB.
     pub image_gb: f64,
     /// CPUs of the smallest type that takes the task.
@@ -117,13 +117,13 @@
 }
 
 /// What a placement costs, in seconds, whatever the size of the task.
-pub fn cost_of<M>(
-    constraint: &PlacementConstraint,
+pub fn machine_cost<M>(
+    profile: &CostProfile,
     m: &MachineView<'_, M>,
-    weights: PlaceWeights,
+    weights: PlacementWeights,
 ) -> f64 {
-    let oversize = m.machine_type.cpus > constraint.smallest_cpus + 1e-6;
-    let fetch_s = constraint.image_gb / m.machine_type.fetch_gb_per_s.max(1e-3);
+    let oversize = m.machine_type.cpus > profile.smallest_cpus + 1e-6;
+    let fetch_s = profile.image_gb / m.machine_type.fetch_gb_per_s.max(1e-3);
     let fetch = match (m.has_image, m.fetching_image) {
         (true, _) => 0.0,
         (false, true) => fetch_s * 0.5,
@@ -131,10 +131,10 @@
     };
     let free_share = m.free.cpus / m.machine_type.cpus.max(1e-3);
     fetch * weights.image
-        + m.report_in_s
+        + m.heartbeat_due_in_s
         + if oversize { weights.oversize } else { 0.0 }
-        + if constraint.spot && !m.spot {
-            weights.ordinary
+        + if profile.spot && !m.spot {
+            weights.on_demand
         } else {
             0.0
         }
@@ -146,11 +146,11 @@
 pub fn rank_machines<M: Clone>(
     task: &TaskView<'_>,
     machines: &[MachineView<'_, M>],
-    weights: PlaceWeights,
+    weights: PlacementWeights,
 ) -> Vec<(M, u32)> {
     let mut ranked: Vec<(f64, M, u32)> = machines
         .iter()
-        .filter(|m| type_allowed(task.spec, &m.machine_type.name, m.zone, m.spot))
+        .filter(|m| allows_machine(task.spec, &m.machine_type.name, m.zone, m.spot))
         .filter_map(|m| {
             let (cost, slots) = placement_cost(task, m, weights)?;
             Some((cost, m.machine.clone(), slots))
@@ -222,7 +222,7 @@
             },
             has_image,
             fetching_image: false,
-            report_in_s: 0.0,
+            heartbeat_due_in_s: 0.0,
         };
         let machines = [
             view(1, &large, 64.0, true),
@@ -237,10 +237,10 @@
             only_zone: None,
             reserved_types: &[],
         };
-        let weights = PlaceWeights {
+        let weights = PlacementWeights {
             image: 1.0,
             oversize: 8.0,
-            ordinary: 0.0,
+            on_demand: 0.0,
         };
         let order: Vec<_> = rank_machines(&task, &machines, weights);
         assert_eq!(order, vec![(3, 2), (2, 4), (1, 32)]);
@@ -253,11 +253,11 @@
     fn type_zone_and_kind_are_the_controllers_business() {
         let mut job = spec(2.0);
         job.spot = None;
-        assert!(!type_allowed(&job, "g8", "a", true));
+        assert!(!allows_machine(&job, "g8", "a", true));
         job.types = Some(vec!["g8".into()]);
         job.zone = Some("a".into());
-        assert!(type_allowed(&job, "g8", "a", false));
-        assert!(!type_allowed(&job, "g9", "a", false));
-        assert!(!type_allowed(&job, "g8", "b", false));
+        assert!(allows_machine(&job, "g8", "a", false));
+        assert!(!allows_machine(&job, "g9", "a", false));
+        assert!(!allows_machine(&job, "g8", "b", false));
     }
 }
--- a/crates/umbersail-policy/src/quota.rs
+++ b/crates/umbersail-policy/src/quota.rs
@@ -6,13 +6,13 @@
     /// Name of the team.
     pub name: String,
     /// Guaranteed CPUs.
-    pub cpus: f64,
+    pub guaranteed_cpus: f64,
     /// Largest number of CPUs.
-    pub cpus_max: f64,
+    pub max_cpus: f64,
     /// Guaranteed GPUs.
-    pub gpus: f64,
+    pub guaranteed_gpus: f64,
     /// Largest number of GPUs.
-    pub gpus_max: f64,
+    pub max_gpus: f64,
 }
 
 /// What a team's tasks use, unaccounted ones included.
@@ -21,22 +21,23 @@
 impl TeamLimits {
     /// Whether there is a limit.
     pub fn is_limited(&self) -> bool {
-        self.cpus_max > 0.0 || self.gpus_max > 0.0
+        self.max_cpus > 0.0 || self.max_gpus > 0.0
     }
 
     /// Whether there is a guarantee.
     pub fn has_guarantee(&self) -> bool {
-        self.cpus > 0.0 || self.gpus > 0.0
+        self.guaranteed_cpus > 0.0 || self.guaranteed_gpus > 0.0
     }
 
     /// Whether a use lies within the guarantee.
-    pub fn guarantees(&self, usage: &Usage) -> bool {
-        usage.cpus <= self.cpus + 1e-6 && (usage.gpus <= 0.0 || usage.gpus <= self.gpus + 1e-6)
+    pub fn is_within_guarantee(&self, usage: &Usage) -> bool {
+        usage.cpus <= self.guaranteed_cpus + 1e-6
+            && (usage.gpus <= 0.0 || usage.gpus <= self.guaranteed_gpus + 1e-6)
     }
 }
 
 /// How many more tasks of this shape the team's limit allows.
-pub fn quota_room(limits: &TeamLimits, usage: &Usage, task: &Shape) -> u32 {
+pub fn remaining_quota(limits: &TeamLimits, usage: &Usage, task: &Shape) -> u32 {
     let per = |max: f64, used: f64, need: f64| {
         if max <= 0.0 || need <= 0.0 {
             f64::INFINITY
@@ -44,8 +45,8 @@
             ((max - used + 1e-6) / need).floor().max(0.0)
         }
     };
-    per(limits.cpus_max, usage.cpus, task.cpus)
-        .min(per(limits.gpus_max, usage.gpus, task.gpus))
+    per(limits.max_cpus, usage.cpus, task.cpus)
+        .min(per(limits.max_gpus, usage.gpus, task.gpus))
         .min(1e6) as u32
 }
 
@@ -65,13 +66,13 @@
             ..Shape::default()
         };
         let mut team = TeamLimits {
-            cpus_max: 128.0,
+            max_cpus: 128.0,
             ..TeamLimits::default()
         };
-        assert_eq!(quota_room(&team, &used, &task), 1);
-        team.cpus_max = 99.0;
-        assert_eq!(quota_room(&team, &used, &task), 0);
-        team.cpus_max = 0.0;
-        assert!(quota_room(&team, &used, &task) > 1000);
+        assert_eq!(remaining_quota(&team, &used, &task), 1);
+        team.max_cpus = 99.0;
+        assert_eq!(remaining_quota(&team, &used, &task), 0);
+        team.max_cpus = 0.0;
+        assert!(remaining_quota(&team, &used, &task) > 1000);
     }
 }
--- a/crates/umbersail-policy/src/rent.rs
+++ b/crates/umbersail-policy/src/rent.rs
@@ -14,15 +14,15 @@
     /// Whether it may run on a spot machine.
     pub spot: bool,
     /// Tasks that run or wait.
-    pub now: u32,
+    pub tasks: u32,
     /// How often the machines in use turn over before the waiting ones must
     /// start: such work waits for a place rather than for an ordinary machine.
-    pub turns: f64,
+    pub max_turnovers: f64,
     /// Tasks to be ready for beyond those; served by spot machines only.
-    pub reserve: u32,
+    pub spare: u32,
     /// Tasks beyond the reserve for which nothing is rented, but what is idle is
     /// kept for longer.
-    pub warm: u32,
+    pub warm_spare: u32,
 }
 
 /// A machine that is up or on its way.
@@ -55,7 +55,7 @@
 
 /// What to rent, and what is idle beyond need.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Plan<M> {
+pub struct RentalPlan<M> {
     /// Machines to rent.
     pub requests: Vec<ScaleOutRequest>,
     /// Machines to return.
@@ -72,7 +72,7 @@
 }
 
 /// A type that only some demands can use costs others this much more.
-const SCARCE_FACTOR: f64 = 2.0;
+const SCARCE_TYPE_FACTOR: f64 = 2.0;
 
 /// Packs demands onto the fleet, large tasks first and each onto the smallest
 /// type that takes it; buys for the rest at the least price for a task.
@@ -82,12 +82,12 @@
     fleet: &[FleetMachine<M>],
     refused: impl Fn(usize, &str, bool) -> bool,
     idle: &IdleLimits,
-    ordinary_share: f64,
-) -> Plan<M> {
-    let ordinary = fleet.iter().filter(|m| !m.spot).count() as f64;
-    let mut of_type = vec![0.0; types.len()];
+    on_demand_share: f64,
+) -> RentalPlan<M> {
+    let on_demand = fleet.iter().filter(|m| !m.spot).count() as f64;
+    let mut count_by_type = vec![0.0; types.len()];
     for machine in fleet {
-        of_type[machine.type_index] += 1.0;
+        count_by_type[machine.type_index] += 1.0;
     }
     let mut used = vec![false; fleet.len()];
     // Small types first; of a type what is in use, then spot, then the one
@@ -109,7 +109,7 @@
         .iter()
         .map(|i| Shape::of_type(&types[fleet[*i].type_index]))
         .collect();
-    let mut free = FirstFit::new(&rooms);
+    let mut bins = FirstFit::new(&rooms);
     let mut requests: Vec<ScaleOutRequest> = Vec::new();
     // Machines' worth of work that waits for places to fall free.
     let mut deferred = 0.0;
@@ -117,26 +117,26 @@
     sorted.sort_by(|a, b| b.shape.cpus.total_cmp(&a.shape.cpus));
     let sole = sole_types(types, demands);
     // Running and waiting tasks of all shapes go before any reserve.
-    for reserve in [false, true] {
+    for spare in [false, true] {
         for demand in &sorted {
-            let wanted = if reserve { demand.reserve } else { demand.now };
-            let wanted = place(types, demand, wanted, fleet, &order, &mut free, &mut used);
+            let wanted = if spare { demand.spare } else { demand.tasks };
+            let wanted = pack(types, demand, wanted, fleet, &order, &mut bins, &mut used);
             let in_use = types
                 .iter()
-                .zip(&of_type)
+                .zip(&count_by_type)
                 .filter(|(t, _)| demand.shape.fits_in(&Shape::of_type(t)))
                 .map(|(_, count)| count)
                 .sum();
-            buy(
+            rent_for(
                 types,
                 &sole,
                 demand,
                 wanted,
-                reserve,
+                spare,
                 &refused,
                 in_use,
-                ordinary,
-                ordinary_share * (fleet.len() as f64 - ordinary),
+                on_demand,
+                on_demand_share * (fleet.len() as f64 - on_demand),
                 &mut deferred,
                 &mut requests,
             );
@@ -144,13 +144,13 @@
     }
     let mut warm = vec![false; fleet.len()];
     for demand in &sorted {
-        place(
+        pack(
             types,
             demand,
-            demand.warm,
+            demand.warm_spare,
             fleet,
             &order,
-            &mut free,
+            &mut bins,
             &mut warm,
         );
     }
@@ -165,13 +165,13 @@
         })
         .map(|(m, _)| m.machine.clone())
         .collect();
-    Plan { requests, surplus }
+    RentalPlan { requests, surplus }
 }
 
 /// Types that some demand can't do without: it fits no other.
 fn sole_types(types: &[MachineType], demands: &[Demand]) -> Vec<bool> {
     let mut sole = vec![false; types.len()];
-    for demand in demands.iter().filter(|d| d.now + d.reserve > 0) {
+    for demand in demands.iter().filter(|d| d.tasks + d.spare > 0) {
         let fits = |t: &MachineType| demand.shape.fits_in(&Shape::of_type(t));
         for (index, t) in types.iter().enumerate() {
             sole[index] |= fits(t) && types.iter().all(|u| u.name == t.name || !fits(u));
@@ -181,18 +181,18 @@
 }
 
 /// Packs tasks onto machines in this order; how many found no room.
-fn place<M>(
+fn pack<M>(
     types: &[MachineType],
     demand: &Demand,
     mut wanted: u32,
     fleet: &[FleetMachine<M>],
     order: &[usize],
-    free: &mut FirstFit,
+    bins: &mut FirstFit,
     used: &mut [bool],
 ) -> u32 {
     let mut from = 0;
     while wanted > 0
-        && let Some(bin) = free.next(from, &demand.shape)
+        && let Some(bin) = bins.first_from(from, &demand.shape)
     {
         from = bin + 1;
         let i = order[bin];
@@ -200,9 +200,9 @@
         if !allowed(demand, &types[m.type_index].name, &m.zone, m.spot) {
             continue;
         }
-        let slots = demand.shape.slots_in(free.room(bin)).min(wanted);
+        let slots = demand.shape.slots_in(bins.free(bin)).min(wanted);
         if slots > 0 {
-            free.take(bin, &demand.shape, slots);
+            bins.take(bin, &demand.shape, slots);
             used[i] = true;
             wanted -= slots;
         }
@@ -230,7 +230,7 @@
 }
 
 #[allow(clippy::too_many_arguments)]
-fn buy(
+fn rent_for(
     types: &[MachineType],
     sole: &[bool],
     demand: &Demand,
@@ -238,8 +238,8 @@
     spot_only: bool,
     refused: &impl Fn(usize, &str, bool) -> bool,
     in_use: f64,
-    ordinary: f64,
-    ordinary_most: f64,
+    on_demand: f64,
+    max_on_demand: f64,
     deferred: &mut f64,
     requests: &mut Vec<ScaleOutRequest>,
 ) {
@@ -267,15 +267,15 @@
                         (false, _) => t.price,
                     };
                     let per_task = price / f64::from(slots.min(wanted))
-                        * if scarce { SCARCE_FACTOR } else { 1.0 };
+                        * if scarce { SCARCE_TYPE_FACTOR } else { 1.0 };
                     // Spread over zones: one zone's wave of taken spot
                     // machines must not take them all.
-                    let already: u32 = requests
+                    let requested: u32 = requests
                         .iter()
                         .filter(|p| p.type_index == i && p.zone == *zone && p.spot == spot)
                         .map(|p| p.count)
                         .sum();
-                    let cost = per_task * (1.0 + 0.001 * f64::from(already));
+                    let cost = per_task * (1.0 + 0.001 * f64::from(requested));
                     if best.as_ref().is_none_or(|(c, _, _)| cost < *c) {
                         best = Some((
                             cost,
@@ -294,9 +294,9 @@
         let Some((_, request, slots)) = best else {
             return;
         };
-        if !request.spot && demand.spot && demand.turns > 0.0 {
+        if !request.spot && demand.spot && demand.max_turnovers > 0.0 {
             let bought: u32 = requests.iter().filter(|p| !p.spot).map(|p| p.count).sum();
-            if ordinary + f64::from(bought) + 1.0 > ordinary_most {
+            if on_demand + f64::from(bought) + 1.0 > max_on_demand {
                 return;
             }
             // In machines, since every job has a shape of its own.
@@ -306,7 +306,7 @@
                 .map(|p| p.count)
                 .sum::<u32>();
             let waits = f64::from(wanted) / f64::from(slots);
-            if *deferred + waits <= (in_use + f64::from(bought)) * demand.turns {
+            if *deferred + waits <= (in_use + f64::from(bought)) * demand.max_turnovers {
                 *deferred += waits;
                 return;
             }
@@ -353,10 +353,10 @@
             types: None,
             zone: None,
             spot: true,
-            now,
-            turns: 0.0,
-            reserve,
-            warm: 0,
+            tasks: now,
+            max_turnovers: 0.0,
+            spare: reserve,
+            warm_spare: 0,
         }
     }
 
@@ -401,7 +401,7 @@
         assert_eq!(plan.surplus, vec![2]);
         // Somebody who can't wait for a boot may want it soon.
         let mut soon = demand(2.0, 4, 0);
-        soon.warm = 8;
+        soon.warm_spare = 8;
         let fleet = [
             machine(1, None),
             machine(2, Some(80.0)),
@@ -452,10 +452,10 @@
         let fleet = [machine(1, true, None), machine(2, true, None)];
         let no_spot = |_: usize, _: &str, spot: bool| spot;
         let mut backlog = demand(2.0, 24, 0);
-        backlog.turns = 2.0;
+        backlog.max_turnovers = 2.0;
         let plan = plan_rental(&types, &[backlog.clone()], &fleet, no_spot, &limits(), 1e9);
         assert_eq!(plan.requests, vec![], "16 wait on 2 machines for 2 turns");
-        backlog.now = 25;
+        backlog.tasks = 25;
         let bought = |backlog: &Demand, share| -> u32 {
             let backlog = std::slice::from_ref(backlog);
             let plan = plan_rental(&types, backlog, &fleet, no_spot, &limits(), share);
@@ -463,9 +463,9 @@
         };
         assert_eq!(bought(&backlog, 1e9), 1);
         // However long the backlog, they stay a share of the spot machines.
-        backlog.now = 1000;
+        backlog.tasks = 1000;
         assert_eq!(bought(&backlog, 1.5), 3);
-        backlog.turns = 0.0;
+        backlog.max_turnovers = 0.0;
         assert!(bought(&backlog, 1.5) > 200, "what can't wait gets them");
 
         let idle = [machine(1, true, Some(30.0)), machine(2, false, Some(30.0))];
--- a/crates/umbersail-policy/src/starvation.rs
+++ b/crates/umbersail-policy/src/starvation.rs
@@ -59,7 +59,7 @@
 
 /// Seconds until `wanted` CPUs of a machine are free, if they will be. `ends` are
 /// its tasks: seconds until each ends, and its CPUs.
-pub fn free_in_s(free: f64, wanted: f64, mut ends: Vec<(f64, f64)>) -> Option<f64> {
+pub fn seconds_until_free(free: f64, wanted: f64, mut ends: Vec<(f64, f64)>) -> Option<f64> {
     ends.sort_by(|a, b| a.0.total_cmp(&b.0));
     let mut free = free;
     let mut at_s: f64 = 0.0;
@@ -100,7 +100,7 @@
 
     /// A job with a deadline ended, or can't be in time any more. `size` is its tasks
     /// times the CPUs of one.
-    pub fn ended(&mut self, name: &str, size: f64, in_time: bool) {
+    pub fn record(&mut self, name: &str, size: f64, in_time: bool) {
         if !self.groups.contains_key(name) {
             if self.groups.len() >= self.most {
                 return;
@@ -123,7 +123,7 @@
     /// From which size on jobs by this name are underserved, if any are: fewer than `near`
     /// of all were served, or of the largest quarter or tenth. Silent until
     /// `least` such jobs are known.
-    pub fn underserved_from(&self, name: &str, near: f64, least: usize) -> Option<f64> {
+    pub fn underserved_min_size(&self, name: &str, near: f64, least: usize) -> Option<f64> {
         let outcomes = self.groups.get(name)?;
         let mut sizes: Vec<f64> = outcomes.iter().map(|f| f.size).collect();
         sizes.sort_by(|a, b| b.total_cmp(a));
@@ -179,41 +179,45 @@
     #[test]
     fn a_machine_is_free_once_enough_of_its_tasks_end() {
         let ends = vec![(30.0, 16.0), (5.0, 8.0), (f64::INFINITY, 16.0)];
-        assert_eq!(free_in_s(32.0, 32.0, ends.clone()), Some(0.0));
-        assert_eq!(free_in_s(24.0, 32.0, ends.clone()), Some(5.0));
-        assert_eq!(free_in_s(24.0, 40.0, ends.clone()), Some(30.0));
-        assert_eq!(free_in_s(24.0, 64.0, ends), None, "a service never ends");
+        assert_eq!(seconds_until_free(32.0, 32.0, ends.clone()), Some(0.0));
+        assert_eq!(seconds_until_free(24.0, 32.0, ends.clone()), Some(5.0));
+        assert_eq!(seconds_until_free(24.0, 40.0, ends.clone()), Some(30.0));
+        assert_eq!(
+            seconds_until_free(24.0, 64.0, ends),
+            None,
+            "a service never ends"
+        );
     }
 
     #[test]
     fn the_largest_of_a_class_near_half_though_the_class_is_not() {
         let mut served = ServiceHistory::new(2, 32);
         for i in 0..24 {
-            served.ended("c", 2.0, true);
+            served.record("c", 2.0, true);
             if i % 3 == 0 {
-                served.ended("c", 64.0, i == 0);
+                served.record("c", 64.0, i == 0);
             }
         }
         assert_eq!(
-            served.underserved_from("c", 0.55, 4),
+            served.underserved_min_size("c", 0.55, 4),
             Some(64.0),
             "25 of all 32 were served, and one of the largest 8"
         );
         assert_eq!(
-            served.underserved_from("c", 0.55, 9),
+            served.underserved_min_size("c", 0.55, 9),
             None,
             "too few to tell"
         );
         // Old outcomes give way, and a name too many is not counted.
         for name in ["c", "d", "e"] {
-            (0..32).for_each(|_| served.ended(name, 64.0, name == "c"));
+            (0..32).for_each(|_| served.record(name, 64.0, name == "c"));
         }
-        assert_eq!(served.underserved_from("c", 0.55, 4), None);
+        assert_eq!(served.underserved_min_size("c", 0.55, 4), None);
         assert_eq!(
-            served.underserved_from("d", 0.55, 4),
+            served.underserved_min_size("d", 0.55, 4),
             Some(0.0),
             "all of the class"
         );
-        assert_eq!(served.underserved_from("e", 0.55, 4), None);
+        assert_eq!(served.underserved_min_size("e", 0.55, 4), None);
     }
 }
--- a/crates/umbersail-rehearsal/src/paper.rs
+++ b/crates/umbersail-rehearsal/src/paper.rs
@@ -15,7 +15,9 @@
 use rand::{Rng, RngCore, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use rand_distr::{Distribution, Gamma};
-use umbersail_policy::{EvictionHost, PreemptibleTask, Preference, Shape, candidate_sets, choose};
+use umbersail_policy::{
+    EvictionHost, PreemptibleTask, Shape, VictimPreference, candidate_victim_sets, choose_victims,
+};
 
 use crate::experiment::Mean;
 
@@ -133,7 +135,7 @@
 }
 
 /// Plays one workload, with one of the policies or without preemption.
-pub fn play(workload: &Workload, seed: u64, policy: Option<Preference>) -> Run {
+pub fn play(workload: &Workload, seed: u64, policy: Option<VictimPreference>) -> Run {
     let all = requests(workload, seed);
     let mut left: Vec<f64> = all.iter().map(|r| r.run_s).collect();
     let mut running: Vec<Lease> = Vec::new();
@@ -259,7 +261,7 @@
     request: &Request,
     free: f64,
     now: f64,
-    policy: Preference,
+    policy: VictimPreference,
 ) -> Option<Vec<usize>> {
     let shape = |cpus: f64| Shape {
         cpus,
@@ -285,12 +287,12 @@
                 job: l.index,
                 task: 0,
                 shape: shape(all[l.index].nodes),
-                price: price(all[l.index].kind, l) * all[l.index].nodes,
+                lost_work_s: price(all[l.index].kind, l) * all[l.index].nodes,
             })
             .collect(),
     };
-    let sets = candidate_sets(&shape(request.nodes), [host], SETS);
-    let chosen = choose(sets, policy)?;
+    let sets = candidate_victim_sets(&shape(request.nodes), [host], SETS);
+    let chosen = choose_victims(sets, policy)?;
     Some(chosen.tasks.into_iter().map(|(index, _)| index).collect())
 }
 
@@ -324,9 +326,9 @@
 /// preemptions behind its Figure 4.
 pub fn table(seeds: u64) -> String {
     let policies = [
-        ("MOV", Preference::LeastPrice),
-        ("MLIP", Preference::FewestJobs),
-        ("MOML", Preference::FewestBelowMedian),
+        ("MOV", VictimPreference::LeastWorkLost),
+        ("MLIP", VictimPreference::FewestJobs),
+        ("MOML", VictimPreference::FewestJobsBelowMedian),
     ];
     let mut out = String::from(
         "Decrease of the rejection of local requests by preemption (MOML), in per cent of\n\
@@ -349,7 +351,7 @@
                 let mean = |f: fn(&Run) -> f64| runs.iter().map(f).sum::<f64>() / seeds as f64;
                 let (count, used) = (mean(|r| r.preemptions as f64), mean(|r| r.utilization));
                 let _ = write!(line, "  {count:>7.1} ({used:.3})");
-                if policy == Preference::FewestBelowMedian {
+                if policy == VictimPreference::FewestJobsBelowMedian {
                     for (seed, with) in runs.iter().enumerate() {
                         let without = play(workload, seed as u64, None);
                         if without.local_rejected > 0.0 {
@@ -393,9 +395,9 @@
         };
         let without = sum(None);
         let [mov, mlip, moml] = [
-            Preference::LeastPrice,
-            Preference::FewestJobs,
-            Preference::FewestBelowMedian,
+            VictimPreference::LeastWorkLost,
+            VictimPreference::FewestJobs,
+            VictimPreference::FewestJobsBelowMedian,
         ]
         .map(|p| sum(Some(p)));
         assert_eq!(without.1, 0);
--- a/crates/umbersail-reserve/src/admit.rs
+++ b/crates/umbersail-reserve/src/admit.rs
@@ -94,8 +94,8 @@
         promised.add(&size(item), f64::from(item.count));
     }
     for (kind, most, of) in [
-        ("CPUs", limits.cpus_max, cpus as fn(&Shape) -> f64),
-        ("GPUs", limits.gpus_max, gpus),
+        ("CPUs", limits.max_cpus, cpus as fn(&Shape) -> f64),
+        ("GPUs", limits.max_gpus, gpus),
     ] {
         if most <= 0.0 {
             continue;
--- a/crates/umbersail-reserve/src/entry.rs
+++ b/crates/umbersail-reserve/src/entry.rs
@@ -234,10 +234,10 @@
             if cpus + memory_gb <= 0.0 {
                 return Err(self.fail("cpus", "is missing: set cpus, memory_gb or machines"));
             }
-            if limits.cpus_max > 0.0 && cpus > limits.cpus_max {
+            if limits.max_cpus > 0.0 && cpus > limits.max_cpus {
                 let reason = format!(
                     "{cpus} is beyond the limit of team '{}', {}",
-                    limits.name, limits.cpus_max
+                    limits.name, limits.max_cpus
                 );
                 return Err(self.fail("cpus", reason));
             }
--- a/crates/umbersail-reserve/src/tests.rs
+++ b/crates/umbersail-reserve/src/tests.rs
@@ -25,7 +25,7 @@
 fn teams() -> Vec<TeamLimits> {
     let team = |name: &str, cpus_max| TeamLimits {
         name: name.into(),
-        cpus_max,
+        max_cpus: cpus_max,
         ..TeamLimits::default()
     };
     vec![team("floats", 0.0), team("tickets", 64.0)]
