--- a/crates/umbersail-control/src/engine/commands.rs
+++ b/crates/umbersail-control/src/engine/commands.rs
@@ -32,7 +32,7 @@
             }
             unrecorded |= unsent_launches;
         }
-        unrecorded || (self.wants_schedule() && self.may_wait)
+        unrecorded || (self.needs_scheduling() && self.may_wait)
     }
 
     /// The commands for the reply to a report that was taken. `may_start` is
--- a/crates/umbersail-control/src/engine/locality.rs
+++ b/crates/umbersail-control/src/engine/eligibility.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use umbersail_cycle::Locality;
+use umbersail_cycle::MachineFilter;
 use umbersail_policy::{Shape, Usage, allows_type};
 use umbersail_wire::MachineType;
 
@@ -13,13 +13,18 @@
     /// Whether the job does better to wait for a place where its image is: it
     /// would start too late after a fetch, and in time if such a place falls
     /// free within the time that is left.
-    pub(super) fn awaits_image(&self, now: Time, job: &Job, slice: &mut CycleSlice<'_>) -> bool {
-        if !self.fetch_is_late(now, job, slice.usage) {
+    pub(super) fn should_await_image(
+        &self,
+        now: Time,
+        job: &Job,
+        slice: &mut CycleSlice<'_>,
+    ) -> bool {
+        if !self.fetch_misses_start_objective(now, job, slice.usage) {
             return false;
         }
         let tuning = &self.cfg.tuning;
         let least = (tuning.image_places * f64::from(job.pending())).ceil() as usize;
-        let counts = slice.fleet.with_image.get_or_insert_with(|| {
+        let counts = slice.snapshot.machines_with_image.get_or_insert_with(|| {
             let mut counts = BTreeMap::new();
             let silent_after = self.silent_after();
             let up = |m: &&super::Machine| m.takes_tasks(now, silent_after);
@@ -44,11 +49,16 @@
 
     /// Whether a fetch of its image would make the job start too late, with time
     /// left to wait for a place that has it.
-    pub(super) fn fetch_is_late(&self, now: Time, job: &Job, usage: &[Usage]) -> bool {
-        let within = self.start_aim(job, self.is_guaranteed(job, usage));
+    pub(super) fn fetch_misses_start_objective(
+        &self,
+        now: Time,
+        job: &Job,
+        usage: &[Usage],
+    ) -> bool {
+        let within = self.start_objective_s(job, self.is_guaranteed(job, usage));
         within.is_some_and(|within| {
             let left = within - (now - job.submitted);
-            left >= self.cfg.tuning.image_wait_s && self.fetch_s(job) > left
+            left >= self.cfg.tuning.image_wait_s && self.image_fetch_s(job) > left
         })
     }
 
@@ -81,21 +91,24 @@
 
     /// The machines that the job's tasks may use now: types that waiting larger
     /// work can't do without are closed to it.
-    pub(super) fn locality(&self, job: &Job, reserved: &[f64]) -> Locality {
+    pub(super) fn machine_filter(&self, job: &Job, large_task_cpus: &[f64]) -> MachineFilter {
         let least = job.smallest_cpus + 1e-6;
-        self.locality_where(job, |index, t| {
-            t.cpus <= least || reserved.get(index).is_some_and(|most| *most <= least)
+        self.machine_filter_where(job, |index, t| {
+            t.cpus <= least
+                || large_task_cpus
+                    .get(index)
+                    .is_some_and(|most| *most <= least)
         })
     }
 
     /// The machines that the job allows, of types that `open` takes.
-    pub(super) fn locality_where(
+    pub(super) fn machine_filter_where(
         &self,
         job: &Job,
         open: impl Fn(usize, &MachineType) -> bool,
-    ) -> Locality {
+    ) -> MachineFilter {
         let types = self.types.iter().enumerate();
-        Locality {
+        MachineFilter {
             types: types
                 .map(|(index, t)| allows_type(&job.spec, &t.name) && open(index, t))
                 .collect(),
--- a/crates/umbersail-control/src/engine/evict.rs
+++ b/crates/umbersail-control/src/engine/evict.rs
@@ -4,7 +4,7 @@
 
 use imbl::OrdSet;
 use tracing::info;
-use umbersail_cycle::{Locality, PreemptionClass};
+use umbersail_cycle::{MachineFilter, PreemptionClass};
 use umbersail_policy::{
     EvictionHost, PreemptibleTask, Shape, Usage, VictimSet, allows_machine, select_victims,
 };
@@ -19,7 +19,7 @@
 pub(super) struct EvictionCandidates {
     groups: Vec<CandidateGroup>,
     /// Machines and tasks looked at so far.
-    pub looked: u64,
+    pub examined: u64,
 }
 
 /// For beneficiaries of one class.
@@ -28,13 +28,13 @@
     /// Machines by name, with the tasks there that may be lost.
     machines: Vec<(MachineId, Vec<(JobId, u32)>)>,
     /// Localities in which none of them lies.
-    exhausted: Vec<Locality>,
-    looked: u64,
+    exhausted: Vec<MachineFilter>,
+    examined: u64,
 }
 
 impl Engine {
     /// Whether the job could ever lose a task: if not, no search looks at it.
-    pub(super) fn is_ever_preemptible(&self, job: &Job) -> bool {
+    pub(super) fn may_ever_be_preempted(&self, job: &Job) -> bool {
         let tuning = &self.cfg.tuning;
         !job.is_service()
             && !job.is_spared(tuning.evict_loser_limit)
@@ -60,32 +60,34 @@
         if !reclaim && job.spec.priority == Priority::Low {
             return false;
         }
-        let preemptible = self.preemptible.to(job.preemption_class(), reclaim);
+        let preemptible = self
+            .preemptible
+            .preemptible_by(job.preemption_class(), reclaim);
         if preemptible.is_empty() || (!reclaim && self.can_rent_in_time(now, job)) {
             return false;
         }
-        let locality = self.locality_where(job, |_, t| job.shape.fits_in(&Shape::of_type(t)));
-        let group = self.group_for(job, reclaim, usage, &preemptible, searched);
-        if searched.groups[group].exhausted.contains(&locality) {
+        let filter = self.machine_filter_where(job, |_, t| job.shape.fits_in(&Shape::of_type(t)));
+        let group = self.candidate_group(job, reclaim, usage, &preemptible, searched);
+        if searched.groups[group].exhausted.contains(&filter) {
             return false;
         }
-        let mut looked = 0;
+        let mut examined = 0;
         let mut hosts = 0;
         let machines = searched.groups[group].machines.iter();
         let candidates = machines.filter_map(|(name, tasks)| {
-            looked += 1;
-            let machine = self.evictable_machine(now, name, &locality)?;
-            looked += tasks.len() as u64;
+            examined += 1;
+            let machine = self.evictable_machine(now, name, &filter)?;
+            examined += tasks.len() as u64;
             let host = self.eviction_host(now, job, machine, tasks, reclaim, usage)?;
             hosts += 1;
             Some(host)
         });
         let max_sets = self.cfg.tuning.evict_sets as usize;
         let selection = select_victims(&job.shape, candidates, max_sets);
-        searched.looked += looked;
+        searched.examined += examined;
         if hosts == 0 {
             // Who may lose, where, only becomes less while this slice lasts.
-            searched.groups[group].exhausted.push(locality);
+            searched.groups[group].exhausted.push(filter);
             return false;
         }
         let Some(selection) = selection else {
@@ -108,7 +110,7 @@
     }
 
     /// Index of the group of candidates for jobs of this class, gathered once in a slice.
-    fn group_for(
+    fn candidate_group(
         &self,
         job: &Job,
         reclaim: bool,
@@ -120,23 +122,23 @@
         if let Some(group) = searched.groups.iter().position(|group| group.of == of) {
             return group;
         }
-        let group = self.group(job, reclaim, usage, preemptible);
-        searched.looked += group.looked;
+        let group = self.build_candidate_group(job, reclaim, usage, preemptible);
+        searched.examined += group.examined;
         searched.groups.push(group);
         searched.groups.len() - 1
     }
 
-    /// The machine, if it takes tasks and lies within the locality.
+    /// The machine, if it takes tasks and lies within the filter.
     fn evictable_machine(
         &self,
         now: Time,
         name: &MachineId,
-        locality: &Locality,
+        filter: &MachineFilter,
     ) -> Option<&Machine> {
         let machine = self.machines.get(name)?;
         let index = machine.type_index?;
         let usable = machine.takes_tasks(now, self.silent_after())
-            && locality.has(index, &machine.zone, machine.spot, machine.reservations);
+            && filter.matches(index, &machine.zone, machine.spot, machine.reservations);
         usable.then_some(machine)
     }
 
@@ -155,12 +157,12 @@
             .filter_map(|(id, task)| {
                 let victim = self.jobs.get(id)?;
                 let placement = victim.live.get(task)?;
-                self.is_preemptable(beneficiary, victim, placement, reclaim, usage)
+                self.may_preempt(beneficiary, victim, placement, reclaim, usage)
                     .then(|| PreemptibleTask {
                         job: id.clone(),
                         task: *task,
                         shape: victim.shape,
-                        lost_work_s: self.price(now, victim, placement),
+                        lost_work_s: self.lost_work_s(now, victim, placement),
                     })
             })
             .collect();
@@ -178,7 +180,7 @@
         let limit = self.cfg.tuning.evict_loser_limit;
         let mut saving_s: f64 = 0.0;
         for (id, task) in tasks {
-            if self.unplace_unsent(id, *task, usage) {
+            if self.unplace_if_unsent(id, *task, usage) {
                 continue;
             }
             let Some(victim) = self.jobs.get_mut(id) else {
@@ -225,7 +227,7 @@
     /// Lets a task wait again that no worker has been told of, if it is one. No
     /// worker could obey a stop: the task would stay planned, and hold its place,
     /// until the next leader.
-    pub(super) fn unplace_unsent(&mut self, id: &JobId, task: u32, usage: &mut [Usage]) -> bool {
+    pub(super) fn unplace_if_unsent(&mut self, id: &JobId, task: u32, usage: &mut [Usage]) -> bool {
         let unsent_launches = |job: &&Job| job.live.get(&task).is_some_and(|p| !p.told());
         let Some(job) = self.jobs.get(id).filter(unsent_launches) else {
             return false;
@@ -238,7 +240,7 @@
     }
 
     /// The tasks that may be lost to a job of this class, by machine.
-    fn group(
+    fn build_candidate_group(
         &self,
         winner: &Job,
         reclaim: bool,
@@ -246,15 +248,15 @@
         preemptible: &[OrdSet<JobId>],
     ) -> CandidateGroup {
         let mut machines: BTreeMap<MachineId, Vec<(JobId, u32)>> = BTreeMap::new();
-        let mut looked = 0;
+        let mut examined = 0;
         for id in preemptible.iter().flatten() {
-            looked += 1;
+            examined += 1;
             let Some(victim) = self.jobs.get(id) else {
                 continue;
             };
             for (task, placement) in &victim.live {
-                looked += 1;
-                if !self.is_preemptable(winner, victim, placement, reclaim, usage) {
+                examined += 1;
+                if !self.may_preempt(winner, victim, placement, reclaim, usage) {
                     continue;
                 }
                 let tasks = machines.entry(placement.machine.clone()).or_default();
@@ -268,11 +270,11 @@
             of: (winner.preemption_class(), reclaim),
             machines: machines.into_iter().collect(),
             exhausted: Vec::new(),
-            looked,
+            examined,
         }
     }
 
-    pub(super) fn is_preemptable(
+    pub(super) fn may_preempt(
         &self,
         winner: &Job,
         victim: &Job,
@@ -308,7 +310,7 @@
 
     /// Work lost since the start or the last checkpoint, in seconds: nothing where
     /// no worker has been told yet.
-    pub(super) fn price(&self, now: Time, victim: &Job, placement: &Placement) -> f64 {
+    pub(super) fn lost_work_s(&self, now: Time, victim: &Job, placement: &Placement) -> f64 {
         if !placement.told() {
             return 0.0;
         }
--- a/crates/umbersail-control/src/engine/jobs.rs
+++ b/crates/umbersail-control/src/engine/jobs.rs
@@ -80,7 +80,7 @@
             );
         }
         let job = Job::new(record.spec, version, now - age_s, team, smallest, run);
-        if self.is_ever_preemptible(&job) {
+        if self.may_ever_be_preempted(&job) {
             self.preemptible.insert(job.preemption_class(), id.clone());
         }
         self.jobs.insert(id.clone(), job);
--- a/crates/umbersail-control/src/engine/mod.rs
+++ b/crates/umbersail-control/src/engine/mod.rs
@@ -7,13 +7,13 @@
 mod accounting;
 mod commands;
 mod delegations;
+mod eligibility;
 mod evict;
 mod grant;
 mod ids;
 mod job;
 mod jobs;
 mod listing;
-mod locality;
 mod machine;
 mod notices;
 mod order;
--- a/crates/umbersail-control/src/engine/order.rs
+++ b/crates/umbersail-control/src/engine/order.rs
@@ -13,12 +13,12 @@
 /// The order of a cycle, which the next cycles take as it is for a moment.
 #[derive(Debug, Clone)]
 pub(super) struct CachedPriorityOrder {
-    pub at: Time,
+    pub computed_at: Time,
     pub jobs: Vector<JobId>,
     /// By tier and type of machine, the largest "smallest type" among the waiting
     /// jobs of this tier or above that it takes: smaller tasks keep off. A lower
     /// tier's large task reserves nothing against an upper tier.
-    pub reserved: BTreeMap<Priority, Vec<f64>>,
+    pub large_task_cpus: BTreeMap<Priority, Vec<f64>>,
 }
 
 /// Position in the priority order, from the most to the least significant field; the
@@ -26,40 +26,40 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct QueuePosition {
     /// Not retried after repeated failures: those go last.
-    trusted: bool,
+    not_failing: bool,
     tier: Priority,
     /// Within its team's guarantee.
     guaranteed: bool,
     /// Put first in its tier by the starvation guard.
     boosted: bool,
     /// Can still meet its objective on starting.
-    fresh: bool,
-    outlook: DeadlineOutlook,
+    can_start_in_time: bool,
+    forecast: DeadlineForecast,
 }
 
 /// Whether a job can end in time beside the others that wait; the later one
 /// goes first.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-enum DeadlineOutlook {
-    Late,
+enum DeadlineForecast {
+    Missed,
     /// Late, but while it still counts.
-    Soon,
-    InTime,
+    WithinGrace,
+    OnTime,
 }
 
 /// A waiting job in the order of placement.
-struct Waiting<'a> {
+struct WaitingJob<'a> {
     id: &'a JobId,
     job: &'a Job,
     slack_s: Option<f64>,
-    outlook: DeadlineOutlook,
+    forecast: DeadlineForecast,
     /// Its class, team or size has been served too little.
     underserved: bool,
 }
 
 /// Jobs that compete for the same machines.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
-struct Pool {
+struct MachinePool {
     tier: Priority,
     /// Of all machine types, which ones take a task.
     types: Vec<bool>,
@@ -68,7 +68,7 @@
 
 impl Engine {
     /// Estimated seconds that a task of this job runs.
-    pub(super) fn run_s(&self, job: &Job) -> f64 {
+    pub(super) fn expected_run_s(&self, job: &Job) -> f64 {
         self.learner
             .expected_run_s(&job.spec.class, job.spec.estimate_s)
     }
@@ -82,11 +82,11 @@
             (Some(own), Some(planned)) => own.min(planned),
             (own, planned) => own.or(planned)?,
         };
-        Some(due - now - self.run_s(job) - self.fetch_s(job))
+        Some(due - now - self.expected_run_s(job) - self.image_fetch_s(job))
     }
 
     /// Seconds that the fetch of the job's image takes at the least.
-    pub(super) fn fetch_s(&self, job: &Job) -> f64 {
+    pub(super) fn image_fetch_s(&self, job: &Job) -> f64 {
         let fitting = |t: &&MachineType| job.shape.fits_in(&Shape::of_type(t));
         let rates = self.types.iter().filter(fitting).map(|t| t.fetch_gb_per_s);
         job.spec.image_gb / rates.fold(1e-3, f64::max)
@@ -102,7 +102,7 @@
     }
 
     /// Within how many seconds the job should start, if it is soon.
-    pub(super) fn start_aim(&self, job: &Job, guaranteed: bool) -> Option<f64> {
+    pub(super) fn start_objective_s(&self, job: &Job, guaranteed: bool) -> Option<f64> {
         let own = self.cfg.start_aims.get(&job.spec.class).copied();
         if guaranteed {
             own.or(self.cfg.guarantee_aim)
@@ -113,38 +113,38 @@
 
     /// Whether the job can still meet its aim on starting. In an overload
     /// these go first: by deadline alone every job would come just too late.
-    pub(super) fn is_fresh(&self, now: Time, job: &Job, guaranteed: bool) -> bool {
-        self.start_aim(job, guaranteed)
+    pub(super) fn can_meet_start_objective(&self, now: Time, job: &Job, guaranteed: bool) -> bool {
+        self.start_objective_s(job, guaranteed)
             .is_some_and(|within| now - job.submitted < within)
     }
 
     /// Most urgent first: tier, then what a guarantee covers, then what the starvation guard
     /// boosts, then what can still start in time, then what can end in time or soon
-    /// after (see `deadline_outlooks`), by the time it must start. What fails again and again
+    /// after (see `forecast_deadlines`), by the time it must start. What fails again and again
     /// is last. Who is boosted to begin comes a second time, in its own place; and
     /// who is boosted.
-    pub(super) fn waiting_order(
+    pub(super) fn priority_order(
         &self,
         now: Time,
         usage: &[Usage],
-        fleet: &ClusterSnapshot,
+        snapshot: &ClusterSnapshot,
     ) -> (Vec<JobId>, Vec<BoostedJob>) {
-        let underserved_from = self.underserved_from();
-        let waiting: Vec<Waiting> = self
+        let underserved_min_sizes = self.underserved_min_sizes();
+        let waiting: Vec<WaitingJob> = self
             .jobs
             .iter()
             .filter(|(_, j)| j.waits())
-            .map(|(id, job)| Waiting {
+            .map(|(id, job)| WaitingJob {
                 id,
                 job,
                 slack_s: self.slack_s(now, job),
-                outlook: DeadlineOutlook::InTime,
-                underserved: self.is_underserved(job, &underserved_from),
+                forecast: DeadlineForecast::OnTime,
+                underserved: self.is_underserved(job, &underserved_min_sizes),
             })
             .collect();
-        let waiting = self.deadline_outlooks(waiting, fleet);
+        let waiting = self.forecast_deadlines(waiting, snapshot);
         let ids: Vec<&JobId> = waiting.iter().map(|w| w.id).collect();
-        let mut boosted = self.boost(now, &ids, fleet);
+        let mut boosted = self.jobs_to_boost(now, &ids, snapshot);
         let begins: BTreeSet<JobId> = boosted.iter().map(|l| l.job.clone()).collect();
         // Below a tier that is underserved itself nobody is boosted for a share.
         let underserved_tier = waiting.iter().filter(|w| w.underserved);
@@ -154,15 +154,15 @@
             let guaranteed = self.is_guaranteed(w.job, usage);
             let tier = w.job.spec.priority;
             let underserved = w.underserved
-                && w.outlook == DeadlineOutlook::InTime
+                && w.forecast == DeadlineForecast::OnTime
                 && Some(tier) == underserved_tier;
             let position = |boosted| QueuePosition {
-                trusted: !self.goes_last(w.job),
+                not_failing: !self.is_deprioritized(w.job),
                 tier,
                 guaranteed,
                 boosted,
-                fresh: self.is_fresh(now, w.job, guaranteed),
-                outlook: w.outlook,
+                can_start_in_time: self.can_meet_start_objective(now, w.job, guaranteed),
+                forecast: w.forecast,
             };
             let slack = w.slack_s.unwrap_or(1e9 - (now - w.job.submitted));
             order.push((position(underserved), slack, w.id));
@@ -181,20 +181,20 @@
         (order, boosted)
     }
 
-    pub(super) fn goes_last(&self, job: &Job) -> bool {
+    pub(super) fn is_deprioritized(&self, job: &Job) -> bool {
         job.goes_last(self.cfg.tuning.job_backoff_s)
     }
 
     /// Of the jobs that want the same machines, as many as can end by their
     /// deadlines; of the rest, as many as can end while that still counts.
-    fn deadline_outlooks<'a>(
+    fn forecast_deadlines<'a>(
         &self,
-        mut waiting: Vec<Waiting<'a>>,
-        fleet: &ClusterSnapshot,
-    ) -> Vec<Waiting<'a>> {
-        let mut pools: BTreeMap<Pool, Vec<usize>> = BTreeMap::new();
+        mut waiting: Vec<WaitingJob<'a>>,
+        snapshot: &ClusterSnapshot,
+    ) -> Vec<WaitingJob<'a>> {
+        let mut pools: BTreeMap<MachinePool, Vec<usize>> = BTreeMap::new();
         for (index, w) in waiting.iter().enumerate() {
-            if w.slack_s.is_some() && !self.goes_last(w.job) {
+            if w.slack_s.is_some() && !self.is_deprioritized(w.job) {
                 pools.entry(self.pool(w.job)).or_default().push(index);
             }
         }
@@ -216,13 +216,13 @@
             let teams = members.iter().map(|i| waiting[*i].job.team).collect();
             let allowed = self.allowed_cpus(pool.tier, &teams, &by_team);
             let cpus = self
-                .pool_cpus(&pool, fleet, &occupied, underserved)
+                .pool_cpus(&pool, snapshot, &occupied, underserved)
                 .min(allowed);
             if cpus <= 0.0 {
                 continue;
             }
             let due = |index: &usize, times: f64| {
-                let Waiting {
+                let WaitingJob {
                     job,
                     slack_s,
                     underserved,
@@ -231,7 +231,8 @@
                 let later = (times - 1.0) * job.spec.deadline_s.unwrap_or(0.0);
                 DeadlineDemand {
                     slack_s: slack_s.unwrap_or(0.0) + later,
-                    work_s: f64::from(job.pending()) * job.shape.cpus * self.run_s(job) / cpus,
+                    work_s: f64::from(job.pending()) * job.shape.cpus * self.expected_run_s(job)
+                        / cpus,
                     underserved: *underserved,
                 }
             };
@@ -251,10 +252,10 @@
                 .collect();
             let (soon, _) = max_on_time(&second, busy_s, underserved_share);
             for (index, soon) in late.into_iter().zip(soon) {
-                waiting[index].outlook = if soon {
-                    DeadlineOutlook::Soon
+                waiting[index].forecast = if soon {
+                    DeadlineForecast::WithinGrace
                 } else {
-                    DeadlineOutlook::Late
+                    DeadlineForecast::Missed
                 };
             }
         }
@@ -262,11 +263,11 @@
     }
 
     /// The machines that a job competes for, and with which tier.
-    fn pool(&self, job: &Job) -> Pool {
+    fn pool(&self, job: &Job) -> MachinePool {
         let fits = |t: &MachineType| {
             job.shape.fits_in(&Shape::of_type(t)) && allows_type(&job.spec, &t.name)
         };
-        Pool {
+        MachinePool {
             tier: job.spec.priority,
             types: self.types.iter().map(fits).collect(),
             spot: job.spec.spot(),
@@ -274,7 +275,7 @@
     }
 
     /// CPUs that a team may use at once; infinite without a limit.
-    pub(super) fn limit_cpus(&self, team: Option<usize>) -> f64 {
+    pub(super) fn team_cpu_limit(&self, team: Option<usize>) -> f64 {
         let limit = team.map_or(0.0, |t| self.cfg.teams[t].max_cpus);
         match limit > 0.0 {
             true => limit,
@@ -296,7 +297,7 @@
                 let upper = of_team.filter(|((_, used_in), _)| *used_in > tier);
                 upper.map(|(_, cpus)| cpus).sum()
             });
-            (self.limit_cpus(*team) - above).max(0.0)
+            (self.team_cpu_limit(*team) - above).max(0.0)
         });
         allowed.sum()
     }
@@ -306,13 +307,13 @@
     /// kept for those.
     fn pool_cpus(
         &self,
-        pool: &Pool,
-        fleet: &ClusterSnapshot,
+        pool: &MachinePool,
+        snapshot: &ClusterSnapshot,
         occupied: &BTreeMap<Priority, f64>,
         underserved: bool,
     ) -> f64 {
         let (mut inside, mut outside) = (0.0, 0.0);
-        for (&takes, &[ordinary, spot]) in pool.types.iter().zip(&fleet.cpus) {
+        for (&takes, &[ordinary, spot]) in pool.types.iter().zip(&snapshot.cpus_by_type) {
             for (cpus, is_spot) in [(ordinary, false), (spot, true)] {
                 if takes && (pool.spot || !is_spot) {
                     inside += cpus;
@@ -336,43 +337,43 @@
 
     /// Whether the order made last serves again: it was made a moment ago and no
     /// job has begun to wait since. What moves in it by time alone moves slowly.
-    pub(super) fn is_order_fresh(&self, now: Time) -> bool {
+    pub(super) fn is_cached_order_valid(&self, now: Time) -> bool {
         let moment = 0.0..self.cfg.tuning.order_keep_s;
         let kept = self.cached_order.as_ref();
-        kept.is_some_and(|kept| moment.contains(&(now - kept.at)))
+        kept.is_some_and(|kept| moment.contains(&(now - kept.computed_at)))
     }
 
     /// The order of a cycle with what it reserves.
-    pub(super) fn order_of_cycle(
+    pub(super) fn cycle_order(
         &mut self,
         now: Time,
         usage: &[Usage],
-        fleet: &ClusterSnapshot,
+        snapshot: &ClusterSnapshot,
     ) -> CachedPriorityOrder {
         if let Some(kept) = &self.cached_order {
             return kept.clone();
         }
-        let (jobs, boosted) = self.waiting_order(now, usage, fleet);
+        let (jobs, boosted) = self.priority_order(now, usage, snapshot);
         let jobs: Vector<JobId> = jobs.into_iter().collect();
         let order = CachedPriorityOrder {
-            at: now,
-            reserved: self.reserved_types(&jobs),
+            computed_at: now,
+            large_task_cpus: self.large_task_cpus(&jobs),
             jobs,
         };
-        self.renew_starvation_guard(now, boosted, &order.reserved, usage, fleet);
+        self.update_starvation_guard(now, boosted, &order.large_task_cpus, usage, snapshot);
         self.cached_order = Some(order.clone());
         order
     }
 
     /// See [`CachedPriorityOrder::reserved`].
-    fn reserved_types(&self, waiting: &Vector<JobId>) -> BTreeMap<Priority, Vec<f64>> {
+    fn large_task_cpus(&self, waiting: &Vector<JobId>) -> BTreeMap<Priority, Vec<f64>> {
         let none = vec![0.0; self.types.len()];
         let mut by_tier: BTreeMap<Priority, Vec<f64>> = BTreeMap::new();
         for job in waiting.iter().filter_map(|id| self.jobs.get(id)) {
             let most = by_tier
                 .entry(job.spec.priority)
                 .or_insert_with(|| none.clone());
-            if self.goes_last(job) {
+            if self.is_deprioritized(job) {
                 continue;
             }
             for (t, most) in self.types.iter().zip(most) {
--- a/crates/umbersail-control/src/engine/placement.rs
+++ b/crates/umbersail-control/src/engine/placement.rs
@@ -3,7 +3,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 use tracing::debug;
-use umbersail_cycle::{CandidateSlots, Cheapest, ImageKey, Locality, Rankings};
+use umbersail_cycle::{CandidateSlots, CheapestFirst, ImageKey, MachineFilter, Rankings};
 use umbersail_policy::{
     CostProfile, MachineView, PlacementWeights, TaskView, Usage, machine_cost, placement_cost,
     remaining_quota,
@@ -79,7 +79,7 @@
             None => 0,
         };
         if quota == 0 {
-            self.set_blocked(id, BlockedReason::TeamLimit);
+            self.set_blocked_reason(id, BlockedReason::TeamLimit);
             return (0, false);
         }
         // A job comes twice if the starvation guard boosts it: first for the task with
@@ -91,14 +91,14 @@
             awaits_image: false,
             places: Vec::new(),
         };
-        self.decide_slots(now, job, slice, &mut decision);
-        let placed = self.carry_out(now, id, slice, &decision.places);
+        self.choose_slots(now, job, slice, &mut decision);
+        let placed = self.place_tasks(now, id, slice, &decision.places);
         if begins && placed > 0 {
-            self.note_starting(id);
+            self.record_starting(id);
         }
         let is_left = decision.wanted > 0;
         if is_left {
-            self.set_blocked(id, decision.blocked_reason());
+            self.set_blocked_reason(id, decision.blocked_reason());
         }
         self.awaiting |= decision.awaits_image && is_left;
         let might_evict = is_left && decision.quota > 0 && !decision.awaits_image;
@@ -109,8 +109,10 @@
     /// what is kept from this one is kept from the rest.
     fn close_claimed_slots(&self, tier: Priority, slice: &mut CycleSlice<'_>) {
         let ClusterSnapshot {
-            places, claimed, ..
-        } = &mut *slice.fleet;
+            slots: places,
+            claimed_slots: claimed,
+            ..
+        } = &mut *slice.snapshot;
         let waits = |job: &JobId| self.jobs.get(job).is_some_and(Job::waits);
         for (_, index) in claimed.extract_if(.., |(above, _)| tier < *above) {
             let machine = self.machines.get(&places.get(index).machine);
@@ -122,30 +124,30 @@
     }
 
     /// Chooses slots for a job, unless a search has shown that there are none.
-    fn decide_slots(
+    fn choose_slots(
         &self,
         now: Time,
         job: &Job,
         slice: &mut CycleSlice<'_>,
         decision: &mut PlacementDecision,
     ) {
-        let locality = self.locality(job, slice.reserved);
-        if slice.fleet.places.is_hopeless(&locality, &job.shape) {
+        let filter = self.machine_filter(job, slice.large_task_cpus);
+        if slice.snapshot.slots.cannot_fit(&filter, &job.shape) {
             return;
         }
         let plain = !job.spec.one_zone()
             && !job.spec.spread()
             && job.error_machines.is_empty()
-            && !self.fetch_is_late(now, job, slice.usage);
+            && !self.fetch_misses_start_objective(now, job, slice.usage);
         if plain {
-            self.decide_by_ranking(job, locality, slice, decision);
+            self.choose_by_ranking(job, filter, slice, decision);
         } else {
-            self.decide(now, job, &locality, slice, decision);
+            self.choose_by_search(now, job, &filter, slice, decision);
         }
     }
 
     /// Places the job's next tasks into the chosen slots.
-    fn carry_out(
+    fn place_tasks(
         &mut self,
         now: Time,
         id: &JobId,
@@ -157,13 +159,15 @@
         };
         let (shape, image) = (job.shape, job.image);
         let ClusterSnapshot {
-            places, rankings, ..
-        } = &mut *slice.fleet;
+            slots: places,
+            rankings,
+            ..
+        } = &mut *slice.snapshot;
         let mut chosen: Vec<(MachineId, u32)> = Vec::new();
         for &(index, n) in slots {
             places.take(index, &shape, n, image);
             if let Some(rankings) = rankings {
-                rankings.taken(index, |key, index| self.rank(places, key, index));
+                rankings.rerank(index, |key, index| self.ranking_cost(places, key, index));
             }
             chosen.push((places.get(index).machine.clone(), n));
         }
@@ -171,13 +175,13 @@
         for (machine, n) in chosen {
             placed += u64::from(n);
             for _ in 0..n {
-                self.place(now, id, &machine, slice.usage);
+                self.place_task(now, id, &machine, slice.usage);
             }
         }
         placed
     }
 
-    pub(super) fn weights(&self) -> PlacementWeights {
+    pub(super) fn placement_weights(&self) -> PlacementWeights {
         let tuning = &self.cfg.tuning;
         PlacementWeights {
             image: tuning.image_weight_s,
@@ -187,7 +191,7 @@
     }
 
     /// What a place costs those who rank alike, if any task may go there.
-    pub(super) fn rank(
+    pub(super) fn ranking_cost(
         &self,
         places: &CandidateSlots<MachineId>,
         key: &RankingKey,
@@ -196,18 +200,18 @@
         let place = places.get(index);
         let zone = places.zone(index);
         if !key
-            .locality
-            .has(place.type_index, zone, place.spot, place.reservations)
+            .filter
+            .matches(place.type_index, zone, place.spot, place.reservations)
             || !self.least_shape.fits_in(&place.free)
         {
             return None;
         }
-        let view = self.view(places, index, key.image);
-        let kept = self.kept_cost(place.reservations, key.locality.reservations);
-        Some(machine_cost(&key.profile, &view, self.weights()) + kept)
+        let view = self.machine_view(places, index, key.image);
+        let kept = self.kept_cost(place.reservations, key.filter.reservations);
+        Some(machine_cost(&key.profile, &view, self.placement_weights()) + kept)
     }
 
-    pub(super) fn view<'a>(
+    pub(super) fn machine_view<'a>(
         &'a self,
         places: &'a CandidateSlots<MachineId>,
         index: usize,
@@ -229,7 +233,7 @@
 
     /// Machines that the job's record can name beside those that it does; without
     /// bound where it can name all.
-    pub(super) fn more_hosts(&self, job: &Job) -> Option<(BTreeSet<MachineId>, usize)> {
+    pub(super) fn host_allowance(&self, job: &Job) -> Option<(BTreeSet<MachineId>, usize)> {
         let most = self.most_hosts(job.spec.tasks);
         (most < self.machines.len()).then(|| {
             let hosts = job.hosts();
@@ -238,21 +242,21 @@
         })
     }
 
-    /// Candidate slots for a job with no wishes but its locality: it goes on in the ranking
+    /// Candidate slots for a job with no wishes but its filter: it goes on in the ranking
     /// where the jobs before it that rank alike have left it.
-    pub(super) fn decide_by_ranking(
+    pub(super) fn choose_by_ranking(
         &self,
         job: &Job,
-        locality: Locality,
+        filter: MachineFilter,
         slice: &mut CycleSlice<'_>,
         choice: &mut PlacementDecision,
     ) {
         let ClusterSnapshot {
-            places,
+            slots: places,
             rankings,
-            ranked,
+            ranked_examined: ranked,
             ..
-        } = &mut *slice.fleet;
+        } = &mut *slice.snapshot;
         let rankings = rankings.get_or_insert_with(|| Rankings::new(places.len()));
         let key = RankingKey {
             image: job.image,
@@ -261,10 +265,10 @@
                 smallest_cpus: job.smallest_cpus,
                 spot: job.spec.spot(),
             },
-            locality: locality.clone(),
+            filter: filter.clone(),
         };
-        *ranked += rankings.open(key, |key, index| self.rank(places, key, index));
-        let mut hosts = self.more_hosts(job);
+        *ranked += rankings.open(key, |key, index| self.ranking_cost(places, key, index));
+        let mut hosts = self.host_allowance(job);
         let mut fits = false;
         *ranked += rankings.visit(|index| {
             let place = places.get(index);
@@ -281,27 +285,27 @@
             choice.wanted > 0 && choice.quota > 0
         });
         if !fits {
-            places.missed(&locality, &job.shape);
+            places.record_failed_search(&filter, &job.shape);
         }
     }
 
     /// Slots for any job.
-    pub(super) fn decide(
+    pub(super) fn choose_by_search(
         &self,
         now: Time,
         job: &Job,
-        locality: &Locality,
+        filter: &MachineFilter,
         slice: &mut CycleSlice<'_>,
         choice: &mut PlacementDecision,
     ) {
         let shape = job.shape;
         let allowed = |machine: &MachineId| !job.error_machines.contains(machine);
-        let mut found = slice.fleet.places.fitting(locality, &shape, allowed);
+        let mut found = slice.snapshot.slots.fitting(filter, &shape, allowed);
         let has_image =
             |places: &CandidateSlots<MachineId>, place| places.image(place, job.image).0;
-        choice.awaits_image = found.iter().any(|p| !has_image(&slice.fleet.places, *p))
-            && self.awaits_image(now, job, slice);
-        let places = &slice.fleet.places;
+        choice.awaits_image = found.iter().any(|p| !has_image(&slice.snapshot.slots, *p))
+            && self.should_await_image(now, job, slice);
+        let places = &slice.snapshot.slots;
         if choice.awaits_image {
             found.retain(|place| has_image(places, *place));
         }
@@ -325,16 +329,16 @@
             only_zone: only_zone.as_deref(),
             reserved_types: &[],
         };
-        let weights = self.weights();
+        let weights = self.placement_weights();
         let offers = found.iter().filter_map(|&index| {
-            let view = self.view(places, index, job.image);
+            let view = self.machine_view(places, index, job.image);
             let (cost, slots) = placement_cost(&task, &view, weights)?;
             let kept = self.kept_cost(places.get(index).reservations, job.reservations);
             Some((cost + kept, index, slots))
         });
         let zone_limit = job.spec.tasks.div_ceil(2);
-        let mut hosts = self.more_hosts(job);
-        for (index, mut slots) in Cheapest::new(offers) {
+        let mut hosts = self.host_allowance(job);
+        for (index, mut slots) in CheapestFirst::new(offers) {
             if choice.wanted == 0 || choice.quota == 0 {
                 break;
             }
@@ -349,13 +353,13 @@
         }
     }
 
-    pub(super) fn set_blocked(&mut self, id: &JobId, reason: BlockedReason) {
+    pub(super) fn set_blocked_reason(&mut self, id: &JobId, reason: BlockedReason) {
         if let Some(job) = self.jobs.get_mut(id) {
             job.blocked = reason;
         }
     }
 
-    pub(super) fn place(
+    pub(super) fn place_task(
         &mut self,
         now: Time,
         id: &JobId,
--- a/crates/umbersail-control/src/engine/plans/calendar.rs
+++ b/crates/umbersail-control/src/engine/plans/calendar.rs
@@ -131,7 +131,7 @@
             return;
         }
         let age_ms = ((now - job.submitted).max(0.0) * 1000.0) as u64;
-        let run_s = self.run_s(job);
+        let run_s = self.expected_run_s(job);
         let accepted = AcceptedJob {
             id: id.shared(),
             team: &job.spec.team,
--- a/crates/umbersail-control/src/engine/plans/reserve.rs
+++ b/crates/umbersail-control/src/engine/plans/reserve.rs
@@ -13,7 +13,7 @@
 use umbersail_tuning::Tuning;
 use umbersail_wire::RentRequest;
 
-use super::super::rental::MAX_RENTED_AT_ONCE;
+use super::super::rental::MAX_MACHINES_PER_RENTAL;
 use super::super::{
     BlockedReason, Engine, EngineConfig, Job, JobId, Machine, MachineId, Stop, Time, epoch,
 };
@@ -77,7 +77,7 @@
                 boot_share: tuning.reserve_boot_share,
                 boot_patience: tuning.boot_patience,
                 boot_patience_s: tuning.boot_patience_s,
-                request_machines: MAX_RENTED_AT_ONCE,
+                request_machines: MAX_MACHINES_PER_RENTAL,
                 requests_most: tuning.reserve_requests as usize,
                 machines_most: tuning.reserve_machines as u32,
                 floor_s: tuning.reserve_floor_s,
--- a/crates/umbersail-control/src/engine/rental.rs
+++ b/crates/umbersail-control/src/engine/rental.rs
@@ -12,8 +12,8 @@
 use super::{CloudAction, Engine, Job, Machine, MachineId, Time, epoch};
 
 /// Most names in one deletion, and machines in one rental, by the protocol.
-const MAX_DELETED_AT_ONCE: usize = 100;
-pub(super) const MAX_RENTED_AT_ONCE: u32 = 50;
+const MAX_MACHINES_PER_DELETION: usize = 100;
+pub(super) const MAX_MACHINES_PER_RENTAL: u32 = 50;
 
 impl Engine {
     /// What the cloud shall do now, deletions first: they cost money and hold
@@ -25,14 +25,14 @@
         // bound while the cloud does not answer.
         let mut requests = match self.unanswered.pop_front() {
             Some(request) => vec![request],
-            None => self.plan(now),
+            None => self.plan_rentals(now),
         };
         requests.extend(self.reserve_requests());
         let mut deletes: Vec<String> = Vec::new();
         for (name, machine) in &mut self.machines {
             if let Some(reason) = machine.delete_reason
                 && !machine.delete_asked
-                && deletes.len() < MAX_DELETED_AT_ONCE
+                && deletes.len() < MAX_MACHINES_PER_DELETION
             {
                 machine.delete_asked = true;
                 info!(machine = &**name, reason, "returned");
@@ -106,13 +106,13 @@
     }
 
     /// What to rent now; machines that nobody will want are marked for return.
-    fn plan(&mut self, now: Time) -> Vec<RentRequest> {
+    fn plan_rentals(&mut self, now: Time) -> Vec<RentRequest> {
         let dt = (now - self.last_rental).max(0.0);
         self.last_rental = now;
         self.learner.decay_load(dt, self.cfg.tuning.load_window_s);
         let mut kept = self.kept_room();
-        let mut demands = self.demands(now, kept.as_mut());
-        let warm = self.warm_demands(now, &demands, kept.as_ref());
+        let mut demands = self.current_demands(now, kept.as_mut());
+        let warm = self.spare_demands(now, &demands, kept.as_ref());
         demands.extend(warm);
         demands.extend(self.planned_demands(now));
         let demands: Vec<Demand> = demands.into_iter().map(|(_, demand)| demand).collect();
@@ -134,7 +134,7 @@
 
     /// What is kept ready for classes with an aim on starting, by their learned load, beside
     /// what `demands` and reserved machines have for them.
-    fn warm_demands(
+    fn spare_demands(
         &self,
         now: Time,
         demands: &[(String, Demand)],
@@ -145,7 +145,7 @@
         for (class, demand) in demands {
             *now_by_class.entry(class).or_default() += demand.tasks;
         }
-        let mut warm_demands = Vec::new();
+        let mut spare_demands = Vec::new();
         for (class, sample) in &self.samples {
             if self.cfg.guarantee_aim.is_none() && !self.cfg.start_aims.contains_key(class) {
                 continue;
@@ -167,9 +167,9 @@
                 spare: reserve,
                 warm_spare: tasks(tuning.warm_headroom).saturating_sub(there + reserve),
             };
-            warm_demands.push((class.clone(), demand));
+            spare_demands.push((class.clone(), demand));
         }
-        warm_demands
+        spare_demands
     }
 
     /// Machines that stay and may be used by anybody, as the plan sees them.
@@ -205,7 +205,9 @@
         let tuning = &self.cfg.tuning;
         let by_type = |most_s: f64| -> Vec<f64> {
             let types = self.types.iter();
-            types.map(|t| self.idle_limit_s(now, t, most_s)).collect()
+            types
+                .map(|t| self.type_idle_limit_s(now, t, most_s))
+                .collect()
         };
         IdleLimits {
             warm_s: by_type(tuning.idle_s),
@@ -251,7 +253,7 @@
             machine_type: self.types[request.type_index].name.clone(),
             zone: request.zone,
             spot: request.spot,
-            count: request.count.min(MAX_RENTED_AT_ONCE),
+            count: request.count.min(MAX_MACHINES_PER_RENTAL),
         };
         info!(
             machine_type = named.machine_type,
@@ -266,7 +268,7 @@
 
     /// How long machines of a type are kept idle: for what comes next, if
     /// anything that fits seems to come.
-    fn idle_limit_s(&self, now: Time, machine_type: &MachineType, most_s: f64) -> f64 {
+    fn type_idle_limit_s(&self, now: Time, machine_type: &MachineType, most_s: f64) -> f64 {
         let room = Shape::of_type(machine_type);
         let quiet = self.samples.iter().all(|(class, sample)| {
             let silent = |stats: &ClassStats| stats.is_inactive(now);
@@ -282,7 +284,7 @@
     /// How often machines in use turn over before a job's waiting tasks must
     /// start. What is late already, or would be when a machine has booted,
     /// gains little by an ordinary one: it waits for a turn of what there is.
-    fn turns(&self, now: Time, job: &Job) -> f64 {
+    fn max_turnovers(&self, now: Time, job: &Job) -> f64 {
         let tuning = &self.cfg.tuning;
         if self.cfg.guarantee_aim.is_some() {
             return 0.0;
@@ -296,7 +298,9 @@
             .filter(|t| job.shape.fits_in(&Shape::of_type(t)));
         let boot_s = boots.map(|t| t.boot_s).fold(f64::INFINITY, f64::min);
         match self.slack_s(now, job) {
-            Some(slack) if slack >= boot_s => tuning.turns_share * slack / self.run_s(job).max(1.0),
+            Some(slack) if slack >= boot_s => {
+                tuning.turns_share * slack / self.expected_run_s(job).max(1.0)
+            }
             Some(_) => tuning.late_turns,
             None => 0.0,
         }
@@ -304,9 +308,13 @@
 
     /// Tasks that run or wait, by class and shape, as far as their teams'
     /// limits let them run at once.
-    fn demands(&self, now: Time, mut kept: Option<&mut KeptRoom<'_>>) -> Vec<(String, Demand)> {
+    fn current_demands(
+        &self,
+        now: Time,
+        mut kept: Option<&mut KeptRoom<'_>>,
+    ) -> Vec<(String, Demand)> {
         let mut left: Vec<f64> = (0..self.cfg.teams.len())
-            .map(|team| self.limit_cpus(Some(team)))
+            .map(|team| self.team_cpu_limit(Some(team)))
             .collect();
         let mut jobs: Vec<_> = self.jobs.iter().filter(|(_, j)| !j.cancelled).collect();
         jobs.sort_by(|(_, a), (_, b)| {
@@ -334,7 +342,7 @@
             if tasks == 0 {
                 continue;
             }
-            let turns = self.turns(now, job);
+            let turns = self.max_turnovers(now, job);
             // The task with which a boosted job begins does not wait for a turn.
             let begins = u32::from(waiting > 0 && self.is_boosted_to_start(id, job)).min(tasks);
             // By what tells demands apart: every job may have a shape of its own.
--- a/crates/umbersail-control/src/engine/report.rs
+++ b/crates/umbersail-control/src/engine/report.rs
@@ -374,7 +374,7 @@
             info!(
                 job = &**id,
                 class = job.spec.class,
-                cpus = job.size(),
+                cpus = job.total_cpus(),
                 waited_s = waited_s as u64,
                 "starts late"
             );
--- a/crates/umbersail-control/src/engine/schedule.rs
+++ b/crates/umbersail-control/src/engine/schedule.rs
@@ -2,7 +2,9 @@
 
 use std::collections::BTreeMap;
 
-use umbersail_cycle::{CandidateSlots, CycleQueue, ImageKey, Locality, Rankings, Slot, Steps};
+use umbersail_cycle::{
+    CandidateSlots, CycleQueue, ImageKey, MachineFilter, Rankings, SlotInfo, StepBudget,
+};
 use umbersail_policy::{CostProfile, Shape, Usage};
 use umbersail_wire::Priority;
 
@@ -15,38 +17,38 @@
 /// A cycle that is under way.
 pub(super) struct SchedulingCycle {
     queue: CycleQueue<JobId>,
-    reserved: BTreeMap<Priority, Vec<f64>>,
+    large_task_cpus: BTreeMap<Priority, Vec<f64>>,
 }
 
 /// The fleet as one slice of a cycle sees it, from one walk over the machines.
 #[derive(Default)]
 pub(super) struct ClusterSnapshot {
-    pub places: CandidateSlots<MachineId>,
+    pub slots: CandidateSlots<MachineId>,
     /// Slots kept for the winners of evictions, and from which tier on.
-    pub claimed: Vec<(Priority, usize)>,
+    pub claimed_slots: Vec<(Priority, usize)>,
     /// Machines that may hold tasks of jobs already over (rule 4).
     unaccounted: Shape,
     /// CPUs that stay, up or coming: of each type the ordinary and the spot ones.
-    pub cpus: Vec<[f64; 2]>,
+    pub cpus_by_type: Vec<[f64; 2]>,
     /// How many machines that take tasks have an image, by type; counted once
     /// somebody asks.
-    pub with_image: Option<BTreeMap<(ImageKey, usize), usize>>,
+    pub machines_with_image: Option<BTreeMap<(ImageKey, usize), usize>>,
     /// Slots as jobs rank them that are alike, and how many that took to look at.
     pub rankings: Option<Rankings<RankingKey>>,
-    pub ranked: u64,
+    pub ranked_examined: u64,
 }
 
 impl ClusterSnapshot {
     /// Slots looked at so far.
-    fn looked(&self) -> u64 {
-        self.places.looked() + self.ranked
+    fn examined(&self) -> u64 {
+        self.slots.examined() + self.ranked_examined
     }
 
     /// Nothing more goes to this machine in this slice.
     pub fn close(&mut self, machine: &MachineId) {
-        let at = (0..self.places.len()).find(|i| self.places.get(*i).machine == *machine);
+        let at = (0..self.slots.len()).find(|i| self.slots.get(*i).machine == *machine);
         if let Some(index) = at {
-            self.places.close(index);
+            self.slots.close(index);
         }
     }
 }
@@ -54,8 +56,8 @@
 /// What one slice of a cycle works with.
 pub(super) struct CycleSlice<'a> {
     pub usage: &'a mut [Usage],
-    pub fleet: &'a mut ClusterSnapshot,
-    pub reserved: &'a [f64],
+    pub snapshot: &'a mut ClusterSnapshot,
+    pub large_task_cpus: &'a [f64],
 }
 
 /// What jobs have in common that rank places alike.
@@ -63,13 +65,13 @@
 pub(super) struct RankingKey {
     pub image: ImageKey,
     pub profile: CostProfile,
-    pub locality: Locality,
+    pub filter: MachineFilter,
 }
 
 impl Engine {
     /// True if something changed that may let a task start, or if a cycle was
     /// cut short.
-    pub fn wants_schedule(&self) -> bool {
+    pub fn needs_scheduling(&self) -> bool {
         self.schedule_wanted || self.unfinished_cycle.is_some()
     }
 
@@ -88,64 +90,67 @@
     ///
     /// A cycle ends after [`super::EngineConfig::slice_steps`] and goes on with the next
     /// call where it was, so that reports, renewals and users wait for a slice
-    /// and not for a whole fleet. Upper tiers and the most urgent jobs are placed
+    /// and not for a whole snapshot. Upper tiers and the most urgent jobs are placed
     /// in the first slice. Each slice looks at the fleet anew: what was reported
     /// or cancelled in between holds (rules 3 and 4).
     pub fn schedule(&mut self, now: Time) {
-        let mut steps = Steps::new(self.cfg.slice_steps);
-        if self.unfinished_cycle.is_none() && !self.is_order_fresh(now) {
+        let mut steps = StepBudget::new(self.cfg.slice_steps);
+        if self.unfinished_cycle.is_none() && !self.is_cached_order_valid(now) {
             self.cached_order = None;
             self.least_shape = self.least_waiting();
         }
-        let mut fleet = self.cluster_snapshot(now);
-        let mut usage = self.team_usage(&fleet.unaccounted);
+        let mut snapshot = self.cluster_snapshot(now);
+        let mut usage = self.team_usage(&snapshot.unaccounted);
         let mut cycle = match self.unfinished_cycle.take() {
             Some(cycle) => cycle,
             None => {
                 self.schedule_wanted = false;
-                let order = self.order_of_cycle(now, &usage, &fleet);
+                let order = self.cycle_order(now, &usage, &snapshot);
                 self.may_wait = !order.jobs.is_empty();
                 SchedulingCycle {
                     queue: CycleQueue::new(order.jobs),
-                    reserved: order.reserved,
+                    large_task_cpus: order.large_task_cpus,
                 }
             }
         };
-        let looked = fleet.looked();
-        let placed = self.fill_held_slots(now, &cycle.reserved, &mut usage, &mut fleet);
-        steps.spend(fleet.looked() - looked + placed * Steps::TASK);
-        while !steps.is_over()
+        let examined = snapshot.examined();
+        let placed = self.fill_held_slots(now, &cycle.large_task_cpus, &mut usage, &mut snapshot);
+        steps.spend(snapshot.examined() - examined + placed * StepBudget::TASK_COST);
+        while !steps.is_exhausted()
             && let Some(id) = cycle.queue.next_waiting()
         {
             let Some(tier) = self.jobs.get(&id).map(|j| j.spec.priority) else {
                 continue;
             };
-            let looked = fleet.looked();
+            let examined = snapshot.examined();
             let mut slice = CycleSlice {
                 usage: &mut usage,
-                fleet: &mut fleet,
-                reserved: &cycle.reserved[&tier],
+                snapshot: &mut snapshot,
+                large_task_cpus: &cycle.large_task_cpus[&tier],
             };
             let (placed, blocked) = self.place_job(now, &id, &mut slice);
             if blocked {
                 cycle.queue.block(id);
             }
-            steps.spend(Steps::JOB + fleet.looked() - looked + placed * Steps::TASK);
+            steps.spend(
+                StepBudget::JOB_COST + snapshot.examined() - examined
+                    + placed * StepBudget::TASK_COST,
+            );
         }
-        let mut candidates_seen = EvictionCandidates::default();
-        while !steps.is_over() && cycle.queue.evicting < MAX_EVICTIONS_PER_CYCLE {
+        let mut candidates = EvictionCandidates::default();
+        while !steps.is_exhausted() && cycle.queue.evictions < MAX_EVICTIONS_PER_CYCLE {
             let Some(id) = cycle.queue.next_blocked() else {
                 break;
             };
-            steps.spend(Steps::JOB);
-            let looked = candidates_seen.looked;
-            if self.evict_for(now, &id, &mut usage, &mut candidates_seen) {
-                cycle.queue.evicting += 1;
+            steps.spend(StepBudget::JOB_COST);
+            let examined = candidates.examined;
+            if self.evict_for(now, &id, &mut usage, &mut candidates) {
+                cycle.queue.evictions += 1;
             }
-            steps.spend(candidates_seen.looked - looked);
+            steps.spend(candidates.examined - examined);
         }
         self.steps += steps.done() + self.machines.len() as u64;
-        if steps.is_over() && !cycle.queue.is_done(MAX_EVICTIONS_PER_CYCLE) {
+        if steps.is_exhausted() && !cycle.queue.is_done(MAX_EVICTIONS_PER_CYCLE) {
             self.unfinished_cycle = Some(cycle);
         }
     }
@@ -168,8 +173,8 @@
     /// One walk over the machines for all that a slice wants to know of them.
     fn cluster_snapshot(&self, now: Time) -> ClusterSnapshot {
         let silent_after = self.silent_after();
-        let mut fleet = ClusterSnapshot {
-            cpus: vec![[0.0; 2]; self.types.len()],
+        let mut snapshot = ClusterSnapshot {
+            cpus_by_type: vec![[0.0; 2]; self.types.len()],
             ..ClusterSnapshot::default()
         };
         for machine in self.machines.values() {
@@ -178,13 +183,13 @@
             };
             let room = Shape::of_type(&self.types[index]);
             if self.is_unsized(machine) {
-                fleet.unaccounted.add(&room, 1.0);
+                snapshot.unaccounted.add(&room, 1.0);
             }
             if machine.delete_reason.is_none()
                 && machine.notice_until.is_none()
                 && !machine.reachability.is_unreachable()
             {
-                fleet.cpus[index][usize::from(machine.spot)] += room.cpus;
+                snapshot.cpus_by_type[index][usize::from(machine.spot)] += room.cpus;
             }
             let free = room.plus(&machine.used, -1.0);
             // Most machines of a busy fleet are full: what follows is for the
@@ -192,7 +197,7 @@
             if !self.least_shape.fits_in(&free) || !machine.takes_tasks(now, silent_after) {
                 continue;
             }
-            let spot = Slot {
+            let spot = SlotInfo {
                 type_index: index,
                 zone: &machine.zone,
                 spot: machine.spot,
@@ -200,19 +205,21 @@
                 heartbeat_due_in_s: (self.cfg.report_s - machine.silent_for(now)).max(0.0),
                 reservations: machine.reservations,
             };
-            fleet
-                .places
+            snapshot
+                .slots
                 .push(machine.name.clone(), spot, &machine.images);
             for (image, _) in &machine.image_uses {
-                fleet.places.fetching(*image);
+                snapshot.slots.add_fetching(*image);
             }
             if let Some(claim) = &machine.claim
                 && now < claim.until
             {
-                fleet.claimed.push((claim.tier, fleet.places.len() - 1));
+                snapshot
+                    .claimed_slots
+                    .push((claim.tier, snapshot.slots.len() - 1));
             }
         }
-        fleet
+        snapshot
     }
 
     /// Whether the machine may hold tasks of jobs already over that no record
--- a/crates/umbersail-control/src/engine/starvation_guard.rs
+++ b/crates/umbersail-control/src/engine/starvation_guard.rs
@@ -63,12 +63,12 @@
     }
 
     /// Where one task is says nothing on where the others may be.
-    fn is_loose(&self) -> bool {
+    fn has_independent_placement(&self) -> bool {
         !self.spec.one_zone() && !self.spec.spread()
     }
 
     /// Its tasks times the CPUs of one.
-    pub(super) fn size(&self) -> f64 {
+    pub(super) fn total_cpus(&self) -> f64 {
         f64::from(self.spec.tasks) * self.shape.cpus
     }
 }
@@ -76,11 +76,11 @@
 impl Engine {
     /// Of the jobs that wait, those of which nothing has begun for so long that they
     /// go first in their tier, each with one task.
-    pub(super) fn boost(
+    pub(super) fn jobs_to_boost(
         &self,
         now: Time,
         waiting: &[&JobId],
-        fleet: &ClusterSnapshot,
+        snapshot: &ClusterSnapshot,
     ) -> Vec<BoostedJob> {
         let tuning = &self.cfg.tuning;
         let mut by_tier: BTreeMap<Priority, (Vec<&JobId>, Vec<UnstartedJob<_>>)> = BTreeMap::new();
@@ -89,7 +89,10 @@
                 continue;
             };
             let waited_s = now - job.submitted;
-            if !job.is_unstarted() || waited_s < tuning.starvation_wait_s || self.goes_last(job) {
+            if !job.is_unstarted()
+                || waited_s < tuning.starvation_wait_s
+                || self.is_deprioritized(job)
+            {
                 continue;
             }
             let unstarted = UnstartedJob {
@@ -101,11 +104,14 @@
             ids.push(id);
             members.push(unstarted);
         }
-        let fleet_cpus = fleet.cpus.iter().flatten().sum::<f64>();
+        let fleet_cpus = snapshot.cpus_by_type.iter().flatten().sum::<f64>();
         let mut out = Vec::new();
         for (tier, (ids, unstarted)) in by_tier.into_iter().rev() {
             let teams: BTreeSet<_> = unstarted.iter().map(|u| u.group).collect();
-            let limits: f64 = teams.into_iter().map(|team| self.limit_cpus(team)).sum();
+            let limits: f64 = teams
+                .into_iter()
+                .map(|team| self.team_cpu_limit(team))
+                .sum();
             let share_cpus = fleet_cpus.min(limits) * tuning.starvation_cpu_share;
             let busy_cpus = self.starting_cpus(tier);
             let of_tier = boosted_jobs(&unstarted, tuning.starvation_wait_s, share_cpus, busy_cpus);
@@ -129,7 +135,7 @@
     }
 
     /// A boosted job was placed with the task that makes it begin.
-    pub(super) fn note_starting(&mut self, id: &JobId) {
+    pub(super) fn record_starting(&mut self, id: &JobId) {
         let task = self
             .jobs
             .get(id)
@@ -143,13 +149,13 @@
     /// an upper tier's tasks fill again one by one never falls free for a large
     /// task of a lower tier, so a held place is closed to all others. The lowest
     /// tier goes first among its own, and has nothing held from others.
-    pub(super) fn renew_starvation_guard(
+    pub(super) fn update_starvation_guard(
         &mut self,
         now: Time,
         boosted: Vec<BoostedJob>,
-        reserved: &BTreeMap<Priority, Vec<f64>>,
+        large_task_cpus: &BTreeMap<Priority, Vec<f64>>,
         usage: &[Usage],
-        fleet: &ClusterSnapshot,
+        snapshot: &ClusterSnapshot,
     ) {
         let jobs = &self.jobs;
         self.starvation_guard
@@ -186,7 +192,7 @@
             };
             let has = held_slots.iter().filter(|k| k.job == *id).count() as u32;
             let most = match () {
-                () if *underserved && job.is_loose() => job.startable(),
+                () if *underserved && job.has_independent_placement() => job.startable(),
                 () => u32::from(job.is_unstarted()),
             };
             let tier = job.spec.priority;
@@ -201,12 +207,19 @@
             if barred || has >= most.min(room) {
                 continue;
             }
-            let Some(reserved) = reserved.get(&tier) else {
+            let Some(large_task_cpus) = large_task_cpus.get(&tier) else {
                 continue;
             };
             new += 1;
             self.steps += self.machines.len() as u64;
-            if let Some(place) = self.soonest(now, id, *underserved, reserved, &held_slots, fleet) {
+            if let Some(place) = self.earliest_slot(
+                now,
+                id,
+                *underserved,
+                large_task_cpus,
+                &held_slots,
+                snapshot,
+            ) {
                 if !underserved {
                     info!(
                         job = &**id,
@@ -232,19 +245,20 @@
                 // Chosen once, it is not given up for a moment in which the choice
                 // of who is in time falls on others.
                 let in_time = || self.slack_s(now, j).is_some_and(|s| s >= 0.0);
-                j.is_unstarted() || (held_slots.underserved && j.is_loose() && in_time())
+                j.is_unstarted()
+                    || (held_slots.underserved && j.has_independent_placement() && in_time())
             })
     }
 
     /// The place that falls free soonest for one more task of this job.
-    fn soonest(
+    fn earliest_slot(
         &self,
         now: Time,
         id: &JobId,
         underserved: bool,
-        reserved: &[f64],
+        large_task_cpus: &[f64],
         held_slots: &[HeldSlot],
-        fleet: &ClusterSnapshot,
+        snapshot: &ClusterSnapshot,
     ) -> Option<HeldSlot> {
         let job = self.jobs.get(id)?;
         let share = self.cfg.tuning.starvation_cpu_share;
@@ -252,7 +266,7 @@
         for k in held_slots {
             held[k.type_index] += k.cpus;
         }
-        let locality = self.locality(job, reserved);
+        let filter = self.machine_filter(job, large_task_cpus);
         let silent_after = self.silent_after();
         let mut best: Option<(f64, HeldSlot)> = None;
         for machine in self.machines.values() {
@@ -260,9 +274,9 @@
                 continue;
             };
             let room = Shape::of_type(&self.types[index]);
-            let most = fleet.cpus[index].iter().sum::<f64>() * share;
+            let most = snapshot.cpus_by_type[index].iter().sum::<f64>() * share;
             if !job.shape.fits_in(&room)
-                || !locality.has(index, &machine.zone, machine.spot, machine.reservations)
+                || !filter.matches(index, &machine.zone, machine.spot, machine.reservations)
                 || !machine.takes_tasks(now, silent_after)
                 || job.error_machines.contains(&machine.name)
                 || (held[index] > 0.0 && held[index] + job.shape.cpus > most)
@@ -284,11 +298,11 @@
                 let run_s = if other.is_service() {
                     f64::INFINITY
                 } else {
-                    self.run_s(other)
+                    self.expected_run_s(other)
                 };
                 let since = other.live.get(task).and_then(|p| p.running_since);
                 // What has run for longer than reckoned goes on for some time, too.
-                let left = since.map_or(run_s + self.fetch_s(other), |at| {
+                let left = since.map_or(run_s + self.image_fetch_s(other), |at| {
                     let ran_s = now - at;
                     (run_s - ran_s).max(0.25 * ran_s)
                 });
@@ -320,9 +334,9 @@
     pub(super) fn fill_held_slots(
         &mut self,
         now: Time,
-        reserved: &BTreeMap<Priority, Vec<f64>>,
+        large_task_cpus: &BTreeMap<Priority, Vec<f64>>,
         usage: &mut [Usage],
-        fleet: &mut ClusterSnapshot,
+        snapshot: &mut ClusterSnapshot,
     ) -> u64 {
         let held_slots = std::mem::take(&mut self.starvation_guard.held_slots);
         if held_slots.is_empty() {
@@ -342,29 +356,31 @@
             let room = job.team.map_or(0, |t| {
                 remaining_quota(&self.cfg.teams[t], &usage[t], &job.shape)
             });
-            let Some(reserved) = reserved.get(&job.spec.priority).filter(|_| room > 0) else {
+            let Some(large_task_cpus) =
+                large_task_cpus.get(&job.spec.priority).filter(|_| room > 0)
+            else {
                 continue;
             };
-            let locality = self.locality(job, reserved);
+            let filter = self.machine_filter(job, large_task_cpus);
             let others = |m: &MachineId| held_slots.iter().any(|k| k.machine == *m);
             let allowed = |m: &MachineId| {
                 !job.error_machines.contains(m) && (*m == place.machine || !others(m))
             };
-            let found = fleet.places.fitting(&locality, &job.shape, allowed);
-            let own = |index: &&usize| fleet.places.get(**index).machine == place.machine;
+            let found = snapshot.slots.fitting(&filter, &job.shape, allowed);
+            let own = |index: &&usize| snapshot.slots.get(**index).machine == place.machine;
             let Some(&index) = found.iter().find(own).or(found.first()) else {
                 if !guaranteed {
-                    fleet.close(&place.machine);
+                    snapshot.close(&place.machine);
                 }
                 left.push(place.clone());
                 continue;
             };
-            let machine = fleet.places.get(index).machine.clone();
+            let machine = snapshot.slots.get(index).machine.clone();
             let begins = job.is_unstarted();
-            fleet.places.take(index, &job.shape, 1, job.image);
-            self.place(now, &place.job, &machine, usage);
+            snapshot.slots.take(index, &job.shape, 1, job.image);
+            self.place_task(now, &place.job, &machine, usage);
             if begins {
-                self.note_starting(&place.job);
+                self.record_starting(&place.job);
             }
             placed += 1;
         }
@@ -380,7 +396,7 @@
     /// Jobs with a deadline that can't be in time any more: each counts once against
     /// its class and its team, however it goes on. A successor counts those that
     /// are still about anew.
-    pub(super) fn count_late(&mut self, now: Time) {
+    pub(super) fn count_missed_deadlines(&mut self, now: Time) {
         let late: Vec<JobId> = self
             .jobs
             .iter()
@@ -389,12 +405,12 @@
             .map(|(id, _)| id.clone())
             .collect();
         for id in late {
-            self.count_served(&id, false);
+            self.record_deadline_outcome(&id, false);
         }
     }
 
     /// Counts how a job with a deadline fared.
-    pub(super) fn count_served(&mut self, id: &JobId, in_time: bool) {
+    pub(super) fn record_deadline_outcome(&mut self, id: &JobId, in_time: bool) {
         let Some(job) = self.jobs.get_mut(id) else {
             return;
         };
@@ -403,14 +419,14 @@
             return;
         }
         job.counted = true;
-        let size = job.size();
-        for name in served_names(job) {
+        let size = job.total_cpus();
+        for name in service_history_keys(job) {
             self.served.record(&name, size, in_time);
         }
     }
 
     /// From which size on jobs are underserved, by class and team.
-    pub(super) fn underserved_from(&self) -> BTreeMap<String, f64> {
+    pub(super) fn underserved_min_sizes(&self) -> BTreeMap<String, f64> {
         let tuning = &self.cfg.tuning;
         let least = tuning.service_min_jobs as usize;
         let from = |name: &str| {
@@ -425,17 +441,17 @@
 
     /// Whether the job's class, size or team is underserved.
     pub(super) fn is_underserved(&self, job: &Job, from: &BTreeMap<String, f64>) -> bool {
-        let size = job.size();
+        let size = job.total_cpus();
         !from.is_empty()
             && job.spec.deadline_s.is_some()
-            && served_names(job)
+            && service_history_keys(job)
                 .iter()
                 .any(|name| from.get(name).is_some_and(|from| size >= *from))
     }
 }
 
 /// Under which names a job counts; a class may be called like a team.
-fn served_names(job: &Job) -> [String; 2] {
+fn service_history_keys(job: &Job) -> [String; 2] {
     [
         format!("class {}", job.spec.class),
         format!("team {}", job.spec.team),
--- a/crates/umbersail-control/src/engine/task_ends.rs
+++ b/crates/umbersail-control/src/engine/task_ends.rs
@@ -33,7 +33,7 @@
             .deadline_s
             .is_some_and(|d| now - job.submitted <= d);
         if ended {
-            self.count_served(id, in_time);
+            self.record_deadline_outcome(id, in_time);
         }
         self.clear_job(id);
         let Some(job) = self.jobs.get_mut(id) else {
--- a/crates/umbersail-control/src/engine/tests/cycles.rs
+++ b/crates/umbersail-control/src/engine/tests/cycles.rs
@@ -93,7 +93,7 @@
             let due = |id: &JobId, times: f64| {
                 let j = &self.jobs[id];
                 let later = (times - 1.0) * j.spec.deadline_s.unwrap();
-                let work = f64::from(j.pending()) * j.shape.cpus * self.run_s(j);
+                let work = f64::from(j.pending()) * j.shape.cpus * self.expected_run_s(j);
                 DeadlineDemand {
                     slack_s: self.slack_s(now, j).unwrap() + later,
                     work_s: work / cpus,
@@ -129,7 +129,7 @@
                     !j.goes_last(self.cfg.tuning.job_backoff_s),
                     j.spec.priority,
                     guaranteed,
-                    self.is_fresh(now, j, guaranteed),
+                    self.can_meet_start_objective(now, j, guaranteed),
                     standing[id],
                 );
                 (
@@ -168,7 +168,7 @@
             remaining_quota(&self.cfg.teams[t], &usage[t], &job.shape)
         });
         if quota == 0 {
-            self.set_blocked(id, BlockedReason::TeamLimit);
+            self.set_blocked_reason(id, BlockedReason::TeamLimit);
             return false;
         }
         let closed = |t: &MachineType| {
@@ -219,7 +219,7 @@
         let tuning = &self.cfg.tuning;
         let awaits = views.iter().any(|v| !v.has_image)
             && self
-                .start_aim(job, self.is_guaranteed(job, usage))
+                .start_objective_s(job, self.is_guaranteed(job, usage))
                 .is_some_and(|within| {
                     let left = within - (now - job.submitted);
                     let places = self.machines.values().filter(|m| {
@@ -231,7 +231,7 @@
                     });
                     let least = (tuning.image_places * f64::from(job.pending())).ceil() as usize;
                     left >= tuning.image_wait_s
-                        && self.fetch_s(job) > left
+                        && self.image_fetch_s(job) > left
                         && places.count() >= least
                 });
         views.retain(|v| !awaits || v.has_image);
@@ -277,7 +277,7 @@
             chosen.push((machine, n));
         }
         for (machine, n) in chosen {
-            (0..n).for_each(|_| self.place(now, id, &machine, usage));
+            (0..n).for_each(|_| self.place_task(now, id, &machine, usage));
         }
         wanted > 0 && quota > 0 && !awaits
     }
@@ -309,12 +309,12 @@
                 .filter_map(|(other, task)| {
                     let victim = self.jobs.get(other)?;
                     let placement = victim.live.get(task)?;
-                    self.is_preemptable(job, victim, placement, reclaim, usage)
+                    self.may_preempt(job, victim, placement, reclaim, usage)
                         .then(|| PreemptibleTask {
                             job: other.clone(),
                             task: *task,
                             shape: victim.shape,
-                            lost_work_s: self.price(now, victim, placement),
+                            lost_work_s: self.lost_work_s(now, victim, placement),
                         })
                 })
                 .collect();
@@ -335,7 +335,7 @@
         };
         let mut saving_s: f64 = 0.0;
         for (victim, task) in &choice.tasks {
-            if self.unplace_unsent(victim, *task, usage) {
+            if self.unplace_if_unsent(victim, *task, usage) {
                 continue;
             }
             let victim = self.jobs.get_mut(victim).unwrap();
--- a/crates/umbersail-control/src/engine/tests/placement.rs
+++ b/crates/umbersail-control/src/engine/tests/placement.rs
@@ -102,7 +102,7 @@
     );
     // The other gives up before it would be late anyway.
     engine.tick(6.0);
-    assert!(engine.wants_schedule());
+    assert!(engine.needs_scheduling());
     warm.turn(&mut engine, 7.2);
     cold.turn(&mut engine, 7.2);
     engine.schedule(7.2);
--- a/crates/umbersail-control/src/engine/tick.rs
+++ b/crates/umbersail-control/src/engine/tick.rs
@@ -18,7 +18,7 @@
         self.handle_notices(now);
         self.quarantine(now);
         self.tick_plans(now);
-        self.count_late(now);
+        self.count_missed_deadlines(now);
         self.schedule_wanted |= std::mem::take(&mut self.awaiting);
         self.end_backoffs(now);
     }
--- a/crates/umbersail-control/src/engine/write.rs
+++ b/crates/umbersail-control/src/engine/write.rs
@@ -476,7 +476,7 @@
                         info!(
                             job = &*id,
                             class = job.spec.class,
-                            cpus = job.size(),
+                            cpus = job.total_cpus(),
                             began_s = job.began_s.map(|s| s as u64),
                             took_s = (now - job.submitted) as u64,
                             late = job.spec.deadline_s.is_some_and(|d| now - job.submitted > d),
--- a/crates/umbersail-control/src/leader/scheduler.rs
+++ b/crates/umbersail-control/src/leader/scheduler.rs
@@ -72,7 +72,7 @@
         self.with_engine(token, |engine| {
             self.tick_if_due(now, engine, pacing);
             self.schedule_if_due(now, engine, pacing);
-            let next_s = match (engine.is_mid_cycle(), engine.wants_schedule()) {
+            let next_s = match (engine.is_mid_cycle(), engine.needs_scheduling()) {
                 (true, _) => Some(self.tuning.slice_pause_s),
                 (false, true) => Some(self.tuning.cycle_interval_s),
                 (false, false) => None,
@@ -106,7 +106,7 @@
 
     fn schedule_if_due(&self, now: Time, engine: &mut Engine, pacing: &mut Pacing) {
         let rested = now - pacing.last_cycle >= self.tuning.cycle_interval_s;
-        let is_due = engine.is_mid_cycle() || (engine.wants_schedule() && rested);
+        let is_due = engine.is_mid_cycle() || (engine.needs_scheduling() && rested);
         if !is_due {
             return;
         }
--- a/crates/umbersail-cycle/src/cheapest.rs
+++ b/crates/umbersail-cycle/src/cheapest.rs
@@ -8,7 +8,7 @@
 pub(crate) struct PricedSlot {
     pub cost: f64,
     pub index: usize,
-    pub note: u32,
+    pub tag: u32,
 }
 
 impl PartialEq for PricedSlot {
@@ -36,21 +36,21 @@
 /// Yields (index, slots) by cost, then by index. Most jobs take a few slots of
 /// thousands: those are found in n + k log n, without sorting the rest.
 #[derive(Debug)]
-pub struct Cheapest(BinaryHeap<PricedSlot>);
+pub struct CheapestFirst(BinaryHeap<PricedSlot>);
 
-impl Cheapest {
+impl CheapestFirst {
     /// Of offers (cost, index, slots); costs in any unit.
-    pub fn new(offers: impl IntoIterator<Item = (f64, usize, u32)>) -> Cheapest {
-        let offer = |(cost, index, note)| PricedSlot { cost, index, note };
-        Cheapest(offers.into_iter().map(offer).collect::<Vec<_>>().into())
+    pub fn new(offers: impl IntoIterator<Item = (f64, usize, u32)>) -> CheapestFirst {
+        let offer = |(cost, index, tag)| PricedSlot { cost, index, tag };
+        CheapestFirst(offers.into_iter().map(offer).collect::<Vec<_>>().into())
     }
 }
 
-impl Iterator for Cheapest {
+impl Iterator for CheapestFirst {
     type Item = (usize, u32);
 
     fn next(&mut self) -> Option<(usize, u32)> {
-        self.0.pop().map(|offer| (offer.index, offer.note))
+        self.0.pop().map(|offer| (offer.index, offer.tag))
     }
 }
 
@@ -69,7 +69,7 @@
             (1.0, 3, 4),
             (0.5, 4, 5),
         ];
-        let got: Vec<(usize, u32)> = Cheapest::new(offers).collect();
+        let got: Vec<(usize, u32)> = CheapestFirst::new(offers).collect();
         assert_eq!(got, [(4, 5), (1, 2), (3, 4), (0, 1), (2, 3)]);
     }
 }
--- a/crates/umbersail-cycle/src/lib.rs
+++ b/crates/umbersail-cycle/src/lib.rs
@@ -6,20 +6,20 @@
 //! only spares it looks that would find nothing.
 //!
 //! ```
-//! use umbersail_cycle::{ImageKey, CandidateSlots, Locality, Slot};
+//! use umbersail_cycle::{ImageKey, CandidateSlots, MachineFilter, SlotInfo};
 //! use umbersail_policy::Shape;
 //!
 //! let shape = |cpus| Shape { cpus, gpus: 0.0, memory_gb: 1.0 };
 //! let mut slots: CandidateSlots<&str> = CandidateSlots::new();
-//! slots.push("m1", Slot { type_index: 0, zone: "a", spot: true, free: shape(8.0), heartbeat_due_in_s: 0.4, reservations: 0 }, &[]);
+//! slots.push("m1", SlotInfo { type_index: 0, zone: "a", spot: true, free: shape(8.0), heartbeat_due_in_s: 0.4, reservations: 0 }, &[]);
 //!
-//! let any = Locality { types: vec![true], zone: None, spot: true, reservations: 0 };
+//! let any = MachineFilter { types: vec![true], zone: None, spot: true, reservations: 0 };
 //! assert_eq!(slots.fitting(&any, &shape(6.0), |_| true), [0]);
 //! slots.take(0, &shape(6.0), 1, ImageKey::of("img-07"));
 //! assert!(slots.fitting(&any, &shape(4.0), |_| true).is_empty());
-//! // From here on nobody looks again for 4 CPUs or more within this locality.
-//! assert!(slots.is_hopeless(&any, &shape(5.0)));
-//! assert!(!slots.is_hopeless(&any, &shape(2.0)));
+//! // From here on nobody looks again for 4 CPUs or more within this filter.
+//! assert!(slots.cannot_fit(&any, &shape(5.0)));
+//! assert!(!slots.cannot_fit(&any, &shape(2.0)));
 //! ```
 #![deny(missing_docs)]
 #![warn(
@@ -35,11 +35,11 @@
 mod rankings;
 mod slots;
 
-pub use cheapest::Cheapest;
+pub use cheapest::CheapestFirst;
 pub use preemptible::{PreemptibleJobs, PreemptionClass};
-pub use queue::{CycleQueue, Steps};
+pub use queue::{CycleQueue, StepBudget};
 pub use rankings::Rankings;
-pub use slots::{CandidateSlot, CandidateSlots, Locality, Slot};
+pub use slots::{CandidateSlot, CandidateSlots, MachineFilter, SlotInfo};
 
 /// A name of an image in eight bytes: placement compares it with what each
 /// machine has, thousands of times in a cycle. XXH3 of the name's bytes; two
--- a/crates/umbersail-cycle/src/preemptible.rs
+++ b/crates/umbersail-cycle/src/preemptible.rs
@@ -48,7 +48,7 @@
     /// Jobs that may have to make room for one of this class: those of lower
     /// tiers and, if it takes back its team's guarantee, those of other teams.
     /// Costs nothing where there are none.
-    pub fn to(&self, beneficiary: PreemptionClass<T>, reclaim: bool) -> Vec<OrdSet<J>> {
+    pub fn preemptible_by(&self, beneficiary: PreemptionClass<T>, reclaim: bool) -> Vec<OrdSet<J>> {
         self.sets
             .iter()
             .filter(|(s, _)| s.tier < beneficiary.tier || (reclaim && s.team != beneficiary.team))
@@ -83,7 +83,7 @@
         preemptible.insert(class(2, 0), "high");
         preemptible.insert(class(2, 1), "other team's");
         let to = |preemptible: &Names, tier, team, reclaim| -> Vec<&'static str> {
-            let sets = preemptible.to(class(tier, team), reclaim);
+            let sets = preemptible.preemptible_by(class(tier, team), reclaim);
             sets.iter().flat_map(|s| s.iter().copied()).collect()
         };
         assert_eq!(to(&preemptible, 2, 0, false), ["low"]);
--- a/crates/umbersail-cycle/src/queue.rs
+++ b/crates/umbersail-cycle/src/queue.rs
@@ -8,20 +8,20 @@
 /// The work of a slice, counted rather than timed, so that the same input is cut
 /// at the same slot. One step is about one look at one machine.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Steps {
-    most: u64,
+pub struct StepBudget {
+    budget: u64,
     done: u64,
 }
 
-impl Steps {
+impl StepBudget {
     /// Looking at a waiting job, in steps.
-    pub const JOB: u64 = 8;
+    pub const JOB_COST: u64 = 8;
     /// Placing a task, in steps.
-    pub const TASK: u64 = 40;
+    pub const TASK_COST: u64 = 40;
 
     /// A slice of so many steps.
-    pub fn new(most: u64) -> Steps {
-        Steps { most, done: 0 }
+    pub fn new(budget: u64) -> StepBudget {
+        StepBudget { budget, done: 0 }
     }
 
     /// Counts steps of work.
@@ -36,8 +36,8 @@
 
     /// Whether the slice is over. What was begun is finished: a slice does at
     /// least one thing, so a cycle always ends.
-    pub fn is_over(&self) -> bool {
-        self.done >= self.most
+    pub fn is_exhausted(&self) -> bool {
+        self.done >= self.budget
     }
 }
 
@@ -48,7 +48,7 @@
     waiting: Vector<J>,
     blocked: VecDeque<J>,
     /// Evictions that have been worth their time.
-    pub evicting: usize,
+    pub evictions: usize,
 }
 
 impl<J: Clone> CycleQueue<J> {
@@ -57,7 +57,7 @@
         CycleQueue {
             waiting: order,
             blocked: VecDeque::new(),
-            evicting: 0,
+            evictions: 0,
         }
     }
 
@@ -78,7 +78,7 @@
 
     /// Whether nothing is left to do with so many evictions at most.
     pub fn is_done(&self, max_evictions: usize) -> bool {
-        self.waiting.is_empty() && (self.blocked.is_empty() || self.evicting >= max_evictions)
+        self.waiting.is_empty() && (self.blocked.is_empty() || self.evictions >= max_evictions)
     }
 }
 
@@ -96,11 +96,11 @@
         let mut slices = 0;
         loop {
             slices += 1;
-            let mut steps = Steps::new(3 * Steps::JOB);
-            while !steps.is_over()
+            let mut steps = StepBudget::new(3 * StepBudget::JOB_COST);
+            while !steps.is_exhausted()
                 && let Some(job) = queue.next_waiting()
             {
-                steps.spend(Steps::JOB);
+                steps.spend(StepBudget::JOB_COST);
                 seen.push(job);
             }
             if queue.is_done(0) {
@@ -111,8 +111,8 @@
         queue.block(3);
         assert!(!queue.is_done(1) && queue.is_done(0));
         assert_eq!(order.len(), 10);
-        let mut none = Steps::new(0);
-        assert!(none.is_over());
+        let mut none = StepBudget::new(0);
+        assert!(none.is_exhausted());
         none.spend(1);
         assert_eq!(none.done(), 1);
     }
--- a/crates/umbersail-cycle/src/rankings.rs
+++ b/crates/umbersail-cycle/src/rankings.rs
@@ -41,7 +41,7 @@
             Some(PricedSlot {
                 cost,
                 index,
-                note: *version,
+                tag: *version,
             })
         };
         let offers: Vec<PricedSlot> = self.versions.iter().enumerate().filter_map(offer).collect();
@@ -60,10 +60,10 @@
             return 0;
         };
         let mut visited = Vec::new();
-        let mut looked = 0;
+        let mut examined = 0;
         while let Some(offer) = heap.pop() {
-            looked += 1;
-            if offer.note != self.versions[offer.index] {
+            examined += 1;
+            if offer.tag != self.versions[offer.index] {
                 continue;
             }
             visited.push(offer);
@@ -72,11 +72,11 @@
             }
         }
         heap.extend(visited);
-        looked
+        examined
     }
 
     /// A slot has less room, and an image on its way: it is ranked anew.
-    pub fn taken(&mut self, index: usize, mut cost: impl FnMut(&K, usize) -> Option<f64>) {
+    pub fn rerank(&mut self, index: usize, mut cost: impl FnMut(&K, usize) -> Option<f64>) {
         self.versions[index] += 1;
         let version = self.versions[index];
         for (key, heap) in &mut self.rankings {
@@ -84,7 +84,7 @@
                 heap.push(PricedSlot {
                     cost,
                     index,
-                    note: version,
+                    tag: version,
                 });
             }
         }
@@ -114,7 +114,7 @@
         }
         assert_eq!(order(&mut rankings), [0, 2, 1], "the dearest first for -1");
         costs[0] = 0.0;
-        rankings.taken(0, |k, i| (i > 0 || *k > 0.0).then_some(k * costs[i]));
+        rankings.rerank(0, |k, i| (i > 0 || *k > 0.0).then_some(k * costs[i]));
         assert_eq!(order(&mut rankings), [2, 1], "not to be taken for -1");
         assert_eq!(rankings.open(1.0, |_, _| None), 0, "made already");
         assert_eq!(order(&mut rankings), [0, 1, 2]);
--- a/crates/umbersail-cycle/src/slots.rs
+++ b/crates/umbersail-cycle/src/slots.rs
@@ -6,7 +6,7 @@
 
 /// Which machines a job's tasks may use at all.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Locality {
+pub struct MachineFilter {
     /// By index of the machine type; what lies beyond the end is not allowed.
     pub types: Vec<bool>,
     /// The only zone, or any.
@@ -17,10 +17,10 @@
     pub reservations: u64,
 }
 
-impl Locality {
+impl MachineFilter {
     /// Whether a machine of this type, zone and kind, kept for these reservations, is
     /// within it.
-    pub fn has(&self, type_index: usize, zone: &str, spot: bool, reservations: u64) -> bool {
+    pub fn matches(&self, type_index: usize, zone: &str, spot: bool, reservations: u64) -> bool {
         self.types.get(type_index) == Some(&true)
             && (!spot || self.spot)
             && (reservations == 0 || reservations & self.reservations != 0)
@@ -30,7 +30,7 @@
 
 /// What is known of a machine when it is added.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Slot<'a> {
+pub struct SlotInfo<'a> {
     /// Index of its machine type.
     pub type_index: usize,
     /// Its zone.
@@ -65,23 +65,23 @@
     /// Where the images that it has stand.
     images: (usize, usize),
     /// Images on their way there.
-    coming: Vec<ImageKey>,
+    fetching: Vec<ImageKey>,
 }
 
 /// A search that found nothing: nothing as large is looked for again.
 #[derive(Debug, Clone)]
-struct Miss {
-    locality: Locality,
+struct FailedSearch {
+    filter: MachineFilter,
     shape: Shape,
 }
 
 /// Searches remembered as hopeless. Each is smaller than, or reaches elsewhere
 /// than, all the others, so a few serve thousands of jobs.
-const MAX_MISSES: usize = 64;
+const MAX_FAILED_SEARCHES: usize = 64;
 
 /// No larger in any amount. Without the allowance for rounding that a fit has:
 /// what is larger by a rounding may fit where the other does not.
-fn is_within(a: &Shape, b: &Shape) -> bool {
+fn is_no_larger(a: &Shape, b: &Shape) -> bool {
     a.cpus <= b.cpus && a.gpus <= b.gpus && a.memory_gb <= b.memory_gb
 }
 
@@ -92,8 +92,8 @@
     slots: Vec<CandidateSlot<M>>,
     zones: Vec<String>,
     images: Vec<ImageKey>,
-    misses: Vec<Miss>,
-    looked: u64,
+    failed_searches: Vec<FailedSearch>,
+    examined: u64,
 }
 
 impl<M> Default for CandidateSlots<M> {
@@ -109,15 +109,15 @@
             slots: Vec::new(),
             zones: Vec::new(),
             images: Vec::new(),
-            misses: Vec::new(),
-            looked: 0,
+            failed_searches: Vec::new(),
+            examined: 0,
         }
     }
 
     /// Adds a machine. `images` are those it has; the ones on their way there
-    /// follow with [`CandidateSlots::fetching`]. Equal placements go to the one added
+    /// follow with [`CandidateSlots::add_fetching`]. Equal placements go to the one added
     /// first.
-    pub fn push(&mut self, machine: M, spot: Slot<'_>, images: &[ImageKey]) {
+    pub fn push(&mut self, machine: M, spot: SlotInfo<'_>, images: &[ImageKey]) {
         let zone = match self.zones.iter().position(|z| z == spot.zone) {
             Some(zone) => zone,
             None => {
@@ -136,14 +136,14 @@
             heartbeat_due_in_s: spot.heartbeat_due_in_s,
             reservations: spot.reservations,
             images: (start, self.images.len()),
-            coming: Vec::new(),
+            fetching: Vec::new(),
         });
     }
 
     /// An image that is on its way to the machine added last.
-    pub fn fetching(&mut self, image: ImageKey) {
+    pub fn add_fetching(&mut self, image: ImageKey) {
         if let Some(slot) = self.slots.last_mut() {
-            slot.coming.push(image);
+            slot.fetching.push(image);
         }
     }
 
@@ -171,36 +171,36 @@
     pub fn image(&self, index: usize, image: ImageKey) -> (bool, bool) {
         let slot = &self.slots[index];
         let there = self.images[slot.images.0..slot.images.1].contains(&image);
-        (there, !there && slot.coming.contains(&image))
+        (there, !there && slot.fetching.contains(&image))
     }
 
     /// Slots looked at so far.
-    pub fn looked(&self) -> u64 {
-        self.looked
+    pub fn examined(&self) -> u64 {
+        self.examined
     }
 
     /// Whether a search has shown already that nothing so large has room. True
     /// only if [`CandidateSlots::fitting`] would be empty.
-    pub fn is_hopeless(&self, locality: &Locality, shape: &Shape) -> bool {
-        self.misses
+    pub fn cannot_fit(&self, filter: &MachineFilter, shape: &Shape) -> bool {
+        self.failed_searches
             .iter()
-            .any(|m| is_within(&m.shape, shape) && m.locality == *locality)
+            .any(|m| is_no_larger(&m.shape, shape) && m.filter == *filter)
     }
 
-    /// Slots within locality that take a task of this shape, in the order in which
+    /// Slots within filter that take a task of this shape, in the order in which
     /// they were added. `allowed` leaves machines out for reasons of the job's
     /// own, which say nothing about other jobs.
     pub fn fitting(
         &mut self,
-        locality: &Locality,
+        filter: &MachineFilter,
         shape: &Shape,
         mut allowed: impl FnMut(&M) -> bool,
     ) -> Vec<usize> {
-        self.looked += self.slots.len() as u64;
+        self.examined += self.slots.len() as u64;
         let (mut found, mut barred) = (Vec::new(), false);
         for (index, slot) in self.slots.iter().enumerate() {
             if !shape.fits_in(&slot.free)
-                || !locality.has(
+                || !filter.matches(
                     slot.type_index,
                     &self.zones[slot.zone],
                     slot.spot,
@@ -216,18 +216,18 @@
             }
         }
         if found.is_empty() && !barred {
-            self.missed(locality, shape);
+            self.record_failed_search(filter, shape);
         }
         found
     }
 
-    /// A search of the caller's own found no slot within locality for this shape.
-    pub fn missed(&mut self, locality: &Locality, shape: &Shape) {
-        self.misses
-            .retain(|m| m.locality != *locality || !is_within(shape, &m.shape));
-        if self.misses.len() < MAX_MISSES {
-            self.misses.push(Miss {
-                locality: locality.clone(),
+    /// A search of the caller's own found no slot within filter for this shape.
+    pub fn record_failed_search(&mut self, filter: &MachineFilter, shape: &Shape) {
+        self.failed_searches
+            .retain(|m| m.filter != *filter || !is_no_larger(shape, &m.shape));
+        if self.failed_searches.len() < MAX_FAILED_SEARCHES {
+            self.failed_searches.push(FailedSearch {
+                filter: filter.clone(),
                 shape: *shape,
             });
         }
@@ -245,8 +245,8 @@
     pub fn take(&mut self, index: usize, shape: &Shape, times: u32, image: ImageKey) {
         let slot = &mut self.slots[index];
         slot.free.add(shape, -f64::from(times));
-        if !slot.coming.contains(&image) {
-            slot.coming.push(image);
+        if !slot.fetching.contains(&image) {
+            slot.fetching.push(image);
         }
     }
 }
