--- a/crates/umbersail-control/src/engine/mod.rs
+++ b/crates/umbersail-control/src/engine/mod.rs
@@ -6,6 +6,7 @@
 
 mod commands;
 mod delegations;
+mod eligibility;
 mod evict;
 mod grant;
 mod heartbeats;
@@ -13,7 +14,6 @@
 mod job;
 mod jobs;
 mod listing;
-mod locality;
 mod machine;
 mod order;
 mod placement;
@@ -36,7 +36,7 @@
 use std::rc::Rc;
 
 use umbersail_cycle::PreemptibleJobs;
-use umbersail_policy::{Learner, ServiceHistory, Shape, TeamLimits, Window};
+use umbersail_policy::{Learner, LoadWindow, ServiceHistory, Shape, TeamLimits};
 use umbersail_standby::OrphanedJobs;
 use umbersail_tuning::Tuning;
 use umbersail_wire::{MachineType, Priority, RentRequest};
@@ -257,9 +257,9 @@
             learner: Learner::new(
                 tuning.max_classes as usize,
                 tuning.learn_weight,
-                Window {
+                LoadWindow {
                     jobs: tuning.load_window_jobs,
-                    least_s: tuning.load_window_min_s,
+                    min_s: tuning.load_window_min_s,
                 },
             ),
             class_samples: BTreeMap::new(),
--- a/crates/umbersail-control/src/engine/plans/images.rs
+++ b/crates/umbersail-control/src/engine/plans/images.rs
@@ -10,7 +10,7 @@
 use tracing::{debug, info, warn};
 use umbersail_cycle::ImageKey;
 use umbersail_images::{CacheView, Decision, FetchPriority, FetchRequest, ImageRecord, Settings};
-use umbersail_policy::names_type;
+use umbersail_policy::allows_type;
 use umbersail_tuning::Tuning;
 use umbersail_wire::{Heartbeat, JobSpec, MachineType, Priority, TaskState};
 
@@ -79,7 +79,7 @@
         if !self.peer_to_peer {
             return;
         }
-        let allowed = types.iter().filter(|t| names_type(spec, &t.name));
+        let allowed = types.iter().filter(|t| allows_type(spec, &t.name));
         let (fit, small): (Vec<_>, Vec<_>) = allowed.partition(|t| image_fits_cache(t, spec));
         // A job whose image fits no cache was accepted under other settings. It keeps its
         // types and waits.
--- a/crates/umbersail-control/src/engine/plans/reserve.rs
+++ b/crates/umbersail-control/src/engine/plans/reserve.rs
@@ -14,7 +14,7 @@
 use umbersail_tuning::Tuning;
 use umbersail_wire::RentRequest;
 
-use super::super::rental::MAX_RENTED_AT_ONCE;
+use super::super::rental::MAX_MACHINES_PER_RENTAL;
 use super::super::{
     BlockedReason, Engine, EngineConfig, Job, JobId, Machine, MachineId, PendingStop, Time, epoch,
 };
@@ -92,7 +92,7 @@
                 boot_share: tuning.reserve_boot_quantile,
                 boot_patience: tuning.boot_timeout_factor,
                 boot_patience_s: tuning.boot_timeout_margin_s,
-                request_machines: MAX_RENTED_AT_ONCE,
+                request_machines: MAX_MACHINES_PER_RENTAL,
                 requests_most: tuning.max_reservation_requests as usize,
                 machines_most: tuning.max_reservation_machines as u32,
                 floor_s: tuning.reserve_borrow_after_s,
@@ -396,7 +396,7 @@
         machine.type_index.is_some_and(|index| {
             let t = &self.machine_types[index];
             job.shape.fits_in(&Shape::of_type(t))
-                && umbersail_policy::names_type(&job.spec, &t.name)
+                && umbersail_policy::allows_type(&job.spec, &t.name)
                 && job.spec.zone.as_ref().is_none_or(|z| *z == machine.zone)
                 && (job.spec.spot() || !machine.spot)
         })
--- a/crates/umbersail-control/src/engine/task_ends.rs
+++ b/crates/umbersail-control/src/engine/task_ends.rs
@@ -33,7 +33,7 @@
             .deadline_s
             .is_some_and(|d| now - job.submitted_at <= d);
         if ended {
-            self.count_served(id, in_time);
+            self.record_deadline_outcome(id, in_time);
         }
         self.clear_job_errors(id);
         let Some(job) = self.jobs.get_mut(id) else {
@@ -46,7 +46,7 @@
         {
             let estimate = job.spec.estimate_s;
             let class = job.spec.class.clone();
-            self.learner.ran(&class, now, estimate, now - since);
+            self.learner.record_run(&class, now, estimate, now - since);
         }
         match job.placements.get_mut(&task) {
             // A result that came late: the attempt in its stead is of no use.
--- a/crates/umbersail-control/src/engine/tick.rs
+++ b/crates/umbersail-control/src/engine/tick.rs
@@ -18,7 +18,7 @@
         self.handle_reclaim_notices(now);
         self.quarantine_machines(now);
         self.tick_plans(now);
-        self.count_late(now);
+        self.count_missed_deadlines(now);
         self.cycle_requested |= std::mem::take(&mut self.jobs_await_image);
         self.end_backoffs(now);
     }
--- a/crates/umbersail-control/src/engine/write.rs
+++ b/crates/umbersail-control/src/engine/write.rs
@@ -420,7 +420,7 @@
     /// refused, and with it whatever stands in the same transaction.
     pub(super) fn max_recorded_machines(&self, tasks: u32) -> usize {
         let left = self.cfg.max_value_bytes.saturating_sub(RECORD_BYTES);
-        left.saturating_sub(Bitmap::most_text(tasks)) / HOST_BYTES
+        left.saturating_sub(Bitmap::max_text_len(tasks)) / HOST_BYTES
     }
 
     /// Takes in what became of a transaction.
@@ -491,7 +491,7 @@
                         info!(
                             job = &*id,
                             class = job.spec.class,
-                            cpus = job.size(),
+                            cpus = job.total_cpus(),
                             began_s = job.start_delay_s.map(|s| s as u64),
                             took_s = (now - job.submitted_at) as u64,
                             late = job
--- a/crates/umbersail-control/src/front.rs
+++ b/crates/umbersail-control/src/front.rs
@@ -565,7 +565,7 @@
         // again, and pushed out while others read it.
         let hand_on = self.tuning.peer_to_peer_images >= 0.5;
         let allowed =
-            |t: &&umbersail_wire::MachineType| umbersail_policy::names_type(spec, &t.name);
+            |t: &&umbersail_wire::MachineType| umbersail_policy::allows_type(spec, &t.name);
         if hand_on && !(types.iter().filter(allowed)).any(|t| image_fits_cache(t, spec)) {
             return Err(Rejection::ImageTooLarge(spec.image_gb));
         }
