--- a/crates/umbersail-control/src/engine/evict.rs
+++ b/crates/umbersail-control/src/engine/evict.rs
@@ -60,7 +60,9 @@
         if !reclaim && job.spec.priority == Priority::Low {
             return false;
         }
-let preemptible = self . preemptible_jobs . preemptible_by ( job . preemption_class ( ) , reclaim ) ;
+        let preemptible = self
+            .preemptible_jobs
+            .preemptible_by(job.preemption_class(), reclaim);
         if preemptible.is_empty() || (!reclaim && self.can_rent_in_time(now, job)) {
             return false;
         }
--- a/crates/umbersail-control/src/engine/schedule.rs
+++ b/crates/umbersail-control/src/engine/schedule.rs
@@ -204,7 +204,8 @@
                 zone: &machine.zone,
                 spot: machine.spot,
                 free,
-                heartbeat_due_in_s: (self.cfg.heartbeat_interval_s - machine.silent_for(now)).max(0.0),
+                heartbeat_due_in_s: (self.cfg.heartbeat_interval_s - machine.silent_for(now))
+                    .max(0.0),
                 reservations: machine.reservations,
             };
             snapshot
