--- a/crates/umbersail-control/benches/scheduling_cycle.rs
+++ b/crates/umbersail-control/benches/scheduling_cycle.rs
@@ -7,13 +7,13 @@
 
 use criterion::{BenchmarkId, Criterion, criterion_group, criterion_main};
 use umbersail_control::engine::{
-    Engine, EngineConfig, Inheritance, InheritedJob, InheritedPart, TxnOutcome,
+    Engine, EngineConfig, InheritedJob, InheritedPart, InheritedState, TxnOutcome,
 };
-use umbersail_control::records::{GrantPart, GrantedMachine, JobRecord, Record, RunRecord};
+use umbersail_control::records::{GrantPart, GrantedMachine, JobProgressRecord, JobRecord, Record};
 use umbersail_policy::TeamLimits;
 use umbersail_tuning::Tuning;
 use umbersail_wire::{
-    Change, Command, ExitCause, JobKind, JobSpec, MachineType, Priority, Report, TaskReport,
+    Change, Command, ExitCause, Heartbeat, JobKind, JobSpec, MachineType, Priority, TaskReport,
     TaskState,
 };
 
@@ -52,16 +52,16 @@
             name: "t".into(),
             ..TeamLimits::default()
         }],
-        start_aims: [("c".to_owned(), 5.0)].into(),
-        guarantee_aim: None,
-        late_aims: [("c".to_owned(), 1.5)].into(),
-        report_s: 2.5,
+        start_objectives: [("c".to_owned(), 5.0)].into(),
+        guarantee_start_objective: None,
+        deadline_factors: [("c".to_owned(), 1.5)].into(),
+        heartbeat_interval_s: 2.5,
         lease_s: 15.0,
         cancel_s: 45.0,
-        list_lag_s: 4.0,
-        txn_ops: 20,
-        value_bytes: 32 * 1024,
-        skew_ms: 500.0,
+        cloud_list_lag_s: 4.0,
+        max_txn_changes: 20,
+        max_value_bytes: 32 * 1024,
+        max_clock_skew_ms: 500.0,
         slice_steps: u64::MAX,
         tuning: Rc::new(Tuning::default()),
     })
@@ -105,25 +105,25 @@
 
 struct Bench {
     engine: Engine,
-    reports: Vec<Report>,
+    reports: Vec<Heartbeat>,
     now: f64,
 }
 
 impl Bench {
     /// So many machines, up, in the grant and empty.
     fn machines(count: usize) -> Bench {
-        let inheritance = Inheritance {
+        let inheritance = InheritedState {
             revision: 100,
             leader_version: 100,
-            parts: vec![],
+            grant_parts: vec![],
             jobs: vec![],
-            over: vec![],
-            whole_machines: false,
+            finished_jobs: vec![],
+            count_whole_machines: false,
             predecessor_degraded: false,
             types: vec![machine_type()],
             plans: Vec::new(),
         };
-        let report = |machine| Report {
+        let report = |machine| Heartbeat {
             machine: name(machine),
             addr: "127.0.0.1:9".into(),
             machine_type: "m8".into(),
@@ -149,7 +149,7 @@
     fn report(&mut self, machine: usize) {
         let report = &mut self.reports[machine];
         report.seq += 1;
-        if !self.engine.report(self.now, report) {
+        if !self.engine.receive_heartbeat(self.now, report) {
             return;
         }
         let commands = self.engine.reply(self.now, report, true);
@@ -192,7 +192,7 @@
         while let Some(pending) = self.engine.next_txn(self.now + 2.0, 20, 20) {
             revision += 1;
             self.engine
-                .txn_done(self.now, pending, TxnOutcome::Applied { revision });
+                .txn_finished(self.now, pending, TxnOutcome::Applied { revision });
         }
     }
 
@@ -202,7 +202,7 @@
         let changes = pending.map(|p| p.txn.changes).unwrap_or_default();
         let evictions = changes.iter().map(|change| match change {
             Change::Put {
-                value: Record::Run(run),
+                value: Record::JobProgress(run),
                 ..
             } => run.evictions,
             _ => 0,
@@ -378,10 +378,10 @@
                 record: record(spec(&format!("run-{job}"), Priority::High, 40, 2.0)),
                 version: 70,
                 run: Some((
-                    RunRecord {
-                        high: 40,
+                    JobProgressRecord {
+                        high_water: 40,
                         hosts: (10 * job..10 * job + 10).map(name).collect(),
-                        ..RunRecord::default()
+                        ..JobProgressRecord::default()
                     },
                     60,
                 )),
@@ -396,19 +396,19 @@
                 version: 70,
                 run: None,
             });
-            Inheritance {
+            InheritedState {
                 revision: 101,
                 leader_version: 101,
-                parts: parts.collect(),
+                grant_parts: parts.collect(),
                 jobs: running.chain(idle).collect(),
-                over: vec![],
-                whole_machines: false,
+                finished_jobs: vec![],
+                count_whole_machines: false,
                 predecessor_degraded: false,
                 types: vec![machine_type()],
                 plans: Vec::new(),
             }
         };
-        let reports: BTreeMap<usize, Report> = Bench::machines(machines)
+        let reports: BTreeMap<usize, Heartbeat> = Bench::machines(machines)
             .reports
             .into_iter()
             .map(|mut report| {
@@ -423,7 +423,7 @@
                 |inheritance| {
                     let mut engine = Engine::new(config(), 1.0, 1000, inheritance);
                     for report in reports.values() {
-                        engine.report(1.5, report);
+                        engine.receive_heartbeat(1.5, report);
                     }
                     engine
                 },
--- a/crates/umbersail-control/src/engine/plans/reserve.rs
+++ b/crates/umbersail-control/src/engine/plans/reserve.rs
@@ -1,6 +1,7 @@
-//! Reservations in the engine: machines that are held are kept for their work, requests
-//! that stand recorded are sent, and borrowers give back. What is held, rented and
-//! lent is decided in `umbersail-reserve`.
+//! Reservations in the engine. This module keeps reserved machines for the work that they are
+//! reserved for, sends the rental requests that are recorded, and stops borrowers when the
+//! machines are needed. Which machines are reserved, rented and lent is decided in
+//! `umbersail-reserve`.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -13,83 +14,100 @@
 use umbersail_tuning::Tuning;
 use umbersail_wire::RentRequest;
 
-use super::super::rental::MAX_RENTED_AT_ONCE;
+use super::super::rental::MAX_MACHINES_PER_RENTAL;
 use super::super::{
-    BlockedReason, Engine, EngineConfig, Job, JobId, Machine, MachineId, Stop, Time, epoch,
+    BlockedReason, Engine, EngineConfig, Job, JobId, Machine, MachineId, PendingStop, Time, epoch,
 };
 
-/// Names of records: this and the entry's name.
+/// Kind of the reservation records: the prefix of their names, followed by the entry's name.
 const KIND: &str = "reserve";
-/// Entries that hold machines at once: each has one bit for its own work and one for
-/// borrowers among a machine's reservations.
-pub(crate) const HOLDERS_MOST: usize = 32;
-const OWN: u64 = (1 << HOLDERS_MOST) - 1;
-/// Upper bound on rentals whose first report is awaited; the boot times of further ones
-/// are not learned from. Twice a fleet of 4,000 machines that is rented at once.
-const MAX_BOOTING: usize = 8192;
-
-/// Room on reserved machines.
-type Rooms<'a> = BTreeMap<&'a MachineId, Shape>;
+/// Maximum number of entries that have machines at once: each entry uses two bits of a
+/// machine's `reservations`, one for its own work and one for borrowers.
+pub(crate) const MAX_RESERVATIONS: usize = 32;
+/// The bits of the entries' own work.
+const OWN_BITS: u64 = (1 << MAX_RESERVATIONS) - 1;
+/// Maximum number of rented machines whose first heartbeat is awaited in order to learn their
+/// boot times; the boot times of further machines are not learned. The value is twice a fleet
+/// of 4,000 machines that is rented at once.
+const MAX_AWAITED_BOOTS: usize = 8192;
+
+/// Free capacity of reserved machines.
+type FreeCapacity<'a> = BTreeMap<&'a MachineId, Shape>;
 /// Tasks that borrow reserved machines, each with its job.
 type Borrowers<'a> = BTreeMap<&'a MachineId, Vec<(&'a JobId, u32, &'a Job)>>;
 
-/// Reservations as this leader has them.
-pub(in crate::engine) struct Reserving {
+/// The leader's state of all reservations.
+pub(in crate::engine) struct ReservationState {
     entries: Reservations,
     rules: Rules,
     records: BTreeMap<String, ReserveRecord>,
-    /// By entry with machines: its own bit.
+    /// For each entry that has machines, the bit of its own work.
     bits: BTreeMap<String, u64>,
+    /// Boot times learned for each machine type.
     boots: Boots,
-    /// When we rented machines that have not reported yet.
+    /// Rented machines that have sent no heartbeat yet, with the time of the rental.
     booting: BTreeMap<MachineId, Time>,
-    /// Requests that were sent and not answered: by their names again.
+    /// Names of the rental requests that were sent and not answered. They are sent again under
+    /// the same names.
     sent: BTreeSet<String>,
     next_round: Time,
-    /// Why a record can't be written, as last logged.
-    unwritten: BTreeMap<String, String>,
+    /// For each entry whose record cannot be written, the reason that was logged last.
+    write_errors: BTreeMap<String, String>,
 }
 
-/// What an operator's entries are checked against.
-pub(crate) fn facts<'a>(teams: &'a [umbersail_policy::TeamLimits], tuning: &Tuning) -> Facts<'a> {
+/// The teams and limits that an operator's entries are validated against.
+pub(crate) fn reservation_limits<'a>(
+    teams: &'a [umbersail_policy::TeamLimits],
+    tuning: &Tuning,
+) -> Facts<'a> {
     Facts {
         teams,
-        entries_most: (tuning.reserve_entries as usize).min(HOLDERS_MOST),
-        machines_most: tuning.reserve_machines as u32,
+        entries_most: (tuning.max_reservations as usize).min(MAX_RESERVATIONS),
+        machines_most: tuning.max_reservation_machines as u32,
     }
 }
 
-impl Reserving {
-    pub fn new(cfg: &EngineConfig) -> Reserving {
+impl ReservationState {
+    pub fn new(cfg: &EngineConfig) -> ReservationState {
         let tuning = &cfg.tuning;
-        // Checked before this process served anything.
-        let entries = Reservations::parse(&tuning.plan_entries, &facts(&cfg.teams, tuning));
+        // The entries were validated when the process started, so parsing does not fail here.
+        let entries = Reservations::parse(
+            &tuning.plan_entries,
+            &reservation_limits(&cfg.teams, tuning),
+        );
         let entries = entries.unwrap_or_else(|e| {
-            error!(key = e.key, reason = e.reason, "reservations are left out");
+            error!(
+                key = e.key,
+                reason = e.reason,
+                "ignoring all reservations: an entry is invalid"
+            );
             Reservations::default()
         });
-        Reserving {
+        ReservationState {
             entries,
             rules: Rules {
-                withdraw_s: tuning.reserve_withdraw_s,
-                margin_s: tuning.reserve_margin_s,
-                lead_most_s: tuning.reserve_lead_most_s,
-                boot_share: tuning.reserve_boot_share,
-                boot_patience: tuning.boot_patience,
-                boot_patience_s: tuning.boot_patience_s,
-                request_machines: MAX_RENTED_AT_ONCE,
-                requests_most: tuning.reserve_requests as usize,
-                machines_most: tuning.reserve_machines as u32,
-                floor_s: tuning.reserve_floor_s,
+                withdraw_s: tuning.reserve_settings_delay_s,
+                margin_s: tuning.reserve_lead_margin_s,
+                lead_most_s: tuning.reserve_max_lead_s,
+                boot_share: tuning.reserve_boot_quantile,
+                boot_patience: tuning.boot_timeout_factor,
+                boot_patience_s: tuning.boot_timeout_margin_s,
+                request_machines: MAX_MACHINES_PER_RENTAL,
+                requests_most: tuning.max_reservation_requests as usize,
+                machines_most: tuning.max_reservation_machines as u32,
+                floor_s: tuning.reserve_borrow_after_s,
                 guarantee_wait_s: tuning.reserve_guarantee_wait_s,
             },
             records: BTreeMap::new(),
             bits: BTreeMap::new(),
-            boots: Boots::new(tuning.reserve_boots as usize, tuning.class_limit as usize),
+            boots: Boots::new(
+                tuning.max_boot_samples as usize,
+                tuning.max_classes as usize,
+            ),
             booting: BTreeMap::new(),
             sent: BTreeSet::new(),
             next_round: 0.0,
-            unwritten: BTreeMap::new(),
+            write_errors: BTreeMap::new(),
         }
     }
 
@@ -97,7 +115,7 @@
         self.entries.is_empty() && self.records.is_empty()
     }
 
-    /// The bits of entries whose machines are held for such work.
+    /// The bits of the entries that reserve machines for the job's work.
     fn own_bits(&self, job: &Job) -> u64 {
         let spec = &job.spec;
         let covers = |name: &String| {
@@ -109,29 +127,30 @@
     }
 }
 
-/// The bit of those that borrow from the holder of this one.
-fn borrowers(own: u64) -> u64 {
-    own << HOLDERS_MOST
+/// The bit for borrowers that belongs to the bit of an entry's own work.
+fn borrower_bit(own: u64) -> u64 {
+    own << MAX_RESERVATIONS
 }
 
-/// Room on kept machines, as rental reckons with it.
-pub(in crate::engine) struct KeptRoom<'a> {
+/// Free capacity of reserved machines, as used by the rental of further machines.
+pub(in crate::engine) struct ReservedCapacity<'a> {
     rooms: Vec<(&'a Machine, usize, Shape)>,
 }
 
-impl KeptRoom<'_> {
-    /// Of a job's tasks that run or wait, those that kept machines have or will take.
-    pub fn serve(&mut self, engine: &Engine, job: &Job, tasks: u32) -> u32 {
-        let kept = |p: &&super::super::Placement| {
+impl ReservedCapacity<'_> {
+    /// Assigns a job's waiting tasks to reserved machines. Returns how many of the `tasks`
+    /// (running and waiting) run on reserved machines or were assigned to them.
+    pub fn assign(&mut self, engine: &Engine, job: &Job, tasks: u32) -> u32 {
+        let on_reserved = |p: &&super::super::Placement| {
             let machine = engine.machines.get(&p.machine);
             machine.is_some_and(|m| m.reservations != 0)
         };
-        let there = job.live.values().filter(kept).count() as u32;
+        let running = job.placements.values().filter(on_reserved).count() as u32;
         let own = engine.plans.reserve.own_bits(job);
         let mut waiting = tasks
-            .saturating_sub(job.occupied() as u32)
+            .saturating_sub(job.occupied_tasks() as u32)
             .min(job.startable());
-        let mut taken = 0;
+        let mut assigned = 0;
         if own != 0 {
             for (machine, _, room) in &mut self.rooms {
                 if waiting == 0 {
@@ -143,15 +162,15 @@
                 let slots = job.shape.slots_in(room).min(waiting);
                 room.add(&job.shape, -f64::from(slots));
                 waiting -= slots;
-                taken += slots;
+                assigned += slots;
             }
         }
-        (there + taken).min(tasks)
+        (running + assigned).min(tasks)
     }
 
-    /// Tasks of such a shape that machines kept for this class have room for beside
-    /// what was served.
-    pub fn ready(&self, engine: &Engine, class: &str, shape: &Shape) -> u32 {
+    /// How many tasks of a shape fit on the machines that are reserved for a class, in addition
+    /// to the tasks that were assigned.
+    pub fn free_slots(&self, engine: &Engine, class: &str, shape: &Shape) -> u32 {
         let reserve = &engine.plans.reserve;
         let named = |name: &String| {
             let record = reserve.records.get(name);
@@ -168,8 +187,8 @@
 }
 
 impl Engine {
-    /// Takes in what holders before us recorded of reservations. Machines that they
-    /// hold are known from here on, listed yet or not.
+    /// Restores the reservations that previous leaders recorded. Their machines are known from
+    /// now on, even if the cloud's list does not contain them yet.
     pub(in crate::engine) fn inherit_reservations(&mut self, now: Time) {
         for key in self.plans.store.names(KIND) {
             let name = key[KIND.len() + 1..].to_owned();
@@ -180,8 +199,11 @@
                 Ok(None) => {}
                 Err(e) => {
                     let reason = e.to_string();
-                    warn!(plan = key, reason, "recorded reservation set aside");
-                    self.plans.store.set_aside(&key);
+                    warn!(
+                        plan = key,
+                        reason, "ignoring an unusable recorded reservation"
+                    );
+                    self.plans.store.ignore(&key);
                 }
             }
         }
@@ -198,11 +220,12 @@
                 .entry(name.clone())
                 .or_insert_with(|| Machine::new(name, index, batch.zone.clone(), batch.spot, now));
         }
-        self.mark_kept(now);
+        self.mark_reserved(now);
     }
 
-    /// A job has come: its own kept machines are open to it at once.
-    pub(in crate::engine) fn reserve_for_job(&mut self, id: &JobId) {
+    /// Called when a job was accepted: allows the job to use the machines that are reserved for
+    /// its work at once, without waiting for the next round.
+    pub(in crate::engine) fn set_job_reservations(&mut self, id: &JobId) {
         if let Some(job) = self.jobs.get(id) {
             let own = self.plans.reserve.own_bits(job);
             if let Some(job) = self.jobs.get_mut(id) {
@@ -211,7 +234,7 @@
         }
     }
 
-    /// One round, at its time: see [`umbersail_reserve::plan`].
+    /// Runs one round of reservations when it is due: see [`umbersail_reserve::plan`].
     pub(in crate::engine) fn tick_reservations(&mut self, now: Time) {
         if self.plans.reserve.is_idle() || now < self.plans.reserve.next_round {
             return;
@@ -220,9 +243,9 @@
         let known = &self.machines;
         (self.plans.reserve.booting).retain(|name, _| known.contains_key(name));
         let mut records = std::mem::take(&mut self.plans.reserve.records);
-        let mut requests = self.requests;
+        let mut requests = self.request_counter;
         let notices = self.plan_reservations(now, &mut records, &mut requests);
-        self.requests = requests;
+        self.request_counter = requests;
         self.plans.reserve.records = records;
         for Notice { entry, what } in notices {
             match what {
@@ -231,8 +254,8 @@
             }
         }
         self.record_reservations(now);
-        self.mark_kept(now);
-        self.call_back(now);
+        self.mark_reserved(now);
+        self.reclaim_lent_machines(now);
     }
 
     fn plan_reservations(
@@ -262,15 +285,15 @@
                 }
             }
         }
-        let silent_after = self.silent_after();
-        let idle_s = self.cfg.tuning.reserve_adopt_idle_s;
+        let silent_after = self.silence_limit_s();
+        let idle_s = self.cfg.tuning.reserve_adopt_after_s;
         let mut free = BTreeMap::new();
         for (name, machine) in &self.machines {
             if machine.reservations == 0
                 && !machines.contains_key(&**name)
                 && is_empty(machine)
                 && now - machine.idle_since >= idle_s
-                && machine.takes_tasks(now, silent_after)
+                && machine.accepts_tasks(now, silent_after)
                 && let Some(type_index) = machine.type_index
             {
                 let idle = HeldMachine {
@@ -288,8 +311,8 @@
                 .terms
                 .classes
                 .iter()
-                .filter_map(|c| self.samples.get(c));
-            let largest = of_entry.map(|s| s.shape).reduce(|a, b| Shape {
+                .filter_map(|c| self.class_samples.get(c));
+            let largest = of_entry.map(|s| s.task_shape).reduce(|a, b| Shape {
                 cpus: a.cpus.max(b.cpus),
                 gpus: a.gpus.max(b.gpus),
                 memory_gb: a.memory_gb.max(b.memory_gb),
@@ -299,16 +322,16 @@
         let view = View {
             now_ms: self.plans.unix_ms(now),
             elected_s: now - self.elected_at,
-            types: &self.types,
+            types: &self.machine_types,
             teams: &self.cfg.teams,
             machines: &machines,
             free: &free,
-            refused: &|index, zone, spot| self.is_refused(now, index, zone, spot),
+            refused: &|index, zone, spot| self.is_rental_backed_off(now, index, zone, spot),
             largest: &largest.collect(),
             boots: &reserve.boots,
             rules: &reserve.rules,
         };
-        // The token differs for every holder, so no name is used twice.
+        // The fencing token differs for every leader, so no request name is used twice.
         let mut new_request = || {
             *requests += 1;
             format!("{}-{}-{requests}", self.cfg.member, epoch(self.token))
@@ -316,6 +339,8 @@
         plan(&reserve.entries, records, &view, &mut new_request)
     }
 
+    /// State of a reserved machine: booting, available, lent to borrowers that stay, or not
+    /// available.
     fn standing(
         &self,
         now: Time,
@@ -323,13 +348,13 @@
         machine: &Machine,
         usage: &[Usage],
     ) -> Standing {
-        let Some(report) = machine.last_report else {
+        let Some(last_heartbeat) = machine.last_heartbeat else {
             return Standing::Coming;
         };
-        let silent = now - report > self.cfg.tuning.reserve_out_s;
+        let silent = now - last_heartbeat > self.cfg.tuning.reserve_silent_after_s;
         let out =
             silent || (machine.reachability.is_unreachable() && !self.is_mostly_unreachable());
-        if out || machine.quarantined || machine.notice_until.is_some() {
+        if out || machine.quarantined || machine.reclaim_at.is_some() {
             return Standing::Out;
         }
         let stays = |(id, _): &(JobId, u32)| {
@@ -348,7 +373,7 @@
         }
     }
 
-    /// What teams use, if any has a guarantee.
+    /// The resources that each team uses; empty if no team has a guarantee.
     fn guarantees_in_use(&self) -> Vec<Usage> {
         match self.cfg.teams.iter().any(|t| t.has_guarantee()) {
             true => self.team_usage(&Shape::default()),
@@ -361,23 +386,23 @@
             class: &job.spec.class,
             tier: job.spec.priority,
             save_s: (job.spec.checkpoint_s() > 0.0).then_some(job.spec.save_s()),
-            waited_s: now - job.submitted,
+            waited_s: now - job.submitted_at,
             guaranteed: !usage.is_empty() && self.is_guaranteed(job, usage),
         }
     }
 
-    /// Whether the machine could have a task of the job if it were empty.
+    /// Whether a task of the job could run on the machine if the machine were empty.
     fn takes(&self, job: &Job, machine: &Machine) -> bool {
         machine.type_index.is_some_and(|index| {
-            let t = &self.types[index];
+            let t = &self.machine_types[index];
             job.shape.fits_in(&Shape::of_type(t))
-                && umbersail_policy::names_type(&job.spec, &t.name)
+                && umbersail_policy::allows_type(&job.spec, &t.name)
                 && job.spec.zone.as_ref().is_none_or(|z| *z == machine.zone)
                 && (job.spec.spot() || !machine.spot)
         })
     }
 
-    /// Puts records where a successor finds them.
+    /// Puts the records of all reservations into the plan store, for the next leader.
     fn record_reservations(&mut self, now: Time) {
         let plans = &mut self.plans;
         for key in plans.store.names(KIND) {
@@ -389,70 +414,71 @@
             let put = plans
                 .store
                 .put(now, &format!("{KIND}/{name}"), VERSION, record);
-            let unwritten = &mut plans.reserve.unwritten;
+            let write_errors = &mut plans.reserve.write_errors;
             match put {
                 Ok(()) => {
-                    unwritten.remove(name);
+                    write_errors.remove(name);
                 }
                 Err(e) => {
                     let reason = e.to_string();
-                    if unwritten.get(name) != Some(&reason) {
-                        warn!(entry = name, reason, "reservation can't be recorded");
-                        unwritten.insert(name.clone(), reason);
+                    if write_errors.get(name) != Some(&reason) {
+                        warn!(entry = name, reason, "cannot record a reservation");
+                        write_errors.insert(name.clone(), reason);
                     }
                 }
             }
         }
     }
 
-    /// Keeps held machines from others, and says for each waiting job whose it may use.
-    fn mark_kept(&mut self, now: Time) {
+    /// Sets which entries reserve each machine, and for each job the entries whose machines it
+    /// may use.
+    fn mark_reserved(&mut self, now: Time) {
         let reserve = &self.plans.reserve;
-        let holders = reserve
+        let with_machines = reserve
             .records
             .iter()
             .filter(|(_, r)| r.machines().next().is_some());
-        let bits: BTreeMap<String, u64> = holders
-            .take(HOLDERS_MOST)
+        let bits: BTreeMap<String, u64> = with_machines
+            .take(MAX_RESERVATIONS)
             .enumerate()
             .map(|(index, (name, _))| (name.clone(), 1 << index))
             .collect();
         if bits.is_empty() && reserve.bits.is_empty() {
             return;
         }
-        let mut kept: BTreeMap<&str, u64> = BTreeMap::new();
+        let mut reserved: BTreeMap<&str, u64> = BTreeMap::new();
         for (name, bit) in &bits {
             for machine in reserve.records[name].machines() {
-                *kept.entry(machine).or_default() |= bit | borrowers(*bit);
+                *reserved.entry(machine).or_default() |= bit | borrower_bit(*bit);
             }
         }
         let mut changed = false;
         for (name, machine) in &mut self.machines {
-            let reservations = kept.get(&**name).copied().unwrap_or(0);
+            let reservations = reserved.get(&**name).copied().unwrap_or(0);
             changed |= std::mem::replace(&mut machine.reservations, reservations) != reservations;
         }
         self.plans.reserve.bits = bits;
-        let reservations = self.pledges_of_jobs(now);
+        let reservations = self.usable_reservations(now);
         for (job, reservations) in self.jobs.values_mut().zip(reservations) {
             changed |= std::mem::replace(&mut job.reservations, reservations) != reservations;
         }
         if changed {
-            self.note_waiting();
+            self.mark_jobs_waiting();
         }
     }
 
-    /// For each job, in order, the kept machines that it may use.
-    fn pledges_of_jobs(&self, now: Time) -> Vec<u64> {
+    /// For each job, in order, the bits of the entries whose machines the job may use.
+    fn usable_reservations(&self, now: Time) -> Vec<u64> {
         let reserve = &self.plans.reserve;
         let usage = self.guarantees_in_use();
         let own: Vec<u64> = self.jobs.values().map(|j| reserve.own_bits(j)).collect();
-        // Of each holder: whether its own work waits for a place on its machines.
-        let mut wait = 0;
+        // The entries whose own work waits for free capacity on their machines.
+        let mut waiting = 0;
         for (job, own) in self.jobs.values().zip(&own) {
-            if *own & !wait != 0 && waits_for_room(job) {
-                let takes = |m: &&Machine| m.reservations & own != 0 && self.takes(job, m);
-                for machine in self.machines.values().filter(takes) {
-                    wait |= machine.reservations & own;
+            if *own & !waiting != 0 && waits_for_room(job) {
+                let suits = |m: &&Machine| m.reservations & own != 0 && self.takes(job, m);
+                for machine in self.machines.values().filter(suits) {
+                    waiting |= machine.reservations & own;
                 }
             }
         }
@@ -468,8 +494,9 @@
                         guaranteed: of_other,
                         ..borrower
                     };
-                    if own & bit == 0 && lends(terms, &borrower, wait & bit != 0, &reserve.rules) {
-                        all |= borrowers(*bit);
+                    if own & bit == 0 && lends(terms, &borrower, waiting & bit != 0, &reserve.rules)
+                    {
+                        all |= borrower_bit(*bit);
                     }
                 }
             }
@@ -478,47 +505,51 @@
         reservations
     }
 
-    /// Stops borrowers where the work that a machine is held for waits and finds no room
-    /// beside them. They count until a report shows them gone, and start elsewhere only
-    /// then (rules 3 and 4).
-    fn call_back(&mut self, now: Time) {
+    /// Stops borrowers on machines whose own work waits and has too little free capacity there.
+    /// A stopped task counts as running until a heartbeat shows that it has exited, and starts
+    /// elsewhere only then (rules 3 and 4).
+    fn reclaim_lent_machines(&mut self, now: Time) {
         if self.plans.reserve.bits.is_empty() {
             return;
         }
-        let (rooms, lent) = self.reserved_rooms(now);
+        let (rooms, lent) = self.reclaimable_capacity(now);
         if lent.is_empty() {
             return;
         }
         let stops = self.borrowers_to_stop(rooms, lent);
         let tasks = stops.len();
         for (id, task) in stops {
-            self.call_back_task(&id, task);
+            self.reclaim_from_task(&id, task);
         }
         if tasks > 0 {
-            info!(tasks, "reserved machines are given back");
+            info!(
+                tasks,
+                "stopping borrowers: reserved machines are needed for their own work"
+            );
         }
     }
 
-    /// Room on reserved machines, and the borrowers there that give back.
-    fn reserved_rooms(&self, now: Time) -> (Rooms<'_>, Borrowers<'_>) {
-        let (mut rooms, mut lent) = (Rooms::new(), Borrowers::new());
-        let silent_after = self.silent_after();
+    /// Free capacity of reserved machines, and the borrowers there that can be stopped.
+    fn reclaimable_capacity(&self, now: Time) -> (FreeCapacity<'_>, Borrowers<'_>) {
+        let (mut rooms, mut lent) = (FreeCapacity::new(), Borrowers::new());
+        let silent_after = self.silence_limit_s();
         for (name, machine) in &self.machines {
             let Some(index) = machine.type_index else {
                 continue;
             };
-            if machine.reservations == 0 || !machine.takes_tasks(now, silent_after) {
+            if machine.reservations == 0 || !machine.accepts_tasks(now, silent_after) {
                 continue;
             }
-            let mut room = Shape::of_type(&self.types[index]).plus(&machine.used, -1.0);
+            let mut room =
+                Shape::of_type(&self.machine_types[index]).plus(&machine.allocated, -1.0);
             for (id, task) in &machine.tasks {
                 let Some(job) = self.jobs.get(id) else {
                     continue;
                 };
-                let Some(placement) = job.live.get(task) else {
+                let Some(placement) = job.placements.get(task) else {
                     continue;
                 };
-                if placement.stop.is_some() {
+                if placement.pending_stop.is_some() {
                     room.add(&job.shape, 1.0);
                 } else if self.gives_back(now, job, machine) {
                     lent.entry(name).or_default().push((id, *task, job));
@@ -529,10 +560,10 @@
         (rooms, lent)
     }
 
-    /// Whether a job's tasks on a reserved machine are borrowers that can be called back.
+    /// Whether a job's tasks on a reserved machine are borrowers that can be stopped.
     fn gives_back(&self, now: Time, job: &Job, machine: &Machine) -> bool {
         let reserve = &self.plans.reserve;
-        job.reservations & machine.reservations & OWN == 0
+        job.reservations & machine.reservations & OWN_BITS == 0
             && reserve.records.iter().any(|(entry, record)| {
                 let bit = reserve.bits.get(entry).copied().unwrap_or(0);
                 machine.reservations & bit != 0
@@ -541,34 +572,35 @@
             })
     }
 
-    /// Whom waiting work of the reservations' own needs stopped: free room is filled first.
+    /// The borrowers that must stop so that waiting work of the reservations can start. Free
+    /// capacity is used first.
     fn borrowers_to_stop(
         &self,
-        mut rooms: Rooms<'_>,
+        mut rooms: FreeCapacity<'_>,
         mut lent: Borrowers<'_>,
     ) -> Vec<(JobId, u32)> {
         let mut stops: Vec<(JobId, u32)> = Vec::new();
         let mut own: Vec<&Job> = self
             .jobs
             .values()
-            .filter(|j| j.reservations & OWN != 0 && waits_for_room(j))
+            .filter(|j| j.reservations & OWN_BITS != 0 && waits_for_room(j))
             .collect();
         own.sort_by(|a, b| {
             let tiers = b.spec.priority.cmp(&a.spec.priority);
-            tiers.then(a.submitted.total_cmp(&b.submitted))
+            tiers.then(a.submitted_at.total_cmp(&b.submitted_at))
         });
         for job in own {
             let mut wanted = job.startable();
-            let may = |name: &MachineId| {
+            let may_use = |name: &MachineId| {
                 let machine = &self.machines[name];
-                machine.reservations & job.reservations & OWN != 0 && self.takes(job, machine)
+                machine.reservations & job.reservations & OWN_BITS != 0 && self.takes(job, machine)
             };
             for with_borrowers in [false, true] {
                 for (name, room) in &mut rooms {
                     if wanted == 0 {
                         break;
                     }
-                    if !may(name) {
+                    if !may_use(name) {
                         continue;
                     }
                     if with_borrowers && let Some(tasks) = lent.get_mut(*name) {
@@ -588,64 +620,68 @@
         stops
     }
 
-    fn call_back_task(&mut self, id: &JobId, task: u32) {
+    /// Stops a borrower.
+    fn reclaim_from_task(&mut self, id: &JobId, task: u32) {
         let Some(job) = self.jobs.get_mut(id) else {
             return;
         };
         let grace_s = job.spec.save_s() + 1.0;
-        let Some(placement) = job.live.get_mut(&task) else {
+        let Some(placement) = job.placements.get_mut(&task) else {
             return;
         };
-        if !placement.told() {
-            // Told to nobody: it can wait elsewhere at once.
-            self.return_task(id, task);
+        if !placement.may_be_known_to_worker() {
+            // The launch was not sent to the worker, so the task can be placed elsewhere at
+            // once.
+            self.requeue_task(id, task);
             return;
         }
         debug!(
             job = &**id,
             task,
             machine = &*placement.machine,
-            "gives a reserved machine back"
+            "stopping a borrower on a reserved machine"
         );
-        placement.stop = Some(Stop {
+        placement.pending_stop = Some(PendingStop {
             grace_s,
-            evictions: 0,
+            required_eviction_count: 0,
         });
     }
 
-    /// Room on kept machines; none if none is kept.
-    pub(in crate::engine) fn kept_room(&self) -> Option<KeptRoom<'_>> {
+    /// Free capacity of reserved machines; `None` if no machine is reserved.
+    pub(in crate::engine) fn reserved_capacity(&self) -> Option<ReservedCapacity<'_>> {
         if self.plans.reserve.bits.is_empty() {
             return None;
         }
-        let kept = self.machines.values().filter(|m| m.reservations != 0);
-        let rooms = kept.filter_map(|machine| {
+        let reserved = self.machines.values().filter(|m| m.reservations != 0);
+        let rooms = reserved.filter_map(|machine| {
             let index = machine.type_index?;
-            let gone = machine.delete_reason.is_some() || machine.notice_until.is_some();
-            let room = Shape::of_type(&self.types[index]).plus(&machine.used, -1.0);
+            let gone = machine.delete_reason.is_some() || machine.reclaim_at.is_some();
+            let room = Shape::of_type(&self.machine_types[index]).plus(&machine.allocated, -1.0);
             (!gone).then_some((machine, index, room))
         });
-        Some(KeptRoom {
+        Some(ReservedCapacity {
             rooms: rooms.collect(),
         })
     }
 
-    /// What it costs to put work there: kept machines are for their own work first, and
-    /// others go there only if they find nothing else.
-    pub(in crate::engine) fn kept_cost(&self, place: u64, job: u64) -> f64 {
-        let prefer_s = self.cfg.tuning.reserve_prefer_s;
-        match (place != 0, place & job & OWN != 0) {
+    /// Placement cost that reservations add, from the `reservations` of the machine and of the
+    /// job. A reservation's own work prefers reserved machines; other jobs use them only if no
+    /// other machine is suitable.
+    pub(in crate::engine) fn reservation_cost(&self, machine: u64, job: u64) -> f64 {
+        let gain_s = self.cfg.tuning.reserve_placement_gain_s;
+        match (machine != 0, machine & job & OWN_BITS != 0) {
             (false, _) => 0.0,
-            (true, true) => -prefer_s,
-            (true, false) => prefer_s,
+            (true, true) => -gain_s,
+            (true, false) => gain_s,
         }
     }
 
-    /// Requests to be sent now: those whose record stands, so that a successor knows
-    /// their names. After one without an answer only that is asked again.
-    pub(in crate::engine) fn reserve_requests(&mut self) -> Vec<RentRequest> {
+    /// The rental requests to be sent now. A request is sent only after its record is written,
+    /// so that the next leader knows its name. While a sent request has no answer, only that
+    /// request is sent again.
+    pub(in crate::engine) fn reservation_requests(&mut self) -> Vec<RentRequest> {
         let plans = &mut self.plans;
-        let mut named: Vec<(&str, RentRequest)> = Vec::new();
+        let mut due: Vec<(&str, RentRequest)> = Vec::new();
         for (entry, record) in &plans.reserve.records {
             if !plans.store.is_recorded(&format!("{KIND}/{entry}")) {
                 continue;
@@ -659,16 +695,16 @@
                         spot: batch.spot,
                         count: batch.count,
                     };
-                    named.push((entry, request));
+                    due.push((entry, request));
                 }
             }
         }
         let sent = &mut plans.reserve.sent;
-        sent.retain(|name| named.iter().any(|(_, r)| r.request == *name));
-        let again = sent.first().cloned();
-        named.retain(|(_, r)| again.as_ref().is_none_or(|name| r.request == *name));
-        named.truncate(self.cfg.tuning.reserve_asks as usize);
-        for (entry, request) in &named {
+        sent.retain(|name| due.iter().any(|(_, r)| r.request == *name));
+        let unanswered = sent.first().cloned();
+        due.retain(|(_, r)| unanswered.as_ref().is_none_or(|name| r.request == *name));
+        due.truncate(self.cfg.tuning.reservation_requests_per_round as usize);
+        for (entry, request) in &due {
             info!(
                 entry,
                 request = request.request,
@@ -676,16 +712,16 @@
                 zone = request.zone,
                 spot = request.spot,
                 count = request.count,
-                "rents for a reservation"
+                "renting machines for a reservation"
             );
             sent.insert(request.request.clone());
         }
-        named.into_iter().map(|(_, request)| request).collect()
+        due.into_iter().map(|(_, request)| request).collect()
     }
 
-    /// The cloud's answer to a request of ours: the machines, or none. False if it is
-    /// no reservation's.
-    pub(in crate::engine) fn reserve_answered(
+    /// Takes the cloud's answer to a rental request: the machines' names, or `None` if the
+    /// request was refused. Returns false if the request does not belong to a reservation.
+    pub(in crate::engine) fn reservation_request_answered(
         &mut self,
         now: Time,
         request: &str,
@@ -701,20 +737,20 @@
             }
         }
         self.record_reservations(now);
-        self.mark_kept(now);
+        self.mark_reserved(now);
         true
     }
 
-    /// Whether a request without an answer is a reservation's: then its record brings it
-    /// up again.
-    pub(in crate::engine) fn is_reserving(&self, request: &str) -> bool {
+    /// Whether an unanswered request belongs to a reservation. Such a request is sent again
+    /// because the reservation's record names it.
+    pub(in crate::engine) fn is_reservation_request(&self, request: &str) -> bool {
         self.plans.reserve.sent.contains(request)
     }
 
-    /// We rented these: how long they take to come up is learned.
-    pub(in crate::engine) fn boots_begin(&mut self, now: Time, names: &[String]) {
+    /// Called when machines were rented, in order to learn their boot times.
+    pub(in crate::engine) fn note_boots_started(&mut self, now: Time, names: &[String]) {
         let reserve = &mut self.plans.reserve;
-        if reserve.entries.is_empty() || reserve.booting.len() >= MAX_BOOTING {
+        if reserve.entries.is_empty() || reserve.booting.len() >= MAX_AWAITED_BOOTS {
             return;
         }
         for name in names {
@@ -722,28 +758,29 @@
         }
     }
 
-    /// One of them came up, or was given up.
-    pub(in crate::engine) fn boot_ended(&mut self, now: Time, name: &MachineId) {
+    /// Called when a machine has booted or its boot was given up.
+    pub(in crate::engine) fn note_boot_ended(&mut self, now: Time, name: &MachineId) {
         let reserve = &mut self.plans.reserve;
         let machine = self.machines.get(name).and_then(|m| m.type_index);
         if let Some(at) = reserve.booting.remove(name)
             && let Some(index) = machine
         {
-            let t = &self.types[index];
+            let t = &self.machine_types[index];
             reserve.boots.observe(&t.name, t.boot_s, now - at);
         }
     }
 }
 
+/// Whether the machine certainly runs no task.
 fn is_empty(machine: &Machine) -> bool {
-    machine.last_report.is_some()
+    machine.last_heartbeat.is_some()
         && machine.fenced
         && machine.tasks.is_empty()
-        && !machine.orphaned_tasks
+        && !machine.has_orphaned_tasks
         && !machine.inherited
 }
 
-/// Whether it waits for machines rather than for its team's limit.
+/// Whether the job waits for machines rather than for its team's limit.
 fn waits_for_room(job: &Job) -> bool {
-    job.startable() > 0 && job.blocked != BlockedReason::TeamLimit
+    job.startable() > 0 && job.blocked_reason != BlockedReason::TeamLimit
 }
--- a/crates/umbersail-control/src/engine/tests/faults.rs
+++ b/crates/umbersail-control/src/engine/tests/faults.rs
@@ -19,11 +19,13 @@
 
 use super::*;
 use crate::delegate::Delegate;
-use crate::records::{GRANT_KEY, JOBS, JobRecord, LEADER_KEY, LeaderRecord, RUNS, over_key};
 use crate::records::{
-    GrantRecord, Outcome, OverRecord, RECOVERY_PENDING_KEY, RecoveryPendingRecord,
+    EndedJobRecord, GrantRecord, Outcome, RECOVERY_PENDING_KEY, RecoveryPendingRecord,
 };
-use umbersail_standby::{DegradedMode, DegradedModeRecord};
+use crate::records::{
+    GRANT_KEY, JOB_PROGRESS, JOBS, JobRecord, LEADER_KEY, LeaderRecord, ended_job_key,
+};
+use umbersail_standby::{DegradedMode, DegradedModeMemory};
 
 const NODES: usize = 3;
 const WORKERS: usize = 5;
@@ -255,7 +257,7 @@
     started: Time,
     delegate: Delegate,
     leader: Option<(usize, u64)>,
-    memory: DegradedModeRecord,
+    memory: DegradedModeMemory,
     lead: Option<Lead>,
     next_duty: f64,
     next_greeting: f64,
@@ -313,9 +315,9 @@
             .collect()
     }
 
-    fn inheritance(&self, revision: u64) -> Inheritance {
-        let run = |id: &str| match self.keys.get(&run_key(id)) {
-            Some((Record::Run(run), version)) => Some((run.clone(), *version)),
+    fn inheritance(&self, revision: u64) -> InheritedState {
+        let run = |id: &str| match self.keys.get(&progress_key(id)) {
+            Some((Record::JobProgress(run), version)) => Some((run.clone(), *version)),
             _ => None,
         };
         let jobs = self
@@ -335,16 +337,19 @@
             _ => None,
         };
         let known: Vec<InheritedJob> = jobs.collect();
-        let over = self.keys.keys().filter_map(|key| key.strip_prefix(RUNS));
-        Inheritance {
+        let over = self
+            .keys
+            .keys()
+            .filter_map(|key| key.strip_prefix(JOB_PROGRESS));
+        InheritedState {
             revision,
             leader_version: revision,
-            parts: self.keys.iter().filter_map(part).collect(),
-            over: over
+            grant_parts: self.keys.iter().filter_map(part).collect(),
+            finished_jobs: over
                 .filter(|id| known.iter().all(|j| j.record.spec.id != *id))
                 .filter_map(|id| Some((id.to_owned(), run(id)?.0)))
                 .collect(),
-            whole_machines: false,
+            count_whole_machines: false,
             predecessor_degraded: false,
             jobs: known,
             types: vec![machine_type()],
@@ -357,7 +362,7 @@
 enum Late {
     Report {
         node: usize,
-        report: Report,
+        report: Heartbeat,
     },
     Direct {
         host: usize,
@@ -417,7 +422,7 @@
                 started: clock.at(0.0),
                 delegate: Delegate::new(LEASE_S, cfg.renewal_s()),
                 leader: None,
-                memory: DegradedModeRecord::default(),
+                memory: DegradedModeMemory::default(),
                 lead: None,
                 next_duty: rng.random_range(0.0..0.5),
                 next_greeting: rng.random_range(0.0..1.0),
@@ -583,7 +588,7 @@
             return;
         };
         let id = job.spec.id;
-        let over = OverRecord {
+        let over = EndedJobRecord {
             outcome: Outcome::Cancelled,
             done: 0,
         };
@@ -595,8 +600,8 @@
             changes: vec![
                 Change::Delete { key: job_key(&id) },
                 Change::Put {
-                    key: over_key(&id),
-                    value: Record::Over(over),
+                    key: ended_job_key(&id),
+                    value: Record::EndedJob(over),
                     lease: None,
                 },
             ],
@@ -623,7 +628,7 @@
                 member.up = true;
                 member.started = member.clock.at(self.t);
                 member.delegate = Delegate::new(LEASE_S, self.cfg.renewal_s());
-                member.memory = DegradedModeRecord::default();
+                member.memory = DegradedModeMemory::default();
             }
         }
     }
@@ -676,7 +681,7 @@
             return;
         }
         member.leader = Some((leader, revision));
-        member.delegate.superseded(revision);
+        member.delegate.on_newer_leader(revision);
         if let Some(lead) = &mut member.lead
             && lead.engine.revision() < revision
         {
@@ -705,7 +710,7 @@
             match self.store.keys.get(LEADER_KEY) {
                 Some((Record::Leader(record), revision)) => {
                     let revision = *revision;
-                    self.members[node].memory.read(revision);
+                    self.members[node].memory.observe_leader_key(revision);
                     let leader = record.member[6..].parse().unwrap();
                     let ours = record.incarnation == self.members[node].started.to_bits();
                     let suspects = self.is_on(Kind::Suspicions, |f| f.node == node);
@@ -730,14 +735,16 @@
         let over = self.members[node].lead.as_ref().is_some_and(|lead| {
             let gone =
                 self.sees_state(node) && self.store.version(LEADER_KEY) != lead.engine.revision();
-            lead.superseded || lead.engine.is_lost() || gone
+            lead.superseded || lead.engine.has_lost_leadership() || gone
         });
         if over && let Some(lead) = self.members[node].lead.take() {
             let (revision, open) = (
                 lead.engine.revision(),
-                lead.degraded_mode.may_have_unrecorded(),
+                lead.degraded_mode.may_have_unrecorded_starts(),
             );
-            self.members[node].memory.held_by_us(now, revision, open);
+            self.members[node]
+                .memory
+                .on_own_term_ended(now, revision, open);
         }
         self.run_degraded_mode(node, now);
         self.tend(node, now);
@@ -751,7 +758,7 @@
         let tuning = &self.cfg.tuning;
         self.store.lease_end = self.t + tuning.leader_ttl_s;
         if let Some(lead) = &mut self.members[node].lead {
-            lead.start_until = now + tuning.leader_ttl_s * (1.0 - tuning.drift) - 0.1;
+            lead.start_until = now + tuning.leader_ttl_s * (1.0 - tuning.clock_drift) - 0.1;
             if is_read {
                 lead.engine.jobs_listed(now, unix_ms, jobs);
                 lead.renew_until = now + self.cfg.renewal_s();
@@ -785,7 +792,7 @@
             lease: None,
         };
         let before = self.store.version(GRANT_KEY);
-        let open = before > 0 && self.members[node].memory.may_have_unrecorded(before);
+        let open = before > 0 && self.members[node].memory.may_have_unrecorded_starts(before);
         let predecessor_degraded = open || self.store.version(RECOVERY_PENDING_KEY) > 0;
         let mut changes = vec![
             put(LEADER_KEY, Record::Leader(leader)),
@@ -832,7 +839,7 @@
     /// What `Node::run_degraded_mode` does, with everybody's agreement at once.
     fn run_degraded_mode(&mut self, node: usize, now: Time) {
         let reachable = self.sees_state(node);
-        let (t, degraded_mode_s) = (self.t, self.cfg.tuning.degraded_mode_s);
+        let (t, degraded_mode_s) = (self.t, self.cfg.tuning.degraded_mode_max_s);
         let renewal_s = self.cfg.renewal_s();
         let Some(lead) = &mut self.members[node].lead else {
             return;
@@ -847,12 +854,12 @@
                 lead.degraded_mode = DegradedMode::Requesting(Default::default());
             }
             DegradedMode::Active if reachable || !in_time => {
-                lead.degraded_mode.close();
-                lead.engine.set_degraded(false);
+                lead.degraded_mode.stop_starts();
+                lead.engine.set_degraded_mode(false);
                 return;
             }
-            DegradedMode::Draining if lead.engine.unrecorded_jobs() == 0 => {
-                lead.degraded_mode.recorded();
+            DegradedMode::Draining if lead.engine.unrecorded_job_count() == 0 => {
+                lead.degraded_mode.on_all_recorded();
                 return;
             }
             _ => return,
@@ -871,12 +878,12 @@
                 .as_mut()
                 .filter(|_| agreed && answered)
             {
-                lead.degraded_mode.agreed(&name(peer), NODES - 1);
+                lead.degraded_mode.on_peer_agreed(&name(peer), NODES - 1);
             }
         }
         if let Some(lead) = &mut self.members[node].lead {
-            if lead.degraded_mode.allows_starts() {
-                lead.engine.set_degraded(true);
+            if lead.degraded_mode.allows_unrecorded_starts() {
+                lead.engine.set_degraded_mode(true);
                 self.opened += 1;
             } else {
                 lead.degraded_mode = DegradedMode::Off;
@@ -909,10 +916,13 @@
             let (jobs, parts) = engine.unknown_versions();
             for id in jobs {
                 let exists = self.store.version(&job_key(&id)) > 0;
-                engine.version_read(&id, exists, self.store.version(&run_key(&id)));
+                engine.version_read(&id, exists, self.store.version(&progress_key(&id)));
             }
             for part in parts {
-                engine.part_read(part, self.store.version(&crate::records::part_key(part)));
+                engine.part_read(
+                    part,
+                    self.store.version(&crate::records::grant_part_key(part)),
+                );
             }
         }
         for _ in 0..4 {
@@ -934,19 +944,19 @@
                 _ => self.store.apply(&pending.txn),
             };
             let executed = outcome != TxnOutcome::NotExecuted;
-            engine.txn_done(now, pending, outcome);
+            engine.txn_finished(now, pending, outcome);
             if !executed {
                 break;
             }
         }
         let mut direct = engine.token_increments(now);
-        direct.extend(engine.fence_targets(now));
+        direct.extend(engine.fencing_commands(now));
         for order in direct {
             self.send_direct(node, &order);
         }
     }
 
-    fn send_direct(&mut self, node: usize, order: &Fencing) {
+    fn send_direct(&mut self, node: usize, order: &FencingCommand) {
         let index: usize = order.machine[1..].parse().unwrap();
         let host = index % WORKERS;
         if self.hosts[host].worker.name != order.machine
@@ -982,12 +992,12 @@
         let answered = self.rng.random_bool(0.9);
         let now = self.members[node].clock.at(self.t);
         if let Some(lead) = self.members[node].lead.as_mut().filter(|_| answered) {
-            lead.engine.direct_report(now, &report);
+            lead.engine.receive_command_response(now, &report);
         }
     }
 
     /// A worker executes an empty direct command, if it may.
-    fn command(&mut self, host: usize, token: u64, session: u64) -> Report {
+    fn command(&mut self, host: usize, token: u64, session: u64) -> Heartbeat {
         let t = self.t;
         let unreachable = self.is_unreachable(host);
         let host = &mut self.hosts[host];
@@ -1028,10 +1038,11 @@
             .lead
             .as_mut()
             .filter(|l| !l.superseded && l.renew_until > now)
-            && let Some(jobs) = lead.engine.over_jobs()
+            && let Some(jobs) = lead.engine.finished_jobs()
         {
             over = jobs;
-            lead.engine.delegate_to(&name(to), lead.renew_until);
+            lead.engine
+                .delegate_renewals_to(&name(to), lead.renew_until);
             renewal_ms = Some(((lead.renew_until - now) * 1000.0) as u64);
         }
         umbersail_wire::Hello {
@@ -1040,22 +1051,23 @@
             state_reachable: true,
             token: member.leader.map_or(0, |(_, revision)| revision),
             leader: member.leader.map(|(leader, _)| name(leader)),
-            machines: 0,
+            machine_count: 0,
             progress: vec![],
             renewal_ms,
-            over,
-            up_ms: ((now - member.started) * 1000.0) as u64,
-            renewed: member.delegate.renewed(now),
-            leads: member.lead.is_some(),
-            open: (member.lead.as_ref()).is_some_and(|l| l.degraded_mode.may_have_unrecorded()),
-            recorded: member.memory.recorded(),
+            ended_jobs: over,
+            uptime_ms: ((now - member.started) * 1000.0) as u64,
+            renewed: member.delegate.recent_renewals(now),
+            is_leader: member.lead.is_some(),
+            unrecorded_starts: (member.lead.as_ref())
+                .is_some_and(|l| l.degraded_mode.may_have_unrecorded_starts()),
+            recorded_token: member.memory.fully_recorded_token(),
             ..umbersail_wire::Hello::default()
         }
     }
 
     /// What `Node::on_hello_reply` does.
     fn on_hello_reply(&mut self, node: usize, asked: Time, hello: &umbersail_wire::Hello) {
-        let drift = self.cfg.tuning.drift;
+        let drift = self.cfg.tuning.clock_drift;
         let now = self.members[node].clock.at(self.t);
         if let Some(leader) = &hello.leader {
             self.observe_leader(node, leader[6..].parse().unwrap(), hello.token);
@@ -1066,21 +1078,23 @@
             .filter(|_| hello.leader.as_ref() == Some(&hello.member))
         {
             let until = asked + renewal_ms as f64 / 1000.0 * (1.0 - drift);
-            member.delegate.delegated(hello.token, until, &hello.over);
+            member
+                .delegate
+                .on_delegation(hello.token, until, &hello.ended_jobs);
         }
-        if hello.leads && hello.leader.as_ref() == Some(&hello.member) {
+        if hello.is_leader && hello.leader.as_ref() == Some(&hello.member) {
             member
                 .memory
-                .holder_reported(asked, hello.token, hello.open);
-        } else if let Some(token) = hello.recorded {
-            // Of its own former process only (`DegradedModeRecord::peer_reported`).
+                .on_leader_report(asked, hello.token, hello.unrecorded_starts);
+        } else if let Some(token) = hello.recorded_token {
+            // Of its own former process only (`DegradedModeMemory::on_peer_report`).
             let former_self = member.leader == Some((node, token)) && member.lead.is_none();
-            member.memory.peer_reported(token, former_self);
+            member.memory.on_peer_report(token, former_self);
         }
         if let Some(lead) = &mut member.lead {
-            let up_s = hello.up_ms as f64 / 1000.0;
+            let up_s = hello.uptime_ms as f64 / 1000.0;
             lead.engine
-                .renewed_by(now, &hello.member, asked, up_s, &hello.renewed);
+                .record_delegated_renewals(now, &hello.member, asked, up_s, &hello.renewed);
         }
     }
 
@@ -1259,11 +1273,11 @@
         let Some(lead) = &self.members[node].lead else {
             return Ok(());
         };
-        let silent_after = lead.engine.silent_after();
+        let silent_after = lead.engine.silence_limit_s();
         for (name, machine) in &lead.engine.machines {
             let here = |h: &Host| !h.gone && h.worker.name == **name;
-            let counts = machine.takes_tasks(now, silent_after)
-                || (machine.confirmed && machine.part.is_none());
+            let counts = machine.accepts_tasks(now, silent_after)
+                || (machine.confirmed && machine.grant_part.is_none());
             if counts && !self.hosts.iter().any(here) {
                 return Err(format!("{:.1}: {name} is gone and counted on", self.t));
             }
@@ -1293,7 +1307,7 @@
             for member in &mut self.members {
                 if let Some(lead) = &mut member.lead {
                     lead.deleted.insert(name.clone());
-                    lead.engine.deleted(std::slice::from_ref(&name));
+                    lead.engine.machines_deleted(std::slice::from_ref(&name));
                 }
             }
         }
@@ -1309,7 +1323,7 @@
 
     /// A node takes a report: as the leader, by handing it on, or in the
     /// leader's stead (`front.rs`, `peers.rs`).
-    fn ask(&mut self, node: usize, report: &Report, may_direct: bool) -> Result<Answer, String> {
+    fn ask(&mut self, node: usize, report: &Heartbeat, may_direct: bool) -> Result<Answer, String> {
         if !self.members[node].up {
             return Ok(Answer::Refused);
         }
@@ -1333,7 +1347,7 @@
             if matches!(answer, Answer::Reply(..)) {
                 // Or its answer is lost on the way, and the worker is kept.
                 if self.rng.random_bool(0.97) {
-                    self.members[node].delegate.relayed(report);
+                    self.members[node].delegate.on_relayed_reply(report);
                     return Ok(answer);
                 }
             } else {
@@ -1343,29 +1357,33 @@
         let now = self.members[node].clock.at(self.t);
         let delegate = &mut self.members[node].delegate;
         Ok(match delegate.renew(now, report) {
-            Some(token) => Answer::Reply(token, delegate.stops(report, |_| false)),
+            Some(token) => Answer::Reply(token, delegate.stop_commands(report, |_| false)),
             None => Answer::Directed(leader),
         })
     }
 
     /// `Node::take_report`.
-    fn answer(&mut self, node: usize, report: &Report) -> Result<Answer, String> {
+    fn answer(&mut self, node: usize, report: &Heartbeat) -> Result<Answer, String> {
         let (t, now) = (self.t, self.members[node].clock.at(self.t));
         let Some(lead) = &mut self.members[node].lead else {
             return Ok(Answer::Refused);
         };
         lead.superseded |= epoch(report.token) > lead.engine.revision();
-        if lead.superseded || now >= lead.renew_until || !lead.engine.report(now, report) {
+        if lead.superseded || now >= lead.renew_until || !lead.engine.receive_heartbeat(now, report)
+        {
             return Ok(Answer::Refused);
         }
         let machine = &report.machine;
-        if !lead.answered.insert((machine.clone(), report.order())) {
+        if !lead
+            .answered
+            .insert((machine.clone(), report.ordering_key()))
+        {
             return Err(format!("{t:.1}: a copy from {machine} is answered"));
         }
         if lead.deleted.contains(machine) {
             return Err(format!("{t:.1}: {machine} is deleted and counted on"));
         }
-        let may_start = lead.degraded_mode.allows_starts() || now < lead.start_until;
+        let may_start = lead.degraded_mode.allows_unrecorded_starts() || now < lead.start_until;
         let commands = lead.engine.reply(now, report, may_start);
         Ok(Answer::Reply(
             lead.engine.token_for(&report.machine),
--- a/crates/umbersail-control/src/leader/mod.rs
+++ b/crates/umbersail-control/src/leader/mod.rs
@@ -20,7 +20,7 @@
 use umbersail_runtime::{Time, sleep};
 
 use crate::engine::Engine;
-use crate::node::{Leading, Node, Role, TaskGroup};
+use crate::node::{LeaderState, Node, Role, TaskGroup};
 use election::Elected;
 pub(crate) use lease::LeaderLease;
 use recovery::Recovered;
@@ -71,7 +71,7 @@
     /// asked for.
     async fn run_term(self: Rc<Self>, lease_id: u64, asked_at: Time, elected: Elected) {
         let token = elected.token;
-        self.share_limits(true);
+        self.apply_rate_limits(true);
         self.observe_leader(&self.settings.member, token);
         info!(
             token,
@@ -99,17 +99,17 @@
                 took_s = now - asked_at,
                 "state recovered"
             );
-            *self.role.borrow_mut() = Role::Leading(Box::new(Leading::new(
+            *self.role.borrow_mut() = Role::Leading(Box::new(LeaderState::new(
                 engine,
                 lease.clone(),
                 recovered.revision,
             )));
             self.clone().start_term_tasks(token, &mut tasks);
-            self.changed.raise();
+            self.role_changed.raise();
             let reason = self.wait_for_term_end(&lease).await;
             warn!(token, %reason, "leadership is over");
         }
-        tasks.end();
+        tasks.cancel();
         self.leave_term(lease_id, token).await;
     }
 
@@ -118,22 +118,24 @@
         tasks.start(self.clone().watch_jobs(token));
         tasks.start(self.clone().run_cloud(token));
         tasks.start(self.clone().run_fencing(token));
-        tasks.start(self.clone().answer_suspicions(token));
+        tasks.start(self.clone().answer_liveness_probes(token));
         tasks.start(self.run_degraded_mode(token));
     }
 
     async fn leave_term(&self, lease_id: u64, token: u64) {
         // What we know of our own starts, should we succeed ourselves.
         let unrecorded =
-            std::mem::take(&mut *self.degraded_mode.borrow_mut()).may_have_unrecorded();
-        self.degraded_mode_record
-            .borrow_mut()
-            .held_by_us(self.clock.now(), token, unrecorded);
+            std::mem::take(&mut *self.degraded_mode.borrow_mut()).may_have_unrecorded_starts();
+        self.degraded_mode_record.borrow_mut().on_own_term_ended(
+            self.clock.now(),
+            token,
+            unrecorded,
+        );
         *self.role.borrow_mut() = Role::Following;
         self.set_resigning(false);
-        self.changed.raise();
-        self.share_limits(false);
-        self.state.end_lease(lease_id).await;
+        self.role_changed.raise();
+        self.apply_rate_limits(false);
+        self.kv.end_lease(lease_id).await;
         sleep(AFTER_TERM_S).await;
     }
 
@@ -164,7 +166,7 @@
             Role::Leading(leading) if leading.superseded.get() => {
                 return Some(TermEnd::Superseded);
             }
-            Role::Leading(leading) if leading.engine.is_lost() => {
+            Role::Leading(leading) if leading.engine.has_lost_leadership() => {
                 return Some(TermEnd::WriteRefused);
             }
             Role::Leading(_) => {}
@@ -197,7 +199,7 @@
     /// lead: workers that reach every other controller would lose their tasks.
     fn is_unreached(&self, now: Time, since: &mut Option<Time>) -> bool {
         let (live, all) = match &*self.role.borrow() {
-            Role::Leading(leading) => leading.engine.live_machines(now),
+            Role::Leading(leading) => leading.engine.live_machine_counts(now),
             Role::Following => (0, 0),
         };
         if all < 2 || live > 0 || !self.a_peer_could_lead(now) {
