--- a/crates/umbersail-control/benches/scheduling_cycle.rs
+++ b/crates/umbersail-control/benches/scheduling_cycle.rs
@@ -9,11 +9,11 @@
 use umbersail_control::engine::{
     Engine, EngineConfig, InheritedJob, InheritedPart, InheritedState, TxnOutcome,
 };
-use umbersail_control::records::{GrantPart, GrantedMachine, JobRecord, Record, RunRecord};
+use umbersail_control::records::{GrantPart, GrantedMachine, JobProgressRecord, JobRecord, Record};
 use umbersail_policy::TeamLimits;
 use umbersail_tuning::Tuning;
 use umbersail_wire::{
-    Change, Command, ExitCause, JobKind, JobSpec, MachineType, Priority, Report, TaskReport,
+    Change, Command, ExitCause, Heartbeat, JobKind, JobSpec, MachineType, Priority, TaskReport,
     TaskState,
 };
 
@@ -105,7 +105,7 @@
 
 struct Bench {
     engine: Engine,
-    reports: Vec<Report>,
+    reports: Vec<Heartbeat>,
     now: f64,
 }
 
@@ -123,7 +123,7 @@
             types: vec![machine_type()],
             plans: Vec::new(),
         };
-        let report = |machine| Report {
+        let report = |machine| Heartbeat {
             machine: name(machine),
             addr: "127.0.0.1:9".into(),
             machine_type: "m8".into(),
@@ -202,7 +202,7 @@
         let changes = pending.map(|p| p.txn.changes).unwrap_or_default();
         let evictions = changes.iter().map(|change| match change {
             Change::Put {
-                value: Record::Run(run),
+                value: Record::JobProgress(run),
                 ..
             } => run.evictions,
             _ => 0,
@@ -378,10 +378,10 @@
                 record: record(spec(&format!("run-{job}"), Priority::High, 40, 2.0)),
                 version: 70,
                 run: Some((
-                    RunRecord {
-                        high: 40,
+                    JobProgressRecord {
+                        high_water: 40,
                         hosts: (10 * job..10 * job + 10).map(name).collect(),
-                        ..RunRecord::default()
+                        ..JobProgressRecord::default()
                     },
                     60,
                 )),
@@ -408,7 +408,7 @@
                 plans: Vec::new(),
             }
         };
-        let reports: BTreeMap<usize, Report> = Bench::machines(machines)
+        let reports: BTreeMap<usize, Heartbeat> = Bench::machines(machines)
             .reports
             .into_iter()
             .map(|mut report| {
--- a/crates/umbersail-control/src/engine/commands.rs
+++ b/crates/umbersail-control/src/engine/commands.rs
@@ -1,7 +1,7 @@
 //! Commands for a worker in the reply to its heartbeat.
 
 use tracing::debug;
-use umbersail_wire::{Command, ExitCause, Report, TaskReport, TaskState};
+use umbersail_wire::{Command, ExitCause, Heartbeat, TaskReport, TaskState};
 
 use super::heartbeats::{join_task, split_task};
 use super::tokens::may_launch;
@@ -32,13 +32,13 @@
             }
             unrecorded |= is_unsent;
         }
-        unrecorded || (self.wants_schedule() && self.may_have_waiting_jobs)
+        unrecorded || (self.needs_scheduling() && self.may_have_waiting_jobs)
     }
 
     /// Commands for the reply to a heartbeat that was applied. `may_start` is false once this
     /// leader's lease has expired: running tasks are then kept alive and none is started
     /// (rule 2).
-    pub fn reply(&mut self, now: Time, report: &Report, may_start: bool) -> Vec<Command> {
+    pub fn reply(&mut self, now: Time, report: &Heartbeat, may_start: bool) -> Vec<Command> {
         let Some((name, _)) = self.machines.get_key_value(report.machine.as_str()) else {
             return Vec::new();
         };
@@ -63,7 +63,7 @@
     /// Stop commands for listed tasks whose jobs are finished. A job that this leader does not
     /// know is finished: tasks are started only after their job was accepted, and this leader
     /// has read all accepted jobs since its election (rule 2).
-    pub(super) fn stop_commands_for_finished_jobs(&self, report: &Report) -> Vec<Command> {
+    pub(super) fn stop_commands_for_finished_jobs(&self, report: &Heartbeat) -> Vec<Command> {
         let job_is_finished = |task: &str| {
             let job = split_task(task).map(|(id, _)| self.jobs.get(id));
             job.is_some_and(|job| job.is_none_or(|job| job.cancelled))
@@ -81,7 +81,7 @@
         &mut self,
         now: Time,
         name: &MachineId,
-        report: &Report,
+        report: &Heartbeat,
         may_start: bool,
     ) -> Vec<Command> {
         let listed = report.tasks.iter();
@@ -132,11 +132,11 @@
         &mut self,
         now: Time,
         name: &MachineId,
-        report: &Report,
+        report: &Heartbeat,
         commands: &mut Vec<Command>,
     ) {
         let degraded_mode = self.degraded_mode;
-        for (id, task) in self.held_by_urgency(name) {
+        for (id, task) in self.tasks_by_priority(name) {
             let Some(job) = self.jobs.get(&id) else {
                 continue;
             };
@@ -147,18 +147,18 @@
             {
                 continue;
             }
-            let Some(holders) = self.may_fetch(now, name, &id, task) else {
+            let Some(holders) = self.request_fetch(now, name, &id, task) else {
                 continue;
             };
             let job = self.jobs.get_mut(&id);
             let Some(placement) = job.and_then(|job| job.placements.get_mut(&task)) else {
                 continue;
             };
-            placement.launched_in = Some(report.order());
+            placement.launched_in = Some(report.ordering_key());
             commands.push(Command::Start {
                 task: join_task(&id, task),
                 attempt: placement.attempt,
-                holders,
+                image_sources: holders,
             });
             debug!(
                 job = &*id,
--- a/crates/umbersail-control/src/engine/evict.rs
+++ b/crates/umbersail-control/src/engine/evict.rs
@@ -4,9 +4,9 @@
 
 use imbl::OrdSet;
 use tracing::info;
-use umbersail_cycle::{Locality, PreemptionClass};
+use umbersail_cycle::{MachineFilter, PreemptionClass};
 use umbersail_policy::{
-    EvictionHost, PreemptibleTask, Selection, Shape, Usage, select_victims, type_allowed,
+    EvictionHost, PreemptibleTask, Shape, Usage, VictimSet, allows_machine, select_victims,
 };
 use umbersail_wire::{Priority, TaskState};
 
@@ -19,7 +19,7 @@
 pub(super) struct EvictionCandidates {
     groups: Vec<CandidateGroup>,
     /// Machines and tasks looked at so far.
-    pub looked: u64,
+    pub examined: u64,
 }
 
 /// For beneficiaries of one class.
@@ -28,16 +28,16 @@
     /// Machines by name, with the tasks there that may be lost.
     machines: Vec<(MachineId, Vec<(JobId, u32)>)>,
     /// Localities in which none of them lies.
-    exhausted: Vec<Locality>,
-    looked: u64,
+    exhausted: Vec<MachineFilter>,
+    examined: u64,
 }
 
 impl Engine {
     /// Whether the job could ever lose a task: if not, no search looks at it.
-    pub(super) fn is_ever_preemptible(&self, job: &Job) -> bool {
+    pub(super) fn may_ever_be_preempted(&self, job: &Job) -> bool {
         let tuning = &self.cfg.tuning;
         !job.is_service()
-            && !job.has_reached_eviction_limit(tuning.evict_loser_limit)
+            && !job.has_reached_eviction_limit(tuning.max_evictions_per_task)
             && (job.spec.deadline_s.is_none()
                 || tuning.evict_deadline_work > 0.0
                 || tuning.reclaim_deadline_work > 0.0)
@@ -60,32 +60,34 @@
         if !reclaim && job.spec.priority == Priority::Low {
             return false;
         }
-        let preemptible = self.preemptible_jobs.to(job.preemption_class(), reclaim);
+        let preemptible = self
+            .preemptible_jobs
+            .preemptible_by(job.preemption_class(), reclaim);
         if preemptible.is_empty() || (!reclaim && self.can_rent_in_time(now, job)) {
             return false;
         }
-        let locality = self.locality_where(job, |_, t| job.shape.fits_in(&Shape::of_type(t)));
-        let group = self.group_for(job, reclaim, usage, &preemptible, searched);
-        if searched.groups[group].exhausted.contains(&locality) {
+        let filter = self.machine_filter_where(job, |_, t| job.shape.fits_in(&Shape::of_type(t)));
+        let group = self.candidate_group(job, reclaim, usage, &preemptible, searched);
+        if searched.groups[group].exhausted.contains(&filter) {
             return false;
         }
-        let mut looked = 0;
+        let mut examined = 0;
         let mut hosts = 0;
         let machines = searched.groups[group].machines.iter();
         let candidates = machines.filter_map(|(name, tasks)| {
-            looked += 1;
-            let machine = self.evictable_machine(now, name, &locality)?;
-            looked += tasks.len() as u64;
+            examined += 1;
+            let machine = self.evictable_machine(now, name, &filter)?;
+            examined += tasks.len() as u64;
             let host = self.eviction_host(now, job, machine, tasks, reclaim, usage)?;
             hosts += 1;
             Some(host)
         });
-        let max_sets = self.cfg.tuning.evict_sets as usize;
+        let max_sets = self.cfg.tuning.max_eviction_sets as usize;
         let selection = select_victims(&job.shape, candidates, max_sets);
-        searched.looked += looked;
+        searched.examined += examined;
         if hosts == 0 {
             // Who may lose, where, only becomes less while this slice lasts.
-            searched.groups[group].exhausted.push(locality);
+            searched.groups[group].exhausted.push(filter);
             return false;
         }
         let Some(selection) = selection else {
@@ -103,12 +105,12 @@
         // A job that fails everywhere would keep evicting for ever.
         job.is_schedulable()
             && !job.suspected_faulty
-            && job.errors < self.cfg.tuning.evict_errors_limit as u32
+            && job.errors < self.cfg.tuning.max_errors_of_evicting_job as u32
             && now >= job.next_eviction_at
     }
 
     /// Index of the group of candidates for jobs of this class, gathered once in a slice.
-    fn group_for(
+    fn candidate_group(
         &self,
         job: &Job,
         reclaim: bool,
@@ -120,23 +122,23 @@
         if let Some(group) = searched.groups.iter().position(|group| group.of == of) {
             return group;
         }
-        let group = self.group(job, reclaim, usage, preemptible);
-        searched.looked += group.looked;
+        let group = self.build_candidate_group(job, reclaim, usage, preemptible);
+        searched.examined += group.examined;
         searched.groups.push(group);
         searched.groups.len() - 1
     }
 
-    /// The machine, if it takes tasks and lies within the locality.
+    /// The machine, if it takes tasks and lies within the filter.
     fn evictable_machine(
         &self,
         now: Time,
         name: &MachineId,
-        locality: &Locality,
+        filter: &MachineFilter,
     ) -> Option<&Machine> {
         let machine = self.machines.get(name)?;
         let index = machine.type_index?;
         let usable = machine.accepts_tasks(now, self.silence_limit_s())
-            && locality.has(index, &machine.zone, machine.spot, machine.reservations);
+            && filter.matches(index, &machine.zone, machine.spot, machine.reservations);
         usable.then_some(machine)
     }
 
@@ -155,12 +157,12 @@
             .filter_map(|(id, task)| {
                 let victim = self.jobs.get(id)?;
                 let placement = victim.placements.get(task)?;
-                self.is_preemptable(beneficiary, victim, placement, reclaim, usage)
+                self.may_preempt(beneficiary, victim, placement, reclaim, usage)
                     .then(|| PreemptibleTask {
                         job: id.clone(),
                         task: *task,
                         shape: victim.shape,
-                        price: self.price(now, victim, placement),
+                        lost_work_s: self.lost_work_s(now, victim, placement),
                     })
             })
             .collect();
@@ -175,10 +177,10 @@
     /// Stops the victims, or lets those wait again that nobody was told of. The longest
     /// time that one has to save, in seconds.
     fn stop_victims(&mut self, now: Time, tasks: &[(JobId, u32)], usage: &mut [Usage]) -> f64 {
-        let limit = self.cfg.tuning.evict_loser_limit;
+        let limit = self.cfg.tuning.max_evictions_per_task;
         let mut saving_s: f64 = 0.0;
         for (id, task) in tasks {
-            if self.unplace_unsent(id, *task, usage) {
+            if self.unplace_if_unsent(id, *task, usage) {
                 continue;
             }
             let Some(victim) = self.jobs.get_mut(id) else {
@@ -228,7 +230,7 @@
     /// Lets a task wait again that no worker has been told of, if it is one. No
     /// worker could obey a stop: the task would stay planned, and hold its place,
     /// until the next leader.
-    pub(super) fn unplace_unsent(&mut self, id: &JobId, task: u32, usage: &mut [Usage]) -> bool {
+    pub(super) fn unplace_if_unsent(&mut self, id: &JobId, task: u32, usage: &mut [Usage]) -> bool {
         let unsent_launches = |job: &&Job| {
             job.placements
                 .get(&task)
@@ -245,7 +247,7 @@
     }
 
     /// The tasks that may be lost to a job of this class, by machine.
-    fn group(
+    fn build_candidate_group(
         &self,
         winner: &Job,
         reclaim: bool,
@@ -253,15 +255,15 @@
         preemptible: &[OrdSet<JobId>],
     ) -> CandidateGroup {
         let mut machines: BTreeMap<MachineId, Vec<(JobId, u32)>> = BTreeMap::new();
-        let mut looked = 0;
+        let mut examined = 0;
         for id in preemptible.iter().flatten() {
-            looked += 1;
+            examined += 1;
             let Some(victim) = self.jobs.get(id) else {
                 continue;
             };
             for (task, placement) in &victim.placements {
-                looked += 1;
-                if !self.is_preemptable(winner, victim, placement, reclaim, usage) {
+                examined += 1;
+                if !self.may_preempt(winner, victim, placement, reclaim, usage) {
                     continue;
                 }
                 let tasks = machines.entry(placement.machine.clone()).or_default();
@@ -275,11 +277,11 @@
             of: (winner.preemption_class(), reclaim),
             machines: machines.into_iter().collect(),
             exhausted: Vec::new(),
-            looked,
+            examined,
         }
     }
 
-    pub(super) fn is_preemptable(
+    pub(super) fn may_preempt(
         &self,
         winner: &Job,
         victim: &Job,
@@ -292,14 +294,15 @@
             || placement.observed_state == Some(TaskState::Saving)
             || victim.is_service()
             || victim.cancelled
-            || victim.has_reached_eviction_limit(tuning.evict_loser_limit)
+            || victim.has_reached_eviction_limit(tuning.max_evictions_per_task)
         {
             return false;
         }
         // Never below the victim team's guarantee.
         let beyond = victim.team.is_none_or(|team| {
             let limits = &self.cfg.teams[team];
-            !limits.has_guarantee() || usage[team].cpus - victim.shape.cpus >= limits.cpus - 1e-6
+            !limits.has_guarantee()
+                || usage[team].cpus - victim.shape.cpus >= limits.guaranteed_cpus - 1e-6
         });
         if !beyond {
             return false;
@@ -314,7 +317,7 @@
 
     /// Work lost since the start or the last checkpoint, in seconds: nothing where
     /// no worker has been told yet.
-    pub(super) fn price(&self, now: Time, victim: &Job, placement: &Placement) -> f64 {
+    pub(super) fn lost_work_s(&self, now: Time, victim: &Job, placement: &Placement) -> f64 {
         if !placement.may_be_known_to_worker() {
             return 0.0;
         }
@@ -326,7 +329,7 @@
         } else {
             ran
         };
-        lost.max(self.cfg.tuning.min_work_price_s)
+        lost.max(self.cfg.tuning.min_eviction_price_s)
     }
 
     /// Whether a rented machine can be up before the job must start.
@@ -339,7 +342,7 @@
                 && t.boot_s <= slack
                 && t.zones.iter().any(|zone| {
                     [true, false].into_iter().any(|spot| {
-                        type_allowed(&job.spec, &t.name, zone, spot)
+                        allows_machine(&job.spec, &t.name, zone, spot)
                             && !self.is_rental_backed_off(now, index, zone, spot)
                     })
                 })
@@ -347,7 +350,7 @@
     }
 }
 
-fn log_eviction(id: &JobId, selection: &Selection<MachineId, JobId>, reclaim: bool) {
+fn log_eviction(id: &JobId, selection: &VictimSet<MachineId, JobId>, reclaim: bool) {
     let victims: Vec<String> = selection
         .tasks
         .iter()
@@ -361,10 +364,10 @@
         job = &**id,
         machine = &*selection.machine,
         ?victims,
-        price_s = selection.price,
-        median_s = selection.median,
-        sets = selection.sets,
-        jobs = selection.jobs,
+        price_s = selection.lost_work_s,
+        median_s = selection.median_lost_work_s,
+        sets = selection.set_count,
+        jobs = selection.job_count,
         reason,
         "evicts"
     );
--- a/crates/umbersail-control/src/engine/grant.rs
+++ b/crates/umbersail-control/src/engine/grant.rs
@@ -12,7 +12,7 @@
 
 use super::write::TXN_BYTES;
 use super::{Engine, Machine, MachineId};
-use crate::records::{GrantPart, GrantedMachine, Record, part_key};
+use crate::records::{GrantPart, GrantedMachine, Record, grant_part_key};
 
 /// One part of the grant record: its desired content and what the state service holds.
 #[derive(Debug, Default)]
@@ -90,7 +90,7 @@
     /// Assigns the machine to a part of the grant record, which is written before any task
     /// starts on the machine.
     pub(super) fn assign_part(&mut self, name: &MachineId) {
-        let max_machines = self.cfg.tuning.grant_part_machines as usize;
+        let max_machines = self.cfg.tuning.machines_per_grant_record as usize;
         let Some(machine) = self.machines.get_mut(name) else {
             return;
         };
@@ -149,7 +149,7 @@
                 break;
             }
             bytes += size;
-            let key = part_key(index as u32);
+            let key = grant_part_key(index as u32);
             txn.conditions.push(Condition {
                 key: key.clone(),
                 version,
--- a/crates/umbersail-control/src/engine/heartbeats.rs
+++ b/crates/umbersail-control/src/engine/heartbeats.rs
@@ -4,7 +4,7 @@
 use std::collections::BTreeSet;
 
 use tracing::{debug, info};
-use umbersail_wire::{ExitCause, Report, TaskReport, TaskState};
+use umbersail_wire::{ExitCause, Heartbeat, TaskReport, TaskState};
 
 use super::{Engine, JobId, Machine, MachineId, PendingStop, Placement, Time, epoch};
 
@@ -32,21 +32,26 @@
 impl Engine {
     /// Applies a heartbeat that arrived at this leader. Returns false if a newer one was
     /// applied before: the delayed heartbeat lists outdated tasks and gets no reply.
-    pub fn receive_heartbeat(&mut self, now: Time, report: &Report) -> bool {
+    pub fn receive_heartbeat(&mut self, now: Time, report: &Heartbeat) -> bool {
         self.apply_heartbeat(now, report, true).is_some()
     }
 
     /// Applies a heartbeat that a worker sent in response to direct commands. It renews no
     /// lease, and a launch command may still be in flight in the reply to a periodic heartbeat.
-    pub fn receive_command_response(&mut self, now: Time, report: &Report) {
+    pub fn receive_command_response(&mut self, now: Time, report: &Heartbeat) {
         self.apply_heartbeat(now, report, false);
     }
 
     /// Applies a heartbeat, either a periodic one or a response to direct commands.
-    fn apply_heartbeat(&mut self, now: Time, report: &Report, periodic: bool) -> Option<MachineId> {
+    fn apply_heartbeat(
+        &mut self,
+        now: Time,
+        report: &Heartbeat,
+        periodic: bool,
+    ) -> Option<MachineId> {
         let name = self.find_or_adopt_machine(now, report)?;
         let machine = self.machines.get_mut(&name)?;
-        if report.order() <= machine.heartbeat_order {
+        if report.ordering_key() <= machine.heartbeat_order {
             debug!(
                 machine = &*name,
                 "dropped a heartbeat older than the newest one"
@@ -57,7 +62,7 @@
             self.on_first_heartbeat(now, &name);
         }
         let machine = self.machines.get_mut(&name)?;
-        machine.heartbeat_order = report.order();
+        machine.heartbeat_order = report.ordering_key();
         machine.last_heartbeat = Some(now);
         machine.lease_expired = false;
         machine.lists_missed = 0;
@@ -87,7 +92,7 @@
 
     /// The machine that sent the heartbeat, adopted if it is new; `None` if the machine is
     /// known to be deleted.
-    fn find_or_adopt_machine(&mut self, now: Time, report: &Report) -> Option<MachineId> {
+    fn find_or_adopt_machine(&mut self, now: Time, report: &Heartbeat) -> Option<MachineId> {
         if let Some((name, _)) = self.machines.get_key_value(report.machine.as_str()) {
             return Some(name.clone());
         }
@@ -125,7 +130,7 @@
         if let Some(machine) = self.machines.get_mut(name).filter(|m| !m.inherited) {
             machine.idle_since = now;
             debug!(machine = &**name, "first heartbeat: the machine has booted");
-            self.boot_ended(now, name);
+            self.note_boot_ended(now, name);
         }
     }
 
@@ -135,7 +140,7 @@
         &mut self,
         now: Time,
         name: &MachineId,
-        report: &Report,
+        report: &Heartbeat,
         periodic: bool,
         launches: Option<bool>,
     ) {
@@ -184,13 +189,14 @@
         &mut self,
         now: Time,
         name: &MachineId,
-        report: &Report,
+        report: &Heartbeat,
         periodic: bool,
     ) -> Option<bool> {
         let launches = self.requeue_missing_tasks(name, report, periodic);
         let orphans = self.reconcile_reported_tasks(now, name, report);
         let is_active = |id: &JobId| orphans.finished_jobs.contains(id);
-        let gone = (self.orphaned_jobs).shown(name, report.order(), periodic, is_active);
+        let gone =
+            (self.orphaned_jobs).on_heartbeat(name, report.ordering_key(), periodic, is_active);
         self.run_records_to_delete.extend(gone);
         if let Some(machine) = self.machines.get_mut(name) {
             self.cycle_requested |= machine.has_orphaned_tasks && !orphans.any;
@@ -205,7 +211,7 @@
     fn requeue_missing_tasks(
         &mut self,
         name: &MachineId,
-        report: &Report,
+        report: &Heartbeat,
         periodic: bool,
     ) -> Option<bool> {
         let mut launches = None;
@@ -229,7 +235,7 @@
                 // A worker drops replies older than 4 s and has only one periodic heartbeat
                 // in flight: a newer periodic heartbeat proves that the launch never took
                 // effect. A response to direct commands proves nothing.
-                (None, Some(order)) => periodic && report.order() > order,
+                (None, Some(order)) => periodic && report.ordering_key() > order,
                 (None, None) => false,
             };
             if gone {
@@ -253,7 +259,7 @@
         &mut self,
         now: Time,
         name: &MachineId,
-        report: &Report,
+        report: &Heartbeat,
     ) -> Orphans {
         let mut orphans = Orphans::default();
         for entry in &report.tasks {
@@ -270,7 +276,7 @@
                 None if entry.state != TaskState::Exited => {
                     let id: JobId = id.into();
                     orphans.any = true;
-                    orphans.any_unsized |= !self.orphaned_jobs.counts(&id);
+                    orphans.any_unsized |= !self.orphaned_jobs.has_known_shape(&id);
                     orphans.finished_jobs.insert(id);
                 }
                 None => {}
@@ -406,7 +412,7 @@
             info!(
                 job = &**id,
                 class = job.spec.class,
-                cpus = job.size(),
+                cpus = job.total_cpus(),
                 waited_s = waited_s as u64,
                 "job started after a long wait"
             );
@@ -417,7 +423,7 @@
                 .type_index
                 .map_or(0.0, |i| self.machine_types[i].cache_gb);
             let evicted = machine.add_image(image, size, cache);
-            self.observe_image(now, name, id, &evicted);
+            self.observe_cached_image(now, name, id, &evicted);
         }
     }
 }
--- a/crates/umbersail-control/src/engine/job.rs
+++ b/crates/umbersail-control/src/engine/job.rs
@@ -8,7 +8,7 @@
 use umbersail_wire::{JobKind, JobSpec, Priority, TaskState};
 
 use super::{MachineId, Time};
-use crate::records::RunRecord;
+use crate::records::JobProgressRecord;
 
 /// Why the last scheduling cycle did not place a job's pending tasks.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -163,7 +163,7 @@
         submitted: Time,
         team: Option<usize>,
         smallest_cpus: f64,
-        run: Option<(RunRecord, u64)>,
+        run: Option<(JobProgressRecord, u64)>,
     ) -> Job {
         let (run, run_version) = run.unwrap_or_default();
         let done = Bitmap::from_text(&run.done, spec.tasks).unwrap_or_else(|_| {
@@ -173,7 +173,7 @@
             );
             Bitmap::new(spec.tasks)
         });
-        let high = run.high.min(spec.tasks);
+        let high = run.high_water.min(spec.tasks);
         let hosts: BTreeSet<MachineId> = run.hosts.iter().map(|h| h.as_str().into()).collect();
         let mut job = Job {
             shape: Shape::of_task(&spec),
@@ -188,7 +188,7 @@
             recovery_pending: (0..high).filter(|t| !done.contains(*t)).collect(),
             inherited_machines: hosts.clone(),
             may_run_anywhere: false,
-            recovered_extra_attempts: run.extra,
+            recovered_extra_attempts: run.orphaned_attempts,
             cancelled: false,
             end_write_pending: false,
             evictions: run.evictions,
--- a/crates/umbersail-control/src/engine/jobs.rs
+++ b/crates/umbersail-control/src/engine/jobs.rs
@@ -9,7 +9,7 @@
 
 use super::job::{PendingStop, Placement};
 use super::{ClassSample, Engine, Job, JobId, Time};
-use crate::records::{JobRecord, RunRecord};
+use crate::records::{JobProgressRecord, JobRecord};
 
 impl Engine {
     /// Numbers of completed and of running tasks of a job. Tasks that an earlier leader started
@@ -46,11 +46,11 @@
         unix_ms: u64,
         mut record: JobRecord,
         version: u64,
-        run: Option<(RunRecord, u64)>,
+        run: Option<(JobProgressRecord, u64)>,
     ) {
         self.plans
             .images
-            .narrow(&mut record.spec, &self.machine_types);
+            .restrict_types(&mut record.spec, &self.machine_types);
         let id: JobId = record.spec.id.as_str().into();
         let age_s = unix_ms.saturating_sub(record.accepted_ms) as f64 / 1000.0;
         let smallest =
@@ -69,18 +69,18 @@
                 spot: record.spec.spot(),
             },
         );
-        if self.class_samples.len() > self.cfg.tuning.class_limit as usize {
+        if self.class_samples.len() > self.cfg.tuning.max_classes as usize {
             let known = &self.learner;
             self.class_samples
                 .retain(|class, _| known.get(class).is_some());
         }
         self.learner
-            .arrived(&record.spec.class, now - age_s, record.spec.tasks);
+            .record_arrival(&record.spec.class, now - age_s, record.spec.tasks);
         if record.spec.kind == umbersail_wire::JobKind::Array {
             let run_s = self
                 .learner
-                .run_s(&record.spec.class, record.spec.estimate_s);
-            self.learner.brought(
+                .expected_run_s(&record.spec.class, record.spec.estimate_s);
+            self.learner.record_work(
                 &record.spec.class,
                 now,
                 run_s * f64::from(record.spec.tasks),
@@ -88,12 +88,12 @@
             );
         }
         let job = Job::new(record.spec, version, now - age_s, team, smallest, run);
-        if self.is_ever_preemptible(&job) {
+        if self.may_ever_be_preempted(&job) {
             self.preemptible_jobs
                 .insert(job.preemption_class(), id.clone());
         }
         self.jobs.insert(id.clone(), job);
-        self.plan_for_job(now, &id);
+        self.plans_job_accepted(now, &id);
         self.mark_jobs_waiting();
     }
 
@@ -174,7 +174,7 @@
 
     /// Takes over the progress record of a job that finished before this leader was elected:
     /// tasks not recorded as completed may still run on the machines that the record names.
-    pub(super) fn inherit_orphaned_attempts(&mut self, id: &str, run: RunRecord) {
+    pub(super) fn inherit_orphaned_attempts(&mut self, id: &str, run: JobProgressRecord) {
         let name: JobId = id.into();
         let teams = &self.cfg.teams;
         let known = |m: &&String| self.machines.contains_key(m.as_str());
@@ -185,7 +185,7 @@
                 gpus,
                 memory_gb,
             }),
-            attempts: run.high.saturating_sub(run.done_count) + run.extra,
+            attempts: run.high_water.saturating_sub(run.done_count) + run.orphaned_attempts,
             machines: (run.hosts.iter().filter(known))
                 .map(|m| (m.as_str().into(), None))
                 .collect(),
@@ -198,7 +198,7 @@
     /// Removes a job from the table and from the plans.
     pub(super) fn remove_job(&mut self, id: &JobId) -> Option<Job> {
         let job = self.jobs.remove(id)?;
-        self.job_left_plans(&job);
+        self.plans_job_ended(&job);
         self.preemptible_jobs.remove(job.preemption_class(), id);
         Some(job)
     }
@@ -218,7 +218,7 @@
         if let Some(machine) = self.machines.get_mut(&placement.machine) {
             machine.remove_task(id, task, &job.shape, job.image);
             if !machine.uses_image(job.image) {
-                self.plans.images.unused(job.image, &machine.name);
+                self.plans.images.cancel_fetch(job.image, &machine.name);
             }
         }
         self.cycle_requested = true;
--- a/crates/umbersail-control/src/engine/listing.rs
+++ b/crates/umbersail-control/src/engine/listing.rs
@@ -101,7 +101,7 @@
 
     /// The cloud has granted a rental, in full or in part: these machines now exist.
     pub fn machines_rented(&mut self, now: Time, request: &RentRequest, names: &[String]) {
-        self.boots_begin(now, names);
+        self.note_boots_started(now, names);
         let index = self.type_index(&request.machine_type);
         for name in names {
             let name: MachineId = name.as_str().into();
@@ -118,20 +118,20 @@
                 self.rental_backoffs.remove(&key);
             }
         }
-        self.reserve_answered(now, &request.request, Some(names));
+        self.reservation_request_answered(now, &request.request, Some(names));
     }
 
     /// A rental got no answer: it may have been granted, or may still be granted. The same
     /// request is sent again.
     pub fn rental_unanswered(&mut self, request: RentRequest) {
-        if !self.is_reserving(&request.request) {
+        if !self.is_reservation_request(&request.request) {
             self.unanswered_rentals.push_back(request);
         }
     }
 
     /// The cloud refused the rental: it has no such machines now.
     pub fn rental_refused(&mut self, now: Time, request: &RentRequest) {
-        self.reserve_answered(now, &request.request, None);
+        self.reservation_request_answered(now, &request.request, None);
         if let Some(index) = self.type_index(&request.machine_type) {
             self.back_off_rental(now, (index, request.zone.clone(), request.spot));
         }
@@ -145,7 +145,7 @@
             .rental_backoffs
             .get(&key)
             .map_or(tuning.refusal_backoff_s, |r| {
-                (r.backoff_s * 2.0).min(tuning.refusal_backoff_most_s)
+                (r.backoff_s * 2.0).min(tuning.refusal_backoff_max_s)
             });
         info!(
             machine_type = self.machine_types[key.0].name,
@@ -165,11 +165,11 @@
 
     /// The cloud has confirmed the deletion: the machines and all tasks on them are gone.
     pub fn machines_deleted(&mut self, names: &[String]) {
-        let max_names = self.cfg.tuning.gone_names as usize;
+        let max_names = self.cfg.tuning.max_deleted_machine_names as usize;
         for name in names {
             let name: MachineId = name.as_str().into();
             self.clear_machine(&name);
-            self.plans.images.gone(&name);
+            self.plans.images.remove_machine(&name);
             if let Some(machine) = self.machines.remove(&name) {
                 self.remove_from_part(&name, machine.grant_part);
             }
--- a/crates/umbersail-control/src/engine/mod.rs
+++ b/crates/umbersail-control/src/engine/mod.rs
@@ -6,6 +6,7 @@
 
 mod commands;
 mod delegations;
+mod eligibility;
 mod evict;
 mod grant;
 mod heartbeats;
@@ -13,7 +14,6 @@
 mod job;
 mod jobs;
 mod listing;
-mod locality;
 mod machine;
 mod order;
 mod placement;
@@ -36,12 +36,12 @@
 use std::rc::Rc;
 
 use umbersail_cycle::PreemptibleJobs;
-use umbersail_policy::{Learner, ServiceHistory, Shape, TeamLimits, Window};
+use umbersail_policy::{Learner, LoadWindow, ServiceHistory, Shape, TeamLimits};
 use umbersail_standby::OrphanedJobs;
 use umbersail_tuning::Tuning;
 use umbersail_wire::{MachineType, Priority, RentRequest};
 
-use crate::records::{JobRecord, RunRecord};
+use crate::records::{JobProgressRecord, JobRecord};
 use delegations::Delegation;
 use grant::GrantPartState;
 pub use grant::InheritedPart;
@@ -52,8 +52,8 @@
 use order::CachedPriorityOrder;
 pub use plans::InheritedPlan;
 use plans::Plans;
-pub(crate) use plans::cache_holds;
-pub(crate) use plans::reserve_facts;
+pub(crate) use plans::image_fits_cache;
+pub(crate) use plans::reservation_limits;
 use schedule::SchedulingCycle;
 use starvation_guard::StarvationGuard;
 pub use tokens::{FencingCommand, epoch, first_token};
@@ -116,7 +116,7 @@
     /// Unfinished jobs.
     pub jobs: Vec<InheritedJob>,
     /// Finished jobs whose progress records still exist.
-    pub finished_jobs: Vec<(String, RunRecord)>,
+    pub finished_jobs: Vec<(String, JobProgressRecord)>,
     /// The predecessor ran a build that kept no progress records of finished jobs: each machine
     /// counts as used in full until it is accounted for (rule 4).
     pub count_whole_machines: bool,
@@ -136,7 +136,7 @@
     /// Version of the job's key.
     pub version: u64,
     /// The job's progress and the version of that record, if one exists.
-    pub run: Option<(RunRecord, u64)>,
+    pub run: Option<(JobProgressRecord, u64)>,
 }
 
 /// Pause of rentals of one machine type in one zone, as spot or ordinary machines, after a
@@ -267,11 +267,11 @@
             request_counter: 0,
             unanswered_rentals: VecDeque::new(),
             learner: Learner::new(
-                tuning.class_limit as usize,
+                tuning.max_classes as usize,
                 tuning.learn_weight,
-                Window {
-                    jobs: tuning.window_jobs,
-                    least_s: tuning.window_least_s,
+                LoadWindow {
+                    jobs: tuning.load_window_jobs,
+                    min_s: tuning.load_window_min_s,
                 },
             ),
             class_samples: BTreeMap::new(),
@@ -283,7 +283,7 @@
             cached_order: None,
             starvation_guard: StarvationGuard::default(),
             service_history: ServiceHistory::new(
-                2 * tuning.class_limit as usize,
+                2 * tuning.max_classes as usize,
                 tuning.service_window_jobs as usize,
             ),
             may_have_waiting_jobs: true,
@@ -358,7 +358,7 @@
 
     /// Seconds without a heartbeat after which a machine counts as silent.
     fn silence_limit_s(&self) -> f64 {
-        (self.cfg.tuning.silent_reports * self.cfg.heartbeat_interval_s).max(2.0)
+        (self.cfg.tuning.max_missed_heartbeats * self.cfg.heartbeat_interval_s).max(2.0)
     }
 
     fn type_index(&self, name: &str) -> Option<usize> {
@@ -381,7 +381,9 @@
             machine.type_index = index;
         }
         for job in self.jobs.values_mut() {
-            self.plans.images.narrow(&mut job.spec, &self.machine_types);
+            self.plans
+                .images
+                .restrict_types(&mut job.spec, &self.machine_types);
             job.smallest_cpus =
                 umbersail_policy::smallest_cpus(&job.spec, &self.machine_types).unwrap_or(f64::MAX);
         }
--- a/crates/umbersail-control/src/engine/reachability.rs
+++ b/crates/umbersail-control/src/engine/reachability.rs
@@ -6,7 +6,7 @@
 //! agent session ends although a reply was sent. Rule 3 does not depend on this module: which
 //! tasks may run on the machine is decided by its heartbeats and its lease.
 
-use umbersail_wire::Report;
+use umbersail_wire::Heartbeat;
 
 use super::{EngineConfig, Time};
 
@@ -48,7 +48,7 @@
     }
 
     /// A reply to this heartbeat was sent, with this token.
-    pub fn reply_sent(&mut self, now: Time, report: &Report, token: u64) {
+    pub fn reply_sent(&mut self, now: Time, report: &Heartbeat, token: u64) {
         self.last_reply = Some(LastReply {
             session: report.session,
             token_observed: report.token,
@@ -60,7 +60,7 @@
 
     /// The machine has responded to a direct command. That is no evidence that replies, which
     /// carry the launches, arrive.
-    pub fn command_acknowledged(&mut self, report: &Report) {
+    pub fn command_acknowledged(&mut self, report: &Heartbeat) {
         if let Some(reply) = &mut self.last_reply {
             reply.token_observed = reply.token_observed.max(report.token);
         }
@@ -73,7 +73,7 @@
         &mut self,
         now: Time,
         cfg: &EngineConfig,
-        report: &Report,
+        report: &Heartbeat,
         launches: Option<bool>,
     ) -> bool {
         let tuning = &cfg.tuning;
@@ -97,12 +97,12 @@
             report.session > reply.session && reply_age_s < cfg.lease_s - REPLY_TIMEOUT_S;
         let first = !std::mem::replace(&mut reply.evaluated, true);
         let missed = token_missed || launches == Some(false) || session_missed;
-        if !(missed && first) || reply_age_s < tuning.unreachable_gap_s {
+        if !(missed && first) || reply_age_s < tuning.unreachable_min_gap_s {
             return self.missed_replies > 0;
         }
         if self
             .last_missed_at
-            .is_some_and(|at| now - at > tuning.unreachable_fade_s)
+            .is_some_and(|at| now - at > tuning.unreachable_sign_ttl_s)
         {
             self.missed_replies = 0;
         }
--- a/crates/umbersail-control/src/engine/task_ends.rs
+++ b/crates/umbersail-control/src/engine/task_ends.rs
@@ -36,7 +36,7 @@
             .deadline_s
             .is_some_and(|d| now - job.submitted_at <= d);
         if ended {
-            self.count_served(id, in_time);
+            self.record_deadline_outcome(id, in_time);
         }
         self.clear_job_errors(id);
         let Some(job) = self.jobs.get_mut(id) else {
@@ -49,7 +49,7 @@
         {
             let estimate = job.spec.estimate_s;
             let class = job.spec.class.clone();
-            self.learner.ran(&class, now, estimate, now - since);
+            self.learner.record_run(&class, now, estimate, now - since);
         }
         match job.placements.get_mut(&task) {
             // An earlier attempt completed: the attempt that replaced it is not needed.
@@ -144,7 +144,7 @@
         // that were still running during the backoff do not extend it.
         if job.backoff_until.is_none() {
             let doubled_s = job.backoff_s * 2.0;
-            job.backoff_s = doubled_s.clamp(tuning.job_backoff_s, tuning.job_backoff_most_s);
+            job.backoff_s = doubled_s.clamp(tuning.job_backoff_s, tuning.job_backoff_max_s);
             job.backoff_until = Some(now + job.backoff_s);
             info!(
                 job = &**id,
--- a/crates/umbersail-control/src/engine/tests/calendar.rs
+++ b/crates/umbersail-control/src/engine/tests/calendar.rs
@@ -26,7 +26,7 @@
 struct Place {
     file: String,
     jobs: BTreeMap<String, (JobSpec, u64)>,
-    runs: BTreeMap<String, RunRecord>,
+    runs: BTreeMap<String, JobProgressRecord>,
     plans: BTreeMap<String, (Value, u64)>,
     engine: Engine,
     workers: Vec<Worker>,
@@ -129,7 +129,7 @@
                 };
                 if let Some(id) = key.strip_prefix("jobs/") {
                     self.jobs.remove(id);
-                } else if let (Some(id), Some(Record::Run(run))) =
+                } else if let (Some(id), Some(Record::JobProgress(run))) =
                     (key.strip_prefix("runs/"), value)
                 {
                     self.runs.insert(id.into(), run.clone());
@@ -152,7 +152,7 @@
     /// Half a second: a tick, a cycle, records, and reports with their answers.
     fn step(&mut self) {
         self.now += 0.5;
-        self.engine.set_wall(self.now, wall(self.now));
+        self.engine.set_wall_clock(self.now, wall(self.now));
         self.engine.tick(self.now);
         self.engine.schedule(self.now);
         self.write();
@@ -335,7 +335,7 @@
     let empty = PlanRecord {
         version: 1,
         plan: to_value(&bad).unwrap(),
-        gone: false,
+        is_tombstone: false,
     };
     for record in [
         to_value(&newer).unwrap(),
--- a/crates/umbersail-control/src/engine/tests/cycles.rs
+++ b/crates/umbersail-control/src/engine/tests/cycles.rs
@@ -5,8 +5,8 @@
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
 use umbersail_policy::{
-    DeadlineDemand, EvictionHost, MachineView, PlaceWeights, PreemptibleTask, TaskView, Usage,
-    max_on_time, quota_room, rank_machines, select_victims, type_allowed,
+    DeadlineDemand, EvictionHost, MachineView, PlacementWeights, PreemptibleTask, TaskView, Usage,
+    allows_machine, max_on_time, rank_machines, remaining_quota, select_victims,
 };
 
 use super::*;
@@ -80,7 +80,8 @@
             let above: f64 = upper
                 .map(|j| j.occupied_tasks() as f64 * j.shape.cpus)
                 .sum();
-            let of_machines = (inside - (above - outside).max(0.0)) * self.cfg.tuning.pool_share;
+            let of_machines =
+                (inside - (above - outside).max(0.0)) * self.cfg.tuning.usable_cpu_share;
             let key = (tier, types, spot);
             let members: Vec<&JobId> = ids
                 .iter()
@@ -98,7 +99,7 @@
             let due = |id: &JobId, times: f64| {
                 let j = &self.jobs[id];
                 let later = (times - 1.0) * j.spec.deadline_s.unwrap();
-                let work = f64::from(j.pending()) * j.shape.cpus * self.run_s(j);
+                let work = f64::from(j.pending()) * j.shape.cpus * self.expected_run_s(j);
                 DeadlineDemand {
                     slack_s: self.slack_s(now, j).unwrap() + later,
                     work_s: work / cpus,
@@ -134,7 +135,7 @@
                     !j.is_scheduled_last(self.cfg.tuning.job_backoff_s),
                     j.spec.priority,
                     guaranteed,
-                    self.is_fresh(now, j, guaranteed),
+                    self.can_meet_start_objective(now, j, guaranteed),
                     standing[id],
                 );
                 (
@@ -156,24 +157,24 @@
             if !members.iter().any(|id| is_its(&id)) {
                 continue;
             }
-            if team.cpus_max == 0.0 {
+            if team.max_cpus == 0.0 {
                 return f64::INFINITY;
             }
             let upper = |j: &&Job| j.team == Some(index) && j.spec.priority > tier;
             let jobs = self.jobs.values().filter(upper);
             let above: f64 = jobs.map(|j| j.occupied_tasks() as f64 * j.shape.cpus).sum();
-            allowed += (team.cpus_max - above).max(0.0);
+            allowed += (team.max_cpus - above).max(0.0);
         }
         allowed
     }
 
     fn plain_place(&mut self, now: Time, id: &JobId, usage: &mut [Usage], order: &[JobId]) -> bool {
         let job = &self.jobs[id];
-        let mut quota = job
-            .team
-            .map_or(0, |t| quota_room(&self.cfg.teams[t], &usage[t], &job.shape));
+        let mut quota = job.team.map_or(0, |t| {
+            remaining_quota(&self.cfg.teams[t], &usage[t], &job.shape)
+        });
         if quota == 0 {
-            self.set_blocked(id, BlockedReason::TeamLimit);
+            self.set_blocked_reason(id, BlockedReason::TeamLimit);
             return false;
         }
         let closed = |t: &MachineType| {
@@ -195,7 +196,7 @@
             let free = Shape::of_type(t).plus(&m.allocated, -1.0);
             if !job.shape.fits_in(&free)
                 || !m.accepts_tasks(now, silent_after)
-                || !type_allowed(&job.spec, &t.name, &m.zone, m.spot)
+                || !allows_machine(&job.spec, &t.name, &m.zone, m.spot)
                 || job.avoided_machines.contains(&m.name)
                 || closed(t)
                 || m.claim.as_ref().is_some_and(|c| {
@@ -217,14 +218,14 @@
                 spot: m.spot,
                 free,
                 has_image,
-                report_in_s: (self.cfg.heartbeat_interval_s - m.silent_for(now)).max(0.0),
+                heartbeat_due_in_s: (self.cfg.heartbeat_interval_s - m.silent_for(now)).max(0.0),
                 fetching_image: !has_image && m.tasks.iter().any(same),
             });
         }
         let tuning = &self.cfg.tuning;
         let awaits = views.iter().any(|v| !v.has_image)
             && self
-                .start_aim(job, self.is_guaranteed(job, usage))
+                .start_objective_s(job, self.is_guaranteed(job, usage))
                 .is_some_and(|within| {
                     let left = within - (now - job.submitted_at);
                     let places = self.machines.values().filter(|m| {
@@ -236,7 +237,7 @@
                     });
                     let least = (tuning.image_places * f64::from(job.pending())).ceil() as usize;
                     left >= tuning.image_wait_s
-                        && self.fetch_s(job) > left
+                        && self.image_fetch_s(job) > left
                         && places.count() >= least
                 });
         views.retain(|v| !awaits || v.has_image);
@@ -258,10 +259,10 @@
             only_zone: only_zone.as_deref(),
             reserved_types: &[],
         };
-        let weights = PlaceWeights {
+        let weights = PlacementWeights {
             image: tuning.image_weight_s,
             oversize: tuning.oversize_cost,
-            ordinary: tuning.ordinary_cost,
+            on_demand: tuning.ordinary_cost,
         };
         let limit = if job.spec.spread() {
             job.spec.tasks.div_ceil(2)
@@ -282,7 +283,7 @@
             chosen.push((machine, n));
         }
         for (machine, n) in chosen {
-            (0..n).for_each(|_| self.place(now, id, &machine, usage));
+            (0..n).for_each(|_| self.place_task(now, id, &machine, usage));
         }
         wanted > 0 && quota > 0 && !awaits
     }
@@ -292,7 +293,7 @@
         let job = &self.jobs[id];
         let reclaim = self.is_guaranteed(job, usage);
         if job.suspected_faulty
-            || job.errors >= tuning.evict_errors_limit as u32
+            || job.errors >= tuning.max_errors_of_evicting_job as u32
             || now < job.next_eviction_at
             || (!reclaim && job.spec.priority == Priority::Low)
             || (!reclaim && self.can_rent_in_time(now, job))
@@ -303,7 +304,7 @@
         for m in self.machines.values() {
             let t = &self.machine_types[m.type_index.unwrap()];
             if !m.accepts_tasks(now, self.silence_limit_s())
-                || !type_allowed(&job.spec, &t.name, &m.zone, m.spot)
+                || !allows_machine(&job.spec, &t.name, &m.zone, m.spot)
                 || !job.shape.fits_in(&Shape::of_type(t))
             {
                 continue;
@@ -314,12 +315,12 @@
                 .filter_map(|(other, task)| {
                     let victim = self.jobs.get(other)?;
                     let placement = victim.placements.get(task)?;
-                    self.is_preemptable(job, victim, placement, reclaim, usage)
+                    self.may_preempt(job, victim, placement, reclaim, usage)
                         .then(|| PreemptibleTask {
                             job: other.clone(),
                             task: *task,
                             shape: victim.shape,
-                            price: self.price(now, victim, placement),
+                            lost_work_s: self.lost_work_s(now, victim, placement),
                         })
                 })
                 .collect();
@@ -335,12 +336,13 @@
         if hosts.is_empty() {
             return false;
         }
-        let Some(choice) = select_victims(&job.shape, hosts, tuning.evict_sets as usize) else {
+        let Some(choice) = select_victims(&job.shape, hosts, tuning.max_eviction_sets as usize)
+        else {
             return true;
         };
         let mut saving_s: f64 = 0.0;
         for (victim, task) in &choice.tasks {
-            if self.unplace_unsent(victim, *task, usage) {
+            if self.unplace_if_unsent(victim, *task, usage) {
                 continue;
             }
             let victim = self.jobs.get_mut(victim).unwrap();
@@ -426,7 +428,7 @@
     let tuning = Tuning {
         evict_deadline_work: flag(&mut rng),
         reclaim_deadline_work: flag(&mut rng),
-        order_keep_s: 0.0,
+        order_reuse_s: 0.0,
         ..Tuning::default()
     };
     let limits = |name: &str, cpus, cpus_max| TeamLimits {
@@ -670,7 +672,7 @@
             e.jobs.get_mut("req-low").unwrap().evictions = 3
         }),
         ("its team down to its guarantee", 0, |e| {
-            Rc::get_mut(&mut e.cfg).unwrap().teams[0].cpus = 8.0;
+            Rc::get_mut(&mut e.cfg).unwrap().teams[0].guaranteed_cpus = 8.0;
         }),
     ];
     for (what, evictions, turn) in turns {
@@ -732,7 +734,7 @@
     let pending = engine.next_txn(1.0, 20, 20).unwrap();
     let run = pending.txn.changes.iter().find_map(|c| match c {
         Change::Put {
-            value: Record::Run(run),
+            value: Record::JobProgress(run),
             ..
         } => Some(run.clone()),
         _ => None,
--- a/crates/umbersail-control/src/engine/tests/fixtures.rs
+++ b/crates/umbersail-control/src/engine/tests/fixtures.rs
@@ -45,8 +45,8 @@
 pub(super) fn team(cpus: f64, cpus_max: f64) -> TeamLimits {
     TeamLimits {
         name: "t".into(),
-        cpus,
-        cpus_max,
+        guaranteed_cpus: cpus,
+        max_cpus: cpus_max,
         ..TeamLimits::default()
     }
 }
@@ -105,9 +105,9 @@
         }
     }
 
-    pub(super) fn report(&mut self) -> Report {
+    pub(super) fn report(&mut self) -> Heartbeat {
         self.seq += 1;
-        Report {
+        Heartbeat {
             machine: self.name.clone(),
             addr: "127.0.0.1:9".into(),
             machine_type: "m8".into(),
@@ -164,7 +164,7 @@
 pub(super) fn converse(
     engine: &mut Engine,
     now: Time,
-    report: &Report,
+    report: &Heartbeat,
     may_start: bool,
 ) -> Option<Vec<Command>> {
     engine
@@ -220,10 +220,10 @@
 }
 
 pub(super) fn inheritance_of(job: JobSpec) -> InheritedState {
-    let run = RunRecord {
-        high: 2,
+    let run = JobProgressRecord {
+        high_water: 2,
         hosts: vec!["m1".into()],
-        ..RunRecord::default()
+        ..JobProgressRecord::default()
     };
     InheritedState {
         grant_parts: vec![InheritedPart {
--- a/crates/umbersail-control/src/engine/tests/images.rs
+++ b/crates/umbersail-control/src/engine/tests/images.rs
@@ -35,9 +35,9 @@
     config(
         vec![team(0.0, 0.0)],
         Tuning {
-            images_hand_on: 1.0,
-            images_first: 8.0,
-            images_pieces: pieces,
+            peer_to_peer_images: 1.0,
+            initial_store_fetches: 8.0,
+            peer_to_peer_pieces: pieces,
             ..Tuning::default()
         },
     )
@@ -98,7 +98,7 @@
         }
     }
 
-    fn report(&self, worker: usize) -> Report {
+    fn report(&self, worker: usize) -> Heartbeat {
         let mut report = self.workers[worker].report_again();
         // Each at its own address, or holders could not be told apart.
         report.addr = format!("127.0.0.1:{}", 9000 + worker);
@@ -125,7 +125,11 @@
             task.state = TaskState::Fetching;
         }
         for command in commands {
-            if let Command::Start { holders, .. } = command {
+            if let Command::Start {
+                image_sources: holders,
+                ..
+            } = command
+            {
                 let name = self.workers[worker].name.clone();
                 self.obeyed.push((name, holders));
             }
@@ -179,8 +183,8 @@
                 Record::Job(job) => inheritance.jobs.push(InheritedJob {
                     record: job.clone(),
                     version: *version,
-                    run: match self.keys.get(&run_key(&job.spec.id)) {
-                        Some((Record::Run(run), version)) => Some((run.clone(), *version)),
+                    run: match self.keys.get(&progress_key(&job.spec.id)) {
+                        Some((Record::JobProgress(run), version)) => Some((run.clone(), *version)),
                         _ => None,
                     },
                 }),
@@ -198,7 +202,7 @@
 
 impl Worker {
     /// The report of now, without a new number.
-    fn report_again(&self) -> Report {
+    fn report_again(&self) -> Heartbeat {
         let mut copy = Worker {
             name: self.name.clone(),
             zone: self.zone.clone(),
@@ -382,7 +386,7 @@
     let plan = crate::records::PlanRecord {
         version: 1,
         plan: Value::from("nonsense"),
-        gone: false,
+        is_tombstone: false,
     };
     let inheritance = InheritedState {
         plans: vec![InheritedPlan {
--- a/crates/umbersail-control/src/engine/tests/plans.rs
+++ b/crates/umbersail-control/src/engine/tests/plans.rs
@@ -74,7 +74,7 @@
     let stood = PlanRecord {
         version: 1,
         plan: to_value(&Note { steps: 1 }).unwrap(),
-        gone: false,
+        is_tombstone: false,
     };
     engine.plan_read(2.0, "note/a", Some((to_value(&stood).unwrap(), 77)));
     let pending = engine.next_txn(2.0, 20, 20).unwrap();
@@ -94,7 +94,7 @@
     let good = PlanRecord {
         version: 1,
         plan: to_value(&Note { steps: 3 }).unwrap(),
-        gone: false,
+        is_tombstone: false,
     };
     let newer = PlanRecord {
         version: 9,
@@ -122,7 +122,7 @@
     let book = &mut engine.plans.store;
     assert_eq!(book.read("note/good", 1), Ok(Some(Note { steps: 3 })));
     assert!(book.read::<Note>("note/newer", 1).is_err());
-    book.set_aside("note/newer");
+    book.ignore("note/newer");
     assert_eq!(book.names("note"), ["note/good"]);
     assert!(
         engine.next_txn(5.0, 20, 20).is_none(),
--- a/crates/umbersail-control/src/engine/tick.rs
+++ b/crates/umbersail-control/src/engine/tick.rs
@@ -13,14 +13,14 @@
     /// Runs the periodic work.
     pub fn tick(&mut self, now: Time) {
         if now >= self.next_status_at {
-            self.next_status_at = now + self.cfg.tuning.status_s;
+            self.next_status_at = now + self.cfg.tuning.status_log_interval_s;
             info!(status = self.status(now), "machines and jobs");
         }
         self.expire_leases(now);
         self.handle_reclaim_notices(now);
         self.quarantine_machines(now);
         self.tick_plans(now);
-        self.count_late(now);
+        self.count_missed_deadlines(now);
         self.cycle_requested |= std::mem::take(&mut self.jobs_await_image);
         self.end_backoffs(now);
     }
@@ -59,10 +59,10 @@
             return false;
         }
         let tuning = &self.cfg.tuning;
-        let lease_s = self.cfg.lease_s * (1.0 + tuning.drift) + tuning.lapse_margin_s;
+        let lease_s = self.cfg.lease_s * (1.0 + tuning.clock_drift) + tuning.lease_expiry_margin_s;
         // An earlier leader stops renewing leases renewal_s after it lost the state service,
         // which was before this leader was elected.
-        let silenced_at = self.elected_at + self.cfg.renewal_s() * (1.0 + tuning.drift);
+        let silenced_at = self.elected_at + self.cfg.renewal_s() * (1.0 + tuning.clock_drift);
         let end = machine.latest_renewal(silenced_at) + lease_s;
         now > end && !self.may_have_been_renewed(now, end, lease_s)
     }
@@ -76,7 +76,7 @@
                 any_ended = true;
             }
             let since = job.last_progress.max(job.submitted_at);
-            let log_after_s = job.next_wait_log_s.max(self.cfg.tuning.long_wait_s);
+            let log_after_s = job.next_wait_log_s.max(self.cfg.tuning.long_wait_log_s);
             if job.pending() > 0 && now - since > log_after_s {
                 job.next_wait_log_s = 2.0 * (now - since);
                 // Machines where the job failed may be the only ones that it can run on.
--- a/crates/umbersail-control/src/engine/tokens.rs
+++ b/crates/umbersail-control/src/engine/tokens.rs
@@ -66,7 +66,7 @@
                 if job.placements.get(task).is_some_and(is_unsent) {
                     any_unsent = true;
                     any_ready |= may_launch(job, *task, name, self.degraded_mode)
-                        && !self.plans.images.waits(job.image, name);
+                        && !self.plans.images.is_queued(job.image, name);
                 }
             }
             if !any_unsent {
@@ -79,7 +79,7 @@
             if !any_ready
                 || !machine.fenced
                 || machine.reachability.is_unreachable()
-                || due_in < self.cfg.tuning.increment_s
+                || due_in < self.cfg.tuning.heartbeat_request_after_s
                 || now - last < 0.0
                 || machine
                     .token_incremented_at
--- a/crates/umbersail-control/src/engine/write.rs
+++ b/crates/umbersail-control/src/engine/write.rs
@@ -12,8 +12,8 @@
 use super::plans::WrittenPlan;
 use super::{Engine, Job, JobId, MachineId, Placement, Time};
 use crate::records::{
-    GRANT_PARTS, JOBS, LEADER_KEY, Outcome, OverRecord, PLANS, RECOVERY_PENDING_KEY, RUNS, Record,
-    RunRecord, job_key, over_key, run_key,
+    EndedJobRecord, GRANT_PARTS, JOB_PROGRESS, JOBS, JobProgressRecord, LEADER_KEY, Outcome, PLANS,
+    RECOVERY_PENDING_KEY, Record, ended_job_key, job_key, progress_key,
 };
 
 /// What the engine updates once a transaction has been applied.
@@ -146,21 +146,21 @@
 }
 
 /// Assumed size of a progress record in a transaction, in bytes.
-fn run_record_bytes(record: &RunRecord) -> usize {
+fn run_record_bytes(record: &JobProgressRecord) -> usize {
     RECORD_BYTES + record.done.len() + record.hosts.len() * HOST_BYTES
 }
 
 /// The progress record that should be stored for a job.
-fn run_record(job: &Job, teams: &[TeamLimits]) -> RunRecord {
+fn run_record(job: &Job, teams: &[TeamLimits]) -> JobProgressRecord {
     let running = |p: &&Placement| p.observed_state.is_some_and(|s| s == TaskState::Running);
-    RunRecord {
-        high: job.first_unplanned.max(job.recorded_first_unplanned),
+    JobProgressRecord {
+        high_water: job.first_unplanned.max(job.recorded_first_unplanned),
         done: job.done.to_text(),
         hosts: job.machines().iter().map(|h| h.to_string()).collect(),
         evictions: job.evictions,
         done_count: job.done.count(),
         running: job.placements.values().filter(running).count() as u32,
-        extra: job.extra_attempts(),
+        orphaned_attempts: job.extra_attempts(),
         team: job.team.map_or_else(String::new, |t| teams[t].name.clone()),
         size: Some((job.shape.cpus, job.shape.gpus, job.shape.memory_gb)),
         suspect: job.suspected_faulty,
@@ -276,11 +276,11 @@
         background_capacity: usize,
     ) -> Option<WritePriority> {
         let tuning = &self.cfg.tuning;
-        let priority = if job.is_complete() && age_s < tuning.end_patience_s {
+        let priority = if job.is_complete() && age_s < tuning.job_end_write_deadline_s {
             WritePriority::End
         } else if job.is_complete() || job.is_write_urgent() {
             WritePriority::Launch
-        } else if background_capacity > 0 && age_s >= tuning.write_delay_s {
+        } else if background_capacity > 0 && age_s >= tuning.task_end_write_delay_s {
             WritePriority::Progress
         } else {
             return None;
@@ -331,21 +331,22 @@
         job.end_write_pending = true;
         builder.require(job_key(id), job.version);
         builder.delete(job_key(id));
-        let outcome = OverRecord {
+        let outcome = EndedJobRecord {
             outcome: Outcome::Done,
             done: job.done.count(),
         };
-        builder.put(over_key(id), Record::Over(outcome));
+        builder.put(ended_job_key(id), Record::EndedJob(outcome));
         if job.extra_attempts() > 0 {
             // Further attempts may still run: the progress record is kept and lists them.
             let record = run_record(job, &self.cfg.teams);
             builder.bytes += run_record_bytes(&record);
-            builder.require(run_key(id), run_version);
-            builder.put(run_key(id), Record::Run(record));
+            builder.require(progress_key(id), run_version);
+            builder.put(progress_key(id), Record::JobProgress(record));
         } else if run_version > 0 {
-            let full = self.run_records_to_delete.len() >= self.cfg.tuning.cleared_most as usize;
+            let full = self.run_records_to_delete.len()
+                >= self.cfg.tuning.max_deferred_progress_removals as usize;
             if full && builder.txn.changes.len() < self.cfg.max_txn_changes {
-                builder.delete(run_key(id));
+                builder.delete(progress_key(id));
             } else {
                 self.run_records_to_delete.insert(id.clone());
             }
@@ -367,7 +368,7 @@
         }
         builder.bytes += bytes;
         builder.require(job_key(id), job.version);
-        builder.require(run_key(id), run_version);
+        builder.require(progress_key(id), run_version);
         job.dirty_since = None;
         // This write may remove hosts from the record: from now on no launch may rely on hosts
         // that only the older record contains.
@@ -375,12 +376,12 @@
         job.recorded_machines.retain(|host| hosts.contains(host));
         builder.effects.push(WriteEffect::Run {
             id: id.clone(),
-            high: record.high,
+            high: record.high_water,
             hosts,
             done: job.done.clone(),
             evictions: job.evictions,
         });
-        builder.put(run_key(id), Record::Run(record));
+        builder.put(progress_key(id), Record::JobProgress(record));
         true
     }
 
@@ -393,7 +394,7 @@
         limits: &TxnLimits,
     ) -> Vec<WrittenPlan> {
         let changes = builder.txn.changes.len();
-        let overdue = (self.plans.store).is_overdue(now, self.cfg.tuning.plan_patience_s);
+        let overdue = (self.plans.store).is_overdue(now, self.cfg.tuning.plan_write_deadline_s);
         let max_plans = match limits.urgent {
             false => limits.max_changes.saturating_sub(changes),
             true => usize::from(overdue && changes < self.cfg.max_txn_changes),
@@ -405,7 +406,8 @@
     /// Deletes progress records of finished jobs while nothing urgent is due. If too many
     /// have accumulated, they are deleted even then, which bounds the list.
     fn delete_run_records(&self, builder: &mut TxnBuilder, limits: &TxnLimits) {
-        let too_many = self.run_records_to_delete.len() > self.cfg.tuning.cleared_most as usize;
+        let too_many = self.run_records_to_delete.len()
+            > self.cfg.tuning.max_deferred_progress_removals as usize;
         if limits.urgent && !too_many {
             return;
         }
@@ -420,7 +422,7 @@
                 break;
             }
             if !self.jobs.contains_key(id) {
-                builder.delete(run_key(id));
+                builder.delete(progress_key(id));
                 builder.effects.push(WriteEffect::RunDeleted(id.clone()));
             }
         }
@@ -440,7 +442,7 @@
     /// one would be rejected, together with everything else in the same transaction.
     pub(super) fn max_recorded_machines(&self, tasks: u32) -> usize {
         let left = self.cfg.max_value_bytes.saturating_sub(RECORD_BYTES);
-        left.saturating_sub(Bitmap::most_text(tasks)) / HOST_BYTES
+        left.saturating_sub(Bitmap::max_text_len(tasks)) / HOST_BYTES
     }
 
     /// Applies the outcome of a transaction.
@@ -456,10 +458,10 @@
                     } else if let Some(index) = key.strip_prefix(GRANT_PARTS) {
                         self.part_version_conflict(index);
                     } else if let Some(name) = key.strip_prefix(PLANS) {
-                        self.plans.store.moved(name);
+                        self.plans.store.mark_version_unknown(name);
                     } else if let Some(id) = key.strip_prefix(JOBS) {
                         self.job_key_removed(id);
-                    } else if let Some(id) = key.strip_prefix(RUNS)
+                    } else if let Some(id) = key.strip_prefix(JOB_PROGRESS)
                         && let Some(job) = self.jobs.get_mut(id)
                     {
                         job.run_version = None;
@@ -475,7 +477,7 @@
 
     fn txn_applied(&mut self, now: Time, pending: PendingTxn, revision: u64) {
         self.parts_applied(pending.parts, revision);
-        self.plans.store.applied(now, pending.plans, revision);
+        self.plans.store.mark_written(now, pending.plans, revision);
         for effect in pending.effects {
             match effect {
                 WriteEffect::Run {
@@ -512,7 +514,7 @@
                         info!(
                             job = &*id,
                             class = job.spec.class,
-                            cpus = job.size(),
+                            cpus = job.total_cpus(),
                             start_delay_s = job.start_delay_s.map(|s| s as u64),
                             took_s = (now - job.submitted_at) as u64,
                             late = job
@@ -536,7 +538,7 @@
     fn retry_txn(&mut self, now: Time, pending: &PendingTxn, unknown: bool) {
         if unknown {
             self.parts_outcome_unknown(&pending.parts);
-            self.plans.store.unsure(&pending.plans);
+            self.plans.store.mark_uncertain(&pending.plans);
         }
         for effect in &pending.effects {
             let (WriteEffect::Run { id, .. } | WriteEffect::JobEnded(id)) = effect else {
@@ -570,12 +572,12 @@
 
     /// Plans whose versions must be read before the next write.
     pub fn unread_plans(&self) -> Vec<String> {
-        self.plans.store.unread()
+        self.plans.store.unknown_versions()
     }
 
     /// Applies the recorded content of a plan that was read, with its version.
     pub fn plan_read(&mut self, now: Time, name: &str, found: Option<(Value, u64)>) {
-        self.plans.store.read_back(now, name, found);
+        self.plans.store.set_stored(now, name, found);
     }
 
     /// Applies a read of a job's keys: whether the job's key still exists, and the version of
--- a/crates/umbersail-control/src/peers.rs
+++ b/crates/umbersail-control/src/peers.rs
@@ -6,25 +6,25 @@
 use tracing::{info, warn};
 use umbersail_http::{ClientError, Request, Response};
 use umbersail_runtime::{Time, random, sleep};
-use umbersail_wire::{Hello, JobIdOnly, Report, ReportReply, decode, encode, paths};
+use umbersail_wire::{Heartbeat, HeartbeatReply, Hello, JobIdOnly, decode, encode, paths};
 
 use crate::engine::epoch;
 use crate::node::{Node, ReportedProgress, Role};
 use crate::settings::Peer;
-use crate::standby::evidence_of;
+use crate::standby::evidence_from_error;
 
 /// Upper bound on jobs told of in a greeting as lately cancelled: some 12 KiB, a burst of
 /// cancellations on a fleet of 4,000 machines. The newest go first.
-const MAX_CANCELLED: usize = 1024;
+const MAX_CANCELLED_IN_HELLO: usize = 1024;
 
 impl Node {
-    pub(crate) fn hello(&self) -> Hello {
+    pub(crate) fn build_hello(&self) -> Hello {
         let now = self.clock.now();
         let (leading, superseded) = match &*self.role.borrow() {
             Role::Leading(leading) => (true, leading.superseded.get()),
             Role::Following => (false, false),
         };
-        let standby = leading.then(|| self.successor()).flatten();
+        let standby = leading.then(|| self.choose_successor()).flatten();
         if let Some(next) = &standby {
             *self.last_designated.borrow_mut() = Some(next.member.clone());
         }
@@ -32,23 +32,23 @@
         Hello {
             member: self.settings.member.clone(),
             incarnation: self.incarnation,
-            state_reachable: self.sees_state(),
+            state_reachable: self.is_store_reachable(),
             token: leader.as_ref().map_or(0, |(_, token)| *token),
             leader: leader.as_ref().map(|(name, _)| name.clone()),
-            machines: 0,
+            machine_count: 0,
             progress: Vec::new(),
             renewal_ms: None,
-            over: Vec::new(),
-            cancelled: self.lately_cancelled(),
-            up_ms: ((now - self.started_at) * 1000.0) as u64,
+            ended_jobs: Vec::new(),
+            cancelled_jobs: self.recently_cancelled(),
+            uptime_ms: ((now - self.started_at) * 1000.0) as u64,
             renewed: Vec::new(),
-            leads: leading && !superseded && !self.resigning.get(),
-            resigns: leading && self.resigning.get(),
-            recorded: self.degraded_mode_record.borrow().recorded(),
-            open: leading && self.degraded_mode.borrow().may_have_unrecorded(),
-            standby: standby.map(|s| s.member),
-            lag_ms: (self.lag.get().mean_s() * 1000.0) as u64,
-            state_ago_ms: (self.state.last_answer())
+            is_leader: leading && !superseded && !self.resigning.get(),
+            is_resigning: leading && self.resigning.get(),
+            recorded_token: self.degraded_mode_record.borrow().fully_recorded_token(),
+            unrecorded_starts: leading && self.degraded_mode.borrow().may_have_unrecorded_starts(),
+            successor: standby.map(|s| s.member),
+            timer_lag_ms: (self.timer_lag.get().mean_s() * 1000.0) as u64,
+            state_answer_ago_ms: (self.kv.last_success())
                 .map(|at| ((now - at).max(0.0) * 1000.0) as u64),
         }
     }
@@ -56,10 +56,10 @@
     /// Jobs that we lately read or recorded to be cancelled. The leader may not be able
     /// to read of them, and hears it from us: a help only, since its time to answer
     /// workers ends early enough without (rule 2).
-    pub(crate) fn lately_cancelled(&self) -> Vec<String> {
+    pub(crate) fn recently_cancelled(&self) -> Vec<String> {
         let since = self.clock.now() - self.settings.facts.workers.cancel_s;
-        let cache = self.cache.borrow();
-        let newest = cache.cancelled_since(since).take(MAX_CANCELLED);
+        let cache = self.terminal_cache.borrow();
+        let newest = cache.cancelled_since(since).take(MAX_CANCELLED_IN_HELLO);
         newest.cloned().collect()
     }
 
@@ -70,15 +70,15 @@
             ids.iter().for_each(|id| leading.engine.job_key_removed(id));
         }
         if !ids.is_empty() {
-            self.wake.notify();
+            self.scheduler_wakeup.notify();
         }
     }
 
     /// What we say when a peer has greeted us: whom we answered in the leader's
     /// stead, and as the leader, for how long the peer may do so. Both are
     /// told in answers only, since only who asked knows when that was.
-    fn hello_reply(&self, member: &str) -> Hello {
-        let mut hello = self.hello();
+    fn build_hello_reply(&self, member: &str) -> Hello {
+        let mut hello = self.build_hello();
         let now = self.clock.now();
         if let Role::Leading(leading) = &mut *self.role.borrow_mut()
             && !leading.superseded.get()
@@ -90,10 +90,10 @@
             {
                 leading.engine.delegate_renewals_to(member, until);
                 hello.renewal_ms = Some(((until - now) * 1000.0) as u64);
-                hello.over = over;
+                hello.ended_jobs = over;
             }
         }
-        hello.renewed = self.delegate.borrow_mut().renewed(now);
+        hello.renewed = self.delegate.borrow_mut().recent_renewals(now);
         hello
     }
 
@@ -103,34 +103,38 @@
         let now = self.clock.now();
         if let Some(peer) = self.peers.borrow_mut().get_mut(&hello.member) {
             peer.answered_at = Some(now);
-            peer.silent = false;
+            peer.unresponsive = false;
         }
-        if hello.leads {
+        if hello.is_leader {
             self.failure_detector
                 .borrow_mut()
                 .clear_suspicion(hello.token);
         }
-        if (hello.leads || hello.resigns) && hello.leader.as_deref() == Some(&*hello.member) {
+        if (hello.is_leader || hello.is_resigning)
+            && hello.leader.as_deref() == Some(&*hello.member)
+        {
             let mut memory = self.degraded_mode_record.borrow_mut();
-            memory.holder_reported(asked_at, hello.token, hello.open);
-        } else if let Some(token) = hello.recorded {
+            memory.on_leader_report(asked_at, hello.token, hello.unrecorded_starts);
+        } else if let Some(token) = hello.recorded_token {
             // As good as the leader's own word if that was our former process (rule 3).
             let former_self = (self.leader.borrow().as_ref())
                 .is_some_and(|(name, t)| *name == self.settings.member && *t == token)
                 && matches!(&*self.role.borrow(), Role::Following);
             let mut memory = self.degraded_mode_record.borrow_mut();
-            memory.peer_reported(token, former_self);
+            memory.on_peer_report(token, former_self);
         }
         if let Some(renewal_ms) = hello.renewal_ms
             && hello.leader.as_deref() == Some(&*hello.member)
         {
-            let renewal_s = renewal_ms as f64 / 1000.0 * (1.0 - self.tuning.drift);
-            self.delegate
-                .borrow_mut()
-                .delegated(hello.token, asked_at + renewal_s, &hello.over);
+            let renewal_s = renewal_ms as f64 / 1000.0 * (1.0 - self.tuning.clock_drift);
+            self.delegate.borrow_mut().on_delegation(
+                hello.token,
+                asked_at + renewal_s,
+                &hello.ended_jobs,
+            );
         }
         if let Role::Leading(leading) = &mut *self.role.borrow_mut() {
-            let up_s = hello.up_ms as f64 / 1000.0;
+            let up_s = hello.uptime_ms as f64 / 1000.0;
             let engine = &mut leading.engine;
             engine.record_delegated_renewals(now, &hello.member, asked_at, up_s, &hello.renewed);
         }
@@ -138,13 +142,13 @@
 
     /// What we say of our own accord: a leader adds how far the jobs are, so
     /// that the others need not read it for each poll.
-    fn hello_with_progress(&self) -> Hello {
-        let mut hello = self.hello();
+    fn build_hello_with_progress(&self) -> Hello {
+        let mut hello = self.build_hello();
         if let Role::Leading(leading) = &*self.role.borrow() {
-            hello.machines = leading.engine.machine_count();
+            hello.machine_count = leading.engine.machine_count();
             hello.progress = leading
                 .engine
-                .all_job_progress(self.tuning.progress_most as usize);
+                .all_job_progress(self.tuning.max_progress_jobs as usize);
         }
         hello
     }
@@ -156,12 +160,12 @@
         if let Some(leader) = &hello.leader {
             self.observe_leader(leader, hello.token);
         }
-        self.on_cancelled_jobs(&hello.cancelled);
+        self.on_cancelled_jobs(&hello.cancelled_jobs);
         if hello.leader.as_deref() == Some(&*hello.member)
             && self.leader_name().as_deref() == Some(&*hello.member)
-            && hello.machines > 0
+            && hello.machine_count > 0
         {
-            self.keep_sockets_for(hello.machines);
+            self.reserve_sockets_for(hello.machine_count);
             let jobs = hello.progress.iter();
             *self.reported_progress.borrow_mut() = ReportedProgress {
                 at: Some(self.clock.now()),
@@ -173,20 +177,24 @@
         let now = self.clock.now();
         peer.heard_at = Some(now);
         peer.state_reachable = hello.state_reachable;
-        peer.up_s = hello.up_ms as f64 / 1000.0;
-        peer.lag_s = hello.lag_ms as f64 / 1000.0;
-        peer.state_answer_at = hello.state_ago_ms.map(|ago| now - ago as f64 / 1000.0);
+        peer.uptime_s = hello.uptime_ms as f64 / 1000.0;
+        peer.lag_s = hello.timer_lag_ms as f64 / 1000.0;
+        peer.store_answer_at = hello
+            .state_answer_ago_ms
+            .map(|ago| now - ago as f64 / 1000.0);
         drop(peers);
-        if (hello.leads || hello.resigns) && self.leader_name().as_deref() == Some(&*hello.member) {
-            *self.designated_successor.borrow_mut() = hello.standby.clone();
+        if (hello.is_leader || hello.is_resigning)
+            && self.leader_name().as_deref() == Some(&*hello.member)
+        {
+            *self.designated_successor.borrow_mut() = hello.successor.clone();
         }
     }
 
     /// A request on the back address.
-    pub(crate) async fn peer_request(self: Rc<Self>, request: Request) -> Response {
+    pub(crate) async fn handle_peer_request(self: Rc<Self>, request: Request) -> Response {
         match (request.method.as_str(), request.path()) {
             ("POST", paths::PEER_HELLO) => {}
-            ("POST", paths::PEER_REPORT) => return self.take_report(&request.body).await,
+            ("POST", paths::PEER_HEARTBEAT) => return self.accept_heartbeat(&request.body).await,
             ("POST", paths::PEER_SUBMIT) => return self.submit(&request.body).await,
             ("POST", path @ (paths::PEER_POLL | paths::PEER_CANCEL)) => {
                 return match decode::<JobIdOnly>(&request.body) {
@@ -198,14 +206,14 @@
             ("POST", paths::PEER_WATCH_LEADER) => {
                 return self.handle_leader_watch(&request.body).await;
             }
-            ("POST", paths::PEER_REPLICA_READ) => return self.answer_replica_read(&request.body),
+            ("POST", paths::PEER_REPLICA_READ) => return self.handle_replica_read(&request.body),
             ("POST", paths::PEER_DEGRADED_MODE) => {
-                return self.answer_degraded_mode_request(&request.body).await;
+                return self.handle_degraded_mode_request(&request.body).await;
             }
             (
                 _,
                 paths::PEER_HELLO
-                | paths::PEER_REPORT
+                | paths::PEER_HEARTBEAT
                 | paths::PEER_SUBMIT
                 | paths::PEER_WATCH_LEADER
                 | paths::PEER_POLL
@@ -220,7 +228,7 @@
         match decode::<Hello>(&request.body) {
             Ok(hello) => {
                 self.on_hello(&hello);
-                Response::new(200, encode(&self.hello_reply(&hello.member)))
+                Response::new(200, encode(&self.build_hello_reply(&hello.member)))
             }
             Err(e) => {
                 warn!(reason = %e, "malformed hello of a peer");
@@ -236,21 +244,22 @@
     ///
     /// `direct` is whether the worker may try the leader itself: where peers'
     /// connections are refused, that may do.
-    pub(crate) async fn relay(
+    pub(crate) async fn relay_heartbeat(
         &self,
         leader: &str,
-        report: &Report,
+        report: &Heartbeat,
         body: &[u8],
         direct: impl FnOnce() -> bool,
     ) -> Option<Response> {
-        let silent = self.peers.borrow().get(leader).is_some_and(|p| p.silent);
+        let silent = self
+            .peers
+            .borrow()
+            .get(leader)
+            .is_some_and(|p| p.unresponsive);
         if !silent {
-            match self
-                .request_from_peer(leader, paths::PEER_REPORT, body)
-                .await
-            {
+            match self.send_to_peer(leader, paths::PEER_HEARTBEAT, body).await {
                 Ok((200, body)) => {
-                    self.delegate.borrow_mut().relayed(report);
+                    self.delegate.borrow_mut().on_relayed_reply(report);
                     return Some(Response::new(200, body));
                 }
                 Ok(_) => return None,
@@ -267,9 +276,9 @@
         let now = self.clock.now();
         let mut delegate = self.delegate.borrow_mut();
         let token = delegate.renew(now, report)?;
-        let cache = self.cache.borrow();
-        let commands = delegate.stops(report, |id| cache.get(id).is_some());
-        let reply = ReportReply { token, commands };
+        let cache = self.terminal_cache.borrow();
+        let commands = delegate.stop_commands(report, |id| cache.get(id).is_some());
+        let reply = HeartbeatReply { token, commands };
         Some(Response::new(200, encode(&reply)))
     }
 
@@ -277,13 +286,13 @@
     fn mark_silent(&self, member: &str) {
         let mut peers = self.peers.borrow_mut();
         let peer = peers.entry(member.to_owned()).or_default();
-        if !peer.silent && self.leader_name().as_deref() == Some(member) {
+        if !peer.unresponsive && self.leader_name().as_deref() == Some(member) {
             info!(
                 leader = member,
                 "does not answer: a delegate renews its workers' leases"
             );
         }
-        peer.silent = true;
+        peer.unresponsive = true;
     }
 
     /// Whether this node stands between the leader and a worker: it is in the
@@ -300,7 +309,7 @@
     }
 
     /// The leader's choice of a delegate in the worker's zone.
-    pub(crate) fn zone_delegate(&self, report: &Report) -> Option<String> {
+    pub(crate) fn zone_delegate(&self, report: &Heartbeat) -> Option<String> {
         if self.tuning.zone_proxy == 0.0 || report.zone == self.settings.zone {
             return None;
         }
@@ -323,7 +332,7 @@
             .filter(|p| {
                 let state = peers.get(&p.member);
                 state.is_some_and(|s| {
-                    !s.silent && s.answered_at.is_some_and(|at| now - at < fresh_s)
+                    !s.unresponsive && s.answered_at.is_some_and(|at| now - at < fresh_s)
                 })
             })
             .collect();
@@ -336,7 +345,7 @@
     /// accepted; the user asks again.
     pub(crate) async fn relay_submission(&self, peer: &str, body: &[u8]) -> Option<Response> {
         match self
-            .request_from_peer(peer, paths::PEER_SUBMIT, body)
+            .send_to_peer(peer, paths::PEER_SUBMIT, body)
             .await
             .ok()?
         {
@@ -351,9 +360,11 @@
         if !self.is_isolated_from_state() {
             return None;
         }
-        let helper = self.helper(true).or_else(|| self.helper(false))?;
+        let peer = self
+            .peer_with_state_access(true)
+            .or_else(|| self.peer_with_state_access(false))?;
         let body = encode(&JobIdOnly { id: id.into() });
-        match self.request_from_peer(&helper, path, &body).await.ok()? {
+        match self.send_to_peer(&peer, path, &body).await.ok()? {
             (status @ (200 | 404), body) => Some(Response::new(status, body)),
             _ => None,
         }
@@ -361,17 +372,19 @@
 
     /// A peer that the state service lately answered: for what gives way any but the
     /// leader, else the leader if it is one.
-    pub(crate) fn helper(&self, is_best_effort: bool) -> Option<String> {
+    pub(crate) fn peer_with_state_access(&self, avoid_leader: bool) -> Option<String> {
         let now = self.clock.now();
         let fresh_s = 3.0 * self.tuning.peer_interval_s;
         let peers = self.peers.borrow();
         let able = |name: &String| {
             peers.get(name).is_some_and(|p| {
-                p.state_reachable && !p.silent && p.heard_at.is_some_and(|at| now - at < fresh_s)
+                p.state_reachable
+                    && !p.unresponsive
+                    && p.heard_at.is_some_and(|at| now - at < fresh_s)
             })
         };
         let leader = self.leader_name();
-        if is_best_effort {
+        if avoid_leader {
             let others = peers.keys().filter(|n| Some(*n) != leader.as_ref());
             let others: Vec<&String> = others.filter(|n| able(n)).collect();
             let any = random(|rng| rng.random_range(0..others.len().max(1)));
@@ -382,7 +395,7 @@
             .or_else(|| peers.keys().find(|name| able(name)).cloned())
     }
 
-    async fn request_from_peer(
+    async fn send_to_peer(
         &self,
         member: &str,
         path: &str,
@@ -401,7 +414,7 @@
     pub(crate) async fn exchange_hellos(self: Rc<Self>, peer: Peer) {
         let mut reachable = true;
         loop {
-            let body = encode(&self.hello_with_progress());
+            let body = encode(&self.build_hello_with_progress());
             let asked_at = self.clock.now();
             let answer = self
                 .peer_http
@@ -413,7 +426,7 @@
                     self.tuning.peer_timeout_s,
                 )
                 .await;
-            let heard = match answer {
+            let answered = match answer {
                 Ok((200, body)) => match decode::<Hello>(&body) {
                     Ok(hello) => {
                         self.on_hello_reply(asked_at, &hello);
@@ -435,13 +448,15 @@
                 }
                 _ => false,
             };
-            if heard != reachable {
-                info!(peer = peer.member, reachable = heard, "peer");
-                reachable = heard;
+            if answered != reachable {
+                info!(peer = peer.member, reachable = answered, "peer");
+                reachable = answered;
             }
             let leads = self.leader_name().as_deref() == Some(&*peer.member);
             sleep(if leads {
-                self.tuning.leader_greet_s.min(self.tuning.peer_interval_s)
+                self.tuning
+                    .leader_hello_interval_s
+                    .min(self.tuning.peer_interval_s)
             } else {
                 self.tuning.peer_interval_s
             })
@@ -454,6 +469,6 @@
             Some((leader, token)) if leader == member => *token,
             _ => return,
         };
-        self.suspect(token, evidence_of(error));
+        self.suspect(token, evidence_from_error(error));
     }
 }
