--- a/crates/umbersail-control/src/engine/commands.rs
+++ b/crates/umbersail-control/src/engine/commands.rs
@@ -38,24 +38,24 @@
     /// Commands for the reply to a heartbeat that was applied. `may_start` is false once this
     /// leader's lease has expired: running tasks are then kept alive and none is started
     /// (rule 2).
-    pub fn reply(&mut self, now: Time, report: &Heartbeat, may_start: bool) -> Vec<Command> {
-        let Some((name, _)) = self.machines.get_key_value(report.machine.as_str()) else {
+    pub fn reply(&mut self, now: Time, heartbeat: &Heartbeat, may_start: bool) -> Vec<Command> {
+        let Some((name, _)) = self.machines.get_key_value(heartbeat.machine.as_str()) else {
             return Vec::new();
         };
         let name = name.clone();
-        let commands = if epoch(report.token) == epoch(self.token) {
-            self.commands(now, &name, report, may_start)
+        let commands = if epoch(heartbeat.token) == epoch(self.token) {
+            self.commands(now, &name, heartbeat, may_start)
         } else {
             // Not fenced yet. This reply carries the leader's token, after which the machine
             // sends another heartbeat, but possibly only at the regular time. The reply renews
             // the machine's lease, so it also stops the tasks of finished jobs (rule 2).
-            self.stop_commands_for_finished_jobs(report)
+            self.stop_commands_for_finished_jobs(heartbeat)
         };
         let token = self.token;
         if let Some(machine) = self.machines.get_mut(&name) {
             machine.last_reply = Some(now);
             let sent_token = machine.token.max(token);
-            machine.reachability.reply_sent(now, report, sent_token);
+            machine.reachability.reply_sent(now, heartbeat, sent_token);
         }
         commands
     }
@@ -63,12 +63,12 @@
     /// Stop commands for listed tasks whose jobs are finished. A job that this leader does not
     /// know is finished: tasks are started only after their job was accepted, and this leader
     /// has read all accepted jobs since its election (rule 2).
-    pub(super) fn stop_commands_for_finished_jobs(&self, report: &Heartbeat) -> Vec<Command> {
+    pub(super) fn stop_commands_for_finished_jobs(&self, heartbeat: &Heartbeat) -> Vec<Command> {
         let job_is_finished = |task: &str| {
             let job = split_task(task).map(|(id, _)| self.jobs.get(id));
             job.is_some_and(|job| job.is_none_or(|job| job.cancelled))
         };
-        let active = (report.tasks.iter()).filter(|entry| entry.state != TaskState::Exited);
+        let active = (heartbeat.tasks.iter()).filter(|entry| entry.state != TaskState::Exited);
         active
             .filter(|entry| job_is_finished(&entry.task))
             .map(|entry| Command::stop(entry, 0.0))
@@ -81,16 +81,16 @@
         &mut self,
         now: Time,
         name: &MachineId,
-        report: &Heartbeat,
+        heartbeat: &Heartbeat,
         may_start: bool,
     ) -> Vec<Command> {
-        let listed = report.tasks.iter();
+        let listed = heartbeat.tasks.iter();
         let mut commands: Vec<Command> = listed
             .filter_map(|entry| self.command_for_listed(name, entry))
             .collect();
         let machine = &self.machines[name];
         if may_start && machine.grant_recorded && !machine.reachability.is_unreachable() {
-            self.add_launches(now, name, report, &mut commands);
+            self.add_launches(now, name, heartbeat, &mut commands);
         }
         commands
     }
@@ -132,7 +132,7 @@
         &mut self,
         now: Time,
         name: &MachineId,
-        report: &Heartbeat,
+        heartbeat: &Heartbeat,
         commands: &mut Vec<Command>,
     ) {
         let degraded_mode = self.degraded_mode;
@@ -154,7 +154,7 @@
             let Some(placement) = job.and_then(|job| job.placements.get_mut(&task)) else {
                 continue;
             };
-            placement.launched_in = Some(report.ordering_key());
+            placement.launched_in = Some(heartbeat.ordering_key());
             commands.push(Command::Start {
                 task: join_task(&id, task),
                 attempt: placement.attempt,
--- a/crates/umbersail-control/src/engine/heartbeats.rs
+++ b/crates/umbersail-control/src/engine/heartbeats.rs
@@ -32,26 +32,26 @@
 impl Engine {
     /// Applies a heartbeat that arrived at this leader. Returns false if a newer one was
     /// applied before: the delayed heartbeat lists outdated tasks and gets no reply.
-    pub fn receive_heartbeat(&mut self, now: Time, report: &Heartbeat) -> bool {
-        self.apply_heartbeat(now, report, true).is_some()
+    pub fn receive_heartbeat(&mut self, now: Time, heartbeat: &Heartbeat) -> bool {
+        self.apply_heartbeat(now, heartbeat, true).is_some()
     }
 
     /// Applies a heartbeat that a worker sent in response to direct commands. It renews no
     /// lease, and a launch command may still be in flight in the reply to a periodic heartbeat.
-    pub fn receive_command_response(&mut self, now: Time, report: &Heartbeat) {
-        self.apply_heartbeat(now, report, false);
+    pub fn receive_command_response(&mut self, now: Time, heartbeat: &Heartbeat) {
+        self.apply_heartbeat(now, heartbeat, false);
     }
 
     /// Applies a heartbeat, either a periodic one or a response to direct commands.
     fn apply_heartbeat(
         &mut self,
         now: Time,
-        report: &Heartbeat,
+        heartbeat: &Heartbeat,
         periodic: bool,
     ) -> Option<MachineId> {
-        let name = self.find_or_adopt_machine(now, report)?;
+        let name = self.find_or_adopt_machine(now, heartbeat)?;
         let machine = self.machines.get_mut(&name)?;
-        if report.ordering_key() <= machine.heartbeat_order {
+        if heartbeat.ordering_key() <= machine.heartbeat_order {
             debug!(
                 machine = &*name,
                 "dropped a heartbeat older than the newest one"
@@ -62,63 +62,63 @@
             self.on_first_heartbeat(now, &name);
         }
         let machine = self.machines.get_mut(&name)?;
-        machine.heartbeat_order = report.ordering_key();
+        machine.heartbeat_order = heartbeat.ordering_key();
         machine.last_heartbeat = Some(now);
         machine.lease_expired = false;
         machine.lists_missed = 0;
-        if let Ok(addr) = report.addr.parse() {
+        if let Ok(addr) = heartbeat.addr.parse() {
             machine.addr = Some(addr);
         }
-        machine.update_reclaim_notice(now, report.notice_s);
-        if epoch(report.token) != epoch(self.token) {
+        machine.update_reclaim_notice(now, heartbeat.notice_s);
+        if epoch(heartbeat.token) != epoch(self.token) {
             machine.fenced = false;
-            self.observe_reachability(now, &name, report, periodic, None);
+            self.observe_reachability(now, &name, heartbeat, periodic, None);
             return Some(name);
         }
         machine.confirmed = true;
-        machine.token = machine.token.max(report.token);
+        machine.token = machine.token.max(heartbeat.token);
         machine.first_fenced_at.get_or_insert(now);
         if !machine.fenced {
             machine.fenced = true;
             self.cycle_requested = true;
             self.assign_part(&name);
         }
-        let launches = self.reconcile(now, &name, report, periodic);
+        let launches = self.reconcile(now, &name, heartbeat, periodic);
         self.account_for_machine(&name);
-        self.observe_reachability(now, &name, report, periodic, launches);
-        self.observe_fetches(now, &name, report);
+        self.observe_reachability(now, &name, heartbeat, periodic, launches);
+        self.observe_fetches(now, &name, heartbeat);
         Some(name)
     }
 
     /// The machine that sent the heartbeat, adopted if it is new; `None` if the machine is
     /// known to be deleted.
-    fn find_or_adopt_machine(&mut self, now: Time, report: &Heartbeat) -> Option<MachineId> {
-        if let Some((name, _)) = self.machines.get_key_value(report.machine.as_str()) {
+    fn find_or_adopt_machine(&mut self, now: Time, heartbeat: &Heartbeat) -> Option<MachineId> {
+        if let Some((name, _)) = self.machines.get_key_value(heartbeat.machine.as_str()) {
             return Some(name.clone());
         }
         // A machine with this leader's token was known to this leader, which forgets only
         // machines whose deletion the cloud has confirmed. A machine deleted by an earlier
         // leader shows an older token; it is ignored until it shows this leader's token.
-        let has_current_epoch = epoch(report.token) == epoch(self.token);
-        if has_current_epoch || self.deleted_machines.contains(report.machine.as_str()) {
+        let has_current_epoch = epoch(heartbeat.token) == epoch(self.token);
+        if has_current_epoch || self.deleted_machines.contains(heartbeat.machine.as_str()) {
             debug!(
-                machine = report.machine,
+                machine = heartbeat.machine,
                 "dropped a delayed heartbeat of a deleted machine"
             );
             return None;
         }
-        let name: MachineId = report.machine.as_str().into();
+        let name: MachineId = heartbeat.machine.as_str().into();
         let mut machine = Machine::new(
             name.clone(),
-            self.type_index(&report.machine_type),
-            report.zone.clone(),
-            report.spot.unwrap_or(false),
+            self.type_index(&heartbeat.machine_type),
+            heartbeat.zone.clone(),
+            heartbeat.spot.unwrap_or(false),
             now,
         );
         machine.confirmed = false;
         info!(
             machine = &*name,
-            machine_type = report.machine_type,
+            machine_type = heartbeat.machine_type,
             "unknown machine adopted from its heartbeat"
         );
         self.machines.insert(name.clone(), machine);
@@ -140,7 +140,7 @@
         &mut self,
         now: Time,
         name: &MachineId,
-        report: &Heartbeat,
+        heartbeat: &Heartbeat,
         periodic: bool,
         launches: Option<bool>,
     ) {
@@ -149,18 +149,18 @@
             return;
         };
         if !periodic {
-            machine.reachability.command_acknowledged(report);
+            machine.reachability.command_acknowledged(heartbeat);
             return;
         }
         let unreachable_before = machine.reachability.unreachable_since();
-        if machine.reachability.observe(now, &cfg, report, launches)
-            && report.token >= machine.token
-            && epoch(report.token) == epoch(self.token)
-            && epoch(report.token + 1) == epoch(self.token)
+        if machine.reachability.observe(now, &cfg, heartbeat, launches)
+            && heartbeat.token >= machine.token
+            && epoch(heartbeat.token) == epoch(self.token)
+            && epoch(heartbeat.token + 1) == epoch(self.token)
         {
             // No launch or token is in flight whose receipt the machine could show: the next
             // reply carries a new token, which a later heartbeat shows if the reply arrived.
-            machine.token = report.token + 1;
+            machine.token = heartbeat.token + 1;
         }
         match (unreachable_before, machine.reachability.unreachable_since()) {
             (None, Some(_)) => {
@@ -189,14 +189,14 @@
         &mut self,
         now: Time,
         name: &MachineId,
-        report: &Heartbeat,
+        heartbeat: &Heartbeat,
         periodic: bool,
     ) -> Option<bool> {
-        let launches = self.requeue_missing_tasks(name, report, periodic);
-        let orphans = self.reconcile_reported_tasks(now, name, report);
+        let launches = self.requeue_missing_tasks(name, heartbeat, periodic);
+        let orphans = self.reconcile_reported_tasks(now, name, heartbeat);
         let is_active = |id: &JobId| orphans.finished_jobs.contains(id);
         let gone =
-            (self.orphaned_jobs).on_heartbeat(name, report.ordering_key(), periodic, is_active);
+            (self.orphaned_jobs).on_heartbeat(name, heartbeat.ordering_key(), periodic, is_active);
         self.run_records_to_delete.extend(gone);
         if let Some(machine) = self.machines.get_mut(name) {
             self.cycle_requested |= machine.has_orphaned_tasks && !orphans.any;
@@ -211,12 +211,12 @@
     fn requeue_missing_tasks(
         &mut self,
         name: &MachineId,
-        report: &Heartbeat,
+        heartbeat: &Heartbeat,
         periodic: bool,
     ) -> Option<bool> {
         let mut launches = None;
         // Sorted attempt numbers, which are unique: a large machine lists dozens of tasks.
-        let mut listed: Vec<u64> = report.tasks.iter().map(|t| t.attempt).collect();
+        let mut listed: Vec<u64> = heartbeat.tasks.iter().map(|t| t.attempt).collect();
         listed.sort_unstable();
         let held: Vec<(JobId, u32)> = self.machines[name].tasks.iter().cloned().collect();
         for (id, task) in held {
@@ -235,7 +235,7 @@
                 // A worker drops replies older than 4 s and has only one periodic heartbeat
                 // in flight: a newer periodic heartbeat proves that the launch never took
                 // effect. A response to direct commands proves nothing.
-                (None, Some(order)) => periodic && report.ordering_key() > order,
+                (None, Some(order)) => periodic && heartbeat.ordering_key() > order,
                 (None, None) => false,
             };
             if gone {
@@ -259,10 +259,10 @@
         &mut self,
         now: Time,
         name: &MachineId,
-        report: &Heartbeat,
+        heartbeat: &Heartbeat,
     ) -> Orphans {
         let mut orphans = Orphans::default();
-        for entry in &report.tasks {
+        for entry in &heartbeat.tasks {
             let Some((id, task)) = split_task(&entry.task) else {
                 continue;
             };
--- a/crates/umbersail-control/src/engine/reachability.rs
+++ b/crates/umbersail-control/src/engine/reachability.rs
@@ -48,10 +48,10 @@
     }
 
     /// A reply to this heartbeat was sent, with this token.
-    pub fn reply_sent(&mut self, now: Time, report: &Heartbeat, token: u64) {
+    pub fn reply_sent(&mut self, now: Time, heartbeat: &Heartbeat, token: u64) {
         self.last_reply = Some(LastReply {
-            session: report.session,
-            token_observed: report.token,
+            session: heartbeat.session,
+            token_observed: heartbeat.token,
             token,
             sent_at: now,
             evaluated: false,
@@ -60,9 +60,9 @@
 
     /// The machine has responded to a direct command. That is no evidence that replies, which
     /// carry the launches, arrive.
-    pub fn command_acknowledged(&mut self, report: &Heartbeat) {
+    pub fn command_acknowledged(&mut self, heartbeat: &Heartbeat) {
         if let Some(reply) = &mut self.last_reply {
-            reply.token_observed = reply.token_observed.max(report.token);
+            reply.token_observed = reply.token_observed.max(heartbeat.token);
         }
     }
 
@@ -73,7 +73,7 @@
         &mut self,
         now: Time,
         cfg: &EngineConfig,
-        report: &Heartbeat,
+        heartbeat: &Heartbeat,
         launches: Option<bool>,
     ) -> bool {
         let tuning = &cfg.tuning;
@@ -81,7 +81,8 @@
             return false;
         };
         // A token of an earlier leader does not count: it is lower than any of this leader's.
-        let token_received = report.token > reply.token_observed && report.token >= reply.token;
+        let token_received =
+            heartbeat.token > reply.token_observed && heartbeat.token >= reply.token;
         if token_received || launches == Some(true) {
             *self = Reachability {
                 last_reply: self.last_reply,
@@ -90,11 +91,11 @@
             return false;
         }
         let reply_age_s = now - reply.sent_at;
-        let token_missed = reply.token > reply.token_observed.max(report.token);
+        let token_missed = reply.token > reply.token_observed.max(heartbeat.token);
         // If the reply had arrived, the machine's lease and with it the session would not have
         // ended yet.
         let session_missed =
-            report.session > reply.session && reply_age_s < cfg.lease_s - REPLY_TIMEOUT_S;
+            heartbeat.session > reply.session && reply_age_s < cfg.lease_s - REPLY_TIMEOUT_S;
         let first = !std::mem::replace(&mut reply.evaluated, true);
         let missed = token_missed || launches == Some(false) || session_missed;
         if !(missed && first) || reply_age_s < tuning.unreachable_min_gap_s {
--- a/crates/umbersail-control/src/engine/reclaim.rs
+++ b/crates/umbersail-control/src/engine/reclaim.rs
@@ -35,11 +35,11 @@
                 if machine.reclaim_handled || placement.pending_stop.is_some() {
                     continue;
                 }
-                let ran = placement.running_since.map_or(0.0, |since| now - since);
+                let ran_s = placement.running_since.map_or(0.0, |since| now - since);
                 let run_s = self
                     .learner
                     .expected_run_s(&job.spec.class, job.spec.estimate_s);
-                if job.is_service() || ran + (until - now) < run_s {
+                if job.is_service() || ran_s + (until - now) < run_s {
                     stops.push((id.clone(), *task, job.save_grace_s()));
                 }
             }
