--- a/crates/umbersail-control/src/capacity.rs
+++ b/crates/umbersail-control/src/capacity.rs
@@ -1,4 +1,5 @@
-//! Shares of a node's sockets and of the state service's limits.
+//! Division of the node's sockets among its connections, and of the key-value store's rate
+//! limits among the controllers.
 
 use std::rc::Rc;
 
@@ -12,40 +13,43 @@
 use crate::settings::Settings;
 use crate::state::KeyValueClient;
 
-/// Connections to the state service.
-const STATE_CONNECTIONS: usize = 48;
+/// Connections to the key-value store.
+const STORE_CONNECTIONS: usize = 48;
 
 /// Connections to the cloud.
 const CLOUD_CONNECTIONS: usize = 4;
 
-/// Connections to peers beside those that hand on heartbeats to one of them.
+/// Connections to peers in addition to those that relay heartbeats to one of them.
 const EXTRA_PEER_CONNECTIONS: usize = 8;
 
-/// One connection to each peer for so many sockets: 61 of 3,051, enough for 600 reports a
-/// second that wait 0.1 s each.
+/// Number of sockets per connection to a peer. 3,051 sockets give 61 connections, enough
+/// for 600 heartbeats per second that wait 0.1 s each.
 const SOCKETS_PER_PEER_CONNECTION: usize = 50;
 
-/// Connections to workers, however few sockets there are.
+/// Minimum number of connections to workers, whatever the number of sockets.
 const MIN_OUTGOING: f64 = 16.0;
 
-/// Listening sockets, the event loop, logs.
+/// Sockets reserved for listening, the event loop, and logs.
 const RESERVED_SOCKETS: usize = 12;
 
-/// Upper bound on a message between controllers, in bytes. The largest is a delegate's
-/// answer that lists every machine it renewed: some 40 bytes for each of 4,000 machines,
-/// beside the ids of thousands of jobs.
+/// Largest message between controllers, in bytes. The largest message is the answer of a
+/// delegate that lists every machine whose lease it renewed: about 40 bytes for each of
+/// 4,000 machines, in addition to the ids of thousands of jobs.
 const MAX_PEER_BODY_BYTES: usize = 1 << 20;
 
-/// Largest answers of the state service and of the cloud, in bytes: pages of a list.
-const MAX_STATE_BODY_BYTES: usize = 8 << 20;
+/// Largest response of the key-value store, in bytes: one page of a list.
+const MAX_STORE_BODY_BYTES: usize = 8 << 20;
+/// Largest response of the cloud, in bytes: one page of a list.
 const MAX_CLOUD_BODY_BYTES: usize = 1 << 20;
-/// Largest answer of a worker, in bytes: twice the protocol's limit.
+/// Largest response of a worker, in bytes: twice the protocol's limit.
 const MAX_WORKER_BODY_BYTES: usize = 128 << 10;
-/// Seconds to open a connection.
+/// Timeout for opening a connection, in seconds.
 const CONNECT_S: f64 = 1.0;
-/// Least requests a second to the cloud: without any nothing is ever listed.
+/// Minimum rate of requests to the cloud, per second. At a rate of 0 the machines would
+/// never be listed.
 const MIN_CLOUD_RPS: f64 = 0.1;
 
+/// Client of the key-value store.
 pub(crate) fn key_value_client(
     tuning: &Tuning,
     settings: &Settings,
@@ -54,10 +58,10 @@
     let limits = &settings.facts.state;
     KeyValueClient::new(
         Client::new(ClientLimits {
-            max_body_bytes: MAX_STATE_BODY_BYTES,
-            max_per_address: STATE_CONNECTIONS,
+            max_body_bytes: MAX_STORE_BODY_BYTES,
+            max_per_address: STORE_CONNECTIONS,
             max_idle: 8,
-            max_total: STATE_CONNECTIONS,
+            max_total: STORE_CONNECTIONS,
             connect_s: CONNECT_S,
         }),
         settings.external.state,
@@ -69,6 +73,7 @@
     )
 }
 
+/// Client of the cloud provider's API.
 pub(crate) fn cloud_client(
     tuning: &Tuning,
     settings: &Settings,
@@ -89,7 +94,8 @@
     )
 }
 
-/// For direct commands: workers' addresses are many, and what is asked of one is rare.
+/// Client for direct commands to workers. There are many workers, and commands to each are
+/// rare, so few idle connections are kept.
 pub(crate) fn worker_client(tuning: &Tuning, settings: &Settings) -> Client {
     Client::new(ClientLimits {
         max_body_bytes: MAX_WORKER_BODY_BYTES,
@@ -100,7 +106,7 @@
     })
 }
 
-/// For peers: heartbeats are handed on to one of them, many at a time.
+/// Client for requests to peers. Many heartbeats are relayed to one peer at the same time.
 pub(crate) fn peer_client(tuning: &Tuning, settings: &Settings) -> Client {
     let to_peer = connections_to_peer(tuning, settings);
     Client::new(ClientLimits {
@@ -112,20 +118,23 @@
     })
 }
 
+/// Total number of connections to workers.
 fn connections_to_workers(tuning: &Tuning, settings: &Settings) -> usize {
     let sockets = settings.facts.resources.max_sockets as f64;
     (sockets * tuning.outgoing_share).max(MIN_OUTGOING) as usize
 }
 
-/// Connections from one controller to another: reports that are handed on wait there,
-/// and how many come grows with the fleet, as the sockets do.
+/// Connections from one controller to another. Relayed heartbeats occupy these connections
+/// while they wait for an answer. Their number grows with the fleet, as does the number of
+/// sockets.
 fn connections_to_peer(tuning: &Tuning, settings: &Settings) -> usize {
     let by_sockets = settings.facts.resources.max_sockets / SOCKETS_PER_PEER_CONNECTION;
     by_sockets.max(tuning.peer_connections as usize)
 }
 
 impl Node {
-    /// The state service's limits hold for all nodes together.
+    /// Sets this node's share of the key-value store's rate limits, which apply to all nodes
+    /// together.
     pub(crate) fn apply_rate_limits(&self, leading: bool) {
         let facts = &self.settings.facts;
         let others = self.settings.peers.len().max(1) as f64;
@@ -143,26 +152,29 @@
         );
     }
 
+    /// Returns the limits of the public server, and of the server for other controllers. The
+    /// public server gets the sockets that the other connections do not need, within the bounds
+    /// of the tuning parameters.
     pub(crate) fn server_limits(&self) -> (ServerLimits, ServerLimits) {
         let sockets = self.settings.facts.resources.max_sockets as f64;
         let tuning = &self.tuning;
         let to_peer = connections_to_peer(tuning, &self.settings);
         let from_peers = self.settings.peers.len() * to_peer + 8;
-        let elsewhere = STATE_CONNECTIONS
+        let other_sockets = STORE_CONNECTIONS
             + CLOUD_CONNECTIONS
             + EXTRA_PEER_CONNECTIONS
             + to_peer
             + from_peers
             + connections_to_workers(tuning, &self.settings)
             + RESERVED_SOCKETS;
-        let most = (sockets * tuning.front_total_share) as usize;
-        let least = (sockets * tuning.front_users_least_share) as usize;
-        let left = (sockets as usize).saturating_sub(elsewhere);
+        let upper_bound = (sockets * tuning.front_total_share) as usize;
+        let lower_bound = (sockets * tuning.front_users_least_share) as usize;
+        let left = (sockets as usize).saturating_sub(other_sockets);
         let front = ServerLimits {
             max_body_bytes: tuning.max_body_bytes as usize,
-            max_connections: most.min(left).max(least),
+            max_connections: upper_bound.min(left).max(lower_bound),
             reserved: self.reserved_sockets.clone(),
-            least_unreserved: least,
+            least_unreserved: lower_bound,
             reserved_paths: vec![paths::REPORT.into(), paths::HEALTH.into()],
             idle_s: tuning.idle_connection_s,
             receive_s: tuning.receive_s,
@@ -178,8 +190,8 @@
         (front, back)
     }
 
-    /// Keeps a front connection for each worker, and some for those that come
-    /// back by a new one before the old one is known to be gone.
+    /// Reserves a connection to the public API for each worker, and some more for workers that
+    /// reconnect before the node has noticed that the old connection is closed.
     pub(crate) fn reserve_sockets_for(&self, machines: usize) {
         self.reserved_sockets.set(machines + machines / 8 + 4);
     }
--- a/crates/umbersail-control/src/capacity/tests.rs
+++ b/crates/umbersail-control/src/capacity/tests.rs
@@ -1,13 +1,13 @@
-//! Bounds against the size of a fleet.
+//! Tests that message size limits suffice for a fleet of the largest supported size.
 
 use umbersail_wire::{Hello, JobProgress, RenewedMachine, encode};
 
 use super::*;
 
 #[test]
-fn what_controllers_tell_each_other_of_a_fleet_of_4000_fits_a_message() {
-    // Guards against an answer beyond the bound, which is dropped whole: the leader
-    // would take machines for lapsed that its delegate keeps renewing.
+fn the_largest_message_between_controllers_fits_for_a_fleet_of_4000() {
+    // Guards against an answer larger than the limit. Such an answer is dropped as a
+    // whole, and the leader would consider leases expired that its delegate keeps renewing.
     let id = |n: u64| format!("req-{n:09}");
     let hello = Hello {
         over: (0..4096).map(id).collect(),
--- a/crates/umbersail-control/src/cloud.rs
+++ b/crates/umbersail-control/src/cloud.rs
@@ -1,4 +1,4 @@
-//! Client of the cloud, within its limit.
+//! Client of the cloud provider's API, which observes the provider's rate limit.
 
 use std::cell::{Cell, RefCell};
 use std::net::SocketAddr;
@@ -15,15 +15,18 @@
 
 use crate::state::TokenBucket;
 
-/// What came of a rental request.
+/// Outcome of a rental request.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum RentOutcome {
     Machines(Vec<String>),
+    /// The cloud refused the request.
     NoCapacity,
-    /// Perhaps rented, now or later: the machines would show up in the list.
+    /// The machines may have been rented, or may be rented later. In that case they appear in
+    /// the machine list.
     Unknown,
 }
 
+/// Client of the cloud provider's API. Clones share the rate limit and the connections.
 #[derive(Clone)]
 pub struct CloudClient {
     inner: Rc<Inner>,
@@ -75,29 +78,30 @@
         {
             Ok(answer) => Some(answer),
             Err(e) => {
-                debug!(method, target, reason = %e, "cloud does not answer");
+                debug!(method, target, reason = %e, "request to the cloud failed");
                 None
             }
         }
     }
 
-    fn read<T: DeserializeOwned>(&self, what: &str, body: &[u8]) -> Option<T> {
+    fn decode_response<T: DeserializeOwned>(&self, what: &str, body: &[u8]) -> Option<T> {
         match decode(body) {
             Ok(value) => Some(value),
             Err(e) => {
                 let count = self.inner.malformed.get() + 1;
                 self.inner.malformed.set(count);
-                warn!(what, reason = %e, count, "malformed answer of the cloud");
+                warn!(what, reason = %e, count, "malformed response of the cloud");
                 None
             }
         }
     }
 
-    /// Machine types with current prices; types that make no sense are left out.
+    /// Reads the machine types with their current prices. Types with a negative or non-finite
+    /// number are left out.
     pub async fn catalogue(&self) -> Option<Vec<MachineType>> {
         match self.call("GET", paths::MACHINE_TYPES, b"").await? {
             (200, body) => {
-                let mut types = self.read::<Catalogue>("catalogue", &body)?.types;
+                let mut types = self.decode_response::<Catalogue>("catalogue", &body)?.types;
                 types.retain(|t| {
                     [
                         t.cpus,
@@ -114,7 +118,7 @@
                 Some(types)
             }
             (status, _) => {
-                debug!(status, "cloud gives no catalogue");
+                debug!(status, "cloud returned no catalogue");
                 None
             }
         }
@@ -122,15 +126,16 @@
 
     pub async fn rent(&self, request: &RentRequest) -> RentOutcome {
         match self.call("POST", paths::MACHINES, &encode(request)).await {
-            Some((200, body)) => match self.read::<MachineNames>("rental", &body) {
+            Some((200, body)) => match self.decode_response::<MachineNames>("rental", &body) {
                 Some(names) => RentOutcome::Machines(names.machines),
                 None => RentOutcome::Unknown,
             },
             Some((503, body)) => {
-                // "no capacity" and "trouble" both mean: not now.
+                // "no capacity" and "trouble" are handled alike: the rental is retried
+                // later.
                 debug!(
                     answer = &*String::from_utf8_lossy(&body),
-                    "cloud refuses a rental"
+                    "cloud refused a rental"
                 );
                 RentOutcome::NoCapacity
             }
@@ -147,7 +152,7 @@
         }
     }
 
-    /// True once the machines are gone for certain.
+    /// Deletes machines. Returns true if the cloud confirmed the deletion.
     pub async fn delete(&self, names: &[String]) -> bool {
         let body = encode(&MachineNames {
             machines: names.to_vec(),
@@ -158,7 +163,7 @@
         )
     }
 
-    /// All machines, or nothing if a page is missing.
+    /// Lists all machines. Returns `None` if a page can't be read.
     pub async fn list(&self) -> Option<Vec<ListedMachine>> {
         let mut all: Vec<ListedMachine> = Vec::new();
         loop {
@@ -169,7 +174,7 @@
             }
             match self.call("GET", &target, b"").await? {
                 (200, body) => {
-                    let page: MachineList = self.read("machine list", &body)?;
+                    let page: MachineList = self.decode_response("machine list", &body)?;
                     let more = page.more && !page.machines.is_empty();
                     all.extend(page.machines);
                     if !more {
@@ -177,7 +182,7 @@
                     }
                 }
                 (status, _) => {
-                    debug!(status, "cloud gives no list");
+                    debug!(status, "cloud returned no machine list");
                     return None;
                 }
             }
--- a/crates/umbersail-control/src/front.rs
+++ b/crates/umbersail-control/src/front.rs
@@ -1,4 +1,4 @@
-//! The front door: users, workers and health checks.
+//! The public HTTP API: requests of users, heartbeats of workers, and health checks.
 
 use std::rc::Rc;
 
@@ -25,7 +25,8 @@
 };
 use crate::state::{KeyValueError, RequestPriority};
 
-/// Why a submission is not taken.
+/// Why a submission is rejected. The user receives the message in the response, so the
+/// texts are part of the API.
 #[derive(Debug, Error)]
 enum Rejection {
     #[error("{0}")]
@@ -36,23 +37,24 @@
     Invalid(#[from] InvalidJob),
     #[error("team '{0}' is unknown")]
     UnknownTeam(String),
-    #[error("needs {need} {what}, the team's limit is {most}")]
+    #[error("needs {need} {what}, the team's limit is {limit}")]
     OverTeamLimit {
         what: &'static str,
         need: f64,
-        most: f64,
+        limit: f64,
     },
     #[error("its image of {0} GB fits the cache of no allowed machine type")]
     ImageTooLarge(f64),
     #[error("a task fits no allowed machine type")]
     FitsNoType,
-    /// It can't be told yet whether it runs.
+    /// It can't be decided yet whether the job can run.
     #[error("machine types not known yet")]
     TypesUnknown,
 }
 
 impl Rejection {
-    /// The protocol's status: 400 malformed, 422 can never run, 503 come back.
+    /// The HTTP status: 400 for a malformed job, 422 for a job that can never run, 503 if the
+    /// user should retry.
     fn status(&self) -> u16 {
         match self {
             Rejection::Undecodable(_) | Rejection::MissingField(_) | Rejection::Invalid(_) => 400,
@@ -65,15 +67,18 @@
     }
 }
 
-/// What the state service holds of a job, read after the request arrived.
+/// State of a job in the key-value store, read after the request arrived.
 enum JobLookup {
+    /// The job is unfinished; its key has this version.
     Unfinished(u64),
-    Over(EndedJobRecord),
-    Nothing,
+    /// The job has ended.
+    Ended(EndedJobRecord),
+    /// No job with this id was ever accepted.
+    NotFound,
 }
 
 impl Node {
-    /// Answers one request on the front address.
+    /// Answers one request on the public address.
     pub async fn handle_front_request(self: Rc<Self>, request: Request) -> Response {
         let path = request.path();
         let method = request.method.as_str();
@@ -106,8 +111,8 @@
         }
     }
 
-    /// Refused at once, with when to come back: those who are turned away together
-    /// come back one after the other.
+    /// Refuses a request with status 503 and the delay after which the user should retry. The
+    /// delays of users who are refused together are spread.
     fn retry_later(&self) -> Response {
         let now = self.clock.now();
         let peers = self.settings.peers.len() as f64 + 1.0;
@@ -115,48 +120,48 @@
         let draw = random(|rng| rng.random_range(0.0..1.0));
         let least_s = self.tuning.retry_after_s;
         let mut retry_backoff = self.retry_backoff.borrow_mut();
-        retry_backoff.refused(now);
+        retry_backoff.record_refusal(now);
         let mut response =
             Response::retry(503, retry_backoff.retry_after_s(capacity, least_s, draw));
-        // Asked again on the same connection we could say nothing else; on a new one
-        // the balancer picks a node that can.
+        // A node that is not ready would refuse a retry on the same connection too. For a new
+        // connection the load balancer picks a node that is ready.
         response.close = !self.is_ready();
         response
     }
 
-    /// A worker's report: taken by the leader, directed there by all others,
-    /// or handed on by a node that stands between. A worker that comes back
-    /// although it was just directed can't reach that node; it is helped here
-    /// for a while.
+    /// Handles a worker's heartbeat. The leader answers the heartbeat, and a follower redirects
+    /// the worker to the leader, or relays the heartbeat if the follower is the proxy of its
+    /// zone. A worker that returns shortly after a redirect can't reach the other node; this
+    /// node then serves the worker for a while.
     async fn handle_heartbeat(&self, body: &[u8]) -> Response {
-        let Ok(report) = decode::<Report>(body) else {
-            warn!("malformed report");
+        let Ok(heartbeat) = decode::<Report>(body) else {
+            warn!("malformed heartbeat");
             return Response::empty(400);
         };
         let now = self.clock.now();
-        if report.zone != self.settings.zone {
+        if heartbeat.zone != self.settings.zone {
             self.outside_contact_at.set(now);
         }
         let redirects = &self.redirects;
-        let comes_back = || {
+        let has_returned = || {
             redirects
                 .borrow_mut()
-                .is_returning(&report.machine, false, now)
+                .is_returning(&heartbeat.machine, false, now)
         };
         if matches!(&*self.role.borrow(), Role::Leading(_)) {
             if self.is_only_node_isolated(now)
-                && let Some(member) = self.hand_off_target(&report, now)
+                && let Some(member) = self.hand_off_target(&heartbeat, now)
             {
-                return directed(member);
+                return redirect_to(member);
             }
-            let response = match self.zone_delegate(&report) {
-                Some(member) if !comes_back() => return directed(member),
+            let response = match self.zone_delegate(&heartbeat) {
+                Some(member) if !has_returned() => return redirect_to(member),
                 _ => self.accept_heartbeat(body).await,
             };
             if self.has_successor()
-                && let Some(member) = self.hand_off_target(&report, now)
+                && let Some(member) = self.hand_off_target(&heartbeat, now)
             {
-                return directed(member);
+                return redirect_to(member);
             }
             return response;
         }
@@ -164,104 +169,108 @@
             .leader_name()
             .filter(|leader| *leader != self.settings.member)
         else {
-            return match self.hand_off_target(&report, now) {
-                Some(member) => directed(member),
+            return match self.hand_off_target(&heartbeat, now) {
+                Some(member) => redirect_to(member),
                 None => Response::empty(503),
             };
         };
-        // It reaches the leader itself, as far as we can tell, and is not to be kept
-        // by us, who have no commands for it. One that comes back is.
+        // The worker probably reaches the leader itself, and this node has no commands for
+        // the worker, so the worker is redirected. A worker that returns is not redirected
+        // again.
         if self.is_only_node_isolated(now)
             && !self
                 .handed_off_workers
                 .borrow_mut()
-                .is_returning(&report.machine, false, now)
+                .is_returning(&heartbeat.machine, false, now)
         {
-            return directed(leader);
+            return redirect_to(leader);
         }
-        let between = self.is_zone_proxy(&leader, &report.zone);
-        let cut_off = self
+        let is_proxy = self.is_zone_proxy(&leader, &heartbeat.zone);
+        let leader_unresponsive = self
             .peers
             .borrow()
             .get(&leader)
             .is_some_and(|p| p.unresponsive);
-        if between || cut_off {
-            let direct = || !comes_back();
-            if let Some(response) = self.relay(&leader, &report, body, direct).await {
+        if is_proxy || leader_unresponsive {
+            let direct = || !has_returned();
+            if let Some(response) = self.relay(&leader, &heartbeat, body, direct).await {
                 return response;
             }
         } else if redirects.borrow_mut().is_returning(
-            &report.machine,
-            self.has_seen_leader_token(&report),
+            &heartbeat.machine,
+            self.has_seen_leader_token(&heartbeat),
             now,
-        ) && let Some(response) = self.relay(&leader, &report, body, || false).await
+        ) && let Some(response) = self.relay(&leader, &heartbeat, body, || false).await
         {
             return response;
         }
-        directed(leader)
+        redirect_to(leader)
     }
 
-    /// Where a worker goes that we can't or should not answer although we led last: to
-    /// the successor that we named, who leads now or answers it in our stead for as
-    /// long as we might (rule 2), with no difference to what is known of its tasks
-    /// (rule 3). A worker that comes back found nobody; it is not sent again.
-    fn hand_off_target(&self, report: &Report, now: Time) -> Option<String> {
+    /// Returns the node to which a former or isolated leader redirects a worker that it can't
+    /// or should not answer: the successor that it designated. The successor is the leader
+    /// now, or renews the worker's lease as a delegate for as long as this node might do so
+    /// (rule 2). What is known of the worker's tasks stays the same (rule 3). A worker that
+    /// returns could not reach the successor, and is not redirected again.
+    fn hand_off_target(&self, heartbeat: &Report, now: Time) -> Option<String> {
         let next = self.last_designated.borrow().clone()?;
-        let comes_back =
-            (self.handed_off_workers.borrow_mut()).is_returning(&report.machine, false, now);
-        (!comes_back).then_some(next)
+        let has_returned =
+            (self.handed_off_workers.borrow_mut()).is_returning(&heartbeat.machine, false, now);
+        (!has_returned).then_some(next)
     }
 
-    /// Whether we still seem to lead but know that another does.
+    /// Whether this node is still in the leader role but has observed a newer leader.
     fn has_successor(&self) -> bool {
         matches!(&*self.role.borrow(), Role::Leading(l) if l.superseded.get())
     }
 
-    /// Whether the worker has shown the leader's token: it was answered there, and
-    /// is here because it can't go on there.
-    fn has_seen_leader_token(&self, report: &Report) -> bool {
+    /// Whether the worker's heartbeat carries the leader's token. The leader has answered the
+    /// worker before, so the worker is here because it no longer reaches the leader.
+    fn has_seen_leader_token(&self, heartbeat: &Report) -> bool {
         let leader = self.leader.borrow();
-        (leader.as_ref()).is_some_and(|(_, revision)| epoch(report.token) == *revision)
+        (leader.as_ref()).is_some_and(|(_, revision)| epoch(heartbeat.token) == *revision)
     }
 
-    /// The leader's part of a report, come directly or through a peer. If a
-    /// launch for the machine is just being recorded, its reply waits for it,
-    /// for a moment only: the worker gives up after 4 s.
+    /// Answers a heartbeat as the leader, whether it arrived directly or through a peer. If a
+    /// task launch for the machine is just being recorded, the reply waits briefly for the
+    /// record. The wait is short, because the worker gives up after 4 s.
     pub(crate) async fn accept_heartbeat(&self, body: &[u8]) -> Response {
-        let report: Report = match decode(body) {
-            Ok(report) => report,
+        let heartbeat: Report = match decode(body) {
+            Ok(heartbeat) => heartbeat,
             Err(e) => {
-                warn!(reason = %e, "malformed report");
+                warn!(reason = %e, "malformed heartbeat");
                 return Response::empty(400);
             }
         };
-        let taken_at = self.clock.now();
-        let Some(revision) = self.entitled(&report, taken_at) else {
+        let received_at = self.clock.now();
+        let Some(revision) = self.answering_revision(&heartbeat, received_at) else {
             return Response::empty(503);
         };
-        if self.with_engine(revision, |e| e.report(taken_at, &report)) != Some(true) {
+        if self.with_engine(revision, |e| e.report(received_at, &heartbeat)) != Some(true) {
             return Response::empty(503);
         }
         self.scheduler_wakeup.notify();
-        let until = taken_at + self.tuning.launch_hold_s;
+        let until = received_at + self.tuning.launch_hold_s;
         loop {
             let now = self.clock.now();
-            let near = self.with_engine(revision, |e| e.launch_is_near(now, &report.machine));
-            if near != Some(true) || now >= until || !self.may_start(now) {
+            let launch_pending =
+                self.with_engine(revision, |e| e.launch_is_near(now, &heartbeat.machine));
+            if launch_pending != Some(true) || now >= until || !self.may_start(now) {
                 break;
             }
-            // A step further or out of time: looked at again either way.
+            // Progress and a timeout are handled alike: the loop checks all conditions again.
             let _ = timeout(until - now, self.scheduler_progress.raised()).await;
         }
-        // A moment has passed: are we still entitled, under the same token?
+        // Time has passed in the loop: the node may no longer be allowed to answer, or may lead
+        // under another token.
         let now = self.clock.now();
-        if self.entitled(&report, now) != Some(revision) {
+        if self.answering_revision(&heartbeat, now) != Some(revision) {
             return Response::empty(503);
         }
         let may_start = self.may_start(now);
         let reply = self.with_engine(revision, |engine| {
-            let commands = engine.reply(now, &report, may_start);
-            let token = engine.token_for(&report.machine);
+            let commands = engine.reply(now, &heartbeat, may_start);
+            let token = engine.token_for(&heartbeat.machine);
             ReportReply { token, commands }
         });
         match reply {
@@ -270,38 +279,45 @@
         }
     }
 
-    /// The revision under which we may answer this report just now.
-    fn entitled(&self, report: &Report, now: Time) -> Option<u64> {
+    /// Returns the revision under which this node may answer the heartbeat now, or `None` if it
+    /// may not answer.
+    fn answering_revision(&self, heartbeat: &Report, now: Time) -> Option<u64> {
         let role = self.role.borrow();
         let Role::Leading(leading) = &*role else {
             return None;
         };
-        if epoch(report.token) > leading.engine.revision() {
-            // Somebody else is entitled now (rule 2).
+        if epoch(heartbeat.token) > leading.engine.revision() {
+            // Only a newer leader may answer the worker now (rule 2).
             info!(
-                machine = report.machine,
-                token = report.token,
-                "a worker has seen a higher token"
+                machine = heartbeat.machine,
+                token = heartbeat.token,
+                "a worker has received a newer leader's token"
             );
             leading.superseded.set(true);
             self.step_down.notify();
             return None;
         }
-        let renews = now < leading.lease.renew_until() && !leading.superseded.get();
-        renews.then(|| leading.engine.revision())
+        let may_answer = now < leading.lease.renew_until() && !leading.superseded.get();
+        may_answer.then(|| leading.engine.revision())
     }
 
-    /// Whether our lease still covers the start of tasks (rule 2).
+    /// Whether this node may start tasks: its lease is still valid, or degraded mode allows
+    /// starts without a record (rule 2).
     fn may_start(&self, now: Time) -> bool {
-        let open = self.degraded_mode.borrow().allows_starts();
-        matches!(&*self.role.borrow(), Role::Leading(l) if open || now < l.lease.start_until())
+        let degraded = self.degraded_mode.borrow().allows_starts();
+        matches!(&*self.role.borrow(), Role::Leading(l) if degraded || now < l.lease.start_until())
     }
 
-    /// Jobs first: a job goes from there to `over/` and never back, so not
-    /// found in this order means that it was never accepted.
-    async fn find(&self, id: &str, priority: RequestPriority) -> Result<JobLookup, KeyValueError> {
+    /// Looks a job up among the unfinished jobs first, then among the ended jobs. A job moves
+    /// from `jobs/` to `over/` and never back, so a job that is not found in this order was
+    /// never accepted.
+    async fn look_up_job(
+        &self,
+        id: &str,
+        priority: RequestPriority,
+    ) -> Result<JobLookup, KeyValueError> {
         if let Some(over) = self.terminal_cache.borrow().get(id) {
-            return Ok(JobLookup::Over(over));
+            return Ok(JobLookup::Ended(over));
         }
         let sent_at = self.clock.now();
         if let Some((_, version)) = self.kv.get::<IgnoredAny>(&job_key(id), priority).await? {
@@ -315,21 +331,20 @@
         {
             Some((over, _)) => {
                 self.cache_end(id, over);
-                Ok(JobLookup::Over(over))
+                Ok(JobLookup::Ended(over))
             }
-            None => Ok(JobLookup::Nothing),
+            None => Ok(JobLookup::NotFound),
         }
     }
 
-    /// The job has ended, and that is recorded; whoever is told so from here on is told
-    /// what we remember.
+    /// Caches the recorded end of a job. Later polls are answered from the cache.
     pub(crate) fn cache_end(&self, id: &str, over: EndedJobRecord) {
         let now = self.clock.now();
         self.terminal_cache.borrow_mut().put(now, id, over);
     }
 
-    /// A node that the state service alone refuses asks a peer; where it answers nobody
-    /// all controllers together may know.
+    /// Answers a poll. If the key-value store does not answer this node, a peer is asked. If
+    /// the store answers no node, an all-replica read may still give the answer.
     async fn poll_or_relay(self: &Rc<Self>, id: &str) -> Response {
         let response = self.poll(id).await;
         if response.status != 503 {
@@ -339,12 +354,14 @@
             return answer;
         }
         match self.all_replica_read(id).await {
-            ReadOutcome::Ended(over) => ended(id, over),
-            ReadOutcome::Unfinished => self.unfinished(id, 200).await,
+            ReadOutcome::Ended(over) => ended_response(id, over),
+            ReadOutcome::Unfinished => self.unfinished_response(id, 200).await,
             ReadOutcome::Unknown => response,
         }
     }
 
+    /// Handles a cancellation. If the key-value store does not answer this node, a peer is
+    /// asked.
     async fn cancel_or_relay(&self, id: &str) -> Response {
         let response = self.cancel(id).await;
         match response.status {
@@ -353,38 +370,40 @@
         }
     }
 
+    /// Answers a poll from the cache, a version comparison, or the job's records.
     pub(crate) async fn poll(self: &Rc<Self>, id: &str) -> Response {
         if !is_job_id(id) {
             return Response::empty(404);
         }
         if let Some(over) = self.terminal_cache.borrow().get(id) {
-            return ended(id, over);
+            return ended_response(id, over);
         }
         match self.compare_version(id).await {
-            PollOutcome::Unfinished => return self.unfinished(id, 200).await,
+            PollOutcome::Unfinished => return self.unfinished_response(id, 200).await,
             PollOutcome::Unanswered => return self.retry_later(),
             PollOutcome::Unknown => {}
         }
-        match self.find(id, RequestPriority::Poll).await {
-            Ok(JobLookup::Unfinished(..)) => self.unfinished(id, 200).await,
-            Ok(JobLookup::Over(over)) => ended(id, over),
-            Ok(JobLookup::Nothing) => Response::empty(404),
+        match self.look_up_job(id, RequestPriority::Poll).await {
+            Ok(JobLookup::Unfinished(..)) => self.unfinished_response(id, 200).await,
+            Ok(JobLookup::Ended(over)) => ended_response(id, over),
+            Ok(JobLookup::NotFound) => Response::empty(404),
             Err(e) => {
-                debug!(job = id, reason = %e, "poll not answered");
+                debug!(job = id, reason = %e, "job could not be read for a poll");
                 self.retry_later()
             }
         }
     }
 
-    /// What the leader said of a job, if that is no older than a display may be.
-    fn heard_counts(&self, id: &str) -> Option<(u32, u32)> {
-        let heard = self.reported_progress.borrow();
-        let fresh = self.clock.now() - heard.at? < self.tuning.heard_fresh_s;
-        fresh.then(|| heard.jobs.get(id).copied()).flatten()
+    /// Task counts of a job that the leader reported, if they are recent enough to display.
+    fn reported_counts(&self, id: &str) -> Option<(u32, u32)> {
+        let reported = self.reported_progress.borrow();
+        let fresh = self.clock.now() - reported.at? < self.tuning.heard_fresh_s;
+        fresh.then(|| reported.jobs.get(id).copied()).flatten()
     }
 
-    /// What the job's record says, or if it can't be read what the leader said last,
-    /// however old: a job that was called running is not called waiting for an outage.
+    /// Task counts from the job's progress record. If the record can't be read, returns the
+    /// counts that the leader reported last, however old: a job that was shown as running is
+    /// not shown as queued because of an outage.
     async fn recorded_counts(&self, id: &str) -> (u32, u32) {
         let key = progress_key(id);
         let record = self
@@ -395,17 +414,18 @@
             Ok(Some((run, _))) => (run.done_count, run.running_at_least()),
             Ok(None) => (0, 0),
             Err(_) => {
-                let heard = self.reported_progress.borrow();
-                heard.jobs.get(id).copied().unwrap_or_default()
+                let reported = self.reported_progress.borrow();
+                reported.jobs.get(id).copied().unwrap_or_default()
             }
         }
     }
 
-    /// The counts are for display; a missing record means none.
-    async fn unfinished(&self, id: &str, status: u16) -> Response {
+    /// Answers with the status of an unfinished job. The task counts are for display only. If
+    /// the job has no progress record, the counts are zero.
+    async fn unfinished_response(&self, id: &str, status: u16) -> Response {
         let counts = match &*self.role.borrow() {
             Role::Leading(leading) => leading.engine.counts(id),
-            Role::Following => self.heard_counts(id),
+            Role::Following => self.reported_counts(id),
         };
         let (done, running) = match counts {
             Some(counts) => counts,
@@ -419,11 +439,12 @@
         status_body(status, id, state, Some((done, running)))
     }
 
-    /// A node whose own share of the limits is used up, or that the state
-    /// service refuses, asks a peer to take the submission before it refuses.
+    /// Handles a submission. If this node's share of the rate limits is used up, or the
+    /// key-value store rejects the request, the submission is relayed to a peer before it is
+    /// refused.
     async fn submit_or_relay(&self, body: &[u8]) -> Response {
         if !self.kv.has_budget(1.0) {
-            // The leader's share of the limits is the largest.
+            // The leader has the largest share of the rate limits.
             if let Some(leader) = self.leader_name()
                 && !is_best_effort_submission(body)
                 && let Some(response) = self.relay_submission(&leader, body).await
@@ -442,31 +463,32 @@
         response
     }
 
+    /// Validates a submission and records the job in the key-value store.
     pub(crate) async fn submit(&self, body: &[u8]) -> Response {
         let spec = match decode::<JobSpec>(body) {
             Ok(spec) => spec,
             Err(e) => {
                 let rejection = Rejection::Undecodable(e.to_string());
                 return match decode::<JobIdOnly>(body) {
-                    Ok(only) => self.refuse(&only.id, &rejection).await,
-                    Err(_) => refused(&rejection),
+                    Ok(only) => self.reject(&only.id, &rejection).await,
+                    Err(_) => rejected(&rejection),
                 };
             }
         };
         if let Err(rejection) = self.check_submission(&spec, body) {
-            return self.refuse(&spec.id, &rejection).await;
+            return self.reject(&spec.id, &rejection).await;
         }
         let id = spec.id.clone();
         let (class, team) = (spec.class.clone(), spec.team.clone());
         let (tasks, cpus) = (spec.tasks, spec.cpus);
-        // A flood of what can wait must not use up what others are accepted with.
+        // Many best-effort submissions must not use up the budget that other submissions need.
         let priority = if spec.is_best_effort() {
             RequestPriority::BestEffort
         } else {
             RequestPriority::Interactive
         };
         if let Some(over) = self.terminal_cache.borrow().get(&id) {
-            return ended(&id, over);
+            return ended_response(&id, over);
         }
         let record = JobRecord {
             spec,
@@ -475,22 +497,24 @@
         let txn = acceptance_txn(record);
         let sent_at = self.clock.now();
         match self.kv.txn(&txn, priority).await {
-            // Rule 6: told only now that the state service holds it.
+            // The user is told that the job is accepted only after the key-value store has
+            // recorded the job (rule 6).
             TxnOutcome::Applied { revision } => {
                 self.batched_polls.record_version(&id, revision, sent_at);
-                info!(job = id, class, team, tasks, cpus, "accepted");
+                info!(job = id, class, team, tasks, cpus, "job accepted");
                 status_body(201, &id, JobStage::Queued, None)
             }
-            TxnOutcome::Conflict { .. } => match self.find(&id, RequestPriority::Interactive).await
-            {
-                Ok(JobLookup::Unfinished(..)) => self.unfinished(&id, 200).await,
-                Ok(JobLookup::Over(over)) => ended(&id, over),
-                _ => self.retry_later(),
-            },
+            TxnOutcome::Conflict { .. } => {
+                match self.look_up_job(&id, RequestPriority::Interactive).await {
+                    Ok(JobLookup::Unfinished(..)) => self.unfinished_response(&id, 200).await,
+                    Ok(JobLookup::Ended(over)) => ended_response(&id, over),
+                    _ => self.retry_later(),
+                }
+            }
             TxnOutcome::NotExecuted | TxnOutcome::Unknown => {
                 info!(
                     job = id,
-                    reason = "the state service can't take it",
+                    reason = "the key-value store did not record the job",
                     "submission refused"
                 );
                 self.retry_later()
@@ -498,13 +522,14 @@
         }
     }
 
-    /// A known job is answered from its record, however its repetition looks.
-    async fn refuse(&self, id: &str, rejection: &Rejection) -> Response {
+    /// Rejects a submission. If a job with this id already exists, answers with the status of
+    /// that job instead, even if the repeated submission is invalid.
+    async fn reject(&self, id: &str, rejection: &Rejection) -> Response {
         if is_job_id(id) {
-            match self.find(id, RequestPriority::Interactive).await {
-                Ok(JobLookup::Unfinished(..)) => return self.unfinished(id, 200).await,
-                Ok(JobLookup::Over(over)) => return ended(id, over),
-                Ok(JobLookup::Nothing) => {}
+            match self.look_up_job(id, RequestPriority::Interactive).await {
+                Ok(JobLookup::Unfinished(..)) => return self.unfinished_response(id, 200).await,
+                Ok(JobLookup::Ended(over)) => return ended_response(id, over),
+                Ok(JobLookup::NotFound) => {}
                 Err(_) => return self.retry_later(),
             }
         }
@@ -516,11 +541,11 @@
         );
         match rejection {
             Rejection::TypesUnknown => self.retry_later(),
-            _ => refused(rejection),
+            _ => rejected(rejection),
         }
     }
 
-    /// Whether a submission is well formed and can run some time.
+    /// Checks that a submission is well formed and that the job can run at some time.
     fn check_submission(&self, spec: &JobSpec, body: &[u8]) -> Result<(), Rejection> {
         if let Some(field) = missing_field(body) {
             return Err(Rejection::MissingField(field));
@@ -530,42 +555,42 @@
         self.check_types(spec)
     }
 
-    /// Whether the team is known and its limit takes the job: one task of an array, all
-    /// replicas of a service.
+    /// Checks that the team exists and that its limit allows the job: one task of an array job,
+    /// or all replicas of a service.
     fn check_team(&self, spec: &JobSpec) -> Result<(), Rejection> {
         let mut teams = self.settings.facts.teams.iter();
         let Some(team) = teams.find(|t| t.name == spec.team) else {
             return Err(Rejection::UnknownTeam(spec.team.clone()));
         };
         let shape = Shape::of_task(spec);
-        let times = if spec.kind == JobKind::Service {
+        let count = if spec.kind == JobKind::Service {
             f64::from(spec.tasks)
         } else {
             1.0
         };
-        for (what, need, most) in [
-            ("cpus", shape.cpus * times, team.cpus_max),
-            ("gpus", shape.gpus * times, team.gpus_max),
+        for (what, need, limit) in [
+            ("cpus", shape.cpus * count, team.cpus_max),
+            ("gpus", shape.gpus * count, team.gpus_max),
         ] {
-            if most > 0.0 && need > most + 1e-6 {
-                return Err(Rejection::OverTeamLimit { what, need, most });
+            if limit > 0.0 && need > limit + 1e-6 {
+                return Err(Rejection::OverTeamLimit { what, need, limit });
             }
         }
         Ok(())
     }
 
-    /// Whether a machine type takes a task of the job.
+    /// Checks that a task of the job fits a machine type.
     fn check_types(&self, spec: &JobSpec) -> Result<(), Rejection> {
         let types = self.machine_types.borrow();
         if types.is_empty() {
             return Err(Rejection::TypesUnknown);
         }
-        // Where workers hand images on, one that no cache holds would be fetched again and
-        // again, and pushed out while others read it.
-        let hand_on = self.tuning.images_hand_on >= 0.5;
+        // If workers pass images on to each other, an image that fits in no cache would be
+        // fetched repeatedly, and evicted while other workers read it.
+        let workers_pass_images_on = self.tuning.images_hand_on >= 0.5;
         let allowed =
             |t: &&umbersail_wire::MachineType| umbersail_policy::names_type(spec, &t.name);
-        if hand_on && !(types.iter().filter(allowed)).any(|t| cache_holds(t, spec)) {
+        if workers_pass_images_on && !(types.iter().filter(allowed)).any(|t| cache_holds(t, spec)) {
             return Err(Rejection::ImageTooLarge(spec.image_gb));
         }
         match umbersail_policy::smallest_cpus(spec, &types) {
@@ -574,16 +599,18 @@
         }
     }
 
+    /// Records the cancellation of a job in the key-value store.
     pub(crate) async fn cancel(&self, id: &str) -> Response {
         if !is_job_id(id) {
             return Response::empty(404);
         }
-        // A conflict means that the job moved on since it was read.
+        // A conflict means that the job has changed since it was read.
         for _ in 0..3 {
-            match self.find(id, RequestPriority::Interactive).await {
+            match self.look_up_job(id, RequestPriority::Interactive).await {
                 Ok(JobLookup::Unfinished(version)) => {
-                    // The job's progress stays until the leader knows that
-                    // nothing of it runs: a successor counts it (rule 4).
+                    // The progress record stays until the leader knows that no task of
+                    // the job is running, so that a new leader counts the resources of
+                    // these tasks (rule 4).
                     let over = EndedJobRecord {
                         outcome: Outcome::Cancelled,
                         done: 0,
@@ -593,14 +620,14 @@
                         TxnOutcome::Applied { .. } => {
                             info!(job = id, "cancellation recorded");
                             self.cache_end(id, over);
-                            return ended(id, over);
+                            return ended_response(id, over);
                         }
                         TxnOutcome::Conflict { .. } => {}
                         _ => return self.retry_later(),
                     }
                 }
-                Ok(JobLookup::Over(over)) => return ended(id, over),
-                Ok(JobLookup::Nothing) => return Response::empty(404),
+                Ok(JobLookup::Ended(over)) => return ended_response(id, over),
+                Ok(JobLookup::NotFound) => return Response::empty(404),
                 Err(_) => return self.retry_later(),
             }
         }
@@ -608,21 +635,21 @@
     }
 }
 
-/// Whether a submission is of work that gives way: the leader, whose writes are
-/// launches and ends, is not asked to take it.
+/// Whether a submission is for a best-effort job. Such submissions are not relayed to the
+/// leader, which needs its write budget for task launches and ends of jobs.
 fn is_best_effort_submission(body: &[u8]) -> bool {
     decode::<JobSpec>(body).is_ok_and(|spec| spec.is_best_effort())
 }
 
-/// Refused for good, with the reason.
-fn refused(rejection: &Rejection) -> Response {
+/// Response to a submission that is rejected permanently, with the reason.
+fn rejected(rejection: &Rejection) -> Response {
     let refusal = Refusal {
         error: rejection.to_string(),
     };
     Response::new(rejection.status(), encode(&refusal))
 }
 
-fn directed(member: String) -> Response {
+fn redirect_to(member: String) -> Response {
     Response::new(
         421,
         encode(&Misdirected {
@@ -631,7 +658,7 @@
     )
 }
 
-fn ended(id: &str, over: EndedJobRecord) -> Response {
+fn ended_response(id: &str, over: EndedJobRecord) -> Response {
     status_body(200, id, stage_of(over), Some((over.done, 0)))
 }
 
--- a/crates/umbersail-control/src/health.rs
+++ b/crates/umbersail-control/src/health.rs
@@ -1,4 +1,5 @@
-//! Whether this node sees the state service and its peers, and whether it is ready for users.
+//! Reachability of the key-value store and of the other controllers, and the readiness of
+//! this node for user requests.
 
 use std::rc::Rc;
 
@@ -8,11 +9,11 @@
 use crate::records::{LEADER_KEY, LeaderRecord};
 use crate::state::RequestPriority;
 
-/// How often a state service that is out of reach is asked for, seconds.
-const SILENT_PROBE_S: Time = 0.3;
+/// Interval between probes of a key-value store that does not respond, in seconds.
+const UNRESPONSIVE_PROBE_S: Time = 0.3;
 
 impl Node {
-    /// Whether the state service answered us lately.
+    /// Whether the key-value store has answered a request of this node recently.
     pub(crate) fn is_store_reachable(&self) -> bool {
         let now = self.clock.now();
         self.kv
@@ -20,29 +21,33 @@
             .is_some_and(|at| now - at < self.tuning.blind_s)
     }
 
-    /// Whether no peer has been heard of lately, though there are some.
+    /// Whether there are peers, but none has sent a message recently.
     pub(crate) fn hears_from_no_peer(&self, now: Time) -> bool {
-        let lately = |at: Time| now - at < self.tuning.isolated_s;
+        let is_recent = |at: Time| now - at < self.tuning.isolated_s;
         !self.settings.peers.is_empty()
-            && !(self.peers.borrow().values()).any(|p| p.heard_at.is_some_and(lately))
+            && !(self.peers.borrow().values()).any(|p| p.heard_at.is_some_and(is_recent))
     }
 
-    /// Whether we reach neither the state service, which has not even refused
-    /// anything, nor any peer: then others lead, or soon will.
+    /// Whether this node reaches neither the key-value store nor any peer. A store that
+    /// answers requests with errors counts as reached. If this node is isolated, another node
+    /// leads or will soon be elected.
     pub(crate) fn is_isolated(&self, now: Time) -> bool {
-        let silent = self.kv.unresponsive_since();
-        silent.is_some_and(|at| now - at >= self.tuning.isolated_s) && self.hears_from_no_peer(now)
+        let unresponsive_since = self.kv.unresponsive_since();
+        unresponsive_since.is_some_and(|at| now - at >= self.tuning.isolated_s)
+            && self.hears_from_no_peer(now)
     }
 
-    /// Whether it is only us whom the rest does not reach: isolated, and not by a cut
-    /// of our zone, which would keep the balancer from us too. Our workers then reach
-    /// the other nodes, and are better off there.
+    /// Whether this node is isolated on its own, and not together with its zone. A network
+    /// partition of the zone would also cut off the load balancer, which was heard from
+    /// recently. The workers of this node can then reach the other nodes, and should be
+    /// redirected there.
     pub(crate) fn is_only_node_isolated(&self, now: Time) -> bool {
         self.is_isolated(now) && now - self.outside_contact_at.get() < self.tuning.outside_s
     }
 
-    /// A node that alone is blind takes itself out; when all are blind alike,
-    /// leaving would only add the balancer's penalty to the outage.
+    /// Whether this node should receive user requests. A node is not ready if it alone does
+    /// not reach the key-value store. If no node reaches the store, all stay ready: the load
+    /// balancer readmits a node only after a delay, which would prolong the outage.
     pub(crate) fn is_ready(&self) -> bool {
         if self.machine_types.borrow().is_empty() {
             return false;
@@ -52,42 +57,49 @@
         }
         let now = self.clock.now();
         let Some(last_answer) = self.kv.last_success() else {
-            // Started in an outage: refused like all others, it takes users as they do,
-            // and the balancer need not wait for it afterwards.
-            let refused = self.kv.unresponsive_since().is_none() && self.kv.has_ever_responded();
+            // The node started during an outage. If the store answers it with errors, as it
+            // answers all nodes, the node is ready like the others, so that the load balancer
+            // need not wait for it after the outage.
+            let answers_with_errors =
+                self.kv.unresponsive_since().is_none() && self.kv.has_ever_responded();
             let reached = |p: &PeerState| p.state_reachable;
-            return refused
+            return answers_with_errors
                 && !self.hears_from_no_peer(now)
                 && !self.peers.borrow().values().any(reached);
         };
-        // Nobody can say whether the state service refuses others too; that takes
-        // longer, so that no short outage among controllers that are apart counts.
-        let refused_s = 2.0 * self.tuning.blind_s;
-        if self.is_isolated(now) || self.hears_from_no_peer(now) && now - last_answer >= refused_s {
+        // Without contact to a peer, this node can't tell whether the store rejects the
+        // requests of other nodes too. The time limit is doubled here, so that a short outage
+        // of the store during a partition between controllers has no effect.
+        let rejected_s = 2.0 * self.tuning.blind_s;
+        if self.is_isolated(now) || self.hears_from_no_peer(now) && now - last_answer >= rejected_s
+        {
             return false;
         }
-        // A peer's word counts only if it is clearly newer than our own last
-        // answer: at the start of an outage all of them still say "reachable".
-        let proven = last_answer + self.tuning.blind_s + self.tuning.peer_interval_s;
+        // A peer's report that the store is reachable counts only if the report is clearly
+        // newer than the last answer to this node: at the start of an outage the last reports
+        // of all peers still say "reachable".
+        let newer_than = last_answer + self.tuning.blind_s + self.tuning.peer_interval_s;
         !self.peers.borrow().values().any(|p| {
-            p.state_reachable && p.heard_at.is_some_and(|at| at > proven && now - at < 3.0)
+            p.state_reachable
+                && p.heard_at
+                    .is_some_and(|at| at > newer_than && now - at < 3.0)
         })
     }
 
-    /// Asks the state service for something small when nothing else has been
-    /// asked lately. Without it a node that no user asks would hold itself
-    /// blind, and leave the balancer, although all is well.
+    /// Sends a small read to the key-value store whenever the store has not answered within
+    /// the probe interval. Without the probe, a node without user requests would consider the
+    /// store unreachable and report that it is not ready.
     pub(crate) async fn probe_store(self: Rc<Self>) {
         loop {
-            // Users are refused until it answers.
+            // User requests are refused until the store answers, so the probes are frequent.
             let interval = match self.kv.unresponsive_since() {
-                Some(_) => SILENT_PROBE_S.min(self.tuning.probe_s),
+                Some(_) => UNRESPONSIVE_PROBE_S.min(self.tuning.probe_s),
                 None => self.tuning.probe_s,
             };
             sleep(interval).await;
             let now = self.clock.now();
             if self.kv.last_success().is_none_or(|at| now - at >= interval) {
-                // What comes of it is seen by `is_store_reachable`.
+                // `is_store_reachable` evaluates the time of the last answer.
                 let _ = self
                     .kv
                     .get::<LeaderRecord>(LEADER_KEY, RequestPriority::Background)
--- a/crates/umbersail-control/src/leader/cloud.rs
+++ b/crates/umbersail-control/src/leader/cloud.rs
@@ -1,4 +1,5 @@
-//! The leader's dealings with the cloud: lists, scale-out, scale-in, and the catalogue.
+//! The leader's requests to the cloud provider: machine lists, rentals, deletions, and the
+//! catalogue of machine types.
 
 use std::rc::Rc;
 
@@ -14,7 +15,7 @@
 use crate::state::RequestPriority;
 
 impl Node {
-    /// Lists, rents and returns machines.
+    /// Periodically lists machines, rents and deletes machines, and updates the catalogue.
     pub(super) async fn run_cloud(self: Rc<Self>, token: u64) {
         let mut listed_at = f64::MIN;
         let mut catalogue_at = f64::MIN;
@@ -37,16 +38,17 @@
                 if let Some(list) = self.cloud.list().await {
                     let now = self.clock.now();
                     if listed_at == f64::MIN {
-                        info!(machines = list.len(), "first list of the cloud");
+                        info!(machines = list.len(), "first machine list received");
                     }
                     listed_at = now;
                     self.with_engine(token, |e| e.listing(now, &list));
                     self.scheduler_wakeup.notify();
                 } else {
-                    debug!("cloud gave no list");
+                    debug!("cloud returned no machine list");
                 }
             }
-            // Before the first list we don't know what is there already.
+            // Before the first list arrives the existing machines are unknown, so nothing is
+            // rented or deleted.
             let now = self.clock.now();
             let actions = if listed_at == f64::MIN {
                 Some(Vec::new())
@@ -63,6 +65,7 @@
         }
     }
 
+    /// Records the machine types in the key-value store. Returns whether the write succeeded.
     async fn record_catalogue(&self, token: u64, types: Vec<MachineType>) -> bool {
         let read = self
             .kv
@@ -78,6 +81,7 @@
         )
     }
 
+    /// Executes one action of the engine, and passes the outcome to the engine.
     async fn execute(&self, token: u64, action: CloudAction) {
         match action {
             CloudAction::Delete(names) => {
--- a/crates/umbersail-control/src/leader/election.rs
+++ b/crates/umbersail-control/src/leader/election.rs
@@ -1,5 +1,6 @@
-//! Elections: a follower waits until the leader's key is gone or its failure is confirmed,
-//! then one transaction makes it the leader and moves the grant (rule 1).
+//! Leader election. A follower waits until the leader key is deleted or the failure of the
+//! leader is confirmed. One transaction then writes the leader key and makes this node the
+//! holder of the fleet grant (rule 1).
 
 use std::pin::pin;
 use std::rc::Rc;
@@ -17,30 +18,35 @@
 };
 use crate::state::{KeyValueError, RequestPriority};
 
-/// What the election shows.
+/// Facts learned from a won election.
 #[derive(Debug, Clone, Copy)]
-pub(super) struct Elected {
-    /// The revision of our grant (rule 1).
+pub(super) struct WonElection {
+    /// Revision at which this node received the grant: its fencing token (rule 1).
     pub token: u64,
-    /// The holder before us kept no progress of jobs that are over (rule 4).
+    /// The previous holder deleted the progress records of ended jobs at once, so orphaned
+    /// attempts are unknown and machines count as fully occupied (rule 4).
     pub whole_machines: bool,
-    /// A holder before us may have started tasks that no record tells of.
+    /// An earlier holder may have started tasks without a record.
     pub predecessor_degraded: bool,
-    /// Plans may be recorded.
+    /// Plans may be recorded, so they must be read.
     pub plans: bool,
 }
 
-/// Whether a process of ours that has ended since wrote this record.
-fn is_former_self(record: &LeaderRecord, member: &str, incarnation: u64) -> bool {
+/// Whether an earlier process of this member wrote the record.
+fn is_from_earlier_process(record: &LeaderRecord, member: &str, incarnation: u64) -> bool {
     record.member == member && record.incarnation != incarnation
 }
 
 impl Node {
-    /// Waits until no leader's key exists, or only that of our former self, whose
-    /// version is returned. That one is dead: we have its addresses. After an
-    /// outage its lease has its full time again, for which the fleet need not
-    /// wait; the key is replaced, so what it left under way fails (rule 1).
-    pub(crate) async fn follow(self: Rc<Self>) -> Option<u64> {
+    /// Waits until this node may campaign. Returns the version of the leader key to
+    /// replace, or `None` if no leader key exists.
+    ///
+    /// A key of an earlier process of this member may be replaced at once: this process
+    /// listens on the same addresses, so the earlier one has ended. After an outage the
+    /// lease of that key is extended to its full length again, and the fleet need not wait
+    /// for its expiry. Once the key is replaced, transactions that the earlier process still
+    /// has in flight fail (rule 1).
+    pub(crate) async fn wait_to_campaign(self: Rc<Self>) -> Option<u64> {
         loop {
             let found = self
                 .kv
@@ -49,8 +55,11 @@
             match found {
                 Ok(Some((record, token))) => {
                     self.degraded_mode_record.borrow_mut().read(token);
-                    if is_former_self(&record, &self.settings.member, self.incarnation) {
-                        info!(token, "the leader's key is of our former self: taken over");
+                    if is_from_earlier_process(&record, &self.settings.member, self.incarnation) {
+                        info!(
+                            token,
+                            "replacing the leader key of an earlier process of this member"
+                        );
                         return Some(token);
                     }
                     self.observe_leader(&record.member, token);
@@ -59,8 +68,8 @@
                     match select(ended, pin!(self.campaign_requested.notified())).await {
                         Either::Left((true, _)) => return None,
                         Either::Left((false, _)) => {}
-                        // Its version in the transaction of our election makes
-                        // certain that nobody else has replaced it (rule 1).
+                        // The election transaction compares the version of the key, so
+                        // it fails if another node has replaced the key (rule 1).
                         Either::Right(_) if self.confirmed_failure.take() == Some(token) => {
                             return Some(token);
                         }
@@ -69,14 +78,14 @@
                 }
                 Ok(None) => return None,
                 Err(e) => {
-                    debug!(reason = %e, "leader's key not readable");
+                    debug!(reason = %e, "leader key could not be read");
                     sleep(0.4).await;
                 }
             }
         }
     }
 
-    /// True when the watch shows that the leader's key is gone.
+    /// Returns true when the watch shows that the leader key was deleted.
     async fn wait_for_end(&self, revision: u64) -> bool {
         let mut from = revision;
         loop {
@@ -102,33 +111,33 @@
         }
     }
 
-    /// Tries once to become the leader; if it does, leads until that is over.
-    pub(crate) async fn campaign(self: Rc<Self>, former: Option<u64>) {
+    /// Tries once to become the leader. After a won election, leads until the term is over.
+    pub(crate) async fn campaign(self: Rc<Self>, replaced_version: Option<u64>) {
         if self.machine_types.borrow().is_empty() {
             sleep(0.3).await;
             return;
         }
         let now = self.clock.now();
-        if now < self.step_down_backoff_until.get() && self.a_peer_could_lead(now) {
+        if now < self.step_down_backoff_until.get() && self.peer_could_lead(now) {
             sleep(0.3).await;
             return;
         }
-        if former.is_none() {
-            // Apart from one another, or all try at once and waste writes; the one
-            // that is to lead goes first.
+        if replaced_version.is_none() {
+            // Candidates wait for different times, because simultaneous attempts waste
+            // writes. The designated successor has the shortest wait.
             let jitter = random(|rng| rng.random_range(0.0..0.05));
             sleep(self.campaign_rank() as f64 * 0.1 + jitter).await;
         }
-        let asked_at = self.clock.now();
+        let requested_at = self.clock.now();
         let Ok(lease) = self.kv.grant_lease(self.tuning.leader_ttl_s).await else {
             sleep(0.3).await;
             return;
         };
         self.campaigning.set(true);
-        let elected = self.commit_election(lease, former).await;
+        let elected = self.commit_election(lease, replaced_version).await;
         self.campaigning.set(false);
         match elected {
-            Some(elected) => self.run_term(lease, asked_at, elected).await,
+            Some(elected) => self.run_term(lease, requested_at, elected).await,
             None => {
                 self.kv.end_lease(lease).await;
                 sleep(0.1).await;
@@ -136,9 +145,13 @@
         }
     }
 
-    /// One transaction makes us the leader and moves the block here; its
-    /// revision is the block's token (rule 1).
-    async fn commit_election(&self, lease: u64, former: Option<u64>) -> Option<Elected> {
+    /// Commits the transaction that makes this node the leader and the holder of the fleet
+    /// grant. The revision of the transaction becomes the fencing token (rule 1).
+    async fn commit_election(
+        &self,
+        lease: u64,
+        replaced_version: Option<u64>,
+    ) -> Option<WonElection> {
         let found = self
             .kv
             .get::<GrantRecord>(GRANT_KEY, RequestPriority::Critical)
@@ -147,22 +160,23 @@
         let whole_machines = found
             .as_ref()
             .is_some_and(|(g, _)| !g.keeps_orphaned_attempts);
-        // Without any, nobody needs to look for some.
+        // If no plan was ever configured or recorded, the recovery skips reading plans.
         let plans = self.tuning.has_plans() || found.as_ref().is_some_and(|(grant, _)| grant.plans);
         let version = found.map_or(0, |(_, version)| version);
-        // Written by an election only, which the grant's version excludes.
+        // Only an election writes this key. A concurrent election changes the version of the
+        // grant, so this transaction would fail.
         let recovery_pending = self
             .kv
             .get::<IgnoredAny>(RECOVERY_PENDING_KEY, RequestPriority::Critical)
             .await
             .ok()?
             .is_some();
-        let open = version > 0
+        let may_have_unrecorded = version > 0
             && self
                 .degraded_mode_record
                 .borrow()
                 .may_have_unrecorded(version);
-        let predecessor_degraded = open || recovery_pending;
+        let predecessor_degraded = may_have_unrecorded || recovery_pending;
         let leader = LeaderRecord {
             member: self.settings.member.clone(),
             incarnation: self.incarnation,
@@ -171,12 +185,12 @@
         let txn = election_txn(
             leader,
             lease,
-            former.unwrap_or(0),
+            replaced_version.unwrap_or(0),
             grant,
             predecessor_degraded,
         );
         match self.kv.txn(&txn, RequestPriority::Critical).await {
-            TxnOutcome::Applied { revision } => Some(Elected {
+            TxnOutcome::Applied { revision } => Some(WonElection {
                 token: revision,
                 predecessor_degraded,
                 whole_machines,
@@ -186,7 +200,9 @@
         }
     }
 
-    pub(super) fn a_peer_could_lead(&self, now: Time) -> bool {
+    /// Whether a peer sent a message recently and reported that it reaches the key-value
+    /// store.
+    pub(super) fn peer_could_lead(&self, now: Time) -> bool {
         self.peers.borrow().values().any(|p| {
             p.state_reachable
                 && p.heard_at
--- a/crates/umbersail-control/src/leader/fencing.rs
+++ b/crates/umbersail-control/src/leader/fencing.rs
@@ -1,4 +1,5 @@
-//! Fencing: the leader brings its token to machines by direct commands (rule 1).
+//! Fencing: the leader sends its fencing token to workers directly, without waiting for
+//! their heartbeats (rule 1).
 
 use std::rc::Rc;
 
@@ -10,8 +11,8 @@
 use crate::node::Node;
 
 impl Node {
-    /// Brings our token to the machines that the predecessor held, so that
-    /// answers of the predecessor are dropped, and gets a fresh report.
+    /// Sends the token of this leader to the machines of the previous holder. Their workers
+    /// then discard answers of the previous leader, and reply with a current heartbeat.
     pub(super) async fn run_fencing(self: Rc<Self>, token: u64) {
         loop {
             let now = self.clock.now();
@@ -27,6 +28,7 @@
         }
     }
 
+    /// Sends one machine its token, and passes the worker's reply to the engine.
     pub(super) async fn send_token(self: Rc<Self>, revision: u64, target: Fencing) {
         let body = encode(&DirectCommands {
             token: target.token,
@@ -40,15 +42,15 @@
         let machine = target.machine;
         match answer {
             Ok((200 | 409, body)) => match decode::<Report>(&body) {
-                Ok(report) => {
+                Ok(heartbeat) => {
                     let now = self.clock.now();
-                    self.with_engine(revision, |e| e.direct_report(now, &report));
+                    self.with_engine(revision, |e| e.direct_report(now, &heartbeat));
                     self.scheduler_wakeup.notify();
                 }
-                Err(e) => warn!(machine, reason = %e, "malformed answer of a worker"),
+                Err(e) => warn!(machine, reason = %e, "worker sent a malformed response"),
             },
-            Ok((status, _)) => debug!(machine, status, "worker refuses the token"),
-            Err(e) => debug!(machine, reason = %e, "worker does not answer"),
+            Ok((status, _)) => debug!(machine, status, "worker rejected the token"),
+            Err(e) => debug!(machine, reason = %e, "worker did not respond"),
         }
     }
 }
--- a/crates/umbersail-control/src/leader/jobs.rs
+++ b/crates/umbersail-control/src/leader/jobs.rs
@@ -1,4 +1,5 @@
-//! What the leader learns of accepted and cancelled jobs, by a watch and by reads.
+//! How the leader learns of accepted and cancelled jobs: by a watch on the job keys, and by
+//! reads.
 
 use std::rc::Rc;
 
@@ -11,8 +12,9 @@
 use crate::state::{KeyValueError, RequestPriority};
 
 impl Node {
-    /// How far the engine knows what was accepted and cancelled, if we lead.
-    pub(super) fn followed(&self, token: u64) -> Option<u64> {
+    /// Returns the revision up to which the engine knows all accepted and cancelled jobs, or
+    /// `None` if this node is not the leader under `token`.
+    pub(super) fn known_jobs_revision(&self, token: u64) -> Option<u64> {
         match &*self.role.borrow() {
             Role::Leading(leading) if leading.engine.revision() == token => {
                 Some(leading.jobs_revision.get())
@@ -21,16 +23,16 @@
         }
     }
 
-    /// Tells the engine of jobs accepted and cancelled, in the order of revisions,
-    /// whichever answer comes first. The changes must be all since a revision that
-    /// the engine knew when they were asked for.
+    /// Passes accepted and cancelled jobs to the engine, in the order of revisions. Events
+    /// that an earlier response already delivered are skipped. `result` must hold all changes
+    /// since a revision that the engine knew when the request was sent.
     fn apply_job_changes(&self, token: u64, result: WatchResult<JobRecord>) {
-        let Some(followed) = self.followed(token) else {
+        let Some(known) = self.known_jobs_revision(token) else {
             return;
         };
         let (now, unix_ms) = (self.clock.now(), self.clock.unix_ms());
         self.with_engine(token, |engine| {
-            for event in result.events.into_iter().filter(|e| e.version > followed) {
+            for event in result.events.into_iter().filter(|e| e.version > known) {
                 if let (Some(_), Some(record)) = (&event.put, event.value) {
                     engine.job_accepted(now, unix_ms, record, event.version);
                 } else if let Some(key) = &event.delete {
@@ -39,14 +41,14 @@
             }
         });
         if let Role::Leading(leading) = &*self.role.borrow() {
-            leading.jobs_revision.set(followed.max(result.revision));
+            leading.jobs_revision.set(known.max(result.revision));
         }
         self.scheduler_wakeup.notify();
     }
 
-    /// Reads what was accepted and cancelled up to now; false if that is not known.
+    /// Reads the jobs accepted and cancelled up to now. Returns false if the read failed.
     pub(super) async fn read_job_changes(&self, token: u64) -> bool {
-        let Some(from) = self.followed(token) else {
+        let Some(from) = self.known_jobs_revision(token) else {
             return false;
         };
         match self.kv.changes_since::<JobRecord>(JOBS, from).await {
@@ -55,15 +57,15 @@
                 true
             }
             Err(e) => {
-                debug!(reason = %e, "accepted and cancelled jobs not read");
+                debug!(reason = %e, "reading accepted and cancelled jobs failed");
                 false
             }
         }
     }
 
-    /// Hears of accepted and cancelled jobs.
+    /// Watches the job keys, and passes accepted and cancelled jobs to the engine.
     pub(super) async fn watch_jobs(self: Rc<Self>, token: u64) {
-        while let Some(from) = self.followed(token) {
+        while let Some(from) = self.known_jobs_revision(token) {
             let hold_s = self.tuning.watch_hold_s;
             match self.kv.watch::<JobRecord>(JOBS, from, hold_s).await {
                 Ok(result) => self.apply_job_changes(token, result),
@@ -73,7 +75,8 @@
         }
     }
 
-    /// The changes since what we know are not to be had any more.
+    /// Lists all jobs. Used when the key-value store no longer holds the changes since the
+    /// revision that the engine knows.
     async fn list_jobs(&self, token: u64) {
         let listed = self
             .kv
@@ -82,7 +85,10 @@
         let Ok((pairs, revision)) = listed else {
             return;
         };
-        if self.followed(token).is_none_or(|known| known > revision) {
+        if self
+            .known_jobs_revision(token)
+            .is_none_or(|known| known > revision)
+        {
             return;
         }
         let (now, unix_ms) = (self.clock.now(), self.clock.unix_ms());
--- a/crates/umbersail-control/src/leader/mod.rs
+++ b/crates/umbersail-control/src/leader/mod.rs
@@ -1,7 +1,8 @@
-//! Leadership: one term, from the election to its end, and the routines that run in it.
+//! Leadership: one term, from the election to its end, and the tasks that run during the
+//! term.
 //!
-//! [`election`] wins a term, [`recovery`] reads what the predecessor left, and the routines
-//! of a term are in the other modules. All of them end together with the term.
+//! [`election`] wins a term, [`recovery`] reads the records of the previous leader, and the
+//! other modules hold the tasks of a term. All tasks are cancelled when the term ends.
 
 mod cloud;
 mod election;
@@ -21,16 +22,16 @@
 
 use crate::engine::Engine;
 use crate::node::{LeaderState, Node, Role, TaskGroup};
-use election::Elected;
+use election::WonElection;
 pub(crate) use lease::LeaderLease;
-use recovery::Recovered;
+use recovery::RecoveredState;
 
-/// How often a leader looks whether its term is over, in seconds.
+/// Interval at which a leader checks whether its term is over, in seconds.
 const TERM_CHECK_S: Time = 0.5;
-/// Pause after a term, so that a peer may win the next election, in seconds.
+/// Pause after a term, in seconds, which lets another controller win the next election.
 const AFTER_TERM_S: Time = 0.2;
-/// Share of a worker's lease after which a leader that no worker reaches steps down.
-const UNREACHED_SHARE: f64 = 0.3;
+/// A leader that receives no heartbeats steps down after this share of a worker's lease.
+const UNREACHABLE_LEASE_SHARE: f64 = 0.3;
 
 /// Why a term ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -46,18 +47,22 @@
 impl fmt::Display for TermEnd {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
-            TermEnd::Superseded => "another leader was heard of",
-            TermEnd::WriteRefused => "a write was refused: the leader's key is not ours",
-            TermEnd::LeaseLost => "the lease ended, or the leader's key is not ours",
-            TermEnd::Overloaded => "overloaded: hands over",
-            TermEnd::Unreachable => "no worker reaches this node",
-            TermEnd::NotLeading => "not leading",
+            TermEnd::Superseded => "a newer leader was observed",
+            TermEnd::WriteRefused => {
+                "a write was rejected: the leader key does not belong to this node"
+            }
+            TermEnd::LeaseLost => {
+                "the lease expired, or the leader key does not belong to this node"
+            }
+            TermEnd::Overloaded => "this node is overloaded and hands leadership over",
+            TermEnd::Unreachable => "no worker can reach this node",
+            TermEnd::NotLeading => "this node is not the leader",
         })
     }
 }
 
 impl Node {
-    /// Runs `f` on the engine while this node leads with this token.
+    /// Runs `f` on the engine if this node leads under the given token.
     pub(crate) fn with_engine<R>(&self, token: u64, f: impl FnOnce(&mut Engine) -> R) -> Option<R> {
         match &mut *self.role.borrow_mut() {
             Role::Leading(leading) if leading.engine.revision() == token => {
@@ -67,36 +72,37 @@
         }
     }
 
-    /// Leads until the term is over. The lease's time counts from `asked_at`, when it was
-    /// asked for.
-    async fn run_term(self: Rc<Self>, lease_id: u64, asked_at: Time, elected: Elected) {
+    /// Leads until the term is over. The lease lasts from `requested_at`, the time at which it
+    /// was requested.
+    async fn run_term(self: Rc<Self>, lease_id: u64, requested_at: Time, elected: WonElection) {
         let token = elected.token;
         self.apply_rate_limits(true);
         self.observe_leader(&self.settings.member, token);
         info!(
             token,
             predecessor_degraded = elected.predecessor_degraded,
-            "takes over as leader"
+            "elected as leader"
         );
         let cfg = Rc::new(self.engine_config());
         let lease = Rc::new(LeaderLease::new(
             lease_id,
             token,
-            self.start_end(asked_at),
-            asked_at + cfg.renewal_s(),
+            self.start_deadline(requested_at),
+            requested_at + cfg.renewal_s(),
         ));
         let mut tasks = TaskGroup::default();
         tasks.start(self.clone().keep_lease(lease.clone(), cfg.renewal_s()));
-        if let Some(recovered) = self.read_predecessor(elected, &lease).await {
-            let Recovered { inheritance, .. } = recovered;
-            // What was cancelled since is not known yet (rule 2).
+        if let Some(recovered) = self.recover_state(elected, &lease).await {
+            let RecoveredState { inheritance, .. } = recovered;
+            // Jobs cancelled after this read are not known yet, so heartbeats must not be
+            // answered for longer than one renewal interval after the read (rule 2).
             lease.bound_renewals(recovered.jobs_read_at + cfg.renewal_s());
             let now = self.clock.now();
             let engine = Engine::new(cfg, now, self.clock.unix_ms(), inheritance);
             info!(
                 token,
                 jobs = engine.job_count(),
-                took_s = now - asked_at,
+                took_s = now - requested_at,
                 "state recovered"
             );
             *self.role.borrow_mut() = Role::Leading(Box::new(LeaderState::new(
@@ -107,7 +113,7 @@
             self.clone().start_term_tasks(token, &mut tasks);
             self.role_changed.raise();
             let reason = self.wait_for_term_end(&lease).await;
-            warn!(token, %reason, "leadership is over");
+            warn!(token, %reason, "leadership ended");
         }
         tasks.cancel();
         self.leave_term(lease_id, token).await;
@@ -122,8 +128,10 @@
         tasks.start(self.run_degraded_mode(token));
     }
 
+    /// Ends the term: becomes a follower, ends the lease, and pauses before the next campaign.
     async fn leave_term(&self, lease_id: u64, token: u64) {
-        // What we know of our own starts, should we succeed ourselves.
+        // Kept for the case that this node also wins the next election: whether it may have
+        // started tasks without a record.
         let unrecorded =
             std::mem::take(&mut *self.degraded_mode.borrow_mut()).may_have_unrecorded();
         self.degraded_mode_record
@@ -137,27 +145,29 @@
         sleep(AFTER_TERM_S).await;
     }
 
+    /// Waits until the term is over, and returns the reason.
     async fn wait_for_term_end(&self, lease: &LeaderLease) -> TermEnd {
         let elected_at = self.clock.now();
-        let mut unreached_since: Option<Time> = None;
+        let mut no_heartbeat_since: Option<Time> = None;
         let mut paused = false;
         loop {
-            let woken = pin!(self.step_down.notified());
-            let _ = select(woken, pin!(sleep(TERM_CHECK_S))).await;
+            let wakeup = pin!(self.step_down.notified());
+            let _ = select(wakeup, pin!(sleep(TERM_CHECK_S))).await;
             let now = self.clock.now();
             if let Some(end) = self.term_end(now, lease, elected_at) {
                 return end;
             }
-            // We can't end our lease then: peers replace the key at our word.
+            // A leader that can't reach the key-value store can't end its lease there. It
+            // tells its peers that it resigns, and one of them replaces the leader key.
             self.set_resigning(self.is_isolated_from_state());
             paused = self.log_pause(now, lease, paused);
-            if self.is_unreached(now, &mut unreached_since) {
+            if self.is_unreachable_by_workers(now, &mut no_heartbeat_since) {
                 return TermEnd::Unreachable;
             }
         }
     }
 
-    /// Why the term is over now, if it is for this node's own reasons.
+    /// Returns why the term is over, if this node itself has a reason to end it now.
     fn term_end(&self, now: Time, lease: &LeaderLease, elected_at: Time) -> Option<TermEnd> {
         match &*self.role.borrow() {
             Role::Following => return Some(TermEnd::NotLeading),
@@ -180,31 +190,35 @@
         None
     }
 
-    /// Past the renewal time heartbeats are refused, but the lease is still renewed: if that
-    /// succeeds after an outage nobody else can have been elected, and scheduling resumes
-    /// under the same token.
+    /// Logs when the node stops answering heartbeats and when it resumes. Heartbeats are
+    /// refused after the renewal time, but the node keeps trying to renew the lease: if a
+    /// renewal succeeds after an outage, no other node can have been elected, and scheduling
+    /// resumes under the same token.
     fn log_pause(&self, now: Time, lease: &LeaderLease, was_paused: bool) -> bool {
         let paused = now >= lease.renew_until();
         match (was_paused, paused) {
-            (false, true) => warn!("without the state service for too long: reports are refused"),
-            (true, false) => info!("the state service is back: reports are answered"),
+            (false, true) => {
+                warn!("key-value store unavailable for too long: heartbeats are refused");
+            }
+            (true, false) => info!("key-value store available again: heartbeats are answered"),
             _ => {}
         }
         paused
     }
 
-    /// Whether no worker has reached this node for so long that one whom they reach shall
-    /// lead: workers that reach every other controller would lose their tasks.
-    fn is_unreached(&self, now: Time, since: &mut Option<Time>) -> bool {
+    /// Whether this node has received no heartbeats for so long that another controller
+    /// should lead. If only this node is cut off from the workers, they lose their tasks as
+    /// long as it stays leader, although they reach every other controller.
+    fn is_unreachable_by_workers(&self, now: Time, since: &mut Option<Time>) -> bool {
         let (live, all) = match &*self.role.borrow() {
             Role::Leading(leading) => leading.engine.live_machines(now),
             Role::Following => (0, 0),
         };
-        if all < 2 || live > 0 || !self.a_peer_could_lead(now) {
+        if all < 2 || live > 0 || !self.peer_could_lead(now) {
             *since = None;
             return false;
         }
         let since = *since.get_or_insert(now);
-        now - since > self.settings.facts.workers.lease_s * UNREACHED_SHARE
+        now - since > self.settings.facts.workers.lease_s * UNREACHABLE_LEASE_SHARE
     }
 }
--- a/crates/umbersail-control/src/leader/recovery.rs
+++ b/crates/umbersail-control/src/leader/recovery.rs
@@ -1,5 +1,5 @@
-//! What a new leader reads before it acts: jobs, their progress, the grant, plans (rules 3
-//! and 4).
+//! Recovery: a new leader reads jobs, their progress, the fleet grant and the plans before
+//! it schedules anything (rules 3 and 4).
 
 use std::collections::BTreeMap;
 
@@ -7,7 +7,7 @@
 use umbersail_wire::{KeyValue, Value};
 
 use super::LeaderLease;
-use super::election::Elected;
+use super::election::WonElection;
 use crate::engine::{Inheritance, InheritedJob, InheritedPart, InheritedPlan};
 use crate::node::Node;
 use crate::records::{
@@ -15,19 +15,19 @@
 };
 use crate::state::{KeyValueError, RequestPriority};
 
-/// Pause before what could not be read is read again, in seconds.
+/// Pause before a failed read is repeated, in seconds.
 const RETRY_S: Time = 0.2;
 
-/// What the predecessor left, and how far it is known.
-pub(super) struct Recovered {
+/// The recovered records, and how current they are.
+pub(super) struct RecoveredState {
     pub inheritance: Inheritance,
-    /// The jobs are those of this revision.
+    /// Revision at which the jobs were listed.
     pub revision: u64,
-    /// They were read after this time.
+    /// Time just before the jobs were listed.
     pub jobs_read_at: Time,
 }
 
-/// A part of the grant's record as the list shows it.
+/// Converts a listed record of a grant part. Returns `None` if the key is malformed.
 fn inherited_part(pair: KeyValue<GrantPart>) -> Option<InheritedPart> {
     let index = pair.key.strip_prefix(GRANT_PARTS)?.parse().ok()?;
     Some(InheritedPart {
@@ -37,7 +37,7 @@
     })
 }
 
-/// A plan's record as the list shows it.
+/// Converts a listed plan record.
 fn inherited_plan(pair: KeyValue<Value>) -> InheritedPlan {
     let name = pair.key.strip_prefix(PLANS).unwrap_or_default();
     InheritedPlan {
@@ -48,14 +48,15 @@
 }
 
 impl Node {
-    /// Reads what the predecessor left, as often as it takes; none once the lease is over.
-    pub(super) async fn read_predecessor(
+    /// Reads the records of the previous leader, and retries until the read succeeds. Returns
+    /// `None` once the lease is lost or its renewal deadline has passed.
+    pub(super) async fn recover_state(
         &self,
-        elected: Elected,
+        elected: WonElection,
         lease: &LeaderLease,
-    ) -> Option<Recovered> {
+    ) -> Option<RecoveredState> {
         while !lease.is_lost() && self.clock.now() < lease.renew_until() {
-            match self.try_read_predecessor(elected).await {
+            match self.try_recover_state(elected).await {
                 Ok(recovered) => return Some(recovered),
                 Err(_) => sleep(RETRY_S).await,
             }
@@ -63,7 +64,10 @@
         None
     }
 
-    async fn try_read_predecessor(&self, elected: Elected) -> Result<Recovered, KeyValueError> {
+    async fn try_recover_state(
+        &self,
+        elected: WonElection,
+    ) -> Result<RecoveredState, KeyValueError> {
         let jobs_read_at = self.clock.now();
         let jobs = self
             .kv
@@ -113,7 +117,7 @@
             types: self.machine_types.borrow().clone(),
             plans: plans.into_iter().map(inherited_plan).collect(),
         };
-        Ok(Recovered {
+        Ok(RecoveredState {
             inheritance,
             revision,
             jobs_read_at,
@@ -121,7 +125,7 @@
     }
 }
 
-/// Records of progress with their versions, by job.
+/// Progress records with their versions, by job id.
 fn progress_by_job(
     runs: Vec<KeyValue<JobProgressRecord>>,
 ) -> BTreeMap<String, (JobProgressRecord, u64)> {
--- a/crates/umbersail-control/src/leader/scheduler.rs
+++ b/crates/umbersail-control/src/leader/scheduler.rs
@@ -1,5 +1,5 @@
-//! The leader's main loop: ticks, scheduling cycles, and their records as transactions, one
-//! under way at a time.
+//! The leader's main loop: periodic engine ticks, scheduling cycles, and the transactions
+//! that record their results. At most one transaction is in flight.
 
 use std::pin::pin;
 use std::rc::Rc;
@@ -18,31 +18,34 @@
 };
 use crate::state::{KeyValueError, RequestPriority};
 
-/// Pause after a transaction or a read that the state service did not carry out, seconds.
+/// Pause after a transaction or a read that the key-value store did not execute, in seconds.
 const RETRY_S: Time = 0.2;
-/// Heartbeats come in bunches: one look serves all that come within this, in seconds.
-const GATHER_S: Time = 0.005;
-/// Bounds of the pause while nothing is due, in seconds.
-const IDLE_S: (Time, Time) = (0.02, 0.1);
+/// Heartbeats arrive in bursts: one scheduler step handles all heartbeats that arrive within
+/// this time, in seconds.
+const BATCH_S: Time = 0.005;
+/// Lower and upper bound of the pause while nothing is due, in seconds.
+const IDLE_RANGE_S: (Time, Time) = (0.02, 0.1);
 
-/// When the loop last did what it does at intervals.
+/// Times of the last scheduling cycle and the last engine tick.
 struct Pacing {
     last_cycle: Time,
     last_tick: Time,
 }
 
-/// What one look at the engine brought up.
+/// Pending work of the engine, as found by one scheduler step.
 struct Step {
+    /// The next transaction to commit.
     txn: Option<PendingTxn>,
-    /// Jobs and parts of the grant whose versions must be read.
+    /// Ids of jobs and indices of grant parts whose versions must be read.
     unknown_versions: (Vec<String>, Vec<u32>),
+    /// Names of plans that must be read.
     unread_plans: Vec<String>,
-    /// Seconds until the engine wants to be looked at again, if it says.
+    /// Seconds until the engine needs the next step, if the engine needs one.
     next_s: Option<Time>,
 }
 
 impl Node {
-    /// Turns what is known into placements and records, until this node leads no more.
+    /// Schedules tasks and writes records until this node is no longer the leader.
     pub(super) async fn run_scheduler(self: Rc<Self>, token: u64) {
         let mut pacing = Pacing {
             last_cycle: f64::MIN,
@@ -50,13 +53,14 @@
         };
         while let Some(step) = self.scheduler_step(token, &mut pacing) {
             if self.degraded_mode.borrow().allows_starts() && step.txn.is_none() {
-                // Nothing can be written, or need be: launches go without.
+                // In degraded mode tasks are started without a record. Either nothing can be
+                // written now, or nothing needs to be written.
                 self.scheduler_progress.raise();
-                self.raise_tokens(token);
+                self.send_increased_tokens(token);
                 self.wait_for_work(step.next_s).await;
                 continue;
             }
-            self.read_unknown(token, step.unknown_versions, step.unread_plans)
+            self.read_missing(token, step.unknown_versions, step.unread_plans)
                 .await;
             if let Some(pending) = step.txn {
                 if !self.write(token, pending).await {
@@ -64,14 +68,16 @@
                     return;
                 }
             } else if self.wait_for_work(step.next_s).await {
-                sleep(GATHER_S).await;
+                sleep(BATCH_S).await;
             }
         }
     }
 
+    /// Runs the engine's tick and scheduling cycle if they are due, and collects the pending
+    /// work. Returns `None` if this node no longer leads under `token`.
     fn scheduler_step(&self, token: u64, pacing: &mut Pacing) -> Option<Step> {
         let now = self.clock.now();
-        let (room, spare) = self.kv.write_budget();
+        let (budget, background_budget) = self.kv.write_budget();
         self.with_engine(token, |engine| {
             self.tick_if_due(now, engine, pacing);
             self.schedule_if_due(now, engine, pacing);
@@ -89,7 +95,7 @@
                 };
             }
             Step {
-                txn: engine.next_txn(now, room, spare),
+                txn: engine.next_txn(now, budget, background_budget),
                 unknown_versions: engine.unknown_versions(),
                 unread_plans: engine.unread_plans(),
                 next_s,
@@ -108,8 +114,8 @@
     }
 
     fn schedule_if_due(&self, now: Time, engine: &mut Engine, pacing: &mut Pacing) {
-        let rested = now - pacing.last_cycle >= self.tuning.cycle_interval_s;
-        let is_due = engine.is_mid_cycle() || (engine.wants_schedule() && rested);
+        let interval_passed = now - pacing.last_cycle >= self.tuning.cycle_interval_s;
+        let is_due = engine.is_mid_cycle() || (engine.wants_schedule() && interval_passed);
         if !is_due {
             return;
         }
@@ -119,16 +125,17 @@
         self.scheduler_progress.raise();
     }
 
-    /// Waits until something has changed; false if only the time was over.
+    /// Waits until the engine state changes. Returns false if the wait timed out.
     async fn wait_for_work(&self, next_s: Option<Time>) -> bool {
-        let (least_s, most_s) = IDLE_S;
-        let wait_s = next_s.unwrap_or(self.tuning.write_delay_s.clamp(least_s, most_s));
-        let woken = pin!(self.scheduler_wakeup.notified());
-        matches!(select(woken, pin!(sleep(wait_s))).await, Either::Left(_))
+        let (min_s, max_s) = IDLE_RANGE_S;
+        let wait_s = next_s.unwrap_or(self.tuning.write_delay_s.clamp(min_s, max_s));
+        let wakeup = pin!(self.scheduler_wakeup.notified());
+        matches!(select(wakeup, pin!(sleep(wait_s))).await, Either::Left(_))
     }
 
-    /// Raises the tokens of machines that have launches ready and report late.
-    fn raise_tokens(self: &Rc<Self>, token: u64) {
+    /// Sends increased tokens to machines that have launches ready but whose heartbeats are
+    /// late.
+    fn send_increased_tokens(self: &Rc<Self>, token: u64) {
         let now = self.clock.now();
         let increments = self.with_engine(token, |engine| engine.token_increments(now));
         self.send_tokens(token, increments.unwrap_or_default());
@@ -140,12 +147,12 @@
         }
     }
 
-    /// Sends a transaction and tells the engine what became of it; false if the leader's key
-    /// is not ours.
+    /// Commits a transaction and passes the outcome to the engine. Returns false if the leader
+    /// key no longer belongs to this node, or the term is over.
     async fn write(self: &Rc<Self>, token: u64, pending: PendingTxn) -> bool {
         let outcome = self.kv.txn(&pending.txn, RequestPriority::Background).await;
         if !matches!(outcome, TxnOutcome::Applied { .. }) {
-            debug!(?outcome, "transaction");
+            debug!(?outcome, "transaction not applied");
             if outcome == TxnOutcome::NotExecuted {
                 sleep(RETRY_S).await;
             }
@@ -154,20 +161,20 @@
         if matches!(outcome, TxnOutcome::Applied { .. }) {
             self.cache_ends(&pending.txn);
         }
-        let after = self.with_engine(token, |engine| {
+        let after_commit = self.with_engine(token, |engine| {
             engine.txn_done(now, pending, outcome);
             (engine.is_lost(), engine.token_increments(now))
         });
         self.scheduler_progress.raise();
-        let Some((false, increments)) = after else {
+        let Some((false, increments)) = after_commit else {
             return false;
         };
         self.send_tokens(token, increments);
         true
     }
 
-    /// Ends of jobs that are recorded now: their users are told without a read, also
-    /// while the state service is out (rule 6).
+    /// Caches the ends of jobs that the transaction recorded. Polls for these jobs are then
+    /// answered without a read, also while the key-value store is unavailable (rule 6).
     fn cache_ends(&self, txn: &Txn<Record>) {
         for change in &txn.changes {
             if let Change::Put { key, value, .. } = change
@@ -179,9 +186,9 @@
         }
     }
 
-    /// Reads what must be known before it is written again; what can't be read now is asked
-    /// for in the next step.
-    async fn read_unknown(
+    /// Reads the records whose versions the engine needs for its next writes. The next step
+    /// retries reads that failed.
+    async fn read_missing(
         &self,
         token: u64,
         (jobs, parts): (Vec<String>, Vec<u32>),
--- a/crates/umbersail-control/src/node.rs
+++ b/crates/umbersail-control/src/node.rs
@@ -1,4 +1,5 @@
-//! One controller process: its clients, its role, and its long-lived tasks.
+//! One controller process: its clients, its role (leader or follower), and its long-lived
+//! tasks.
 
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
@@ -29,18 +30,21 @@
 use crate::state::{KeyValueClient, RequestPriority};
 use crate::terminal_cache::TerminalCache;
 
-/// What this node is just now.
+/// The current role of this node.
 pub(crate) enum Role {
+    /// This node follows the leader, or waits for an election.
     Following,
+    /// This node is the leader.
     Leading(Box<LeaderState>),
 }
 
-/// The leader's part.
+/// State that exists only while this node leads.
 pub(crate) struct LeaderState {
     pub engine: Engine,
     pub lease: Rc<LeaderLease>,
-    /// The engine knows what was accepted and cancelled up to this revision.
+    /// Revision up to which the engine knows all accepted and cancelled jobs.
     pub jobs_revision: Cell<u64>,
+    /// A newer leader was observed.
     pub superseded: Cell<bool>,
 }
 
@@ -55,99 +59,118 @@
     }
 }
 
-/// What was last heard of a peer.
+/// The last known state of a peer, which is another controller.
 #[derive(Debug, Clone, Default)]
 pub(crate) struct PeerState {
+    /// When the last message from the peer arrived.
     pub heard_at: Option<Time>,
+    /// Whether the peer reported that it reaches the key-value store.
     pub state_reachable: bool,
-    /// Its last answer to us.
+    /// When the peer last answered a request of this node.
     pub answered_at: Option<Time>,
-    /// What was last handed on to it had no answer at all, and it has not
-    /// answered since.
+    /// The last request relayed to the peer had no response at all, and the peer has not
+    /// responded since.
     pub unresponsive: bool,
-    /// How long its process had run when it was last heard of, and how late
-    /// its timers fired, seconds.
+    /// Uptime of the peer's process at its last message, in seconds.
     pub uptime_s: f64,
+    /// How late timers fired in the peer's process, in seconds.
     pub lag_s: f64,
-    /// When the state service last answered it, on our clock.
+    /// When the key-value store last answered the peer, on this node's clock.
     pub store_answer_at: Option<Time>,
 }
 
-/// The leader's newest word on unfinished jobs: tasks done and running.
+/// The newest task counts of unfinished jobs that the leader sent to this node.
 #[derive(Debug, Default)]
 pub(crate) struct ReportedProgress {
+    /// When the counts arrived.
     pub at: Option<Time>,
+    /// Numbers of completed and running tasks by job id.
     pub jobs: BTreeMap<String, (u32, u32)>,
 }
 
-/// Everything that the routines of one process share.
+/// The state that all tasks of one controller process share.
 pub struct Node {
     pub(crate) settings: Settings,
+    /// Tuning parameters from the properties file.
     pub(crate) tuning: Rc<Tuning>,
     pub(crate) clock: Rc<dyn Clock>,
+    /// Client of the key-value store.
     pub(crate) kv: KeyValueClient,
+    /// Client of the cloud provider's API.
     pub(crate) cloud: CloudClient,
-    /// For workers.
+    /// HTTP client for requests to workers.
     pub(crate) worker_http: Client,
+    /// HTTP client for requests to other controllers.
     pub(crate) peer_http: Client,
+    /// Random number that identifies this process among all processes of the member.
     pub(crate) incarnation: u64,
     pub(crate) role: RefCell<Role>,
-    /// The newest leader that we know of, with its token.
+    /// Name and token of the newest known leader.
     pub(crate) leader: RefCell<Option<(String, u64)>>,
     pub(crate) machine_types: RefCell<Vec<MachineType>>,
+    /// The other controllers, by name.
     pub(crate) peers: RefCell<BTreeMap<String, PeerState>>,
+    /// Recently ended jobs.
     pub(crate) terminal_cache: RefCell<TerminalCache>,
     pub(crate) batched_polls: BatchedPolls,
     pub(crate) all_replica_reads: AllReplicaReads,
+    /// Workers redirected to the leader, or by the leader to the delegate of their zone.
     pub(crate) redirects: RefCell<RedirectTracker>,
-    /// Workers that we sent to other nodes because we are isolated, or lead no more.
+    /// Workers redirected to other nodes because this node is isolated, or is no longer the
+    /// leader.
     pub(crate) handed_off_workers: RefCell<RedirectTracker>,
-    /// When somebody was last heard of whom a cut of our zone would keep from us: the
-    /// balancer, a user, a worker of another zone.
+    /// When the last message arrived from a sender that a network partition of this zone
+    /// would cut off: the load balancer, a user, or a worker of another zone.
     pub(crate) outside_contact_at: Cell<Time>,
-    /// The last successor that we named while we led.
+    /// The last successor that this node designated while it was the leader.
     pub(crate) last_designated: RefCell<Option<String>>,
     pub(crate) delegate: RefCell<Delegate>,
     pub(crate) started_at: Time,
     pub(crate) reported_progress: RefCell<ReportedProgress>,
     pub(crate) retry_backoff: RefCell<RetryBackoff>,
-    /// Front connections kept for workers, by the number of machines.
+    /// Connections to the public API that are reserved for workers.
     pub(crate) reserved_sockets: Rc<Cell<usize>>,
     /// Wakes the leader's scheduler.
     pub(crate) scheduler_wakeup: Notify,
-    /// Raised when the leader has planned or recorded something.
+    /// Raised after each scheduling cycle and each finished transaction of the leader.
     pub(crate) scheduler_progress: Broadcast,
-    /// Wakes the leader's failure detector: we may not be it any more.
+    /// Wakes the leader to check whether its term is over.
     pub(crate) step_down: Notify,
-    /// What speaks against the leader.
+    /// Collects the evidence that the leader has failed.
     pub(crate) failure_detector: RefCell<FailureDetector>,
+    /// Wakes the failure detector.
     pub(crate) suspected: Notify,
-    /// The version of a leader's key that is to be replaced.
+    /// Version of the leader key whose holder has failed and which is to be replaced.
     pub(crate) confirmed_failure: Cell<Option<u64>>,
+    /// Wakes a waiting follower, so that it campaigns if the leader's failure is confirmed.
     pub(crate) campaign_requested: Notify,
-    /// An election of ours is under way: what it says of starts without a record holds
-    /// only if we agree to none meanwhile.
+    /// This node is committing an election transaction. The transaction states whether tasks
+    /// may have been started without a record, so this node must not agree to such starts
+    /// until the transaction is finished.
     pub(crate) campaigning: Cell<bool>,
-    /// The version of the newest leader's key that was read, and its process.
+    /// Version of the leader key last read, and the incarnation of its holder.
     pub(crate) leader_key_read: Cell<Option<(u64, u64)>>,
-    /// Whom the leader named to lead after it.
+    /// The successor that the current leader has designated.
     pub(crate) designated_successor: RefCell<Option<String>>,
-    /// We lead, and want another to.
+    /// This node leads, and asks another node to take over.
     pub(crate) resigning: Cell<bool>,
-    /// Having handed the lead over, we don't take it back before then.
+    /// After handing leadership over, this node does not campaign before this time.
     pub(crate) step_down_backoff_until: Cell<Time>,
+    /// How late timers fire in this process.
     pub(crate) timer_lag: Cell<Lag>,
-    /// What we know of a holder's starts without a record, and our own.
+    /// What is known of starts without a record by any holder of the grant, including
+    /// this node.
     pub(crate) degraded_mode_record: RefCell<DegradedModeRecord>,
+    /// Whether this leader currently starts tasks without a record.
     pub(crate) degraded_mode: RefCell<DegradedMode>,
-    /// Raised when we begin or cease to lead, or want another to.
+    /// Raised when this node becomes leader, stops being leader, or starts or stops resigning.
     pub(crate) role_changed: Broadcast,
 }
 
 /// Runs a node until the process is killed.
 ///
 /// # Errors
-/// If one of its addresses can't be listened at.
+/// If a listening socket can't be bound to one of the node's addresses.
 pub async fn run(settings: Settings, tuning: Tuning, clock: Rc<dyn Clock>) -> std::io::Result<()> {
     let front = TcpListener::bind(settings.front)?;
     let back = TcpListener::bind(settings.back)?;
@@ -156,7 +179,7 @@
         member = node.settings.member,
         zone = node.settings.zone,
         front = %node.settings.front,
-        "controller starts"
+        "controller started"
     );
     let (limits, back_limits) = node.server_limits();
     let front_node = node.clone();
@@ -233,6 +256,7 @@
         node
     }
 
+    /// Derives the engine's configuration from the settings and the tuning parameters.
     pub(crate) fn engine_config(&self) -> EngineConfig {
         let facts = &self.settings.facts;
         let aims = facts
@@ -244,8 +268,8 @@
             if let (Some(class), Some(times)) = (&objective.class, objective.times)
                 && times > 1.0
             {
-                let most = late_aims.entry(class.clone()).or_insert(times);
-                *most = most.max(times);
+                let largest = late_aims.entry(class.clone()).or_insert(times);
+                *largest = largest.max(times);
             }
         }
         EngineConfig {
@@ -273,12 +297,12 @@
         }
     }
 
-    /// The member that leads, as far as we know.
+    /// Name of the newest known leader.
     pub(crate) fn leader_name(&self) -> Option<String> {
         self.leader.borrow().as_ref().map(|(name, _)| name.clone())
     }
 
-    /// Takes in word of a leader; an older one than known is ignored.
+    /// Records an observed leader. A leader older than the newest known one is ignored.
     pub(crate) fn observe_leader(&self, member: &str, token: u64) {
         let mut leader = self.leader.borrow_mut();
         if leader.as_ref().is_some_and(|(_, known)| *known >= token) {
@@ -301,8 +325,7 @@
         }
     }
 
-    /// Learns the machine types once: from a leader's record, else from the
-    /// cloud.
+    /// Loads the machine types once: from the record of a leader, otherwise from the cloud.
     async fn load_machine_types(self: Rc<Self>) {
         while self.machine_types.borrow().is_empty() {
             let recorded = self
@@ -315,13 +338,15 @@
             };
             match types {
                 Some(types) if !types.is_empty() => {
-                    info!(types = types.len(), "machine types known");
+                    info!(types = types.len(), "machine types loaded");
                     *self.machine_types.borrow_mut() = types;
                     return;
                 }
                 _ => {
                     let pause = random(|rng| rng.random_range(0.5..1.5));
-                    warn!("machine types not known yet: neither state service nor cloud tells");
+                    warn!(
+                        "machine types unknown: neither the key-value store nor the cloud returned them"
+                    );
                     sleep(pause).await;
                 }
             }
@@ -330,8 +355,8 @@
 
     async fn run_elections(self: Rc<Self>) -> std::convert::Infallible {
         loop {
-            let former = self.clone().follow().await;
-            self.clone().campaign(former).await;
+            let replaced_version = self.clone().wait_to_campaign().await;
+            self.clone().campaign(replaced_version).await;
         }
     }
 }
@@ -347,13 +372,13 @@
     })
 }
 
-/// Routines that end together.
+/// Tasks that are cancelled together.
 #[derive(Default)]
 pub(crate) struct TaskGroup(Vec<Routine>);
 
 impl TaskGroup {
-    pub fn start(&mut self, duty: impl Future<Output = ()> + 'static) {
-        self.0.push(spawn(duty));
+    pub fn start(&mut self, task: impl Future<Output = ()> + 'static) {
+        self.0.push(spawn(task));
     }
 
     pub fn cancel(self) {
--- a/crates/umbersail-control/src/plans.rs
+++ b/crates/umbersail-control/src/plans.rs
@@ -1,4 +1,5 @@
-//! Operators' entries for plans, checked before anything starts, and plans as recorded.
+//! Operators' plan entries (calendars and reservations) in the properties file, which are
+//! validated before the controller starts, and the plans recorded in the key-value store.
 
 use std::net::SocketAddr;
 
@@ -13,55 +14,55 @@
 use crate::records::{PLANS, PlanRecord};
 use crate::settings::Settings;
 
-/// An entry that can't be used.
+/// A plan entry that can't be used.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 #[error("key '{key}': {reason}")]
 pub struct PlanError {
-    /// The property.
+    /// Key of the property.
     pub key: String,
-    /// What is wrong with it.
+    /// What is wrong with the entry.
     pub reason: String,
 }
 
-/// Checks all entries for plans against one another and the platform's settings.
+/// Validates all plan entries, against one another and against the settings file.
 ///
 /// # Errors
 /// The first entry that can't be used, with the reason.
 pub fn check_plans(settings: &Settings, tuning: &Tuning) -> Result<(), PlanError> {
-    let refused = |key, reason| PlanError { key, reason };
+    let plan_error = |key, reason| PlanError { key, reason };
     let teams = &settings.facts.teams;
     Calendar::parse(&tuning.plan_entries)
         .and_then(|calendar| calendar.check_teams(|team| teams.iter().any(|t| t.name == team)))
-        .map_err(|e| refused(e.key, e.reason))?;
+        .map_err(|e| plan_error(e.key, e.reason))?;
     let limits = settings.team_limits();
     let facts = reserve_facts(&limits, tuning);
-    Reservations::parse(&tuning.plan_entries, &facts).map_err(|e| refused(e.key, e.reason))?;
+    Reservations::parse(&tuning.plan_entries, &facts).map_err(|e| plan_error(e.key, e.reason))?;
     let prefixes = [umbersail_calendar::PREFIX, umbersail_reserve::PREFIX];
     let known = |key: &&String| prefixes.iter().any(|p| key.starts_with(p));
     match tuning.plan_entries.keys().find(|key| !known(key)) {
         None => Ok(()),
         Some(key) => Err(PlanError {
             key: key.clone(),
-            reason: "no plan of this kind is known".into(),
+            reason: "unknown kind of plan".into(),
         }),
     }
 }
 
-/// A calendar's or a reservation's entry, and its next time.
+/// An entry of a calendar or a reservation, with its current or next time.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct PlannedEntry {
     /// `calendar` or `reserve`, and the entry's name.
     pub name: String,
-    /// The team that it is for.
+    /// Team that the entry applies to.
     pub team: String,
-    /// Classes of each step in order; those of a reservation together.
+    /// Job classes of each step, in order. A reservation has one step with all its classes.
     pub steps: Vec<Vec<String>>,
-    /// Under way or next: its beginning and its due time or end, in milliseconds since
-    /// 1970; absent if there is no further one.
+    /// The current run or window, otherwise the next one: its start, and its due time or end,
+    /// in milliseconds since 1970. Absent if there is none.
     pub next_ms: Option<(u64, u64)>,
 }
 
-/// The entries of the properties, as they stand at this time of day.
+/// Returns the plan entries of the properties file with their times as seen at `now_ms`.
 ///
 /// # Errors
 /// The first entry that can't be used, with the reason.
@@ -71,11 +72,12 @@
     now_ms: u64,
 ) -> Result<Vec<PlannedEntry>, PlanError> {
     check_plans(settings, tuning)?;
-    let refused = |key, reason| PlanError { key, reason };
-    let calendar = Calendar::parse(&tuning.plan_entries).map_err(|e| refused(e.key, e.reason))?;
+    let plan_error = |key, reason| PlanError { key, reason };
+    let calendar =
+        Calendar::parse(&tuning.plan_entries).map_err(|e| plan_error(e.key, e.reason))?;
     let limits = settings.team_limits();
     let reservations = Reservations::parse(&tuning.plan_entries, &reserve_facts(&limits, tuning))
-        .map_err(|e| refused(e.key, e.reason))?;
+        .map_err(|e| plan_error(e.key, e.reason))?;
     let runs = calendar.entries.iter().map(|(name, entry)| {
         let (last, next) = entry.openings.around(now_ms);
         let open = last.filter(|opening| entry.due(*opening) > now_ms);
@@ -95,14 +97,15 @@
     Ok(runs.chain(windows).collect())
 }
 
-/// Seconds that the state service has for one page of plans.
-const READ_S: f64 = 5.0;
+/// Timeout for reading one page of plans, in seconds.
+const READ_TIMEOUT_S: f64 = 5.0;
 
-/// All plans as the state service holds them: kind and name, and the record. What is
-/// no plan is shown as it stands, without a version.
+/// Reads all plans from the key-value store. Each plan is returned as its kind and name, its
+/// version, and its content. A value that is not a plan record is returned unchanged,
+/// without a version.
 ///
 /// # Errors
-/// What the state service answered, or that it did not.
+/// The status of an error response, or the reason why there was no valid response.
 pub async fn recorded_plans(
     state: SocketAddr,
 ) -> Result<Vec<(String, Option<u32>, Value)>, String> {
@@ -111,19 +114,23 @@
         max_per_address: 1,
         max_idle: 1,
         max_total: 1,
-        connect_s: READ_S,
+        connect_s: READ_TIMEOUT_S,
     });
     let mut plans = Vec::new();
     let mut from = String::new();
     loop {
         let target = format!("{}?under={PLANS}&most=500{from}", paths::KEYS);
-        let answer = client.request(state, "GET", &target, b"", READ_S).await;
+        let answer = client
+            .request(state, "GET", &target, b"", READ_TIMEOUT_S)
+            .await;
         let body = match answer {
             Ok((200, body)) => body,
             Ok((status, _)) => {
-                return Err(format!("the state service answers {status}: try again"));
+                return Err(format!(
+                    "the key-value store answered with status {status}: try again"
+                ));
             }
-            Err(e) => return Err(format!("the state service does not answer: {e}")),
+            Err(e) => return Err(format!("the key-value store did not answer: {e}")),
         };
         let page: KeyList<Value> = decode(&body).map_err(|e| e.to_string())?;
         let Some(last) = page.items.last() else {
--- a/crates/umbersail-control/src/records.rs
+++ b/crates/umbersail-control/src/records.rs
@@ -1,32 +1,34 @@
-//! What stands in the state service, and under which keys.
+//! The records in the key-value store, their keys, and the transactions that write them.
 
 use serde::{Deserialize, Serialize};
 use umbersail_wire::{Change, Condition, JobSpec, MachineType, Txn, Value};
 
-/// Who leads; attached to the leader's state lease.
+/// Key of the [`LeaderRecord`]. The key is attached to the leader's lease and disappears
+/// with it.
 pub const LEADER_KEY: &str = "leader";
-/// The grant of the machine block. One block holds every machine today; a
-/// second would be a sibling under `grants/`.
+/// Key of the [`GrantRecord`], which names the controller that may schedule on the fleet.
+/// One grant covers every machine today; a second grant would be a sibling under `grants/`.
 pub const GRANT_KEY: &str = "grants/fleet";
-/// The machines of the block, in parts.
+/// Prefix of the [`GrantPart`] records, which list the machines of the grant.
 pub const GRANT_PARTS: &str = "grants/fleet/";
-/// Followers that ask whether the leader lives, each under its name.
+/// Prefix of the [`SuspicionRecord`]s of followers, each under the follower's name.
 pub const SUSPICIONS: &str = "doubts/";
-/// The leader's answer to them: what counts is that it was written.
+/// Key of the leader's answer to suspicions, a [`LivenessRecord`]. The write itself proves
+/// that the leader is alive.
 pub const LIVENESS_KEY: &str = "alive";
-/// Stands while the leader has not accounted for all that a holder before it may
-/// have started without a record.
+/// Key of the [`RecoveryPendingRecord`]. The key exists until the leader has accounted for
+/// all tasks that an earlier holder may have started without a record.
 pub const RECOVERY_PENDING_KEY: &str = "unsettled";
-/// The machine types, for nodes that start while the cloud does not answer.
+/// Key of the machine types, for nodes that start while the cloud API is unavailable.
 pub const CATALOGUE_KEY: &str = "catalogue";
-/// Unfinished jobs, as accepted.
+/// Prefix of unfinished jobs, as they were accepted.
 pub const JOBS: &str = "jobs/";
-/// Progress of unfinished jobs, written by the controller only.
+/// Prefix of the progress records of jobs, which only the leader writes.
 pub const JOB_PROGRESS: &str = "runs/";
-/// Finished jobs, kept for ever.
+/// Prefix of ended jobs, which are never deleted.
 pub const ENDED_JOBS: &str = "over/";
 
-/// Plans of any kind: each under its kind and name.
+/// Prefix of plans of any kind, each under its kind and name.
 pub const PLANS: &str = "plans/";
 
 /// Key of a plan, named by its kind and name.
@@ -39,71 +41,72 @@
     format!("{JOBS}{id}")
 }
 
-/// Key of a part of the grant.
+/// Key of a grant part.
 pub fn grant_part_key(index: u32) -> String {
     format!("{GRANT_PARTS}{index}")
 }
 
-/// Key under which a follower asks whether the leader lives.
+/// Key under which a follower records its suspicion that the leader has failed.
 pub fn suspicion_key(member: &str) -> String {
     format!("{SUSPICIONS}{member}")
 }
 
-/// Key of a job's progress.
+/// Key of a job's progress record.
 pub fn progress_key(id: &str) -> String {
     format!("{JOB_PROGRESS}{id}")
 }
 
-/// Key of a job's end.
+/// Key of an ended job.
 pub fn ended_job_key(id: &str) -> String {
     format!("{ENDED_JOBS}{id}")
 }
 
-/// Who leads.
+/// The current leader.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LeaderRecord {
     /// Name of the leader.
     pub member: String,
-    /// Differs for each start of its process.
+    /// Identifies the leader's process; differs for each start.
     pub incarnation: u64,
 }
 
-/// Who holds the block; the revision that moved it is its token.
+/// The holder of the fleet grant. The revision at which the holder received the grant is
+/// its fencing token.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize, Default)]
 pub struct GrantRecord {
     /// Name of the holder.
     pub holder: String,
-    /// The holder keeps a job's progress for as long as attempts of it may be
-    /// about, and says there what they take. A build that did not leaves a
-    /// successor machines that count by their whole size (rule 4).
+    /// The holder keeps a job's progress record for as long as orphaned attempts of the job
+    /// may be running, and records their resources there. After a holder whose build did not
+    /// do so, a new leader counts the machines as fully occupied (rule 4).
     #[serde(rename = "keeps_remnants", default)]
     pub keeps_orphaned_attempts: bool,
-    /// Plans are recorded, or may be by this holder: a successor reads them before it
-    /// starts anything, whatever its own settings.
+    /// Plans are recorded, or this holder may record plans. A new leader then reads the plans
+    /// before it starts any task, whatever its own settings are.
     #[serde(default, skip_serializing_if = "std::ops::Not::not")]
     pub plans: bool,
 }
 
-/// Machines that the holder of the block may have started tasks on.
+/// Machines on which the holder of the grant may have started tasks.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize, Default)]
 pub struct GrantPart {
     /// The machines.
     pub machines: Vec<GrantedMachine>,
 }
 
-/// A machine of the block.
+/// A machine of the grant.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct GrantedMachine {
-    /// Its name.
+    /// Name of the machine.
     pub name: String,
-    /// Name of its type.
+    /// Name of the machine type.
     #[serde(rename = "type")]
     pub machine_type: String,
-    /// Its zone.
+    /// Zone of the machine.
     pub zone: String,
-    /// Whether it is a spot machine.
+    /// Whether the machine is a spot instance.
     pub spot: bool,
-    /// Address of its worker; empty if it was not known.
+    /// Address of the machine's worker; empty if unknown.
     pub addr: String,
 }
 
@@ -112,56 +115,59 @@
 pub struct JobRecord {
     /// The job as its user submitted it.
     pub spec: JobSpec,
-    /// Time of day of the first attempt that was accepted.
+    /// Time at which the job was first accepted, in milliseconds since 1970.
     pub accepted_ms: u64,
 }
 
-/// How far a job has come. Written before a task is started on a machine, so
-/// that a successor knows which machines may hold which tasks.
+/// Progress of a job. The record is written before a task is started on a machine, so that
+/// a new leader knows which machines may hold which tasks.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize, Default)]
 pub struct JobProgressRecord {
-    /// Tasks from this number on were never started.
+    /// High-water mark: tasks with this number or a higher one were never started.
     #[serde(rename = "hi")]
     pub high_water: u32,
-    /// Completed tasks, see `Bitmap::to_text`.
+    /// Completed tasks, in the format of `Bitmap::to_text`.
     #[serde(default)]
     pub done: String,
     /// Machines that may hold tasks of the job.
     #[serde(default)]
     pub hosts: Vec<String>,
-    /// How often the job lost tasks to eviction.
+    /// Number of evictions in which the job lost tasks.
     #[serde(rename = "ev", default)]
     pub evictions: u32,
-    /// For display.
+    /// Number of completed tasks, for display.
     #[serde(default)]
     pub done_count: u32,
-    /// Tasks that run, as far as was known when it was written.
+    /// Number of running tasks that was known when the record was written.
     #[serde(default)]
     pub running: u32,
-    /// Attempts of completed tasks that may still be about.
+    /// Number of attempts of completed tasks that may still be running.
     #[serde(rename = "ex", default, skip_serializing_if = "is_zero")]
     pub orphaned_attempts: u32,
-    /// Whose it is and what one task takes, for when the job's own key is gone.
+    /// Team of the job. Stored here, as is `size`, for the time after the job's own key was
+    /// deleted.
     #[serde(rename = "tm", default)]
     pub team: String,
     /// CPUs, GPUs and GB of memory of one task.
     #[serde(rename = "sz", default)]
     pub size: Option<(f64, f64, f64)>,
-    /// It has failed on every machine that it tried: a successor tries one task.
+    /// The job has failed on every machine on which it was tried. A new leader tries one
+    /// task of it at first.
     #[serde(rename = "su", default, skip_serializing_if = "std::ops::Not::not")]
     pub suspect: bool,
 }
 
 impl JobProgressRecord {
-    /// Running tasks for display. The record is written before tasks start and seldom when
-    /// they do: one runs at least while a machine may hold one that is not done.
+    /// Number of running tasks, for display. The record is written before tasks start and
+    /// rarely afterwards, so the recorded number may be too low. At least one task counts as
+    /// running while a machine may hold a task that is not completed.
     pub fn running_at_least(&self) -> u32 {
         let may_run = !self.hosts.is_empty() && self.high_water > self.done_count;
         self.running.max(u32::from(may_run))
     }
 }
 
-// The signature is serde's.
+// `skip_serializing_if` requires a function that takes a reference.
 fn is_zero(count: &u32) -> bool {
     *count == 0
 }
@@ -170,77 +176,77 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Outcome {
-    /// All its tasks have completed.
+    /// All tasks have completed.
     Done,
-    /// Its user has cancelled it.
+    /// The user cancelled the job.
     Cancelled,
 }
 
-/// The end of a job, kept for ever.
+/// The end of a job. The record is never deleted.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EndedJobRecord {
-    /// How it ended.
+    /// How the job ended.
     pub outcome: Outcome,
-    /// Completed tasks.
+    /// Number of completed tasks.
     pub done: u32,
 }
 
-/// The machine types, as the cloud gave them last.
+/// The machine types that the cloud returned last.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct CatalogueRecord {
     /// The types.
     pub types: Vec<MachineType>,
 }
 
-/// A follower asks whether the leader whose key has this version lives.
+/// A follower's suspicion that the leader has failed.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SuspicionRecord {
-    /// Version of that leader's key.
+    /// Version of the suspected leader's key.
     pub token: u64,
 }
 
-/// The leader whose key has this version lives; whether it may have started tasks
-/// that no record tells of.
+/// The leader's answer to suspicions: a leader with this token is alive.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LivenessRecord {
     /// Version of the leader's key.
     pub token: u64,
-    /// Whether it may have started tasks that no record tells of.
+    /// Whether the leader may have started tasks without a record.
     #[serde(rename = "open", default = "assume_unrecorded")]
     pub may_have_unrecorded: bool,
-    /// The newest suspicion that it had seen before it said so.
+    /// Revision of the newest suspicion that the leader had read before it wrote this answer.
     #[serde(rename = "answers", default)]
     pub newest_suspicion: u64,
 }
 
-/// Who does not say whether it is open may be.
+/// A record without the field may come from a leader that has started tasks without a
+/// record.
 fn assume_unrecorded() -> bool {
     true
 }
 
-/// The leader that has to account for starts without a record.
+/// The leader that must account for tasks started without a record.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RecoveryPendingRecord {
     /// Name of the leader.
     pub member: String,
 }
 
-/// A plan as recorded. What it says is read by those who know the kind and version.
+/// A recorded plan. Its content is interpreted by the code for the plan's kind and version.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct PlanRecord {
-    /// Version of what it says, by its kind.
+    /// Version of the content's format; each kind of plan has its own versions.
     #[serde(rename = "v")]
     pub version: u32,
-    /// What it says.
+    /// Content of the plan.
     pub plan: Value,
-    /// A tombstone: there is no plan, and a late creation of one is to fail. To an older
-    /// build it is a plan of a version that it does not know.
+    /// A tombstone: there is no plan, and a delayed transaction that creates the plan must
+    /// fail. Older builds take a tombstone for a plan of an unknown version.
     #[serde(rename = "gone", default, skip_serializing_if = "std::ops::Not::not")]
     pub is_tombstone: bool,
 }
 
 impl PlanRecord {
-    /// A record that there is no plan.
+    /// Returns the record that marks a deleted plan.
     pub fn tombstone() -> PlanRecord {
         PlanRecord {
             version: 0,
@@ -250,7 +256,7 @@
     }
 }
 
-/// Any record, to be written.
+/// A record of any type, for writing.
 #[derive(Debug, Clone, PartialEq, Serialize)]
 #[serde(untagged)]
 pub enum Record {
@@ -286,8 +292,9 @@
     }
 }
 
-/// A transaction for the time of one leader: carried out late, it fails under the next.
-fn under(token: u64, change: Change<Record>) -> Txn<Record> {
+/// A transaction that is valid only during one leader's term. If it is executed late, under
+/// another leader, it fails.
+fn during_term(token: u64, change: Change<Record>) -> Txn<Record> {
     Txn {
         conditions: vec![Condition {
             key: LEADER_KEY.into(),
@@ -297,8 +304,8 @@
     }
 }
 
-/// Accepts a job. A first try carried out late finds the job, or its end, which is kept
-/// for ever.
+/// Accepts a job. If the transaction was retried and the first attempt is executed late, it
+/// conflicts with the job's key, or with the record of its end, which is never deleted.
 pub fn acceptance_txn(record: JobRecord) -> Txn<Record> {
     let (job, over) = (job_key(&record.spec.id), ended_job_key(&record.spec.id));
     let absent = |key: &String| Condition {
@@ -311,8 +318,9 @@
     }
 }
 
-/// Cancels a job whose key has this version. The key keeps it until the job ends and
-/// never comes back, so a first try carried out late finds it gone.
+/// Cancels a job whose key has this version. The version does not change until the job
+/// ends, and the key is never written again. If the transaction was retried and the first
+/// attempt is executed late, it conflicts because the key is gone.
 pub fn cancellation_txn(id: &str, version: u64, over: EndedJobRecord) -> Txn<Record> {
     Txn {
         conditions: vec![Condition {
@@ -326,12 +334,13 @@
     }
 }
 
-/// Makes `leader` the holder of the block. Every election moves the grant, so one carried
-/// out late fails after any other, also when that one's leader has ended.
+/// Makes `leader` the leader and the holder of the fleet grant. Every election changes the
+/// version of the grant. An election transaction that is executed late therefore fails after
+/// any other election, even if the leader elected there has lost its term since.
 pub fn election_txn(
     leader: LeaderRecord,
     lease: u64,
-    former: u64,
+    replaced_version: u64,
     (grant_version, plans): (u64, bool),
     recovery_pending: bool,
 ) -> Txn<Record> {
@@ -359,18 +368,18 @@
     }
     Txn {
         conditions: vec![
-            condition(LEADER_KEY, former),
+            condition(LEADER_KEY, replaced_version),
             condition(GRANT_KEY, grant_version),
         ],
         changes,
     }
 }
 
-/// Records the machine types in place of those of this version: a first try carried out
-/// late does not undo a retry.
+/// Replaces the recorded machine types of this version. If the transaction was retried and
+/// the first attempt is executed late, it does not undo the retry.
 pub fn catalogue_txn(token: u64, version: u64, types: Vec<MachineType>) -> Txn<Record> {
     let record = Record::Catalogue(CatalogueRecord { types });
-    let mut txn = under(token, put(CATALOGUE_KEY.into(), record));
+    let mut txn = during_term(token, put(CATALOGUE_KEY.into(), record));
     txn.conditions.push(Condition {
         key: CATALOGUE_KEY.into(),
         version,
@@ -378,15 +387,16 @@
     txn
 }
 
-/// Asks the leader whether it lives; one question more does no harm.
+/// Records a follower's suspicion. A duplicate suspicion is harmless.
 pub fn suspicion_txn(member: &str, token: u64) -> Txn<Record> {
     let record = Record::Suspicion(SuspicionRecord { token });
-    under(token, put(suspicion_key(member), record))
+    during_term(token, put(suspicion_key(member), record))
 }
 
-/// The leader's answer; it says to which suspicion, so that a late one proves nothing newer.
+/// Records the leader's answer. The answer names the newest suspicion that it covers, so a
+/// late write does not count as the answer to a newer suspicion.
 pub fn liveness_txn(record: LivenessRecord) -> Txn<Record> {
-    under(
+    during_term(
         record.token,
         put(LIVENESS_KEY.into(), Record::Liveness(record)),
     )
--- a/crates/umbersail-control/src/settings.rs
+++ b/crates/umbersail-control/src/settings.rs
@@ -1,4 +1,4 @@
-//! The platform's settings file.
+//! The settings file of a controller, which the deployment platform writes.
 
 use std::net::SocketAddr;
 use std::path::Path;
@@ -13,48 +13,48 @@
 pub struct SettingsError {
     /// Path of the file.
     pub file: String,
-    /// What is wrong with it.
+    /// What is wrong with the file.
     pub reason: InvalidSettings,
 }
 
-/// What is wrong with settings.
+/// Why settings are invalid.
 #[derive(Debug, Error, PartialEq)]
 pub enum InvalidSettings {
     /// The file can't be read.
     #[error("{0}")]
     Unreadable(String),
-    /// Not TOML, or not of the expected form.
+    /// The file is not valid TOML, or a field is missing or has the wrong type.
     #[error("line {line}: {message}")]
     Syntax {
-        /// Line of the mistake, from 1 on.
+        /// Line of the error; the first line is 1.
         line: usize,
-        /// The parser's words, in one line.
+        /// The parser's message, in one line.
         message: String,
     },
-    /// A number is below its bound, or none.
+    /// A number is below its lower bound, above 1e9, or not finite.
     #[error("{key}: {value} must be at least {least}")]
-    TooSmall {
-        /// The key.
+    OutOfRange {
+        /// Key of the setting.
         key: &'static str,
-        /// The value.
+        /// The invalid value.
         value: f64,
-        /// The least valid value.
+        /// The smallest valid value.
         least: f64,
     },
-    /// This node has no name.
+    /// The name of this controller is empty.
     #[error("member: must not be empty")]
     MissingMember,
-    /// This node stands among its own peers.
-    #[error("known: names this member, {0}")]
+    /// The list of peers contains this controller.
+    #[error("known: must not list this member, {0}")]
     ListsItselfAsPeer(String),
-    /// A team's amount is negative, or none.
-    #[error("facts.teams {team}: {key}: {value} must not be negative")]
+    /// A guarantee or limit of a team is negative or not finite.
+    #[error("facts.teams: team '{team}': {key}: {value} must not be negative")]
     NegativeTeamAmount {
-        /// The team.
+        /// Name of the team.
         team: String,
-        /// The key.
+        /// Key of the setting.
         key: &'static str,
-        /// The value.
+        /// The invalid value.
         value: f64,
     },
 }
@@ -62,153 +62,154 @@
 /// The settings file of one controller.
 #[derive(Debug, Clone, Deserialize)]
 pub struct Settings {
-    /// Its name.
+    /// Name of this controller.
     pub member: String,
-    /// Its zone.
+    /// Zone of this controller.
     #[serde(rename = "area", default)]
     pub zone: String,
-    /// Where users, workers and health checks reach it.
+    /// Address of the public API, for users, workers and health checks.
     pub front: SocketAddr,
-    /// Where the other controllers reach it.
+    /// Address for requests from the other controllers.
     pub back: SocketAddr,
     /// The other controllers.
     #[serde(rename = "known", default)]
     pub peers: Vec<Peer>,
-    /// The systems that it uses.
+    /// Addresses of the external systems that the controller uses.
     pub external: External,
-    /// What is known of the deployment.
+    /// Properties of the deployment.
     pub facts: Facts,
 }
 
 /// Another controller.
 #[derive(Debug, Clone, Deserialize)]
 pub struct Peer {
-    /// Its name.
+    /// Name of the controller.
     pub member: String,
-    /// Its zone.
+    /// Zone of the controller.
     #[serde(rename = "area", default)]
     pub zone: String,
-    /// Where it answers controllers.
+    /// Address for requests from other controllers.
     pub addr: SocketAddr,
 }
 
-/// Addresses of outside systems.
+/// Addresses of external systems.
 #[derive(Debug, Clone, Deserialize)]
 pub struct External {
-    /// The cloud.
+    /// The API of the cloud provider.
     pub cloud: SocketAddr,
-    /// The state service.
+    /// The key-value store.
     pub state: SocketAddr,
 }
 
-/// What is known of the deployment.
+/// Properties of the deployment.
 #[derive(Debug, Clone, Deserialize)]
 pub struct Facts {
-    /// Teams with their guarantees and limits.
+    /// Teams with their guaranteed and maximum resources.
     #[serde(default)]
     pub teams: Vec<Team>,
     /// Service-level objectives.
     #[serde(default)]
     pub objectives: Vec<Objective>,
-    /// The workers' intervals.
+    /// Time limits of the workers.
     pub workers: Workers,
-    /// Limits of the state service.
+    /// Limits of the key-value store.
     pub state: KeyValueLimits,
-    /// Limits of the cloud.
+    /// Limits of the cloud provider.
     pub cloud: CloudLimits,
-    /// What one controller has.
+    /// Resources of one controller.
     pub resources: Resources,
-    /// Bound of the error of any node's time of day, in milliseconds.
-    #[serde(default = "a_second")]
+    /// Upper bound on the error of any node's wall clock, in milliseconds.
+    #[serde(default = "default_skew_ms")]
     pub skew_ms: f64,
 }
 
-fn a_second() -> f64 {
+fn default_skew_ms() -> f64 {
     1000.0
 }
 
-/// A team. Amounts of 0 mean none.
+/// A team. A guarantee or limit of 0 means that the team has none.
 #[derive(Debug, Clone, Deserialize)]
 pub struct Team {
-    /// Its name.
+    /// Name of the team.
     pub name: String,
-    /// CPUs that it is guaranteed.
+    /// CPUs guaranteed to the team.
     #[serde(default)]
     pub cpus: f64,
-    /// Most CPUs that its tasks may use at a time.
+    /// Most CPUs that the team's tasks may use at a time.
     #[serde(default)]
     pub cpus_max: f64,
-    /// GPUs that it is guaranteed.
+    /// GPUs guaranteed to the team.
     #[serde(default)]
     pub gpus: f64,
-    /// Most GPUs that its tasks may use at a time.
+    /// Most GPUs that the team's tasks may use at a time.
     #[serde(default)]
     pub gpus_max: f64,
 }
 
-/// An aim on starting or finishing, as far as the settings restate it.
+/// A service-level objective for the start or the completion of jobs.
 #[derive(Debug, Clone, Deserialize)]
 pub struct Objective {
-    /// What it is about; those of an unknown kind are ignored.
+    /// Kind of the objective; objectives of unknown kinds are ignored.
     pub kind: String,
-    /// The class that it is about; none: work of any class.
+    /// Job class that the objective covers; jobs of every class if absent.
     #[serde(default)]
     pub class: Option<String>,
-    /// Seconds within which work should start.
+    /// Seconds within which a job should start.
     #[serde(default)]
     pub within_s: Option<f64>,
-    /// Share of the work for which it should hold.
+    /// Share of the jobs that should meet the objective.
     #[serde(default)]
     pub share: Option<f64>,
-    /// Of a deadline: how many times its length still counts.
+    /// For a deadline: a job that finishes within this multiple of the deadline's length
+    /// still counts.
     #[serde(default)]
     pub times: Option<f64>,
 }
 
-/// The workers' intervals.
+/// Time limits of the workers.
 #[derive(Debug, Clone, Deserialize)]
 pub struct Workers {
     /// Seconds between two heartbeats.
     pub report_s: f64,
-    /// Seconds that a worker's lease lasts.
+    /// Duration of a worker's lease, in seconds.
     pub lease_s: f64,
-    /// Seconds within which a cancelled job's tasks must be gone.
+    /// Seconds within which the tasks of a cancelled job must have ended.
     pub cancel_s: f64,
 }
 
-/// Limits of the state service, for all controllers together.
+/// Limits of the key-value store, for all controllers together.
 #[derive(Debug, Clone, Deserialize)]
 pub struct KeyValueLimits {
-    /// Requests a second.
+    /// Requests per second.
     pub rps: f64,
-    /// Changes a second.
+    /// Changed keys per second.
     pub write_rps: f64,
-    /// Largest value, in KiB.
+    /// Largest size of a value, in KiB.
     pub value_kb: f64,
-    /// Most changes of one transaction.
+    /// Most changes in one transaction.
     pub txn_ops: usize,
 }
 
-/// Limits of the cloud.
+/// Limits of the cloud provider's API.
 #[derive(Debug, Clone, Deserialize)]
 pub struct CloudLimits {
-    /// Requests a second.
+    /// Requests per second.
     pub rps: f64,
-    /// Seconds by which its list is late.
+    /// Seconds by which the machine list lags behind the actual machines.
     pub list_lag_s: f64,
 }
 
-/// What one controller has.
+/// Resources of one controller.
 #[derive(Debug, Clone, Deserialize)]
 pub struct Resources {
-    /// Share of one core; a whole one if the platform says nothing.
-    #[serde(default = "a_whole_core")]
+    /// Share of one CPU core; one whole core if absent.
+    #[serde(default = "default_cpu")]
     pub cpu: f64,
-    /// Most sockets of the process.
+    /// Most sockets that the process may open.
     pub max_sockets: usize,
 }
 
-fn a_whole_core() -> f64 {
+fn default_cpu() -> f64 {
     1.0
 }
 
@@ -216,7 +217,7 @@
     /// Reads and validates a settings file.
     ///
     /// # Errors
-    /// The file with what is wrong with it.
+    /// The path of the file, and the first error found.
     pub fn load(path: &Path) -> Result<Settings, SettingsError> {
         let file = path.display().to_string();
         let fail = |reason| SettingsError {
@@ -231,9 +232,10 @@
     /// Reads and validates the text of a settings file. Unknown fields are ignored.
     ///
     /// # Errors
-    /// The first thing that is wrong.
+    /// The first error found.
     pub fn parse(text: &str) -> Result<Settings, InvalidSettings> {
-        // The error's own text spans lines with a picture of the place.
+        // The error's `Display` form quotes the source over several lines; the log needs
+        // one line.
         let settings: Settings = toml::from_str(text).map_err(|e| {
             let line = e
                 .span()
@@ -242,11 +244,11 @@
             let message = e.message().replace('\n', " ");
             InvalidSettings::Syntax { line, message }
         })?;
-        settings.check()?;
+        settings.validate()?;
         Ok(settings)
     }
 
-    /// Guarantees and limits of all teams.
+    /// Returns the guaranteed and maximum resources of all teams.
     pub fn team_limits(&self) -> Vec<TeamLimits> {
         let teams = self.facts.teams.iter().map(|t| TeamLimits {
             name: t.name.clone(),
@@ -258,18 +260,18 @@
         teams.collect()
     }
 
-    fn check(&self) -> Result<(), InvalidSettings> {
-        self.check_amounts()?;
+    fn validate(&self) -> Result<(), InvalidSettings> {
+        self.validate_amounts()?;
         if self.member.is_empty() {
             return Err(InvalidSettings::MissingMember);
         }
         if self.peers.iter().any(|p| p.member == self.member) {
             return Err(InvalidSettings::ListsItselfAsPeer(self.member.clone()));
         }
-        self.facts.teams.iter().try_for_each(Team::check)
+        self.facts.teams.iter().try_for_each(Team::validate)
     }
 
-    fn check_amounts(&self) -> Result<(), InvalidSettings> {
+    fn validate_amounts(&self) -> Result<(), InvalidSettings> {
         let facts = &self.facts;
         let amounts = [
             ("facts.workers.report_s", facts.workers.report_s, 0.05),
@@ -290,7 +292,7 @@
         ];
         for (key, value, least) in amounts {
             if !value.is_finite() || value < least || value > 1e9 {
-                return Err(InvalidSettings::TooSmall { key, value, least });
+                return Err(InvalidSettings::OutOfRange { key, value, least });
             }
         }
         Ok(())
@@ -298,7 +300,7 @@
 }
 
 impl Team {
-    fn check(&self) -> Result<(), InvalidSettings> {
+    fn validate(&self) -> Result<(), InvalidSettings> {
         let amounts = [
             ("cpus", self.cpus),
             ("cpus_max", self.cpus_max),
@@ -327,7 +329,7 @@
 area = "a"
 front = "127.0.0.1:8080"
 back = "127.0.0.1:8081"
-field_of_the_future = 3
+unknown_field = 3
 
 [[known]]
 member = "bothy-1"
--- a/crates/umbersail-control/src/state.rs
+++ b/crates/umbersail-control/src/state.rs
@@ -1,4 +1,5 @@
-//! Client of the state service, within its limits.
+//! Client of the key-value store, which observes this controller's share of the store's
+//! rate limits. The settings call the store `state`.
 
 use std::cell::{Cell, RefCell};
 use std::net::SocketAddr;
@@ -17,23 +18,24 @@
 use crate::engine::TxnOutcome;
 use crate::records::Record;
 
+/// Why a request to the key-value store failed.
 #[derive(Debug, Error, Clone, PartialEq, Eq)]
 pub enum KeyValueError {
-    /// Over our share of the limits, or over the service's.
-    #[error("over budget")]
+    /// The request exceeds this node's share of the rate limits, or the store's own limits.
+    #[error("rate limit exceeded")]
     RateLimited,
-    /// Not executed, says the service, or it was never sent.
+    /// The request was not executed: the store said so, or the request was never sent.
     #[error("unavailable: {0}")]
     Unavailable(String),
-    /// It may have been executed, or may be later.
+    /// The outcome is unknown: the request may have been executed, or may be executed later.
     #[error("no answer: {0}")]
     NoAnswer(String),
-    /// The lease or the asked revisions are gone.
-    #[error("gone")]
+    /// The lease has expired, or the store no longer holds the requested revisions.
+    #[error("lease expired or revisions compacted")]
     Gone,
 }
 
-/// A bucket of requests that refills at a rate; urgent calls may overdraw it.
+/// A token bucket that refills at a fixed rate. Requests of high priority may overdraw it.
 #[derive(Debug)]
 pub struct TokenBucket {
     rate: f64,
@@ -60,10 +62,11 @@
         self.at = now;
     }
 
-    /// Takes `n`, if they are there.
+    /// Takes `n` tokens if the bucket holds enough. Returns whether it did.
     pub fn take(&mut self, now: Time, n: f64) -> bool {
         self.refill(now);
-        // A bucket smaller than the call would never let it through.
+        // A request larger than the bucket needs only a full bucket; otherwise it would never
+        // be admitted.
         if self.level >= n.min(self.rate.max(1.0)) {
             self.level -= n;
             true
@@ -72,38 +75,40 @@
         }
     }
 
-    /// Whether it is overdrawn by less than one second's worth.
+    /// Whether the bucket is overdrawn by less than the tokens of one second.
     pub fn has_credit(&mut self, now: Time) -> bool {
         self.refill(now);
         self.level > -self.rate + 1.0
     }
 
-    /// Takes `n` even if they are not there.
+    /// Takes `n` tokens, and overdraws the bucket if it does not hold enough.
     pub fn force_take(&mut self, now: Time, n: f64) {
         self.refill(now);
         self.level = (self.level - n).max(-self.rate);
     }
 }
 
-/// How a call stands towards the budget.
+/// Priority of a request, which decides how the rate limits apply to it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RequestPriority {
-    /// Leadership hangs on it: never held back.
+    /// Leadership depends on the request: always admitted.
     Critical,
-    /// Waits for its turn.
+    /// Waits until the rate limits admit the request.
     Background,
-    /// Refused at once when there is no room: the user asks again in a few
-    /// seconds, and submissions must not suffer from a storm of polls.
+    /// Refused at once if the rate limits do not admit the request. The user polls again in
+    /// a few seconds, and many polls must not delay submissions.
     Poll,
-    /// Somebody waits for an answer: refused when there is no room, but may
-    /// overdraw by one second's worth, so that a submission is not refused
-    /// because records of ends were written just before.
+    /// A user waits for the answer. The request may overdraw the budget by the tokens of one
+    /// second, so that a submission is not refused because the ends of jobs were recorded
+    /// just before. Beyond that the request is refused.
     Interactive,
-    /// Like `Interactive`, for what gives way to all else: overdraws no writes, and leaves a
-    /// leader half of them for launches. Polls can't keep it out.
+    /// Like `Interactive`, for best-effort jobs: the request does not overdraw the write
+    /// budget, and on a leader leaves half of that budget for task launches. Polls can't
+    /// crowd out the request.
     BestEffort,
 }
 
+/// Client of the key-value store. Clones share the rate limits and the connections.
 #[derive(Clone)]
 pub struct KeyValueClient {
     inner: Rc<Inner>,
@@ -117,16 +122,18 @@
     writes: RefCell<TokenBucket>,
     timeout_s: f64,
     last_success: Cell<Option<Time>>,
-    /// Since when requests have failed, with no answer in between.
+    /// Since when all requests have failed.
     failing_since: Cell<Option<Time>>,
-    /// When anything at all was last heard of it, be it a refusal, and since when
-    /// what we ask has had no answer of any kind.
-    heard_at: Cell<Time>,
+    /// When the store last sent any response, including an error.
+    last_response_at: Cell<Time>,
+    /// Since when requests have had no response of any kind.
     unresponsive_since: Cell<Option<Time>>,
-    /// Silent for this long it counts as out of reach, seconds.
-    silent_s: f64,
+    /// Without any response for this long the store counts as unreachable, in seconds.
+    unresponsive_s: f64,
+    /// Number of malformed responses.
     malformed: Cell<u64>,
-    leads: Cell<bool>,
+    /// Whether this node is the leader.
+    is_leader: Cell<bool>,
 }
 
 impl KeyValueClient {
@@ -137,7 +144,7 @@
         rps: f64,
         write_rps: f64,
         timeout_s: f64,
-        silent_s: f64,
+        unresponsive_s: f64,
     ) -> KeyValueClient {
         KeyValueClient {
             inner: Rc::new(Inner {
@@ -149,95 +156,98 @@
                 timeout_s,
                 last_success: Cell::new(None),
                 failing_since: Cell::new(None),
-                heard_at: Cell::new(f64::MIN),
+                last_response_at: Cell::new(f64::MIN),
                 unresponsive_since: Cell::new(None),
-                silent_s,
+                unresponsive_s,
                 malformed: Cell::new(0),
-                leads: Cell::new(false),
+                is_leader: Cell::new(false),
             }),
         }
     }
 
-    /// Our share of the limits changes with our role.
-    pub fn set_rates(&self, rps: f64, write_rps: f64, leads: bool) {
-        self.inner.leads.set(leads);
+    /// Sets this node's share of the rate limits, which depends on its role.
+    pub fn set_rates(&self, rps: f64, write_rps: f64, is_leader: bool) {
+        self.inner.is_leader.set(is_leader);
         self.inner.requests.borrow_mut().set_rate(rps);
         self.inner.writes.borrow_mut().set_rate(write_rps);
     }
 
-    /// When the service last answered a request as it should.
+    /// When the store last answered a request without an error.
     pub fn last_success(&self) -> Option<Time> {
         self.inner.last_success.get()
     }
 
-    /// Since when it has answered none of our requests.
+    /// Since when all requests of this node have failed.
     pub fn failing_since(&self) -> Option<Time> {
         self.inner.failing_since.get()
     }
 
-    /// Whether it has answered anything yet, be it a refusal.
+    /// Whether the store has ever sent any response, including an error.
     pub fn has_ever_responded(&self) -> bool {
-        self.inner.heard_at.get() > f64::MIN
+        self.inner.last_response_at.get() > f64::MIN
     }
 
-    /// Since when it has not even refused what we asked, if that is so. In an outage
-    /// it refuses; one that is silent can't be reached.
+    /// Since when the store has sent no response at all, not even an error. In an outage the
+    /// store responds with errors; a store that sends nothing can't be reached.
     pub fn unresponsive_since(&self) -> Option<Time> {
         self.inner.unresponsive_since.get()
     }
 
-    fn is_out_of_reach(&self) -> bool {
+    /// Whether the store has been unresponsive for so long that it counts as unreachable.
+    fn is_unreachable(&self) -> bool {
         let now = self.inner.clock.now();
         self.unresponsive_since()
-            .is_some_and(|at| now - at >= self.inner.silent_s)
+            .is_some_and(|at| now - at >= self.inner.unresponsive_s)
     }
 
-    /// What was sent at `sent_at` has had an answer of whatever kind, or none. A watch
-    /// waits for long and says nothing of either.
-    fn heard(&self, sent_at: Time, answered: bool) {
+    /// Records whether the request sent at `sent_at` had a response of any kind. Not used for
+    /// watches, whose responses may take long.
+    fn record_response(&self, sent_at: Time, answered: bool) {
         let inner = &self.inner;
         if answered {
-            inner.heard_at.set(inner.clock.now());
+            inner.last_response_at.set(inner.clock.now());
             inner.unresponsive_since.set(None);
         } else if inner.unresponsive_since.get().is_none() {
             inner
                 .unresponsive_since
-                .set(Some(sent_at.max(inner.heard_at.get())));
+                .set(Some(sent_at.max(inner.last_response_at.get())));
         }
     }
 
-    fn failed(&self) {
+    fn record_failure(&self) {
         let failing = &self.inner.failing_since;
         if failing.get().is_none() {
             failing.set(Some(self.inner.clock.now()));
         }
     }
 
-    /// Changes that can be written at once, and how many of those may go to
-    /// writes that nobody waits for: half of the bucket is kept for others.
+    /// Returns how many changes can be written now, and how many of those may be used for
+    /// writes that no user waits for: half of the bucket is reserved for other writes.
     pub fn write_budget(&self) -> (usize, usize) {
         let mut writes = self.inner.writes.borrow_mut();
         writes.refill(self.inner.clock.now());
-        let spare = writes.level - writes.rate / 2.0;
-        (writes.level.max(0.0) as usize, spare.max(0.0) as usize)
+        let background = writes.level - writes.rate / 2.0;
+        (writes.level.max(0.0) as usize, background.max(0.0) as usize)
     }
 
-    /// Whether a prompt call with so many changes would be admitted.
+    /// Whether an `Interactive` request with this many changes would be admitted.
     pub fn has_budget(&self, writes: f64) -> bool {
         let now = self.inner.clock.now();
         let requests = self.inner.requests.borrow_mut().has_credit(now);
         requests && (writes == 0.0 || self.inner.writes.borrow_mut().has_credit(now))
     }
 
+    /// Admits a request that changes `writes` keys, or fails if the rate limits do not allow
+    /// the request. A request of `Background` priority waits.
     async fn admit(&self, priority: RequestPriority, writes: f64) -> Result<(), KeyValueError> {
-        let waits = matches!(
+        let may_wait = matches!(
             priority,
             RequestPriority::Critical | RequestPriority::Background
         );
-        if !waits && self.is_out_of_reach() {
-            // Somebody waits for an answer: told at once. What leadership and the
-            // probe ask shows when it is back.
-            return Err(KeyValueError::Unavailable("out of reach".into()));
+        if !may_wait && self.is_unreachable() {
+            // Fails at once, because a user waits for the answer. Requests of `Critical`
+            // and `Background` priority show when the store is reachable again.
+            return Err(KeyValueError::Unavailable("store unreachable".into()));
         }
         while !self.try_admit(priority, writes) {
             if priority != RequestPriority::Background {
@@ -250,15 +260,15 @@
 
     fn try_admit(&self, priority: RequestPriority, writes: f64) -> bool {
         let now = self.inner.clock.now();
-        let room = self.has_budget(writes);
+        let within_budget = self.has_budget(writes);
         let mut requests = self.inner.requests.borrow_mut();
         let mut budget = self.inner.writes.borrow_mut();
-        let leads = self.inner.leads.get();
-        let kept = if leads { budget.rate / 2.0 } else { 0.0 };
+        let is_leader = self.inner.is_leader.get();
+        let reserved = if is_leader { budget.rate / 2.0 } else { 0.0 };
         let admitted = match priority {
             RequestPriority::Critical => true,
-            RequestPriority::Interactive => room,
-            RequestPriority::BestEffort => room && budget.level - kept >= writes,
+            RequestPriority::Interactive => within_budget,
+            RequestPriority::BestEffort => within_budget && budget.level - reserved >= writes,
             RequestPriority::Background | RequestPriority::Poll => false,
         };
         if admitted {
@@ -293,20 +303,20 @@
             .request(self.inner.addr, method, target, body, timeout_s)
             .await;
         if !target.starts_with(paths::WATCH) {
-            self.heard(sent_at, result.is_ok());
+            self.record_response(sent_at, result.is_ok());
         }
         match result {
             Ok((429, _)) => {
-                debug!(method, target, "state service: over its limit");
+                debug!(method, target, "key-value store: rate limit exceeded");
                 Err(KeyValueError::RateLimited)
             }
             Ok((503, _)) => {
-                self.failed();
-                Err(KeyValueError::Unavailable("503".into()))
+                self.record_failure();
+                Err(KeyValueError::Unavailable("status 503".into()))
             }
             Ok((status, body)) if status < 500 => {
-                // A watch opened before an outage ends with 200 during it: it
-                // says nothing about whether requests are served.
+                // A watch opened before an outage ends with status 200 during the
+                // outage, so it does not show whether the store serves requests.
                 if !target.starts_with(paths::WATCH) {
                     self.inner.last_success.set(Some(self.inner.clock.now()));
                     self.inner.failing_since.set(None);
@@ -315,29 +325,36 @@
             }
             Ok((status, _)) => Err(KeyValueError::NoAnswer(format!("status {status}"))),
             Err(e) if e.is_not_sent() => {
-                self.failed();
+                self.record_failure();
                 Err(KeyValueError::Unavailable(e.to_string()))
             }
             Err(e) => {
-                self.failed();
+                self.record_failure();
                 Err(KeyValueError::NoAnswer(e.to_string()))
             }
         }
     }
 
-    fn read<T: DeserializeOwned>(&self, what: &str, body: &[u8]) -> Result<T, KeyValueError> {
+    fn decode_response<T: DeserializeOwned>(
+        &self,
+        what: &str,
+        body: &[u8],
+    ) -> Result<T, KeyValueError> {
         decode(body).map_err(|e| self.malformed_answer(what, &e.to_string()))
     }
 
-    /// A malformed answer is logged, counted and taken for none.
+    /// Logs and counts a malformed response. The request counts as unanswered.
     fn malformed_answer(&self, what: &str, reason: &str) -> KeyValueError {
         let count = self.inner.malformed.get() + 1;
         self.inner.malformed.set(count);
-        warn!(what, reason, count, "malformed answer of the state service");
-        KeyValueError::NoAnswer("malformed".into())
+        warn!(
+            what,
+            reason, count, "malformed response of the key-value store"
+        );
+        KeyValueError::NoAnswer("malformed response".into())
     }
 
-    /// A key's value and version, read now.
+    /// Reads a key's current value and version.
     pub async fn get<T: DeserializeOwned>(
         &self,
         key: &str,
@@ -347,7 +364,7 @@
         let target = format!("{}/{key}", paths::KEYS);
         match self.call("GET", &target, b"", self.inner.timeout_s).await? {
             (200, body) => {
-                let pair: KeyValue<T> = self.read("key", &body)?;
+                let pair: KeyValue<T> = self.decode_response("key", &body)?;
                 Ok(Some((pair.value, pair.version)))
             }
             (404, _) => Ok(None),
@@ -355,8 +372,8 @@
         }
     }
 
-    /// All keys with a prefix, and the revision that the first page shows: a
-    /// watch from there misses nothing.
+    /// Lists all keys with a prefix, and the revision of the first page. A watch that starts
+    /// from this revision misses no change.
     pub async fn list<T: DeserializeOwned>(
         &self,
         prefix: &str,
@@ -376,7 +393,7 @@
                 .await?
             {
                 (200, body) => {
-                    let page: KeyList<T> = self.read("list", &body)?;
+                    let page: KeyList<T> = self.decode_response("list", &body)?;
                     revision.get_or_insert(page.revision);
                     let more = page.more && !page.items.is_empty();
                     items.extend(page.items);
@@ -391,6 +408,7 @@
         }
     }
 
+    /// Executes a transaction.
     pub async fn txn(&self, txn: &Txn<Record>, priority: RequestPriority) -> TxnOutcome {
         if self
             .admit(priority, txn.changes.len() as f64)
@@ -404,13 +422,13 @@
             .call("POST", paths::TXN, &body, self.inner.timeout_s)
             .await
         {
-            Ok((200, body)) => match self.read::<TxnResult>("transaction", &body) {
+            Ok((200, body)) => match self.decode_response::<TxnResult>("transaction", &body) {
                 Ok(result) => TxnOutcome::Applied {
                     revision: result.revision,
                 },
                 Err(_) => TxnOutcome::Unknown,
             },
-            Ok((409, body)) => match self.read::<TxnResult>("transaction", &body) {
+            Ok((409, body)) => match self.decode_response::<TxnResult>("transaction", &body) {
                 Ok(result) => TxnOutcome::Conflict {
                     failed: result.failed,
                 },
@@ -420,7 +438,7 @@
                 warn!(
                     status,
                     body = &*String::from_utf8_lossy(&body),
-                    "transaction refused"
+                    "transaction rejected"
                 );
                 TxnOutcome::NotExecuted
             }
@@ -431,6 +449,7 @@
         }
     }
 
+    /// Creates a lease, and returns its id.
     pub async fn grant_lease(&self, ttl_s: f64) -> Result<u64, KeyValueError> {
         self.admit(RequestPriority::Critical, 0.0).await?;
         let body = encode(&LeaseRequest {
@@ -440,11 +459,12 @@
             .call("POST", paths::LEASES, &body, self.inner.timeout_s)
             .await?
         {
-            (200, body) => Ok(self.read::<LeaseGranted>("lease", &body)?.lease),
+            (200, body) => Ok(self.decode_response::<LeaseGranted>("lease", &body)?.lease),
             (status, _) => Err(self.malformed_answer("lease", &format!("status {status}"))),
         }
     }
 
+    /// Extends a lease by its full duration.
     pub async fn renew_lease(&self, lease: u64, timeout_s: f64) -> Result<(), KeyValueError> {
         self.admit(RequestPriority::Critical, 0.0).await?;
         let target = format!("{}/{lease}/{}", paths::LEASES, paths::RENEW);
@@ -455,17 +475,18 @@
         }
     }
 
+    /// Ends a lease and deletes the keys attached to it.
     pub async fn end_lease(&self, lease: u64) {
         let target = format!("{}/{lease}", paths::LEASES);
         if self.admit(RequestPriority::Critical, 0.0).await.is_ok() {
-            // Without an answer the lease simply runs out.
+            // If the request fails, the lease expires by itself.
             let _ = self
                 .call("DELETE", &target, b"", self.inner.timeout_s)
                 .await;
         }
     }
 
-    /// Waits for changes under a prefix after a revision, `hold_s` seconds at most.
+    /// Waits for changes under a prefix after a revision, for `hold_s` seconds at most.
     pub async fn watch<T: DeserializeOwned>(
         &self,
         prefix: &str,
@@ -473,20 +494,21 @@
         hold_s: f64,
     ) -> Result<WatchResult<T>, KeyValueError> {
         self.admit(RequestPriority::Background, 0.0).await?;
-        self.follow(prefix, from, hold_s).await
+        self.request_changes(prefix, from, hold_s).await
     }
 
-    /// The changes under a prefix after a revision, up to now: leadership hangs on it.
+    /// Reads the changes under a prefix from a revision up to now. Leadership depends on this
+    /// read, so its priority is `Critical`.
     pub async fn changes_since<T: DeserializeOwned>(
         &self,
         prefix: &str,
         from: u64,
     ) -> Result<WatchResult<T>, KeyValueError> {
         self.admit(RequestPriority::Critical, 0.0).await?;
-        self.follow(prefix, from, 0.0).await
+        self.request_changes(prefix, from, 0.0).await
     }
 
-    async fn follow<T: DeserializeOwned>(
+    async fn request_changes<T: DeserializeOwned>(
         &self,
         prefix: &str,
         from: u64,
@@ -499,7 +521,7 @@
         );
         let timeout_s = hold_s + self.inner.timeout_s;
         match self.call("GET", &target, b"", timeout_s).await? {
-            (200, body) => self.read("watch", &body),
+            (200, body) => self.decode_response("watch", &body),
             (410, _) => Err(KeyValueError::Gone),
             (status, _) => Err(self.malformed_answer("watch", &format!("status {status}"))),
         }
@@ -511,12 +533,12 @@
     use super::*;
 
     #[test]
-    fn a_budget_refills_and_may_be_overdrawn_by_vital_calls_only() {
-        let mut budget = TokenBucket::new(10.0);
-        assert!((0..10).all(|_| budget.take(0.0, 1.0)));
-        assert!(!budget.take(0.0, 1.0));
-        budget.force_take(0.0, 5.0);
-        assert!(!budget.take(0.4, 1.0));
-        assert!(budget.take(0.7, 1.0));
+    fn a_bucket_refills_and_is_overdrawn_by_forced_takes_only() {
+        let mut bucket = TokenBucket::new(10.0);
+        assert!((0..10).all(|_| bucket.take(0.0, 1.0)));
+        assert!(!bucket.take(0.0, 1.0));
+        bucket.force_take(0.0, 5.0);
+        assert!(!bucket.take(0.4, 1.0));
+        assert!(bucket.take(0.7, 1.0));
     }
 }
--- a/crates/umbersail-control/src/terminal_cache.rs
+++ b/crates/umbersail-control/src/terminal_cache.rs
@@ -1,5 +1,6 @@
-//! The newest ends of jobs, in bounded memory: for repeated polls, and as what a controller
-//! remembers to have told while the state service is out (rule 6).
+//! Bounded cache of the most recently ended jobs. It answers repeated polls, and while the
+//! key-value store is unavailable it keeps answers consistent with those that this
+//! controller gave before (rule 6).
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -7,23 +8,23 @@
 
 use crate::records::{EndedJobRecord, Outcome};
 
-/// Ends of jobs, the newest few.
+/// The most recently ended jobs.
 pub(crate) struct TerminalCache {
-    most: usize,
+    capacity: usize,
     ends: BTreeMap<String, EndedJobRecord>,
-    /// When each was taken in, the oldest first.
+    /// Time of insertion and job id, the oldest first.
     order: VecDeque<(Time, String)>,
-    /// All that were taken in after this are still here.
+    /// Every entry inserted after this time is still cached.
     complete_from: Time,
 }
 
 impl TerminalCache {
-    pub fn new(most: usize) -> TerminalCache {
+    pub fn new(capacity: usize) -> TerminalCache {
         TerminalCache {
-            most,
+            capacity,
             ends: BTreeMap::new(),
             order: VecDeque::new(),
-            complete_from: if most == 0 { f64::MAX } else { f64::MIN },
+            complete_from: if capacity == 0 { f64::MAX } else { f64::MIN },
         }
     }
 
@@ -31,7 +32,7 @@
         self.ends.get(id).copied()
     }
 
-    /// Jobs cancelled whose ends were taken in after this, the newest first.
+    /// Cancelled jobs whose entries were inserted after `since`, the newest first.
     pub fn cancelled_since(&self, since: Time) -> impl Iterator<Item = &String> {
         let newest = self
             .order
@@ -39,21 +40,22 @@
             .rev()
             .take_while(move |(at, _)| *at > since);
         let ids = newest.map(|(_, id)| id);
-        ids.filter(|id| (self.ends.get(*id)).is_some_and(|over| over.outcome == Outcome::Cancelled))
+        ids.filter(|id| (self.ends.get(*id)).is_some_and(|end| end.outcome == Outcome::Cancelled))
     }
 
+    /// Every entry inserted after this time is still cached.
     pub fn complete_from(&self) -> Time {
         self.complete_from
     }
 
     pub fn put(&mut self, now: Time, id: &str, over: EndedJobRecord) {
-        if self.most == 0 {
+        if self.capacity == 0 {
             return;
         }
         if self.ends.insert(id.to_owned(), over).is_none() {
             self.order.push_back((now, id.to_owned()));
         }
-        while self.ends.len() > self.most {
+        while self.ends.len() > self.capacity {
             if let Some((at, oldest)) = self.order.pop_front() {
                 self.ends.remove(&oldest);
                 self.complete_from = at;
