--- a/crates/umbersail-control/src/front.rs
+++ b/crates/umbersail-control/src/front.rs
@@ -316,8 +316,8 @@
         id: &str,
         priority: RequestPriority,
     ) -> Result<JobLookup, KeyValueError> {
-        if let Some(over) = self.terminal_cache.borrow().get(id) {
-            return Ok(JobLookup::Ended(over));
+        if let Some(end) = self.terminal_cache.borrow().get(id) {
+            return Ok(JobLookup::Ended(end));
         }
         let sent_at = self.clock.now();
         if let Some((_, version)) = self.kv.get::<IgnoredAny>(&job_key(id), priority).await? {
@@ -329,18 +329,18 @@
             .get::<EndedJobRecord>(&ended_job_key(id), priority)
             .await?
         {
-            Some((over, _)) => {
-                self.cache_end(id, over);
-                Ok(JobLookup::Ended(over))
+            Some((end, _)) => {
+                self.cache_end(id, end);
+                Ok(JobLookup::Ended(end))
             }
             None => Ok(JobLookup::NotFound),
         }
     }
 
     /// Caches the recorded end of a job. Later polls are answered from the cache.
-    pub(crate) fn cache_end(&self, id: &str, over: EndedJobRecord) {
+    pub(crate) fn cache_end(&self, id: &str, end: EndedJobRecord) {
         let now = self.clock.now();
-        self.terminal_cache.borrow_mut().put(now, id, over);
+        self.terminal_cache.borrow_mut().put(now, id, end);
     }
 
     /// Answers a poll. If the key-value store does not answer this node, a peer is asked. If
@@ -354,7 +354,7 @@
             return answer;
         }
         match self.all_replica_read(id).await {
-            ReadOutcome::Ended(over) => ended_response(id, over),
+            ReadOutcome::Ended(end) => ended_response(id, end),
             ReadOutcome::Unfinished => self.unfinished_response(id, 200).await,
             ReadOutcome::Unknown => response,
         }
@@ -375,8 +375,8 @@
         if !is_job_id(id) {
             return Response::empty(404);
         }
-        if let Some(over) = self.terminal_cache.borrow().get(id) {
-            return ended_response(id, over);
+        if let Some(end) = self.terminal_cache.borrow().get(id) {
+            return ended_response(id, end);
         }
         match self.compare_version(id).await {
             PollOutcome::Unfinished => return self.unfinished_response(id, 200).await,
@@ -385,7 +385,7 @@
         }
         match self.look_up_job(id, RequestPriority::Poll).await {
             Ok(JobLookup::Unfinished(..)) => self.unfinished_response(id, 200).await,
-            Ok(JobLookup::Ended(over)) => ended_response(id, over),
+            Ok(JobLookup::Ended(end)) => ended_response(id, end),
             Ok(JobLookup::NotFound) => Response::empty(404),
             Err(e) => {
                 debug!(job = id, reason = %e, "job could not be read for a poll");
@@ -411,7 +411,7 @@
             .get::<JobProgressRecord>(&key, RequestPriority::Poll)
             .await;
         match record {
-            Ok(Some((run, _))) => (run.done_count, run.running_at_least()),
+            Ok(Some((progress, _))) => (progress.done_count, progress.running_at_least()),
             Ok(None) => (0, 0),
             Err(_) => {
                 let reported = self.reported_progress.borrow();
@@ -456,9 +456,9 @@
         let response = self.submit(body).await;
         if response.status == 503
             && let Some(helper) = self.helper(is_best_effort_submission(body))
-            && let Some(taken) = self.relay_submission(&helper, body).await
+            && let Some(relayed) = self.relay_submission(&helper, body).await
         {
-            return taken;
+            return relayed;
         }
         response
     }
@@ -487,8 +487,8 @@
         } else {
             RequestPriority::Interactive
         };
-        if let Some(over) = self.terminal_cache.borrow().get(&id) {
-            return ended_response(&id, over);
+        if let Some(end) = self.terminal_cache.borrow().get(&id) {
+            return ended_response(&id, end);
         }
         let record = JobRecord {
             spec,
@@ -507,7 +507,7 @@
             TxnOutcome::Conflict { .. } => {
                 match self.look_up_job(&id, RequestPriority::Interactive).await {
                     Ok(JobLookup::Unfinished(..)) => self.unfinished_response(&id, 200).await,
-                    Ok(JobLookup::Ended(over)) => ended_response(&id, over),
+                    Ok(JobLookup::Ended(end)) => ended_response(&id, end),
                     _ => self.retry_later(),
                 }
             }
@@ -528,7 +528,7 @@
         if is_job_id(id) {
             match self.look_up_job(id, RequestPriority::Interactive).await {
                 Ok(JobLookup::Unfinished(..)) => return self.unfinished_response(id, 200).await,
-                Ok(JobLookup::Ended(over)) => return ended_response(id, over),
+                Ok(JobLookup::Ended(end)) => return ended_response(id, end),
                 Ok(JobLookup::NotFound) => {}
                 Err(_) => return self.retry_later(),
             }
@@ -611,22 +611,22 @@
                     // The progress record stays until the leader knows that no task of
                     // the job is running, so that a new leader counts the resources of
                     // these tasks (rule 4).
-                    let over = EndedJobRecord {
+                    let end = EndedJobRecord {
                         outcome: Outcome::Cancelled,
                         done: 0,
                     };
-                    let txn = cancellation_txn(id, version, over);
+                    let txn = cancellation_txn(id, version, end);
                     match self.kv.txn(&txn, RequestPriority::Interactive).await {
                         TxnOutcome::Applied { .. } => {
                             info!(job = id, "cancellation recorded");
-                            self.cache_end(id, over);
-                            return ended_response(id, over);
+                            self.cache_end(id, end);
+                            return ended_response(id, end);
                         }
                         TxnOutcome::Conflict { .. } => {}
                         _ => return self.retry_later(),
                     }
                 }
-                Ok(JobLookup::Ended(over)) => return ended_response(id, over),
+                Ok(JobLookup::Ended(end)) => return ended_response(id, end),
                 Ok(JobLookup::NotFound) => return Response::empty(404),
                 Err(_) => return self.retry_later(),
             }
@@ -658,8 +658,8 @@
     )
 }
 
-fn ended_response(id: &str, over: EndedJobRecord) -> Response {
-    status_body(200, id, stage_of(over), Some((over.done, 0)))
+fn ended_response(id: &str, end: EndedJobRecord) -> Response {
+    status_body(200, id, stage_of(end), Some((end.done, 0)))
 }
 
 fn status_body(status: u16, id: &str, state: JobStage, counts: Option<(u32, u32)>) -> Response {
--- a/crates/umbersail-control/src/leader/cloud.rs
+++ b/crates/umbersail-control/src/leader/cloud.rs
@@ -85,9 +85,9 @@
     async fn execute(&self, token: u64, action: CloudAction) {
         match action {
             CloudAction::Delete(names) => {
-                let gone = self.cloud.delete(&names).await;
+                let is_deleted = self.cloud.delete(&names).await;
                 self.with_engine(token, |e| {
-                    if gone {
+                    if is_deleted {
                         e.deleted(&names);
                     } else {
                         e.delete_unanswered(&names);
--- a/crates/umbersail-control/src/leader/fencing.rs
+++ b/crates/umbersail-control/src/leader/fencing.rs
@@ -20,8 +20,8 @@
                 return;
             };
             let round_s = self.tuning.fence_round_s;
-            let most = (self.tuning.fence_per_s * round_s).ceil() as usize;
-            for target in targets.into_iter().take(most) {
+            let max_targets = (self.tuning.fence_per_s * round_s).ceil() as usize;
+            for target in targets.into_iter().take(max_targets) {
                 spawn(self.clone().send_token(token, target));
             }
             sleep(round_s).await;
--- a/crates/umbersail-control/src/leader/recovery.rs
+++ b/crates/umbersail-control/src/leader/recovery.rs
@@ -73,7 +73,7 @@
             .kv
             .list::<JobRecord>(JOBS, RequestPriority::Critical)
             .await;
-        let runs = self
+        let progress_records = self
             .kv
             .list::<JobProgressRecord>(JOB_PROGRESS, RequestPriority::Critical)
             .await;
@@ -81,7 +81,8 @@
             .kv
             .list::<GrantPart>(GRANT_PARTS, RequestPriority::Critical)
             .await;
-        let ((jobs, revision), (runs, _), (parts, _)) = (jobs?, runs?, parts?);
+        let ((jobs, revision), (progress_records, _), (parts, _)) =
+            (jobs?, progress_records?, parts?);
         let plans = match elected.plans {
             true => {
                 self.kv
@@ -91,7 +92,7 @@
             }
             false => Vec::new(),
         };
-        let mut progress = progress_by_job(runs);
+        let mut progress = progress_by_job(progress_records);
         let jobs = jobs
             .into_iter()
             .map(|pair| {
@@ -105,13 +106,13 @@
                 }
             })
             .collect();
-        let over = progress.into_iter().map(|(id, (run, _))| (id, run));
+        let ended_jobs = progress.into_iter().map(|(id, (record, _))| (id, record));
         let inheritance = Inheritance {
             revision: elected.token,
             leader_version: elected.token,
             parts: parts.into_iter().filter_map(inherited_part).collect(),
             jobs,
-            over: over.collect(),
+            over: ended_jobs.collect(),
             whole_machines: elected.whole_machines,
             predecessor_degraded: elected.predecessor_degraded,
             types: self.machine_types.borrow().clone(),
@@ -127,11 +128,11 @@
 
 /// Progress records with their versions, by job id.
 fn progress_by_job(
-    runs: Vec<KeyValue<JobProgressRecord>>,
+    progress_records: Vec<KeyValue<JobProgressRecord>>,
 ) -> BTreeMap<String, (JobProgressRecord, u64)> {
     let by_job = |pair: KeyValue<JobProgressRecord>| {
         let id = pair.key.strip_prefix(JOB_PROGRESS)?.to_owned();
         Some((id, (pair.value, pair.version)))
     };
-    runs.into_iter().filter_map(by_job).collect()
+    progress_records.into_iter().filter_map(by_job).collect()
 }
--- a/crates/umbersail-control/src/leader/scheduler.rs
+++ b/crates/umbersail-control/src/leader/scheduler.rs
@@ -178,10 +178,10 @@
     fn cache_ends(&self, txn: &Txn<Record>) {
         for change in &txn.changes {
             if let Change::Put { key, value, .. } = change
-                && let Record::EndedJob(over) = value
+                && let Record::EndedJob(end) = value
                 && let Some(id) = key.strip_prefix(ENDED_JOBS)
             {
-                self.cache_end(id, *over);
+                self.cache_end(id, *end);
             }
         }
     }
@@ -214,11 +214,11 @@
                 .kv
                 .get::<JobRecord>(&job_key, RequestPriority::Background);
             let job = job.await;
-            let run = self
+            let progress = self
                 .kv
                 .get::<JobProgressRecord>(&progress_key, RequestPriority::Background);
-            let (run, job) = (run.await?, job?);
-            let version = run.map_or(0, |(_, version)| version);
+            let (progress, job) = (progress.await?, job?);
+            let version = progress.map_or(0, |(_, version)| version);
             self.with_engine(token, |e| e.version_read(&id, job.is_some(), version));
         }
         for index in parts {
