--- a/crates/umbersail-control/src/capacity.rs
+++ b/crates/umbersail-control/src/capacity.rs
@@ -69,7 +69,7 @@
         limits.rps,
         limits.write_rps,
         tuning.state_timeout_s,
-        tuning.state_silent_s,
+        tuning.state_unreachable_after_s,
     )
 }
 
@@ -175,7 +175,7 @@
             max_connections: upper_bound.min(left).max(lower_bound),
             reserved: self.reserved_sockets.clone(),
             least_unreserved: lower_bound,
-            reserved_paths: vec![paths::REPORT.into(), paths::HEALTH.into()],
+            reserved_paths: vec![paths::HEARTBEAT.into(), paths::HEALTH.into()],
             idle_s: tuning.idle_connection_s,
             receive_s: tuning.receive_s,
             send_s: tuning.receive_s,
--- a/crates/umbersail-control/src/engine/tests/late.rs
+++ b/crates/umbersail-control/src/engine/tests/late.rs
@@ -1,7 +1,7 @@
 //! Transactions that get no answer and are carried out late, after newer ones: each as
 //! the code builds it, against the state service's own logic.
 
-use umbersail_kv::{Bounds, KvStore, Outcome as Carried};
+use umbersail_kv::{KvStore, Limits, Outcome as Carried};
 
 use super::*;
 use crate::records::{
@@ -27,7 +27,7 @@
 impl Scene {
     fn new() -> Scene {
         let mut scene = Scene {
-            store: KvStore::new(Bounds::default()),
+            store: KvStore::new(Limits::default()),
             engine: fresh(vec![team(0.0, 0.0)]),
             now: 1.0,
         };
@@ -36,7 +36,7 @@
             config(vec![team(0.0, 0.0)], Tuning::default()),
             0.0,
             0,
-            Inheritance {
+            InheritedState {
                 revision: token,
                 leader_version: token,
                 ..empty_inheritance()
@@ -86,7 +86,7 @@
     fn unanswered(&mut self) -> Sent {
         let pending = self.next().unwrap();
         let txn = pending.txn.clone();
-        (self.engine).txn_done(self.now, pending, TxnOutcome::Unknown);
+        (self.engine).txn_finished(self.now, pending, TxnOutcome::Unknown);
         txn
     }
 
@@ -116,7 +116,7 @@
                 Ok(Carried::Failed { keys }) => TxnOutcome::Conflict { failed: keys },
                 Err(refusal) => panic!("{refusal}"),
             };
-            self.engine.txn_done(self.now, pending, outcome);
+            self.engine.txn_finished(self.now, pending, outcome);
         }
     }
 
@@ -261,7 +261,7 @@
     let pending = scene.next().unwrap();
     let revision = scene.apply(&pending.txn).unwrap();
     let now = scene.now;
-    (scene.engine).txn_done(now, pending, TxnOutcome::Applied { revision });
+    (scene.engine).txn_finished(now, pending, TxnOutcome::Applied { revision });
     let removal = scene.unanswered();
     assert!(removal.changes.contains(&Change::Delete {
         key: progress_key("req-000001")
@@ -280,9 +280,9 @@
     let pending = scene.next().unwrap();
     scene.apply(&pending.txn).unwrap();
     scene.cancel("req-000001");
-    scene.engine.job_dropped("req-000001");
+    scene.engine.job_key_removed("req-000001");
     let now = scene.now;
-    (scene.engine).txn_done(now, pending, TxnOutcome::Unknown);
+    (scene.engine).txn_finished(now, pending, TxnOutcome::Unknown);
     scene.settle();
     assert_eq!(scene.version(&progress_key("req-000001")), 0);
 }
@@ -348,7 +348,7 @@
             config(vec![team(0.0, 0.0)], Tuning::default()),
             0.0,
             0,
-            Inheritance {
+            InheritedState {
                 revision: token,
                 leader_version: token,
                 plans: inherited.collect(),
@@ -375,12 +375,12 @@
     scene.apply(&newer).unwrap();
     scene.fails_late(&late);
     // Also once that leader has ended, while the lease of the late one still runs.
-    scene.store.end(scene.now, 3).unwrap();
+    scene.store.revoke(scene.now, 3).unwrap();
     assert_eq!(scene.version(LEADER_KEY), 0);
     scene.fails_late(&late);
     // Given up, its lease was ended: it fails whatever its conditions say.
     let given_up = scene.election("bothy-1", false);
-    scene.store.end(scene.now, 4).unwrap();
+    scene.store.revoke(scene.now, 4).unwrap();
     scene.fails_late(&given_up);
 }
 
@@ -417,7 +417,7 @@
         config(vec![team(0.0, 0.0)], Tuning::default()),
         0.0,
         0,
-        Inheritance {
+        InheritedState {
             revision: second,
             leader_version: second,
             predecessor_degraded: true,
--- a/crates/umbersail-control/src/front.rs
+++ b/crates/umbersail-control/src/front.rs
@@ -11,12 +11,12 @@
 use umbersail_runtime::{Time, random, timeout};
 use umbersail_standby::ReadOutcome;
 use umbersail_wire::{
-    InvalidJob, JobIdOnly, JobKind, JobSpec, JobStage, JobStatus, Misdirected, Refusal, Report,
-    ReportReply, decode, encode, is_job_id, missing_field, paths,
+    Heartbeat, HeartbeatReply, InvalidJob, JobIdOnly, JobKind, JobSpec, JobStage, JobStatus,
+    Misdirected, Refusal, decode, encode, is_job_id, missing_field, paths,
 };
 
-use crate::all_replica_read::stage_of;
-use crate::engine::{TxnOutcome, cache_holds, epoch};
+use crate::all_replica_read::terminal_stage;
+use crate::engine::{TxnOutcome, epoch, image_fits_cache};
 use crate::node::{Node, Role};
 use crate::polls::PollOutcome;
 use crate::records::{
@@ -83,7 +83,7 @@
         let path = request.path();
         let method = request.method.as_str();
         match (method, path) {
-            ("POST", paths::REPORT) => self.handle_heartbeat(&request.body).await,
+            ("POST", paths::HEARTBEAT) => self.handle_heartbeat(&request.body).await,
             ("POST", paths::JOBS) => {
                 self.outside_contact_at.set(self.clock.now());
                 self.submit_or_relay(&request.body).await
@@ -92,7 +92,7 @@
                 self.outside_contact_at.set(self.clock.now());
                 Response::empty(if self.is_ready() { 200 } else { 503 })
             }
-            (_, paths::REPORT | paths::JOBS | paths::HEALTH) => Response::empty(405),
+            (_, paths::HEARTBEAT | paths::JOBS | paths::HEALTH) => Response::empty(405),
             _ => {
                 let Some(rest) = path
                     .strip_prefix(paths::JOBS)
@@ -134,7 +134,7 @@
     /// zone. A worker that returns shortly after a redirect can't reach the other node; this
     /// node then serves the worker for a while.
     async fn handle_heartbeat(&self, body: &[u8]) -> Response {
-        let Ok(heartbeat) = decode::<Report>(body) else {
+        let Ok(heartbeat) = decode::<Heartbeat>(body) else {
             warn!("malformed heartbeat");
             return Response::empty(400);
         };
@@ -193,14 +193,15 @@
             .is_some_and(|p| p.unresponsive);
         if is_proxy || leader_unresponsive {
             let direct = || !has_returned();
-            if let Some(response) = self.relay(&leader, &heartbeat, body, direct).await {
+            if let Some(response) = self.relay_heartbeat(&leader, &heartbeat, body, direct).await {
                 return response;
             }
         } else if redirects.borrow_mut().is_returning(
             &heartbeat.machine,
             self.has_seen_leader_token(&heartbeat),
             now,
-        ) && let Some(response) = self.relay(&leader, &heartbeat, body, || false).await
+        ) && let Some(response) =
+            self.relay_heartbeat(&leader, &heartbeat, body, || false).await
         {
             return response;
         }
@@ -212,7 +213,7 @@
     /// now, or renews the worker's lease as a delegate for as long as this node might do so
     /// (rule 2). What is known of the worker's tasks stays the same (rule 3). A worker that
     /// returns could not reach the successor, and is not redirected again.
-    fn hand_off_target(&self, heartbeat: &Report, now: Time) -> Option<String> {
+    fn hand_off_target(&self, heartbeat: &Heartbeat, now: Time) -> Option<String> {
         let next = self.last_designated.borrow().clone()?;
         let has_returned =
             (self.handed_off_workers.borrow_mut()).is_returning(&heartbeat.machine, false, now);
@@ -226,7 +227,7 @@
 
     /// Whether the worker's heartbeat carries the leader's token. The leader has answered the
     /// worker before, so the worker is here because it no longer reaches the leader.
-    fn has_seen_leader_token(&self, heartbeat: &Report) -> bool {
+    fn has_seen_leader_token(&self, heartbeat: &Heartbeat) -> bool {
         let leader = self.leader.borrow();
         (leader.as_ref()).is_some_and(|(_, revision)| epoch(heartbeat.token) == *revision)
     }
@@ -235,7 +236,7 @@
     /// task launch for the machine is just being recorded, the reply waits briefly for the
     /// record. The wait is short, because the worker gives up after 4 s.
     pub(crate) async fn accept_heartbeat(&self, body: &[u8]) -> Response {
-        let heartbeat: Report = match decode(body) {
+        let heartbeat: Heartbeat = match decode(body) {
             Ok(heartbeat) => heartbeat,
             Err(e) => {
                 warn!(reason = %e, "malformed heartbeat");
@@ -246,15 +247,15 @@
         let Some(revision) = self.answering_revision(&heartbeat, received_at) else {
             return Response::empty(503);
         };
-        if self.with_engine(revision, |e| e.report(received_at, &heartbeat)) != Some(true) {
+        if self.with_engine(revision, |e| e.receive_heartbeat(received_at, &heartbeat)) != Some(true) {
             return Response::empty(503);
         }
         self.scheduler_wakeup.notify();
-        let until = received_at + self.tuning.launch_hold_s;
+        let until = received_at + self.tuning.launch_wait_s;
         loop {
             let now = self.clock.now();
             let launch_pending =
-                self.with_engine(revision, |e| e.launch_is_near(now, &heartbeat.machine));
+                self.with_engine(revision, |e| e.expects_launch(now, &heartbeat.machine));
             if launch_pending != Some(true) || now >= until || !self.may_start(now) {
                 break;
             }
@@ -271,7 +272,7 @@
         let reply = self.with_engine(revision, |engine| {
             let commands = engine.reply(now, &heartbeat, may_start);
             let token = engine.token_for(&heartbeat.machine);
-            ReportReply { token, commands }
+            HeartbeatReply { token, commands }
         });
         match reply {
             Some(reply) => Response::new(200, encode(&reply)),
@@ -281,7 +282,7 @@
 
     /// Returns the revision under which this node may answer the heartbeat now, or `None` if it
     /// may not answer.
-    fn answering_revision(&self, heartbeat: &Report, now: Time) -> Option<u64> {
+    fn answering_revision(&self, heartbeat: &Heartbeat, now: Time) -> Option<u64> {
         let role = self.role.borrow();
         let Role::Leading(leading) = &*role else {
             return None;
@@ -304,7 +305,7 @@
     /// Whether this node may start tasks: its lease is still valid, or degraded mode allows
     /// starts without a record (rule 2).
     fn may_start(&self, now: Time) -> bool {
-        let degraded = self.degraded_mode.borrow().allows_starts();
+        let degraded = self.degraded_mode.borrow().allows_unrecorded_starts();
         matches!(&*self.role.borrow(), Role::Leading(l) if degraded || now < l.lease.start_until())
     }
 
@@ -397,7 +398,7 @@
     /// Task counts of a job that the leader reported, if they are recent enough to display.
     fn reported_counts(&self, id: &str) -> Option<(u32, u32)> {
         let reported = self.reported_progress.borrow();
-        let fresh = self.clock.now() - reported.at? < self.tuning.heard_fresh_s;
+        let fresh = self.clock.now() - reported.at? < self.tuning.job_progress_max_age_s;
         fresh.then(|| reported.jobs.get(id).copied()).flatten()
     }
 
@@ -424,7 +425,7 @@
     /// the job has no progress record, the counts are zero.
     async fn unfinished_response(&self, id: &str, status: u16) -> Response {
         let counts = match &*self.role.borrow() {
-            Role::Leading(leading) => leading.engine.counts(id),
+            Role::Leading(leading) => leading.engine.job_progress(id),
             Role::Following => self.reported_counts(id),
         };
         let (done, running) = match counts {
@@ -455,8 +456,8 @@
         }
         let response = self.submit(body).await;
         if response.status == 503
-            && let Some(helper) = self.helper(is_best_effort_submission(body))
-            && let Some(relayed) = self.relay_submission(&helper, body).await
+            && let Some(peer) = self.peer_with_state_access(is_best_effort_submission(body))
+            && let Some(relayed) = self.relay_submission(&peer, body).await
         {
             return relayed;
         }
@@ -587,10 +588,10 @@
         }
         // If workers pass images on to each other, an image that fits in no cache would be
         // fetched repeatedly, and evicted while other workers read it.
-        let workers_pass_images_on = self.tuning.images_hand_on >= 0.5;
+        let workers_pass_images_on = self.tuning.peer_to_peer_images >= 0.5;
         let allowed =
-            |t: &&umbersail_wire::MachineType| umbersail_policy::names_type(spec, &t.name);
-        if workers_pass_images_on && !(types.iter().filter(allowed)).any(|t| cache_holds(t, spec)) {
+            |t: &&umbersail_wire::MachineType| umbersail_policy::allows_type(spec, &t.name);
+        if workers_pass_images_on && !(types.iter().filter(allowed)).any(|t| image_fits_cache(t, spec)) {
             return Err(Rejection::ImageTooLarge(spec.image_gb));
         }
         match umbersail_policy::smallest_cpus(spec, &types) {
@@ -653,13 +654,13 @@
     Response::new(
         421,
         encode(&Misdirected {
-            report_to: Some(member),
+            heartbeat_to: Some(member),
         }),
     )
 }
 
 fn ended_response(id: &str, end: EndedJobRecord) -> Response {
-    status_body(200, id, stage_of(end), Some((end.done, 0)))
+    status_body(200, id, terminal_stage(end), Some((end.done, 0)))
 }
 
 fn status_body(status: u16, id: &str, state: JobStage, counts: Option<(u32, u32)>) -> Response {
--- a/crates/umbersail-control/src/health.rs
+++ b/crates/umbersail-control/src/health.rs
@@ -18,12 +18,12 @@
         let now = self.clock.now();
         self.kv
             .last_success()
-            .is_some_and(|at| now - at < self.tuning.blind_s)
+            .is_some_and(|at| now - at < self.tuning.state_lost_after_s)
     }
 
     /// Whether there are peers, but none has sent a message recently.
     pub(crate) fn hears_from_no_peer(&self, now: Time) -> bool {
-        let is_recent = |at: Time| now - at < self.tuning.isolated_s;
+        let is_recent = |at: Time| now - at < self.tuning.isolated_after_s;
         !self.settings.peers.is_empty()
             && !(self.peers.borrow().values()).any(|p| p.heard_at.is_some_and(is_recent))
     }
@@ -33,7 +33,7 @@
     /// leads or will soon be elected.
     pub(crate) fn is_isolated(&self, now: Time) -> bool {
         let unresponsive_since = self.kv.unresponsive_since();
-        unresponsive_since.is_some_and(|at| now - at >= self.tuning.isolated_s)
+        unresponsive_since.is_some_and(|at| now - at >= self.tuning.isolated_after_s)
             && self.hears_from_no_peer(now)
     }
 
@@ -42,7 +42,8 @@
     /// recently. The workers of this node can then reach the other nodes, and should be
     /// redirected there.
     pub(crate) fn is_only_node_isolated(&self, now: Time) -> bool {
-        self.is_isolated(now) && now - self.outside_contact_at.get() < self.tuning.outside_s
+        self.is_isolated(now)
+            && now - self.outside_contact_at.get() < self.tuning.balancer_contact_max_age_s
     }
 
     /// Whether this node should receive user requests. A node is not ready if it alone does
@@ -70,7 +71,7 @@
         // Without contact to a peer, this node can't tell whether the store rejects the
         // requests of other nodes too. The time limit is doubled here, so that a short outage
         // of the store during a partition between controllers has no effect.
-        let rejected_s = 2.0 * self.tuning.blind_s;
+        let rejected_s = 2.0 * self.tuning.state_lost_after_s;
         if self.is_isolated(now) || self.hears_from_no_peer(now) && now - last_answer >= rejected_s
         {
             return false;
@@ -78,7 +79,7 @@
         // A peer's report that the store is reachable counts only if the report is clearly
         // newer than the last answer to this node: at the start of an outage the last reports
         // of all peers still say "reachable".
-        let newer_than = last_answer + self.tuning.blind_s + self.tuning.peer_interval_s;
+        let newer_than = last_answer + self.tuning.state_lost_after_s + self.tuning.peer_interval_s;
         !self.peers.borrow().values().any(|p| {
             p.state_reachable
                 && p.heard_at
@@ -93,8 +94,8 @@
         loop {
             // User requests are refused until the store answers, so the probes are frequent.
             let interval = match self.kv.unresponsive_since() {
-                Some(_) => UNRESPONSIVE_PROBE_S.min(self.tuning.probe_s),
-                None => self.tuning.probe_s,
+                Some(_) => UNRESPONSIVE_PROBE_S.min(self.tuning.state_probe_interval_s),
+                None => self.tuning.state_probe_interval_s,
             };
             sleep(interval).await;
             let now = self.clock.now();
--- a/crates/umbersail-control/src/leader/cloud.rs
+++ b/crates/umbersail-control/src/leader/cloud.rs
@@ -31,7 +31,7 @@
                     if !catalogue_recorded {
                         catalogue_recorded = self.record_catalogue(token, types.clone()).await;
                     }
-                    self.with_engine(token, |e| e.set_types(types));
+                    self.with_engine(token, |e| e.set_machine_types(types));
                 }
             }
             if now - listed_at >= self.tuning.list_interval_s {
@@ -41,7 +41,7 @@
                         info!(machines = list.len(), "first machine list received");
                     }
                     listed_at = now;
-                    self.with_engine(token, |e| e.listing(now, &list));
+                    self.with_engine(token, |e| e.apply_machine_list(now, &list));
                     self.scheduler_wakeup.notify();
                 } else {
                     debug!("cloud returned no machine list");
@@ -88,7 +88,7 @@
                 let is_deleted = self.cloud.delete(&names).await;
                 self.with_engine(token, |e| {
                     if is_deleted {
-                        e.deleted(&names);
+                        e.machines_deleted(&names);
                     } else {
                         e.delete_unanswered(&names);
                     }
@@ -99,9 +99,9 @@
                 let rented = self.cloud.rent(&request).await;
                 let now = self.clock.now();
                 self.with_engine(token, |e| match rented {
-                    RentOutcome::Machines(names) => e.rented(now, &request, &names),
-                    RentOutcome::NoCapacity => e.rent_refused(now, &request),
-                    RentOutcome::Unknown => e.rent_unanswered(request),
+                    RentOutcome::Machines(names) => e.machines_rented(now, &request, &names),
+                    RentOutcome::NoCapacity => e.rental_refused(now, &request),
+                    RentOutcome::Unknown => e.rental_unanswered(request),
                 });
             }
         }
--- a/crates/umbersail-control/src/leader/election.rs
+++ b/crates/umbersail-control/src/leader/election.rs
@@ -54,7 +54,9 @@
                 .await;
             match found {
                 Ok(Some((record, token))) => {
-                    self.degraded_mode_record.borrow_mut().read(token);
+                    self.degraded_mode_record
+                        .borrow_mut()
+                        .observe_leader_key(token);
                     if is_from_earlier_process(&record, &self.settings.member, self.incarnation) {
                         info!(
                             token,
@@ -91,7 +93,7 @@
         loop {
             match self
                 .kv
-                .watch::<LeaderRecord>(LEADER_KEY, from, self.tuning.watch_hold_s)
+                .watch::<LeaderRecord>(LEADER_KEY, from, self.tuning.watch_timeout_s)
                 .await
             {
                 Ok(result) => {
@@ -175,7 +177,7 @@
             && self
                 .degraded_mode_record
                 .borrow()
-                .may_have_unrecorded(version);
+                .may_have_unrecorded_starts(version);
         let predecessor_degraded = may_have_unrecorded || recovery_pending;
         let leader = LeaderRecord {
             member: self.settings.member.clone(),
--- a/crates/umbersail-control/src/leader/fencing.rs
+++ b/crates/umbersail-control/src/leader/fencing.rs
@@ -5,9 +5,9 @@
 
 use tracing::{debug, warn};
 use umbersail_runtime::{sleep, spawn};
-use umbersail_wire::{DirectCommands, Report, decode, encode, paths};
+use umbersail_wire::{DirectCommands, Heartbeat, decode, encode, paths};
 
-use crate::engine::Fencing;
+use crate::engine::FencingCommand;
 use crate::node::Node;
 
 impl Node {
@@ -16,10 +16,10 @@
     pub(super) async fn run_fencing(self: Rc<Self>, token: u64) {
         loop {
             let now = self.clock.now();
-            let Some(targets) = self.with_engine(token, |e| e.fence_targets(now)) else {
+            let Some(targets) = self.with_engine(token, |e| e.fencing_commands(now)) else {
                 return;
             };
-            let round_s = self.tuning.fence_round_s;
+            let round_s = self.tuning.fence_interval_s;
             let max_targets = (self.tuning.fence_per_s * round_s).ceil() as usize;
             for target in targets.into_iter().take(max_targets) {
                 spawn(self.clone().send_token(token, target));
@@ -29,7 +29,7 @@
     }
 
     /// Sends one machine its token, and passes the worker's reply to the engine.
-    pub(super) async fn send_token(self: Rc<Self>, revision: u64, target: Fencing) {
+    pub(super) async fn send_token(self: Rc<Self>, revision: u64, target: FencingCommand) {
         let body = encode(&DirectCommands {
             token: target.token,
             session: target.session.max(1),
@@ -41,10 +41,10 @@
             .await;
         let machine = target.machine;
         match answer {
-            Ok((200 | 409, body)) => match decode::<Report>(&body) {
+            Ok((200 | 409, body)) => match decode::<Heartbeat>(&body) {
                 Ok(heartbeat) => {
                     let now = self.clock.now();
-                    self.with_engine(revision, |e| e.direct_report(now, &heartbeat));
+                    self.with_engine(revision, |e| e.receive_command_response(now, &heartbeat));
                     self.scheduler_wakeup.notify();
                 }
                 Err(e) => warn!(machine, reason = %e, "worker sent a malformed response"),
--- a/crates/umbersail-control/src/leader/jobs.rs
+++ b/crates/umbersail-control/src/leader/jobs.rs
@@ -36,7 +36,7 @@
                 if let (Some(_), Some(record)) = (&event.put, event.value) {
                     engine.job_accepted(now, unix_ms, record, event.version);
                 } else if let Some(key) = &event.delete {
-                    engine.job_dropped(&key[JOBS.len().min(key.len())..]);
+                    engine.job_key_removed(&key[JOBS.len().min(key.len())..]);
                 }
             }
         });
@@ -66,7 +66,7 @@
     /// Watches the job keys, and passes accepted and cancelled jobs to the engine.
     pub(super) async fn watch_jobs(self: Rc<Self>, token: u64) {
         while let Some(from) = self.known_jobs_revision(token) {
-            let hold_s = self.tuning.watch_hold_s;
+            let hold_s = self.tuning.watch_timeout_s;
             match self.kv.watch::<JobRecord>(JOBS, from, hold_s).await {
                 Ok(result) => self.apply_job_changes(token, result),
                 Err(KeyValueError::Gone) => self.list_jobs(token).await,
--- a/crates/umbersail-control/src/leader/lease.rs
+++ b/crates/umbersail-control/src/leader/lease.rs
@@ -68,7 +68,7 @@
     /// Deadline for starting tasks under a lease that was requested or renewed at `sent_at`.
     /// The deadline allows for clock drift, and for start commands in flight.
     pub(super) fn start_deadline(&self, sent_at: Time) -> Time {
-        sent_at + self.tuning.leader_ttl_s * (1.0 - self.tuning.drift) - START_MARGIN_S
+        sent_at + self.tuning.leader_ttl_s * (1.0 - self.tuning.clock_drift) - START_MARGIN_S
     }
 
     /// Renews the lease until it is lost. The new duration counts from before the request
--- a/crates/umbersail-control/src/leader/mod.rs
+++ b/crates/umbersail-control/src/leader/mod.rs
@@ -124,7 +124,7 @@
         tasks.start(self.clone().watch_jobs(token));
         tasks.start(self.clone().run_cloud(token));
         tasks.start(self.clone().run_fencing(token));
-        tasks.start(self.clone().answer_suspicions(token));
+        tasks.start(self.clone().answer_liveness_probes(token));
         tasks.start(self.run_degraded_mode(token));
     }
 
@@ -133,10 +133,12 @@
         // Kept for the case that this node also wins the next election: whether it may have
         // started tasks without a record.
         let unrecorded =
-            std::mem::take(&mut *self.degraded_mode.borrow_mut()).may_have_unrecorded();
-        self.degraded_mode_record
-            .borrow_mut()
-            .held_by_us(self.clock.now(), token, unrecorded);
+            std::mem::take(&mut *self.degraded_mode.borrow_mut()).may_have_unrecorded_starts();
+        self.degraded_mode_record.borrow_mut().on_own_term_ended(
+            self.clock.now(),
+            token,
+            unrecorded,
+        );
         *self.role.borrow_mut() = Role::Following;
         self.set_resigning(false);
         self.role_changed.raise();
@@ -174,7 +176,7 @@
             Role::Leading(leading) if leading.superseded.get() => {
                 return Some(TermEnd::Superseded);
             }
-            Role::Leading(leading) if leading.engine.is_lost() => {
+            Role::Leading(leading) if leading.engine.has_lost_leadership() => {
                 return Some(TermEnd::WriteRefused);
             }
             Role::Leading(_) => {}
@@ -211,7 +213,7 @@
     /// long as it stays leader, although they reach every other controller.
     fn is_unreachable_by_workers(&self, now: Time, since: &mut Option<Time>) -> bool {
         let (live, all) = match &*self.role.borrow() {
-            Role::Leading(leading) => leading.engine.live_machines(now),
+            Role::Leading(leading) => leading.engine.live_machine_counts(now),
             Role::Following => (0, 0),
         };
         if all < 2 || live > 0 || !self.peer_could_lead(now) {
--- a/crates/umbersail-control/src/leader/recovery.rs
+++ b/crates/umbersail-control/src/leader/recovery.rs
@@ -8,7 +8,7 @@
 
 use super::LeaderLease;
 use super::election::WonElection;
-use crate::engine::{Inheritance, InheritedJob, InheritedPart, InheritedPlan};
+use crate::engine::{InheritedJob, InheritedPart, InheritedPlan, InheritedState};
 use crate::node::Node;
 use crate::records::{
     GRANT_PARTS, GrantPart, JOB_PROGRESS, JOBS, JobProgressRecord, JobRecord, PLANS,
@@ -20,7 +20,7 @@
 
 /// The recovered records, and how current they are.
 pub(super) struct RecoveredState {
-    pub inheritance: Inheritance,
+    pub inheritance: InheritedState,
     /// Revision at which the jobs were listed.
     pub revision: u64,
     /// Time just before the jobs were listed.
@@ -107,13 +107,13 @@
             })
             .collect();
         let ended_jobs = progress.into_iter().map(|(id, (record, _))| (id, record));
-        let inheritance = Inheritance {
+        let inheritance = InheritedState {
             revision: elected.token,
             leader_version: elected.token,
-            parts: parts.into_iter().filter_map(inherited_part).collect(),
+            grant_parts: parts.into_iter().filter_map(inherited_part).collect(),
             jobs,
-            over: ended_jobs.collect(),
-            whole_machines: elected.whole_machines,
+            finished_jobs: ended_jobs.collect(),
+            count_whole_machines: elected.whole_machines,
             predecessor_degraded: elected.predecessor_degraded,
             types: self.machine_types.borrow().clone(),
             plans: plans.into_iter().map(inherited_plan).collect(),
--- a/crates/umbersail-control/src/leader/scheduler.rs
+++ b/crates/umbersail-control/src/leader/scheduler.rs
@@ -10,7 +10,7 @@
 use umbersail_runtime::{Time, charge, sleep, spawn};
 use umbersail_wire::{Change, Txn, Value};
 
-use crate::engine::{Engine, Fencing, PendingTxn, TxnOutcome};
+use crate::engine::{Engine, FencingCommand, PendingTxn, TxnOutcome};
 use crate::node::Node;
 use crate::records::{
     ENDED_JOBS, JobProgressRecord, JobRecord, Record, grant_part_key, job_key, plan_key,
@@ -52,7 +52,7 @@
             last_tick: f64::MIN,
         };
         while let Some(step) = self.scheduler_step(token, &mut pacing) {
-            if self.degraded_mode.borrow().allows_starts() && step.txn.is_none() {
+            if self.degraded_mode.borrow().allows_unrecorded_starts() && step.txn.is_none() {
                 // In degraded mode tasks are started without a record. Either nothing can be
                 // written now, or nothing needs to be written.
                 self.scheduler_progress.raise();
@@ -81,12 +81,14 @@
         self.with_engine(token, |engine| {
             self.tick_if_due(now, engine, pacing);
             self.schedule_if_due(now, engine, pacing);
-            let next_s = match (engine.is_mid_cycle(), engine.wants_schedule()) {
+            let next_s = match (engine.is_mid_cycle(), engine.needs_scheduling()) {
                 (true, _) => Some(self.tuning.slice_pause_s),
                 (false, true) => Some(self.tuning.cycle_interval_s),
                 (false, false) => None,
             };
-            if self.degraded_mode.borrow().allows_starts() && self.kv.failing_since().is_some() {
+            if self.degraded_mode.borrow().allows_unrecorded_starts()
+                && self.kv.failing_since().is_some()
+            {
                 return Step {
                     txn: None,
                     unknown_versions: Default::default(),
@@ -108,14 +110,14 @@
             return;
         }
         pacing.last_tick = now;
-        engine.set_wall(now, self.clock.unix_ms());
+        engine.set_wall_clock(now, self.clock.unix_ms());
         engine.tick(now);
         self.reserve_sockets_for(engine.machine_count());
     }
 
     fn schedule_if_due(&self, now: Time, engine: &mut Engine, pacing: &mut Pacing) {
         let interval_passed = now - pacing.last_cycle >= self.tuning.cycle_interval_s;
-        let is_due = engine.is_mid_cycle() || (engine.wants_schedule() && interval_passed);
+        let is_due = engine.is_mid_cycle() || (engine.needs_scheduling() && interval_passed);
         if !is_due {
             return;
         }
@@ -128,7 +130,7 @@
     /// Waits until the engine state changes. Returns false if the wait timed out.
     async fn wait_for_work(&self, next_s: Option<Time>) -> bool {
         let (min_s, max_s) = IDLE_RANGE_S;
-        let wait_s = next_s.unwrap_or(self.tuning.write_delay_s.clamp(min_s, max_s));
+        let wait_s = next_s.unwrap_or(self.tuning.task_end_write_delay_s.clamp(min_s, max_s));
         let wakeup = pin!(self.scheduler_wakeup.notified());
         matches!(select(wakeup, pin!(sleep(wait_s))).await, Either::Left(_))
     }
@@ -141,7 +143,7 @@
         self.send_tokens(token, increments.unwrap_or_default());
     }
 
-    fn send_tokens(self: &Rc<Self>, token: u64, increments: Vec<Fencing>) {
+    fn send_tokens(self: &Rc<Self>, token: u64, increments: Vec<FencingCommand>) {
         for increment in increments {
             spawn(self.clone().send_token(token, increment));
         }
@@ -162,8 +164,8 @@
             self.cache_ends(&pending.txn);
         }
         let after_commit = self.with_engine(token, |engine| {
-            engine.txn_done(now, pending, outcome);
-            (engine.is_lost(), engine.token_increments(now))
+            engine.txn_finished(now, pending, outcome);
+            (engine.has_lost_leadership(), engine.token_increments(now))
         });
         self.scheduler_progress.raise();
         let Some((false, increments)) = after_commit else {
--- a/crates/umbersail-control/src/node.rs
+++ b/crates/umbersail-control/src/node.rs
@@ -12,7 +12,9 @@
 use umbersail_runtime::{
     Broadcast, Clock, Notify, Routine, TcpListener, Time, random, sleep, spawn,
 };
-use umbersail_standby::{DegradedMode, DegradedModeRecord, DetectorTimeouts, FailureDetector, Lag};
+use umbersail_standby::{
+    DegradedMode, DegradedModeMemory, DetectorTimeouts, FailureDetector, TimerLag,
+};
 use umbersail_tuning::Tuning;
 use umbersail_wire::MachineType;
 
@@ -157,10 +159,10 @@
     /// After handing leadership over, this node does not campaign before this time.
     pub(crate) step_down_backoff_until: Cell<Time>,
     /// How late timers fire in this process.
-    pub(crate) timer_lag: Cell<Lag>,
+    pub(crate) timer_lag: Cell<TimerLag>,
     /// What is known of starts without a record by any holder of the grant, including
     /// this node.
-    pub(crate) degraded_mode_record: RefCell<DegradedModeRecord>,
+    pub(crate) degraded_mode_record: RefCell<DegradedModeMemory>,
     /// Whether this leader currently starts tasks without a record.
     pub(crate) degraded_mode: RefCell<DegradedMode>,
     /// Raised when this node becomes leader, stops being leader, or starts or stops resigning.
@@ -187,12 +189,12 @@
         Rc::new(move |request| Box::pin(front_node.clone().handle_front_request(request)));
     let back_node = node.clone();
     let back_handler: Handler =
-        Rc::new(move |request| Box::pin(back_node.clone().peer_request(request)));
+        Rc::new(move |request| Box::pin(back_node.clone().handle_peer_request(request)));
     spawn(serve(front, limits, handler));
     spawn(serve(back, back_limits, back_handler));
     spawn(node.clone().load_machine_types());
     spawn(node.clone().probe_store());
-    spawn(node.clone().measure_lag());
+    spawn(node.clone().measure_timer_lag());
     spawn(node.clone().watch_leader());
     spawn(node.clone().run_failure_detector());
     for peer in node.settings.peers.clone() {
@@ -217,11 +219,14 @@
             peers: RefCell::new(BTreeMap::new()),
             batched_polls: BatchedPolls::default(),
             all_replica_reads: AllReplicaReads::default(),
-            terminal_cache: RefCell::new(TerminalCache::new(tuning.terminal_cache as usize)),
-            redirects: RefCell::new(RedirectTracker::new(tuning.relay_again_s, tuning.relay_s)),
+            terminal_cache: RefCell::new(TerminalCache::new(tuning.max_ended_jobs as usize)),
+            redirects: RefCell::new(RedirectTracker::new(
+                tuning.relay_detect_s,
+                tuning.relay_duration_s,
+            )),
             handed_off_workers: RefCell::new(RedirectTracker::new(
-                tuning.relay_again_s,
-                tuning.relay_s,
+                tuning.relay_detect_s,
+                tuning.relay_duration_s,
             )),
             outside_contact_at: Cell::new(f64::MIN),
             last_designated: RefCell::default(),
@@ -275,22 +280,22 @@
         EngineConfig {
             member: self.settings.member.clone(),
             teams: self.settings.team_limits(),
-            start_aims: aims
+            start_objectives: aims
                 .clone()
                 .filter_map(|(class, within)| Some((class?, within)))
                 .collect(),
-            late_aims,
-            guarantee_aim: aims
+            deadline_factors: late_aims,
+            guarantee_start_objective: aims
                 .filter(|(class, _)| class.is_none())
                 .map(|(_, within)| within)
                 .reduce(f64::min),
-            report_s: facts.workers.report_s,
+            heartbeat_interval_s: facts.workers.report_s,
             lease_s: facts.workers.lease_s,
             cancel_s: facts.workers.cancel_s,
-            list_lag_s: facts.cloud.list_lag_s,
-            txn_ops: facts.state.txn_ops,
-            value_bytes: (facts.state.value_kb * 1024.0) as usize,
-            skew_ms: facts.skew_ms,
+            cloud_list_lag_s: facts.cloud.list_lag_s,
+            max_txn_changes: facts.state.txn_ops,
+            max_value_bytes: (facts.state.value_kb * 1024.0) as usize,
+            max_clock_skew_ms: facts.skew_ms,
             slice_steps: (facts.resources.cpu * self.tuning.slice_s * 1e9 / self.tuning.step_ns)
                 as u64,
             tuning: self.tuning.clone(),
@@ -313,10 +318,10 @@
         }
         *leader = Some((member.to_owned(), token));
         drop(leader);
-        self.delegate.borrow_mut().superseded(token);
+        self.delegate.borrow_mut().on_newer_leader(token);
         self.failure_detector
             .borrow_mut()
-            .leader(self.clock.now(), token);
+            .observe_leader(self.clock.now(), token);
         if let Role::Leading(leading) = &*self.role.borrow()
             && leading.engine.revision() < token
         {
@@ -363,12 +368,12 @@
 
 fn failure_detector(tuning: &Tuning) -> FailureDetector {
     FailureDetector::new(DetectorTimeouts {
-        rank_s: tuning.rank_s,
-        answer_s: tuning.answer_s,
-        silent_answer_s: tuning.silent_answer_s,
-        settle_s: tuning.settle_s,
-        slack_s: tuning.answer_slack_s,
-        cleared_s: tuning.cleared_s,
+        stagger_s: tuning.standby_rank_delay_s,
+        probe_timeout_s: tuning.leader_answer_timeout_s,
+        unresponsive_probe_timeout_s: tuning.silent_leader_answer_timeout_s,
+        post_election_grace_s: tuning.election_settle_s,
+        probe_slack_s: tuning.leader_answer_slack_s,
+        probe_backoff_s: tuning.suspicion_cleared_s,
     })
 }
 
