--- a/crates/umbersail-control/src/front.rs
+++ b/crates/umbersail-control/src/front.rs
@@ -193,15 +193,19 @@
             .is_some_and(|p| p.unresponsive);
         if is_proxy || leader_unresponsive {
             let direct = || !has_returned();
-            if let Some(response) = self.relay_heartbeat(&leader, &heartbeat, body, direct).await {
+            if let Some(response) = self
+                .relay_heartbeat(&leader, &heartbeat, body, direct)
+                .await
+            {
                 return response;
             }
         } else if redirects.borrow_mut().is_returning(
             &heartbeat.machine,
             self.has_seen_leader_token(&heartbeat),
             now,
-        ) && let Some(response) =
-            self.relay_heartbeat(&leader, &heartbeat, body, || false).await
+        ) && let Some(response) = self
+            .relay_heartbeat(&leader, &heartbeat, body, || false)
+            .await
         {
             return response;
         }
@@ -247,7 +251,9 @@
         let Some(revision) = self.answering_revision(&heartbeat, received_at) else {
             return Response::empty(503);
         };
-        if self.with_engine(revision, |e| e.receive_heartbeat(received_at, &heartbeat)) != Some(true) {
+        if self.with_engine(revision, |e| e.receive_heartbeat(received_at, &heartbeat))
+            != Some(true)
+        {
             return Response::empty(503);
         }
         self.scheduler_wakeup.notify();
@@ -591,7 +597,9 @@
         let workers_pass_images_on = self.tuning.peer_to_peer_images >= 0.5;
         let allowed =
             |t: &&umbersail_wire::MachineType| umbersail_policy::allows_type(spec, &t.name);
-        if workers_pass_images_on && !(types.iter().filter(allowed)).any(|t| image_fits_cache(t, spec)) {
+        if workers_pass_images_on
+            && !(types.iter().filter(allowed)).any(|t| image_fits_cache(t, spec))
+        {
             return Err(Rejection::ImageTooLarge(spec.image_gb));
         }
         match umbersail_policy::smallest_cpus(spec, &types) {
--- a/crates/umbersail-control/src/leader/election.rs
+++ b/crates/umbersail-control/src/leader/election.rs
@@ -25,7 +25,7 @@
     pub token: u64,
     /// The previous holder deleted the progress records of ended jobs at once, so orphaned
     /// attempts are unknown and machines count as fully occupied (rule 4).
-    pub whole_machines: bool,
+    pub count_whole_machines: bool,
     /// An earlier holder may have started tasks without a record.
     pub predecessor_degraded: bool,
     /// Plans may be recorded, so they must be read.
@@ -159,7 +159,7 @@
             .get::<GrantRecord>(GRANT_KEY, RequestPriority::Critical)
             .await
             .ok()?;
-        let whole_machines = found
+        let count_whole_machines = found
             .as_ref()
             .is_some_and(|(g, _)| !g.keeps_orphaned_attempts);
         // If no plan was ever configured or recorded, the recovery skips reading plans.
@@ -195,7 +195,7 @@
             TxnOutcome::Applied { revision } => Some(WonElection {
                 token: revision,
                 predecessor_degraded,
-                whole_machines,
+                count_whole_machines,
                 plans,
             }),
             _ => None,
--- a/crates/umbersail-control/src/leader/jobs.rs
+++ b/crates/umbersail-control/src/leader/jobs.rs
@@ -66,8 +66,8 @@
     /// Watches the job keys, and passes accepted and cancelled jobs to the engine.
     pub(super) async fn watch_jobs(self: Rc<Self>, token: u64) {
         while let Some(from) = self.known_jobs_revision(token) {
-            let hold_s = self.tuning.watch_timeout_s;
-            match self.kv.watch::<JobRecord>(JOBS, from, hold_s).await {
+            let timeout_s = self.tuning.watch_timeout_s;
+            match self.kv.watch::<JobRecord>(JOBS, from, timeout_s).await {
                 Ok(result) => self.apply_job_changes(token, result),
                 Err(KeyValueError::Gone) => self.list_jobs(token).await,
                 Err(_) => sleep(0.3).await,
--- a/crates/umbersail-control/src/leader/recovery.rs
+++ b/crates/umbersail-control/src/leader/recovery.rs
@@ -113,7 +113,7 @@
             grant_parts: parts.into_iter().filter_map(inherited_part).collect(),
             jobs,
             finished_jobs: ended_jobs.collect(),
-            count_whole_machines: elected.whole_machines,
+            count_whole_machines: elected.count_whole_machines,
             predecessor_degraded: elected.predecessor_degraded,
             types: self.machine_types.borrow().clone(),
             plans: plans.into_iter().map(inherited_plan).collect(),
--- a/crates/umbersail-control/src/node.rs
+++ b/crates/umbersail-control/src/node.rs
@@ -264,28 +264,28 @@
     /// Derives the engine's configuration from the settings and the tuning parameters.
     pub(crate) fn engine_config(&self) -> EngineConfig {
         let facts = &self.settings.facts;
-        let aims = facts
+        let start_limits = facts
             .objectives
             .iter()
             .filter_map(|o| Some((o.class.clone(), o.within_s?)));
-        let mut late_aims: BTreeMap<String, f64> = BTreeMap::new();
+        let mut deadline_factors: BTreeMap<String, f64> = BTreeMap::new();
         for objective in &facts.objectives {
             if let (Some(class), Some(times)) = (&objective.class, objective.times)
                 && times > 1.0
             {
-                let largest = late_aims.entry(class.clone()).or_insert(times);
+                let largest = deadline_factors.entry(class.clone()).or_insert(times);
                 *largest = largest.max(times);
             }
         }
         EngineConfig {
             member: self.settings.member.clone(),
             teams: self.settings.team_limits(),
-            start_objectives: aims
+            start_objectives: start_limits
                 .clone()
                 .filter_map(|(class, within)| Some((class?, within)))
                 .collect(),
-            deadline_factors: late_aims,
-            guarantee_start_objective: aims
+            deadline_factors,
+            guarantee_start_objective: start_limits
                 .filter(|(class, _)| class.is_none())
                 .map(|(_, within)| within)
                 .reduce(f64::min),
