--- a/crates/umbersail-control/src/engine/eligibility.rs
+++ b/crates/umbersail-control/src/engine/eligibility.rs
@@ -1,4 +1,4 @@
-//! Which machines a job's tasks may use: types, zones, images.
+//! Which machines a job's tasks may use, by type, zone and cached image.
 
 use std::collections::BTreeMap;
 
@@ -10,9 +10,9 @@
 use super::{Engine, Job, Time};
 
 impl Engine {
-    /// Whether the job does better to wait for a place where its image is: it
-    /// would start too late after a fetch, and in time if such a place falls
-    /// free within the time that is left.
+    /// Whether the job should wait for a slot on a machine that has its image. This is the
+    /// case if fetching the image would make the job miss its start-time objective, and
+    /// enough machines have the image that one of them is likely to have room in time.
     pub(super) fn should_await_image(
         &self,
         now: Time,
@@ -47,8 +47,8 @@
         places >= least
     }
 
-    /// Whether a fetch of its image would make the job start too late, with time
-    /// left to wait for a place that has it.
+    /// Whether fetching the image would make the job miss its start-time objective, while
+    /// there is still time to wait for a slot on a machine that has the image.
     pub(super) fn fetch_misses_start_objective(
         &self,
         now: Time,
@@ -62,9 +62,9 @@
         })
     }
 
-    /// The zone that the job's present tasks fix, and how many each zone has.
-    /// Tasks whose recovery is pending count wherever they may be, and so do attempts of completed tasks
-    /// that an earlier holder left (rule 4).
+    /// The zone that the job's present tasks require, and the number of tasks in each zone.
+    /// Tasks whose recovery is pending count in every zone where they may run, and so do
+    /// attempts of completed tasks that an earlier leader started (rule 4).
     pub(super) fn zones_of(&self, job: &Job) -> (Option<String>, BTreeMap<String, u32>) {
         let mut zones: BTreeMap<String, u32> = BTreeMap::new();
         if !job.spec.one_zone() && !job.spec.spread() {
@@ -89,8 +89,8 @@
         (only, zones)
     }
 
-    /// The machines that the job's tasks may use now: types that waiting larger
-    /// work can't do without are closed to it.
+    /// The machines that the job's tasks may use now. Machine types that waiting jobs with
+    /// larger tasks depend on are excluded.
     pub(super) fn machine_filter(&self, job: &Job, large_task_cpus: &[f64]) -> MachineFilter {
         let least = job.smallest_cpus + 1e-6;
         self.machine_filter_where(job, |index, t| {
@@ -101,7 +101,7 @@
         })
     }
 
-    /// The machines that the job allows, of types that `open` takes.
+    /// The machines that the job allows, restricted to types that `open` accepts.
     pub(super) fn machine_filter_where(
         &self,
         job: &Job,
--- a/crates/umbersail-control/src/engine/evict.rs
+++ b/crates/umbersail-control/src/engine/evict.rs
@@ -1,4 +1,4 @@
-//! The design's ordinary path: who is evicted for an upper-tier job.
+//! Eviction: selects the tasks to stop so that a blocked job of an upper tier can run.
 
 use std::collections::BTreeMap;
 
@@ -13,27 +13,28 @@
 use super::machine::Claim;
 use super::{Engine, Job, JobId, Machine, MachineId, Placement, Stop, Time};
 
-/// What may be lost, gathered once in a slice for all blocked jobs that stand
-/// alike.
+/// Tasks that may be evicted, collected once per slice for all blocked jobs of the same
+/// preemption class.
 #[derive(Default)]
 pub(super) struct EvictionCandidates {
     groups: Vec<CandidateGroup>,
-    /// Machines and tasks looked at so far.
+    /// Number of machines and tasks examined so far.
     pub examined: u64,
 }
 
-/// For beneficiaries of one class.
+/// Eviction candidates for blocked jobs of one class.
 struct CandidateGroup {
     of: (PreemptionClass<Priority>, bool),
-    /// Machines by name, with the tasks there that may be lost.
+    /// Machines by name, each with the tasks on it that may be evicted.
     machines: Vec<(MachineId, Vec<(JobId, u32)>)>,
-    /// Localities in which none of them lies.
+    /// Machine filters for which a search found no machine with evictable tasks.
     exhausted: Vec<MachineFilter>,
     examined: u64,
 }
 
 impl Engine {
-    /// Whether the job could ever lose a task: if not, no search looks at it.
+    /// Whether the job could ever lose a task to eviction. Jobs that cannot are left out of
+    /// all searches.
     pub(super) fn may_ever_be_preempted(&self, job: &Job) -> bool {
         let tuning = &self.cfg.tuning;
         !job.is_service()
@@ -43,9 +44,10 @@
                 || tuning.reclaim_deadline_work > 0.0)
     }
 
-    /// The design's ordinary path: an upper-tier job that neither fits nor can
-    /// rent room in time evicts, of the sets priced at or below the median,
-    /// the one with the fewest jobs. True if the search was worth its time.
+    /// Evicts tasks for a blocked job that neither fits on any machine nor can get a rented
+    /// machine in time. Of the candidate victim sets whose lost work is at or below the
+    /// median, the set with the fewest jobs is evicted. Returns whether the search found
+    /// any machine with evictable tasks.
     pub(super) fn evict_for(
         &mut self,
         now: Time,
@@ -86,7 +88,8 @@
         let selection = select_victims(&job.shape, candidates, max_sets);
         searched.examined += examined;
         if hosts == 0 {
-            // Who may lose, where, only becomes less while this slice lasts.
+            // Within a slice, tasks can only become unavailable for eviction, so a repeated
+            // search would find nothing either.
             searched.groups[group].exhausted.push(filter);
             return false;
         }
@@ -100,16 +103,17 @@
         true
     }
 
-    /// Whether the job may evict at all just now.
+    /// Whether the job may evict other tasks now.
     fn may_evict(&self, now: Time, job: &Job) -> bool {
-        // A job that fails everywhere would keep evicting for ever.
+        // A job that fails on every machine would evict tasks without end.
         job.waits()
             && !job.suspect
             && job.errors < self.cfg.tuning.evict_errors_limit as u32
             && now >= job.evict_hold_until
     }
 
-    /// Index of the group of candidates for jobs of this class, gathered once in a slice.
+    /// Index of the candidate group for jobs of this class, which is built on first use in
+    /// a slice.
     fn candidate_group(
         &self,
         job: &Job,
@@ -128,7 +132,7 @@
         searched.groups.len() - 1
     }
 
-    /// The machine, if it takes tasks and lies within the filter.
+    /// The machine, if it takes tasks and matches the filter.
     fn evictable_machine(
         &self,
         now: Time,
@@ -142,7 +146,8 @@
         usable.then_some(machine)
     }
 
-    /// What may be evicted on a machine, with prices; none if nothing may.
+    /// The tasks that may be evicted from a machine, with the work that each would lose;
+    /// `None` if there are none.
     fn eviction_host(
         &self,
         now: Time,
@@ -174,8 +179,9 @@
         })
     }
 
-    /// Stops the victims, or lets those wait again that nobody was told of. The longest
-    /// time that one has to save, in seconds.
+    /// Stops the victims; those that no worker was told of go back to the queue instead.
+    /// Returns the longest grace period, in seconds, that a victim has for saving its
+    /// state.
     fn stop_victims(&mut self, now: Time, tasks: &[(JobId, u32)], usage: &mut [Usage]) -> f64 {
         let limit = self.cfg.tuning.evict_loser_limit;
         let mut saving_s: f64 = 0.0;
@@ -201,7 +207,8 @@
         saving_s
     }
 
-    /// Keeps the room for the job until it is free, or the job would evict for it again.
+    /// Reserves the freed capacity for the job until the victims are gone. Otherwise the
+    /// job would evict again for the same capacity.
     fn claim_room(
         &mut self,
         now: Time,
@@ -224,9 +231,9 @@
         }
     }
 
-    /// Lets a task wait again that no worker has been told of, if it is one. No
-    /// worker could obey a stop: the task would stay planned, and hold its place,
-    /// until the next leader.
+    /// Returns a task to the queue if no worker was told of it, and reports whether it did
+    /// so. No worker could acknowledge a stop command for such a task: it would stay
+    /// planned, and occupy its slot, until the next leader takes over.
     pub(super) fn unplace_if_unsent(&mut self, id: &JobId, task: u32, usage: &mut [Usage]) -> bool {
         let unsent_launches = |job: &&Job| job.live.get(&task).is_some_and(|p| !p.told());
         let Some(job) = self.jobs.get(id).filter(unsent_launches) else {
@@ -239,7 +246,7 @@
         true
     }
 
-    /// The tasks that may be lost to a job of this class, by machine.
+    /// Collects the tasks that may be evicted for a job of this class, by machine.
     fn build_candidate_group(
         &self,
         winner: &Job,
@@ -291,7 +298,7 @@
         {
             return false;
         }
-        // Never below the victim team's guarantee.
+        // An eviction must not take the victim's team below its guarantee.
         let beyond = victim.team.is_none_or(|team| {
             let limits = &self.cfg.teams[team];
             !limits.has_guarantee()
@@ -308,8 +315,8 @@
             && (!has_deadline || tuning.evict_deadline_work > 0.0)
     }
 
-    /// Work lost since the start or the last checkpoint, in seconds: nothing where
-    /// no worker has been told yet.
+    /// Work that stopping the task would lose, in seconds since its start or its last
+    /// checkpoint. Zero if no worker was told of the task.
     pub(super) fn lost_work_s(&self, now: Time, victim: &Job, placement: &Placement) -> f64 {
         if !placement.told() {
             return 0.0;
@@ -317,7 +324,8 @@
         let ran = placement.running_since.map_or(0.0, |since| now - since);
         let checkpoint = victim.spec.checkpoint_s();
         let lost = if checkpoint > 0.0 {
-            // It saves when told to stop: what is lost is the time to save.
+            // The task saves a checkpoint when told to stop, so only the time for saving is
+            // lost.
             (ran % checkpoint).min(victim.spec.save_s())
         } else {
             ran
@@ -325,7 +333,7 @@
         lost.max(self.cfg.tuning.min_work_price_s)
     }
 
-    /// Whether a rented machine can be up before the job must start.
+    /// Whether a newly rented machine can be ready before the job must start.
     pub(super) fn can_rent_in_time(&self, now: Time, job: &Job) -> bool {
         let Some(slack) = self.slack_s(now, job) else {
             return true;
--- a/crates/umbersail-control/src/engine/order.rs
+++ b/crates/umbersail-control/src/engine/order.rs
@@ -1,4 +1,4 @@
-//! Which waiting job goes first.
+//! The priority order of waiting jobs.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -10,72 +10,73 @@
 use super::starvation_guard::BoostedJob;
 use super::{Engine, Job, JobId, Time};
 
-/// The order of a cycle, which the next cycles take as it is for a moment.
+/// The priority order of a cycle. Cycles that start within a short time reuse the order.
 #[derive(Debug, Clone)]
 pub(super) struct CachedPriorityOrder {
     pub computed_at: Time,
     pub jobs: Vector<JobId>,
-    /// By tier and type of machine, the largest "smallest type" among the waiting
-    /// jobs of this tier or above that it takes: smaller tasks keep off. A lower
-    /// tier's large task reserves nothing against an upper tier.
+    /// By tier and machine type: the CPUs of the largest "smallest fitting type" among the
+    /// waiting jobs of this tier or above that fit the machine type. Jobs with smaller
+    /// tasks do not use such a type. A large task of a lower tier reserves no type against
+    /// an upper tier.
     pub large_task_cpus: BTreeMap<Priority, Vec<f64>>,
 }
 
-/// Position in the priority order, from the most to the least significant field; the
-/// greater position goes first.
+/// Sort key of the priority order, from the most to the least significant field. Greater
+/// keys go first.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct QueuePosition {
-    /// Not retried after repeated failures: those go last.
+    /// False for a job that is retried after repeated failures; such jobs go last.
     not_failing: bool,
     tier: Priority,
-    /// Within its team's guarantee.
+    /// Covered by its team's guarantee.
     guaranteed: bool,
-    /// Put first in its tier by the starvation guard.
+    /// Moved to the front of its tier by the starvation guard.
     boosted: bool,
-    /// Can still meet its objective on starting.
+    /// Can still meet its start-time objective.
     can_start_in_time: bool,
     forecast: DeadlineForecast,
 }
 
-/// Whether a job can end in time beside the others that wait; the later one
-/// goes first.
+/// Whether a job is expected to finish by its deadline, given the other waiting jobs. Later
+/// variants go first.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 enum DeadlineForecast {
     Missed,
-    /// Late, but while it still counts.
+    /// After the deadline, but within the time in which a late job still counts.
     WithinGrace,
     OnTime,
 }
 
-/// A waiting job in the order of placement.
+/// A waiting job with the values that decide its position in the order.
 struct WaitingJob<'a> {
     id: &'a JobId,
     job: &'a Job,
     slack_s: Option<f64>,
     forecast: DeadlineForecast,
-    /// Its class, team or size has been served too little.
+    /// Too few jobs of its class, team or size met their deadlines recently.
     underserved: bool,
 }
 
-/// Jobs that compete for the same machines.
+/// A set of machines that jobs of one tier compete for.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
 struct MachinePool {
     tier: Priority,
-    /// Of all machine types, which ones take a task.
+    /// For each machine type, whether the task fits that type and the job allows it.
     types: Vec<bool>,
     spot: bool,
 }
 
 impl Engine {
-    /// Estimated seconds that a task of this job runs.
+    /// Estimated run time in seconds of one task of this job.
     pub(super) fn expected_run_s(&self, job: &Job) -> f64 {
         self.learner
             .expected_run_s(&job.spec.class, job.spec.estimate_s)
     }
 
-    /// Seconds until the job must start to meet its deadline, with the fetch of
-    /// its image: whoever is late for certain shall not go before one who
-    /// need not be.
+    /// Seconds until the job must start to meet its deadline, including the fetch of its
+    /// image. Without the fetch, a job that is certain to be late could go before a job
+    /// that can still be on time.
     pub(super) fn slack_s(&self, now: Time, job: &Job) -> Option<f64> {
         let own = job.spec.deadline_s.map(|deadline| job.submitted + deadline);
         let due = match (own, job.planned_due) {
@@ -85,14 +86,14 @@
         Some(due - now - self.expected_run_s(job) - self.image_fetch_s(job))
     }
 
-    /// Seconds that the fetch of the job's image takes at the least.
+    /// Least number of seconds needed to fetch the job's image.
     pub(super) fn image_fetch_s(&self, job: &Job) -> f64 {
         let fitting = |t: &&MachineType| job.shape.fits_in(&Shape::of_type(t));
         let rates = self.types.iter().filter(fitting).map(|t| t.fetch_gb_per_s);
         job.spec.image_gb / rates.fold(1e-3, f64::max)
     }
 
-    /// Whether a job's team stays within its guarantee with this job.
+    /// Whether one more task of this job keeps its team within the team's guarantee.
     pub(super) fn is_guaranteed(&self, job: &Job, usage: &[Usage]) -> bool {
         let Some(index) = job.team else {
             return false;
@@ -101,7 +102,7 @@
         team.has_guarantee() && team.is_within_guarantee(&usage[index].plus(&job.shape, 1.0))
     }
 
-    /// Within how many seconds the job should start, if it is soon.
+    /// Start-time objective of the job in seconds since submission, if one applies.
     pub(super) fn start_objective_s(&self, job: &Job, guaranteed: bool) -> Option<f64> {
         let own = self.cfg.start_aims.get(&job.spec.class).copied();
         if guaranteed {
@@ -111,18 +112,21 @@
         }
     }
 
-    /// Whether the job can still meet its aim on starting. In an overload
-    /// these go first: by deadline alone every job would come just too late.
+    /// Whether the job can still meet its start-time objective. In an overload, jobs that
+    /// can go first: ordering by deadline alone would make every job start slightly too
+    /// late.
     pub(super) fn can_meet_start_objective(&self, now: Time, job: &Job, guaranteed: bool) -> bool {
         self.start_objective_s(job, guaranteed)
             .is_some_and(|within| now - job.submitted < within)
     }
 
-    /// Most urgent first: tier, then what a guarantee covers, then what the starvation guard
-    /// boosts, then what can still start in time, then what can end in time or soon
-    /// after (see `forecast_deadlines`), by the time it must start. What fails again and again
-    /// is last. Who is boosted to begin comes a second time, in its own place; and
-    /// who is boosted.
+    /// Returns the waiting jobs, most urgent first, and the jobs boosted by the starvation
+    /// guard. The criteria are, in this order: tier, covered by the team's guarantee,
+    /// boosted by the starvation guard, can meet its start-time objective, and can finish
+    /// on time or shortly after (see `forecast_deadlines`); ties are broken by the time at
+    /// which the job must start. Jobs that fail repeatedly go last. A job that is boosted
+    /// for its first task is listed twice: at its boosted position and at its normal
+    /// position.
     pub(super) fn priority_order(
         &self,
         now: Time,
@@ -146,7 +150,7 @@
         let ids: Vec<&JobId> = waiting.iter().map(|w| w.id).collect();
         let mut boosted = self.jobs_to_boost(now, &ids, snapshot);
         let begins: BTreeSet<JobId> = boosted.iter().map(|l| l.job.clone()).collect();
-        // Below a tier that is underserved itself nobody is boosted for a share.
+        // Jobs in tiers below an underserved tier are not boosted for being underserved.
         let underserved_tier = waiting.iter().filter(|w| w.underserved);
         let underserved_tier = underserved_tier.map(|w| w.job.spec.priority).max();
         let mut order: Vec<(QueuePosition, f64, &JobId)> = Vec::with_capacity(waiting.len());
@@ -185,8 +189,9 @@
         job.goes_last(self.cfg.tuning.job_backoff_s)
     }
 
-    /// Of the jobs that want the same machines, as many as can end by their
-    /// deadlines; of the rest, as many as can end while that still counts.
+    /// Forecasts which jobs finish on time. Among jobs that compete for the same machines,
+    /// selects as many as possible that can finish by their deadlines; of the others, as
+    /// many as possible that can finish while a late job still counts.
     fn forecast_deadlines<'a>(
         &self,
         mut waiting: Vec<WaitingJob<'a>>,
@@ -198,7 +203,7 @@
                 pools.entry(self.pool(w.job)).or_default().push(index);
             }
         }
-        // What runs, by tier and by team: looked at once and not for each pool.
+        // CPUs in use by tier and by team, computed once for all pools.
         let mut occupied: BTreeMap<Priority, f64> = BTreeMap::new();
         let mut by_team: BTreeMap<(usize, Priority), f64> = BTreeMap::new();
         if !pools.is_empty() {
@@ -262,7 +267,7 @@
         waiting
     }
 
-    /// The machines that a job competes for, and with which tier.
+    /// The machine pool that a job competes for.
     fn pool(&self, job: &Job) -> MachinePool {
         let fits = |t: &MachineType| {
             job.shape.fits_in(&Shape::of_type(t)) && allows_type(&job.spec, &t.name)
@@ -274,7 +279,7 @@
         }
     }
 
-    /// CPUs that a team may use at once; infinite without a limit.
+    /// CPUs that a team may use at the same time; infinite without a limit.
     pub(super) fn team_cpu_limit(&self, team: Option<usize>) -> f64 {
         let limit = team.map_or(0.0, |t| self.cfg.teams[t].max_cpus);
         match limit > 0.0 {
@@ -283,8 +288,8 @@
         }
     }
 
-    /// CPUs that the limits of these teams leave to a tier, less what their upper tiers
-    /// use; infinite if one of them has no limit.
+    /// CPUs that the limits of these teams leave to a tier, less what the teams' upper
+    /// tiers use; infinite if any of the teams has no limit.
     fn allowed_cpus(
         &self,
         tier: Priority,
@@ -302,9 +307,9 @@
         allowed.sum()
     }
 
-    /// CPUs of a pool's machines, up or coming, less what upper tiers use that
-    /// does not go elsewhere; where somebody is underserved no less than what may be
-    /// kept for those.
+    /// CPUs of a pool's machines, running or booting, less what upper tiers use and cannot
+    /// run on machines outside the pool. If a job in the pool is underserved, the result is
+    /// at least the share that may be held for underserved jobs.
     fn pool_cpus(
         &self,
         pool: &MachinePool,
@@ -335,15 +340,16 @@
         (inside - (above - outside).max(0.0)).max(least) * self.cfg.tuning.pool_share
     }
 
-    /// Whether the order made last serves again: it was made a moment ago and no
-    /// job has begun to wait since. What moves in it by time alone moves slowly.
+    /// Whether the cached order is recent enough to be reused. The part of the order that
+    /// changes with time alone changes slowly.
     pub(super) fn is_cached_order_valid(&self, now: Time) -> bool {
         let moment = 0.0..self.cfg.tuning.order_keep_s;
         let kept = self.cached_order.as_ref();
         kept.is_some_and(|kept| moment.contains(&(now - kept.computed_at)))
     }
 
-    /// The order of a cycle with what it reserves.
+    /// Returns the order for a cycle, from the cache if possible, together with the
+    /// reserved machine types.
     pub(super) fn cycle_order(
         &mut self,
         now: Time,
@@ -365,7 +371,7 @@
         order
     }
 
-    /// See [`CachedPriorityOrder::reserved`].
+    /// See [`CachedPriorityOrder::large_task_cpus`].
     fn large_task_cpus(&self, waiting: &Vector<JobId>) -> BTreeMap<Priority, Vec<f64>> {
         let none = vec![0.0; self.types.len()];
         let mut by_tier: BTreeMap<Priority, Vec<f64>> = BTreeMap::new();
--- a/crates/umbersail-control/src/engine/placement.rs
+++ b/crates/umbersail-control/src/engine/placement.rs
@@ -1,4 +1,4 @@
-//! Where the waiting tasks of one job go.
+//! Chooses slots for the waiting tasks of one job and places the tasks.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -14,17 +14,17 @@
 use super::schedule::{ClusterSnapshot, CycleSlice, RankingKey};
 use super::{BlockedReason, Engine, Job, JobId, MachineId, Placement, Time};
 
-/// Where a job's tasks go.
+/// The slots chosen for a job's tasks, and what is left to place.
 pub(super) struct PlacementDecision {
     wanted: u32,
     quota: u32,
     awaits_image: bool,
-    /// Indices, each with its number of tasks.
+    /// Slot indices, each with the number of tasks to place there.
     places: Vec<(usize, u32)>,
 }
 
 impl PlacementDecision {
-    /// Why tasks are left over.
+    /// Why some tasks remain unplaced.
     fn blocked_reason(&self) -> BlockedReason {
         match self.quota {
             0 => BlockedReason::TeamLimit,
@@ -33,8 +33,9 @@
         }
     }
 
-    /// So many tasks at most go there, unless the job's record can name no more
-    /// machines. How many do.
+    /// Assigns up to `slots` tasks to a slot, unless the machine is new to the job and the
+    /// job's record has no room for another machine name. Returns the number of tasks
+    /// assigned.
     pub(super) fn take(
         &mut self,
         index: usize,
@@ -62,8 +63,8 @@
 }
 
 impl Engine {
-    /// Places what fits of one job. How many tasks were placed, and whether some
-    /// are left that a machine might take if there were room.
+    /// Places as many of the job's tasks as fit. Returns the number of tasks placed, and
+    /// whether tasks remain that could be placed if a machine had room.
     pub(super) fn place_job(
         &mut self,
         now: Time,
@@ -82,8 +83,8 @@
             self.set_blocked_reason(id, BlockedReason::TeamLimit);
             return (0, false);
         }
-        // A job comes twice if the starvation guard boosts it: first for the task with
-        // which it begins, then in its own place.
+        // A job that the starvation guard boosts is listed twice: first for its first task,
+        // then at its normal position.
         let begins = self.is_boosted_to_start(id, job);
         let mut decision = PlacementDecision {
             wanted: job.startable().min(if begins { 1 } else { u32::MAX }),
@@ -105,8 +106,8 @@
         (placed, might_evict)
     }
 
-    /// Closes slots claimed for jobs of upper tiers that still wait. Tiers come in turn, so
-    /// what is kept from this one is kept from the rest.
+    /// Closes slots claimed for jobs of upper tiers that still wait. Tiers are processed
+    /// from the top down, so a slot closed to this tier is closed to all later tiers.
     fn close_claimed_slots(&self, tier: Priority, slice: &mut CycleSlice<'_>) {
         let ClusterSnapshot {
             slots: places,
@@ -123,7 +124,7 @@
         }
     }
 
-    /// Chooses slots for a job, unless a search has shown that there are none.
+    /// Chooses slots for a job, unless an earlier search has shown that none fits.
     fn choose_slots(
         &self,
         now: Time,
@@ -190,7 +191,8 @@
         }
     }
 
-    /// What a place costs those who rank alike, if any task may go there.
+    /// Cost of a slot for jobs with this ranking key; `None` if none of these jobs may use
+    /// the slot.
     pub(super) fn ranking_cost(
         &self,
         places: &CandidateSlots<MachineId>,
@@ -231,8 +233,8 @@
         }
     }
 
-    /// Machines that the job's record can name beside those that it does; without
-    /// bound where it can name all.
+    /// The machines that the job's record names, and how many more the record has room for;
+    /// `None` if the record has room for all machines.
     pub(super) fn host_allowance(&self, job: &Job) -> Option<(BTreeSet<MachineId>, usize)> {
         let most = self.most_hosts(job.spec.tasks);
         (most < self.machines.len()).then(|| {
@@ -242,8 +244,9 @@
         })
     }
 
-    /// Candidate slots for a job with no wishes but its filter: it goes on in the ranking
-    /// where the jobs before it that rank alike have left it.
+    /// Chooses slots for a job whose only restriction is its machine filter. Jobs with
+    /// equal ranking keys share one ranking, so the search continues from where the
+    /// previous such job left the ranking.
     pub(super) fn choose_by_ranking(
         &self,
         job: &Job,
@@ -289,7 +292,7 @@
         }
     }
 
-    /// Slots for any job.
+    /// Chooses slots for any job by examining all candidate slots.
     pub(super) fn choose_by_search(
         &self,
         now: Time,
@@ -311,7 +314,7 @@
         }
         let (mut only_zone, mut zones) = self.zones_of(job);
         if only_zone.is_none() && job.spec.one_zone() {
-            // The zone with most room takes them all.
+            // All tasks go to the zone with the most room.
             let mut room: BTreeMap<&str, u32> = BTreeMap::new();
             for place in &found {
                 *room.entry(places.zone(*place)).or_default() +=
@@ -366,8 +369,8 @@
         machine: &MachineId,
         usage: &mut [Usage],
     ) {
-        // Rule 5: the token differs for every holder and the counter for every
-        // attempt, so no attempt number is ever given twice.
+        // Rule 5: the fencing token differs between leaders and the counter between
+        // attempts, so no attempt number is ever used twice.
         self.attempts += 1;
         let attempt = (self.revision() << 24) + self.attempts;
         let Some(job) = self.jobs.get_mut(id) else {
--- a/crates/umbersail-control/src/engine/rental.rs
+++ b/crates/umbersail-control/src/engine/rental.rs
@@ -1,4 +1,4 @@
-//! Machines: what the cloud lists, what is rented and what goes back.
+//! Renting machines from the cloud and returning them.
 
 use std::collections::BTreeMap;
 
@@ -11,18 +11,20 @@
 use super::plans::KeptRoom;
 use super::{CloudAction, Engine, Job, Machine, MachineId, Time, epoch};
 
-/// Most names in one deletion, and machines in one rental, by the protocol.
+/// Limits set by the cloud protocol: machine names per deletion request, and machines per
+/// rental request.
 const MAX_MACHINES_PER_DELETION: usize = 100;
 pub(super) const MAX_MACHINES_PER_RENTAL: u32 = 50;
 
 impl Engine {
-    /// What the cloud shall do now, deletions first: they cost money and hold
-    /// up tasks.
+    /// Returns the requests to send to the cloud now. Deletions come first because the
+    /// machines cost money and hold up their tasks.
     pub fn cloud_actions(&mut self, now: Time) -> Vec<CloudAction> {
         self.mark_failed_machines(now);
         let mut actions = Vec::new();
-        // A new name for what may have been granted already would rent without
-        // bound while the cloud does not answer.
+        // Unanswered requests are repeated under their old name. The cloud may already have
+        // granted them, so new names would rent machines without bound while the cloud does
+        // not answer.
         let mut requests = match self.unanswered.pop_front() {
             Some(request) => vec![request],
             None => self.plan_rentals(now),
@@ -46,7 +48,8 @@
         actions
     }
 
-    /// Machines that don't come up, and silent ones that nobody explains.
+    /// Marks machines for deletion that fail to boot, or that have been silent or
+    /// unreachable for too long.
     fn mark_failed_machines(&mut self, now: Time) {
         let tuning = self.cfg.tuning.clone();
         let mostly_unreachable = self.is_mostly_unreachable();
@@ -63,7 +66,7 @@
                 if now - report > tuning.vanish_s {
                     machine.delete_reason = Some("silent for too long");
                 } else if !machine.confirmed && now - report > 2.0 * self.cfg.lease_s {
-                    // The deletion of one that is gone already does nothing.
+                    // If the machine no longer exists, deleting it has no effect.
                     machine.delete_reason = Some("heard of by an old report only");
                 } else if unreachable_s > tuning.unreachable_delete_s
                     && machine.tasks.is_empty()
@@ -75,7 +78,7 @@
             }
             let boot_s = machine.type_index.map_or(60.0, |i| self.types[i].boot_s);
             let patience = tuning.boot_patience * boot_s + tuning.boot_patience_s;
-            // A machine that ran under an earlier holder needs time to find us.
+            // A machine that ran under an earlier leader needs time to connect to this one.
             let since = machine.since.max(self.elected_at + 20.0 - patience);
             if now - since > patience {
                 warn!(
@@ -92,8 +95,8 @@
         }
     }
 
-    /// Whether so many machines hear nothing that it is us: none is given back
-    /// or replaced for it.
+    /// Whether most machines are unreachable. The fault is then probably on this
+    /// controller's side, so no machine is returned or replaced for being unreachable.
     pub(super) fn is_mostly_unreachable(&self) -> bool {
         let up = self.machines.values().filter(|m| m.last_report.is_some());
         let (unreachable, all) = up.fold((0, 0), |(unreachable, all), m| {
@@ -105,7 +108,7 @@
         unreachable > 1 && 2 * unreachable > all
     }
 
-    /// What to rent now; machines that nobody will want are marked for return.
+    /// Plans which machines to rent, and marks machines that no job needs for return.
     fn plan_rentals(&mut self, now: Time) -> Vec<RentRequest> {
         let dt = (now - self.last_rental).max(0.0);
         self.last_rental = now;
@@ -132,8 +135,8 @@
             .collect()
     }
 
-    /// What is kept ready for classes with an aim on starting, by their learned load, beside
-    /// what `demands` and reserved machines have for them.
+    /// Spare capacity for classes with a start-time objective, from their learned load, in
+    /// addition to what `demands` and reserved machines already provide.
     fn spare_demands(
         &self,
         now: Time,
@@ -172,7 +175,7 @@
         spare_demands
     }
 
-    /// Machines that stay and may be used by anybody, as the plan sees them.
+    /// The unreserved machines that are expected to stay, as input for the rental plan.
     fn rented_fleet(&self, now: Time) -> Vec<FleetMachine<MachineId>> {
         let mostly_unreachable = self.is_mostly_unreachable();
         let stays = |machine: &&Machine| {
@@ -215,8 +218,9 @@
         }
     }
 
-    /// Marks surplus machines for return, as far as the teams' guarantees allow: what those
-    /// cover must be there at once, and with it the images that only machines in use have.
+    /// Marks surplus machines for return, except where that would leave less than the
+    /// teams' guarantees require: guaranteed capacity must be available at once. The last
+    /// machine of a zone with an image that others fetch or wait for is kept as well.
     fn return_surplus(&mut self, surplus: Vec<MachineId>, fleet: &[FleetMachine<MachineId>]) {
         let headroom = self.cfg.tuning.headroom;
         let guaranteed = self
@@ -244,7 +248,8 @@
         }
     }
 
-    /// Names a request. The token differs for every holder, so no name is used twice.
+    /// Names a request. The fencing token differs between leaders, so no name is used
+    /// twice.
     fn rent_request(&mut self, request: ScaleOutRequest) -> RentRequest {
         self.requests += 1;
         let holder = epoch(self.token);
@@ -266,8 +271,8 @@
         named
     }
 
-    /// How long machines of a type are kept idle: for what comes next, if
-    /// anything that fits seems to come.
+    /// How long machines of a type are kept idle, in seconds. Machines are kept for a
+    /// shorter time if no class whose tasks fit the type seems to submit jobs any more.
     fn type_idle_limit_s(&self, now: Time, machine_type: &MachineType, most_s: f64) -> f64 {
         let room = Shape::of_type(machine_type);
         let quiet = self.samples.iter().all(|(class, sample)| {
@@ -281,9 +286,10 @@
         }
     }
 
-    /// How often machines in use turn over before a job's waiting tasks must
-    /// start. What is late already, or would be when a machine has booted,
-    /// gains little by an ordinary one: it waits for a turn of what there is.
+    /// How many times the machines in use may turn over before the job's waiting tasks must
+    /// start. A job that is late, or would be late by the time a new machine has booted,
+    /// gains little from an on-demand machine, so it waits for machines in use to become
+    /// free.
     fn max_turnovers(&self, now: Time, job: &Job) -> f64 {
         let tuning = &self.cfg.tuning;
         if self.cfg.guarantee_aim.is_some() {
@@ -306,8 +312,8 @@
         }
     }
 
-    /// Tasks that run or wait, by class and shape, as far as their teams'
-    /// limits let them run at once.
+    /// Running and waiting tasks by class and shape, limited to what the teams' limits let
+    /// run at the same time.
     fn current_demands(
         &self,
         now: Time,
@@ -343,9 +349,10 @@
                 continue;
             }
             let turns = self.max_turnovers(now, job);
-            // The task with which a boosted job begins does not wait for a turn.
+            // The first task of a boosted job does not wait for machines to turn over.
             let begins = u32::from(waiting > 0 && self.is_boosted_to_start(id, job)).min(tasks);
-            // By what tells demands apart: every job may have a shape of its own.
+            // Demands are merged by all fields that distinguish them, because every job may
+            // have a different shape.
             let bits = |amount: f64| amount.to_bits();
             let key = (
                 job.spec.class.as_str(),
--- a/crates/umbersail-control/src/engine/schedule.rs
+++ b/crates/umbersail-control/src/engine/schedule.rs
@@ -1,4 +1,4 @@
-//! Which waiting task goes where: a cycle, in slices that end.
+//! The scheduling cycle: decides which waiting task runs on which machine, in time slices.
 
 use std::collections::BTreeMap;
 
@@ -11,40 +11,46 @@
 use super::evict::EvictionCandidates;
 use super::{Engine, JobId, MachineId, Time};
 
-/// How often a blocked job may be looked at for eviction in one cycle.
+/// Most eviction searches in one cycle. A search that finds no machine with evictable tasks
+/// does not count.
 pub(super) const MAX_EVICTIONS_PER_CYCLE: usize = 4;
 
-/// A cycle that is under way.
+/// A scheduling cycle in progress.
 pub(super) struct SchedulingCycle {
     queue: CycleQueue<JobId>,
     large_task_cpus: BTreeMap<Priority, Vec<f64>>,
 }
 
-/// The fleet as one slice of a cycle sees it, from one walk over the machines.
+/// The machines as one slice of a cycle sees them, built by one pass over all machines.
 #[derive(Default)]
 pub(super) struct ClusterSnapshot {
     pub slots: CandidateSlots<MachineId>,
-    /// Slots kept for the winners of evictions, and from which tier on.
+    /// Slots claimed for the beneficiaries of evictions: the beneficiary's tier and the
+    /// slot's index.
     pub claimed_slots: Vec<(Priority, usize)>,
-    /// Machines that may hold tasks of jobs already over (rule 4).
+    /// Total capacity of the machines that may run orphaned attempts of unknown size (rule
+    /// 4).
     unaccounted: Shape,
-    /// CPUs that stay, up or coming: of each type the ordinary and the spot ones.
+    /// CPUs by machine type, as [on-demand, spot], of the machines that are running or
+    /// booting. Machines that are unreachable or about to be deleted or reclaimed are left
+    /// out.
     pub cpus_by_type: Vec<[f64; 2]>,
-    /// How many machines that take tasks have an image, by type; counted once
-    /// somebody asks.
+    /// Number of schedulable machines that have an image cached, by image and machine type.
+    /// Computed on first use.
     pub machines_with_image: Option<BTreeMap<(ImageKey, usize), usize>>,
-    /// Slots as jobs rank them that are alike, and how many that took to look at.
+    /// Slot rankings shared by jobs with the same ranking key, and the number of slots
+    /// examined to build and read the rankings.
     pub rankings: Option<Rankings<RankingKey>>,
     pub ranked_examined: u64,
 }
 
 impl ClusterSnapshot {
-    /// Slots looked at so far.
+    /// Number of slots examined so far.
     fn examined(&self) -> u64 {
         self.slots.examined() + self.ranked_examined
     }
 
-    /// Nothing more goes to this machine in this slice.
+    /// Excludes this machine from further placement in this slice.
     pub fn close(&mut self, machine: &MachineId) {
         let at = (0..self.slots.len()).find(|i| self.slots.get(*i).machine == *machine);
         if let Some(index) = at {
@@ -53,14 +59,15 @@
     }
 }
 
-/// What one slice of a cycle works with.
+/// State that the steps of one slice share.
 pub(super) struct CycleSlice<'a> {
     pub usage: &'a mut [Usage],
     pub snapshot: &'a mut ClusterSnapshot,
     pub large_task_cpus: &'a [f64],
 }
 
-/// What jobs have in common that rank places alike.
+/// The properties of a job that determine its ranking of slots. Jobs with equal keys share
+/// one ranking.
 #[derive(Debug, Clone, PartialEq)]
 pub(super) struct RankingKey {
     pub image: ImageKey,
@@ -69,30 +76,32 @@
 }
 
 impl Engine {
-    /// True if something changed that may let a task start, or if a cycle was
-    /// cut short.
+    /// True if something changed that may let a task start, or if a cycle was interrupted.
     pub fn needs_scheduling(&self) -> bool {
         self.schedule_wanted || self.unfinished_cycle.is_some()
     }
 
-    /// Whether a cycle was cut short: it goes on without waiting for its turn.
+    /// Whether a cycle was interrupted. Such a cycle resumes without waiting for the next
+    /// interval.
     pub fn is_mid_cycle(&self) -> bool {
         self.unfinished_cycle.is_some()
     }
 
-    /// The work done in cycles since this was last asked, in steps of about one
-    /// look at one machine.
+    /// Returns the work that cycles did since the last call, and resets the count. One step
+    /// is about the cost of examining one machine.
     pub fn take_steps(&mut self) -> u64 {
         std::mem::take(&mut self.steps)
     }
 
-    /// Places waiting tasks; launches follow with the machines' next reports.
+    /// Places waiting tasks on machines. Launch commands go out in the replies to the
+    /// machines' next heartbeats.
     ///
-    /// A cycle ends after [`super::EngineConfig::slice_steps`] and goes on with the next
-    /// call where it was, so that reports, renewals and users wait for a slice
-    /// and not for a whole snapshot. Upper tiers and the most urgent jobs are placed
-    /// in the first slice. Each slice looks at the fleet anew: what was reported
-    /// or cancelled in between holds (rules 3 and 4).
+    /// A cycle pauses after [`super::EngineConfig::slice_steps`] and resumes where it
+    /// paused with the next call, so that heartbeats, lease renewals and user requests wait
+    /// for one slice at most and not for a pass over the whole cluster. Upper tiers and the
+    /// most urgent jobs are placed in the first slice. Each slice takes a new snapshot of
+    /// the machines, so heartbeats and cancellations that arrived between two slices are
+    /// respected (rules 3 and 4).
     pub fn schedule(&mut self, now: Time) {
         let mut steps = StepBudget::new(self.cfg.slice_steps);
         if self.unfinished_cycle.is_none() && !self.is_cached_order_valid(now) {
@@ -155,7 +164,8 @@
         }
     }
 
-    /// The least that any waiting job's task takes, of each amount by itself.
+    /// The smallest amount of each resource that any waiting task needs, each resource
+    /// taken separately.
     fn least_waiting(&self) -> Shape {
         let mut least = Shape {
             cpus: f64::INFINITY,
@@ -170,7 +180,8 @@
         least
     }
 
-    /// One walk over the machines for all that a slice wants to know of them.
+    /// Collects what a slice needs to know about the machines, in one pass over all
+    /// machines.
     fn cluster_snapshot(&self, now: Time) -> ClusterSnapshot {
         let silent_after = self.silent_after();
         let mut snapshot = ClusterSnapshot {
@@ -192,8 +203,8 @@
                 snapshot.cpus_by_type[index][usize::from(machine.spot)] += room.cpus;
             }
             let free = room.plus(&machine.used, -1.0);
-            // Most machines of a busy fleet are full: what follows is for the
-            // few that are not.
+            // On a busy cluster most machines are full; the remaining work is only done for
+            // the few that have room.
             if !self.least_shape.fits_in(&free) || !machine.takes_tasks(now, silent_after) {
                 continue;
             }
@@ -222,8 +233,7 @@
         snapshot
     }
 
-    /// Whether the machine may hold tasks of jobs already over that no record
-    /// gives the size of.
+    /// Whether the machine may run orphaned attempts whose size no record states.
     pub(super) fn is_unsized(&self, machine: &super::Machine) -> bool {
         machine.unsized_orphans
             || (machine.inherited
@@ -232,15 +242,16 @@
                     || self.orphaned_jobs.is_unsized_at(&machine.name)))
     }
 
-    /// What each team's tasks use. Unaccounted ones count as present (rule 4):
-    /// tasks whose recovery is pending and attempts of jobs already over by their own size, known
-    /// from records that stand for as long as one may be about; and for limited
-    /// teams every machine by its whole size that may hold what no record tells.
+    /// Resources that each team uses. Attempts that are not accounted for count as running
+    /// (rule 4). Tasks whose recovery is pending, and orphaned attempts, count by their own
+    /// size, which is known from records that are kept for as long as such an attempt may
+    /// exist. For teams with a limit, every machine that may run unrecorded attempts counts
+    /// with its full capacity.
     pub(super) fn team_usage(&self, unaccounted: &Shape) -> Vec<Usage> {
         let mut usage = vec![Usage::default(); self.cfg.teams.len()];
         for job in self.jobs.values() {
             if let Some(team) = job.team {
-                // What no record tells of is on machines that count whole.
+                // Unrecorded tasks are on machines that count with their full capacity.
                 let counted = job.occupied() - job.unrecorded_recovery_pending();
                 usage[team].add(&job.shape, counted as f64);
             }
--- a/crates/umbersail-control/src/engine/starvation_guard.rs
+++ b/crates/umbersail-control/src/engine/starvation_guard.rs
@@ -1,11 +1,12 @@
-//! The starvation guard of the priority order: whom it boosts, and the slots held for them.
+//! The starvation guard of the priority order: boosts jobs that have waited too long, and
+//! holds slots for them.
 //!
-//! Nothing of it is recorded. Since when a job waits, and whether anything of it may
-//! have begun, follow from its own record and that of its progress, so a successor
-//! finds the same debt. The starvation guard plans as any cycle does: no place is held or taken
-//! on a machine that does not take tasks, a launch is told only once its record
-//! stands, and every machine that could hold the task is accounted for (rules 3 and
-//! 4). It stops nobody.
+//! The guard records nothing in the state service. How long a job has waited, and whether
+//! any of its tasks may have started, follow from the job's record and its progress record,
+//! so a new leader reaches the same decisions. The guard follows the same safety rules as
+//! any scheduling cycle: a slot is held or filled only on a machine that takes tasks, a
+//! launch is sent only after it is recorded, and every machine that may run the task is
+//! accounted for (rules 3 and 4). The guard never stops a task.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -18,24 +19,25 @@
 use super::schedule::ClusterSnapshot;
 use super::{Engine, Job, JobId, MachineId, Time};
 
-/// Slots that one order may begin to keep: each looks at every machine.
+/// Most new held slots per priority order. Choosing one examines every machine.
 const MAX_NEW_HELD_SLOTS: usize = 4;
 
-/// What the starvation guard holds from one cycle to the next.
+/// State that the starvation guard keeps between cycles.
 #[derive(Default)]
 pub(super) struct StarvationGuard {
-    /// Held slots, in the order in which they were given; bounded by the share of
-    /// each type that may be held.
+    /// Held slots, oldest first. Their number is bounded by the share of each machine type
+    /// that may be held.
     held_slots: Vec<HeldSlot>,
-    /// Whom it boosts by the newest order, and whether it is underserved in full; bounded by
-    /// the share of the fleet that those take.
+    /// Jobs that the newest priority order boosts, and whether all tasks of the job are
+    /// boosted because the job is underserved. Bounded by the share of the cluster that
+    /// boosted jobs may use.
     boosted: BTreeMap<JobId, bool>,
-    /// Jobs that began by being boosted, with the task that made them begin, until
-    /// that task ends; bounded by the same share. A successor starts with none.
+    /// Jobs that started because they were boosted, each with its first task, until that
+    /// task ends. Bounded by the same share. A new leader starts with an empty map.
     starting: BTreeMap<JobId, u32>,
 }
 
-/// Room on a machine that falls free for one task of a job.
+/// Capacity on a machine that is held for one task of a job until enough of it is free.
 #[derive(Debug, Clone, PartialEq)]
 struct HeldSlot {
     job: JobId,
@@ -43,7 +45,8 @@
     type_index: usize,
     cpus: f64,
     underserved: bool,
-    /// Then the room should have been free for long: another is chosen.
+    /// When the hold expires. The capacity should have been free long before, so another
+    /// slot is chosen.
     until: Time,
 }
 
@@ -51,31 +54,31 @@
 #[derive(Debug, Clone, PartialEq)]
 pub(super) struct BoostedJob {
     pub job: JobId,
-    /// Its class, team or size is served too little: all its tasks go first, not
-    /// only the one with which it begins.
+    /// Too few jobs of its class, team or size met their deadlines recently. All tasks of
+    /// the job are boosted, not only the first one.
     pub underserved: bool,
 }
 
 impl Job {
-    /// Nothing of it has run, and nothing is on its way to.
+    /// Whether no task of the job has run or may be about to run.
     pub(super) fn is_unstarted(&self) -> bool {
         self.live.is_empty() && self.recovery_pending.is_empty() && !self.has_begun
     }
 
-    /// Where one task is says nothing on where the others may be.
+    /// Whether the job's tasks may be placed independently of each other.
     fn has_independent_placement(&self) -> bool {
         !self.spec.one_zone() && !self.spec.spread()
     }
 
-    /// Its tasks times the CPUs of one.
+    /// CPUs of all the job's tasks together.
     pub(super) fn total_cpus(&self) -> f64 {
         f64::from(self.spec.tasks) * self.shape.cpus
     }
 }
 
 impl Engine {
-    /// Of the jobs that wait, those of which nothing has begun for so long that they
-    /// go first in their tier, each with one task.
+    /// Selects the waiting jobs that have waited so long without starting any task that
+    /// they go first in their tier, each with one task.
     pub(super) fn jobs_to_boost(
         &self,
         now: Time,
@@ -123,8 +126,8 @@
         out
     }
 
-    /// CPUs of a tier's tasks that run, or are about to, because their jobs were
-    /// boosted to begin.
+    /// CPUs of a tier's first tasks that run, or are about to run, because their jobs were
+    /// boosted.
     fn starting_cpus(&self, tier: Priority) -> f64 {
         let cpus = |(id, task): (&JobId, &u32)| {
             let job = self.jobs.get(id)?;
@@ -134,7 +137,7 @@
         self.starvation_guard.starting.iter().filter_map(cpus).sum()
     }
 
-    /// A boosted job was placed with the task that makes it begin.
+    /// Records that the first task of a boosted job was placed.
     pub(super) fn record_starting(&mut self, id: &JobId) {
         let task = self
             .jobs
@@ -145,10 +148,11 @@
         }
     }
 
-    /// A new order: whom it boosts, and places for those of them that have none. What
-    /// an upper tier's tasks fill again one by one never falls free for a large
-    /// task of a lower tier, so a held place is closed to all others. The lowest
-    /// tier goes first among its own, and has nothing held from others.
+    /// Takes over the boosted jobs of a new priority order and holds slots for those that
+    /// have none. Capacity that frees up in small amounts is refilled by small tasks of
+    /// upper tiers and never becomes large enough for a large task of a lower tier, so a
+    /// held slot is closed to all other jobs. Boosted jobs of the lowest tier go first in
+    /// that tier, but no slots are held for them.
     pub(super) fn update_starvation_guard(
         &mut self,
         now: Time,
@@ -171,8 +175,9 @@
         }
         let mut held_slots = std::mem::take(&mut self.starvation_guard.held_slots);
         held_slots.retain(|k| self.is_held(now, k));
-        // What is about as small as all that goes before it takes any place that falls
-        // free: for that to go first is enough.
+        // A task that is at most about twice as large as the smallest waiting task of its
+        // tier and the tiers above fits into nearly any capacity that frees up. Going first
+        // is enough for such a task, so no slot is held.
         let mut least: BTreeMap<Priority, f64> = BTreeMap::new();
         for job in self.jobs.values().filter(|j| j.waits()) {
             let least = least.entry(job.spec.priority).or_insert(f64::INFINITY);
@@ -235,22 +240,22 @@
         self.starvation_guard.held_slots = held_slots;
     }
 
-    /// Whether a place is held any longer.
+    /// Whether the slot is still to be held.
     fn is_held(&self, now: Time, held_slots: &HeldSlot) -> bool {
         let job = self.jobs.get(&held_slots.job).filter(|j| j.waits());
         let machine = self.machines.get(&held_slots.machine);
         now < held_slots.until
             && machine.is_some_and(|m| m.takes_tasks(now, self.silent_after()))
             && job.is_some_and(|j| {
-                // Chosen once, it is not given up for a moment in which the choice
-                // of who is in time falls on others.
+                // A slot is kept even if the newest forecast of which jobs finish on time
+                // briefly favours other jobs.
                 let in_time = || self.slack_s(now, j).is_some_and(|s| s >= 0.0);
                 j.is_unstarted()
                     || (held_slots.underserved && j.has_independent_placement() && in_time())
             })
     }
 
-    /// The place that falls free soonest for one more task of this job.
+    /// The slot that has room soonest for one more task of this job.
     fn earliest_slot(
         &self,
         now: Time,
@@ -301,7 +306,8 @@
                     self.expected_run_s(other)
                 };
                 let since = other.live.get(task).and_then(|p| p.running_since);
-                // What has run for longer than reckoned goes on for some time, too.
+                // A task that has exceeded its estimated run time is assumed to run for
+                // another quarter of the time that it has run.
                 let left = since.map_or(run_s + self.image_fetch_s(other), |at| {
                     let ran_s = now - at;
                     (run_s - ran_s).max(0.25 * ran_s)
@@ -328,9 +334,10 @@
         best.map(|(_, place)| place)
     }
 
-    /// Before a slice: what has its held place free is placed, and the others'
-    /// places are closed to all. A job whose team's guarantee covers it waits for no
-    /// other team, so nothing is closed while one does. How many were placed.
+    /// Runs before each slice: places tasks whose held slot is free, and closes the other
+    /// held slots to all jobs. A job covered by its team's guarantee does not have to wait
+    /// for other teams, so no slot is closed while such a job waits. Returns the number of
+    /// tasks placed.
     pub(super) fn fill_held_slots(
         &mut self,
         now: Time,
@@ -388,14 +395,14 @@
         placed
     }
 
-    /// Whether the starvation guard boosts this job for the one task with which it begins.
+    /// Whether the starvation guard boosts this job for its first task only.
     pub(super) fn is_boosted_to_start(&self, id: &JobId, job: &Job) -> bool {
         job.is_unstarted() && self.starvation_guard.boosted.get(id) == Some(&false)
     }
 
-    /// Jobs with a deadline that can't be in time any more: each counts once against
-    /// its class and its team, however it goes on. A successor counts those that
-    /// are still about anew.
+    /// Counts jobs that can no longer meet their deadline. Each job counts once against its
+    /// class and its team, whatever happens to it later. A new leader counts unfinished
+    /// jobs again.
     pub(super) fn count_missed_deadlines(&mut self, now: Time) {
         let late: Vec<JobId> = self
             .jobs
@@ -409,12 +416,12 @@
         }
     }
 
-    /// Counts how a job with a deadline fared.
+    /// Records whether a job with a deadline met it.
     pub(super) fn record_deadline_outcome(&mut self, id: &JobId, in_time: bool) {
         let Some(job) = self.jobs.get_mut(id) else {
             return;
         };
-        // What gives way has no deadline, and so no debt.
+        // Jobs without a deadline are not counted.
         if job.counted || job.spec.deadline_s.is_none() {
             return;
         }
@@ -425,7 +432,7 @@
         }
     }
 
-    /// From which size on jobs are underserved, by class and team.
+    /// The size in CPUs from which jobs are underserved, by class and team.
     pub(super) fn underserved_min_sizes(&self) -> BTreeMap<String, f64> {
         let tuning = &self.cfg.tuning;
         let least = tuning.service_min_jobs as usize;
@@ -450,7 +457,8 @@
     }
 }
 
-/// Under which names a job counts; a class may be called like a team.
+/// Keys under which a job is counted. The prefixes are needed because a class and a team
+/// may have the same name.
 fn service_history_keys(job: &Job) -> [String; 2] {
     [
         format!("class {}", job.spec.class),
--- a/crates/umbersail-cycle/src/cheapest.rs
+++ b/crates/umbersail-cycle/src/cheapest.rs
@@ -1,9 +1,9 @@
-//! Placements from the cheapest on, ordered no further than they are asked for.
+//! Iterates over slots from the cheapest on, sorting only as many as are used.
 
 use std::cmp::Ordering;
 use std::collections::BinaryHeap;
 
-/// A slot at a cost, with a number of the holder's own.
+/// A slot with its cost and a caller-defined number.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct PricedSlot {
     pub cost: f64,
@@ -26,20 +26,21 @@
 }
 
 impl Ord for PricedSlot {
-    /// The cheapest is the greatest; of equal ones that which stands first.
+    /// The cheapest slot is the greatest; among slots of equal cost, the one with the
+    /// lowest index.
     fn cmp(&self, other: &Self) -> Ordering {
         let by_cost = other.cost.total_cmp(&self.cost);
         by_cost.then(other.index.cmp(&self.index))
     }
 }
 
-/// Yields (index, slots) by cost, then by index. Most jobs take a few slots of
-/// thousands: those are found in n + k log n, without sorting the rest.
+/// Yields (index, slots) by cost, then by index. Most jobs take a few slots out of
+/// thousands. A heap finds `k` of `n` slots in O(n + k log n) without sorting the rest.
 #[derive(Debug)]
 pub struct CheapestFirst(BinaryHeap<PricedSlot>);
 
 impl CheapestFirst {
-    /// Of offers (cost, index, slots); costs in any unit.
+    /// Creates an iterator over offers (cost, index, slots). Costs may be in any unit.
     pub fn new(offers: impl IntoIterator<Item = (f64, usize, u32)>) -> CheapestFirst {
         let offer = |(cost, index, tag)| PricedSlot { cost, index, tag };
         CheapestFirst(offers.into_iter().map(offer).collect::<Vec<_>>().into())
@@ -59,9 +60,9 @@
     use super::*;
 
     #[test]
-    fn equal_offers_come_in_the_order_in_which_they_stand() {
-        // Guards against a choice that depends on how a heap happens to lie: the
-        // same night must be the same twice.
+    fn offers_of_equal_cost_come_in_input_order() {
+        // Guards against results that depend on the internal order of the heap: the same
+        // simulation must give the same result twice.
         let offers = [
             (2.0, 0, 1),
             (1.0, 1, 2),
--- a/crates/umbersail-cycle/src/lib.rs
+++ b/crates/umbersail-cycle/src/lib.rs
@@ -1,9 +1,9 @@
-//! What a scheduling cycle works on, so that it costs what changed: slots with
-//! room, who may lose a task, and what is left of a cycle that was cut short.
+//! Data structures that keep a scheduling cycle's cost in proportion to what changed: slots
+//! with free capacity, jobs whose tasks may be evicted, and the rest of an interrupted cycle.
 //!
-//! Pure state, no I/O and no clock. Nothing here decides who goes first, where a
-//! task goes or who is evicted; that is `umbersail-policy`. What is kept here
-//! only spares it looks that would find nothing.
+//! Pure state without I/O or a clock. The crate decides neither the priority order nor
+//! placements nor evictions; that is the task of `umbersail-policy`. It only avoids searches
+//! that would find nothing.
 //!
 //! ```
 //! use umbersail_cycle::{ImageKey, CandidateSlots, MachineFilter, SlotInfo};
@@ -17,7 +17,7 @@
 //! assert_eq!(slots.fitting(&any, &shape(6.0), |_| true), [0]);
 //! slots.take(0, &shape(6.0), 1, ImageKey::of("img-07"));
 //! assert!(slots.fitting(&any, &shape(4.0), |_| true).is_empty());
-//! // From here on nobody looks again for 4 CPUs or more within this filter.
+//! // The failed search rules out all tasks of 4 CPUs or more with this filter.
 //! assert!(slots.cannot_fit(&any, &shape(5.0)));
 //! assert!(!slots.cannot_fit(&any, &shape(2.0)));
 //! ```
@@ -41,9 +41,9 @@
 pub use rankings::Rankings;
 pub use slots::{CandidateSlot, CandidateSlots, MachineFilter, SlotInfo};
 
-/// A name of an image in eight bytes: placement compares it with what each
-/// machine has, thousands of times in a cycle. XXH3 of the name's bytes; two
-/// names that collide would cost a needless fetch, nothing else.
+/// An image name, hashed to eight bytes with XXH3. Placement compares image names with every
+/// machine's cached images thousands of times in a cycle. If two names collide, the only effect
+/// is a needless fetch.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ImageKey(u64);
 
--- a/crates/umbersail-cycle/src/preemptible.rs
+++ b/crates/umbersail-cycle/src/preemptible.rs
@@ -1,10 +1,11 @@
-//! Who may lose a task to whom: known as jobs come and go, not searched for.
+//! Index of the jobs whose tasks may be evicted, updated as jobs arrive and finish.
 
 use std::collections::BTreeMap;
 
 use imbl::OrdSet;
 
-/// How a job stands when it is asked for room: by tier, and by team.
+/// The properties of a job that decide whose tasks it may evict, and who may evict its
+/// tasks.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub struct PreemptionClass<T> {
     /// Priority tier.
@@ -13,9 +14,9 @@
     pub team: Option<usize>,
 }
 
-/// Jobs that might lose a task, by class. A job in it may have nothing to
-/// lose just now; a job that is not in it never has. The sets are persistent:
-/// a cycle holds those that it began with while jobs come and go.
+/// Jobs whose tasks might be evicted, by class. A job in the index may have no evictable
+/// task at the moment; a job that is not in the index never has one. The sets are
+/// persistent: a cycle keeps the sets it started with while jobs are added and removed.
 #[derive(Debug, Clone)]
 pub struct PreemptibleJobs<T, J: Ord> {
     sets: BTreeMap<PreemptionClass<T>, OrdSet<J>>,
@@ -35,7 +36,8 @@
         self.sets.entry(class).or_default().insert(job);
     }
 
-    /// The job is over, or has lost as often as it may. Absent ones are fine.
+    /// Removes a job that has finished or has reached its eviction limit. Does nothing if
+    /// the job is not in the index.
     pub fn remove(&mut self, class: PreemptionClass<T>, job: &J) {
         if let Some(set) = self.sets.get_mut(&class) {
             set.remove(job);
@@ -45,9 +47,9 @@
         }
     }
 
-    /// Jobs that may have to make room for one of this class: those of lower
-    /// tiers and, if it takes back its team's guarantee, those of other teams.
-    /// Costs nothing where there are none.
+    /// The jobs whose tasks a job of class `beneficiary` may evict: those of lower tiers
+    /// and, if `reclaim` is set because the beneficiary's team reclaims its guarantee,
+    /// those of other teams. Costs almost nothing if there are none.
     pub fn preemptible_by(&self, beneficiary: PreemptionClass<T>, reclaim: bool) -> Vec<OrdSet<J>> {
         self.sets
             .iter()
@@ -72,7 +74,7 @@
     use super::*;
 
     #[test]
-    fn only_lower_tiers_and_for_a_guarantee_other_teams_may_lose() {
+    fn only_lower_tiers_and_for_a_guarantee_other_teams_may_be_evicted() {
         type Names = PreemptibleJobs<u8, &'static str>;
         let class = |tier, team| PreemptionClass {
             tier,
--- a/crates/umbersail-cycle/src/queue.rs
+++ b/crates/umbersail-cycle/src/queue.rs
@@ -1,12 +1,13 @@
-//! What is left of a cycle: it is done in slices, and what came in between goes
-//! first.
+//! The remaining work of a scheduling cycle. A cycle runs in slices, and other events are
+//! handled between them.
 
 use std::collections::VecDeque;
 
 use imbl::Vector;
 
-/// The work of a slice, counted rather than timed, so that the same input is cut
-/// at the same slot. One step is about one look at one machine.
+/// The work budget of a slice. Work is counted in steps and not timed, so that a cycle with
+/// the same input is always interrupted at the same point. One step is about the cost of
+/// examining one machine.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct StepBudget {
     budget: u64,
@@ -14,17 +15,17 @@
 }
 
 impl StepBudget {
-    /// Looking at a waiting job, in steps.
+    /// Steps for examining a waiting job.
     pub const JOB_COST: u64 = 8;
-    /// Placing a task, in steps.
+    /// Steps for placing a task.
     pub const TASK_COST: u64 = 40;
 
-    /// A slice of so many steps.
+    /// A budget of `budget` steps.
     pub fn new(budget: u64) -> StepBudget {
         StepBudget { budget, done: 0 }
     }
 
-    /// Counts steps of work.
+    /// Adds steps to the work done.
     pub fn spend(&mut self, steps: u64) {
         self.done += steps;
     }
@@ -34,25 +35,25 @@
         self.done
     }
 
-    /// Whether the slice is over. What was begun is finished: a slice does at
-    /// least one thing, so a cycle always ends.
+    /// Whether the budget is used up. The budget is only checked between pieces of work, so
+    /// every slice does at least one piece of work and a cycle always ends.
     pub fn is_exhausted(&self) -> bool {
         self.done >= self.budget
     }
 }
 
-/// Jobs that a cycle has yet to slot, most urgent first, and those that found no
-/// room and may evict once all have been placed.
+/// Jobs that the cycle has yet to process, most urgent first, and jobs that did not fit and
+/// may evict other tasks once all jobs have been processed.
 #[derive(Debug, Clone)]
 pub struct CycleQueue<J: Clone> {
     waiting: Vector<J>,
     blocked: VecDeque<J>,
-    /// Evictions that have been worth their time.
+    /// Number of searches that found evictable tasks.
     pub evictions: usize,
 }
 
 impl<J: Clone> CycleQueue<J> {
-    /// A cycle over these, most urgent first.
+    /// Creates the queue of a cycle over these jobs, most urgent first.
     pub fn new(order: Vector<J>) -> CycleQueue<J> {
         CycleQueue {
             waiting: order,
@@ -61,22 +62,23 @@
         }
     }
 
-    /// Takes the most urgent job that is not placed yet.
+    /// Takes the most urgent job that was not processed yet.
     pub fn next_waiting(&mut self) -> Option<J> {
         self.waiting.pop_front()
     }
 
-    /// Puts a job aside that found no room; it may evict later.
+    /// Sets aside a job that did not fit. The job may evict other tasks later.
     pub fn block(&mut self, job: J) {
         self.blocked.push_back(job);
     }
 
-    /// Takes the next job that found no room.
+    /// Takes the next job that did not fit.
     pub fn next_blocked(&mut self) -> Option<J> {
         self.blocked.pop_front()
     }
 
-    /// Whether nothing is left to do with so many evictions at most.
+    /// Whether nothing is left to do if the cycle may do at most `max_evictions` eviction
+    /// searches.
     pub fn is_done(&self, max_evictions: usize) -> bool {
         self.waiting.is_empty() && (self.blocked.is_empty() || self.evictions >= max_evictions)
     }
@@ -87,9 +89,9 @@
     use super::*;
 
     #[test]
-    fn a_cut_cycle_goes_on_where_it_was_and_the_order_it_came_from_stays_whole() {
-        // Guards against a cycle that starts anew after each slice: the jobs at
-        // the end of a long order would never be looked at.
+    fn an_interrupted_cycle_resumes_where_it_paused_and_leaves_its_order_unchanged() {
+        // Guards against a cycle that starts over after each slice: the jobs at the end of
+        // a long order would never be examined.
         let order: Vector<u32> = (0..10).collect();
         let mut queue = CycleQueue::new(order.clone());
         let mut seen = Vec::new();
--- a/crates/umbersail-cycle/src/rankings.rs
+++ b/crates/umbersail-cycle/src/rankings.rs
@@ -1,25 +1,25 @@
-//! Rankings of slots that serve one job after the other, where they rank alike.
+//! Rankings of slots, shared by jobs that rank slots alike.
 
 use std::collections::BinaryHeap;
 
 use crate::cheapest::PricedSlot;
 
-/// Rankings kept at once; the oldest goes first.
+/// Most rankings kept. The least recently used ranking is dropped first.
 const MAX_RANKINGS: usize = 32;
 
-/// Rankings by what jobs have in common when they rank slots: a slot that one
-/// of them takes is ranked anew in each, the others stay where they are, so many
-/// jobs alike cost one look at each slot and not one each.
+/// Rankings of slots by a key that jobs with the same ranking have in common. When a slot
+/// is used, it is ranked again in each ranking while the other slots keep their positions.
+/// A series of similar jobs therefore examines each slot once in total, not once per job.
 #[derive(Debug)]
 pub struct Rankings<K> {
-    /// Offers note the version of their slot.
+    /// Each entry is tagged with the version of its slot at the time of ranking.
     rankings: Vec<(K, BinaryHeap<PricedSlot>)>,
-    /// How often each slot was taken.
+    /// Version of each slot: how often it was used.
     versions: Vec<u32>,
 }
 
 impl<K: PartialEq> Rankings<K> {
-    /// For so many slots.
+    /// Creates rankings over this number of slots.
     pub fn new(slots: usize) -> Rankings<K> {
         Rankings {
             rankings: Vec::new(),
@@ -27,9 +27,9 @@
         }
     }
 
-    /// The ranking of those who rank like `key`, made if there is none. `cost`
-    /// tells what a slot costs, if it may be taken at all. How many slots were
-    /// looked at for it.
+    /// Selects the ranking for `key` and builds it if there is none. `cost` returns the
+    /// cost of a slot, or `None` if the slot may not be used. Returns the number of slots
+    /// examined.
     pub fn open(&mut self, key: K, mut cost: impl FnMut(&K, usize) -> Option<f64>) -> u64 {
         if let Some(at) = self.rankings.iter().position(|(k, _)| *k == key) {
             let found = self.rankings.remove(at);
@@ -52,9 +52,8 @@
         self.versions.len() as u64
     }
 
-    /// Slots of the ranking opened last, from the cheapest on, as far as `visit`
-    /// wants them: it tells whether to go on. Those visited keep their slot in
-    /// the ranking. How many were looked at.
+    /// Visits the slots of the selected ranking from the cheapest on, until `visit` returns
+    /// false. Visited slots stay in the ranking. Returns the number of entries examined.
     pub fn visit(&mut self, mut visit: impl FnMut(usize) -> bool) -> u64 {
         let Some((_, heap)) = self.rankings.last_mut() else {
             return 0;
@@ -75,7 +74,8 @@
         examined
     }
 
-    /// A slot has less room, and an image on its way: it is ranked anew.
+    /// Ranks a slot again after it was used: it has less free capacity, and an image is
+    /// being fetched there.
     pub fn rerank(&mut self, index: usize, mut cost: impl FnMut(&K, usize) -> Option<f64>) {
         self.versions[index] += 1;
         let version = self.versions[index];
@@ -96,8 +96,9 @@
     use super::*;
 
     #[test]
-    fn a_place_that_was_taken_is_ranked_anew_for_everybody() {
-        // Guards against an old offer: a slot would be thought cheap, or empty.
+    fn a_used_slot_is_ranked_again_in_every_ranking() {
+        // Guards against outdated entries: a slot would keep its old cost, or seem free
+        // when it is full.
         let mut costs = [3.0, 1.0, 2.0];
         let mut rankings: Rankings<f64> = Rankings::new(3);
         let order = |rankings: &mut Rankings<f64>| {
@@ -112,11 +113,23 @@
             let by = |k: &f64, i: usize| Some(k * costs[i]);
             assert_eq!(rankings.open(key, by), 3);
         }
-        assert_eq!(order(&mut rankings), [0, 2, 1], "the dearest first for -1");
+        assert_eq!(
+            order(&mut rankings),
+            [0, 2, 1],
+            "most expensive first for key -1"
+        );
         costs[0] = 0.0;
         rankings.rerank(0, |k, i| (i > 0 || *k > 0.0).then_some(k * costs[i]));
-        assert_eq!(order(&mut rankings), [2, 1], "not to be taken for -1");
-        assert_eq!(rankings.open(1.0, |_, _| None), 0, "made already");
+        assert_eq!(
+            order(&mut rankings),
+            [2, 1],
+            "slot 0 is not allowed for key -1"
+        );
+        assert_eq!(
+            rankings.open(1.0, |_, _| None),
+            0,
+            "the ranking already exists"
+        );
         assert_eq!(order(&mut rankings), [0, 1, 2]);
         let mut first = None;
         rankings.visit(|index| {
@@ -124,10 +137,6 @@
             false
         });
         assert_eq!(first, Some(0));
-        assert_eq!(
-            order(&mut rankings),
-            [0, 1, 2],
-            "a visit takes nothing away"
-        );
+        assert_eq!(order(&mut rankings), [0, 1, 2], "a visit removes no slot");
     }
 }
--- a/crates/umbersail-cycle/src/slots.rs
+++ b/crates/umbersail-cycle/src/slots.rs
@@ -1,25 +1,25 @@
-//! Machines with room, gathered once for a cycle and searched by many jobs.
+//! Machines with free capacity, collected once per cycle slice and searched for many jobs.
 
 use umbersail_policy::Shape;
 
 use crate::ImageKey;
 
-/// Which machines a job's tasks may use at all.
+/// Restricts which machines a job's tasks may use.
 #[derive(Debug, Clone, PartialEq)]
 pub struct MachineFilter {
-    /// By index of the machine type; what lies beyond the end is not allowed.
+    /// Allowed machine types, by type index. Types beyond the end are not allowed.
     pub types: Vec<bool>,
-    /// The only zone, or any.
+    /// The required zone; `None` allows every zone.
     pub zone: Option<String>,
-    /// Whether spot machines will do.
+    /// Whether spot machines are allowed.
     pub spot: bool,
     /// Reservations that the job may use, one bit each.
     pub reservations: u64,
 }
 
 impl MachineFilter {
-    /// Whether a machine of this type, zone and kind, kept for these reservations, is
-    /// within it.
+    /// Whether a machine with this type, zone, spot property and set of reservations is
+    /// allowed.
     pub fn matches(&self, type_index: usize, zone: &str, spot: bool, reservations: u64) -> bool {
         self.types.get(type_index) == Some(&true)
             && (!spot || self.spot)
@@ -28,65 +28,68 @@
     }
 }
 
-/// What is known of a machine when it is added.
+/// Description of a machine that is added to [`CandidateSlots`].
 #[derive(Debug, Clone, PartialEq)]
 pub struct SlotInfo<'a> {
-    /// Index of its machine type.
+    /// Index of the machine type.
     pub type_index: usize,
-    /// Its zone.
+    /// Zone of the machine.
     pub zone: &'a str,
     /// Whether it is a spot machine.
     pub spot: bool,
     /// Free resources.
     pub free: Shape,
-    /// Seconds until its next report is due: launches travel in the reply.
+    /// Seconds until the machine's next heartbeat is due. Launch commands travel in the
+    /// heartbeat reply.
     pub heartbeat_due_in_s: f64,
-    /// Whose reservations keep it, one bit each; none: it is anybody's.
+    /// Reservations that the machine is held for, one bit each; 0 if it is not reserved.
     pub reservations: u64,
 }
 
-/// A machine that takes tasks.
+/// A machine with free capacity.
 #[derive(Debug, Clone)]
 pub struct CandidateSlot<M> {
     /// Name of the machine.
     pub machine: M,
-    /// Index of its machine type.
+    /// Index of the machine type.
     pub type_index: usize,
-    /// Index into [`CandidateSlots::zone`].
+    /// Index into the zone names of [`CandidateSlots`].
     zone: usize,
     /// Whether it is a spot machine.
     pub spot: bool,
     /// Free resources.
     pub free: Shape,
-    /// Seconds until its next report is due.
+    /// Seconds until the machine's next heartbeat is due.
     pub heartbeat_due_in_s: f64,
-    /// Whose reservations reserve it, one bit each; 0 if it is not reserved.
+    /// Reservations that the machine is held for, one bit each; 0 if it is not reserved.
     pub reservations: u64,
-    /// Where the images that it has stand.
+    /// Range of the machine's cached images in `CandidateSlots::images`.
     images: (usize, usize),
-    /// Images on their way there.
+    /// Images that the machine is fetching.
     fetching: Vec<ImageKey>,
 }
 
-/// A search that found nothing: nothing as large is looked for again.
+/// A search that found no slot. Searches with the same filter for at least as large a shape
+/// would find none either.
 #[derive(Debug, Clone)]
 struct FailedSearch {
     filter: MachineFilter,
     shape: Shape,
 }
 
-/// Searches remembered as hopeless. Each is smaller than, or reaches elsewhere
-/// than, all the others, so a few serve thousands of jobs.
+/// Most failed searches kept. No kept search covers another one (each has a different
+/// filter, or is smaller in some resource), so a few cover thousands of jobs.
 const MAX_FAILED_SEARCHES: usize = 64;
 
-/// No larger in any amount. Without the allowance for rounding that a fit has:
-/// what is larger by a rounding may fit where the other does not.
+/// Whether `a` is no larger than `b` in any resource. Unlike [`Shape::fits_in`], the
+/// comparison allows no rounding error: a shape that is larger by a rounding error may fit
+/// where the other shape does not.
 fn is_no_larger(a: &Shape, b: &Shape) -> bool {
     a.cpus <= b.cpus && a.gpus <= b.gpus && a.memory_gb <= b.memory_gb
 }
 
-/// Machines with room as one cycle sees them. Room only shrinks while it lives,
-/// so what was hopeless once stays hopeless.
+/// The machines with free capacity in one cycle slice. Capacity only shrinks during the
+/// slice, so a search that failed once would fail again.
 #[derive(Debug)]
 pub struct CandidateSlots<M> {
     slots: Vec<CandidateSlot<M>>,
@@ -103,7 +106,7 @@
 }
 
 impl<M> CandidateSlots<M> {
-    /// No machines.
+    /// Creates an empty set.
     pub fn new() -> CandidateSlots<M> {
         CandidateSlots {
             slots: Vec::new(),
@@ -114,9 +117,9 @@
         }
     }
 
-    /// Adds a machine. `images` are those it has; the ones on their way there
-    /// follow with [`CandidateSlots::add_fetching`]. Equal placements go to the one added
-    /// first.
+    /// Adds a machine. `images` are the images in the machine's cache; images that the
+    /// machine is fetching are added with [`CandidateSlots::add_fetching`]. Among machines
+    /// of equal cost, the one added first is preferred.
     pub fn push(&mut self, machine: M, spot: SlotInfo<'_>, images: &[ImageKey]) {
         let zone = match self.zones.iter().position(|z| z == spot.zone) {
             Some(zone) => zone,
@@ -140,7 +143,7 @@
         });
     }
 
-    /// An image that is on its way to the machine added last.
+    /// Adds an image that the most recently added machine is fetching.
     pub fn add_fetching(&mut self, image: ImageKey) {
         if let Some(slot) = self.slots.last_mut() {
             slot.fetching.push(image);
@@ -162,34 +165,34 @@
         &self.slots[index]
     }
 
-    /// The zone of a slot.
+    /// The zone of the machine at this index.
     pub fn zone(&self, index: usize) -> &str {
         &self.zones[self.slots[index].zone]
     }
 
-    /// Whether the image is there, and whether it is on its way.
+    /// Whether the machine has the image, and whether it is fetching the image.
     pub fn image(&self, index: usize, image: ImageKey) -> (bool, bool) {
         let slot = &self.slots[index];
         let there = self.images[slot.images.0..slot.images.1].contains(&image);
         (there, !there && slot.fetching.contains(&image))
     }
 
-    /// Slots looked at so far.
+    /// Number of slots examined so far.
     pub fn examined(&self) -> u64 {
         self.examined
     }
 
-    /// Whether a search has shown already that nothing so large has room. True
-    /// only if [`CandidateSlots::fitting`] would be empty.
+    /// Whether an earlier search has shown that no slot fits this shape. True only if
+    /// [`CandidateSlots::fitting`] would return an empty list.
     pub fn cannot_fit(&self, filter: &MachineFilter, shape: &Shape) -> bool {
         self.failed_searches
             .iter()
             .any(|m| is_no_larger(&m.shape, shape) && m.filter == *filter)
     }
 
-    /// Slots within filter that take a task of this shape, in the order in which
-    /// they were added. `allowed` leaves machines out for reasons of the job's
-    /// own, which say nothing about other jobs.
+    /// Indices of the slots that match the filter and fit a task of this shape, in the
+    /// order in which the machines were added. `allowed` excludes machines for reasons
+    /// specific to the job, so a search that `allowed` made fail is not recorded as failed.
     pub fn fitting(
         &mut self,
         filter: &MachineFilter,
@@ -221,7 +224,7 @@
         found
     }
 
-    /// A search of the caller's own found no slot within filter for this shape.
+    /// Records that a search by the caller found no slot for this filter and shape.
     pub fn record_failed_search(&mut self, filter: &MachineFilter, shape: &Shape) {
         self.failed_searches
             .retain(|m| m.filter != *filter || !is_no_larger(shape, &m.shape));
@@ -233,7 +236,7 @@
         }
     }
 
-    /// Nothing more goes there in this cycle.
+    /// Excludes the machine from all further placement in this slice.
     pub fn close(&mut self, index: usize) {
         let free = &mut self.slots[index].free;
         for amount in [&mut free.cpus, &mut free.gpus, &mut free.memory_gb] {
@@ -241,7 +244,7 @@
         }
     }
 
-    /// So many tasks go there, and their image with them.
+    /// Places `times` tasks of this shape on the machine, which will fetch their image.
     pub fn take(&mut self, index: usize, shape: &Shape, times: u32, image: ImageKey) {
         let slot = &mut self.slots[index];
         slot.free.add(shape, -f64::from(times));
--- a/crates/umbersail-policy/src/bitmap.rs
+++ b/crates/umbersail-policy/src/bitmap.rs
@@ -1,6 +1,6 @@
 use std::fmt::Write;
 
-/// A set of task numbers, compact in memory and in records.
+/// A set of task numbers that is compact in memory and in records.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
 pub struct Bitmap {
     words: Vec<u64>,
@@ -8,7 +8,7 @@
     count: u32,
 }
 
-/// The text is not a set of task numbers of this job.
+/// Error: the text is not a set of task numbers of this job.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct BitmapError;
 
@@ -27,7 +27,7 @@
         index < self.size && self.words[index as usize / 64] >> (index % 64) & 1 == 1
     }
 
-    /// True if it was not in the set before.
+    /// Adds a number. Returns true if it was not in the set before.
     pub fn insert(&mut self, index: u32) -> bool {
         if index >= self.size || self.contains(index) {
             return false;
@@ -47,13 +47,13 @@
         self.count == self.size
     }
 
-    /// Bytes that the text of so many tasks takes at most.
+    /// Greatest length in bytes of the text form for this number of tasks.
     pub fn max_text_len(size: u32) -> usize {
         size.div_ceil(64) as usize * 16 + 1
     }
 
-    /// Ranges such as `0-3,7` while that is the shorter form, else hexadecimal
-    /// words behind a `#`: 100,000 tasks take 25 KB at most.
+    /// Formats the set as ranges such as `0-3,7` if that is the shorter form, otherwise as
+    /// hexadecimal words after a `#`. 100,000 tasks take at most 25 KB.
     pub fn to_text(&self) -> String {
         let most = Bitmap::max_text_len(self.size);
         let mut ranges = String::new();
@@ -88,10 +88,11 @@
         ranges
     }
 
-    /// Reads the form that [`Bitmap::to_text`] writes.
+    /// Parses the text that [`Bitmap::to_text`] writes.
     ///
     /// # Errors
-    /// If the text is of neither form, or names an index beyond `size`.
+    ///
+    /// If the text has neither form, or contains a number that is not below `size`.
     pub fn from_text(text: &str, size: u32) -> Result<Bitmap, BitmapError> {
         let mut out = Bitmap::new(size);
         if let Some(hex) = text.strip_prefix('#') {
@@ -128,7 +129,7 @@
     use super::*;
 
     #[test]
-    fn both_forms_survive_and_fit_a_record() {
+    fn both_text_forms_round_trip_and_fit_a_record() {
         let mut sparse = Bitmap::new(100_000);
         for i in [0, 1, 2, 7, 99_999] {
             assert!(sparse.insert(i));
@@ -147,7 +148,7 @@
     }
 
     #[test]
-    fn foreign_texts_are_refused() {
+    fn invalid_texts_are_rejected() {
         for bad in ["5", "3-1", "x", "#00", "0-4294967295"] {
             assert_eq!(Bitmap::from_text(bad, 5), Err(BitmapError), "{bad}");
         }
--- a/crates/umbersail-policy/src/evict.rs
+++ b/crates/umbersail-policy/src/evict.rs
@@ -1,64 +1,64 @@
-//! MOML (minimum overhead, minimum leases) of Amini Salehi, Javadi and Buyya,
-//! "Resource Provisioning based on Lease Preemption in InterGrid", section
-//! 4.2.3, algorithm 1, over candidate sets that are grown greedily.
+//! Victim selection for evictions with the MOML policy (minimum overhead, minimum leases)
+//! from Amini Salehi, Javadi and Buyya, "Resource Provisioning based on Lease Preemption in
+//! InterGrid", section 4.2.3, algorithm 1. The candidate sets are built greedily.
 
 use crate::Shape;
 
 /// A task that may be evicted.
 #[derive(Debug, Clone, PartialEq)]
 pub struct PreemptibleTask<J> {
-    /// Its job.
+    /// Job of the task.
     pub job: J,
-    /// Its number in the job.
+    /// Number of the task within the job.
     pub task: u32,
-    /// Resources that it uses.
+    /// Resources that the task uses.
     pub shape: Shape,
-    /// Seconds of work lost by stopping it.
+    /// Seconds of work that stopping the task would lose.
     pub lost_work_s: f64,
 }
 
-/// A machine that the blocked task may use, with what may be evicted there.
+/// A machine that the blocked task may use, with the tasks that may be evicted from it.
 #[derive(Debug, Clone, PartialEq)]
 pub struct EvictionHost<M, J> {
     /// The machine.
     pub machine: M,
-    /// Its free resources.
+    /// Free resources of the machine.
     pub free: Shape,
     /// Tasks that may be evicted from it.
     pub running: Vec<PreemptibleTask<J>>,
 }
 
-/// The chosen set.
+/// A set of tasks on one machine whose eviction makes enough room.
 #[derive(Debug, Clone, PartialEq)]
 pub struct VictimSet<M, J> {
-    /// The machine that gets room.
+    /// The machine on which room is made.
     pub machine: M,
     /// The tasks to evict, by job and number.
     pub tasks: Vec<(J, u32)>,
-    /// Seconds of work lost in all.
+    /// Seconds of work that are lost in total.
     pub lost_work_s: f64,
     /// Number of jobs that lose tasks.
     pub job_count: usize,
-    /// The threshold alpha, and how many sets it was the median of.
+    /// The median lost work of all candidate sets (the paper's threshold alpha).
     pub median_lost_work_s: f64,
     /// Number of candidate sets.
     pub set_count: usize,
 }
 
-/// How one of the candidate sets is chosen (the paper's sections 4.2.1 to
-/// 4.2.3). The service uses the third; the others are there to compare.
+/// How a candidate set is chosen (the paper's sections 4.2.1 to 4.2.3). The scheduler uses
+/// the third policy; the others serve for comparison.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum VictimPreference {
-    /// MOV: the least price.
+    /// MOV: the least lost work.
     LeastWorkLost,
     /// MLIP: the fewest jobs.
     FewestJobs,
-    /// MOML: the fewest jobs among those priced at or below the median.
+    /// MOML: the fewest jobs among the sets whose lost work is at or below the median.
     FewestJobsBelowMedian,
 }
 
-/// Among the candidate sets priced at or below the median, the one that
-/// touches the fewest jobs; the cheaper one where that is equal.
+/// Chooses, among the candidate sets whose lost work is at or below the median, the one
+/// that affects the fewest jobs; among those, the one with the least lost work.
 pub fn select_victims<M, J>(
     needed: &Shape,
     hosts: impl IntoIterator<Item = EvictionHost<M, J>>,
@@ -74,8 +74,9 @@
     )
 }
 
-/// Sets whose removal makes room, at most so many. Hosts are asked for one at a
-/// time and no further than the sets go: on a large fleet most are never built.
+/// Builds at most `max_sets` sets whose eviction makes room. Hosts are taken from the
+/// iterator one at a time until there are enough sets, so on a large cluster most hosts are
+/// never built.
 pub fn candidate_victim_sets<M, J>(
     needed: &Shape,
     hosts: impl IntoIterator<Item = EvictionHost<M, J>>,
@@ -94,8 +95,8 @@
         sets.extend(grow(needed, &host, 0));
         seen.push(host);
     }
-    // Orders in which a set is grown: cheapest first, largest first, and job
-    // by job, each a different trade between price and number of jobs.
+    // The orders in which a set is built: least lost work first, largest first, and job by
+    // job. Each is a different trade-off between lost work and number of jobs.
     for order in 1..3 {
         for host in &seen {
             if sets.len() >= max_sets {
@@ -113,7 +114,7 @@
     sets
 }
 
-/// One of the sets by a preference, with the median and their number.
+/// Chooses one of the sets by a preference, and fills in the median and the number of sets.
 pub fn choose_victims<M, J>(
     sets: Vec<VictimSet<M, J>>,
     preference: VictimPreference,
@@ -194,7 +195,7 @@
     if chosen.is_empty() || !needed.fits_in(&room) {
         return None;
     }
-    // Growth may have passed over the mark by members that are not needed.
+    // Removes tasks that turned out not to be needed.
     for i in (0..chosen.len()).rev() {
         let without = room.plus(&chosen[i].shape, -1.0);
         if chosen.len() > 1 && needed.fits_in(&without) {
@@ -265,8 +266,8 @@
     }
 
     #[test]
-    fn the_fewest_jobs_win_even_if_another_set_is_cheaper() {
-        // Sets cost 2 (two jobs), 3 (one job) and 9 (one job): median 3.
+    fn the_set_with_the_fewest_jobs_wins_even_if_another_loses_less_work() {
+        // The sets lose 2 s (two jobs), 3 s (one job) and 9 s (one job): median 3 s.
         let hosts = [
             host(1, 0.0, &[("a", 0, 2.0, 1.0), ("b", 0, 2.0, 1.0)]),
             host(2, 0.0, &[("c", 0, 4.0, 3.0)]),
@@ -277,7 +278,7 @@
     }
 
     #[test]
-    fn a_set_above_the_median_is_out_however_few_jobs_it_has() {
+    fn a_set_above_the_median_is_excluded_however_few_jobs_it_has() {
         let hosts = [
             host(1, 0.0, &[("a", 0, 2.0, 1.0), ("b", 0, 2.0, 1.0)]),
             host(2, 0.0, &[("c", 0, 2.0, 1.5), ("d", 0, 2.0, 1.0)]),
@@ -289,7 +290,7 @@
     }
 
     #[test]
-    fn an_even_count_takes_the_mean_of_the_middle_two() {
+    fn the_median_of_an_even_count_is_the_mean_of_the_middle_two() {
         let hosts = [
             host(1, 0.0, &[("a", 0, 4.0, 2.0)]),
             host(2, 0.0, &[("b", 0, 4.0, 4.0)]),
@@ -299,7 +300,7 @@
     }
 
     #[test]
-    fn equal_prices_leave_all_sets_in_and_the_cap_holds() {
+    fn equal_lost_work_keeps_all_sets_and_the_number_of_sets_is_bounded() {
         let hosts: Vec<_> = (0..40)
             .map(|m| host(m, 0.0, &[("a", 0, 4.0, 5.0)]))
             .collect();
@@ -308,8 +309,8 @@
     }
 
     #[test]
-    fn tasks_that_are_not_needed_are_spared() {
-        // Cheapest first takes a, then b; b alone is enough.
+    fn tasks_that_need_not_be_evicted_are_kept() {
+        // Least lost work first takes a, then b; b alone is enough.
         let hosts = [host(1, 0.0, &[("a", 0, 1.0, 1.0), ("b", 0, 4.0, 2.0)])];
         let got = select_victims(&cpus(4.0), hosts, 16).unwrap();
         assert_eq!(got.tasks, vec![("b", 0)]);
--- a/crates/umbersail-policy/src/first_fit.rs
+++ b/crates/umbersail-policy/src/first_fit.rs
@@ -1,19 +1,19 @@
-//! Bins in a fixed order, and the first one from a place on that takes a shape.
+//! First-fit search over bins in a fixed order.
 
 use crate::Shape;
 
-/// A tree over bins whose nodes know the most of each amount below them. The
-/// first bin that fits is found without looking at those that are full, which on
-/// a busy fleet are nearly all.
+/// A tree over bins in which every node holds the maximum of each free resource below it.
+/// The search for the first bin that fits skips full bins, which on a busy cluster are
+/// nearly all.
 #[derive(Debug, Clone)]
 pub struct FirstFit {
-    /// Heap order: the children of `i` are `2i` and `2i + 1`, bins are the leaves.
+    /// Heap order: the children of node `i` are `2i` and `2i + 1`; the leaves are the bins.
     max_free: Vec<Shape>,
     leaves: usize,
     bins: usize,
 }
 
-/// Room for nothing, not even for a task that takes nothing.
+/// Free resources of an absent bin: not even a task without any demand fits.
 const NO_ROOM: Shape = Shape {
     cpus: f64::NEG_INFINITY,
     gpus: f64::NEG_INFINITY,
@@ -29,7 +29,7 @@
 }
 
 impl FirstFit {
-    /// Bins with this much room each.
+    /// Creates bins with these free resources.
     pub fn new(capacities: &[Shape]) -> FirstFit {
         let leaves = capacities.len().next_power_of_two();
         let mut max_free = vec![NO_ROOM; 2 * leaves];
@@ -44,12 +44,12 @@
         }
     }
 
-    /// What room a bin has.
+    /// Free resources of a bin.
     pub fn free(&self, bin: usize) -> &Shape {
         &self.max_free[self.leaves + bin]
     }
 
-    /// So much of a bin is taken.
+    /// Takes resources for `times` tasks of this shape from a bin.
     pub fn take(&mut self, bin: usize, shape: &Shape, times: u32) {
         let mut node = self.leaves + bin;
         self.max_free[node].add(shape, -f64::from(times));
@@ -60,14 +60,15 @@
         }
     }
 
-    /// The first bin from `from` on that takes the shape.
+    /// The first bin with index `from` or above that fits the shape.
     pub fn first_from(&self, from: usize, shape: &Shape) -> Option<usize> {
         if from >= self.bins {
             return None;
         }
         let mut node = self.leaves + from;
-        // Up and to the right until a subtree may hold one, then down into it,
-        // and on to the right where the parts of its best came from two bins.
+        // Moves up and to the right until a subtree may contain a fitting bin, then down
+        // into the subtree. If the maxima of a subtree come from different bins and none of
+        // them fits, the search goes on to the right.
         loop {
             if shape.fits_in(&self.max_free[node]) {
                 if node >= self.leaves {
@@ -94,8 +95,9 @@
     use proptest::test_runner::{Config, RngAlgorithm, TestRng, TestRunner};
 
     #[test]
-    fn the_first_bin_is_the_one_that_a_walk_finds() {
-        // Guards against a rental that overlooks machines with room and buys more.
+    fn the_first_bin_is_the_one_that_a_linear_search_finds() {
+        // Guards against a rental plan that overlooks machines with free capacity and rents
+        // more.
         let rng = TestRng::from_seed(RngAlgorithm::ChaCha, &[5; 32]);
         let config = Config {
             failure_persistence: None,
--- a/crates/umbersail-policy/src/learn.rs
+++ b/crates/umbersail-policy/src/learn.rs
@@ -1,50 +1,51 @@
 use std::collections::BTreeMap;
 
-/// What was seen of one class of jobs.
+/// Statistics of one class of jobs.
 #[derive(Debug, Clone, PartialEq)]
 pub struct ClassStats {
-    /// Mean of run time over the owners' estimate.
+    /// Mean ratio of actual run time to the estimate given with the job.
     pub run_time_ratio: f64,
-    /// Mean number of tasks that must run at once to keep up with what comes.
+    /// Mean number of tasks that must run at the same time to keep up with arriving work.
     pub load: f64,
-    /// Mean seconds between two jobs.
+    /// Mean seconds between two arriving jobs.
     pub interarrival_s: f64,
     window: LoadWindow,
-    /// When the newest one came.
+    /// When the newest job arrived.
     pub last_arrival: Option<f64>,
-    /// Mean number of tasks of a job.
+    /// Mean number of tasks per job.
     pub tasks_per_job: f64,
-    /// Last time it was of use; the longest unused class is forgotten.
+    /// When the statistics were last updated. The class unused for the longest time is
+    /// dropped first.
     pub last_used: f64,
 }
 
-/// Bounds of the window over which load is counted.
+/// Bounds of the window over which load is measured.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct LoadWindow {
-    /// Jobs that it holds.
+    /// Number of jobs that the window should cover.
     pub jobs: f64,
-    /// The shortest window in seconds.
+    /// Shortest window in seconds.
     pub min_s: f64,
 }
 
 impl ClassStats {
-    /// Whether no job has come for so long that the class seems to have ended
-    /// for now: nothing is kept ready for it.
+    /// Whether no job has arrived for so long that the class seems to have stopped
+    /// submitting. No spare capacity is kept for an inactive class.
     pub fn is_inactive(&self, now: f64) -> bool {
         let least = self.window_s(f64::INFINITY);
         self.last_arrival.is_some_and(|at| now - at > least)
     }
 
-    /// The window over which load is counted: as short as the class's rate of
-    /// jobs allows, so that it follows swings, and `most_s` at most.
-    fn window_s(&self, most_s: f64) -> f64 {
+    /// The window over which load is measured, at most `max_s` seconds: as short as the
+    /// class's arrival rate allows, so that the measured load follows changes quickly.
+    fn window_s(&self, max_s: f64) -> f64 {
         (self.interarrival_s * self.window.jobs)
-            .clamp(self.window.min_s.min(most_s), most_s)
+            .clamp(self.window.min_s.min(max_s), max_s)
             .max(1.0)
     }
 }
 
-/// Run times and load by class, in bounded memory.
+/// Learned run times and load by class, in bounded memory.
 #[derive(Debug)]
 pub struct Learner {
     classes: BTreeMap<String, ClassStats>,
@@ -54,7 +55,8 @@
 }
 
 impl Learner {
-    /// Statistics of at most `most` classes; `weight` is that of the newest sample.
+    /// Keeps statistics of at most `max_classes` classes. `weight` is the weight of the
+    /// newest sample.
     pub fn new(max_classes: usize, weight: f64, window: LoadWindow) -> Learner {
         Learner {
             classes: BTreeMap::new(),
@@ -76,13 +78,13 @@
 
     fn entry(&mut self, class: &str, now: f64) -> &mut ClassStats {
         if !self.classes.contains_key(class) && self.classes.len() >= self.max_classes {
-            let oldest = self
+            let least_recent = self
                 .classes
                 .iter()
                 .min_by(|a, b| a.1.last_used.total_cmp(&b.1.last_used))
                 .map(|(k, _)| k.clone());
-            if let Some(oldest) = oldest {
-                self.classes.remove(&oldest);
+            if let Some(least_recent) = least_recent {
+                self.classes.remove(&least_recent);
             }
         }
         let window = self.window;
@@ -102,7 +104,8 @@
         stats
     }
 
-    /// A task ran for `run_s` where its owner had said `estimate_s`.
+    /// Records that a task ran for `run_s` seconds although the job's estimate was
+    /// `estimate_s`.
     pub fn record_run(&mut self, class: &str, now: f64, estimate_s: f64, run_s: f64) {
         let weight = self.weight;
         if estimate_s > 0.0 && run_s > 0.0 {
@@ -112,7 +115,7 @@
         }
     }
 
-    /// A job of this class came with so many tasks.
+    /// Records that a job of this class arrived with this number of tasks.
     pub fn record_arrival(&mut self, class: &str, now: f64, tasks: u32) {
         let weight = self.weight;
         let stats = self.entry(class, now);
@@ -127,21 +130,21 @@
         stats.tasks_per_job += (f64::from(tasks) - stats.tasks_per_job) * weight;
     }
 
-    /// A job brought so many seconds of work. The load is Little's law over a
-    /// window: a backlog, however long, does not add to it.
+    /// Records the work that a job brought, in seconds. The load follows from Little's law
+    /// over the window, so a backlog does not add to it however long it is.
     pub fn record_work(&mut self, class: &str, now: f64, work_s: f64, window_s: f64) {
         let stats = self.entry(class, now);
         stats.load += work_s / stats.window_s(window_s);
     }
 
-    /// The window moves on.
+    /// Decays the load after `dt` seconds, as the window moves on.
     pub fn decay_load(&mut self, dt: f64, window_s: f64) {
         for stats in self.classes.values_mut() {
             stats.load *= (-dt / stats.window_s(window_s)).exp();
         }
     }
 
-    /// Expected run time in seconds, given the owner's estimate.
+    /// Expected run time in seconds, given the job's estimate.
     pub fn expected_run_s(&self, class: &str, estimate_s: f64) -> f64 {
         estimate_s * self.get(class).map_or(1.0, |s| s.run_time_ratio)
     }
@@ -165,7 +168,7 @@
             learner.record_run("a", f64::from(i), 10.0, 20.0);
         }
         assert!((learner.expected_run_s("a", 100.0) - 200.0).abs() < 1.0);
-        // One job of 4 tasks of 10 s each 8 s: 5 tasks run at a time.
+        // A job of 4 tasks of 10 s every 8 s keeps 5 tasks running on average.
         for i in 0..100 {
             learner.record_work("a", f64::from(i) * 8.0, 40.0, 120.0);
             learner.decay_load(8.0, 120.0);
@@ -175,7 +178,8 @@
         learner.record_arrival("b", 830.0, 4);
         learner.record_arrival("c", 831.0, 4);
         assert!(learner.get("a").is_none());
-        // Silence is judged by the class's own rate, and not from one job.
+        // Inactivity is measured by the class's own arrival rate, which a single job does
+        // not give.
         for i in 0..10 {
             learner.record_arrival("b", 840.0 + f64::from(i) * 4.0, 4);
         }
--- a/crates/umbersail-policy/src/lib.rs
+++ b/crates/umbersail-policy/src/lib.rs
@@ -1,5 +1,4 @@
-//! Decisions without I/O and without a clock: what fits where, whom to evict,
-//! what to rent, and what a team may use.
+//! Scheduling policy without I/O or a clock: placement, eviction, rental and team quotas.
 #![deny(missing_docs)]
 #![warn(
     clippy::too_many_lines,
--- a/crates/umbersail-policy/src/order.rs
+++ b/crates/umbersail-policy/src/order.rs
@@ -1,20 +1,21 @@
 use std::cmp::Ordering;
 use std::collections::BinaryHeap;
 
-/// A waiting job as its deadline sees it.
+/// The deadline and the remaining work of a waiting job.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct DeadlineDemand {
     /// Seconds until its last task must start.
     pub slack_s: f64,
-    /// Seconds that the machines it may use need for what it waits with.
+    /// Seconds that the machines the job may use need for its waiting tasks.
     pub work_s: f64,
-    /// Its class, team or size has been served too little: it gives way last.
+    /// Too few jobs of its class, team or size met their deadlines recently, so the job is
+    /// dropped last.
     pub underserved: bool,
 }
 
 #[derive(Debug, PartialEq)]
 struct Largest {
-    firm: bool,
+    protected: bool,
     work_s: f64,
     index: usize,
 }
@@ -29,47 +30,53 @@
 
 impl Ord for Largest {
     fn cmp(&self, other: &Self) -> Ordering {
-        (other.firm.cmp(&self.firm))
+        (other.protected.cmp(&self.protected))
             .then(self.work_s.total_cmp(&other.work_s))
             .then(self.index.cmp(&other.index))
     }
 }
 
-/// Which of these jobs to serve first so that the most of them end in time:
-/// by the time they must start, and whenever one would come too late, the one
-/// with the most work of those before it gives way (Moore and Hodgson). By
-/// deadline alone, an overload makes every job come just too late. Of those who
-/// are underserved, as many as come in time with `underserved_share` of the machines give way to
-/// nobody: by work alone the largest never end in time.
+/// Selects the jobs to serve first so that as many as possible finish on time
+/// (Moore-Hodgson algorithm): jobs are added in the order in which they must start, and
+/// whenever one would be late, the job with the most work among those added so far is
+/// dropped. Ordering by deadline alone would make every job slightly late in an overload.
 ///
-/// `busy_s` is how long the machines are taken by what goes before all of
-/// them. Returns who is served in time, in the order given, and the seconds
-/// that those take together with `busy_s`.
+/// Dropping by work alone would never let the largest jobs finish on time. Of the
+/// underserved jobs, as many as can finish on time on `underserved_share` of the machines
+/// are therefore only dropped after all other jobs.
+///
+/// `busy_s` is the time for which the machines are occupied by work that goes before all of
+/// these jobs. Returns which jobs are served on time, in the order given, and the seconds
+/// that these jobs take, `busy_s` included.
 pub fn max_on_time(
     jobs: &[DeadlineDemand],
     busy_s: f64,
     underserved_share: f64,
 ) -> (Vec<bool>, f64) {
     let underserved: Vec<usize> = (0..jobs.len()).filter(|i| jobs[*i].underserved).collect();
-    let mut firm = vec![false; jobs.len()];
+    let mut protected = vec![false; jobs.len()];
     if !underserved.is_empty() && underserved_share > 0.0 {
-        let alone: Vec<DeadlineDemand> = underserved
+        let underserved_only: Vec<DeadlineDemand> = underserved
             .iter()
             .map(|i| DeadlineDemand {
                 work_s: jobs[*i].work_s / underserved_share,
                 ..jobs[*i]
             })
             .collect();
-        let (kept, _) = drop_largest(&alone, &vec![false; alone.len()], busy_s);
+        let (kept, _) = drop_largest(
+            &underserved_only,
+            &vec![false; underserved_only.len()],
+            busy_s,
+        );
         for (index, kept) in underserved.into_iter().zip(kept) {
-            firm[index] = kept;
+            protected[index] = kept;
         }
     }
-    drop_largest(jobs, &firm, busy_s)
+    drop_largest(jobs, &protected, busy_s)
 }
 
-/// The same; who is firm gives way after all who are not.
-fn drop_largest(jobs: &[DeadlineDemand], firm: &[bool], busy_s: f64) -> (Vec<bool>, f64) {
+/// Runs the algorithm; jobs marked as protected are dropped after all other jobs.
+fn drop_largest(jobs: &[DeadlineDemand], protected: &[bool], busy_s: f64) -> (Vec<bool>, f64) {
     let mut order: Vec<usize> = (0..jobs.len()).collect();
     order.sort_by(|&a, &b| jobs[a].slack_s.total_cmp(&jobs[b].slack_s));
     let mut kept = vec![false; jobs.len()];
@@ -80,7 +87,7 @@
         kept[index] = true;
         taken_s += work_s;
         largest.push(Largest {
-            firm: firm[index],
+            protected: protected[index],
             work_s,
             index,
         });
@@ -110,9 +117,9 @@
     }
 
     #[test]
-    fn in_an_overload_the_largest_job_gives_way_and_the_rest_come_in_time() {
-        // Guards against serving by deadline alone: the first job would make
-        // the three after it late.
+    fn in_an_overload_the_largest_job_is_dropped_and_the_others_finish_on_time() {
+        // Guards against ordering by deadline alone: the first job would make the three
+        // jobs after it late.
         let jobs = [
             due(10.0, 9.0),
             due(11.0, 2.0),
@@ -124,24 +131,24 @@
         assert_eq!(taken_s, 9.0);
         let (kept, _) = max_on_time(&jobs, 5.0, 1.0);
         assert_eq!(kept, [false, true, true, false]);
-        // With room for all of them none gives way.
+        // With enough capacity, no job is dropped.
         let (kept, _) = max_on_time(&jobs[1..], 0.0, 1.0);
         assert_eq!(kept, [true; 3]);
     }
 
     #[test]
-    fn who_is_owed_gives_way_to_none_but_those_who_are_owed_too() {
-        // Guards against a class whose largest jobs are never in time: they have
-        // the most work, so by work alone each of them gives way.
+    fn underserved_jobs_are_dropped_only_for_other_underserved_jobs() {
+        // Guards against a class whose largest jobs never finish on time: they have the
+        // most work, so dropping by work alone would always drop them.
         let mut jobs = [due(10.0, 9.0), due(11.0, 2.0), due(12.0, 3.0)];
         jobs[0].underserved = true;
         assert_eq!(max_on_time(&jobs, 0.0, 1.0).0, [true, true, false]);
-        // It gets no more than its share of the machines.
+        // An underserved job gets no more than the underserved share of the machines.
         assert_eq!(max_on_time(&jobs, 0.0, 0.5).0, [false, true, true]);
         jobs[1].underserved = true;
         jobs[2].underserved = true;
         assert_eq!(max_on_time(&jobs, 0.0, 1.0).0, [false, true, true]);
-        // What can't be in time takes no one's place for being underserved.
+        // An underserved job that cannot finish on time displaces no other job.
         let late = [
             due(4.0, 3.0),
             DeadlineDemand {
@@ -153,7 +160,7 @@
     }
 
     #[test]
-    fn who_is_late_already_takes_no_ones_place() {
+    fn a_job_that_is_already_late_displaces_no_other_job() {
         let (kept, taken_s) = max_on_time(&[due(-5.0, 1.0), due(4.0, 4.0)], 0.0, 1.0);
         assert_eq!(kept, [false, true]);
         assert_eq!(taken_s, 4.0);
--- a/crates/umbersail-policy/src/place.rs
+++ b/crates/umbersail-policy/src/place.rs
@@ -2,39 +2,40 @@
 
 use crate::Shape;
 
-/// A machine as placement sees it.
+/// The properties of a machine that placement depends on.
 #[derive(Debug, Clone, PartialEq)]
 pub struct MachineView<'a, M> {
     /// The machine.
     pub machine: M,
-    /// Its type.
+    /// The machine type.
     pub machine_type: &'a MachineType,
-    /// Its zone.
+    /// The zone of the machine.
     pub zone: &'a str,
     /// Whether it is a spot machine.
     pub spot: bool,
     /// Free resources.
     pub free: Shape,
-    /// Whether it has the task's image.
+    /// Whether the machine has the task's image cached.
     pub has_image: bool,
-    /// The image is on its way there for another task.
+    /// Whether the machine is fetching the image for another task.
     pub fetching_image: bool,
-    /// Until its next report is due: launches travel in the reply.
+    /// Seconds until the machine's next heartbeat is due. Launch commands travel in the
+    /// heartbeat reply.
     pub heartbeat_due_in_s: f64,
 }
 
-/// What placement wants to know of a task.
+/// The properties of a task that placement depends on.
 #[derive(Debug, Clone, PartialEq)]
 pub struct TaskView<'a> {
     /// The job.
     pub spec: &'a JobSpec,
     /// Resources of one task.
     pub shape: Shape,
-    /// CPUs of the smallest type that takes the task.
+    /// CPUs of the smallest machine type that fits the task.
     pub smallest_cpus: f64,
-    /// A zone that the job's other tasks fix.
+    /// The zone that the job's other tasks require, if any.
     pub only_zone: Option<&'a str>,
-    /// Types that other waiting jobs can't do without.
+    /// Machine types that other waiting jobs depend on.
     pub reserved_types: &'a [String],
 }
 
@@ -44,14 +45,14 @@
     types.is_none_or(|types| types.iter().any(|t| t == machine_type))
 }
 
-/// Whether the job allows machines of this type, zone and kind at all.
+/// Whether the job allows machines of this type and zone, spot or on-demand.
 pub fn allows_machine(spec: &JobSpec, machine_type: &str, zone: &str, spot: bool) -> bool {
     allows_type(spec, machine_type)
         && spec.zone.as_ref().is_none_or(|z| z == zone)
         && (!spot || spec.spot())
 }
 
-/// CPUs of the smallest allowed type that takes one task.
+/// CPUs of the smallest allowed machine type that fits one task.
 pub fn smallest_cpus(spec: &JobSpec, types: &[MachineType]) -> Option<f64> {
     let shape = Shape::of_task(spec);
     types
@@ -65,19 +66,19 @@
         .min_by(f64::total_cmp)
 }
 
-/// Weights of the terms of a placement's cost, all in seconds.
+/// Weights of the terms of the placement cost. Costs are in seconds.
 #[derive(Debug, Clone, Copy)]
 pub struct PlacementWeights {
-    /// For each second that fetching the image takes.
+    /// Cost per second of image fetch.
     pub image: f64,
-    /// For a larger type than the task needs.
+    /// Cost of using a larger machine type than the task needs.
     pub oversize: f64,
-    /// For an ordinary machine where a spot one would do.
+    /// Cost of using an on-demand machine for a task that may run on a spot machine.
     pub on_demand: f64,
 }
 
-/// What a placement costs, in seconds, and how many tasks the machine takes;
-/// `None` if it takes none. Allowed types and zones are the caller's business.
+/// Cost in seconds of placing tasks on a machine, and the number of tasks that fit; `None`
+/// if none fits. The caller checks the allowed types and zones.
 pub fn placement_cost<M>(
     task: &TaskView<'_>,
     m: &MachineView<'_, M>,
@@ -91,8 +92,8 @@
         return None;
     }
     let oversize = m.machine_type.cpus > task.smallest_cpus + 1e-6;
-    // Small tasks on the only type that takes waiting large ones would
-    // keep those out for as long as they trickle in.
+    // Small tasks on the only type that fits waiting large tasks would keep the large tasks
+    // out for as long as small tasks keep arriving.
     if oversize && task.reserved_types.contains(&m.machine_type.name) {
         return None;
     }
@@ -104,19 +105,19 @@
     Some((machine_cost(&profile, m, weights), slots))
 }
 
-/// What the cost of a placement depends on beside the machine: jobs that are
-/// alike in it, and in their image, rank machines alike.
+/// The properties of a job that the placement cost depends on. Jobs with an equal cost
+/// profile and image rank machines alike.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct CostProfile {
     /// Size of the image in GB.
     pub image_gb: f64,
-    /// CPUs of the smallest type that takes the task.
+    /// CPUs of the smallest machine type that fits the task.
     pub smallest_cpus: f64,
-    /// Whether it may run on a spot machine.
+    /// Whether the task may run on a spot machine.
     pub spot: bool,
 }
 
-/// What a placement costs, in seconds, whatever the size of the task.
+/// Cost in seconds of placing a task on a machine, independent of the task's size.
 pub fn machine_cost<M>(
     profile: &CostProfile,
     m: &MachineView<'_, M>,
@@ -141,8 +142,8 @@
         + free_share
 }
 
-/// Machines that take at least one task, best first, each with its slots; of
-/// equal ones the one that stands first.
+/// Machines that fit at least one task, cheapest first, each with the number of tasks that
+/// fit. Machines of equal cost keep their input order.
 pub fn rank_machines<M: Clone>(
     task: &TaskView<'_>,
     machines: &[MachineView<'_, M>],
@@ -206,7 +207,7 @@
     }
 
     #[test]
-    fn small_tasks_keep_off_large_machines_and_like_their_image() {
+    fn small_tasks_avoid_large_machines_and_prefer_cached_images() {
         let small = machine_type("small", 8.0, 1.0);
         let large = machine_type("large", 64.0, 8.0);
         let job = spec(2.0);
@@ -250,7 +251,7 @@
     }
 
     #[test]
-    fn type_zone_and_kind_are_the_controllers_business() {
+    fn type_zone_and_spot_restrictions_apply() {
         let mut job = spec(2.0);
         job.spot = None;
         assert!(!allows_machine(&job, "g8", "a", true));
--- a/crates/umbersail-policy/src/quota.rs
+++ b/crates/umbersail-policy/src/quota.rs
@@ -1,42 +1,42 @@
 use crate::Shape;
 
-/// A team's guarantee and limit; a limit of 0 means none.
+/// A team's guarantee and limit. A limit of 0 means no limit.
 #[derive(Debug, Clone, PartialEq, Default)]
 pub struct TeamLimits {
     /// Name of the team.
     pub name: String,
     /// Guaranteed CPUs.
     pub guaranteed_cpus: f64,
-    /// Largest number of CPUs.
+    /// Most CPUs that the team may use.
     pub max_cpus: f64,
     /// Guaranteed GPUs.
     pub guaranteed_gpus: f64,
-    /// Largest number of GPUs.
+    /// Most GPUs that the team may use.
     pub max_gpus: f64,
 }
 
-/// What a team's tasks use, unaccounted ones included.
+/// Resources that a team's tasks use, including attempts that are not accounted for.
 pub type Usage = Shape;
 
 impl TeamLimits {
-    /// Whether there is a limit.
+    /// Whether the team has a limit.
     pub fn is_limited(&self) -> bool {
         self.max_cpus > 0.0 || self.max_gpus > 0.0
     }
 
-    /// Whether there is a guarantee.
+    /// Whether the team has a guarantee.
     pub fn has_guarantee(&self) -> bool {
         self.guaranteed_cpus > 0.0 || self.guaranteed_gpus > 0.0
     }
 
-    /// Whether a use lies within the guarantee.
+    /// Whether this usage is within the guarantee.
     pub fn is_within_guarantee(&self, usage: &Usage) -> bool {
         usage.cpus <= self.guaranteed_cpus + 1e-6
             && (usage.gpus <= 0.0 || usage.gpus <= self.guaranteed_gpus + 1e-6)
     }
 }
 
-/// How many more tasks of this shape the team's limit allows.
+/// Number of further tasks of this shape that the team's limit allows.
 pub fn remaining_quota(limits: &TeamLimits, usage: &Usage, task: &Shape) -> u32 {
     let per = |max: f64, used: f64, need: f64| {
         if max <= 0.0 || need <= 0.0 {
@@ -55,7 +55,7 @@
     use super::*;
 
     #[test]
-    fn limits_count_and_zero_means_none() {
+    fn limits_apply_and_zero_means_no_limit() {
         let task = Shape {
             cpus: 16.0,
             gpus: 0.0,
--- a/crates/umbersail-policy/src/rent.rs
+++ b/crates/umbersail-policy/src/rent.rs
@@ -2,58 +2,60 @@
 
 use crate::{FirstFit, Shape};
 
-/// Tasks of one shape that want machines.
+/// Tasks of one shape that need machines.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Demand {
     /// Resources of one task.
     pub shape: Shape,
-    /// Types that it may use; all if absent.
+    /// Machine types that the tasks may use; `None` allows all types.
     pub types: Option<Vec<String>>,
-    /// Zone that it must use.
+    /// Zone that the tasks must use, if any.
     pub zone: Option<String>,
-    /// Whether it may run on a spot machine.
+    /// Whether the tasks may run on spot machines.
     pub spot: bool,
-    /// Tasks that run or wait.
+    /// Number of running and waiting tasks.
     pub tasks: u32,
-    /// How often the machines in use turn over before the waiting ones must
-    /// start: such work waits for a place rather than for an ordinary machine.
+    /// How many times the machines in use may turn over before the waiting tasks must
+    /// start. Such tasks wait for machines in use to become free before on-demand machines
+    /// are rented.
     pub max_turnovers: f64,
-    /// Tasks to be ready for beyond those; served by spot machines only.
+    /// Number of further tasks to keep capacity for. Only spot machines are rented for
+    /// this.
     pub spare: u32,
-    /// Tasks beyond the reserve for which nothing is rented, but what is idle is
-    /// kept for longer.
+    /// Number of tasks beyond `spare` for which no machines are rented, but idle machines
+    /// are kept longer.
     pub warm_spare: u32,
 }
 
-/// A machine that is up or on its way.
+/// A machine that is running or booting.
 #[derive(Debug, Clone, PartialEq)]
 pub struct FleetMachine<M> {
     /// The machine.
     pub machine: M,
-    /// Index of its type.
+    /// Index of the machine type.
     pub type_index: usize,
-    /// Its zone.
+    /// Zone of the machine.
     pub zone: String,
     /// Whether it is a spot machine.
     pub spot: bool,
-    /// Seconds since it last had a task, if it is up and empty.
+    /// Seconds since the machine last ran a task, if it is running and empty.
     pub idle_s: Option<f64>,
 }
 
 /// Machines to rent.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ScaleOutRequest {
-    /// Index of the type.
+    /// Index of the machine type.
     pub type_index: usize,
     /// The zone.
     pub zone: String,
     /// Whether they are spot machines.
     pub spot: bool,
-    /// How many.
+    /// Number of machines.
     pub count: u32,
 }
 
-/// What to rent, and what is idle beyond need.
+/// The machines to rent and the idle machines to return.
 #[derive(Debug, Clone, PartialEq)]
 pub struct RentalPlan<M> {
     /// Machines to rent.
@@ -62,20 +64,22 @@
     pub surplus: Vec<M>,
 }
 
-/// How long machines of each type are kept idle, in seconds.
+/// How long idle machines of each type are kept, in seconds.
 #[derive(Debug, Clone, PartialEq)]
 pub struct IdleLimits {
-    /// Those that somebody who can't wait for a boot may want soon.
+    /// Limit for machines that demands which cannot wait for a boot may need soon.
     pub warm_s: Vec<f64>,
-    /// All others.
+    /// Limit for all other machines.
     pub cold_s: Vec<f64>,
 }
 
-/// A type that only some demands can use costs others this much more.
+/// Cost factor for renting a type for a demand that fits other types too, while some other
+/// demand fits only this type.
 const SCARCE_TYPE_FACTOR: f64 = 2.0;
 
-/// Packs demands onto the fleet, large tasks first and each onto the smallest
-/// type that takes it; buys for the rest at the least price for a task.
+/// Packs the demands onto the existing machines, large tasks first and each task onto the
+/// smallest machine type that fits it. For the remaining tasks, the plan rents the machines
+/// with the least price per task.
 pub fn plan_rental<M: Clone>(
     types: &[MachineType],
     demands: &[Demand],
@@ -90,8 +94,8 @@
         count_by_type[machine.type_index] += 1.0;
     }
     let mut used = vec![false; fleet.len()];
-    // Small types first; of a type what is in use, then spot, then the one
-    // that was used last: the rest is what falls idle.
+    // Small types first. Within a type, machines in use come first, then spot machines,
+    // then the most recently used; the machines at the end are the ones left idle.
     let mut order: Vec<usize> = (0..fleet.len()).collect();
     order.sort_by(|&a, &b| {
         let key = |i: usize| {
@@ -111,12 +115,12 @@
         .collect();
     let mut bins = FirstFit::new(&rooms);
     let mut requests: Vec<ScaleOutRequest> = Vec::new();
-    // Machines' worth of work that waits for places to fall free.
+    // Number of machines that would be needed for the tasks that wait for machines in use.
     let mut deferred = 0.0;
     let mut sorted: Vec<&Demand> = demands.iter().collect();
     sorted.sort_by(|a, b| b.shape.cpus.total_cmp(&a.shape.cpus));
     let sole = sole_types(types, demands);
-    // Running and waiting tasks of all shapes go before any reserve.
+    // Running and waiting tasks of all shapes go before spare capacity.
     for spare in [false, true] {
         for demand in &sorted {
             let wanted = if spare { demand.spare } else { demand.tasks };
@@ -168,7 +172,7 @@
     RentalPlan { requests, surplus }
 }
 
-/// Types that some demand can't do without: it fits no other.
+/// Marks the machine types that some demand depends on because it fits no other type.
 fn sole_types(types: &[MachineType], demands: &[Demand]) -> Vec<bool> {
     let mut sole = vec![false; types.len()];
     for demand in demands.iter().filter(|d| d.tasks + d.spare > 0) {
@@ -180,7 +184,8 @@
     sole
 }
 
-/// Packs tasks onto machines in this order; how many found no room.
+/// Packs tasks onto machines in the given order. Returns the number of tasks that did not
+/// fit.
 fn pack<M>(
     types: &[MachineType],
     demand: &Demand,
@@ -210,7 +215,8 @@
     wanted
 }
 
-/// Idle time costs the same money on a machine of either kind.
+/// Idle limit of a machine, in seconds. On-demand machines are more expensive, so their
+/// limit is shortened until the idle time costs no more than on a spot machine.
 fn idle_limit<M>(types: &[MachineType], machine: &FleetMachine<M>, limits_s: &[f64]) -> f64 {
     let t = &types[machine.type_index];
     let limit_s = limits_s[machine.type_index];
@@ -268,8 +274,8 @@
                     };
                     let per_task = price / f64::from(slots.min(wanted))
                         * if scarce { SCARCE_TYPE_FACTOR } else { 1.0 };
-                    // Spread over zones: one zone's wave of taken spot
-                    // machines must not take them all.
+                    // Spreads machines over zones, so that a reclaim of spot machines in
+                    // one zone does not take all of them.
                     let requested: u32 = requests
                         .iter()
                         .filter(|p| p.type_index == i && p.zone == *zone && p.spot == spot)
@@ -299,7 +305,7 @@
             if on_demand + f64::from(bought) + 1.0 > max_on_demand {
                 return;
             }
-            // In machines, since every job has a shape of its own.
+            // Counted in machines, because every job may have a different shape.
             let bought = requests
                 .iter()
                 .filter(|p| demand.shape.fits_in(&Shape::of_type(&types[p.type_index])))
@@ -361,7 +367,7 @@
     }
 
     #[test]
-    fn spot_first_ordinary_when_refused_and_reserve_never_ordinary() {
+    fn spot_machines_first_on_demand_if_refused_and_spare_capacity_only_spot() {
         let types = [machine_type("small", 8.0, 1.0)];
         let plan = plan_rental::<u32>(
             &types,
@@ -381,7 +387,7 @@
     }
 
     #[test]
-    fn machines_on_their_way_count_and_idle_ones_beyond_need_are_surplus() {
+    fn booting_machines_count_and_unneeded_idle_machines_are_surplus() {
         let types = [machine_type("small", 8.0, 1.0)];
         let machine = |name, idle_s| machine(name, true, idle_s);
         let fleet = [
@@ -399,7 +405,7 @@
         );
         assert_eq!(plan.requests, vec![]);
         assert_eq!(plan.surplus, vec![2]);
-        // Somebody who can't wait for a boot may want it soon.
+        // A demand that cannot wait for a boot may need the machine soon.
         let mut soon = demand(2.0, 4, 0);
         soon.warm_spare = 8;
         let fleet = [
@@ -421,7 +427,7 @@
     }
 
     #[test]
-    fn large_tasks_get_the_only_type_that_takes_them() {
+    fn large_tasks_get_the_only_type_that_fits_them() {
         let types = [
             machine_type("small", 8.0, 1.0),
             machine_type("large", 64.0, 7.0),
@@ -445,16 +451,21 @@
     }
 
     #[test]
-    fn work_that_can_wait_a_turn_gets_no_ordinary_machine_and_those_go_back_sooner() {
-        // Guards against ordinary machines bought for a backlog that booting
-        // spot ones clear in a turn, and held idle as long as cheap ones.
+    fn work_that_can_wait_gets_no_on_demand_machine_and_idle_ones_are_returned_sooner() {
+        // Guards against renting on-demand machines for a backlog that booting spot
+        // machines clear in one turnover, and against keeping them idle as long as cheaper
+        // machines.
         let types = [machine_type("small", 8.0, 1.0)];
         let fleet = [machine(1, true, None), machine(2, true, None)];
         let no_spot = |_: usize, _: &str, spot: bool| spot;
         let mut backlog = demand(2.0, 24, 0);
         backlog.max_turnovers = 2.0;
         let plan = plan_rental(&types, &[backlog.clone()], &fleet, no_spot, &limits(), 1e9);
-        assert_eq!(plan.requests, vec![], "16 wait on 2 machines for 2 turns");
+        assert_eq!(
+            plan.requests,
+            vec![],
+            "16 tasks wait for 2 machines to turn over twice"
+        );
         backlog.tasks = 25;
         let bought = |backlog: &Demand, share| -> u32 {
             let backlog = std::slice::from_ref(backlog);
@@ -462,11 +473,14 @@
             plan.requests.iter().map(|p| p.count).sum()
         };
         assert_eq!(bought(&backlog, 1e9), 1);
-        // However long the backlog, they stay a share of the spot machines.
+        // However long the backlog, on-demand machines stay a share of the spot machines.
         backlog.tasks = 1000;
         assert_eq!(bought(&backlog, 1.5), 3);
         backlog.max_turnovers = 0.0;
-        assert!(bought(&backlog, 1.5) > 200, "what can't wait gets them");
+        assert!(
+            bought(&backlog, 1.5) > 200,
+            "tasks that cannot wait get on-demand machines"
+        );
 
         let idle = [machine(1, true, Some(30.0)), machine(2, false, Some(30.0))];
         let plan = plan_rental(&types, &[], &idle, no_spot, &limits(), 1e9);
--- a/crates/umbersail-policy/src/shape.rs
+++ b/crates/umbersail-policy/src/shape.rs
@@ -1,6 +1,6 @@
 use umbersail_wire::{JobSpec, MachineType};
 
-/// What a task takes of a machine, or what is left of one.
+/// Resources of a task or a machine, or what is free on a machine.
 #[derive(Debug, Clone, Copy, PartialEq, Default)]
 pub struct Shape {
     /// CPUs.
@@ -11,7 +11,7 @@
     pub memory_gb: f64,
 }
 
-/// Sums of decimal amounts are off by rounding; no real amount is this small.
+/// Tolerance for rounding errors in sums of decimal amounts; no real amount is this small.
 const ROUNDING: f64 = 1e-6;
 
 impl Shape {
@@ -33,14 +33,14 @@
         }
     }
 
-    /// Whether it fits into the free resources.
+    /// Whether these resources fit into `room`.
     pub fn fits_in(&self, room: &Shape) -> bool {
         self.cpus <= room.cpus + ROUNDING
             && self.gpus <= room.gpus + ROUNDING
             && self.memory_gb <= room.memory_gb + ROUNDING
     }
 
-    /// How many of these go into `room`.
+    /// How many times these resources fit into `room`.
     pub fn slots_in(&self, room: &Shape) -> u32 {
         let per = |need: f64, have: f64| {
             if need <= 0.0 {
@@ -55,14 +55,14 @@
             .min(1e6) as u32
     }
 
-    /// Adds another amount so many times.
+    /// Adds `times` times another amount.
     pub fn add(&mut self, other: &Shape, times: f64) {
         self.cpus += other.cpus * times;
         self.gpus += other.gpus * times;
         self.memory_gb += other.memory_gb * times;
     }
 
-    /// The sum with another amount taken so many times.
+    /// Returns the sum with `times` times another amount.
     pub fn plus(mut self, other: &Shape, times: f64) -> Shape {
         self.add(other, times);
         self
