--- a/crates/umbersail-control/src/engine/eligibility.rs
+++ b/crates/umbersail-control/src/engine/eligibility.rs
@@ -23,12 +23,12 @@
             return false;
         }
         let tuning = &self.cfg.tuning;
-        let least = (tuning.image_places * f64::from(job.pending())).ceil() as usize;
+        let min_machines = (tuning.image_places * f64::from(job.pending())).ceil() as usize;
         let counts = slice.snapshot.machines_with_image.get_or_insert_with(|| {
             let mut counts = BTreeMap::new();
             let silent_after = self.silent_after();
-            let up = |m: &&super::Machine| m.takes_tasks(now, silent_after);
-            for machine in self.machines.values().filter(up) {
+            let is_schedulable = |m: &&super::Machine| m.takes_tasks(now, silent_after);
+            for machine in self.machines.values().filter(is_schedulable) {
                 for image in &machine.images {
                     if let Some(index) = machine.type_index {
                         *counts.entry((*image, index)).or_default() += 1;
@@ -37,14 +37,14 @@
             }
             counts
         });
-        let places: usize = self
+        let machine_count: usize = self
             .types
             .iter()
             .enumerate()
             .filter(|(_, t)| job.shape.fits_in(&Shape::of_type(t)))
             .filter_map(|(index, _)| counts.get(&(job.image, index)))
             .sum();
-        places >= least
+        machine_count >= min_machines
     }
 
     /// Whether fetching the image would make the job miss its start-time objective, while
@@ -75,10 +75,10 @@
                 *zones.entry(machine.zone.clone()).or_default() += 1;
             }
         }
-        let unseen = job.recovery_pending.len() as u32 + job.inherited_extra();
+        let unconfirmed = job.recovery_pending.len() as u32 + job.inherited_extra();
         for host in &job.inherited {
             if let Some(machine) = self.machines.get(host) {
-                *zones.entry(machine.zone.clone()).or_default() += unseen;
+                *zones.entry(machine.zone.clone()).or_default() += unconfirmed;
             }
         }
         let only = job
@@ -92,25 +92,25 @@
     /// The machines that the job's tasks may use now. Machine types that waiting jobs with
     /// larger tasks depend on are excluded.
     pub(super) fn machine_filter(&self, job: &Job, large_task_cpus: &[f64]) -> MachineFilter {
-        let least = job.smallest_cpus + 1e-6;
+        let smallest_cpus = job.smallest_cpus + 1e-6;
         self.machine_filter_where(job, |index, t| {
-            t.cpus <= least
+            t.cpus <= smallest_cpus
                 || large_task_cpus
                     .get(index)
-                    .is_some_and(|most| *most <= least)
+                    .is_some_and(|largest| *largest <= smallest_cpus)
         })
     }
 
-    /// The machines that the job allows, restricted to types that `open` accepts.
+    /// The machines that the job allows, restricted to types that `allows` accepts.
     pub(super) fn machine_filter_where(
         &self,
         job: &Job,
-        open: impl Fn(usize, &MachineType) -> bool,
+        allows: impl Fn(usize, &MachineType) -> bool,
     ) -> MachineFilter {
         let types = self.types.iter().enumerate();
         MachineFilter {
             types: types
-                .map(|(index, t)| allows_type(&job.spec, &t.name) && open(index, t))
+                .map(|(index, t)| allows_type(&job.spec, &t.name) && allows(index, t))
                 .collect(),
             zone: job.spec.zone.clone(),
             spot: job.spec.spot(),
--- a/crates/umbersail-control/src/engine/evict.rs
+++ b/crates/umbersail-control/src/engine/evict.rs
@@ -24,7 +24,7 @@
 
 /// Eviction candidates for blocked jobs of one class.
 struct CandidateGroup {
-    of: (PreemptionClass<Priority>, bool),
+    class: (PreemptionClass<Priority>, bool),
     /// Machines by name, each with the tasks on it that may be evicted.
     machines: Vec<(MachineId, Vec<(JobId, u32)>)>,
     /// Machine filters for which a search found no machine with evictable tasks.
@@ -44,8 +44,9 @@
                 || tuning.reclaim_deadline_work > 0.0)
     }
 
-    /// Evicts tasks for a blocked job that neither fits on any machine nor can get a rented
-    /// machine in time. Of the candidate victim sets whose lost work is at or below the
+    /// Evicts tasks for a blocked job that fits on no machine. The job must either be covered
+    /// by its team's guarantee, or be of an upper tier and unable to get a rented machine in
+    /// time. Of the candidate victim sets whose lost work is at or below the
     /// median, the set with the fewest jobs is evicted. Returns whether the search found
     /// any machine with evictable tasks.
     pub(super) fn evict_for(
@@ -53,7 +54,7 @@
         now: Time,
         id: &JobId,
         usage: &mut [Usage],
-        searched: &mut EvictionCandidates,
+        candidates: &mut EvictionCandidates,
     ) -> bool {
         let Some(job) = self.jobs.get(id).filter(|job| self.may_evict(now, job)) else {
             return false;
@@ -69,37 +70,37 @@
             return false;
         }
         let filter = self.machine_filter_where(job, |_, t| job.shape.fits_in(&Shape::of_type(t)));
-        let group = self.candidate_group(job, reclaim, usage, &preemptible, searched);
-        if searched.groups[group].exhausted.contains(&filter) {
+        let group = self.candidate_group(job, reclaim, usage, &preemptible, candidates);
+        if candidates.groups[group].exhausted.contains(&filter) {
             return false;
         }
         let mut examined = 0;
-        let mut hosts = 0;
-        let machines = searched.groups[group].machines.iter();
-        let candidates = machines.filter_map(|(name, tasks)| {
+        let mut host_count = 0;
+        let machines = candidates.groups[group].machines.iter();
+        let hosts = machines.filter_map(|(name, tasks)| {
             examined += 1;
             let machine = self.evictable_machine(now, name, &filter)?;
             examined += tasks.len() as u64;
             let host = self.eviction_host(now, job, machine, tasks, reclaim, usage)?;
-            hosts += 1;
+            host_count += 1;
             Some(host)
         });
         let max_sets = self.cfg.tuning.evict_sets as usize;
-        let selection = select_victims(&job.shape, candidates, max_sets);
-        searched.examined += examined;
-        if hosts == 0 {
+        let victim_set = select_victims(&job.shape, hosts, max_sets);
+        candidates.examined += examined;
+        if host_count == 0 {
             // Within a slice, tasks can only become unavailable for eviction, so a repeated
             // search would find nothing either.
-            searched.groups[group].exhausted.push(filter);
+            candidates.groups[group].exhausted.push(filter);
             return false;
         }
-        let Some(selection) = selection else {
+        let Some(victim_set) = victim_set else {
             return true;
         };
-        log_eviction(id, &selection, reclaim);
+        log_eviction(id, &victim_set, reclaim);
         let tier = job.spec.priority;
-        let saving_s = self.stop_victims(now, &selection.tasks, usage);
-        self.claim_room(now, id, tier, &selection.machine, saving_s);
+        let max_grace_s = self.stop_victims(now, &victim_set.tasks, usage);
+        self.claim_room(now, id, tier, &victim_set.machine, max_grace_s);
         true
     }
 
@@ -120,16 +121,20 @@
         reclaim: bool,
         usage: &[Usage],
         preemptible: &[OrdSet<JobId>],
-        searched: &mut EvictionCandidates,
+        candidates: &mut EvictionCandidates,
     ) -> usize {
-        let of = (job.preemption_class(), reclaim);
-        if let Some(group) = searched.groups.iter().position(|group| group.of == of) {
+        let class = (job.preemption_class(), reclaim);
+        if let Some(group) = candidates
+            .groups
+            .iter()
+            .position(|group| group.class == class)
+        {
             return group;
         }
         let group = self.build_candidate_group(job, reclaim, usage, preemptible);
-        searched.examined += group.examined;
-        searched.groups.push(group);
-        searched.groups.len() - 1
+        candidates.examined += group.examined;
+        candidates.groups.push(group);
+        candidates.groups.len() - 1
     }
 
     /// The machine, if it takes tasks and matches the filter.
@@ -184,7 +189,7 @@
     /// state.
     fn stop_victims(&mut self, now: Time, tasks: &[(JobId, u32)], usage: &mut [Usage]) -> f64 {
         let limit = self.cfg.tuning.evict_loser_limit;
-        let mut saving_s: f64 = 0.0;
+        let mut max_grace_s: f64 = 0.0;
         for (id, task) in tasks {
             if self.unplace_if_unsent(id, *task, usage) {
                 continue;
@@ -199,12 +204,12 @@
             }
             let evictions = victim.evictions;
             let grace_s = victim.save_grace_s();
-            saving_s = saving_s.max(grace_s);
+            max_grace_s = max_grace_s.max(grace_s);
             if let Some(placement) = victim.live.get_mut(task) {
                 placement.stop = Some(Stop { grace_s, evictions });
             }
         }
-        saving_s
+        max_grace_s
     }
 
     /// Reserves the freed capacity for the job until the victims are gone. Otherwise the
@@ -215,9 +220,9 @@
         id: &JobId,
         tier: Priority,
         machine: &MachineId,
-        saving_s: f64,
+        max_grace_s: f64,
     ) {
-        let hold_s = 2.0 * self.cfg.report_s + 1.0 + saving_s;
+        let hold_s = 2.0 * self.cfg.report_s + 1.0 + max_grace_s;
         let until = now + hold_s;
         if let Some(machine) = self.machines.get_mut(machine) {
             machine.claim = Some(Claim {
@@ -232,11 +237,11 @@
     }
 
     /// Returns a task to the queue if no worker was told of it, and reports whether it did
-    /// so. No worker could acknowledge a stop command for such a task: it would stay
+    /// so. No worker could carry out a stop command for such a task: it would stay
     /// planned, and occupy its slot, until the next leader takes over.
     pub(super) fn unplace_if_unsent(&mut self, id: &JobId, task: u32, usage: &mut [Usage]) -> bool {
-        let unsent_launches = |job: &&Job| job.live.get(&task).is_some_and(|p| !p.told());
-        let Some(job) = self.jobs.get(id).filter(unsent_launches) else {
+        let is_unsent = |job: &&Job| job.live.get(&task).is_some_and(|p| !p.told());
+        let Some(job) = self.jobs.get(id).filter(is_unsent) else {
             return false;
         };
         if let Some(team) = job.team {
@@ -249,7 +254,7 @@
     /// Collects the tasks that may be evicted for a job of this class, by machine.
     fn build_candidate_group(
         &self,
-        winner: &Job,
+        beneficiary: &Job,
         reclaim: bool,
         usage: &[Usage],
         preemptible: &[OrdSet<JobId>],
@@ -263,7 +268,7 @@
             };
             for (task, placement) in &victim.live {
                 examined += 1;
-                if !self.may_preempt(winner, victim, placement, reclaim, usage) {
+                if !self.may_preempt(beneficiary, victim, placement, reclaim, usage) {
                     continue;
                 }
                 let tasks = machines.entry(placement.machine.clone()).or_default();
@@ -274,7 +279,7 @@
             tasks.sort();
         }
         CandidateGroup {
-            of: (winner.preemption_class(), reclaim),
+            class: (beneficiary.preemption_class(), reclaim),
             machines: machines.into_iter().collect(),
             exhausted: Vec::new(),
             examined,
@@ -283,7 +288,7 @@
 
     pub(super) fn may_preempt(
         &self,
-        winner: &Job,
+        beneficiary: &Job,
         victim: &Job,
         placement: &Placement,
         reclaim: bool,
@@ -299,19 +304,19 @@
             return false;
         }
         // An eviction must not take the victim's team below its guarantee.
-        let beyond = victim.team.is_none_or(|team| {
+        let stays_within_guarantee = victim.team.is_none_or(|team| {
             let limits = &self.cfg.teams[team];
             !limits.has_guarantee()
                 || usage[team].cpus - victim.shape.cpus >= limits.guaranteed_cpus - 1e-6
         });
-        if !beyond {
+        if !stays_within_guarantee {
             return false;
         }
         let has_deadline = victim.spec.deadline_s.is_some();
-        if reclaim && victim.team != winner.team {
+        if reclaim && victim.team != beneficiary.team {
             return !has_deadline || tuning.reclaim_deadline_work > 0.0;
         }
-        victim.spec.priority < winner.spec.priority
+        victim.spec.priority < beneficiary.spec.priority
             && (!has_deadline || tuning.evict_deadline_work > 0.0)
     }
 
@@ -351,25 +356,25 @@
     }
 }
 
-fn log_eviction(id: &JobId, selection: &VictimSet<MachineId, JobId>, reclaim: bool) {
-    let victims: Vec<String> = selection
+fn log_eviction(id: &JobId, victim_set: &VictimSet<MachineId, JobId>, reclaim: bool) {
+    let victims: Vec<String> = victim_set
         .tasks
         .iter()
         .map(|(job, task)| format!("{job}/{task}"))
         .collect();
     let reason = match reclaim {
-        true => "the team's guarantee",
-        false => "upper tier, no room and none to rent in time",
+        true => "reclaiming the team's guarantee",
+        false => "upper-tier job has no room and cannot rent a machine in time",
     };
     info!(
         job = &**id,
-        machine = &*selection.machine,
+        machine = &*victim_set.machine,
         ?victims,
-        price_s = selection.lost_work_s,
-        median_s = selection.median_lost_work_s,
-        sets = selection.set_count,
-        jobs = selection.job_count,
+        lost_work_s = victim_set.lost_work_s,
+        median_lost_work_s = victim_set.median_lost_work_s,
+        candidate_sets = victim_set.set_count,
+        jobs = victim_set.job_count,
         reason,
-        "evicts"
+        "evicting tasks"
     );
 }
--- a/crates/umbersail-control/src/engine/order.rs
+++ b/crates/umbersail-control/src/engine/order.rs
@@ -88,8 +88,8 @@
 
     /// Least number of seconds needed to fetch the job's image.
     pub(super) fn image_fetch_s(&self, job: &Job) -> f64 {
-        let fitting = |t: &&MachineType| job.shape.fits_in(&Shape::of_type(t));
-        let rates = self.types.iter().filter(fitting).map(|t| t.fetch_gb_per_s);
+        let fits = |t: &&MachineType| job.shape.fits_in(&Shape::of_type(t));
+        let rates = self.types.iter().filter(fits).map(|t| t.fetch_gb_per_s);
         job.spec.image_gb / rates.fold(1e-3, f64::max)
     }
 
@@ -149,7 +149,7 @@
         let waiting = self.forecast_deadlines(waiting, snapshot);
         let ids: Vec<&JobId> = waiting.iter().map(|w| w.id).collect();
         let mut boosted = self.jobs_to_boost(now, &ids, snapshot);
-        let begins: BTreeSet<JobId> = boosted.iter().map(|l| l.job.clone()).collect();
+        let boosted_to_start: BTreeSet<JobId> = boosted.iter().map(|b| b.job.clone()).collect();
         // Jobs in tiers below an underserved tier are not boosted for being underserved.
         let underserved_tier = waiting.iter().filter(|w| w.underserved);
         let underserved_tier = underserved_tier.map(|w| w.job.spec.priority).max();
@@ -170,7 +170,7 @@
             };
             let slack = w.slack_s.unwrap_or(1e9 - (now - w.job.submitted));
             order.push((position(underserved), slack, w.id));
-            if begins.contains(w.id) {
+            if boosted_to_start.contains(w.id) {
                 order.push((position(true), slack, w.id));
             }
             if underserved {
@@ -226,38 +226,39 @@
             if cpus <= 0.0 {
                 continue;
             }
-            let due = |index: &usize, times: f64| {
+            let demand = |index: &usize, deadline_factor: f64| {
                 let WaitingJob {
                     job,
                     slack_s,
                     underserved,
                     ..
                 } = &waiting[*index];
-                let later = (times - 1.0) * job.spec.deadline_s.unwrap_or(0.0);
+                let extension_s = (deadline_factor - 1.0) * job.spec.deadline_s.unwrap_or(0.0);
                 DeadlineDemand {
-                    slack_s: slack_s.unwrap_or(0.0) + later,
+                    slack_s: slack_s.unwrap_or(0.0) + extension_s,
                     work_s: f64::from(job.pending()) * job.shape.cpus * self.expected_run_s(job)
                         / cpus,
                     underserved: *underserved,
                 }
             };
-            let first: Vec<DeadlineDemand> = members.iter().map(|i| due(i, 1.0)).collect();
-            let (in_time, busy_s) = max_on_time(&first, 0.0, underserved_share);
+            let on_time_demands: Vec<DeadlineDemand> =
+                members.iter().map(|i| demand(i, 1.0)).collect();
+            let (on_time, busy_s) = max_on_time(&on_time_demands, 0.0, underserved_share);
             let late: Vec<usize> = members
                 .iter()
-                .zip(&in_time)
-                .filter_map(|(i, kept)| (!kept).then_some(*i))
+                .zip(&on_time)
+                .filter_map(|(i, on_time)| (!on_time).then_some(*i))
                 .collect();
-            let second: Vec<DeadlineDemand> = late
+            let late_demands: Vec<DeadlineDemand> = late
                 .iter()
                 .map(|i| {
                     let class = &waiting[*i].job.spec.class;
-                    due(i, self.cfg.late_aims.get(class).copied().unwrap_or(1.0))
+                    demand(i, self.cfg.late_aims.get(class).copied().unwrap_or(1.0))
                 })
                 .collect();
-            let (soon, _) = max_on_time(&second, busy_s, underserved_share);
-            for (index, soon) in late.into_iter().zip(soon) {
-                waiting[index].forecast = if soon {
+            let (within_grace, _) = max_on_time(&late_demands, busy_s, underserved_share);
+            for (index, within_grace) in late.into_iter().zip(within_grace) {
+                waiting[index].forecast = if within_grace {
                     DeadlineForecast::WithinGrace
                 } else {
                     DeadlineForecast::Missed
@@ -318,8 +319,8 @@
         underserved: bool,
     ) -> f64 {
         let (mut inside, mut outside) = (0.0, 0.0);
-        for (&takes, &[ordinary, spot]) in pool.types.iter().zip(&snapshot.cpus_by_type) {
-            for (cpus, is_spot) in [(ordinary, false), (spot, true)] {
+        for (&takes, &[on_demand, spot]) in pool.types.iter().zip(&snapshot.cpus_by_type) {
+            for (cpus, is_spot) in [(on_demand, false), (spot, true)] {
                 if takes && (pool.spot || !is_spot) {
                     inside += cpus;
                 } else {
@@ -332,20 +333,20 @@
             .filter(|(tier, _)| **tier > pool.tier)
             .map(|(_, cpus)| cpus)
             .sum();
-        let least = if underserved {
+        let min_cpus = if underserved {
             inside * self.cfg.tuning.starvation_cpu_share
         } else {
             f64::NEG_INFINITY
         };
-        (inside - (above - outside).max(0.0)).max(least) * self.cfg.tuning.pool_share
+        (inside - (above - outside).max(0.0)).max(min_cpus) * self.cfg.tuning.pool_share
     }
 
-    /// Whether the cached order is recent enough to be reused. The part of the order that
-    /// changes with time alone changes slowly.
+    /// Whether the cached order is recent enough to be reused. The cache is cleared when a
+    /// job starts to wait, and what changes in the order with time alone changes slowly.
     pub(super) fn is_cached_order_valid(&self, now: Time) -> bool {
-        let moment = 0.0..self.cfg.tuning.order_keep_s;
-        let kept = self.cached_order.as_ref();
-        kept.is_some_and(|kept| moment.contains(&(now - kept.computed_at)))
+        let valid_s = 0.0..self.cfg.tuning.order_keep_s;
+        let cached = self.cached_order.as_ref();
+        cached.is_some_and(|cached| valid_s.contains(&(now - cached.computed_at)))
     }
 
     /// Returns the order for a cycle, from the cache if possible, together with the
@@ -356,8 +357,8 @@
         usage: &[Usage],
         snapshot: &ClusterSnapshot,
     ) -> CachedPriorityOrder {
-        if let Some(kept) = &self.cached_order {
-            return kept.clone();
+        if let Some(cached) = &self.cached_order {
+            return cached.clone();
         }
         let (jobs, boosted) = self.priority_order(now, usage, snapshot);
         let jobs: Vector<JobId> = jobs.into_iter().collect();
@@ -376,23 +377,23 @@
         let none = vec![0.0; self.types.len()];
         let mut by_tier: BTreeMap<Priority, Vec<f64>> = BTreeMap::new();
         for job in waiting.iter().filter_map(|id| self.jobs.get(id)) {
-            let most = by_tier
+            let largest = by_tier
                 .entry(job.spec.priority)
                 .or_insert_with(|| none.clone());
             if self.is_deprioritized(job) {
                 continue;
             }
-            for (t, most) in self.types.iter().zip(most) {
+            for (t, largest) in self.types.iter().zip(largest) {
                 if allows_type(&job.spec, &t.name) && job.shape.fits_in(&Shape::of_type(t)) {
-                    *most = most.max(job.smallest_cpus);
+                    *largest = largest.max(job.smallest_cpus);
                 }
             }
         }
         let mut above = none;
-        for most in by_tier.values_mut().rev() {
-            for (most, above) in most.iter_mut().zip(&mut above) {
-                *above = above.max(*most);
-                *most = *above;
+        for largest in by_tier.values_mut().rev() {
+            for (largest, above) in largest.iter_mut().zip(&mut above) {
+                *above = above.max(*largest);
+                *largest = *above;
             }
         }
         by_tier
--- a/crates/umbersail-control/src/engine/placement.rs
+++ b/crates/umbersail-control/src/engine/placement.rs
@@ -20,7 +20,7 @@
     quota: u32,
     awaits_image: bool,
     /// Slot indices, each with the number of tasks to place there.
-    places: Vec<(usize, u32)>,
+    slots: Vec<(usize, u32)>,
 }
 
 impl PlacementDecision {
@@ -33,17 +33,17 @@
         }
     }
 
-    /// Assigns up to `slots` tasks to a slot, unless the machine is new to the job and the
+    /// Assigns up to `count` tasks to a slot, unless the machine is new to the job and the
     /// job's record has no room for another machine name. Returns the number of tasks
     /// assigned.
     pub(super) fn take(
         &mut self,
         index: usize,
-        slots: u32,
+        count: u32,
         machine: &MachineId,
         hosts: &mut Option<(BTreeSet<MachineId>, usize)>,
     ) -> u32 {
-        let n = slots.min(self.wanted).min(self.quota);
+        let n = count.min(self.wanted).min(self.quota);
         if n == 0 {
             return 0;
         }
@@ -57,7 +57,7 @@
         }
         self.wanted -= n;
         self.quota -= n;
-        self.places.push((index, n));
+        self.slots.push((index, n));
         n
     }
 }
@@ -85,16 +85,18 @@
         }
         // A job that the starvation guard boosts is listed twice: first for its first task,
         // then at its normal position.
-        let begins = self.is_boosted_to_start(id, job);
+        let first_task_only = self.is_boosted_to_start(id, job);
         let mut decision = PlacementDecision {
-            wanted: job.startable().min(if begins { 1 } else { u32::MAX }),
+            wanted: job
+                .startable()
+                .min(if first_task_only { 1 } else { u32::MAX }),
             quota,
             awaits_image: false,
-            places: Vec::new(),
+            slots: Vec::new(),
         };
         self.choose_slots(now, job, slice, &mut decision);
-        let placed = self.place_tasks(now, id, slice, &decision.places);
-        if begins && placed > 0 {
+        let placed = self.place_tasks(now, id, slice, &decision.slots);
+        if first_task_only && placed > 0 {
             self.record_starting(id);
         }
         let is_left = decision.wanted > 0;
@@ -110,16 +112,16 @@
     /// from the top down, so a slot closed to this tier is closed to all later tiers.
     fn close_claimed_slots(&self, tier: Priority, slice: &mut CycleSlice<'_>) {
         let ClusterSnapshot {
-            slots: places,
-            claimed_slots: claimed,
+            slots,
+            claimed_slots,
             ..
         } = &mut *slice.snapshot;
         let waits = |job: &JobId| self.jobs.get(job).is_some_and(Job::waits);
-        for (_, index) in claimed.extract_if(.., |(above, _)| tier < *above) {
-            let machine = self.machines.get(&places.get(index).machine);
+        for (_, index) in claimed_slots.extract_if(.., |(above, _)| tier < *above) {
+            let machine = self.machines.get(&slots.get(index).machine);
             let claim = machine.and_then(|m| m.claim.as_ref());
             if claim.is_some_and(|c| waits(&c.winner)) {
-                places.close(index);
+                slots.close(index);
             }
         }
     }
@@ -153,27 +155,25 @@
         now: Time,
         id: &JobId,
         slice: &mut CycleSlice<'_>,
-        slots: &[(usize, u32)],
+        chosen: &[(usize, u32)],
     ) -> u64 {
         let Some(job) = self.jobs.get(id) else {
             return 0;
         };
         let (shape, image) = (job.shape, job.image);
         let ClusterSnapshot {
-            slots: places,
-            rankings,
-            ..
+            slots, rankings, ..
         } = &mut *slice.snapshot;
-        let mut chosen: Vec<(MachineId, u32)> = Vec::new();
-        for &(index, n) in slots {
-            places.take(index, &shape, n, image);
+        let mut placements: Vec<(MachineId, u32)> = Vec::new();
+        for &(index, n) in chosen {
+            slots.take(index, &shape, n, image);
             if let Some(rankings) = rankings {
-                rankings.rerank(index, |key, index| self.ranking_cost(places, key, index));
+                rankings.rerank(index, |key, index| self.ranking_cost(slots, key, index));
             }
-            chosen.push((places.get(index).machine.clone(), n));
+            placements.push((slots.get(index).machine.clone(), n));
         }
         let mut placed = 0;
-        for (machine, n) in chosen {
+        for (machine, n) in placements {
             placed += u64::from(n);
             for _ in 0..n {
                 self.place_task(now, id, &machine, slice.usage);
@@ -195,51 +195,51 @@
     /// the slot.
     pub(super) fn ranking_cost(
         &self,
-        places: &CandidateSlots<MachineId>,
+        slots: &CandidateSlots<MachineId>,
         key: &RankingKey,
         index: usize,
     ) -> Option<f64> {
-        let place = places.get(index);
-        let zone = places.zone(index);
+        let slot = slots.get(index);
+        let zone = slots.zone(index);
         if !key
             .filter
-            .matches(place.type_index, zone, place.spot, place.reservations)
-            || !self.least_shape.fits_in(&place.free)
+            .matches(slot.type_index, zone, slot.spot, slot.reservations)
+            || !self.least_shape.fits_in(&slot.free)
         {
             return None;
         }
-        let view = self.machine_view(places, index, key.image);
-        let kept = self.kept_cost(place.reservations, key.filter.reservations);
-        Some(machine_cost(&key.profile, &view, self.placement_weights()) + kept)
+        let view = self.machine_view(slots, index, key.image);
+        let reservation_cost = self.kept_cost(slot.reservations, key.filter.reservations);
+        Some(machine_cost(&key.profile, &view, self.placement_weights()) + reservation_cost)
     }
 
     pub(super) fn machine_view<'a>(
         &'a self,
-        places: &'a CandidateSlots<MachineId>,
+        slots: &'a CandidateSlots<MachineId>,
         index: usize,
         image: ImageKey,
     ) -> MachineView<'a, ()> {
-        let (has_image, fetching_image) = places.image(index, image);
-        let place = places.get(index);
+        let (has_image, fetching_image) = slots.image(index, image);
+        let slot = slots.get(index);
         MachineView {
             machine: (),
-            machine_type: &self.types[place.type_index],
-            zone: places.zone(index),
-            spot: place.spot,
-            free: place.free,
+            machine_type: &self.types[slot.type_index],
+            zone: slots.zone(index),
+            spot: slot.spot,
+            free: slot.free,
             has_image,
             fetching_image,
-            heartbeat_due_in_s: place.heartbeat_due_in_s,
+            heartbeat_due_in_s: slot.heartbeat_due_in_s,
         }
     }
 
     /// The machines that the job's record names, and how many more the record has room for;
     /// `None` if the record has room for all machines.
     pub(super) fn host_allowance(&self, job: &Job) -> Option<(BTreeSet<MachineId>, usize)> {
-        let most = self.most_hosts(job.spec.tasks);
-        (most < self.machines.len()).then(|| {
+        let max_hosts = self.most_hosts(job.spec.tasks);
+        (max_hosts < self.machines.len()).then(|| {
             let hosts = job.hosts();
-            let left = most.saturating_sub(hosts.len());
+            let left = max_hosts.saturating_sub(hosts.len());
             (hosts, left)
         })
     }
@@ -252,15 +252,15 @@
         job: &Job,
         filter: MachineFilter,
         slice: &mut CycleSlice<'_>,
-        choice: &mut PlacementDecision,
+        decision: &mut PlacementDecision,
     ) {
         let ClusterSnapshot {
-            slots: places,
+            slots,
             rankings,
-            ranked_examined: ranked,
+            ranked_examined,
             ..
         } = &mut *slice.snapshot;
-        let rankings = rankings.get_or_insert_with(|| Rankings::new(places.len()));
+        let rankings = rankings.get_or_insert_with(|| Rankings::new(slots.len()));
         let key = RankingKey {
             image: job.image,
             profile: CostProfile {
@@ -270,25 +270,25 @@
             },
             filter: filter.clone(),
         };
-        *ranked += rankings.open(key, |key, index| self.ranking_cost(places, key, index));
+        *ranked_examined += rankings.open(key, |key, index| self.ranking_cost(slots, key, index));
         let mut hosts = self.host_allowance(job);
         let mut fits = false;
-        *ranked += rankings.visit(|index| {
-            let place = places.get(index);
-            if !job.shape.fits_in(&place.free) {
+        *ranked_examined += rankings.visit(|index| {
+            let slot = slots.get(index);
+            if !job.shape.fits_in(&slot.free) {
                 return true;
             }
             fits = true;
-            choice.take(
+            decision.take(
                 index,
-                job.shape.slots_in(&place.free),
-                &place.machine,
+                job.shape.slots_in(&slot.free),
+                &slot.machine,
                 &mut hosts,
             );
-            choice.wanted > 0 && choice.quota > 0
+            decision.wanted > 0 && decision.quota > 0
         });
         if !fits {
-            places.record_failed_search(&filter, &job.shape);
+            slots.record_failed_search(&filter, &job.shape);
         }
     }
 
@@ -299,30 +299,31 @@
         job: &Job,
         filter: &MachineFilter,
         slice: &mut CycleSlice<'_>,
-        choice: &mut PlacementDecision,
+        decision: &mut PlacementDecision,
     ) {
         let shape = job.shape;
         let allowed = |machine: &MachineId| !job.error_machines.contains(machine);
         let mut found = slice.snapshot.slots.fitting(filter, &shape, allowed);
-        let has_image =
-            |places: &CandidateSlots<MachineId>, place| places.image(place, job.image).0;
-        choice.awaits_image = found.iter().any(|p| !has_image(&slice.snapshot.slots, *p))
+        let has_image = |slots: &CandidateSlots<MachineId>, index| slots.image(index, job.image).0;
+        decision.awaits_image = found
+            .iter()
+            .any(|index| !has_image(&slice.snapshot.slots, *index))
             && self.should_await_image(now, job, slice);
-        let places = &slice.snapshot.slots;
-        if choice.awaits_image {
-            found.retain(|place| has_image(places, *place));
+        let slots = &slice.snapshot.slots;
+        if decision.awaits_image {
+            found.retain(|index| has_image(slots, *index));
         }
         let (mut only_zone, mut zones) = self.zones_of(job);
         if only_zone.is_none() && job.spec.one_zone() {
             // All tasks go to the zone with the most room.
             let mut room: BTreeMap<&str, u32> = BTreeMap::new();
-            for place in &found {
-                *room.entry(places.zone(*place)).or_default() +=
-                    shape.slots_in(&places.get(*place).free);
+            for index in &found {
+                *room.entry(slots.zone(*index)).or_default() +=
+                    shape.slots_in(&slots.get(*index).free);
             }
             only_zone = room
                 .into_iter()
-                .max_by_key(|(_, slots)| *slots)
+                .max_by_key(|(_, count)| *count)
                 .map(|(zone, _)| zone.to_owned());
         }
         let task = TaskView {
@@ -334,24 +335,24 @@
         };
         let weights = self.placement_weights();
         let offers = found.iter().filter_map(|&index| {
-            let view = self.machine_view(places, index, job.image);
-            let (cost, slots) = placement_cost(&task, &view, weights)?;
-            let kept = self.kept_cost(places.get(index).reservations, job.reservations);
-            Some((cost + kept, index, slots))
+            let view = self.machine_view(slots, index, job.image);
+            let (cost, count) = placement_cost(&task, &view, weights)?;
+            let reservation_cost = self.kept_cost(slots.get(index).reservations, job.reservations);
+            Some((cost + reservation_cost, index, count))
         });
         let zone_limit = job.spec.tasks.div_ceil(2);
         let mut hosts = self.host_allowance(job);
-        for (index, mut slots) in CheapestFirst::new(offers) {
-            if choice.wanted == 0 || choice.quota == 0 {
+        for (index, mut count) in CheapestFirst::new(offers) {
+            if decision.wanted == 0 || decision.quota == 0 {
                 break;
             }
-            let in_zone = zones.get(places.zone(index)).copied().unwrap_or(0);
+            let in_zone = zones.get(slots.zone(index)).copied().unwrap_or(0);
             if job.spec.spread() {
-                slots = slots.min(zone_limit.saturating_sub(in_zone));
+                count = count.min(zone_limit.saturating_sub(in_zone));
             }
-            let n = choice.take(index, slots, &places.get(index).machine, &mut hosts);
+            let n = decision.take(index, count, &slots.get(index).machine, &mut hosts);
             if job.spec.spread() {
-                zones.insert(places.zone(index).to_owned(), in_zone + n);
+                zones.insert(slots.zone(index).to_owned(), in_zone + n);
             }
         }
     }
@@ -402,6 +403,12 @@
             machine.hold(id, task, &shape, image);
             self.unsent_launches.insert(machine.name.clone());
         }
-        debug!(job = &**id, task, machine = &**machine, attempt, "placed");
+        debug!(
+            job = &**id,
+            task,
+            machine = &**machine,
+            attempt,
+            "task placed"
+        );
     }
 }
--- a/crates/umbersail-control/src/engine/rental.rs
+++ b/crates/umbersail-control/src/engine/rental.rs
@@ -37,7 +37,7 @@
                 && deletes.len() < MAX_MACHINES_PER_DELETION
             {
                 machine.delete_asked = true;
-                info!(machine = &**name, reason, "returned");
+                info!(machine = &**name, reason, "returning machine to the cloud");
                 deletes.push(name.to_string());
             }
         }
@@ -53,7 +53,7 @@
     fn mark_failed_machines(&mut self, now: Time) {
         let tuning = self.cfg.tuning.clone();
         let mostly_unreachable = self.is_mostly_unreachable();
-        let mut late = Vec::new();
+        let mut failed_boots = Vec::new();
         for (name, machine) in &mut self.machines {
             if machine.delete_reason.is_some() {
                 continue;
@@ -64,15 +64,15 @@
                     .unreachable_since()
                     .map_or(0.0, |at| now - at);
                 if now - report > tuning.vanish_s {
-                    machine.delete_reason = Some("silent for too long");
+                    machine.delete_reason = Some("no heartbeat for too long");
                 } else if !machine.confirmed && now - report > 2.0 * self.cfg.lease_s {
                     // If the machine no longer exists, deleting it has no effect.
-                    machine.delete_reason = Some("heard of by an old report only");
+                    machine.delete_reason = Some("known only from an old heartbeat");
                 } else if unreachable_s > tuning.unreachable_delete_s
                     && machine.tasks.is_empty()
                     && !mostly_unreachable
                 {
-                    machine.delete_reason = Some("hears nothing");
+                    machine.delete_reason = Some("unreachable for too long");
                 }
                 continue;
             }
@@ -84,13 +84,13 @@
                 warn!(
                     machine = &**name,
                     waited_s = (now - machine.since) as u64,
-                    "does not come up"
+                    "machine failed to boot in time"
                 );
-                machine.delete_reason = Some("does not come up");
-                late.push(name.clone());
+                machine.delete_reason = Some("failed to boot in time");
+                failed_boots.push(name.clone());
             }
         }
-        for name in late {
+        for name in failed_boots {
             self.boot_ended(now, &name);
         }
     }
@@ -113,10 +113,10 @@
         let dt = (now - self.last_rental).max(0.0);
         self.last_rental = now;
         self.learner.decay_load(dt, self.cfg.tuning.load_window_s);
-        let mut kept = self.kept_room();
-        let mut demands = self.current_demands(now, kept.as_mut());
-        let warm = self.spare_demands(now, &demands, kept.as_ref());
-        demands.extend(warm);
+        let mut reserved_room = self.kept_room();
+        let mut demands = self.current_demands(now, reserved_room.as_mut());
+        let spare = self.spare_demands(now, &demands, reserved_room.as_ref());
+        demands.extend(spare);
         demands.extend(self.planned_demands(now));
         let demands: Vec<Demand> = demands.into_iter().map(|(_, demand)| demand).collect();
         let fleet = self.rented_fleet(now);
@@ -141,12 +141,12 @@
         &self,
         now: Time,
         demands: &[(String, Demand)],
-        kept: Option<&KeptRoom<'_>>,
+        reserved_room: Option<&KeptRoom<'_>>,
     ) -> Vec<(String, Demand)> {
         let tuning = &self.cfg.tuning;
-        let mut now_by_class: BTreeMap<&str, u32> = BTreeMap::new();
+        let mut tasks_by_class: BTreeMap<&str, u32> = BTreeMap::new();
         for (class, demand) in demands {
-            *now_by_class.entry(class).or_default() += demand.tasks;
+            *tasks_by_class.entry(class).or_default() += demand.tasks;
         }
         let mut spare_demands = Vec::new();
         for (class, sample) in &self.samples {
@@ -156,10 +156,10 @@
             let Some(stats) = self.learner.get(class).filter(|s| !s.is_inactive(now)) else {
                 continue;
             };
-            let reserved = kept.map_or(0, |kept| kept.ready(self, class, &sample.shape));
-            let there = now_by_class.get(&**class).copied().unwrap_or(0) + reserved;
+            let reserved = reserved_room.map_or(0, |room| room.ready(self, class, &sample.shape));
+            let available = tasks_by_class.get(&**class).copied().unwrap_or(0) + reserved;
             let tasks = |times: f64| (stats.load * times + stats.tasks_per_job).ceil() as u32;
-            let reserve = tasks(tuning.headroom).saturating_sub(there);
+            let spare = tasks(tuning.headroom).saturating_sub(available);
             let demand = Demand {
                 shape: sample.shape,
                 types: sample.types.clone(),
@@ -167,8 +167,8 @@
                 spot: sample.spot,
                 tasks: 0,
                 max_turnovers: 0.0,
-                spare: reserve,
-                warm_spare: tasks(tuning.warm_headroom).saturating_sub(there + reserve),
+                spare,
+                warm_spare: tasks(tuning.warm_headroom).saturating_sub(available + spare),
             };
             spare_demands.push((class.clone(), demand));
         }
@@ -178,7 +178,7 @@
     /// The unreserved machines that are expected to stay, as input for the rental plan.
     fn rented_fleet(&self, now: Time) -> Vec<FleetMachine<MachineId>> {
         let mostly_unreachable = self.is_mostly_unreachable();
-        let stays = |machine: &&Machine| {
+        let is_staying = |machine: &&Machine| {
             machine.delete_reason.is_none()
                 && machine.notice_until.is_none()
                 && machine.reservations == 0
@@ -187,18 +187,18 @@
                 && (machine.last_report.is_none()
                     || machine.silent_for(now) < 2.0 * self.cfg.lease_s)
         };
-        let machines = self.machines.values().filter(stays);
+        let machines = self.machines.values().filter(is_staying);
         machines
             .filter_map(|machine| {
                 let up = machine.last_report.is_some() && machine.fenced;
-                let holds =
+                let is_occupied =
                     !machine.tasks.is_empty() || machine.orphaned_tasks || machine.inherited;
                 Some(FleetMachine {
                     machine: machine.name.clone(),
                     type_index: machine.type_index?,
                     zone: machine.zone.clone(),
                     spot: machine.spot,
-                    idle_s: (up && !holds).then_some(now - machine.idle_since),
+                    idle_s: (up && !is_occupied).then_some(now - machine.idle_since),
                 })
             })
             .collect()
@@ -206,10 +206,10 @@
 
     fn idle_limits(&self, now: Time) -> IdleLimits {
         let tuning = &self.cfg.tuning;
-        let by_type = |most_s: f64| -> Vec<f64> {
+        let by_type = |max_s: f64| -> Vec<f64> {
             let types = self.types.iter();
             types
-                .map(|t| self.type_idle_limit_s(now, t, most_s))
+                .map(|t| self.type_idle_limit_s(now, t, max_s))
                 .collect()
         };
         IdleLimits {
@@ -223,14 +223,14 @@
     /// machine of a zone with an image that others fetch or wait for is kept as well.
     fn return_surplus(&mut self, surplus: Vec<MachineId>, fleet: &[FleetMachine<MachineId>]) {
         let headroom = self.cfg.tuning.headroom;
-        let guaranteed = self
+        let guaranteed_cpus = self
             .cfg
             .teams
             .iter()
             .map(|t| t.guaranteed_cpus)
             .sum::<f64>()
             * headroom;
-        let mut kept: f64 = fleet.iter().map(|m| self.types[m.type_index].cpus).sum();
+        let mut kept_cpus: f64 = fleet.iter().map(|m| self.types[m.type_index].cpus).sum();
         for name in surplus {
             let Some(machine) = self.machines.get_mut(&name) else {
                 continue;
@@ -240,11 +240,11 @@
                 continue;
             }
             let cpus = machine.type_index.map_or(0.0, |i| self.types[i].cpus);
-            if kept - cpus < guaranteed {
+            if kept_cpus - cpus < guaranteed_cpus {
                 continue;
             }
-            kept -= cpus;
-            machine.delete_reason = Some("idle beyond need");
+            kept_cpus -= cpus;
+            machine.delete_reason = Some("idle and not needed");
         }
     }
 
@@ -252,37 +252,37 @@
     /// twice.
     fn rent_request(&mut self, request: ScaleOutRequest) -> RentRequest {
         self.requests += 1;
-        let holder = epoch(self.token);
-        let named = RentRequest {
-            request: format!("{}-{holder}-{}", self.cfg.member, self.requests),
+        let epoch = epoch(self.token);
+        let rent = RentRequest {
+            request: format!("{}-{epoch}-{}", self.cfg.member, self.requests),
             machine_type: self.types[request.type_index].name.clone(),
             zone: request.zone,
             spot: request.spot,
             count: request.count.min(MAX_MACHINES_PER_RENTAL),
         };
         info!(
-            machine_type = named.machine_type,
-            zone = named.zone,
-            spot = named.spot,
-            count = named.count,
-            waiting = self.jobs.values().map(|j| j.pending()).sum::<u32>(),
-            "rents"
+            machine_type = rent.machine_type,
+            zone = rent.zone,
+            spot = rent.spot,
+            count = rent.count,
+            waiting_tasks = self.jobs.values().map(|j| j.pending()).sum::<u32>(),
+            "requesting machines from the cloud"
         );
-        named
+        rent
     }
 
     /// How long machines of a type are kept idle, in seconds. Machines are kept for a
     /// shorter time if no class whose tasks fit the type seems to submit jobs any more.
-    fn type_idle_limit_s(&self, now: Time, machine_type: &MachineType, most_s: f64) -> f64 {
+    fn type_idle_limit_s(&self, now: Time, machine_type: &MachineType, max_s: f64) -> f64 {
         let room = Shape::of_type(machine_type);
-        let quiet = self.samples.iter().all(|(class, sample)| {
-            let silent = |stats: &ClassStats| stats.is_inactive(now);
-            !sample.shape.fits_in(&room) || self.learner.get(class).is_some_and(silent)
+        let inactive = self.samples.iter().all(|(class, sample)| {
+            let is_inactive = |stats: &ClassStats| stats.is_inactive(now);
+            !sample.shape.fits_in(&room) || self.learner.get(class).is_some_and(is_inactive)
         });
-        if quiet && !self.samples.is_empty() {
-            self.cfg.tuning.quiet_idle_s.min(most_s)
+        if inactive && !self.samples.is_empty() {
+            self.cfg.tuning.quiet_idle_s.min(max_s)
         } else {
-            most_s
+            max_s
         }
     }
 
@@ -317,9 +317,9 @@
     fn current_demands(
         &self,
         now: Time,
-        mut kept: Option<&mut KeptRoom<'_>>,
+        mut reserved_room: Option<&mut KeptRoom<'_>>,
     ) -> Vec<(String, Demand)> {
-        let mut left: Vec<f64> = (0..self.cfg.teams.len())
+        let mut cpus_left: Vec<f64> = (0..self.cfg.teams.len())
             .map(|team| self.team_cpu_limit(Some(team)))
             .collect();
         let mut jobs: Vec<_> = self.jobs.iter().filter(|(_, j)| !j.cancelled).collect();
@@ -338,19 +338,20 @@
             if let Some(team) = job.team
                 && job.shape.cpus > 0.0
             {
-                let room = (left[team] / job.shape.cpus + 1e-6).floor().min(1e6) as u32;
-                tasks = tasks.min(room);
-                left[team] -= f64::from(tasks) * job.shape.cpus;
+                let allowed = (cpus_left[team] / job.shape.cpus + 1e-6).floor().min(1e6) as u32;
+                tasks = tasks.min(allowed);
+                cpus_left[team] -= f64::from(tasks) * job.shape.cpus;
             }
-            if let Some(kept) = &mut kept {
-                tasks -= kept.serve(self, job, tasks);
+            if let Some(reserved_room) = &mut reserved_room {
+                tasks -= reserved_room.serve(self, job, tasks);
             }
             if tasks == 0 {
                 continue;
             }
-            let turns = self.max_turnovers(now, job);
+            let turnovers = self.max_turnovers(now, job);
             // The first task of a boosted job does not wait for machines to turn over.
-            let begins = u32::from(waiting > 0 && self.is_boosted_to_start(id, job)).min(tasks);
+            let first_tasks =
+                u32::from(waiting > 0 && self.is_boosted_to_start(id, job)).min(tasks);
             // Demands are merged by all fields that distinguish them, because every job may
             // have a different shape.
             let bits = |amount: f64| amount.to_bits();
@@ -365,14 +366,17 @@
                 job.spec.zone.as_deref(),
                 job.spec.spot(),
             );
-            let parts = [(begins, 0.0, true), (tasks - begins, turns, false)];
-            for (tasks, turns, begins) in parts.into_iter().filter(|(n, ..)| *n > 0) {
+            let parts = [
+                (first_tasks, 0.0, true),
+                (tasks - first_tasks, turnovers, false),
+            ];
+            for (tasks, turnovers, is_first) in parts.into_iter().filter(|(n, ..)| *n > 0) {
                 let next = demands.len();
-                let index = *indices.entry((key, begins)).or_insert(next);
+                let index = *indices.entry((key, is_first)).or_insert(next);
                 match demands.get_mut(index) {
                     Some((_, demand)) => {
                         demand.tasks += tasks;
-                        demand.max_turnovers = demand.max_turnovers.min(turns);
+                        demand.max_turnovers = demand.max_turnovers.min(turnovers);
                     }
                     None => demands.push((
                         job.spec.class.clone(),
@@ -382,7 +386,7 @@
                             zone: job.spec.zone.clone(),
                             spot: job.spec.spot(),
                             tasks,
-                            max_turnovers: turns,
+                            max_turnovers: turnovers,
                             spare: 0,
                             warm_spare: 0,
                         },
--- a/crates/umbersail-control/src/engine/schedule.rs
+++ b/crates/umbersail-control/src/engine/schedule.rs
@@ -1,4 +1,5 @@
-//! The scheduling cycle: decides which waiting task runs on which machine, in time slices.
+//! The scheduling cycle: decides which waiting task runs on which machine, in slices of
+//! bounded work.
 
 use std::collections::BTreeMap;
 
@@ -52,8 +53,8 @@
 
     /// Excludes this machine from further placement in this slice.
     pub fn close(&mut self, machine: &MachineId) {
-        let at = (0..self.slots.len()).find(|i| self.slots.get(*i).machine == *machine);
-        if let Some(index) = at {
+        let position = (0..self.slots.len()).find(|i| self.slots.get(*i).machine == *machine);
+        if let Some(index) = position {
             self.slots.close(index);
         }
     }
@@ -106,7 +107,7 @@
         let mut steps = StepBudget::new(self.cfg.slice_steps);
         if self.unfinished_cycle.is_none() && !self.is_cached_order_valid(now) {
             self.cached_order = None;
-            self.least_shape = self.least_waiting();
+            self.least_shape = self.smallest_waiting_shape();
         }
         let mut snapshot = self.cluster_snapshot(now);
         let mut usage = self.team_usage(&snapshot.unaccounted);
@@ -147,14 +148,14 @@
             );
         }
         let mut candidates = EvictionCandidates::default();
-        while !steps.is_exhausted() && cycle.queue.evictions < MAX_EVICTIONS_PER_CYCLE {
+        while !steps.is_exhausted() && cycle.queue.eviction_searches < MAX_EVICTIONS_PER_CYCLE {
             let Some(id) = cycle.queue.next_blocked() else {
                 break;
             };
             steps.spend(StepBudget::JOB_COST);
             let examined = candidates.examined;
             if self.evict_for(now, &id, &mut usage, &mut candidates) {
-                cycle.queue.evictions += 1;
+                cycle.queue.eviction_searches += 1;
             }
             steps.spend(candidates.examined - examined);
         }
@@ -166,18 +167,18 @@
 
     /// The smallest amount of each resource that any waiting task needs, each resource
     /// taken separately.
-    fn least_waiting(&self) -> Shape {
-        let mut least = Shape {
+    fn smallest_waiting_shape(&self) -> Shape {
+        let mut smallest = Shape {
             cpus: f64::INFINITY,
             gpus: f64::INFINITY,
             memory_gb: f64::INFINITY,
         };
         for job in self.jobs.values().filter(|j| j.waits()) {
-            least.cpus = least.cpus.min(job.shape.cpus);
-            least.gpus = least.gpus.min(job.shape.gpus);
-            least.memory_gb = least.memory_gb.min(job.shape.memory_gb);
+            smallest.cpus = smallest.cpus.min(job.shape.cpus);
+            smallest.gpus = smallest.gpus.min(job.shape.gpus);
+            smallest.memory_gb = smallest.memory_gb.min(job.shape.memory_gb);
         }
-        least
+        smallest
     }
 
     /// Collects what a slice needs to know about the machines, in one pass over all
@@ -192,23 +193,23 @@
             let Some(index) = machine.type_index else {
                 continue;
             };
-            let room = Shape::of_type(&self.types[index]);
+            let capacity = Shape::of_type(&self.types[index]);
             if self.is_unsized(machine) {
-                snapshot.unaccounted.add(&room, 1.0);
+                snapshot.unaccounted.add(&capacity, 1.0);
             }
             if machine.delete_reason.is_none()
                 && machine.notice_until.is_none()
                 && !machine.reachability.is_unreachable()
             {
-                snapshot.cpus_by_type[index][usize::from(machine.spot)] += room.cpus;
+                snapshot.cpus_by_type[index][usize::from(machine.spot)] += capacity.cpus;
             }
-            let free = room.plus(&machine.used, -1.0);
+            let free = capacity.plus(&machine.used, -1.0);
             // On a busy cluster most machines are full; the remaining work is only done for
             // the few that have room.
             if !self.least_shape.fits_in(&free) || !machine.takes_tasks(now, silent_after) {
                 continue;
             }
-            let spot = SlotInfo {
+            let slot = SlotInfo {
                 type_index: index,
                 zone: &machine.zone,
                 spot: machine.spot,
@@ -218,7 +219,7 @@
             };
             snapshot
                 .slots
-                .push(machine.name.clone(), spot, &machine.images);
+                .push(machine.name.clone(), slot, &machine.images);
             for (image, _) in &machine.image_uses {
                 snapshot.slots.add_fetching(*image);
             }
--- a/crates/umbersail-control/src/engine/starvation_guard.rs
+++ b/crates/umbersail-control/src/engine/starvation_guard.rs
@@ -107,23 +107,23 @@
             ids.push(id);
             members.push(unstarted);
         }
-        let fleet_cpus = snapshot.cpus_by_type.iter().flatten().sum::<f64>();
-        let mut out = Vec::new();
+        let cluster_cpus = snapshot.cpus_by_type.iter().flatten().sum::<f64>();
+        let mut boosted = Vec::new();
         for (tier, (ids, unstarted)) in by_tier.into_iter().rev() {
             let teams: BTreeSet<_> = unstarted.iter().map(|u| u.group).collect();
             let limits: f64 = teams
                 .into_iter()
                 .map(|team| self.team_cpu_limit(team))
                 .sum();
-            let share_cpus = fleet_cpus.min(limits) * tuning.starvation_cpu_share;
+            let share_cpus = cluster_cpus.min(limits) * tuning.starvation_cpu_share;
             let busy_cpus = self.starting_cpus(tier);
             let of_tier = boosted_jobs(&unstarted, tuning.starvation_wait_s, share_cpus, busy_cpus);
-            out.extend(of_tier.into_iter().map(|index| BoostedJob {
+            boosted.extend(of_tier.into_iter().map(|index| BoostedJob {
                 job: ids[index].clone(),
                 underserved: false,
             }));
         }
-        out
+        boosted
     }
 
     /// CPUs of a tier's first tasks that run, or are about to run, because their jobs were
@@ -174,50 +174,52 @@
                 .or_default() |= underserved;
         }
         let mut held_slots = std::mem::take(&mut self.starvation_guard.held_slots);
-        held_slots.retain(|k| self.is_held(now, k));
-        // A task that is at most about twice as large as the smallest waiting task of its
-        // tier and the tiers above fits into nearly any capacity that frees up. Going first
-        // is enough for such a task, so no slot is held.
-        let mut least: BTreeMap<Priority, f64> = BTreeMap::new();
+        held_slots.retain(|slot| self.is_held(now, slot));
+        // A task that is less than twice as large as the smallest waiting task of its tier
+        // and of each tier above fits into nearly any capacity that frees up. Going first is
+        // enough for such a task, so no slot is held.
+        let mut smallest_by_tier: BTreeMap<Priority, f64> = BTreeMap::new();
         for job in self.jobs.values().filter(|j| j.waits()) {
-            let least = least.entry(job.spec.priority).or_insert(f64::INFINITY);
-            *least = least.min(job.shape.cpus);
+            let smallest = smallest_by_tier
+                .entry(job.spec.priority)
+                .or_insert(f64::INFINITY);
+            *smallest = smallest.min(job.shape.cpus);
         }
-        let mut new = 0;
+        let mut new_slots = 0;
         for BoostedJob {
             job: id,
             underserved,
         } in &boosted
         {
-            if new >= MAX_NEW_HELD_SLOTS {
+            if new_slots >= MAX_NEW_HELD_SLOTS {
                 break;
             }
             let Some(job) = self.jobs.get(id) else {
                 continue;
             };
-            let has = held_slots.iter().filter(|k| k.job == *id).count() as u32;
-            let most = match () {
+            let held = held_slots.iter().filter(|slot| slot.job == *id).count() as u32;
+            let max_slots = match () {
                 () if *underserved && job.has_independent_placement() => job.startable(),
                 () => u32::from(job.is_unstarted()),
             };
             let tier = job.spec.priority;
-            let barred = tier == Priority::Low
+            let needs_no_slot = tier == Priority::Low
                 || job.errors > 0
-                || least
+                || smallest_by_tier
                     .range(tier..)
                     .all(|(_, cpus)| *cpus > job.shape.cpus / 2.0);
-            let room = job.team.map_or(0, |t| {
+            let quota = job.team.map_or(0, |t| {
                 remaining_quota(&self.cfg.teams[t], &usage[t], &job.shape)
             });
-            if barred || has >= most.min(room) {
+            if needs_no_slot || held >= max_slots.min(quota) {
                 continue;
             }
             let Some(large_task_cpus) = large_task_cpus.get(&tier) else {
                 continue;
             };
-            new += 1;
+            new_slots += 1;
             self.steps += self.machines.len() as u64;
-            if let Some(place) = self.earliest_slot(
+            if let Some(slot) = self.earliest_slot(
                 now,
                 id,
                 *underserved,
@@ -228,30 +230,29 @@
                 if !underserved {
                     info!(
                         job = &**id,
-                        machine = &*place.machine,
+                        machine = &*slot.machine,
                         waited_s = (now - job.submitted) as u64,
                         cpus = job.shape.cpus,
-                        "a slot is held until it starts"
+                        "holding a slot until the job starts"
                     );
                 }
-                held_slots.push(place);
+                held_slots.push(slot);
             }
         }
         self.starvation_guard.held_slots = held_slots;
     }
 
     /// Whether the slot is still to be held.
-    fn is_held(&self, now: Time, held_slots: &HeldSlot) -> bool {
-        let job = self.jobs.get(&held_slots.job).filter(|j| j.waits());
-        let machine = self.machines.get(&held_slots.machine);
-        now < held_slots.until
+    fn is_held(&self, now: Time, slot: &HeldSlot) -> bool {
+        let job = self.jobs.get(&slot.job).filter(|j| j.waits());
+        let machine = self.machines.get(&slot.machine);
+        now < slot.until
             && machine.is_some_and(|m| m.takes_tasks(now, self.silent_after()))
             && job.is_some_and(|j| {
                 // A slot is kept even if the newest forecast of which jobs finish on time
                 // briefly favours other jobs.
                 let in_time = || self.slack_s(now, j).is_some_and(|s| s >= 0.0);
-                j.is_unstarted()
-                    || (held_slots.underserved && j.has_independent_placement() && in_time())
+                j.is_unstarted() || (slot.underserved && j.has_independent_placement() && in_time())
             })
     }
 
@@ -268,8 +269,8 @@
         let job = self.jobs.get(id)?;
         let share = self.cfg.tuning.starvation_cpu_share;
         let mut held = vec![0.0; self.types.len()];
-        for k in held_slots {
-            held[k.type_index] += k.cpus;
+        for slot in held_slots {
+            held[slot.type_index] += slot.cpus;
         }
         let filter = self.machine_filter(job, large_task_cpus);
         let silent_after = self.silent_after();
@@ -278,24 +279,27 @@
             let Some(index) = machine.type_index else {
                 continue;
             };
-            let room = Shape::of_type(&self.types[index]);
-            let most = snapshot.cpus_by_type[index].iter().sum::<f64>() * share;
-            if !job.shape.fits_in(&room)
+            let capacity = Shape::of_type(&self.types[index]);
+            let max_held_cpus = snapshot.cpus_by_type[index].iter().sum::<f64>() * share;
+            if !job.shape.fits_in(&capacity)
                 || !filter.matches(index, &machine.zone, machine.spot, machine.reservations)
                 || !machine.takes_tasks(now, silent_after)
                 || job.error_machines.contains(&machine.name)
-                || (held[index] > 0.0 && held[index] + job.shape.cpus > most)
+                || (held[index] > 0.0 && held[index] + job.shape.cpus > max_held_cpus)
                 || machine.claim.as_ref().is_some_and(|c| now < c.until)
             {
                 continue;
             }
             let mut others = Shape::default();
-            for k in held_slots.iter().filter(|k| k.machine == machine.name) {
-                if let Some(other) = self.jobs.get(&k.job) {
+            for slot in held_slots
+                .iter()
+                .filter(|slot| slot.machine == machine.name)
+            {
+                if let Some(other) = self.jobs.get(&slot.job) {
                     others.add(&other.shape, 1.0);
                 }
             }
-            if !job.shape.plus(&others, 1.0).fits_in(&room) {
+            if !job.shape.plus(&others, 1.0).fits_in(&capacity) {
                 continue;
             }
             let ends = machine.tasks.iter().filter_map(|(other, task)| {
@@ -307,20 +311,20 @@
                 };
                 let since = other.live.get(task).and_then(|p| p.running_since);
                 // A task that has exceeded its estimated run time is assumed to run for
-                // another quarter of the time that it has run.
-                let left = since.map_or(run_s + self.image_fetch_s(other), |at| {
+                // another quarter of the time that it has already run.
+                let remaining_s = since.map_or(run_s + self.image_fetch_s(other), |at| {
                     let ran_s = now - at;
                     (run_s - ran_s).max(0.25 * ran_s)
                 });
-                Some((left.max(1.0), other.shape.cpus))
+                Some((remaining_s.max(1.0), other.shape.cpus))
             });
             let wanted = job.shape.cpus + others.cpus;
-            let free = room.cpus - machine.used.cpus;
+            let free = capacity.cpus - machine.used.cpus;
             let Some(wait_s) = seconds_until_free(free, wanted, ends.collect()) else {
                 continue;
             };
-            if best.as_ref().is_none_or(|(least, _)| wait_s < *least) {
-                let place = HeldSlot {
+            if best.as_ref().is_none_or(|(shortest, _)| wait_s < *shortest) {
+                let slot = HeldSlot {
                     job: id.clone(),
                     machine: machine.name.clone(),
                     type_index: index,
@@ -328,14 +332,15 @@
                     underserved,
                     until: now + 2.0 * wait_s + self.cfg.lease_s,
                 };
-                best = Some((wait_s, place));
+                best = Some((wait_s, slot));
             }
         }
-        best.map(|(_, place)| place)
+        best.map(|(_, slot)| slot)
     }
 
-    /// Runs before each slice: places tasks whose held slot is free, and closes the other
-    /// held slots to all jobs. A job covered by its team's guarantee does not have to wait
+    /// Runs at the start of each slice: places a task of each job with a held slot if the
+    /// held slot or another slot has room, and closes the remaining held slots to all jobs.
+    /// A job covered by its team's guarantee does not have to wait
     /// for other teams, so no slot is closed while such a job waits. Returns the number of
     /// tasks placed.
     pub(super) fn fill_held_slots(
@@ -351,47 +356,48 @@
         }
         let guaranteed = self.cfg.teams.iter().any(|t| t.has_guarantee())
             && (self.jobs.values()).any(|j| j.waits() && self.is_guaranteed(j, usage));
-        let mut left = Vec::new();
+        let mut remaining = Vec::new();
         let mut placed = 0;
-        for place in &held_slots {
-            if !self.is_held(now, place) {
+        for slot in &held_slots {
+            if !self.is_held(now, slot) {
                 continue;
             }
-            let Some(job) = self.jobs.get(&place.job) else {
+            let Some(job) = self.jobs.get(&slot.job) else {
                 continue;
             };
-            let room = job.team.map_or(0, |t| {
+            let quota = job.team.map_or(0, |t| {
                 remaining_quota(&self.cfg.teams[t], &usage[t], &job.shape)
             });
-            let Some(large_task_cpus) =
-                large_task_cpus.get(&job.spec.priority).filter(|_| room > 0)
+            let Some(large_task_cpus) = large_task_cpus
+                .get(&job.spec.priority)
+                .filter(|_| quota > 0)
             else {
                 continue;
             };
             let filter = self.machine_filter(job, large_task_cpus);
-            let others = |m: &MachineId| held_slots.iter().any(|k| k.machine == *m);
+            let others = |m: &MachineId| held_slots.iter().any(|slot| slot.machine == *m);
             let allowed = |m: &MachineId| {
-                !job.error_machines.contains(m) && (*m == place.machine || !others(m))
+                !job.error_machines.contains(m) && (*m == slot.machine || !others(m))
             };
             let found = snapshot.slots.fitting(&filter, &job.shape, allowed);
-            let own = |index: &&usize| snapshot.slots.get(**index).machine == place.machine;
+            let own = |index: &&usize| snapshot.slots.get(**index).machine == slot.machine;
             let Some(&index) = found.iter().find(own).or(found.first()) else {
                 if !guaranteed {
-                    snapshot.close(&place.machine);
+                    snapshot.close(&slot.machine);
                 }
-                left.push(place.clone());
+                remaining.push(slot.clone());
                 continue;
             };
             let machine = snapshot.slots.get(index).machine.clone();
-            let begins = job.is_unstarted();
+            let is_first_task = job.is_unstarted();
             snapshot.slots.take(index, &job.shape, 1, job.image);
-            self.place_task(now, &place.job, &machine, usage);
-            if begins {
-                self.record_starting(&place.job);
+            self.place_task(now, &slot.job, &machine, usage);
+            if is_first_task {
+                self.record_starting(&slot.job);
             }
             placed += 1;
         }
-        self.starvation_guard.held_slots = left;
+        self.starvation_guard.held_slots = remaining;
         placed
     }
 
@@ -421,7 +427,7 @@
         let Some(job) = self.jobs.get_mut(id) else {
             return;
         };
-        // Jobs without a deadline are not counted.
+        // Jobs that may be preempted have no deadline by default, so they are not counted.
         if job.counted || job.spec.deadline_s.is_none() {
             return;
         }
@@ -435,10 +441,10 @@
     /// The size in CPUs from which jobs are underserved, by class and team.
     pub(super) fn underserved_min_sizes(&self) -> BTreeMap<String, f64> {
         let tuning = &self.cfg.tuning;
-        let least = tuning.service_min_jobs as usize;
+        let min_jobs = tuning.service_min_jobs as usize;
         let from = |name: &str| {
             self.served
-                .underserved_min_size(name, tuning.underserved_share_below, least)
+                .underserved_min_size(name, tuning.underserved_share_below, min_jobs)
         };
         let names = self.served.names();
         names
--- a/crates/umbersail-cycle/src/preemptible.rs
+++ b/crates/umbersail-cycle/src/preemptible.rs
@@ -84,16 +84,16 @@
         preemptible.insert(class(0, 0), "low");
         preemptible.insert(class(2, 0), "high");
         preemptible.insert(class(2, 1), "other team's");
-        let to = |preemptible: &Names, tier, team, reclaim| -> Vec<&'static str> {
+        let victims = |preemptible: &Names, tier, team, reclaim| -> Vec<&'static str> {
             let sets = preemptible.preemptible_by(class(tier, team), reclaim);
             sets.iter().flat_map(|s| s.iter().copied()).collect()
         };
-        assert_eq!(to(&preemptible, 2, 0, false), ["low"]);
-        assert_eq!(to(&preemptible, 2, 0, true), ["low", "other team's"]);
-        assert!(to(&preemptible, 0, 0, false).is_empty());
+        assert_eq!(victims(&preemptible, 2, 0, false), ["low"]);
+        assert_eq!(victims(&preemptible, 2, 0, true), ["low", "other team's"]);
+        assert!(victims(&preemptible, 0, 0, false).is_empty());
         preemptible.remove(class(0, 0), &"low");
         preemptible.remove(class(0, 0), &"low");
-        assert!(to(&preemptible, 2, 0, false).is_empty());
+        assert!(victims(&preemptible, 2, 0, false).is_empty());
         assert_eq!(preemptible.len(), 2);
     }
 }
--- a/crates/umbersail-cycle/src/queue.rs
+++ b/crates/umbersail-cycle/src/queue.rs
@@ -49,7 +49,7 @@
     waiting: Vector<J>,
     blocked: VecDeque<J>,
     /// Number of searches that found evictable tasks.
-    pub evictions: usize,
+    pub eviction_searches: usize,
 }
 
 impl<J: Clone> CycleQueue<J> {
@@ -58,7 +58,7 @@
         CycleQueue {
             waiting: order,
             blocked: VecDeque::new(),
-            evictions: 0,
+            eviction_searches: 0,
         }
     }
 
@@ -77,10 +77,11 @@
         self.blocked.pop_front()
     }
 
-    /// Whether nothing is left to do if the cycle may do at most `max_evictions` eviction
+    /// Whether nothing is left to do if the cycle may do at most `max_searches` eviction
     /// searches.
-    pub fn is_done(&self, max_evictions: usize) -> bool {
-        self.waiting.is_empty() && (self.blocked.is_empty() || self.evictions >= max_evictions)
+    pub fn is_done(&self, max_searches: usize) -> bool {
+        self.waiting.is_empty()
+            && (self.blocked.is_empty() || self.eviction_searches >= max_searches)
     }
 }
 
@@ -113,9 +114,9 @@
         queue.block(3);
         assert!(!queue.is_done(1) && queue.is_done(0));
         assert_eq!(order.len(), 10);
-        let mut none = StepBudget::new(0);
-        assert!(none.is_exhausted());
-        none.spend(1);
-        assert_eq!(none.done(), 1);
+        let mut empty = StepBudget::new(0);
+        assert!(empty.is_exhausted());
+        empty.spend(1);
+        assert_eq!(empty.done(), 1);
     }
 }
--- a/crates/umbersail-cycle/src/rankings.rs
+++ b/crates/umbersail-cycle/src/rankings.rs
@@ -31,8 +31,8 @@
     /// cost of a slot, or `None` if the slot may not be used. Returns the number of slots
     /// examined.
     pub fn open(&mut self, key: K, mut cost: impl FnMut(&K, usize) -> Option<f64>) -> u64 {
-        if let Some(at) = self.rankings.iter().position(|(k, _)| *k == key) {
-            let found = self.rankings.remove(at);
+        if let Some(position) = self.rankings.iter().position(|(k, _)| *k == key) {
+            let found = self.rankings.remove(position);
             self.rankings.push(found);
             return 0;
         }
--- a/crates/umbersail-cycle/src/slots.rs
+++ b/crates/umbersail-cycle/src/slots.rs
@@ -120,11 +120,11 @@
     /// Adds a machine. `images` are the images in the machine's cache; images that the
     /// machine is fetching are added with [`CandidateSlots::add_fetching`]. Among machines
     /// of equal cost, the one added first is preferred.
-    pub fn push(&mut self, machine: M, spot: SlotInfo<'_>, images: &[ImageKey]) {
-        let zone = match self.zones.iter().position(|z| z == spot.zone) {
+    pub fn push(&mut self, machine: M, info: SlotInfo<'_>, images: &[ImageKey]) {
+        let zone = match self.zones.iter().position(|z| z == info.zone) {
             Some(zone) => zone,
             None => {
-                self.zones.push(spot.zone.to_owned());
+                self.zones.push(info.zone.to_owned());
                 self.zones.len() - 1
             }
         };
@@ -132,12 +132,12 @@
         self.images.extend_from_slice(images);
         self.slots.push(CandidateSlot {
             machine,
-            type_index: spot.type_index,
+            type_index: info.type_index,
             zone,
-            spot: spot.spot,
-            free: spot.free,
-            heartbeat_due_in_s: spot.heartbeat_due_in_s,
-            reservations: spot.reservations,
+            spot: info.spot,
+            free: info.free,
+            heartbeat_due_in_s: info.heartbeat_due_in_s,
+            reservations: info.reservations,
             images: (start, self.images.len()),
             fetching: Vec::new(),
         });
@@ -173,8 +173,8 @@
     /// Whether the machine has the image, and whether it is fetching the image.
     pub fn image(&self, index: usize, image: ImageKey) -> (bool, bool) {
         let slot = &self.slots[index];
-        let there = self.images[slot.images.0..slot.images.1].contains(&image);
-        (there, !there && slot.fetching.contains(&image))
+        let cached = self.images[slot.images.0..slot.images.1].contains(&image);
+        (cached, !cached && slot.fetching.contains(&image))
     }
 
     /// Number of slots examined so far.
@@ -187,7 +187,7 @@
     pub fn cannot_fit(&self, filter: &MachineFilter, shape: &Shape) -> bool {
         self.failed_searches
             .iter()
-            .any(|m| is_no_larger(&m.shape, shape) && m.filter == *filter)
+            .any(|search| is_no_larger(&search.shape, shape) && search.filter == *filter)
     }
 
     /// Indices of the slots that match the filter and fit a task of this shape, in the
@@ -200,7 +200,7 @@
         mut allowed: impl FnMut(&M) -> bool,
     ) -> Vec<usize> {
         self.examined += self.slots.len() as u64;
-        let (mut found, mut barred) = (Vec::new(), false);
+        let (mut found, mut excluded) = (Vec::new(), false);
         for (index, slot) in self.slots.iter().enumerate() {
             if !shape.fits_in(&slot.free)
                 || !filter.matches(
@@ -215,10 +215,10 @@
             if allowed(&slot.machine) {
                 found.push(index);
             } else {
-                barred = true;
+                excluded = true;
             }
         }
-        if found.is_empty() && !barred {
+        if found.is_empty() && !excluded {
             self.record_failed_search(filter, shape);
         }
         found
@@ -227,7 +227,7 @@
     /// Records that a search by the caller found no slot for this filter and shape.
     pub fn record_failed_search(&mut self, filter: &MachineFilter, shape: &Shape) {
         self.failed_searches
-            .retain(|m| m.filter != *filter || !is_no_larger(shape, &m.shape));
+            .retain(|search| search.filter != *filter || !is_no_larger(shape, &search.shape));
         if self.failed_searches.len() < MAX_FAILED_SEARCHES {
             self.failed_searches.push(FailedSearch {
                 filter: filter.clone(),
--- a/crates/umbersail-policy/src/bitmap.rs
+++ b/crates/umbersail-policy/src/bitmap.rs
@@ -1,3 +1,5 @@
+//! Compact sets of task numbers.
+
 use std::fmt::Write;
 
 /// A set of task numbers that is compact in memory and in records.
@@ -55,7 +57,7 @@
     /// Formats the set as ranges such as `0-3,7` if that is the shorter form, otherwise as
     /// hexadecimal words after a `#`. 100,000 tasks take at most 25 KB.
     pub fn to_text(&self) -> String {
-        let most = Bitmap::max_text_len(self.size);
+        let max_len = Bitmap::max_text_len(self.size);
         let mut ranges = String::new();
         let mut index = 0;
         while index < self.size {
@@ -76,8 +78,8 @@
             } else {
                 write!(ranges, "{start}-{}", index - 1)
             };
-            if ranges.len() > most {
-                let mut text = String::with_capacity(most);
+            if ranges.len() > max_len {
+                let mut text = String::with_capacity(max_len);
                 text.push('#');
                 for word in &self.words {
                     let _ = write!(text, "{word:016x}");
--- a/crates/umbersail-policy/src/evict.rs
+++ b/crates/umbersail-policy/src/evict.rs
@@ -92,7 +92,7 @@
         if sets.len() >= max_sets {
             break;
         }
-        sets.extend(grow(needed, &host, 0));
+        sets.extend(build_victim_set(needed, &host, 0));
         seen.push(host);
     }
     // The orders in which a set is built: least lost work first, largest first, and job by
@@ -102,7 +102,7 @@
             if sets.len() >= max_sets {
                 break;
             }
-            if let Some(set) = grow(needed, host, order)
+            if let Some(set) = build_victim_set(needed, host, order)
                 && !sets
                     .iter()
                     .any(|s| s.machine == set.machine && s.tasks == set.tasks)
@@ -153,7 +153,9 @@
     }
 }
 
-fn grow<M: Clone, J: Clone + Ord>(
+/// Builds a set of victims on one machine by adding its tasks in the given order until there
+/// is enough room. `None` if no task is needed or all tasks together are not enough.
+fn build_victim_set<M: Clone, J: Clone + Ord>(
     needed: &Shape,
     host: &EvictionHost<M, J>,
     order: u8,
--- a/crates/umbersail-policy/src/first_fit.rs
+++ b/crates/umbersail-policy/src/first_fit.rs
@@ -103,16 +103,16 @@
             failure_persistence: None,
             ..Config::default()
         };
-        let rooms = prop::collection::vec((0u8..5, 0u8..5), 0..40);
+        let capacities = prop::collection::vec((0u8..5, 0u8..5), 0..40);
         let asks = prop::collection::vec((0usize..42, 0u8..5, 0u8..5), 1..60);
         type Asks = Vec<(usize, u8, u8)>;
-        let check = |(rooms, asks): (Vec<(u8, u8)>, Asks)| {
+        let check = |(capacities, asks): (Vec<(u8, u8)>, Asks)| {
             let shape = |cpus: u8, memory_gb: u8| Shape {
                 cpus: f64::from(cpus),
                 gpus: 0.0,
                 memory_gb: f64::from(memory_gb),
             };
-            let mut plain: Vec<Shape> = rooms.iter().map(|(c, m)| shape(*c, *m)).collect();
+            let mut plain: Vec<Shape> = capacities.iter().map(|(c, m)| shape(*c, *m)).collect();
             let mut tree = FirstFit::new(&plain);
             for (from, cpus, memory_gb) in asks {
                 let ask = shape(cpus, memory_gb);
@@ -127,7 +127,7 @@
             Ok(())
         };
         TestRunner::new_with_rng(config, rng)
-            .run(&(rooms, asks), check)
+            .run(&(capacities, asks), check)
             .unwrap();
     }
 }
--- a/crates/umbersail-policy/src/learn.rs
+++ b/crates/umbersail-policy/src/learn.rs
@@ -1,3 +1,5 @@
+//! Learned run times and load of job classes.
+
 use std::collections::BTreeMap;
 
 /// Statistics of one class of jobs.
@@ -32,8 +34,8 @@
     /// Whether no job has arrived for so long that the class seems to have stopped
     /// submitting. No spare capacity is kept for an inactive class.
     pub fn is_inactive(&self, now: f64) -> bool {
-        let least = self.window_s(f64::INFINITY);
-        self.last_arrival.is_some_and(|at| now - at > least)
+        let timeout_s = self.window_s(f64::INFINITY);
+        self.last_arrival.is_some_and(|at| now - at > timeout_s)
     }
 
     /// The window over which load is measured, at most `max_s` seconds: as short as the
@@ -104,7 +106,7 @@
         stats
     }
 
-    /// Records that a task ran for `run_s` seconds although the job's estimate was
+    /// Records that a task ran for `run_s` seconds where the job's estimate was
     /// `estimate_s`.
     pub fn record_run(&mut self, class: &str, now: f64, estimate_s: f64, run_s: f64) {
         let weight = self.weight;
--- a/crates/umbersail-policy/src/order.rs
+++ b/crates/umbersail-policy/src/order.rs
@@ -1,3 +1,5 @@
+//! Selection of the jobs that can finish by their deadlines.
+
 use std::cmp::Ordering;
 use std::collections::BinaryHeap;
 
@@ -13,22 +15,24 @@
     pub underserved: bool,
 }
 
+/// A selected job. The greatest candidate is dropped first: the one with the most work,
+/// protected jobs last.
 #[derive(Debug, PartialEq)]
-struct Largest {
+struct DropCandidate {
     protected: bool,
     work_s: f64,
     index: usize,
 }
 
-impl Eq for Largest {}
+impl Eq for DropCandidate {}
 
-impl PartialOrd for Largest {
+impl PartialOrd for DropCandidate {
     fn partial_cmp(&self, other: &Self) -> Option<Ordering> {
         Some(self.cmp(other))
     }
 }
 
-impl Ord for Largest {
+impl Ord for DropCandidate {
     fn cmp(&self, other: &Self) -> Ordering {
         (other.protected.cmp(&self.protected))
             .then(self.work_s.total_cmp(&other.work_s))
@@ -80,23 +84,23 @@
     let mut order: Vec<usize> = (0..jobs.len()).collect();
     order.sort_by(|&a, &b| jobs[a].slack_s.total_cmp(&jobs[b].slack_s));
     let mut kept = vec![false; jobs.len()];
-    let mut largest: BinaryHeap<Largest> = BinaryHeap::new();
+    let mut largest: BinaryHeap<DropCandidate> = BinaryHeap::new();
     let mut taken_s = busy_s;
     for index in order {
         let work_s = jobs[index].work_s;
         kept[index] = true;
         taken_s += work_s;
-        largest.push(Largest {
+        largest.push(DropCandidate {
             protected: protected[index],
             work_s,
             index,
         });
         while taken_s > jobs[index].slack_s.max(0.0)
-            && let Some(out) = largest.pop()
+            && let Some(dropped) = largest.pop()
         {
-            kept[out.index] = false;
-            taken_s -= out.work_s;
-            if out.index == index {
+            kept[dropped.index] = false;
+            taken_s -= dropped.work_s;
+            if dropped.index == index {
                 break;
             }
         }
--- a/crates/umbersail-policy/src/place.rs
+++ b/crates/umbersail-policy/src/place.rs
@@ -1,3 +1,5 @@
+//! Placement: which machines a task may use, and the cost of using them.
+
 use umbersail_wire::{JobSpec, MachineType};
 
 use crate::Shape;
--- a/crates/umbersail-policy/src/quota.rs
+++ b/crates/umbersail-policy/src/quota.rs
@@ -1,3 +1,5 @@
+//! Guarantees and limits of teams.
+
 use crate::Shape;
 
 /// A team's guarantee and limit. A limit of 0 means no limit.
--- a/crates/umbersail-policy/src/rent.rs
+++ b/crates/umbersail-policy/src/rent.rs
@@ -1,3 +1,5 @@
+//! Planning of machine rentals and returns.
+
 use umbersail_wire::MachineType;
 
 use crate::{FirstFit, Shape};
@@ -109,11 +111,11 @@
             .then(ka.2.cmp(&kb.2))
             .then(idle(a).total_cmp(&idle(b)))
     });
-    let rooms: Vec<Shape> = order
+    let capacities: Vec<Shape> = order
         .iter()
         .map(|i| Shape::of_type(&types[fleet[*i].type_index]))
         .collect();
-    let mut bins = FirstFit::new(&rooms);
+    let mut bins = FirstFit::new(&capacities);
     let mut requests: Vec<ScaleOutRequest> = Vec::new();
     // Number of machines that would be needed for the tasks that wait for machines in use.
     let mut deferred = 0.0;
@@ -235,6 +237,10 @@
         && (!spot || demand.spot)
 }
 
+/// Adds rental requests for tasks that did not fit on existing machines, with the least price
+/// per task. Tasks that may run on spot machines and can wait for machines in use get no
+/// on-demand machine while `max_on_demand` is reached, or while the machines in use can do all
+/// deferred work within the allowed number of turnovers.
 #[allow(clippy::too_many_arguments)]
 fn rent_for(
     types: &[MachineType],
@@ -278,8 +284,8 @@
                     // one zone does not take all of them.
                     let requested: u32 = requests
                         .iter()
-                        .filter(|p| p.type_index == i && p.zone == *zone && p.spot == spot)
-                        .map(|p| p.count)
+                        .filter(|r| r.type_index == i && r.zone == *zone && r.spot == spot)
+                        .map(|r| r.count)
                         .sum();
                     let cost = per_task * (1.0 + 0.001 * f64::from(requested));
                     if best.as_ref().is_none_or(|(c, _, _)| cost < *c) {
@@ -301,27 +307,27 @@
             return;
         };
         if !request.spot && demand.spot && demand.max_turnovers > 0.0 {
-            let bought: u32 = requests.iter().filter(|p| !p.spot).map(|p| p.count).sum();
-            if on_demand + f64::from(bought) + 1.0 > max_on_demand {
+            let rented: u32 = requests.iter().filter(|r| !r.spot).map(|r| r.count).sum();
+            if on_demand + f64::from(rented) + 1.0 > max_on_demand {
                 return;
             }
             // Counted in machines, because every job may have a different shape.
-            let bought = requests
+            let rented = requests
                 .iter()
-                .filter(|p| demand.shape.fits_in(&Shape::of_type(&types[p.type_index])))
-                .map(|p| p.count)
+                .filter(|r| demand.shape.fits_in(&Shape::of_type(&types[r.type_index])))
+                .map(|r| r.count)
                 .sum::<u32>();
-            let waits = f64::from(wanted) / f64::from(slots);
-            if *deferred + waits <= (in_use + f64::from(bought)) * demand.max_turnovers {
-                *deferred += waits;
+            let waiting_machines = f64::from(wanted) / f64::from(slots);
+            if *deferred + waiting_machines <= (in_use + f64::from(rented)) * demand.max_turnovers {
+                *deferred += waiting_machines;
                 return;
             }
         }
         wanted = wanted.saturating_sub(slots);
-        match requests.iter_mut().find(|p| {
-            p.type_index == request.type_index && p.zone == request.zone && p.spot == request.spot
+        match requests.iter_mut().find(|r| {
+            r.type_index == request.type_index && r.zone == request.zone && r.spot == request.spot
         }) {
-            Some(p) => p.count += 1,
+            Some(r) => r.count += 1,
             None => requests.push(request),
         }
     }
@@ -377,11 +383,11 @@
             &limits(),
             1e9,
         );
-        assert_eq!(plan.requests.iter().map(|p| p.count).sum::<u32>(), 2);
-        assert!(plan.requests.iter().all(|p| p.spot));
+        assert_eq!(plan.requests.iter().map(|r| r.count).sum::<u32>(), 2);
+        assert!(plan.requests.iter().all(|r| r.spot));
         let no_spot = |_: usize, _: &str, spot: bool| spot;
         let plan = plan_rental::<u32>(&types, &[demand(2.0, 8, 0)], &[], no_spot, &limits(), 1e9);
-        assert!(plan.requests.iter().all(|p| !p.spot));
+        assert!(plan.requests.iter().all(|r| !r.spot));
         let plan = plan_rental::<u32>(&types, &[demand(2.0, 0, 8)], &[], no_spot, &limits(), 1e9);
         assert_eq!(plan.requests, vec![]);
     }
@@ -443,8 +449,8 @@
         let count = |i| {
             plan.requests
                 .iter()
-                .filter(|p| p.type_index == i)
-                .map(|p| p.count)
+                .filter(|r| r.type_index == i)
+                .map(|r| r.count)
                 .sum::<u32>()
         };
         assert_eq!((count(0), count(1)), (10, 1));
@@ -470,7 +476,7 @@
         let bought = |backlog: &Demand, share| -> u32 {
             let backlog = std::slice::from_ref(backlog);
             let plan = plan_rental(&types, backlog, &fleet, no_spot, &limits(), share);
-            plan.requests.iter().map(|p| p.count).sum()
+            plan.requests.iter().map(|r| r.count).sum()
         };
         assert_eq!(bought(&backlog, 1e9), 1);
         // However long the backlog, on-demand machines stay a share of the spot machines.
--- a/crates/umbersail-policy/src/shape.rs
+++ b/crates/umbersail-policy/src/shape.rs
@@ -1,3 +1,5 @@
+//! Resource amounts of tasks and machines.
+
 use umbersail_wire::{JobSpec, MachineType};
 
 /// Resources of a task or a machine, or what is free on a machine.
--- a/crates/umbersail-policy/src/starvation.rs
+++ b/crates/umbersail-policy/src/starvation.rs
@@ -59,6 +59,7 @@
     chosen
 }
 
+/// Orders jobs by waiting time, longest first, and by index if the times are equal.
 fn longest_first<G>(jobs: &[UnstartedJob<G>], a: usize, b: usize) -> std::cmp::Ordering {
     let waited = |index: usize| jobs[index].waited_s;
     waited(b).total_cmp(&waited(a)).then(a.cmp(&b))
