--- a/crates/umbersail-control/src/engine/evict.rs
+++ b/crates/umbersail-control/src/engine/evict.rs
@@ -304,12 +304,12 @@
             return false;
         }
         // An eviction must not take the victim's team below its guarantee.
-        let stays_within_guarantee = victim.team.is_none_or(|team| {
-            let limits = &self.cfg.teams[team];
-            !limits.has_guarantee()
-                || usage[team].cpus - victim.shape.cpus >= limits.guaranteed_cpus - 1e-6
+        let keeps_guarantee = victim.team.is_none_or(|team| {
+            let team_limits = &self.cfg.teams[team];
+            !team_limits.has_guarantee()
+                || usage[team].cpus - victim.shape.cpus >= team_limits.guaranteed_cpus - 1e-6
         });
-        if !stays_within_guarantee {
+        if !keeps_guarantee {
             return false;
         }
         let has_deadline = victim.spec.deadline_s.is_some();
--- a/crates/umbersail-policy/src/evict.rs
+++ b/crates/umbersail-policy/src/evict.rs
@@ -87,18 +87,18 @@
     J: Clone + Ord,
 {
     let mut sets: Vec<VictimSet<M, J>> = Vec::new();
-    let mut seen: Vec<EvictionHost<M, J>> = Vec::new();
+    let mut examined_hosts: Vec<EvictionHost<M, J>> = Vec::new();
     for host in hosts {
         if sets.len() >= max_sets {
             break;
         }
         sets.extend(build_victim_set(needed, &host, 0));
-        seen.push(host);
+        examined_hosts.push(host);
     }
     // The orders in which a set is built: least lost work first, largest first, and job by
     // job. Each is a different trade-off between lost work and number of jobs.
     for order in 1..3 {
-        for host in &seen {
+        for host in &examined_hosts {
             if sets.len() >= max_sets {
                 break;
             }
@@ -119,9 +119,9 @@
     sets: Vec<VictimSet<M, J>>,
     preference: VictimPreference,
 ) -> Option<VictimSet<M, J>> {
-    let mut prices: Vec<f64> = sets.iter().map(|s| s.lost_work_s).collect();
-    prices.sort_by(f64::total_cmp);
-    let median = median(&prices)?;
+    let mut lost_work: Vec<f64> = sets.iter().map(|s| s.lost_work_s).collect();
+    lost_work.sort_by(f64::total_cmp);
+    let median = median(&lost_work)?;
     let count = sets.len();
     let by_lost_work =
         |a: &VictimSet<M, J>, b: &VictimSet<M, J>| a.lost_work_s.total_cmp(&b.lost_work_s);
--- a/crates/umbersail-policy/src/rent.rs
+++ b/crates/umbersail-policy/src/rent.rs
@@ -355,7 +355,7 @@
         }
     }
 
-    fn demand(cpus: f64, now: u32, reserve: u32) -> Demand {
+    fn demand(cpus: f64, tasks: u32, spare: u32) -> Demand {
         Demand {
             shape: Shape {
                 cpus,
@@ -365,9 +365,9 @@
             types: None,
             zone: None,
             spot: true,
-            tasks: now,
+            tasks,
             max_turnovers: 0.0,
-            spare: reserve,
+            spare,
             warm_spare: 0,
         }
     }
--- a/crates/umbersail-policy/src/starvation.rs
+++ b/crates/umbersail-policy/src/starvation.rs
@@ -39,15 +39,15 @@
             by_group.entry(&job.group).or_default().push(index);
         }
     }
-    let mut turns: Vec<(usize, usize)> = Vec::new();
+    let mut by_round: Vec<(usize, usize)> = Vec::new();
     for members in by_group.values_mut() {
         members.sort_by(|&a, &b| longest_first(jobs, a, b));
-        turns.extend(members.iter().copied().enumerate());
+        by_round.extend(members.iter().copied().enumerate());
     }
-    turns.sort_by(|a, b| a.0.cmp(&b.0).then_with(|| longest_first(jobs, a.1, b.1)));
+    by_round.sort_by(|a, b| a.0.cmp(&b.0).then_with(|| longest_first(jobs, a.1, b.1)));
     let mut left = share_cpus - busy_cpus;
     let mut chosen = Vec::new();
-    for (_, index) in turns {
+    for (_, index) in by_round {
         let cpus = jobs[index].cpus;
         let is_first = chosen.is_empty() && busy_cpus <= 0.0;
         if cpus > left && !is_first {
@@ -140,10 +140,11 @@
             let count = (sizes.len() as f64 * part).ceil() as usize;
             let from = *sizes.get(count.max(1) - 1)?;
             // Jobs of the same size as the smallest selected job are included.
-            let of: Vec<&DeadlineOutcome> = outcomes.iter().filter(|f| f.size >= from).collect();
-            let in_time = of.iter().filter(|f| f.in_time).count();
+            let selected: Vec<&DeadlineOutcome> =
+                outcomes.iter().filter(|f| f.size >= from).collect();
+            let in_time = selected.iter().filter(|f| f.in_time).count();
             let is_underserved =
-                of.len() >= min_jobs && (in_time as f64) < min_share * of.len() as f64;
+                selected.len() >= min_jobs && (in_time as f64) < min_share * selected.len() as f64;
             is_underserved.then_some(if *part < 1.0 { from } else { 0.0 })
         })
     }
@@ -163,7 +164,7 @@
 
     #[test]
     fn many_small_jobs_of_one_group_take_turns_with_a_large_job_of_another() {
-        // Guards against counting waiting jobs: hundreds of small jobs of one user, each as
+        // Guards against boosting by waiting time alone: hundreds of small jobs of one user, each as
         // old as the large job of another, would all go before it.
         let mut jobs: Vec<UnstartedJob<u32>> = (0..300).map(|_| unstarted(1, 150.0, 1.0)).collect();
         jobs.push(unstarted(2, 149.0, 32.0));
