--- a/crates/umbersail-control/src/engine/eligibility.rs
+++ b/crates/umbersail-control/src/engine/eligibility.rs
@@ -26,8 +26,8 @@
         let min_machines = (tuning.image_places * f64::from(job.pending())).ceil() as usize;
         let counts = slice.snapshot.machines_with_image.get_or_insert_with(|| {
             let mut counts = BTreeMap::new();
-            let silent_after = self.silent_after();
-            let is_schedulable = |m: &&super::Machine| m.takes_tasks(now, silent_after);
+            let silent_after = self.silence_limit_s();
+            let is_schedulable = |m: &&super::Machine| m.accepts_tasks(now, silent_after);
             for machine in self.machines.values().filter(is_schedulable) {
                 for image in &machine.images {
                     if let Some(index) = machine.type_index {
@@ -38,7 +38,7 @@
             counts
         });
         let machine_count: usize = self
-            .types
+            .machine_types
             .iter()
             .enumerate()
             .filter(|(_, t)| job.shape.fits_in(&Shape::of_type(t)))
@@ -57,7 +57,7 @@
     ) -> bool {
         let within = self.start_objective_s(job, self.is_guaranteed(job, usage));
         within.is_some_and(|within| {
-            let left = within - (now - job.submitted);
+            let left = within - (now - job.submitted_at);
             left >= self.cfg.tuning.image_wait_s && self.image_fetch_s(job) > left
         })
     }
@@ -70,13 +70,13 @@
         if !job.spec.one_zone() && !job.spec.spread() {
             return (None, zones);
         }
-        for placement in job.live.values() {
+        for placement in job.placements.values() {
             if let Some(machine) = self.machines.get(&placement.machine) {
                 *zones.entry(machine.zone.clone()).or_default() += 1;
             }
         }
-        let unconfirmed = job.recovery_pending.len() as u32 + job.inherited_extra();
-        for host in &job.inherited {
+        let unconfirmed = job.recovery_pending.len() as u32 + job.inherited_extra_attempts();
+        for host in &job.inherited_machines {
             if let Some(machine) = self.machines.get(host) {
                 *zones.entry(machine.zone.clone()).or_default() += unconfirmed;
             }
@@ -107,7 +107,7 @@
         job: &Job,
         allows: impl Fn(usize, &MachineType) -> bool,
     ) -> MachineFilter {
-        let types = self.types.iter().enumerate();
+        let types = self.machine_types.iter().enumerate();
         MachineFilter {
             types: types
                 .map(|(index, t)| allows_type(&job.spec, &t.name) && allows(index, t))
--- a/crates/umbersail-control/src/engine/evict.rs
+++ b/crates/umbersail-control/src/engine/evict.rs
@@ -11,7 +11,7 @@
 use umbersail_wire::{Priority, TaskState};
 
 use super::machine::Claim;
-use super::{Engine, Job, JobId, Machine, MachineId, Placement, Stop, Time};
+use super::{Engine, Job, JobId, Machine, MachineId, PendingStop, Placement, Time};
 
 /// Tasks that may be evicted, collected once per slice for all blocked jobs of the same
 /// preemption class.
@@ -38,7 +38,7 @@
     pub(super) fn may_ever_be_preempted(&self, job: &Job) -> bool {
         let tuning = &self.cfg.tuning;
         !job.is_service()
-            && !job.is_spared(tuning.evict_loser_limit)
+            && !job.has_reached_eviction_limit(tuning.max_evictions_per_task)
             && (job.spec.deadline_s.is_none()
                 || tuning.evict_deadline_work > 0.0
                 || tuning.reclaim_deadline_work > 0.0)
@@ -64,7 +64,7 @@
             return false;
         }
         let preemptible = self
-            .preemptible
+            .preemptible_jobs
             .preemptible_by(job.preemption_class(), reclaim);
         if preemptible.is_empty() || (!reclaim && self.can_rent_in_time(now, job)) {
             return false;
@@ -85,7 +85,7 @@
             host_count += 1;
             Some(host)
         });
-        let max_sets = self.cfg.tuning.evict_sets as usize;
+        let max_sets = self.cfg.tuning.max_eviction_sets as usize;
         let victim_set = select_victims(&job.shape, hosts, max_sets);
         candidates.examined += examined;
         if host_count == 0 {
@@ -107,10 +107,10 @@
     /// Whether the job may evict other tasks now.
     fn may_evict(&self, now: Time, job: &Job) -> bool {
         // A job that fails on every machine would evict tasks without end.
-        job.waits()
-            && !job.suspect
-            && job.errors < self.cfg.tuning.evict_errors_limit as u32
-            && now >= job.evict_hold_until
+        job.is_schedulable()
+            && !job.suspected_faulty
+            && job.errors < self.cfg.tuning.max_errors_of_evicting_job as u32
+            && now >= job.next_eviction_at
     }
 
     /// Index of the candidate group for jobs of this class, which is built on first use in
@@ -146,7 +146,7 @@
     ) -> Option<&Machine> {
         let machine = self.machines.get(name)?;
         let index = machine.type_index?;
-        let usable = machine.takes_tasks(now, self.silent_after())
+        let usable = machine.accepts_tasks(now, self.silence_limit_s())
             && filter.matches(index, &machine.zone, machine.spot, machine.reservations);
         usable.then_some(machine)
     }
@@ -166,7 +166,7 @@
             .iter()
             .filter_map(|(id, task)| {
                 let victim = self.jobs.get(id)?;
-                let placement = victim.live.get(task)?;
+                let placement = victim.placements.get(task)?;
                 self.may_preempt(beneficiary, victim, placement, reclaim, usage)
                     .then(|| PreemptibleTask {
                         job: id.clone(),
@@ -176,10 +176,10 @@
                     })
             })
             .collect();
-        let capacity = Shape::of_type(&self.types[machine.type_index?]);
+        let capacity = Shape::of_type(&self.machine_types[machine.type_index?]);
         (!running.is_empty()).then(|| EvictionHost {
             machine: machine.name.clone(),
-            free: capacity.plus(&machine.used, -1.0),
+            free: capacity.plus(&machine.allocated, -1.0),
             running,
         })
     }
@@ -188,7 +188,7 @@
     /// Returns the longest grace period, in seconds, that a victim has for saving its
     /// state.
     fn stop_victims(&mut self, now: Time, tasks: &[(JobId, u32)], usage: &mut [Usage]) -> f64 {
-        let limit = self.cfg.tuning.evict_loser_limit;
+        let limit = self.cfg.tuning.max_evictions_per_task;
         let mut max_grace_s: f64 = 0.0;
         for (id, task) in tasks {
             if self.unplace_if_unsent(id, *task, usage) {
@@ -198,15 +198,18 @@
                 continue;
             };
             victim.evictions += 1;
-            victim.touch(now);
-            if victim.is_spared(limit) {
-                self.preemptible.remove(victim.preemption_class(), id);
+            victim.mark_dirty(now);
+            if victim.has_reached_eviction_limit(limit) {
+                self.preemptible_jobs.remove(victim.preemption_class(), id);
             }
             let evictions = victim.evictions;
             let grace_s = victim.save_grace_s();
             max_grace_s = max_grace_s.max(grace_s);
-            if let Some(placement) = victim.live.get_mut(task) {
-                placement.stop = Some(Stop { grace_s, evictions });
+            if let Some(placement) = victim.placements.get_mut(task) {
+                placement.pending_stop = Some(PendingStop {
+                    grace_s,
+                    required_eviction_count: evictions,
+                });
             }
         }
         max_grace_s
@@ -222,17 +225,17 @@
         machine: &MachineId,
         max_grace_s: f64,
     ) {
-        let hold_s = 2.0 * self.cfg.report_s + 1.0 + max_grace_s;
+        let hold_s = 2.0 * self.cfg.heartbeat_interval_s + 1.0 + max_grace_s;
         let until = now + hold_s;
         if let Some(machine) = self.machines.get_mut(machine) {
             machine.claim = Some(Claim {
-                winner: id.clone(),
+                claimant: id.clone(),
                 tier,
                 until,
             });
         }
         if let Some(job) = self.jobs.get_mut(id) {
-            job.evict_hold_until = until;
+            job.next_eviction_at = until;
         }
     }
 
@@ -240,14 +243,18 @@
     /// so. No worker could carry out a stop command for such a task: it would stay
     /// planned, and occupy its slot, until the next leader takes over.
     pub(super) fn unplace_if_unsent(&mut self, id: &JobId, task: u32, usage: &mut [Usage]) -> bool {
-        let is_unsent = |job: &&Job| job.live.get(&task).is_some_and(|p| !p.told());
+        let is_unsent = |job: &&Job| {
+            job.placements
+                .get(&task)
+                .is_some_and(|p| !p.may_be_known_to_worker())
+        };
         let Some(job) = self.jobs.get(id).filter(is_unsent) else {
             return false;
         };
         if let Some(team) = job.team {
             usage[team].add(&job.shape, -1.0);
         }
-        self.return_task(id, task);
+        self.requeue_task(id, task);
         true
     }
 
@@ -266,7 +273,7 @@
             let Some(victim) = self.jobs.get(id) else {
                 continue;
             };
-            for (task, placement) in &victim.live {
+            for (task, placement) in &victim.placements {
                 examined += 1;
                 if !self.may_preempt(beneficiary, victim, placement, reclaim, usage) {
                     continue;
@@ -295,11 +302,11 @@
         usage: &[Usage],
     ) -> bool {
         let tuning = &self.cfg.tuning;
-        if placement.stop.is_some()
-            || placement.seen == Some(TaskState::Saving)
+        if placement.pending_stop.is_some()
+            || placement.observed_state == Some(TaskState::Saving)
             || victim.is_service()
             || victim.cancelled
-            || victim.is_spared(tuning.evict_loser_limit)
+            || victim.has_reached_eviction_limit(tuning.max_evictions_per_task)
         {
             return false;
         }
@@ -323,7 +330,7 @@
     /// Work that stopping the task would lose, in seconds since its start or its last
     /// checkpoint. Zero if no worker was told of the task.
     pub(super) fn lost_work_s(&self, now: Time, victim: &Job, placement: &Placement) -> f64 {
-        if !placement.told() {
+        if !placement.may_be_known_to_worker() {
             return 0.0;
         }
         let ran = placement.running_since.map_or(0.0, |since| now - since);
@@ -335,7 +342,7 @@
         } else {
             ran
         };
-        lost.max(self.cfg.tuning.min_work_price_s)
+        lost.max(self.cfg.tuning.min_eviction_price_s)
     }
 
     /// Whether a newly rented machine can be ready before the job must start.
@@ -343,13 +350,13 @@
         let Some(slack) = self.slack_s(now, job) else {
             return true;
         };
-        self.types.iter().enumerate().any(|(index, t)| {
+        self.machine_types.iter().enumerate().any(|(index, t)| {
             job.shape.fits_in(&Shape::of_type(t))
                 && t.boot_s <= slack
                 && t.zones.iter().any(|zone| {
                     [true, false].into_iter().any(|spot| {
                         allows_machine(&job.spec, &t.name, zone, spot)
-                            && !self.is_refused(now, index, zone, spot)
+                            && !self.is_rental_backed_off(now, index, zone, spot)
                     })
                 })
         })
--- a/crates/umbersail-control/src/engine/order.rs
+++ b/crates/umbersail-control/src/engine/order.rs
@@ -78,8 +78,11 @@
     /// image. Without the fetch, a job that is certain to be late could go before a job
     /// that can still be on time.
     pub(super) fn slack_s(&self, now: Time, job: &Job) -> Option<f64> {
-        let own = job.spec.deadline_s.map(|deadline| job.submitted + deadline);
-        let due = match (own, job.planned_due) {
+        let own = job
+            .spec
+            .deadline_s
+            .map(|deadline| job.submitted_at + deadline);
+        let due = match (own, job.planned_deadline) {
             (Some(own), Some(planned)) => own.min(planned),
             (own, planned) => own.or(planned)?,
         };
@@ -89,7 +92,11 @@
     /// Least number of seconds needed to fetch the job's image.
     pub(super) fn image_fetch_s(&self, job: &Job) -> f64 {
         let fits = |t: &&MachineType| job.shape.fits_in(&Shape::of_type(t));
-        let rates = self.types.iter().filter(fits).map(|t| t.fetch_gb_per_s);
+        let rates = self
+            .machine_types
+            .iter()
+            .filter(fits)
+            .map(|t| t.fetch_gb_per_s);
         job.spec.image_gb / rates.fold(1e-3, f64::max)
     }
 
@@ -104,9 +111,9 @@
 
     /// Start-time objective of the job in seconds since submission, if one applies.
     pub(super) fn start_objective_s(&self, job: &Job, guaranteed: bool) -> Option<f64> {
-        let own = self.cfg.start_aims.get(&job.spec.class).copied();
+        let own = self.cfg.start_objectives.get(&job.spec.class).copied();
         if guaranteed {
-            own.or(self.cfg.guarantee_aim)
+            own.or(self.cfg.guarantee_start_objective)
         } else {
             own
         }
@@ -117,7 +124,7 @@
     /// late.
     pub(super) fn can_meet_start_objective(&self, now: Time, job: &Job, guaranteed: bool) -> bool {
         self.start_objective_s(job, guaranteed)
-            .is_some_and(|within| now - job.submitted < within)
+            .is_some_and(|within| now - job.submitted_at < within)
     }
 
     /// Returns the waiting jobs, most urgent first, and the jobs boosted by the starvation
@@ -137,7 +144,7 @@
         let waiting: Vec<WaitingJob> = self
             .jobs
             .iter()
-            .filter(|(_, j)| j.waits())
+            .filter(|(_, j)| j.is_schedulable())
             .map(|(id, job)| WaitingJob {
                 id,
                 job,
@@ -168,7 +175,7 @@
                 can_start_in_time: self.can_meet_start_objective(now, w.job, guaranteed),
                 forecast: w.forecast,
             };
-            let slack = w.slack_s.unwrap_or(1e9 - (now - w.job.submitted));
+            let slack = w.slack_s.unwrap_or(1e9 - (now - w.job.submitted_at));
             order.push((position(underserved), slack, w.id));
             if boosted_to_start.contains(w.id) {
                 order.push((position(true), slack, w.id));
@@ -186,7 +193,7 @@
     }
 
     pub(super) fn is_deprioritized(&self, job: &Job) -> bool {
-        job.goes_last(self.cfg.tuning.job_backoff_s)
+        job.is_scheduled_last(self.cfg.tuning.job_backoff_s)
     }
 
     /// Forecasts which jobs finish on time. Among jobs that compete for the same machines,
@@ -208,7 +215,7 @@
         let mut by_team: BTreeMap<(usize, Priority), f64> = BTreeMap::new();
         if !pools.is_empty() {
             for job in self.jobs.values() {
-                let cpus = job.occupied() as f64 * job.shape.cpus;
+                let cpus = job.occupied_tasks() as f64 * job.shape.cpus;
                 *occupied.entry(job.spec.priority).or_default() += cpus;
                 if let Some(team) = job.team {
                     *by_team.entry((team, job.spec.priority)).or_default() += cpus;
@@ -253,7 +260,10 @@
                 .iter()
                 .map(|i| {
                     let class = &waiting[*i].job.spec.class;
-                    demand(i, self.cfg.late_aims.get(class).copied().unwrap_or(1.0))
+                    demand(
+                        i,
+                        self.cfg.deadline_factors.get(class).copied().unwrap_or(1.0),
+                    )
                 })
                 .collect();
             let (within_grace, _) = max_on_time(&late_demands, busy_s, underserved_share);
@@ -275,7 +285,7 @@
         };
         MachinePool {
             tier: job.spec.priority,
-            types: self.types.iter().map(fits).collect(),
+            types: self.machine_types.iter().map(fits).collect(),
             spot: job.spec.spot(),
         }
     }
@@ -338,13 +348,13 @@
         } else {
             f64::NEG_INFINITY
         };
-        (inside - (above - outside).max(0.0)).max(min_cpus) * self.cfg.tuning.pool_share
+        (inside - (above - outside).max(0.0)).max(min_cpus) * self.cfg.tuning.usable_cpu_share
     }
 
     /// Whether the cached order is recent enough to be reused. The cache is cleared when a
     /// job starts to wait, and what changes in the order with time alone changes slowly.
     pub(super) fn is_cached_order_valid(&self, now: Time) -> bool {
-        let valid_s = 0.0..self.cfg.tuning.order_keep_s;
+        let valid_s = 0.0..self.cfg.tuning.order_reuse_s;
         let cached = self.cached_order.as_ref();
         cached.is_some_and(|cached| valid_s.contains(&(now - cached.computed_at)))
     }
@@ -374,7 +384,7 @@
 
     /// See [`CachedPriorityOrder::large_task_cpus`].
     fn large_task_cpus(&self, waiting: &Vector<JobId>) -> BTreeMap<Priority, Vec<f64>> {
-        let none = vec![0.0; self.types.len()];
+        let none = vec![0.0; self.machine_types.len()];
         let mut by_tier: BTreeMap<Priority, Vec<f64>> = BTreeMap::new();
         for job in waiting.iter().filter_map(|id| self.jobs.get(id)) {
             let largest = by_tier
@@ -383,7 +393,7 @@
             if self.is_deprioritized(job) {
                 continue;
             }
-            for (t, largest) in self.types.iter().zip(largest) {
+            for (t, largest) in self.machine_types.iter().zip(largest) {
                 if allows_type(&job.spec, &t.name) && job.shape.fits_in(&Shape::of_type(t)) {
                     *largest = largest.max(job.smallest_cpus);
                 }
--- a/crates/umbersail-control/src/engine/placement.rs
+++ b/crates/umbersail-control/src/engine/placement.rs
@@ -28,8 +28,8 @@
     fn blocked_reason(&self) -> BlockedReason {
         match self.quota {
             0 => BlockedReason::TeamLimit,
-            _ if self.awaits_image => BlockedReason::AwaitsImage,
-            _ => BlockedReason::NoRoom,
+            _ if self.awaits_image => BlockedReason::AwaitingImage,
+            _ => BlockedReason::NoCapacity,
         }
     }
 
@@ -71,7 +71,7 @@
         id: &JobId,
         slice: &mut CycleSlice<'_>,
     ) -> (u64, bool) {
-        let Some(job) = self.jobs.get(id).filter(|j| j.waits()) else {
+        let Some(job) = self.jobs.get(id).filter(|j| j.is_schedulable()) else {
             return (0, false);
         };
         self.close_claimed_slots(job.spec.priority, slice);
@@ -103,7 +103,7 @@
         if is_left {
             self.set_blocked_reason(id, decision.blocked_reason());
         }
-        self.awaiting |= decision.awaits_image && is_left;
+        self.jobs_await_image |= decision.awaits_image && is_left;
         let might_evict = is_left && decision.quota > 0 && !decision.awaits_image;
         (placed, might_evict)
     }
@@ -116,11 +116,11 @@
             claimed_slots,
             ..
         } = &mut *slice.snapshot;
-        let waits = |job: &JobId| self.jobs.get(job).is_some_and(Job::waits);
+        let waits = |job: &JobId| self.jobs.get(job).is_some_and(Job::is_schedulable);
         for (_, index) in claimed_slots.extract_if(.., |(above, _)| tier < *above) {
             let machine = self.machines.get(&slots.get(index).machine);
             let claim = machine.and_then(|m| m.claim.as_ref());
-            if claim.is_some_and(|c| waits(&c.winner)) {
+            if claim.is_some_and(|c| waits(&c.claimant)) {
                 slots.close(index);
             }
         }
@@ -140,7 +140,7 @@
         }
         let plain = !job.spec.one_zone()
             && !job.spec.spread()
-            && job.error_machines.is_empty()
+            && job.avoided_machines.is_empty()
             && !self.fetch_misses_start_objective(now, job, slice.usage);
         if plain {
             self.choose_by_ranking(job, filter, slice, decision);
@@ -204,12 +204,12 @@
         if !key
             .filter
             .matches(slot.type_index, zone, slot.spot, slot.reservations)
-            || !self.least_shape.fits_in(&slot.free)
+            || !self.smallest_waiting_shape.fits_in(&slot.free)
         {
             return None;
         }
         let view = self.machine_view(slots, index, key.image);
-        let reservation_cost = self.kept_cost(slot.reservations, key.filter.reservations);
+        let reservation_cost = self.reservation_cost(slot.reservations, key.filter.reservations);
         Some(machine_cost(&key.profile, &view, self.placement_weights()) + reservation_cost)
     }
 
@@ -223,7 +223,7 @@
         let slot = slots.get(index);
         MachineView {
             machine: (),
-            machine_type: &self.types[slot.type_index],
+            machine_type: &self.machine_types[slot.type_index],
             zone: slots.zone(index),
             spot: slot.spot,
             free: slot.free,
@@ -236,9 +236,9 @@
     /// The machines that the job's record names, and how many more the record has room for;
     /// `None` if the record has room for all machines.
     pub(super) fn host_allowance(&self, job: &Job) -> Option<(BTreeSet<MachineId>, usize)> {
-        let max_hosts = self.most_hosts(job.spec.tasks);
+        let max_hosts = self.max_recorded_machines(job.spec.tasks);
         (max_hosts < self.machines.len()).then(|| {
-            let hosts = job.hosts();
+            let hosts = job.machines();
             let left = max_hosts.saturating_sub(hosts.len());
             (hosts, left)
         })
@@ -302,7 +302,7 @@
         decision: &mut PlacementDecision,
     ) {
         let shape = job.shape;
-        let allowed = |machine: &MachineId| !job.error_machines.contains(machine);
+        let allowed = |machine: &MachineId| !job.avoided_machines.contains(machine);
         let mut found = slice.snapshot.slots.fitting(filter, &shape, allowed);
         let has_image = |slots: &CandidateSlots<MachineId>, index| slots.image(index, job.image).0;
         decision.awaits_image = found
@@ -337,7 +337,7 @@
         let offers = found.iter().filter_map(|&index| {
             let view = self.machine_view(slots, index, job.image);
             let (cost, count) = placement_cost(&task, &view, weights)?;
-            let reservation_cost = self.kept_cost(slots.get(index).reservations, job.reservations);
+            let reservation_cost = self.reservation_cost(slots.get(index).reservations, job.reservations);
             Some((cost + reservation_cost, index, count))
         });
         let zone_limit = job.spec.tasks.div_ceil(2);
@@ -359,7 +359,7 @@
 
     pub(super) fn set_blocked_reason(&mut self, id: &JobId, reason: BlockedReason) {
         if let Some(job) = self.jobs.get_mut(id) {
-            job.blocked = reason;
+            job.blocked_reason = reason;
         }
     }
 
@@ -372,36 +372,37 @@
     ) {
         // Rule 5: the fencing token differs between leaders and the counter between
         // attempts, so no attempt number is ever used twice.
-        self.attempts += 1;
-        let attempt = (self.revision() << 24) + self.attempts;
+        self.attempt_counter += 1;
+        let attempt = (self.revision() << 24) + self.attempt_counter;
         let Some(job) = self.jobs.get_mut(id) else {
             return;
         };
-        let Some(task) = job.take_pending() else {
+        let Some(task) = job.take_next_task() else {
             return;
         };
-        job.live.insert(
+        job.placements.insert(
             task,
             Placement {
                 machine: machine.clone(),
                 attempt,
-                ordered: None,
-                seen: None,
+                launched_in: None,
+                observed_state: None,
                 running_since: None,
-                planned_at: now,
-                stop: None,
+                placed_at: now,
+                pending_stop: None,
             },
         );
         if !job.is_recorded(task, machine) {
-            job.touch(now);
+            job.mark_dirty(now);
         }
         if let Some(team) = job.team {
             usage[team].add(&job.shape, 1.0);
         }
         let (shape, image) = (job.shape, job.image);
         if let Some(machine) = self.machines.get_mut(machine) {
-            machine.hold(id, task, &shape, image);
-            self.unsent_launches.insert(machine.name.clone());
+            machine.add_task(id, task, &shape, image);
+            self.machines_with_unsent_launches
+                .insert(machine.name.clone());
         }
         debug!(
             job = &**id,
--- a/crates/umbersail-control/src/engine/rental.rs
+++ b/crates/umbersail-control/src/engine/rental.rs
@@ -8,7 +8,7 @@
 };
 use umbersail_wire::{MachineType, RentRequest};
 
-use super::plans::KeptRoom;
+use super::plans::ReservedCapacity;
 use super::{CloudAction, Engine, Job, Machine, MachineId, Time, epoch};
 
 /// Limits set by the cloud protocol: machine names per deletion request, and machines per
@@ -25,18 +25,18 @@
         // Unanswered requests are repeated under their old name. The cloud may already have
         // granted them, so new names would rent machines without bound while the cloud does
         // not answer.
-        let mut requests = match self.unanswered.pop_front() {
+        let mut requests = match self.unanswered_rentals.pop_front() {
             Some(request) => vec![request],
             None => self.plan_rentals(now),
         };
-        requests.extend(self.reserve_requests());
+        requests.extend(self.reservation_requests());
         let mut deletes: Vec<String> = Vec::new();
         for (name, machine) in &mut self.machines {
             if let Some(reason) = machine.delete_reason
-                && !machine.delete_asked
+                && !machine.delete_requested
                 && deletes.len() < MAX_MACHINES_PER_DELETION
             {
-                machine.delete_asked = true;
+                machine.delete_requested = true;
                 info!(machine = &**name, reason, "returning machine to the cloud");
                 deletes.push(name.to_string());
             }
@@ -58,12 +58,12 @@
             if machine.delete_reason.is_some() {
                 continue;
             }
-            if let Some(report) = machine.last_report {
+            if let Some(report) = machine.last_heartbeat {
                 let unreachable_s = machine
                     .reachability
                     .unreachable_since()
                     .map_or(0.0, |at| now - at);
-                if now - report > tuning.vanish_s {
+                if now - report > tuning.silent_machine_delete_s {
                     machine.delete_reason = Some("no heartbeat for too long");
                 } else if !machine.confirmed && now - report > 2.0 * self.cfg.lease_s {
                     // If the machine no longer exists, deleting it has no effect.
@@ -76,14 +76,16 @@
                 }
                 continue;
             }
-            let boot_s = machine.type_index.map_or(60.0, |i| self.types[i].boot_s);
-            let patience = tuning.boot_patience * boot_s + tuning.boot_patience_s;
+            let boot_s = machine
+                .type_index
+                .map_or(60.0, |i| self.machine_types[i].boot_s);
+            let patience = tuning.boot_timeout_factor * boot_s + tuning.boot_timeout_margin_s;
             // A machine that ran under an earlier leader needs time to connect to this one.
-            let since = machine.since.max(self.elected_at + 20.0 - patience);
+            let since = machine.created_at.max(self.elected_at + 20.0 - patience);
             if now - since > patience {
                 warn!(
                     machine = &**name,
-                    waited_s = (now - machine.since) as u64,
+                    waited_s = (now - machine.created_at) as u64,
                     "machine failed to boot in time"
                 );
                 machine.delete_reason = Some("failed to boot in time");
@@ -91,14 +93,17 @@
             }
         }
         for name in failed_boots {
-            self.boot_ended(now, &name);
+            self.note_boot_ended(now, &name);
         }
     }
 
     /// Whether most machines are unreachable. The fault is then probably on this
     /// controller's side, so no machine is returned or replaced for being unreachable.
     pub(super) fn is_mostly_unreachable(&self) -> bool {
-        let up = self.machines.values().filter(|m| m.last_report.is_some());
+        let up = self
+            .machines
+            .values()
+            .filter(|m| m.last_heartbeat.is_some());
         let (unreachable, all) = up.fold((0, 0), |(unreachable, all), m| {
             (
                 unreachable + usize::from(m.reachability.is_unreachable()),
@@ -110,10 +115,10 @@
 
     /// Plans which machines to rent, and marks machines that no job needs for return.
     fn plan_rentals(&mut self, now: Time) -> Vec<RentRequest> {
-        let dt = (now - self.last_rental).max(0.0);
-        self.last_rental = now;
+        let dt = (now - self.last_rental_at).max(0.0);
+        self.last_rental_at = now;
         self.learner.decay_load(dt, self.cfg.tuning.load_window_s);
-        let mut reserved_room = self.kept_room();
+        let mut reserved_room = self.reserved_capacity();
         let mut demands = self.current_demands(now, reserved_room.as_mut());
         let spare = self.spare_demands(now, &demands, reserved_room.as_ref());
         demands.extend(spare);
@@ -121,10 +126,10 @@
         let demands: Vec<Demand> = demands.into_iter().map(|(_, demand)| demand).collect();
         let fleet = self.rented_fleet(now);
         let plan = plan_rental(
-            &self.types,
+            &self.machine_types,
             &demands,
             &fleet,
-            |index, zone, spot| self.is_refused(now, index, zone, spot),
+            |index, zone, spot| self.is_rental_backed_off(now, index, zone, spot),
             &self.idle_limits(now),
             self.cfg.tuning.ordinary_share,
         );
@@ -141,7 +146,7 @@
         &self,
         now: Time,
         demands: &[(String, Demand)],
-        reserved_room: Option<&KeptRoom<'_>>,
+        reserved_room: Option<&ReservedCapacity<'_>>,
     ) -> Vec<(String, Demand)> {
         let tuning = &self.cfg.tuning;
         let mut tasks_by_class: BTreeMap<&str, u32> = BTreeMap::new();
@@ -149,19 +154,21 @@
             *tasks_by_class.entry(class).or_default() += demand.tasks;
         }
         let mut spare_demands = Vec::new();
-        for (class, sample) in &self.samples {
-            if self.cfg.guarantee_aim.is_none() && !self.cfg.start_aims.contains_key(class) {
+        for (class, sample) in &self.class_samples {
+            if self.cfg.guarantee_start_objective.is_none()
+                && !self.cfg.start_objectives.contains_key(class)
+            {
                 continue;
             }
             let Some(stats) = self.learner.get(class).filter(|s| !s.is_inactive(now)) else {
                 continue;
             };
-            let reserved = reserved_room.map_or(0, |room| room.ready(self, class, &sample.shape));
+            let reserved = reserved_room.map_or(0, |room| room.free_slots(self, class, &sample.task_shape));
             let available = tasks_by_class.get(&**class).copied().unwrap_or(0) + reserved;
             let tasks = |times: f64| (stats.load * times + stats.tasks_per_job).ceil() as u32;
             let spare = tasks(tuning.headroom).saturating_sub(available);
             let demand = Demand {
-                shape: sample.shape,
+                shape: sample.task_shape,
                 types: sample.types.clone(),
                 zone: sample.zone.clone(),
                 spot: sample.spot,
@@ -180,19 +187,19 @@
         let mostly_unreachable = self.is_mostly_unreachable();
         let is_staying = |machine: &&Machine| {
             machine.delete_reason.is_none()
-                && machine.notice_until.is_none()
+                && machine.reclaim_at.is_none()
                 && machine.reservations == 0
                 && machine.confirmed
                 && (mostly_unreachable || !machine.reachability.is_unreachable())
-                && (machine.last_report.is_none()
+                && (machine.last_heartbeat.is_none()
                     || machine.silent_for(now) < 2.0 * self.cfg.lease_s)
         };
         let machines = self.machines.values().filter(is_staying);
         machines
             .filter_map(|machine| {
-                let up = machine.last_report.is_some() && machine.fenced;
+                let up = machine.last_heartbeat.is_some() && machine.fenced;
                 let is_occupied =
-                    !machine.tasks.is_empty() || machine.orphaned_tasks || machine.inherited;
+                    !machine.tasks.is_empty() || machine.has_orphaned_tasks || machine.inherited;
                 Some(FleetMachine {
                     machine: machine.name.clone(),
                     type_index: machine.type_index?,
@@ -207,7 +214,7 @@
     fn idle_limits(&self, now: Time) -> IdleLimits {
         let tuning = &self.cfg.tuning;
         let by_type = |max_s: f64| -> Vec<f64> {
-            let types = self.types.iter();
+            let types = self.machine_types.iter();
             types
                 .map(|t| self.type_idle_limit_s(now, t, max_s))
                 .collect()
@@ -230,16 +237,21 @@
             .map(|t| t.guaranteed_cpus)
             .sum::<f64>()
             * headroom;
-        let mut kept_cpus: f64 = fleet.iter().map(|m| self.types[m.type_index].cpus).sum();
+        let mut kept_cpus: f64 = fleet
+            .iter()
+            .map(|m| self.machine_types[m.type_index].cpus)
+            .sum();
         for name in surplus {
             let Some(machine) = self.machines.get_mut(&name) else {
                 continue;
             };
             let in_use = !machine.tasks.is_empty() || machine.reservations != 0;
-            if in_use || self.plans.images.keeps(&name) {
+            if in_use || self.plans.images.is_last_holder(&name) {
                 continue;
             }
-            let cpus = machine.type_index.map_or(0.0, |i| self.types[i].cpus);
+            let cpus = machine
+                .type_index
+                .map_or(0.0, |i| self.machine_types[i].cpus);
             if kept_cpus - cpus < guaranteed_cpus {
                 continue;
             }
@@ -251,11 +263,11 @@
     /// Names a request. The fencing token differs between leaders, so no name is used
     /// twice.
     fn rent_request(&mut self, request: ScaleOutRequest) -> RentRequest {
-        self.requests += 1;
+        self.request_counter += 1;
         let epoch = epoch(self.token);
         let rent = RentRequest {
-            request: format!("{}-{epoch}-{}", self.cfg.member, self.requests),
-            machine_type: self.types[request.type_index].name.clone(),
+            request: format!("{}-{epoch}-{}", self.cfg.member, self.request_counter),
+            machine_type: self.machine_types[request.type_index].name.clone(),
             zone: request.zone,
             spot: request.spot,
             count: request.count.min(MAX_MACHINES_PER_RENTAL),
@@ -275,11 +287,11 @@
     /// shorter time if no class whose tasks fit the type seems to submit jobs any more.
     fn type_idle_limit_s(&self, now: Time, machine_type: &MachineType, max_s: f64) -> f64 {
         let room = Shape::of_type(machine_type);
-        let inactive = self.samples.iter().all(|(class, sample)| {
+        let inactive = self.class_samples.iter().all(|(class, sample)| {
             let is_inactive = |stats: &ClassStats| stats.is_inactive(now);
-            !sample.shape.fits_in(&room) || self.learner.get(class).is_some_and(is_inactive)
+            !sample.task_shape.fits_in(&room) || self.learner.get(class).is_some_and(is_inactive)
         });
-        if inactive && !self.samples.is_empty() {
+        if inactive && !self.class_samples.is_empty() {
             self.cfg.tuning.quiet_idle_s.min(max_s)
         } else {
             max_s
@@ -292,22 +304,22 @@
     /// free.
     fn max_turnovers(&self, now: Time, job: &Job) -> f64 {
         let tuning = &self.cfg.tuning;
-        if self.cfg.guarantee_aim.is_some() {
+        if self.cfg.guarantee_start_objective.is_some() {
             return 0.0;
         }
         if job.pending() == 0 {
             return f64::INFINITY;
         }
         let boots = self
-            .types
+            .machine_types
             .iter()
             .filter(|t| job.shape.fits_in(&Shape::of_type(t)));
         let boot_s = boots.map(|t| t.boot_s).fold(f64::INFINITY, f64::min);
         match self.slack_s(now, job) {
             Some(slack) if slack >= boot_s => {
-                tuning.turns_share * slack / self.expected_run_s(job).max(1.0)
+                tuning.queueing_slack_share * slack / self.expected_run_s(job).max(1.0)
             }
-            Some(_) => tuning.late_turns,
+            Some(_) => tuning.max_late_turns,
             None => 0.0,
         }
     }
@@ -317,7 +329,7 @@
     fn current_demands(
         &self,
         now: Time,
-        mut reserved_room: Option<&mut KeptRoom<'_>>,
+        mut reserved_room: Option<&mut ReservedCapacity<'_>>,
     ) -> Vec<(String, Demand)> {
         let mut cpus_left: Vec<f64> = (0..self.cfg.teams.len())
             .map(|team| self.team_cpu_limit(Some(team)))
@@ -327,14 +339,14 @@
             b.spec
                 .priority
                 .cmp(&a.spec.priority)
-                .then(a.submitted.total_cmp(&b.submitted))
+                .then(a.submitted_at.total_cmp(&b.submitted_at))
         });
         let mut demands: Vec<(String, Demand)> = Vec::new();
         let mut indices = BTreeMap::new();
         for (id, job) in jobs {
             let faulty = job.backoff_until.is_some() && job.errors > 0;
             let waiting = if faulty { 0 } else { job.startable() };
-            let mut tasks = waiting + job.occupied() as u32;
+            let mut tasks = waiting + job.occupied_tasks() as u32;
             if let Some(team) = job.team
                 && job.shape.cpus > 0.0
             {
@@ -343,7 +355,7 @@
                 cpus_left[team] -= f64::from(tasks) * job.shape.cpus;
             }
             if let Some(reserved_room) = &mut reserved_room {
-                tasks -= reserved_room.serve(self, job, tasks);
+                tasks -= reserved_room.assign(self, job, tasks);
             }
             if tasks == 0 {
                 continue;
--- a/crates/umbersail-control/src/engine/schedule.rs
+++ b/crates/umbersail-control/src/engine/schedule.rs
@@ -79,7 +79,7 @@
 impl Engine {
     /// True if something changed that may let a task start, or if a cycle was interrupted.
     pub fn needs_scheduling(&self) -> bool {
-        self.schedule_wanted || self.unfinished_cycle.is_some()
+        self.cycle_requested || self.unfinished_cycle.is_some()
     }
 
     /// Whether a cycle was interrupted. Such a cycle resumes without waiting for the next
@@ -91,7 +91,7 @@
     /// Returns the work that cycles did since the last call, and resets the count. One step
     /// is about the cost of examining one machine.
     pub fn take_steps(&mut self) -> u64 {
-        std::mem::take(&mut self.steps)
+        std::mem::take(&mut self.cycle_steps)
     }
 
     /// Places waiting tasks on machines. Launch commands go out in the replies to the
@@ -107,16 +107,16 @@
         let mut steps = StepBudget::new(self.cfg.slice_steps);
         if self.unfinished_cycle.is_none() && !self.is_cached_order_valid(now) {
             self.cached_order = None;
-            self.least_shape = self.smallest_waiting_shape();
+            self.smallest_waiting_shape = self.smallest_waiting_shape();
         }
         let mut snapshot = self.cluster_snapshot(now);
         let mut usage = self.team_usage(&snapshot.unaccounted);
         let mut cycle = match self.unfinished_cycle.take() {
             Some(cycle) => cycle,
             None => {
-                self.schedule_wanted = false;
+                self.cycle_requested = false;
                 let order = self.cycle_order(now, &usage, &snapshot);
-                self.may_wait = !order.jobs.is_empty();
+                self.may_have_waiting_jobs = !order.jobs.is_empty();
                 SchedulingCycle {
                     queue: CycleQueue::new(order.jobs),
                     large_task_cpus: order.large_task_cpus,
@@ -159,7 +159,7 @@
             }
             steps.spend(candidates.examined - examined);
         }
-        self.steps += steps.done() + self.machines.len() as u64;
+        self.cycle_steps += steps.done() + self.machines.len() as u64;
         if steps.is_exhausted() && !cycle.queue.is_done(MAX_EVICTIONS_PER_CYCLE) {
             self.unfinished_cycle = Some(cycle);
         }
@@ -173,7 +173,7 @@
             gpus: f64::INFINITY,
             memory_gb: f64::INFINITY,
         };
-        for job in self.jobs.values().filter(|j| j.waits()) {
+        for job in self.jobs.values().filter(|j| j.is_schedulable()) {
             smallest.cpus = smallest.cpus.min(job.shape.cpus);
             smallest.gpus = smallest.gpus.min(job.shape.gpus);
             smallest.memory_gb = smallest.memory_gb.min(job.shape.memory_gb);
@@ -184,29 +184,31 @@
     /// Collects what a slice needs to know about the machines, in one pass over all
     /// machines.
     fn cluster_snapshot(&self, now: Time) -> ClusterSnapshot {
-        let silent_after = self.silent_after();
+        let silent_after = self.silence_limit_s();
         let mut snapshot = ClusterSnapshot {
-            cpus_by_type: vec![[0.0; 2]; self.types.len()],
+            cpus_by_type: vec![[0.0; 2]; self.machine_types.len()],
             ..ClusterSnapshot::default()
         };
         for machine in self.machines.values() {
             let Some(index) = machine.type_index else {
                 continue;
             };
-            let capacity = Shape::of_type(&self.types[index]);
+            let capacity = Shape::of_type(&self.machine_types[index]);
             if self.is_unsized(machine) {
                 snapshot.unaccounted.add(&capacity, 1.0);
             }
             if machine.delete_reason.is_none()
-                && machine.notice_until.is_none()
+                && machine.reclaim_at.is_none()
                 && !machine.reachability.is_unreachable()
             {
                 snapshot.cpus_by_type[index][usize::from(machine.spot)] += capacity.cpus;
             }
-            let free = capacity.plus(&machine.used, -1.0);
+            let free = capacity.plus(&machine.allocated, -1.0);
             // On a busy cluster most machines are full; the remaining work is only done for
             // the few that have room.
-            if !self.least_shape.fits_in(&free) || !machine.takes_tasks(now, silent_after) {
+            if !self.smallest_waiting_shape.fits_in(&free)
+                || !machine.accepts_tasks(now, silent_after)
+            {
                 continue;
             }
             let slot = SlotInfo {
@@ -214,7 +216,8 @@
                 zone: &machine.zone,
                 spot: machine.spot,
                 free,
-                heartbeat_due_in_s: (self.cfg.report_s - machine.silent_for(now)).max(0.0),
+                heartbeat_due_in_s: (self.cfg.heartbeat_interval_s - machine.silent_for(now))
+                    .max(0.0),
                 reservations: machine.reservations,
             };
             snapshot
@@ -236,11 +239,11 @@
 
     /// Whether the machine may run orphaned attempts whose size no record states.
     pub(super) fn is_unsized(&self, machine: &super::Machine) -> bool {
-        machine.unsized_orphans
+        machine.has_unsized_orphans
             || (machine.inherited
-                && (self.whole_machines
+                && (self.count_whole_machines
                     || self.unaccounted_machines.contains(&machine.name)
-                    || self.orphaned_jobs.is_unsized_at(&machine.name)))
+                    || self.orphaned_jobs.may_hold_unknown_shape(&machine.name)))
     }
 
     /// Resources that each team uses. Attempts that are not accounted for count as running
@@ -253,11 +256,11 @@
         for job in self.jobs.values() {
             if let Some(team) = job.team {
                 // Unrecorded tasks are on machines that count with their full capacity.
-                let counted = job.occupied() - job.unrecorded_recovery_pending();
+                let counted = job.occupied_tasks() - job.unrecorded_recovery_pending();
                 usage[team].add(&job.shape, counted as f64);
             }
         }
-        self.orphaned_jobs.add_to(&mut usage);
+        self.orphaned_jobs.add_usage_to(&mut usage);
         for (team, used) in self.cfg.teams.iter().zip(&mut usage) {
             if team.is_limited() {
                 used.add(unaccounted, 1.0);
--- a/crates/umbersail-control/src/engine/starvation_guard.rs
+++ b/crates/umbersail-control/src/engine/starvation_guard.rs
@@ -62,7 +62,7 @@
 impl Job {
     /// Whether no task of the job has run or may be about to run.
     pub(super) fn is_unstarted(&self) -> bool {
-        self.live.is_empty() && self.recovery_pending.is_empty() && !self.has_begun
+        self.placements.is_empty() && self.recovery_pending.is_empty() && !self.has_started
     }
 
     /// Whether the job's tasks may be placed independently of each other.
@@ -91,7 +91,7 @@
             let Some(job) = self.jobs.get(*id) else {
                 continue;
             };
-            let waited_s = now - job.submitted;
+            let waited_s = now - job.submitted_at;
             if !job.is_unstarted()
                 || waited_s < tuning.starvation_wait_s
                 || self.is_deprioritized(job)
@@ -131,7 +131,7 @@
     fn starting_cpus(&self, tier: Priority) -> f64 {
         let cpus = |(id, task): (&JobId, &u32)| {
             let job = self.jobs.get(id)?;
-            let counts = job.spec.priority == tier && job.live.contains_key(task);
+            let counts = job.spec.priority == tier && job.placements.contains_key(task);
             counts.then_some(job.shape.cpus)
         };
         self.starvation_guard.starting.iter().filter_map(cpus).sum()
@@ -142,7 +142,7 @@
         let task = self
             .jobs
             .get(id)
-            .and_then(|j| j.live.keys().next().copied());
+            .and_then(|j| j.placements.keys().next().copied());
         if let Some(task) = task {
             self.starvation_guard.starting.insert(id.clone(), task);
         }
@@ -162,9 +162,10 @@
         snapshot: &ClusterSnapshot,
     ) {
         let jobs = &self.jobs;
-        self.starvation_guard
-            .starting
-            .retain(|id, task| jobs.get(id).is_some_and(|j| j.live.contains_key(task)));
+        self.starvation_guard.starting.retain(|id, task| {
+            jobs.get(id)
+                .is_some_and(|j| j.placements.contains_key(task))
+        });
         self.starvation_guard.boosted.clear();
         for BoostedJob { job, underserved } in &boosted {
             *self
@@ -179,7 +180,7 @@
         // and of each tier above fits into nearly any capacity that frees up. Going first is
         // enough for such a task, so no slot is held.
         let mut smallest_by_tier: BTreeMap<Priority, f64> = BTreeMap::new();
-        for job in self.jobs.values().filter(|j| j.waits()) {
+        for job in self.jobs.values().filter(|j| j.is_schedulable()) {
             let smallest = smallest_by_tier
                 .entry(job.spec.priority)
                 .or_insert(f64::INFINITY);
@@ -218,7 +219,7 @@
                 continue;
             };
             new_slots += 1;
-            self.steps += self.machines.len() as u64;
+            self.cycle_steps += self.machines.len() as u64;
             if let Some(slot) = self.earliest_slot(
                 now,
                 id,
@@ -231,7 +232,7 @@
                     info!(
                         job = &**id,
                         machine = &*slot.machine,
-                        waited_s = (now - job.submitted) as u64,
+                        waited_s = (now - job.submitted_at) as u64,
                         cpus = job.shape.cpus,
                         "holding a slot until the job starts"
                     );
@@ -244,10 +245,13 @@
 
     /// Whether the slot is still to be held.
     fn is_held(&self, now: Time, slot: &HeldSlot) -> bool {
-        let job = self.jobs.get(&slot.job).filter(|j| j.waits());
+        let job = self
+            .jobs
+            .get(&slot.job)
+            .filter(|j| j.is_schedulable());
         let machine = self.machines.get(&slot.machine);
         now < slot.until
-            && machine.is_some_and(|m| m.takes_tasks(now, self.silent_after()))
+            && machine.is_some_and(|m| m.accepts_tasks(now, self.silence_limit_s()))
             && job.is_some_and(|j| {
                 // A slot is kept even if the newest forecast of which jobs finish on time
                 // briefly favours other jobs.
@@ -268,23 +272,23 @@
     ) -> Option<HeldSlot> {
         let job = self.jobs.get(id)?;
         let share = self.cfg.tuning.starvation_cpu_share;
-        let mut held = vec![0.0; self.types.len()];
+        let mut held = vec![0.0; self.machine_types.len()];
         for slot in held_slots {
             held[slot.type_index] += slot.cpus;
         }
         let filter = self.machine_filter(job, large_task_cpus);
-        let silent_after = self.silent_after();
+        let silent_after = self.silence_limit_s();
         let mut best: Option<(f64, HeldSlot)> = None;
         for machine in self.machines.values() {
             let Some(index) = machine.type_index else {
                 continue;
             };
-            let capacity = Shape::of_type(&self.types[index]);
+            let capacity = Shape::of_type(&self.machine_types[index]);
             let max_held_cpus = snapshot.cpus_by_type[index].iter().sum::<f64>() * share;
             if !job.shape.fits_in(&capacity)
                 || !filter.matches(index, &machine.zone, machine.spot, machine.reservations)
-                || !machine.takes_tasks(now, silent_after)
-                || job.error_machines.contains(&machine.name)
+                || !machine.accepts_tasks(now, silent_after)
+                || job.avoided_machines.contains(&machine.name)
                 || (held[index] > 0.0 && held[index] + job.shape.cpus > max_held_cpus)
                 || machine.claim.as_ref().is_some_and(|c| now < c.until)
             {
@@ -309,7 +313,7 @@
                 } else {
                     self.expected_run_s(other)
                 };
-                let since = other.live.get(task).and_then(|p| p.running_since);
+                let since = other.placements.get(task).and_then(|p| p.running_since);
                 // A task that has exceeded its estimated run time is assumed to run for
                 // another quarter of the time that it has already run.
                 let remaining_s = since.map_or(run_s + self.image_fetch_s(other), |at| {
@@ -319,7 +323,7 @@
                 Some((remaining_s.max(1.0), other.shape.cpus))
             });
             let wanted = job.shape.cpus + others.cpus;
-            let free = capacity.cpus - machine.used.cpus;
+            let free = capacity.cpus - machine.allocated.cpus;
             let Some(wait_s) = seconds_until_free(free, wanted, ends.collect()) else {
                 continue;
             };
@@ -355,7 +359,7 @@
             return 0;
         }
         let guaranteed = self.cfg.teams.iter().any(|t| t.has_guarantee())
-            && (self.jobs.values()).any(|j| j.waits() && self.is_guaranteed(j, usage));
+            && (self.jobs.values()).any(|j| j.is_schedulable() && self.is_guaranteed(j, usage));
         let mut remaining = Vec::new();
         let mut placed = 0;
         for slot in &held_slots {
@@ -377,7 +381,7 @@
             let filter = self.machine_filter(job, large_task_cpus);
             let others = |m: &MachineId| held_slots.iter().any(|slot| slot.machine == *m);
             let allowed = |m: &MachineId| {
-                !job.error_machines.contains(m) && (*m == slot.machine || !others(m))
+                !job.avoided_machines.contains(m) && (*m == slot.machine || !others(m))
             };
             let found = snapshot.slots.fitting(&filter, &job.shape, allowed);
             let own = |index: &&usize| snapshot.slots.get(**index).machine == slot.machine;
@@ -413,7 +417,7 @@
         let late: Vec<JobId> = self
             .jobs
             .iter()
-            .filter(|(_, j)| !j.counted && !j.cancelled && j.pending() > 0)
+            .filter(|(_, j)| !j.deadline_counted && !j.cancelled && j.pending() > 0)
             .filter(|(_, j)| self.slack_s(now, j).is_some_and(|s| s < 0.0))
             .map(|(id, _)| id.clone())
             .collect();
@@ -428,13 +432,13 @@
             return;
         };
         // Jobs that may be preempted have no deadline by default, so they are not counted.
-        if job.counted || job.spec.deadline_s.is_none() {
+        if job.deadline_counted || job.spec.deadline_s.is_none() {
             return;
         }
-        job.counted = true;
+        job.deadline_counted = true;
         let size = job.total_cpus();
         for name in service_history_keys(job) {
-            self.served.record(&name, size, in_time);
+            self.service_history.record(&name, size, in_time);
         }
     }
 
@@ -443,10 +447,10 @@
         let tuning = &self.cfg.tuning;
         let min_jobs = tuning.service_min_jobs as usize;
         let from = |name: &str| {
-            self.served
+            self.service_history
                 .underserved_min_size(name, tuning.underserved_share_below, min_jobs)
         };
-        let names = self.served.names();
+        let names = self.service_history.names();
         names
             .filter_map(|name| Some((name.to_owned(), from(name)?)))
             .collect()
--- a/crates/umbersail-control/src/engine/tests.rs
+++ b/crates/umbersail-control/src/engine/tests.rs
@@ -29,12 +29,12 @@
 use umbersail_policy::TeamLimits;
 use umbersail_tuning::Tuning;
 use umbersail_wire::{
-    Change, Command, ExitCause, JobKind, JobSpec, ListedMachine, MachineState, MachineType,
-    Priority, Report, TaskReport, TaskState,
+    Change, Command, ExitCause, Heartbeat, JobKind, JobSpec, ListedMachine, MachineState,
+    MachineType, Priority, TaskReport, TaskState,
 };
 
 use super::*;
 use crate::records::{
-    GRANT_PARTS, GrantPart, GrantedMachine, RECOVERY_PENDING_KEY, Record, job_key, run_key,
+    GRANT_PARTS, GrantPart, GrantedMachine, RECOVERY_PENDING_KEY, Record, job_key, progress_key,
 };
 use fixtures::*;
