--- a/crates/umbersail-control/src/engine/eligibility.rs
+++ b/crates/umbersail-control/src/engine/eligibility.rs
@@ -26,8 +26,8 @@
         let min_machines = (tuning.image_places * f64::from(job.pending())).ceil() as usize;
         let counts = slice.snapshot.machines_with_image.get_or_insert_with(|| {
             let mut counts = BTreeMap::new();
-            let silent_after = self.silence_limit_s();
-            let is_schedulable = |m: &&super::Machine| m.accepts_tasks(now, silent_after);
+            let silence_limit_s = self.silence_limit_s();
+            let is_schedulable = |m: &&super::Machine| m.accepts_tasks(now, silence_limit_s);
             for machine in self.machines.values().filter(is_schedulable) {
                 for image in &machine.images {
                     if let Some(index) = machine.type_index {
--- a/crates/umbersail-control/src/engine/placement.rs
+++ b/crates/umbersail-control/src/engine/placement.rs
@@ -337,7 +337,8 @@
         let offers = found.iter().filter_map(|&index| {
             let view = self.machine_view(slots, index, job.image);
             let (cost, count) = placement_cost(&task, &view, weights)?;
-            let reservation_cost = self.reservation_cost(slots.get(index).reservations, job.reservations);
+            let reservation_cost =
+                self.reservation_cost(slots.get(index).reservations, job.reservations);
             Some((cost + reservation_cost, index, count))
         });
         let zone_limit = job.spec.tasks.div_ceil(2);
--- a/crates/umbersail-control/src/engine/rental.rs
+++ b/crates/umbersail-control/src/engine/rental.rs
@@ -58,14 +58,14 @@
             if machine.delete_reason.is_some() {
                 continue;
             }
-            if let Some(report) = machine.last_heartbeat {
+            if let Some(last_heartbeat) = machine.last_heartbeat {
                 let unreachable_s = machine
                     .reachability
                     .unreachable_since()
                     .map_or(0.0, |at| now - at);
-                if now - report > tuning.silent_machine_delete_s {
+                if now - last_heartbeat > tuning.silent_machine_delete_s {
                     machine.delete_reason = Some("no heartbeat for too long");
-                } else if !machine.confirmed && now - report > 2.0 * self.cfg.lease_s {
+                } else if !machine.confirmed && now - last_heartbeat > 2.0 * self.cfg.lease_s {
                     // If the machine no longer exists, deleting it has no effect.
                     machine.delete_reason = Some("known only from an old heartbeat");
                 } else if unreachable_s > tuning.unreachable_delete_s
@@ -163,7 +163,8 @@
             let Some(stats) = self.learner.get(class).filter(|s| !s.is_inactive(now)) else {
                 continue;
             };
-            let reserved = reserved_room.map_or(0, |room| room.free_slots(self, class, &sample.task_shape));
+            let reserved =
+                reserved_room.map_or(0, |room| room.free_slots(self, class, &sample.task_shape));
             let available = tasks_by_class.get(&**class).copied().unwrap_or(0) + reserved;
             let tasks = |times: f64| (stats.load * times + stats.tasks_per_job).ceil() as u32;
             let spare = tasks(tuning.headroom).saturating_sub(available);
--- a/crates/umbersail-control/src/engine/schedule.rs
+++ b/crates/umbersail-control/src/engine/schedule.rs
@@ -184,7 +184,7 @@
     /// Collects what a slice needs to know about the machines, in one pass over all
     /// machines.
     fn cluster_snapshot(&self, now: Time) -> ClusterSnapshot {
-        let silent_after = self.silence_limit_s();
+        let silence_limit_s = self.silence_limit_s();
         let mut snapshot = ClusterSnapshot {
             cpus_by_type: vec![[0.0; 2]; self.machine_types.len()],
             ..ClusterSnapshot::default()
@@ -207,7 +207,7 @@
             // On a busy cluster most machines are full; the remaining work is only done for
             // the few that have room.
             if !self.smallest_waiting_shape.fits_in(&free)
-                || !machine.accepts_tasks(now, silent_after)
+                || !machine.accepts_tasks(now, silence_limit_s)
             {
                 continue;
             }
--- a/crates/umbersail-control/src/engine/starvation_guard.rs
+++ b/crates/umbersail-control/src/engine/starvation_guard.rs
@@ -245,10 +245,7 @@
 
     /// Whether the slot is still to be held.
     fn is_held(&self, now: Time, slot: &HeldSlot) -> bool {
-        let job = self
-            .jobs
-            .get(&slot.job)
-            .filter(|j| j.is_schedulable());
+        let job = self.jobs.get(&slot.job).filter(|j| j.is_schedulable());
         let machine = self.machines.get(&slot.machine);
         now < slot.until
             && machine.is_some_and(|m| m.accepts_tasks(now, self.silence_limit_s()))
@@ -277,7 +274,7 @@
             held[slot.type_index] += slot.cpus;
         }
         let filter = self.machine_filter(job, large_task_cpus);
-        let silent_after = self.silence_limit_s();
+        let silence_limit_s = self.silence_limit_s();
         let mut best: Option<(f64, HeldSlot)> = None;
         for machine in self.machines.values() {
             let Some(index) = machine.type_index else {
@@ -287,7 +284,7 @@
             let max_held_cpus = snapshot.cpus_by_type[index].iter().sum::<f64>() * share;
             if !job.shape.fits_in(&capacity)
                 || !filter.matches(index, &machine.zone, machine.spot, machine.reservations)
-                || !machine.accepts_tasks(now, silent_after)
+                || !machine.accepts_tasks(now, silence_limit_s)
                 || job.avoided_machines.contains(&machine.name)
                 || (held[index] > 0.0 && held[index] + job.shape.cpus > max_held_cpus)
                 || machine.claim.as_ref().is_some_and(|c| now < c.until)
@@ -447,8 +444,11 @@
         let tuning = &self.cfg.tuning;
         let min_jobs = tuning.service_min_jobs as usize;
         let from = |name: &str| {
-            self.service_history
-                .underserved_min_size(name, tuning.underserved_share_below, min_jobs)
+            self.service_history.underserved_min_size(
+                name,
+                tuning.underserved_share_below,
+                min_jobs,
+            )
         };
         let names = self.service_history.names();
         names
