--- a/crates/umbersail-control/src/engine/rental.rs
+++ b/crates/umbersail-control/src/engine/rental.rs
@@ -1,4 +1,4 @@
-//! Machines: what the cloud lists, what is rented and what goes back.
+//! Renting machines from the cloud and returning them.
 
 use std::collections::BTreeMap;
 
@@ -11,18 +11,20 @@
 use super::plans::ReservedCapacity;
 use super::{CloudAction, Engine, Job, Machine, MachineId, Time, epoch};
 
-/// Most names in one deletion, and machines in one rental, by the protocol.
+/// Limits set by the cloud protocol: machine names per deletion request, and machines per
+/// rental request.
 const MAX_MACHINES_PER_DELETION: usize = 100;
 pub(super) const MAX_MACHINES_PER_RENTAL: u32 = 50;
 
 impl Engine {
-    /// What the cloud shall do now, deletions first: they cost money and hold
-    /// up tasks.
+    /// Returns the requests to send to the cloud now. Deletions come first because the
+    /// machines cost money and hold up their tasks.
     pub fn cloud_actions(&mut self, now: Time) -> Vec<CloudAction> {
         self.mark_failed_machines(now);
         let mut actions = Vec::new();
-        // A new name for what may have been granted already would rent without
-        // bound while the cloud does not answer.
+        // Unanswered requests are repeated under their old name. The cloud may already have
+        // granted them, so new names would rent machines without bound while the cloud does
+        // not answer.
         let mut requests = match self.unanswered_rentals.pop_front() {
             Some(request) => vec![request],
             None => self.plan_rentals(now),
@@ -35,7 +37,7 @@
                 && deletes.len() < MAX_MACHINES_PER_DELETION
             {
                 machine.delete_requested = true;
-                info!(machine = &**name, reason, "returned");
+                info!(machine = &**name, reason, "returning machine to the cloud");
                 deletes.push(name.to_string());
             }
         }
@@ -46,30 +48,31 @@
         actions
     }
 
-    /// Machines that don't come up, and silent ones that nobody explains.
+    /// Marks machines for deletion that fail to boot, or that have been silent or
+    /// unreachable for too long.
     fn mark_failed_machines(&mut self, now: Time) {
         let tuning = self.cfg.tuning.clone();
         let mostly_unreachable = self.is_mostly_unreachable();
-        let mut late = Vec::new();
+        let mut failed_boots = Vec::new();
         for (name, machine) in &mut self.machines {
             if machine.delete_reason.is_some() {
                 continue;
             }
-            if let Some(report) = machine.last_heartbeat {
+            if let Some(last_heartbeat) = machine.last_heartbeat {
                 let unreachable_s = machine
                     .reachability
                     .unreachable_since()
                     .map_or(0.0, |at| now - at);
-                if now - report > tuning.silent_machine_delete_s {
-                    machine.delete_reason = Some("silent for too long");
-                } else if !machine.confirmed && now - report > 2.0 * self.cfg.lease_s {
-                    // The deletion of one that is gone already does nothing.
-                    machine.delete_reason = Some("heard of by an old report only");
+                if now - last_heartbeat > tuning.silent_machine_delete_s {
+                    machine.delete_reason = Some("no heartbeat for too long");
+                } else if !machine.confirmed && now - last_heartbeat > 2.0 * self.cfg.lease_s {
+                    // If the machine no longer exists, deleting it has no effect.
+                    machine.delete_reason = Some("known only from an old heartbeat");
                 } else if unreachable_s > tuning.unreachable_delete_s
                     && machine.tasks.is_empty()
                     && !mostly_unreachable
                 {
-                    machine.delete_reason = Some("hears nothing");
+                    machine.delete_reason = Some("unreachable for too long");
                 }
                 continue;
             }
@@ -77,25 +80,25 @@
                 .type_index
                 .map_or(60.0, |i| self.machine_types[i].boot_s);
             let patience = tuning.boot_timeout_factor * boot_s + tuning.boot_timeout_margin_s;
-            // A machine that ran under an earlier holder needs time to find us.
+            // A machine that ran under an earlier leader needs time to connect to this one.
             let since = machine.created_at.max(self.elected_at + 20.0 - patience);
             if now - since > patience {
                 warn!(
                     machine = &**name,
                     waited_s = (now - machine.created_at) as u64,
-                    "does not come up"
+                    "machine failed to boot in time"
                 );
-                machine.delete_reason = Some("does not come up");
-                late.push(name.clone());
+                machine.delete_reason = Some("failed to boot in time");
+                failed_boots.push(name.clone());
             }
         }
-        for name in late {
+        for name in failed_boots {
             self.note_boot_ended(now, &name);
         }
     }
 
-    /// Whether so many machines hear nothing that it is us: none is given back
-    /// or replaced for it.
+    /// Whether most machines are unreachable. The fault is then probably on this
+    /// controller's side, so no machine is returned or replaced for being unreachable.
     pub(super) fn is_mostly_unreachable(&self) -> bool {
         let up = self
             .machines
@@ -110,15 +113,15 @@
         unreachable > 1 && 2 * unreachable > all
     }
 
-    /// What to rent now; machines that nobody will want are marked for return.
+    /// Plans which machines to rent, and marks machines that no job needs for return.
     fn plan_rentals(&mut self, now: Time) -> Vec<RentRequest> {
         let dt = (now - self.last_rental_at).max(0.0);
         self.last_rental_at = now;
         self.learner.decay_load(dt, self.cfg.tuning.load_window_s);
-        let mut kept = self.reserved_capacity();
-        let mut demands = self.current_demands(now, kept.as_mut());
-        let warm = self.spare_demands(now, &demands, kept.as_ref());
-        demands.extend(warm);
+        let mut reserved_room = self.reserved_capacity();
+        let mut demands = self.current_demands(now, reserved_room.as_mut());
+        let spare = self.spare_demands(now, &demands, reserved_room.as_ref());
+        demands.extend(spare);
         demands.extend(self.planned_demands(now));
         let demands: Vec<Demand> = demands.into_iter().map(|(_, demand)| demand).collect();
         let fleet = self.rented_fleet(now);
@@ -137,18 +140,18 @@
             .collect()
     }
 
-    /// What is kept ready for classes with an aim on starting, by their learned load, beside
-    /// what `demands` and reserved machines have for them.
+    /// Spare capacity for classes with a start-time objective, from their learned load, in
+    /// addition to what `demands` and reserved machines already provide.
     fn spare_demands(
         &self,
         now: Time,
         demands: &[(String, Demand)],
-        kept: Option<&ReservedCapacity<'_>>,
+        reserved_room: Option<&ReservedCapacity<'_>>,
     ) -> Vec<(String, Demand)> {
         let tuning = &self.cfg.tuning;
-        let mut now_by_class: BTreeMap<&str, u32> = BTreeMap::new();
+        let mut tasks_by_class: BTreeMap<&str, u32> = BTreeMap::new();
         for (class, demand) in demands {
-            *now_by_class.entry(class).or_default() += demand.tasks;
+            *tasks_by_class.entry(class).or_default() += demand.tasks;
         }
         let mut spare_demands = Vec::new();
         for (class, sample) in &self.class_samples {
@@ -160,10 +163,11 @@
             let Some(stats) = self.learner.get(class).filter(|s| !s.is_inactive(now)) else {
                 continue;
             };
-            let reserved = kept.map_or(0, |kept| kept.free_slots(self, class, &sample.task_shape));
-            let there = now_by_class.get(&**class).copied().unwrap_or(0) + reserved;
+            let reserved =
+                reserved_room.map_or(0, |room| room.free_slots(self, class, &sample.task_shape));
+            let available = tasks_by_class.get(&**class).copied().unwrap_or(0) + reserved;
             let tasks = |times: f64| (stats.load * times + stats.tasks_per_job).ceil() as u32;
-            let reserve = tasks(tuning.headroom).saturating_sub(there);
+            let spare = tasks(tuning.headroom).saturating_sub(available);
             let demand = Demand {
                 shape: sample.task_shape,
                 types: sample.types.clone(),
@@ -171,18 +175,18 @@
                 spot: sample.spot,
                 tasks: 0,
                 max_turnovers: 0.0,
-                spare: reserve,
-                warm_spare: tasks(tuning.warm_headroom).saturating_sub(there + reserve),
+                spare,
+                warm_spare: tasks(tuning.warm_headroom).saturating_sub(available + spare),
             };
             spare_demands.push((class.clone(), demand));
         }
         spare_demands
     }
 
-    /// Machines that stay and may be used by anybody, as the plan sees them.
+    /// The unreserved machines that are expected to stay, as input for the rental plan.
     fn rented_fleet(&self, now: Time) -> Vec<FleetMachine<MachineId>> {
         let mostly_unreachable = self.is_mostly_unreachable();
-        let stays = |machine: &&Machine| {
+        let is_staying = |machine: &&Machine| {
             machine.delete_reason.is_none()
                 && machine.reclaim_at.is_none()
                 && machine.reservations == 0
@@ -191,18 +195,18 @@
                 && (machine.last_heartbeat.is_none()
                     || machine.silent_for(now) < 2.0 * self.cfg.lease_s)
         };
-        let machines = self.machines.values().filter(stays);
+        let machines = self.machines.values().filter(is_staying);
         machines
             .filter_map(|machine| {
                 let up = machine.last_heartbeat.is_some() && machine.fenced;
-                let holds =
+                let is_occupied =
                     !machine.tasks.is_empty() || machine.has_orphaned_tasks || machine.inherited;
                 Some(FleetMachine {
                     machine: machine.name.clone(),
                     type_index: machine.type_index?,
                     zone: machine.zone.clone(),
                     spot: machine.spot,
-                    idle_s: (up && !holds).then_some(now - machine.idle_since),
+                    idle_s: (up && !is_occupied).then_some(now - machine.idle_since),
                 })
             })
             .collect()
@@ -210,10 +214,10 @@
 
     fn idle_limits(&self, now: Time) -> IdleLimits {
         let tuning = &self.cfg.tuning;
-        let by_type = |most_s: f64| -> Vec<f64> {
+        let by_type = |max_s: f64| -> Vec<f64> {
             let types = self.machine_types.iter();
             types
-                .map(|t| self.type_idle_limit_s(now, t, most_s))
+                .map(|t| self.type_idle_limit_s(now, t, max_s))
                 .collect()
         };
         IdleLimits {
@@ -222,18 +226,19 @@
         }
     }
 
-    /// Marks surplus machines for return, as far as the teams' guarantees allow: what those
-    /// cover must be there at once, and with it the images that only machines in use have.
+    /// Marks surplus machines for return, except where that would leave less than the
+    /// teams' guarantees require: guaranteed capacity must be available at once. The last
+    /// machine of a zone with an image that others fetch or wait for is kept as well.
     fn return_surplus(&mut self, surplus: Vec<MachineId>, fleet: &[FleetMachine<MachineId>]) {
         let headroom = self.cfg.tuning.headroom;
-        let guaranteed = self
+        let guaranteed_cpus = self
             .cfg
             .teams
             .iter()
             .map(|t| t.guaranteed_cpus)
             .sum::<f64>()
             * headroom;
-        let mut kept: f64 = fleet
+        let mut kept_cpus: f64 = fleet
             .iter()
             .map(|m| self.machine_types[m.type_index].cpus)
             .sum();
@@ -248,54 +253,56 @@
             let cpus = machine
                 .type_index
                 .map_or(0.0, |i| self.machine_types[i].cpus);
-            if kept - cpus < guaranteed {
+            if kept_cpus - cpus < guaranteed_cpus {
                 continue;
             }
-            kept -= cpus;
-            machine.delete_reason = Some("idle beyond need");
+            kept_cpus -= cpus;
+            machine.delete_reason = Some("idle and not needed");
         }
     }
 
-    /// Names a request. The token differs for every holder, so no name is used twice.
+    /// Names a request. The fencing token differs between leaders, so no name is used
+    /// twice.
     fn rent_request(&mut self, request: ScaleOutRequest) -> RentRequest {
         self.request_counter += 1;
-        let holder = epoch(self.token);
-        let named = RentRequest {
-            request: format!("{}-{holder}-{}", self.cfg.member, self.request_counter),
+        let epoch = epoch(self.token);
+        let rent = RentRequest {
+            request: format!("{}-{epoch}-{}", self.cfg.member, self.request_counter),
             machine_type: self.machine_types[request.type_index].name.clone(),
             zone: request.zone,
             spot: request.spot,
             count: request.count.min(MAX_MACHINES_PER_RENTAL),
         };
         info!(
-            machine_type = named.machine_type,
-            zone = named.zone,
-            spot = named.spot,
-            count = named.count,
-            waiting = self.jobs.values().map(|j| j.pending()).sum::<u32>(),
-            "rents"
+            machine_type = rent.machine_type,
+            zone = rent.zone,
+            spot = rent.spot,
+            count = rent.count,
+            waiting_tasks = self.jobs.values().map(|j| j.pending()).sum::<u32>(),
+            "requesting machines from the cloud"
         );
-        named
+        rent
     }
 
-    /// How long machines of a type are kept idle: for what comes next, if
-    /// anything that fits seems to come.
-    fn type_idle_limit_s(&self, now: Time, machine_type: &MachineType, most_s: f64) -> f64 {
+    /// How long machines of a type are kept idle, in seconds. Machines are kept for a
+    /// shorter time if no class whose tasks fit the type seems to submit jobs any more.
+    fn type_idle_limit_s(&self, now: Time, machine_type: &MachineType, max_s: f64) -> f64 {
         let room = Shape::of_type(machine_type);
-        let quiet = self.class_samples.iter().all(|(class, sample)| {
-            let silent = |stats: &ClassStats| stats.is_inactive(now);
-            !sample.task_shape.fits_in(&room) || self.learner.get(class).is_some_and(silent)
+        let inactive = self.class_samples.iter().all(|(class, sample)| {
+            let is_inactive = |stats: &ClassStats| stats.is_inactive(now);
+            !sample.task_shape.fits_in(&room) || self.learner.get(class).is_some_and(is_inactive)
         });
-        if quiet && !self.class_samples.is_empty() {
-            self.cfg.tuning.quiet_idle_s.min(most_s)
+        if inactive && !self.class_samples.is_empty() {
+            self.cfg.tuning.quiet_idle_s.min(max_s)
         } else {
-            most_s
+            max_s
         }
     }
 
-    /// How often machines in use turn over before a job's waiting tasks must
-    /// start. What is late already, or would be when a machine has booted,
-    /// gains little by an ordinary one: it waits for a turn of what there is.
+    /// How many times the machines in use may turn over before the job's waiting tasks must
+    /// start. A job that is late, or would be late by the time a new machine has booted,
+    /// gains little from an on-demand machine, so it waits for machines in use to become
+    /// free.
     fn max_turnovers(&self, now: Time, job: &Job) -> f64 {
         let tuning = &self.cfg.tuning;
         if self.cfg.guarantee_start_objective.is_some() {
@@ -318,14 +325,14 @@
         }
     }
 
-    /// Tasks that run or wait, by class and shape, as far as their teams'
-    /// limits let them run at once.
+    /// Running and waiting tasks by class and shape, limited to what the teams' limits let
+    /// run at the same time.
     fn current_demands(
         &self,
         now: Time,
-        mut kept: Option<&mut ReservedCapacity<'_>>,
+        mut reserved_room: Option<&mut ReservedCapacity<'_>>,
     ) -> Vec<(String, Demand)> {
-        let mut left: Vec<f64> = (0..self.cfg.teams.len())
+        let mut cpus_left: Vec<f64> = (0..self.cfg.teams.len())
             .map(|team| self.team_cpu_limit(Some(team)))
             .collect();
         let mut jobs: Vec<_> = self.jobs.iter().filter(|(_, j)| !j.cancelled).collect();
@@ -344,20 +351,22 @@
             if let Some(team) = job.team
                 && job.shape.cpus > 0.0
             {
-                let room = (left[team] / job.shape.cpus + 1e-6).floor().min(1e6) as u32;
-                tasks = tasks.min(room);
-                left[team] -= f64::from(tasks) * job.shape.cpus;
+                let allowed = (cpus_left[team] / job.shape.cpus + 1e-6).floor().min(1e6) as u32;
+                tasks = tasks.min(allowed);
+                cpus_left[team] -= f64::from(tasks) * job.shape.cpus;
             }
-            if let Some(kept) = &mut kept {
-                tasks -= kept.assign(self, job, tasks);
+            if let Some(reserved_room) = &mut reserved_room {
+                tasks -= reserved_room.assign(self, job, tasks);
             }
             if tasks == 0 {
                 continue;
             }
-            let turns = self.max_turnovers(now, job);
-            // The task with which a boosted job begins does not wait for a turn.
-            let begins = u32::from(waiting > 0 && self.is_boosted_to_start(id, job)).min(tasks);
-            // By what tells demands apart: every job may have a shape of its own.
+            let turnovers = self.max_turnovers(now, job);
+            // The first task of a boosted job does not wait for machines to turn over.
+            let first_tasks =
+                u32::from(waiting > 0 && self.is_boosted_to_start(id, job)).min(tasks);
+            // Demands are merged by all fields that distinguish them, because every job may
+            // have a different shape.
             let bits = |amount: f64| amount.to_bits();
             let key = (
                 job.spec.class.as_str(),
@@ -370,14 +379,17 @@
                 job.spec.zone.as_deref(),
                 job.spec.spot(),
             );
-            let parts = [(begins, 0.0, true), (tasks - begins, turns, false)];
-            for (tasks, turns, begins) in parts.into_iter().filter(|(n, ..)| *n > 0) {
+            let parts = [
+                (first_tasks, 0.0, true),
+                (tasks - first_tasks, turnovers, false),
+            ];
+            for (tasks, turnovers, is_first) in parts.into_iter().filter(|(n, ..)| *n > 0) {
                 let next = demands.len();
-                let index = *indices.entry((key, begins)).or_insert(next);
+                let index = *indices.entry((key, is_first)).or_insert(next);
                 match demands.get_mut(index) {
                     Some((_, demand)) => {
                         demand.tasks += tasks;
-                        demand.max_turnovers = demand.max_turnovers.min(turns);
+                        demand.max_turnovers = demand.max_turnovers.min(turnovers);
                     }
                     None => demands.push((
                         job.spec.class.clone(),
@@ -387,7 +399,7 @@
                             zone: job.spec.zone.clone(),
                             spot: job.spec.spot(),
                             tasks,
-                            max_turnovers: turns,
+                            max_turnovers: turnovers,
                             spare: 0,
                             warm_spare: 0,
                         },
--- a/crates/umbersail-control/src/engine/schedule.rs
+++ b/crates/umbersail-control/src/engine/schedule.rs
@@ -1,4 +1,5 @@
-//! Which waiting task goes where: a cycle, in slices that end.
+//! The scheduling cycle: decides which waiting task runs on which machine, in slices of
+//! bounded work.
 
 use std::collections::BTreeMap;
 
@@ -11,56 +12,63 @@
 use super::evict::EvictionCandidates;
 use super::{Engine, JobId, MachineId, Time};
 
-/// How often a blocked job may be looked at for eviction in one cycle.
+/// Most eviction searches in one cycle. A search that finds no machine with evictable tasks
+/// does not count.
 pub(super) const MAX_EVICTIONS_PER_CYCLE: usize = 4;
 
-/// A cycle that is under way.
+/// A scheduling cycle in progress.
 pub(super) struct SchedulingCycle {
     queue: CycleQueue<JobId>,
     large_task_cpus: BTreeMap<Priority, Vec<f64>>,
 }
 
-/// The fleet as one slice of a cycle sees it, from one walk over the machines.
+/// The machines as one slice of a cycle sees them, built by one pass over all machines.
 #[derive(Default)]
 pub(super) struct ClusterSnapshot {
     pub slots: CandidateSlots<MachineId>,
-    /// Slots kept for the winners of evictions, and from which tier on.
+    /// Slots claimed for the beneficiaries of evictions: the beneficiary's tier and the
+    /// slot's index.
     pub claimed_slots: Vec<(Priority, usize)>,
-    /// Machines that may hold tasks of jobs already over (rule 4).
+    /// Total capacity of the machines that may run orphaned attempts of unknown size (rule
+    /// 4).
     unaccounted: Shape,
-    /// CPUs that stay, up or coming: of each type the ordinary and the spot ones.
+    /// CPUs by machine type, as [on-demand, spot], of the machines that are running or
+    /// booting. Machines that are unreachable or about to be deleted or reclaimed are left
+    /// out.
     pub cpus_by_type: Vec<[f64; 2]>,
-    /// How many machines that take tasks have an image, by type; counted once
-    /// somebody asks.
+    /// Number of schedulable machines that have an image cached, by image and machine type.
+    /// Computed on first use.
     pub machines_with_image: Option<BTreeMap<(ImageKey, usize), usize>>,
-    /// Slots as jobs rank them that are alike, and how many that took to look at.
+    /// Slot rankings shared by jobs with the same ranking key, and the number of slots
+    /// examined to build and read the rankings.
     pub rankings: Option<Rankings<RankingKey>>,
     pub ranked_examined: u64,
 }
 
 impl ClusterSnapshot {
-    /// Slots looked at so far.
+    /// Number of slots examined so far.
     fn examined(&self) -> u64 {
         self.slots.examined() + self.ranked_examined
     }
 
-    /// Nothing more goes to this machine in this slice.
+    /// Excludes this machine from further placement in this slice.
     pub fn close(&mut self, machine: &MachineId) {
-        let at = (0..self.slots.len()).find(|i| self.slots.get(*i).machine == *machine);
-        if let Some(index) = at {
+        let position = (0..self.slots.len()).find(|i| self.slots.get(*i).machine == *machine);
+        if let Some(index) = position {
             self.slots.close(index);
         }
     }
 }
 
-/// What one slice of a cycle works with.
+/// State that the steps of one slice share.
 pub(super) struct CycleSlice<'a> {
     pub usage: &'a mut [Usage],
     pub snapshot: &'a mut ClusterSnapshot,
     pub large_task_cpus: &'a [f64],
 }
 
-/// What jobs have in common that rank places alike.
+/// The properties of a job that determine its ranking of slots. Jobs with equal keys share
+/// one ranking.
 #[derive(Debug, Clone, PartialEq)]
 pub(super) struct RankingKey {
     pub image: ImageKey,
@@ -69,35 +77,37 @@
 }
 
 impl Engine {
-    /// True if something changed that may let a task start, or if a cycle was
-    /// cut short.
+    /// True if something changed that may let a task start, or if a cycle was interrupted.
     pub fn needs_scheduling(&self) -> bool {
         self.cycle_requested || self.unfinished_cycle.is_some()
     }
 
-    /// Whether a cycle was cut short: it goes on without waiting for its turn.
+    /// Whether a cycle was interrupted. Such a cycle resumes without waiting for the next
+    /// interval.
     pub fn is_mid_cycle(&self) -> bool {
         self.unfinished_cycle.is_some()
     }
 
-    /// The work done in cycles since this was last asked, in steps of about one
-    /// look at one machine.
+    /// Returns the work that cycles did since the last call, and resets the count. One step
+    /// is about the cost of examining one machine.
     pub fn take_steps(&mut self) -> u64 {
         std::mem::take(&mut self.cycle_steps)
     }
 
-    /// Places waiting tasks; launches follow with the machines' next reports.
+    /// Places waiting tasks on machines. Launch commands go out in the replies to the
+    /// machines' next heartbeats.
     ///
-    /// A cycle ends after [`super::EngineConfig::slice_steps`] and goes on with the next
-    /// call where it was, so that reports, renewals and users wait for a slice
-    /// and not for a whole snapshot. Upper tiers and the most urgent jobs are placed
-    /// in the first slice. Each slice looks at the fleet anew: what was reported
-    /// or cancelled in between holds (rules 3 and 4).
+    /// A cycle pauses after [`super::EngineConfig::slice_steps`] and resumes where it
+    /// paused with the next call, so that heartbeats, lease renewals and user requests wait
+    /// for one slice at most and not for a pass over the whole cluster. Upper tiers and the
+    /// most urgent jobs are placed in the first slice. Each slice takes a new snapshot of
+    /// the machines, so heartbeats and cancellations that arrived between two slices are
+    /// respected (rules 3 and 4).
     pub fn schedule(&mut self, now: Time) {
         let mut steps = StepBudget::new(self.cfg.slice_steps);
         if self.unfinished_cycle.is_none() && !self.is_cached_order_valid(now) {
             self.cached_order = None;
-            self.smallest_waiting_shape = self.least_waiting();
+            self.smallest_waiting_shape = self.smallest_waiting_shape();
         }
         let mut snapshot = self.cluster_snapshot(now);
         let mut usage = self.team_usage(&snapshot.unaccounted);
@@ -138,14 +148,14 @@
             );
         }
         let mut candidates = EvictionCandidates::default();
-        while !steps.is_exhausted() && cycle.queue.evictions < MAX_EVICTIONS_PER_CYCLE {
+        while !steps.is_exhausted() && cycle.queue.eviction_searches < MAX_EVICTIONS_PER_CYCLE {
             let Some(id) = cycle.queue.next_blocked() else {
                 break;
             };
             steps.spend(StepBudget::JOB_COST);
             let examined = candidates.examined;
             if self.evict_for(now, &id, &mut usage, &mut candidates) {
-                cycle.queue.evictions += 1;
+                cycle.queue.eviction_searches += 1;
             }
             steps.spend(candidates.examined - examined);
         }
@@ -155,24 +165,26 @@
         }
     }
 
-    /// The least that any waiting job's task takes, of each amount by itself.
-    fn least_waiting(&self) -> Shape {
-        let mut least = Shape {
+    /// The smallest amount of each resource that any waiting task needs, each resource
+    /// taken separately.
+    fn smallest_waiting_shape(&self) -> Shape {
+        let mut smallest = Shape {
             cpus: f64::INFINITY,
             gpus: f64::INFINITY,
             memory_gb: f64::INFINITY,
         };
         for job in self.jobs.values().filter(|j| j.is_schedulable()) {
-            least.cpus = least.cpus.min(job.shape.cpus);
-            least.gpus = least.gpus.min(job.shape.gpus);
-            least.memory_gb = least.memory_gb.min(job.shape.memory_gb);
+            smallest.cpus = smallest.cpus.min(job.shape.cpus);
+            smallest.gpus = smallest.gpus.min(job.shape.gpus);
+            smallest.memory_gb = smallest.memory_gb.min(job.shape.memory_gb);
         }
-        least
+        smallest
     }
 
-    /// One walk over the machines for all that a slice wants to know of them.
+    /// Collects what a slice needs to know about the machines, in one pass over all
+    /// machines.
     fn cluster_snapshot(&self, now: Time) -> ClusterSnapshot {
-        let silent_after = self.silence_limit_s();
+        let silence_limit_s = self.silence_limit_s();
         let mut snapshot = ClusterSnapshot {
             cpus_by_type: vec![[0.0; 2]; self.machine_types.len()],
             ..ClusterSnapshot::default()
@@ -181,25 +193,25 @@
             let Some(index) = machine.type_index else {
                 continue;
             };
-            let room = Shape::of_type(&self.machine_types[index]);
+            let capacity = Shape::of_type(&self.machine_types[index]);
             if self.is_unsized(machine) {
-                snapshot.unaccounted.add(&room, 1.0);
+                snapshot.unaccounted.add(&capacity, 1.0);
             }
             if machine.delete_reason.is_none()
                 && machine.reclaim_at.is_none()
                 && !machine.reachability.is_unreachable()
             {
-                snapshot.cpus_by_type[index][usize::from(machine.spot)] += room.cpus;
+                snapshot.cpus_by_type[index][usize::from(machine.spot)] += capacity.cpus;
             }
-            let free = room.plus(&machine.allocated, -1.0);
-            // Most machines of a busy fleet are full: what follows is for the
-            // few that are not.
+            let free = capacity.plus(&machine.allocated, -1.0);
+            // On a busy cluster most machines are full; the remaining work is only done for
+            // the few that have room.
             if !self.smallest_waiting_shape.fits_in(&free)
-                || !machine.accepts_tasks(now, silent_after)
+                || !machine.accepts_tasks(now, silence_limit_s)
             {
                 continue;
             }
-            let spot = SlotInfo {
+            let slot = SlotInfo {
                 type_index: index,
                 zone: &machine.zone,
                 spot: machine.spot,
@@ -210,7 +222,7 @@
             };
             snapshot
                 .slots
-                .push(machine.name.clone(), spot, &machine.images);
+                .push(machine.name.clone(), slot, &machine.images);
             for (image, _) in &machine.image_uses {
                 snapshot.slots.add_fetching(*image);
             }
@@ -225,8 +237,7 @@
         snapshot
     }
 
-    /// Whether the machine may hold tasks of jobs already over that no record
-    /// gives the size of.
+    /// Whether the machine may run orphaned attempts whose size no record states.
     pub(super) fn is_unsized(&self, machine: &super::Machine) -> bool {
         machine.has_unsized_orphans
             || (machine.inherited
@@ -235,15 +246,16 @@
                     || self.orphaned_jobs.may_hold_unknown_shape(&machine.name)))
     }
 
-    /// What each team's tasks use. Unaccounted ones count as present (rule 4):
-    /// tasks whose recovery is pending and attempts of jobs already over by their own size, known
-    /// from records that stand for as long as one may be about; and for limited
-    /// teams every machine by its whole size that may hold what no record tells.
+    /// Resources that each team uses. Attempts that are not accounted for count as running
+    /// (rule 4). Tasks whose recovery is pending, and orphaned attempts, count by their own
+    /// size, which is known from records that are kept for as long as such an attempt may
+    /// exist. For teams with a limit, every machine that may run unrecorded attempts counts
+    /// with its full capacity.
     pub(super) fn team_usage(&self, unaccounted: &Shape) -> Vec<Usage> {
         let mut usage = vec![Usage::default(); self.cfg.teams.len()];
         for job in self.jobs.values() {
             if let Some(team) = job.team {
-                // What no record tells of is on machines that count whole.
+                // Unrecorded tasks are on machines that count with their full capacity.
                 let counted = job.occupied_tasks() - job.unrecorded_recovery_pending();
                 usage[team].add(&job.shape, counted as f64);
             }
