--- a/crates/umbersail-control/src/engine/plans/reserve.rs
+++ b/crates/umbersail-control/src/engine/plans/reserve.rs
@@ -134,7 +134,7 @@
 
 /// Free capacity of reserved machines, as used by the rental of further machines.
 pub(in crate::engine) struct ReservedCapacity<'a> {
-    rooms: Vec<(&'a Machine, usize, Shape)>,
+    capacity: Vec<(&'a Machine, usize, Shape)>,
 }
 
 impl ReservedCapacity<'_> {
@@ -152,15 +152,15 @@
             .min(job.startable());
         let mut assigned = 0;
         if own != 0 {
-            for (machine, _, room) in &mut self.rooms {
+            for (machine, _, free) in &mut self.capacity {
                 if waiting == 0 {
                     break;
                 }
-                if machine.reservations & own == 0 || !engine.takes(job, machine) {
+                if machine.reservations & own == 0 || !engine.can_host(job, machine) {
                     continue;
                 }
-                let slots = job.shape.slots_in(room).min(waiting);
-                room.add(&job.shape, -f64::from(slots));
+                let slots = job.shape.slots_in(free).min(waiting);
+                free.add(&job.shape, -f64::from(slots));
                 waiting -= slots;
                 assigned += slots;
             }
@@ -178,11 +178,11 @@
         };
         let bits = reserve.bits.iter().filter(|(name, _)| named(name));
         let bits = bits.fold(0, |all, (_, bit)| all | bit);
-        let rooms = self
-            .rooms
+        let capacity = self
+            .capacity
             .iter()
             .filter(|(m, _, _)| m.reservations & bits != 0);
-        rooms.map(|(_, _, room)| shape.slots_in(room)).sum()
+        capacity.map(|(_, _, free)| shape.slots_in(free)).sum()
     }
 }
 
@@ -265,7 +265,7 @@
         requests: &mut u64,
     ) -> Vec<Notice> {
         let reserve = &self.plans.reserve;
-        let usage = self.guarantees_in_use();
+        let usage = self.guaranteed_usage();
         let mut machines = BTreeMap::new();
         for record in records.values() {
             for name in record.machines() {
@@ -374,7 +374,7 @@
     }
 
     /// The resources that each team uses; empty if no team has a guarantee.
-    fn guarantees_in_use(&self) -> Vec<Usage> {
+    fn guaranteed_usage(&self) -> Vec<Usage> {
         match self.cfg.teams.iter().any(|t| t.has_guarantee()) {
             true => self.team_usage(&Shape::default()),
             false => Vec::new(),
@@ -392,7 +392,7 @@
     }
 
     /// Whether a task of the job could run on the machine if the machine were empty.
-    fn takes(&self, job: &Job, machine: &Machine) -> bool {
+    fn can_host(&self, job: &Job, machine: &Machine) -> bool {
         machine.type_index.is_some_and(|index| {
             let t = &self.types[index];
             job.shape.fits_in(&Shape::of_type(t))
@@ -470,13 +470,13 @@
     /// For each job, in order, the bits of the entries whose machines the job may use.
     fn usable_reservations(&self, now: Time) -> Vec<u64> {
         let reserve = &self.plans.reserve;
-        let usage = self.guarantees_in_use();
+        let usage = self.guaranteed_usage();
         let own: Vec<u64> = self.jobs.values().map(|j| reserve.own_bits(j)).collect();
         // The entries whose own work waits for free capacity on their machines.
         let mut waiting = 0;
         for (job, own) in self.jobs.values().zip(&own) {
-            if *own & !waiting != 0 && waits_for_room(job) {
-                let suits = |m: &&Machine| m.reservations & own != 0 && self.takes(job, m);
+            if *own & !waiting != 0 && waits_for_machines(job) {
+                let suits = |m: &&Machine| m.reservations & own != 0 && self.can_host(job, m);
                 for machine in self.machines.values().filter(suits) {
                     waiting |= machine.reservations & own;
                 }
@@ -512,11 +512,11 @@
         if self.plans.reserve.bits.is_empty() {
             return;
         }
-        let (rooms, lent) = self.reclaimable_capacity(now);
+        let (capacity, lent) = self.reclaimable_capacity(now);
         if lent.is_empty() {
             return;
         }
-        let stops = self.borrowers_to_stop(rooms, lent);
+        let stops = self.borrowers_to_stop(capacity, lent);
         let tasks = stops.len();
         for (id, task) in stops {
             self.reclaim_from_task(&id, task);
@@ -531,7 +531,7 @@
 
     /// Free capacity of reserved machines, and the borrowers there that can be stopped.
     fn reclaimable_capacity(&self, now: Time) -> (FreeCapacity<'_>, Borrowers<'_>) {
-        let (mut rooms, mut lent) = (FreeCapacity::new(), Borrowers::new());
+        let (mut capacity, mut lent) = (FreeCapacity::new(), Borrowers::new());
         let silent_after = self.silent_after();
         for (name, machine) in &self.machines {
             let Some(index) = machine.type_index else {
@@ -540,7 +540,7 @@
             if machine.reservations == 0 || !machine.takes_tasks(now, silent_after) {
                 continue;
             }
-            let mut room = Shape::of_type(&self.types[index]).plus(&machine.used, -1.0);
+            let mut free = Shape::of_type(&self.types[index]).plus(&machine.used, -1.0);
             for (id, task) in &machine.tasks {
                 let Some(job) = self.jobs.get(id) else {
                     continue;
@@ -549,18 +549,18 @@
                     continue;
                 };
                 if placement.stop.is_some() {
-                    room.add(&job.shape, 1.0);
-                } else if self.gives_back(now, job, machine) {
+                    free.add(&job.shape, 1.0);
+                } else if self.is_reclaimable(now, job, machine) {
                     lent.entry(name).or_default().push((id, *task, job));
                 }
             }
-            rooms.insert(name, room);
+            capacity.insert(name, free);
         }
-        (rooms, lent)
+        (capacity, lent)
     }
 
     /// Whether a job's tasks on a reserved machine are borrowers that can be stopped.
-    fn gives_back(&self, now: Time, job: &Job, machine: &Machine) -> bool {
+    fn is_reclaimable(&self, now: Time, job: &Job, machine: &Machine) -> bool {
         let reserve = &self.plans.reserve;
         job.reservations & machine.reservations & OWN_BITS == 0
             && reserve.records.iter().any(|(entry, record)| {
@@ -575,14 +575,14 @@
     /// capacity is used first.
     fn borrowers_to_stop(
         &self,
-        mut rooms: FreeCapacity<'_>,
+        mut capacity: FreeCapacity<'_>,
         mut lent: Borrowers<'_>,
     ) -> Vec<(JobId, u32)> {
         let mut stops: Vec<(JobId, u32)> = Vec::new();
         let mut own: Vec<&Job> = self
             .jobs
             .values()
-            .filter(|j| j.reservations & OWN_BITS != 0 && waits_for_room(j))
+            .filter(|j| j.reservations & OWN_BITS != 0 && waits_for_machines(j))
             .collect();
         own.sort_by(|a, b| {
             let tiers = b.spec.priority.cmp(&a.spec.priority);
@@ -592,10 +592,11 @@
             let mut wanted = job.startable();
             let may_use = |name: &MachineId| {
                 let machine = &self.machines[name];
-                machine.reservations & job.reservations & OWN_BITS != 0 && self.takes(job, machine)
+                machine.reservations & job.reservations & OWN_BITS != 0
+                    && self.can_host(job, machine)
             };
             for with_borrowers in [false, true] {
-                for (name, room) in &mut rooms {
+                for (name, free) in &mut capacity {
                     if wanted == 0 {
                         break;
                     }
@@ -603,15 +604,15 @@
                         continue;
                     }
                     if with_borrowers && let Some(tasks) = lent.get_mut(*name) {
-                        while job.shape.slots_in(room) < wanted
+                        while job.shape.slots_in(free) < wanted
                             && let Some((id, task, borrower)) = tasks.pop()
                         {
-                            room.add(&borrower.shape, 1.0);
+                            free.add(&borrower.shape, 1.0);
                             stops.push((id.clone(), task));
                         }
                     }
-                    let slots = job.shape.slots_in(room).min(wanted);
-                    room.add(&job.shape, -f64::from(slots));
+                    let slots = job.shape.slots_in(free).min(wanted);
+                    free.add(&job.shape, -f64::from(slots));
                     wanted -= slots;
                 }
             }
@@ -619,7 +620,8 @@
         stops
     }
 
-    /// Stops a borrower.
+    /// Stops a borrower, with time to save a checkpoint. A task whose launch was not sent yet
+    /// returns to the waiting tasks instead.
     fn reclaim_from_task(&mut self, id: &JobId, task: u32) {
         let Some(job) = self.jobs.get_mut(id) else {
             return;
@@ -652,14 +654,14 @@
             return None;
         }
         let reserved = self.machines.values().filter(|m| m.reservations != 0);
-        let rooms = reserved.filter_map(|machine| {
+        let capacity = reserved.filter_map(|machine| {
             let index = machine.type_index?;
-            let gone = machine.delete_reason.is_some() || machine.notice_until.is_some();
-            let room = Shape::of_type(&self.types[index]).plus(&machine.used, -1.0);
-            (!gone).then_some((machine, index, room))
+            let leaving = machine.delete_reason.is_some() || machine.notice_until.is_some();
+            let free = Shape::of_type(&self.types[index]).plus(&machine.used, -1.0);
+            (!leaving).then_some((machine, index, free))
         });
         Some(ReservedCapacity {
-            rooms: rooms.collect(),
+            capacity: capacity.collect(),
         })
     }
 
@@ -780,6 +782,6 @@
 }
 
 /// Whether the job waits for machines rather than for its team's limit.
-fn waits_for_room(job: &Job) -> bool {
+fn waits_for_machines(job: &Job) -> bool {
     job.startable() > 0 && job.blocked != BlockedReason::TeamLimit
 }
--- a/crates/umbersail-tuning/src/lib.rs
+++ b/crates/umbersail-tuning/src/lib.rs
@@ -121,11 +121,11 @@
     leader_answer_timeout_s, "standby.answer_s", 0.5, 0.1..=10.0, "s",
         "How long a leader that closed its connections has to answer through the state service: its two requests there take about 20 ms, occasionally a few hundred";
     silent_leader_answer_timeout_s, "standby.silent_answer_s", 2.0, 0.1..=10.0, "s",
-        "The same time for a leader that did not answer a hello message in time: it may only be busy";
+        "How long a leader that did not answer a hello message in time has to answer through the state service: more than standby.answer_s, because it may only be busy";
     leader_answer_slack_s, "standby.answer_slack_s", 0.4, 0.0..=10.0, "s",
         "A check of the leader that takes longer than its answer time plus this proves nothing: the state service is slow, or the checking process itself was paused";
     suspicion_cleared_s, "standby.cleared_s", 5.0, 0.0..=600.0, "s",
-        "How long a leader that answered through the state service is not checked again: in this case only the connections between controllers fail";
+        "How long a leader that answered through the state service is not checked again: in this case the connections between controllers are refused although the leader works";
     election_settle_s, "standby.settle_s", 6.0, 0.0..=600.0, "s",
         "After an election, silence of the leader raises no suspicion for this long: a failover is the leader's busiest time";
     state_loss_hand_over_s, "standby.refused_s", 1.2, 0.2..=60.0, "s",
@@ -183,13 +183,13 @@
     starvation_wait_s, "floor.near_s", 120.0, 0.0..=3600.0, "s",
         "Starvation guard: a job of which no task has started for this long goes first in its priority tier with one task, and a slot is reserved for it. Users expect a start within 240 s; freeing a large enough slot may take a minute, and losing a machine meanwhile costs the duration of a lease";
     starvation_cpu_share, "floor.share", 0.3, 0.0..=1.0, "share",
-        "Maximum share of the CPUs of each machine type that may be reserved for starving jobs at once, and of the machines for which underserved jobs go before others";
+        "Maximum share of the CPUs of each machine type that may be reserved at once for jobs that the starvation guard covers, and of the machines for which jobs that floor.served covers go before others";
     underserved_share_below, "floor.served", 0.0, 0.0..=1.0, "share",
         "If less than this share of a class, of a team or of the largest jobs of a class met its objective, such jobs go first while they can still meet it. 0 disables the rule: at 0.6, the slots reserved for such jobs cost higher tiers their starts and did not help the largest jobs";
     service_window_jobs, "floor.window_jobs", 40.0, 4.0..=1000.0, "jobs",
-        "Number of recent jobs of a class or team over which this share is computed: the largest tenth of them must be several jobs";
+        "Number of recent jobs of a class or team over which the share of floor.served is computed: the largest tenth of them must be several jobs";
     service_min_jobs, "floor.least_jobs", 4.0, 1.0..=1000.0, "jobs",
-        "With fewer such jobs known, the share is not meaningful and the rule does not apply";
+        "floor.served does not apply to a class or team of which fewer jobs are known: a share of so few jobs says little";
     tick_s, "schedule.tick_s", 0.5, 0.05..=10.0, "s",
         "Interval of the duties that no event triggers: lease expiry, reclaim notices and back-off";
     task_end_write_delay_s, "records.write_delay_s", 0.8, 0.0..=5.0, "s",
@@ -207,7 +207,7 @@
     unreachable_signs, "machines.deaf_signs", 2.0, 1.0..=100.0, "signs",
         "A machine counts as unreachable, and gets no new tasks, after this many observations that a reply did not reach it: a single reply may be lost anywhere";
     unreachable_min_gap_s, "machines.deaf_gap_s", 0.5, 0.0..=60.0, "s",
-        "A heartbeat that arrives less than this after the previous reply does not count as such an observation: a worker that misses a reply waits for 1 to 5 s, and a queue of heartbeats that arrives at once after a freeze was sent before the reply";
+        "A heartbeat that arrives less than this after the previous reply does not count as an observation of a lost reply: a worker that misses a reply waits for 1 to 5 s, and a queue of heartbeats that arrives at once after a freeze was sent before the reply";
     unreachable_sign_ttl_s, "machines.deaf_fade_s", 60.0, 1.0..=3600.0, "s",
         "An observation of a lost reply counts for this long: two replies lost a minute apart are unrelated";
     unreachable_delete_s, "machines.deaf_delete_s", 45.0, 1.0..=3600.0, "s",
@@ -217,11 +217,11 @@
     boot_timeout_factor, "machines.boot_patience", 3.0, 1.1..=20.0, "times startup_s",
         "A boot is given up after this multiple of startup_s: boots take up to 1.5 times startup_s, a few take several times as long, and some never complete";
     boot_timeout_margin_s, "machines.boot_patience_s", 10.0, 0.0..=600.0, "s",
-        "Added to that bound, for types that boot within a second or two";
+        "Added to the bound of machines.boot_patience, for types that boot within a second or two";
     quarantine_errors, "faults.quarantine_errors", 3.0, 1.0..=100.0, "errors",
         "Number of consecutive errors on a machine, from at least two jobs, after which the machine is quarantined";
     quarantine_hold_s, "faults.quarantine_hold_s", 4.0, 0.0..=60.0, "s",
-        "How long a machine with that many errors gets no tasks before it is quarantined and returned: meanwhile a job that fails on every machine is detected, and its errors no longer count against the machine";
+        "How long a machine with faults.quarantine_errors errors gets no tasks before it is quarantined and returned: meanwhile a job that fails on every machine is detected, and its errors no longer count against the machine";
     job_trial_s, "faults.job_trial_s", 5.0, 0.0..=600.0, "s",
         "A job that is considered faulty starts all of its tasks again once one task has run this much longer than any of its tasks that failed";
     job_fault_machines, "faults.job_machines", 3.0, 1.0..=100.0, "machines",
@@ -229,19 +229,19 @@
     job_backoff_s, "faults.job_backoff_s", 5.0, 0.1..=600.0, "s",
         "First back-off of a job whose tasks fail; doubles each time";
     job_backoff_max_s, "faults.job_backoff_most_s", 120.0, 1.0..=3600.0, "s",
-        "Longest such back-off";
+        "Longest back-off of a job whose tasks fail";
     refusal_backoff_s, "rental.refusal_backoff_s", 10.0, 0.5..=600.0, "s",
         "First back-off after the cloud refused machines of a type, zone and kind (spot or on-demand); doubles each time";
     refusal_backoff_max_s, "rental.refusal_backoff_most_s", 40.0, 1.0..=3600.0, "s",
-        "Longest such back-off: capacity becomes available again without notice";
+        "Longest back-off after refusals of the cloud: capacity becomes available again without notice";
     idle_s, "rental.idle_s", 90.0, 0.0..=3600.0, "s",
         "An idle machine that classes with an objective on starting may need soon is returned after this long: a new rental costs at least 60 s, a boot and the cached images";
     cold_idle_s, "rental.cold_idle_s", 40.0, 0.0..=3600.0, "s",
-        "The same for idle machines beyond what such classes may need: about the cost of a boot and of the cached images, since jobs that only have a deadline can wait for a boot";
+        "An idle machine that no class with an objective on starting may need soon is returned after this long: about the cost of a boot and of the cached images, since jobs that only have a deadline can wait for a boot";
     warm_headroom, "rental.warm_headroom", 4.0, 0.0..=100.0, "times",
-        "Number of idle machines that are kept for longer for classes with an objective on starting, as a multiple of their mean use";
+        "Number of machines that stay for rental.idle_s when idle for classes with an objective on starting, as a multiple of their mean use";
     quiet_idle_s, "rental.quiet_idle_s", 15.0, 0.0..=3600.0, "s",
-        "The same for a type while every class that fits it has submitted nothing for about 20 of its usual intervals between jobs: no further jobs are expected";
+        "An idle machine is returned after this long if every class that fits its type has submitted nothing for about 20 of its usual intervals between jobs: no further jobs are expected";
     headroom, "rental.headroom", 1.3, 0.5..=10.0, "times",
         "Number of machines that are kept for classes with an objective on starting, as a multiple of their mean use";
     load_window_s, "rental.load_window_s", 120.0, 5.0..=3600.0, "s",
@@ -251,15 +251,15 @@
     ordinary_share, "rental.ordinary_share", 0.25, 0.0..=1000.0, "share",
         "Number of on-demand machines rented per spot machine for work that may use either kind and can wait: on-demand machines cost about 2.7 times as much, so these raise the mean price by a third";
     max_late_turns, "rental.late_turns", 2.0, 0.0..=10.0, "turns",
-        "Number of rounds on the machines in use for which a job may queue if it would be late even on a machine rented now";
+        "Number of times that the machines in use may turn over while a job waits for them that would be late even on a machine rented now";
     ordinary_cost, "place.ordinary_cost", 2.0, 0.0..=1000.0, "s",
         "Placement cost of putting a task that may use spot machines on an on-demand machine: on-demand machines should become idle first because they cost several times as much";
     image_weight_s, "place.image_weight", 1.0, 0.0..=100.0, "per second of fetch",
-        "Placement cost per second of image fetch, relative to the costs below";
+        "Placement cost per second of image fetch, relative to the other costs under place";
     image_wait_s, "place.image_wait_s", 1.0, 0.0..=60.0, "s",
         "A job with an objective on starting that would miss it because of an image fetch waits for a machine that has its image until this long before it would be late: a launch and the start take about 1 s";
     image_places, "place.image_places", 0.3, 0.0..=1000.0, "machines per task",
-        "Number of machines with the image, per task, that makes such a wait worthwhile";
+        "Number of machines with the image, per task of the job, from which on the wait of place.image_wait_s is worthwhile";
     oversize_cost, "place.oversize_cost", 5.0, 0.0..=1000.0, "s",
         "Placement cost of putting a task on a larger machine type than the smallest that fits: large machines are kept free for large tasks";
     max_eviction_sets, "evict.sets", 16.0, 1.0..=1000.0, "sets",
@@ -281,27 +281,27 @@
     state_probe_interval_s, "health.probe_s", 0.8, 0.1..=30.0, "s",
         "A controller that sent the state service no request for this long sends a small one: three attempts before the controller considers itself cut off from the state service";
     job_progress_max_age_s, "peers.heard_fresh_s", 2.5, 0.1..=3.0, "s",
-        "Counts that the leader told longer ago than this are not shown: the counts in the answer to a poll may lag by 3 s";
+        "Task counts that the leader sent longer ago than this are not shown to users: the counts in the answer to a poll may lag by at most 3 s";
     max_progress_jobs, "peers.progress_most", 500.0, 0.0..=100000.0, "jobs",
-        "Maximum number of jobs whose progress is told in one hello message; the progress of other jobs is read when a user polls them";
+        "Maximum number of jobs whose progress is sent in one hello message; the progress of other jobs is read when a user polls them";
     relay_timeout_s, "peers.relay_timeout_s", 2.0, 0.1..=10.0, "s",
         "A heartbeat that is relayed to the leader is given up after this long: the worker waits 4 s";
     relay_detect_s, "peers.relay_again_s", 9.0, 0.5..=60.0, "s",
         "A worker that returns this soon after it was directed to the leader cannot reach the leader: it tries for up to 4 s, then tries the next controller 1 s later, and there may be two to try";
     relay_duration_s, "peers.relay_s", 20.0, 1.0..=600.0, "s",
-        "How long the heartbeats of such a worker are relayed before it is directed to the leader again";
+        "How long the heartbeats of a worker that cannot reach the leader are relayed before the worker is directed to the leader again";
     state_lost_after_s, "health.blind_s", 2.5, 0.5..=60.0, "s",
-        "A controller that got no answer from the state service for this long considers itself cut off from it";
+        "A controller that got no answer from the state service for this long considers itself cut off from the state service";
     state_unreachable_after_s, "state.silent_s", 1.5, 0.2..=60.0, "s",
-        "A state service that has sent no answer for this long, not even a refusal, counts as unreachable: users are refused at once instead of after its timeout";
+        "A state service that has sent no answer for this long, not even a refusal, counts as unreachable: users are refused at once instead of after a timeout";
     isolated_after_s, "peers.isolated_s", 3.0, 0.5..=60.0, "s",
         "A controller that heard from neither the state service nor any peer for this long considers itself isolated: by then a peer has missed three of its answers and directs no workers to it";
     balancer_contact_max_age_s, "peers.outside_s", 2.5, 0.5..=60.0, "s",
         "If the load balancer was heard from within this time, the controller's zone is not cut off, and its workers reach other controllers: the balancer checks about once a second";
     retry_after_s, "front.retry_after_s", 1.0, 1.0..=30.0, "s",
-        "Retry-after time that is told to users whose request cannot be accepted now";
+        "Retry-after time that is sent to users whose request cannot be accepted now";
     front_total_share, "front.total_share", 0.82, 0.2..=0.95, "share of sockets",
-        "Share of the sockets for all connections to the front door, as far as the other limits leave them; one connection for each machine is reserved for workers, so that no worker is refused because of users";
+        "Share of the sockets for all incoming connections, as far as the other limits leave them; one connection for each machine is reserved for workers, so that no worker is refused because of users";
     fence_per_s, "workers.fence_per_s", 100.0, 1.0..=10000.0, "machines/s",
         "Rate at which a new leader sends its fencing token directly to machines; the other machines learn the token from the answers to their heartbeats";
     fence_interval_s, "workers.fence_round_s", 0.5, 0.05..=5.0, "s",
@@ -311,7 +311,7 @@
     front_users_least_share, "front.users_least_share", 0.2, 0.05..=0.9, "share of sockets",
         "Share of the sockets that is left to users however many machines there are";
     outgoing_share, "workers.outgoing_share", 0.05, 0.01..=0.3, "share of sockets",
-        "Share of the sockets for connections to workers, idle ones included: one open connection for each of hundreds of workers would leave too few for the front door";
+        "Share of the sockets for connections to workers, idle ones included: one open connection for each of hundreds of workers would leave too few for incoming connections";
     peer_connections, "peers.connections", 24.0, 2.0..=10000.0, "connections",
         "Minimum number of connections from one controller to another; one for each 50 sockets if that is more: relayed heartbeats of a zone each wait for about 0.1 s";
     idle_connection_s, "front.idle_connection_s", 60.0, 1.0..=3600.0, "s",
@@ -331,13 +331,13 @@
     load_window_jobs, "learn.window_jobs", 20.0, 1.0..=1000.0, "jobs",
         "Number of jobs in the window over which a class's load is measured: enough for a mean. A class without a submission for the length of the window is assumed to have ended";
     load_window_min_s, "learn.window_least_s", 30.0, 1.0..=3600.0, "s",
-        "Minimum length of that window: tasks run about that long, and an outage of the state service delays jobs";
+        "Minimum length of the window of learn.window_jobs: tasks run about that long, and an outage of the state service delays jobs";
     peer_to_peer_images, "images.hand_on", 0.0, 0.0..=1.0, "0 or 1",
         "1: launches name machines that serve the image to others, for workers that support peer-to-peer transfer; other workers still fetch from the image store";
     peer_to_peer_pieces, "images.pieces", 1.0, 0.0..=1.0, "0 or 1",
         "1: workers serve pieces of an image that they are still fetching, so that all fetches start at once; 0: workers serve complete images only, so that the rollout is staged";
     image_sources_per_fetch, "images.sources", 4.0, 1.0..=32.0, "machines",
-        "Number of image sources that one fetch is told: if one is slow or dies, three are left";
+        "Number of image sources that are named to one fetch: if one is slow or dies, three are left";
     image_uploads_per_machine, "images.load", 5.0, 1.0..=64.0, "fetches",
         "Maximum number of fetches that one machine is assigned to serve: more than the number of sources of a fetch, or no machine would be left for the next fetch; each further fetch reduces the rate of the others";
     initial_store_fetches, "images.first", 6.0, 1.0..=1000.0, "fetches",
