--- a/crates/umbersail-wire/src/lib.rs
+++ b/crates/umbersail-wire/src/lib.rs
@@ -72,8 +72,8 @@
     pub const PEER_POLL: &str = "/peer/poll";
     /// A cancellation, forwarded in the same way as a poll.
     pub const PEER_CANCEL: &str = "/peer/abort";
-    /// A question to every controller on what it knows of jobs, asked while the state service
-    /// is unavailable.
+    /// A request to every controller for what it knows about jobs, sent while the state
+    /// service is unavailable.
     pub const PEER_REPLICA_READ: &str = "/peer/word";
 }
 
