--- a/crates/umbersail-control/src/engine/tests/cycles.rs
+++ b/crates/umbersail-control/src/engine/tests/cycles.rs
@@ -5,8 +5,8 @@
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
 use umbersail_policy::{
-    DeadlineDemand, EvictionHost, MachineView, PlaceWeights, PreemptibleTask, TaskView, Usage,
-    max_on_time, quota_room, rank_machines, select_victims, type_allowed,
+    DeadlineDemand, EvictionHost, MachineView, PlacementWeights, PreemptibleTask, TaskView, Usage,
+    allows_machine, max_on_time, rank_machines, remaining_quota, select_victims,
 };
 
 use super::*;
@@ -19,7 +19,10 @@
     fn plain_schedule(&mut self, now: Time) {
         let mut unaccounted = Shape::default();
         for m in self.machines.values().filter(|m| self.is_unsized(m)) {
-            unaccounted.add(&Shape::of_type(&self.types[m.type_index.unwrap()]), 1.0);
+            unaccounted.add(
+                &Shape::of_type(&self.machine_types[m.type_index.unwrap()]),
+                1.0,
+            );
         }
         let mut usage = self.team_usage(&unaccounted);
         let order = self.plain_order(now, &usage);
@@ -41,7 +44,7 @@
         let ids: Vec<&JobId> = self
             .jobs
             .iter()
-            .filter(|(_, j)| j.waits())
+            .filter(|(_, j)| j.is_schedulable())
             .map(|(id, _)| id)
             .collect();
         let pool = |j: &Job| {
@@ -51,7 +54,7 @@
             };
             (
                 j.spec.priority,
-                self.types.iter().map(fits).collect::<Vec<_>>(),
+                self.machine_types.iter().map(fits).collect::<Vec<_>>(),
                 j.spec.spot(),
             )
         };
@@ -62,11 +65,11 @@
         for (tier, types, spot) in pools {
             let (mut inside, mut outside) = (0.0, 0.0);
             for m in self.machines.values() {
-                if m.delete_reason.is_some() || m.notice_until.is_some() {
+                if m.delete_reason.is_some() || m.reclaim_at.is_some() {
                     continue;
                 }
                 let index = m.type_index.unwrap();
-                let cpus = self.types[index].cpus;
+                let cpus = self.machine_types[index].cpus;
                 if types[index] && (spot || !m.spot) {
                     inside += cpus;
                 } else {
@@ -74,7 +77,9 @@
                 }
             }
             let upper = self.jobs.values().filter(|j| j.spec.priority > tier);
-            let above: f64 = upper.map(|j| j.occupied() as f64 * j.shape.cpus).sum();
+            let above: f64 = upper
+                .map(|j| j.occupied_tasks() as f64 * j.shape.cpus)
+                .sum();
             let of_machines =
                 (inside - (above - outside).max(0.0)) * self.cfg.tuning.usable_cpu_share;
             let key = (tier, types, spot);
@@ -83,7 +88,7 @@
                 .copied()
                 .filter(|id| {
                     let j = &self.jobs[*id];
-                    let last = j.goes_last(self.cfg.tuning.job_backoff_s);
+                    let last = j.is_scheduled_last(self.cfg.tuning.job_backoff_s);
                     pool(j) == key && j.spec.deadline_s.is_some() && !last
                 })
                 .collect();
@@ -94,7 +99,7 @@
             let due = |id: &JobId, times: f64| {
                 let j = &self.jobs[id];
                 let later = (times - 1.0) * j.spec.deadline_s.unwrap();
-                let work = f64::from(j.pending()) * j.shape.cpus * self.run_s(j);
+                let work = f64::from(j.pending()) * j.shape.cpus * self.expected_run_s(j);
                 DeadlineDemand {
                     slack_s: self.slack_s(now, j).unwrap() + later,
                     work_s: work / cpus,
@@ -111,7 +116,7 @@
                 .collect();
             let times = |id: &JobId| {
                 self.cfg
-                    .late_aims
+                    .deadline_factors
                     .get(&self.jobs[id].spec.class)
                     .copied()
                     .unwrap_or(1.0)
@@ -127,15 +132,15 @@
                 let j = &self.jobs[id];
                 let guaranteed = self.is_guaranteed(j, usage);
                 let rank = (
-                    !j.goes_last(self.cfg.tuning.job_backoff_s),
+                    !j.is_scheduled_last(self.cfg.tuning.job_backoff_s),
                     j.spec.priority,
                     guaranteed,
-                    self.is_fresh(now, j, guaranteed),
+                    self.can_meet_start_objective(now, j, guaranteed),
                     standing[id],
                 );
                 (
                     rank,
-                    self.slack_s(now, j).unwrap_or(1e9 - (now - j.submitted)),
+                    self.slack_s(now, j).unwrap_or(1e9 - (now - j.submitted_at)),
                     id.clone(),
                 )
             })
@@ -152,24 +157,24 @@
             if !members.iter().any(|id| is_its(&id)) {
                 continue;
             }
-            if team.cpus_max == 0.0 {
+            if team.max_cpus == 0.0 {
                 return f64::INFINITY;
             }
             let upper = |j: &&Job| j.team == Some(index) && j.spec.priority > tier;
             let jobs = self.jobs.values().filter(upper);
-            let above: f64 = jobs.map(|j| j.occupied() as f64 * j.shape.cpus).sum();
-            allowed += (team.cpus_max - above).max(0.0);
+            let above: f64 = jobs.map(|j| j.occupied_tasks() as f64 * j.shape.cpus).sum();
+            allowed += (team.max_cpus - above).max(0.0);
         }
         allowed
     }
 
     fn plain_place(&mut self, now: Time, id: &JobId, usage: &mut [Usage], order: &[JobId]) -> bool {
         let job = &self.jobs[id];
-        let mut quota = job
-            .team
-            .map_or(0, |t| quota_room(&self.cfg.teams[t], &usage[t], &job.shape));
+        let mut quota = job.team.map_or(0, |t| {
+            remaining_quota(&self.cfg.teams[t], &usage[t], &job.shape)
+        });
         if quota == 0 {
-            self.set_blocked(id, BlockedReason::TeamLimit);
+            self.set_blocked_reason(id, BlockedReason::TeamLimit);
             return false;
         }
         let closed = |t: &MachineType| {
@@ -177,26 +182,26 @@
             let most = order
                 .iter()
                 .map(|id| &self.jobs[id])
-                .filter(|j| !j.goes_last(self.cfg.tuning.job_backoff_s))
+                .filter(|j| !j.is_scheduled_last(self.cfg.tuning.job_backoff_s))
                 .filter(|j| j.spec.priority >= job.spec.priority && j.shape.fits_in(&room))
                 .filter(|j| j.spec.types.as_ref().is_none_or(|n| n.contains(&t.name)))
                 .map(|j| j.smallest_cpus)
                 .fold(0.0, f64::max);
             t.cpus > job.smallest_cpus + 1e-6 && most > job.smallest_cpus + 1e-6
         };
-        let silent_after = self.silent_after();
+        let silent_after = self.silence_limit_s();
         let mut views = Vec::new();
         for m in self.machines.values() {
-            let t = &self.types[m.type_index.unwrap()];
-            let free = Shape::of_type(t).plus(&m.used, -1.0);
+            let t = &self.machine_types[m.type_index.unwrap()];
+            let free = Shape::of_type(t).plus(&m.allocated, -1.0);
             if !job.shape.fits_in(&free)
-                || !m.takes_tasks(now, silent_after)
-                || !type_allowed(&job.spec, &t.name, &m.zone, m.spot)
-                || job.error_machines.contains(&m.name)
+                || !m.accepts_tasks(now, silent_after)
+                || !allows_machine(&job.spec, &t.name, &m.zone, m.spot)
+                || job.avoided_machines.contains(&m.name)
                 || closed(t)
                 || m.claim.as_ref().is_some_and(|c| {
-                    let winner = self.jobs.get(&c.winner);
-                    let waits = winner.is_some_and(Job::waits);
+                    let winner = self.jobs.get(&c.claimant);
+                    let waits = winner.is_some_and(Job::is_schedulable);
                     now < c.until && job.spec.priority < c.tier && waits
                 })
             {
@@ -213,26 +218,26 @@
                 spot: m.spot,
                 free,
                 has_image,
-                report_in_s: (self.cfg.report_s - m.silent_for(now)).max(0.0),
+                heartbeat_due_in_s: (self.cfg.heartbeat_interval_s - m.silent_for(now)).max(0.0),
                 fetching_image: !has_image && m.tasks.iter().any(same),
             });
         }
         let tuning = &self.cfg.tuning;
         let awaits = views.iter().any(|v| !v.has_image)
             && self
-                .start_aim(job, self.is_guaranteed(job, usage))
+                .start_objective_s(job, self.is_guaranteed(job, usage))
                 .is_some_and(|within| {
-                    let left = within - (now - job.submitted);
+                    let left = within - (now - job.submitted_at);
                     let places = self.machines.values().filter(|m| {
                         m.images.contains(&job.image)
-                            && m.takes_tasks(now, silent_after)
-                            && job
-                                .shape
-                                .fits_in(&Shape::of_type(&self.types[m.type_index.unwrap()]))
+                            && m.accepts_tasks(now, silent_after)
+                            && job.shape.fits_in(&Shape::of_type(
+                                &self.machine_types[m.type_index.unwrap()],
+                            ))
                     });
                     let least = (tuning.image_places * f64::from(job.pending())).ceil() as usize;
                     left >= tuning.image_wait_s
-                        && self.fetch_s(job) > left
+                        && self.image_fetch_s(job) > left
                         && places.count() >= least
                 });
         views.retain(|v| !awaits || v.has_image);
@@ -254,10 +259,10 @@
             only_zone: only_zone.as_deref(),
             reserved_types: &[],
         };
-        let weights = PlaceWeights {
+        let weights = PlacementWeights {
             image: tuning.image_weight_s,
             oversize: tuning.oversize_cost,
-            ordinary: tuning.ordinary_cost,
+            on_demand: tuning.ordinary_cost,
         };
         let limit = if job.spec.spread() {
             job.spec.tasks.div_ceil(2)
@@ -278,7 +283,7 @@
             chosen.push((machine, n));
         }
         for (machine, n) in chosen {
-            (0..n).for_each(|_| self.place(now, id, &machine, usage));
+            (0..n).for_each(|_| self.place_task(now, id, &machine, usage));
         }
         wanted > 0 && quota > 0 && !awaits
     }
@@ -287,9 +292,9 @@
         let tuning = self.cfg.tuning.clone();
         let job = &self.jobs[id];
         let reclaim = self.is_guaranteed(job, usage);
-        if job.suspect
+        if job.suspected_faulty
             || job.errors >= tuning.max_errors_of_evicting_job as u32
-            || now < job.evict_hold_until
+            || now < job.next_eviction_at
             || (!reclaim && job.spec.priority == Priority::Low)
             || (!reclaim && self.can_rent_in_time(now, job))
         {
@@ -297,9 +302,9 @@
         }
         let mut hosts = Vec::new();
         for m in self.machines.values() {
-            let t = &self.types[m.type_index.unwrap()];
-            if !m.takes_tasks(now, self.silent_after())
-                || !type_allowed(&job.spec, &t.name, &m.zone, m.spot)
+            let t = &self.machine_types[m.type_index.unwrap()];
+            if !m.accepts_tasks(now, self.silence_limit_s())
+                || !allows_machine(&job.spec, &t.name, &m.zone, m.spot)
                 || !job.shape.fits_in(&Shape::of_type(t))
             {
                 continue;
@@ -309,18 +314,18 @@
                 .iter()
                 .filter_map(|(other, task)| {
                     let victim = self.jobs.get(other)?;
-                    let placement = victim.live.get(task)?;
-                    self.is_preemptable(job, victim, placement, reclaim, usage)
+                    let placement = victim.placements.get(task)?;
+                    self.may_preempt(job, victim, placement, reclaim, usage)
                         .then(|| PreemptibleTask {
                             job: other.clone(),
                             task: *task,
                             shape: victim.shape,
-                            price: self.price(now, victim, placement),
+                            lost_work_s: self.lost_work_s(now, victim, placement),
                         })
                 })
                 .collect();
             if !running.is_empty() {
-                let free = Shape::of_type(t).plus(&m.used, -1.0);
+                let free = Shape::of_type(t).plus(&m.allocated, -1.0);
                 hosts.push(EvictionHost {
                     machine: m.name.clone(),
                     free,
@@ -337,12 +342,12 @@
         };
         let mut saving_s: f64 = 0.0;
         for (victim, task) in &choice.tasks {
-            if self.unplace_unsent(victim, *task, usage) {
+            if self.unplace_if_unsent(victim, *task, usage) {
                 continue;
             }
             let victim = self.jobs.get_mut(victim).unwrap();
             victim.evictions += 1;
-            victim.touch(now);
+            victim.mark_dirty(now);
             let saves = victim.spec.checkpoint_s() > 0.0;
             let grace_s = if saves {
                 victim.spec.save_s() + 1.0
@@ -351,16 +356,19 @@
             };
             saving_s = saving_s.max(grace_s);
             let evictions = victim.evictions;
-            victim.live.get_mut(task).unwrap().stop = Some(Stop { grace_s, evictions });
+            victim.placements.get_mut(task).unwrap().pending_stop = Some(PendingStop {
+                grace_s,
+                required_eviction_count: evictions,
+            });
         }
-        let until = now + 2.0 * self.cfg.report_s + 1.0 + saving_s;
+        let until = now + 2.0 * self.cfg.heartbeat_interval_s + 1.0 + saving_s;
         let (winner, tier) = (id.clone(), self.jobs[id].spec.priority);
         self.machines.get_mut(&choice.machine).unwrap().claim = Some(Claim {
-            winner,
+            claimant: winner,
             tier,
             until,
         });
-        self.jobs.get_mut(id).unwrap().evict_hold_until = until;
+        self.jobs.get_mut(id).unwrap().next_eviction_at = until;
         true
     }
 }
@@ -371,10 +379,10 @@
 fn picture(engine: &Engine) -> Picture {
     let job = |(id, j): (&JobId, &Job)| {
         let live = j
-            .live
+            .placements
             .iter()
-            .map(|(t, p)| (*t, p.machine.clone(), p.stop.is_some()));
-        (id.clone(), live.collect(), j.evictions, j.evict_hold_until)
+            .map(|(t, p)| (*t, p.machine.clone(), p.pending_stop.is_some()));
+        (id.clone(), live.collect(), j.evictions, j.next_eviction_at)
     };
     engine.jobs.iter().map(job).collect()
 }
@@ -384,7 +392,7 @@
     let mut revision = 1000 + (now * 100.0) as u64;
     while let Some(pending) = engine.next_txn(now + 2.0, 20, 20) {
         revision += 1;
-        engine.txn_done(now, pending, TxnOutcome::Applied { revision });
+        engine.txn_finished(now, pending, TxnOutcome::Applied { revision });
     }
 }
 
@@ -436,7 +444,7 @@
             cfg,
             0.0,
             0,
-            Inheritance {
+            InheritedState {
                 types,
                 ..empty_inheritance()
             },
@@ -613,7 +621,10 @@
     }
     engine.schedule(1.5);
     assert!(engine.jobs.values().all(|j| j.evictions == 0));
-    assert_eq!(engine.jobs["req-7"].blocked, BlockedReason::NoRoom);
+    assert_eq!(
+        engine.jobs["req-7"].blocked_reason,
+        BlockedReason::NoCapacity
+    );
     let steps = engine.take_steps();
     assert!(steps < 500 + 200 * 2 * 8 + 100, "{steps} steps");
 }
@@ -655,13 +666,13 @@
         ("nothing", 1, |_| {}),
         ("saving", 0, |e| {
             let low = e.jobs.get_mut("req-low").unwrap();
-            low.live.get_mut(&0).unwrap().seen = Some(TaskState::Saving);
+            low.placements.get_mut(&0).unwrap().observed_state = Some(TaskState::Saving);
         }),
         ("evicted too often", 3, |e| {
             e.jobs.get_mut("req-low").unwrap().evictions = 3
         }),
         ("its team down to its guarantee", 0, |e| {
-            Rc::get_mut(&mut e.cfg).unwrap().teams[0].cpus = 8.0;
+            Rc::get_mut(&mut e.cfg).unwrap().teams[0].guaranteed_cpus = 8.0;
         }),
     ];
     for (what, evictions, turn) in turns {
@@ -689,8 +700,8 @@
         engine.is_mid_cycle(),
         "the slice was over after the first job"
     );
-    assert_eq!(engine.jobs["req-0"].live.len(), 12);
-    engine.job_dropped("req-1");
+    assert_eq!(engine.jobs["req-0"].placements.len(), 12);
+    engine.job_key_removed("req-1");
     // What the slice placed is recorded and launched before the cycle goes on.
     write(&mut engine, 1.0);
     let told: usize = workers
@@ -705,7 +716,7 @@
     whole(&mut engine, 1.2);
     assert!(!engine.jobs.contains_key("req-1"));
     assert_eq!(
-        engine.jobs["req-2"].live.len(),
+        engine.jobs["req-2"].placements.len(),
         5,
         "four places left, one fell free"
     );
@@ -723,12 +734,12 @@
     let pending = engine.next_txn(1.0, 20, 20).unwrap();
     let run = pending.txn.changes.iter().find_map(|c| match c {
         Change::Put {
-            value: Record::Run(run),
+            value: Record::JobProgress(run),
             ..
         } => Some(run.clone()),
         _ => None,
     });
-    engine.txn_done(1.0, pending, TxnOutcome::Applied { revision: 2000 });
+    engine.txn_finished(1.0, pending, TxnOutcome::Applied { revision: 2000 });
     let told: usize = workers
         .iter_mut()
         .map(|w| starts(&w.turn(&mut engine, 1.1)).len())
@@ -749,10 +760,10 @@
         version: 70,
         run,
     };
-    let inheritance = Inheritance {
+    let inheritance = InheritedState {
         revision: TOKEN + 1,
         leader_version: TOKEN + 1,
-        parts: vec![InheritedPart {
+        grant_parts: vec![InheritedPart {
             index: 0,
             version: 40,
             part,
@@ -763,7 +774,7 @@
     let mut successor = Engine::new(engine.cfg.clone(), 2.0, 2000, inheritance);
     assert_eq!(whole(&mut successor, 2.0), 1);
     assert!(
-        successor.jobs.values().all(|j| j.live.is_empty()),
+        successor.jobs.values().all(|j| j.placements.is_empty()),
         "nobody is accounted for"
     );
     for worker in &mut workers {
@@ -771,9 +782,9 @@
         assert_eq!(starts(&worker.turn(&mut successor, 2.7)).len(), 0);
     }
     whole(&mut successor, 2.8);
-    assert_eq!(successor.jobs["req-0"].live.len(), 12, "they go on");
+    assert_eq!(successor.jobs["req-0"].placements.len(), 12, "they go on");
     assert_eq!(
-        successor.jobs["req-1"].live.len(),
+        successor.jobs["req-1"].placements.len(),
         4,
         "what the cycle had not reached"
     );
@@ -799,7 +810,11 @@
         most = most.max(engine.take_steps());
     }
     assert_eq!(
-        engine.jobs.values().map(|j| j.live.len()).sum::<usize>(),
+        engine
+            .jobs
+            .values()
+            .map(|j| j.placements.len())
+            .sum::<usize>(),
         20_000
     );
     // One more job than fits into a slice, and a walk over the fleet.
--- a/crates/umbersail-control/src/leader/fencing.rs
+++ b/crates/umbersail-control/src/leader/fencing.rs
@@ -6,7 +6,7 @@
 use umbersail_runtime::{sleep, spawn};
 use umbersail_wire::{DirectCommands, Heartbeat, decode, encode, paths};
 
-use crate::engine::Fencing;
+use crate::engine::FencingCommand;
 use crate::node::Node;
 
 impl Node {
@@ -15,26 +15,26 @@
     pub(super) async fn run_fencing(self: Rc<Self>, token: u64) {
         loop {
             let now = self.clock.now();
-            let Some(targets) = self.with_engine(token, |e| e.fence_targets(now)) else {
+            let Some(targets) = self.with_engine(token, |e| e.fencing_commands(now)) else {
                 return;
             };
             let round_s = self.tuning.fence_interval_s;
             let most = (self.tuning.fence_per_s * round_s).ceil() as usize;
             for target in targets.into_iter().take(most) {
-                spawn(self.clone().bring_token(token, target));
+                spawn(self.clone().send_token(token, target));
             }
             sleep(round_s).await;
         }
     }
 
-    pub(super) async fn bring_token(self: Rc<Self>, revision: u64, target: Fencing) {
+    pub(super) async fn send_token(self: Rc<Self>, revision: u64, target: FencingCommand) {
         let body = encode(&DirectCommands {
             token: target.token,
             session: target.session.max(1),
             commands: Vec::new(),
         });
         let answer = self
-            .http
+            .worker_http
             .request(target.addr, "POST", paths::WORKER_COMMANDS, &body, 2.0)
             .await;
         let machine = target.machine;
@@ -42,8 +42,8 @@
             Ok((200 | 409, body)) => match decode::<Heartbeat>(&body) {
                 Ok(report) => {
                     let now = self.clock.now();
-                    self.with_engine(revision, |e| e.direct_report(now, &report));
-                    self.wake.notify();
+                    self.with_engine(revision, |e| e.receive_command_response(now, &report));
+                    self.scheduler_wakeup.notify();
                 }
                 Err(e) => warn!(machine, reason = %e, "malformed answer of a worker"),
             },
