--- a/crates/umbersail-standby/src/all_replica_read.rs
+++ b/crates/umbersail-standby/src/all_replica_read.rs
@@ -1,48 +1,51 @@
-//! All-replica reads of a job while the state service can't be asked.
+//! All-replica reads: the status of a job, computed from the answers of all controllers
+//! while the state service is unavailable.
 
 use crate::failure_detector::Time;
 
-/// One replica's answer on a job, by the asker's clock.
+/// One controller's answer about a job. Times are on the clock of the controller that asked.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct ReplicaAnswer<E> {
-    /// How it has ended, if this controller has read or recorded that.
+    /// The job's final result, if this controller has read or recorded the result.
     pub ended: Option<E>,
-    /// The state service showed it unfinished at this moment or later.
+    /// The state service showed the job unfinished at this time or later.
     pub unfinished_at: Option<Time>,
-    /// Each end that this controller has told anybody since then is one that it
-    /// remembers. A process that starts has told nothing, and knows nothing of what
-    /// the one before it told.
+    /// This controller remembers every final result that it has reported to anyone since
+    /// this time. A new process has reported nothing, and does not know what the previous
+    /// process of the same controller reported.
     pub complete_since: Time,
 }
 
-/// What may be told of the job.
+/// What may be reported about the job.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ReadOutcome<E> {
     /// The job has ended.
     Ended(E),
     /// The job has not ended.
     Unfinished,
-    /// Nobody has seen it, or somebody may have told its end and forgotten it.
+    /// No controller has seen the job, or a controller may have reported the job's final
+    /// result and forgotten that.
     Unknown,
 }
 
-/// The outcome of the answers of **all** controllers, our own among them, each given
-/// after the question was put.
+/// Combines the answers of **all** controllers, including this one. Each answer must have
+/// been given after the read began.
 ///
-/// A job's end is told only by a controller that has read or recorded it, and no
-/// end comes before the moment at which the job was last seen unfinished. So if each
-/// remembers all that it has told since that moment, and none remembers this end,
-/// nobody has told it (rule 6). That holds whether or not the state service answers
-/// some of them.
+/// Only a controller that has read or recorded a job's final result reports that result,
+/// and a job cannot have ended before the time at which it was last seen unfinished. So if
+/// every controller remembers all results that it has reported since that time, and none
+/// remembers a result of this job, then no controller has reported one (rule 6). This holds
+/// whether or not some controllers can still reach the state service.
 pub fn read_outcome<E: Copy>(answers: &[ReplicaAnswer<E>]) -> ReadOutcome<E> {
-    if let Some(end) = answers.iter().find_map(|w| w.ended) {
-        return ReadOutcome::Ended(end);
+    if let Some(result) = answers.iter().find_map(|answer| answer.ended) {
+        return ReadOutcome::Ended(result);
     }
-    let seen = answers.iter().filter_map(|w| w.unfinished_at);
-    let Some(seen) = seen.reduce(f64::max) else {
+    let unfinished_times = answers.iter().filter_map(|answer| answer.unfinished_at);
+    let Some(last_unfinished_at) = unfinished_times.reduce(f64::max) else {
         return ReadOutcome::Unknown;
     };
-    if answers.iter().all(|w| w.complete_since < seen) {
+    let is_complete = |answer: &ReplicaAnswer<E>| answer.complete_since < last_unfinished_at;
+    if answers.iter().all(is_complete) {
         ReadOutcome::Unfinished
     } else {
         ReadOutcome::Unknown
@@ -54,9 +57,10 @@
     use super::*;
 
     #[test]
-    fn a_job_is_unfinished_only_if_everybody_remembers_enough_and_no_end() {
-        // Guards against an older answer than another node has given: by one that was
-        // restarted since, one that has forgotten, or one that has told the end.
+    fn a_job_is_unfinished_only_if_every_controller_remembers_long_enough_and_no_result() {
+        // Guards against reporting a job as unfinished after another controller has
+        // reported its final result. That controller may have restarted since, may have
+        // dropped the result from its memory, or may still know the result.
         let replica_answer = |ended, unfinished_at, complete_since| ReplicaAnswer {
             ended,
             unfinished_at,
@@ -66,15 +70,15 @@
         assert_eq!(read_outcome::<u8>(&[ours]), ReadOutcome::Unfinished);
         let restarted = replica_answer(None, None, 60.0);
         assert_eq!(read_outcome(&[ours, restarted]), ReadOutcome::Unknown);
-        // It has read the job itself since.
+        // The restarted controller has read the job itself since its restart.
         let restarted = replica_answer(None, Some(61.0), 60.0);
         assert_eq!(read_outcome(&[ours, restarted]), ReadOutcome::Unfinished);
-        let knows = replica_answer(Some(7), None, 60.0);
-        assert_eq!(read_outcome(&[ours, knows]), ReadOutcome::Ended(7));
-        let strangers = [
+        let knows_result = replica_answer(Some(7), None, 60.0);
+        assert_eq!(read_outcome(&[ours, knows_result]), ReadOutcome::Ended(7));
+        let never_seen = [
             replica_answer(None, None, 0.0),
             replica_answer(None, None, 0.0),
         ];
-        assert_eq!(read_outcome(&strangers), ReadOutcome::Unknown);
+        assert_eq!(read_outcome(&never_seen), ReadOutcome::Unknown);
     }
 }
--- a/crates/umbersail-standby/src/degraded_mode.rs
+++ b/crates/umbersail-standby/src/degraded_mode.rs
@@ -1,46 +1,50 @@
-//! Starts without a record while the state service is out, and who must know of it.
+//! Degraded mode: a leader starts tasks without recording them while the state service is
+//! unavailable, and every possible successor knows that it may have done so.
 //!
-//! A holder that can't write may still start tasks if every other controller has
-//! agreed that it does: whoever succeeds it then knows, or knows that it does not
-//! know. A process that has lost its memory was told nothing and takes the worst
-//! for granted, until the holder itself tells it otherwise.
+//! A leader that cannot write may still start tasks if every other controller has agreed.
+//! Its successor then knows of the agreement, or knows that its own process has no
+//! information. A process that has restarted has no information and must assume unrecorded
+//! starts, until the leader itself reports that all starts are recorded.
 
 use std::collections::BTreeSet;
 
 use crate::failure_detector::Time;
 
-/// What one controller knows of the holder's starts without a record.
+/// What one controller knows about the leader's unrecorded starts.
 #[derive(Debug, Clone, Copy, PartialEq)]
 enum StartsKnowledge {
-    /// It agreed at this time, and has not been told since that all is recorded.
+    /// This process agreed to unrecorded starts at this time, and has not learned since
+    /// that all starts are recorded.
     Agreed(Time),
-    /// The holder has told this process that all is recorded. It can't start
-    /// anything without a record again unless this process agrees.
+    /// This process has learned that all starts are recorded. The leader cannot make
+    /// another unrecorded start unless this process agrees.
     AllRecorded,
 }
 
-/// The memory of a controller that may succeed the holder.
+/// What a controller that may succeed the leader remembers about unrecorded starts.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct DegradedModeMemory {
-    /// The holder's token.
+    /// Fencing token of the leader that `known` is about.
     token: u64,
     known: Option<StartsKnowledge>,
-    /// The first holder's token that this process read at the state service.
+    /// The first leader's token that this process read from the state service.
     first_token_read: Option<u64>,
 }
 
 impl DegradedModeMemory {
-    /// The state service shows this holder's token, read by this process. Whoever
-    /// is elected after that needs this process's agreement, from its first moment
-    /// on. A peer's word on who holds is no such proof: it may be old.
+    /// This process has read this leader's token from the state service. Every leader that
+    /// is elected afterwards needs the agreement of this process for all of its unrecorded
+    /// starts. A peer's statement about who leads proves no such thing, as it may be outdated.
     pub fn observe_leader_key(&mut self, token: u64) {
         self.first_token_read.get_or_insert(token);
     }
 
-    /// The holder with this token asks to start tasks without a record. Agreed if
-    /// it is the newest we know of and the state service answers us no more than
-    /// it: then no other can have been elected either. Our own former process can, and
-    /// may have started tasks; so this one must have read a holder itself first.
+    /// The leader with this token asks to start tasks without recording them; returns
+    /// whether this process agrees. It agrees if the leader is the newest that this process
+    /// knows and the state service is unavailable to this process too, since no other leader
+    /// can then have been elected. The exception is the former process of this controller,
+    /// which may have been elected and may have started tasks; so this process must have read
+    /// a leader's token itself first.
     pub fn agree(&mut self, now: Time, token: u64, newest: u64, state_is_out: bool) -> bool {
         let read = self.first_token_read.is_some_and(|first| first <= token);
         if !state_is_out || token != newest || !read {
@@ -51,12 +55,12 @@
         true
     }
 
-    /// The holder's answer to a question that we asked at `asked`: whether it
-    /// may have started anything that is not recorded. An answer to an older
-    /// question than our own word says nothing.
+    /// The leader's reply to a message that this process sent at `asked`: `open` is whether
+    /// the leader may have made unrecorded starts. A reply to a message from before the
+    /// agreement of this process proves nothing.
     pub fn on_leader_report(&mut self, asked: Time, token: u64, open: bool) {
-        // That it may be open is no news: it can't be without our agreement, and
-        // a process that does not know takes it for open anyway.
+        // `open` adds no information: the leader cannot make unrecorded starts without the
+        // agreement of this process, and a process without information assumes such starts.
         if open || token < self.token {
             return;
         }
@@ -71,11 +75,11 @@
         self.known = Some(StartsKnowledge::AllRecorded);
     }
 
-    /// A peer that was asked by this process knows the holder with this token to have
-    /// recorded all that it started. That is worth something only if the holder is
-    /// dead, as our own former process is: a holder that lives may be asking just now,
-    /// and have our agreement, or that of the process before us, while the peer's is
-    /// still to come.
+    /// A peer, asked by this process, reports that the leader with this token has recorded
+    /// all of its starts. That counts only if the leader is dead, as the former process of
+    /// this controller is. A live leader may be requesting agreement at this moment, and may
+    /// have the agreement of this process, or of its former process, while the peer has not
+    /// agreed yet.
     pub fn on_peer_report(&mut self, token: u64, of_former_self: bool) {
         let agreed = self.token == token && matches!(self.known, Some(StartsKnowledge::Agreed(_)));
         if of_former_self && !agreed && token >= self.token {
@@ -84,8 +88,8 @@
         }
     }
 
-    /// We held this token until now ourselves, and whether we left anything that
-    /// is not recorded.
+    /// This process led with this token until now; `open` is whether it may have left
+    /// unrecorded starts.
     pub fn on_own_term_ended(&mut self, now: Time, token: u64, open: bool) {
         self.token = token;
         self.known = Some(if open {
@@ -95,20 +99,23 @@
         });
     }
 
-    /// The holder that we know to have recorded all that it started, by its token. It
-    /// can't start anything without a record before we agree, so for the process that
-    /// succeeds the holder's at its place our word is as good as the holder's own.
+    /// Token of the leader that is known to have recorded all of its starts. That leader
+    /// cannot make an unrecorded start before this process agrees. So once the leader's
+    /// process has ended, the new process of the same controller may rely on this token as
+    /// on a statement of the leader itself.
     pub fn fully_recorded_token(&self) -> Option<u64> {
         (self.known == Some(StartsKnowledge::AllRecorded)).then_some(self.token)
     }
 
-    /// Whether tasks may run that were started under this token or an older one and
-    /// that no record tells of. They may, unless the holder has told this process that
-    /// all is recorded; or an older one has, this one was elected in this process's time,
-    /// and neither had its agreement since.
+    /// Whether unrecorded tasks that were started under this token or an older one may be
+    /// running. Such tasks are excluded in two cases. Either this process knows that the
+    /// leader with this token has recorded all of its starts. Or this process knows that of
+    /// an older leader, the leader with this token was elected during the lifetime of this
+    /// process, and this process has agreed with neither since.
     ///
-    /// That a holder never had our agreement says nothing of the one before it: its
-    /// election may have been sent before that one asked, and carried out after.
+    /// That a leader never had the agreement of this process proves nothing about its
+    /// predecessor: the election may have been sent before the predecessor requested
+    /// agreement, and applied afterwards.
     pub fn may_have_unrecorded_starts(&self, token: u64) -> bool {
         if self.known != Some(StartsKnowledge::AllRecorded) {
             return true;
@@ -117,23 +124,23 @@
     }
 }
 
-/// The holder's side.
+/// The leader's state of degraded mode.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub enum DegradedMode {
-    /// All that was started is recorded.
+    /// All starts are recorded.
     #[default]
     Off,
-    /// These have agreed so far.
+    /// Agreement is requested; these peers have agreed so far.
     Requesting(BTreeSet<String>),
-    /// Tasks are started without a record.
+    /// Tasks may be started without a record.
     Active,
-    /// No more, but some are not recorded yet.
+    /// No further unrecorded starts are made, but some are not recorded yet.
     Draining,
 }
 
 impl DegradedMode {
-    /// What others are told: whether something may have been started that is not
-    /// recorded. Also while they are asked: who agreed must not take it for closed.
+    /// Whether peers must assume unrecorded starts. True also while agreement is requested:
+    /// a peer that has agreed must not conclude that all starts are recorded.
     pub fn may_have_unrecorded_starts(&self) -> bool {
         *self != DegradedMode::Off
     }
@@ -143,7 +150,7 @@
         *self == DegradedMode::Active
     }
 
-    /// A peer has agreed. Once all of them have, tasks may be started.
+    /// A peer has agreed. Unrecorded starts are allowed once all `peers` have.
     pub fn on_peer_agreed(&mut self, member: &str, peers: usize) {
         if let DegradedMode::Requesting(agreed) = self {
             agreed.insert(member.to_owned());
@@ -153,7 +160,8 @@
         }
     }
 
-    /// The state service answers again, or the time to start is over.
+    /// The state service is available again, or the time limit for unrecorded starts has
+    /// passed.
     pub fn stop_starts(&mut self) {
         match self {
             DegradedMode::Requesting(_) => *self = DegradedMode::Off,
@@ -162,7 +170,7 @@
         }
     }
 
-    /// All that was started is recorded.
+    /// All starts have been recorded.
     pub fn on_all_recorded(&mut self) {
         if *self == DegradedMode::Draining {
             *self = DegradedMode::Off;
@@ -175,10 +183,10 @@
     use super::*;
 
     #[test]
-    fn only_the_holders_own_later_word_lets_a_successor_trust_the_records() {
-        // Guards against a successor that starts what its predecessor started
-        // without a record: one that lost its memory, one whose agreement was
-        // overtaken by an older answer, one that knows of another holder only.
+    fn a_successor_trusts_the_records_only_after_a_later_report_of_the_leader_itself() {
+        // Guards against a successor that starts a task again which its predecessor started
+        // without a record. The successor may have restarted, may have received an outdated
+        // reply after it agreed, or may have information about another leader only.
         let mut memory = DegradedModeMemory::default();
         assert!(memory.may_have_unrecorded_starts(7));
         memory.on_leader_report(1.0, 7, false);
@@ -187,9 +195,9 @@
         assert_eq!(memory.fully_recorded_token(), Some(7));
         assert!(
             !memory.agree(2.0, 7, 7, false),
-            "the state service answers us"
+            "the state service is available to this process"
         );
-        assert!(!memory.agree(2.0, 7, 8, true), "another leads");
+        assert!(!memory.agree(2.0, 7, 8, true), "there is a newer leader");
         assert!(!memory.may_have_unrecorded_starts(7));
         assert!(memory.agree(2.0, 7, 7, true));
         assert!(memory.may_have_unrecorded_starts(7));
@@ -203,45 +211,51 @@
     }
 
     #[test]
-    fn a_peers_word_from_before_its_own_agreement_undoes_none_of_ours() {
-        // Guards against two peers that talk each other out of what both agreed to: one
-        // asks between the two agreements, and the other's answer is of before its own.
+    fn a_peer_report_from_before_the_peer_agreed_does_not_cancel_our_agreement() {
+        // Guards against a peer's report that cancels an agreement: the peer reports that
+        // all is recorded, then agrees itself, and the report arrives after both agreements.
         let (mut early, mut late) = (DegradedModeMemory::default(), DegradedModeMemory::default());
         for memory in [&mut early, &mut late] {
             memory.observe_leader_key(7);
             memory.on_leader_report(1.0, 7, false);
         }
         assert!(early.agree(2.0, 7, 7, true));
-        let word = late.fully_recorded_token();
+        let reported = late.fully_recorded_token();
         assert!(late.agree(2.1, 7, 7, true));
-        early.on_peer_report(word.unwrap(), false);
+        early.on_peer_report(reported.unwrap(), false);
         assert!(early.may_have_unrecorded_starts(7) && early.fully_recorded_token().is_none());
         early.on_peer_report(7, true);
-        assert!(early.may_have_unrecorded_starts(7), "it has agreed itself");
-        // A process that took the place of one that agreed knows nothing of that.
-        let mut anew = DegradedModeMemory::default();
-        anew.on_peer_report(7, false);
-        assert!(anew.may_have_unrecorded_starts(7));
-        // Unless the holder was its own former process, which is dead.
-        anew.on_peer_report(7, true);
-        assert!(!anew.may_have_unrecorded_starts(7));
+        assert!(
+            early.may_have_unrecorded_starts(7),
+            "this process has agreed itself"
+        );
+        // A process that restarted after its predecessor agreed does not know of that.
+        let mut restarted = DegradedModeMemory::default();
+        restarted.on_peer_report(7, false);
+        assert!(restarted.may_have_unrecorded_starts(7));
+        // The report counts if the leader was the former process of the same controller,
+        // which is dead.
+        restarted.on_peer_report(7, true);
+        assert!(!restarted.may_have_unrecorded_starts(7));
     }
 
     #[test]
-    fn a_holder_elected_in_our_time_has_nothing_open_that_we_did_not_agree_to() {
-        // Guards against starts that wait for every machine after each change of
-        // leader while controllers can't reach each other; and against trust by a
-        // process that a holder's agreement with its predecessor is older than.
+    fn a_leader_elected_in_this_process_lifetime_has_no_unrecorded_starts_without_agreement() {
+        // Guards against starts that are held up after each change of leader until every
+        // machine has reported, while controllers cannot reach each other. Also guards
+        // against a process that trusts a leader elected before the process started: the
+        // former process of the same controller may have agreed with that leader.
         let mut memory = DegradedModeMemory::default();
         memory.observe_leader_key(7);
         memory.observe_leader_key(9);
         assert!(
             memory.may_have_unrecorded_starts(7),
-            "it may have been elected before us"
+            "the leader may have been elected before this process started"
         );
         memory.on_leader_report(0.5, 7, false);
         assert!(!memory.may_have_unrecorded_starts(9));
-        // One that only asks is not open, whatever it says of itself.
+        // A leader that is still requesting agreement has made no unrecorded start, although
+        // it reports that it may have.
         memory.on_leader_report(0.6, 9, true);
         assert!(!memory.may_have_unrecorded_starts(9));
         assert!(memory.agree(1.0, 9, 9, true));
@@ -253,39 +267,45 @@
     }
 
     #[test]
-    fn a_process_that_has_read_no_holder_agrees_with_none() {
-        // Guards against a process that was elected, started a task and ended: its next
-        // one hears of the holder before it, and would agree that this one starts it too.
+    fn a_process_that_has_read_no_leader_token_does_not_agree() {
+        // Guards against a task that is started twice: a process is elected, starts the task
+        // and ends. The next process of the same controller learns of the previous leader
+        // from a peer, and would agree that the previous leader starts the same task.
         let mut memory = DegradedModeMemory::default();
         memory.on_leader_report(1.0, 7, false);
         assert!(!memory.agree(2.0, 7, 7, true));
         memory.observe_leader_key(8);
-        assert!(!memory.agree(2.0, 7, 7, true), "it was replaced before");
+        assert!(
+            !memory.agree(2.0, 7, 7, true),
+            "the leader was replaced before this process read a token"
+        );
         assert!(memory.agree(2.0, 8, 8, true));
     }
 
     #[test]
-    fn an_election_that_comes_late_hides_nothing_that_we_agreed_to_before() {
-        // Guards against an election that was sent before its sender agreed with the
-        // holder, had no answer, and is carried out once the holder has started tasks
-        // without a record: nobody leads under it, and it says that all is recorded.
+    fn an_election_that_is_applied_late_does_not_hide_an_earlier_agreement() {
+        // Guards against an election that was sent before its sender agreed with the leader,
+        // received no reply, and is applied after the leader has made unrecorded starts. No
+        // node leads under that election, and its record says that all starts are recorded.
         let mut agreed = DegradedModeMemory::default();
         agreed.observe_leader_key(7);
         agreed.on_leader_report(1.0, 7, false);
         assert!(!agreed.may_have_unrecorded_starts(8));
         assert!(agreed.agree(2.0, 7, 7, true));
         assert!(agreed.may_have_unrecorded_starts(8));
-        // A process that took the place of one that agreed.
-        let mut anew = DegradedModeMemory::default();
-        anew.observe_leader_key(7);
-        assert!(anew.may_have_unrecorded_starts(8));
-        anew.on_leader_report(3.0, 8, false);
-        assert!(!anew.may_have_unrecorded_starts(8) && !anew.may_have_unrecorded_starts(9));
+        // A process that restarted after its predecessor agreed.
+        let mut restarted = DegradedModeMemory::default();
+        restarted.observe_leader_key(7);
+        assert!(restarted.may_have_unrecorded_starts(8));
+        restarted.on_leader_report(3.0, 8, false);
+        assert!(
+            !restarted.may_have_unrecorded_starts(8) && !restarted.may_have_unrecorded_starts(9)
+        );
     }
 
     #[test]
-    fn a_holder_opens_once_all_have_agreed_and_shuts_once_all_is_recorded() {
-        // Guards against starts that a peer who may succeed does not know of.
+    fn degraded_mode_begins_once_all_peers_agree_and_ends_once_all_is_recorded() {
+        // Guards against unrecorded starts that a possible successor does not know of.
         let mut degraded_mode = DegradedMode::Requesting(BTreeSet::new());
         degraded_mode.on_peer_agreed("b", 2);
         degraded_mode.on_peer_agreed("b", 2);
--- a/crates/umbersail-standby/src/failure_detector.rs
+++ b/crates/umbersail-standby/src/failure_detector.rs
@@ -1,80 +1,86 @@
-//! The failure detector: when a follower replaces a leader that has not resigned.
+//! The failure detector: decides when a follower replaces the leader.
 
 use std::collections::VecDeque;
 
-/// Seconds on this process's steady clock.
+/// Seconds on this process's monotonic clock.
 pub type Time = f64;
 
-/// Changes of leader that lengthen a follower's timeouts, and for how long, seconds.
+/// Number of leader changes that are tracked to lengthen the probe timeout.
 const MAX_TRACKED_CHANGES: usize = 5;
+/// How long a leader change lengthens the probe timeout, in seconds.
 const CHANGE_WINDOW_S: Time = 30.0;
 
-/// What speaks against the leader.
+/// Evidence that the leader has failed, from the weakest to the strongest.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Evidence {
-    /// It gave no answer in time, or refused a connection. It may be busy, the
-    /// network slow, or a filter between nodes.
+    /// The leader did not reply in time, or refused a connection. The leader may be busy,
+    /// the network slow, or a packet filter may separate the nodes.
     Unresponsive,
-    /// It closed a connection that was open, as the end of a process does.
+    /// The leader closed an open connection, which also happens when its process ends.
     ConnectionClosed,
-    /// Another process answers in its place: the one that was elected has ended.
+    /// Another process replies at the leader's address: the elected process has ended.
     ProcessReplaced,
-    /// It says itself that another shall lead.
+    /// The leader itself asked for another node to lead.
     Resigned,
 }
 
 /// Timeouts of a failure detector, in seconds.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct DetectorTimeouts {
-    /// Between two followers that are not the one who was named.
+    /// Delay between the attempts of successive followers. The follower that the leader
+    /// designated as its successor does not wait.
     pub stagger_s: f64,
-    /// How long a question at the state service waits for the answer of a leader
-    /// that has closed its connections.
+    /// How long a probe through the state service waits for a reply from a leader that has
+    /// closed its connections.
     pub probe_timeout_s: f64,
-    /// The same for one that is silent: it may only be busy.
+    /// The same for an unresponsive leader, which may only be busy.
     pub unresponsive_probe_timeout_s: f64,
-    /// Silence soon after an election is no evidence: a leader is never busier.
+    /// For this long after an election a missing reply is not evidence, since a leader is
+    /// busiest then.
     pub post_election_grace_s: f64,
-    /// A question whose round took longer than that and this says nothing: the
-    /// state service itself is slow, or we are.
+    /// A probe that took longer than its timeout plus this proves nothing: the state
+    /// service or this process is slow.
     pub probe_slack_s: f64,
-    /// A leader that has answered is not asked again for this long.
+    /// A leader that has replied to a probe is not probed again for this long.
     pub probe_backoff_s: f64,
 }
 
-/// What to do next.
+/// What the follower should do next.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum DetectorStep {
-    /// Nothing speaks against the leader.
+    /// There is no evidence against the leader.
     Idle,
-    /// Others go first.
+    /// Wait until this time: other followers act first, or the leader has replied to a
+    /// probe recently.
     WaitUntil(Time),
-    /// Ask it through the state service, which both reach if it may lead at all.
+    /// Probe the leader through the state service, which a leader that may act can reach.
     ProbeLeader,
-    /// Replace its key at this version.
+    /// Replace the leader's key, provided that it still has this version.
     ReplaceLeader(u64),
 }
 
-/// One follower's suspicion of its leader.
+/// One follower's suspicion that its leader has failed.
 ///
-/// A false suspicion breaks no rule: the key is replaced at its version, so one
-/// node at most succeeds a leader, and a leader that is replaced has all its
-/// writes refused (rule 1). It costs a change of leader, though; so evidence that
-/// a filter or a slow network could give is checked through the state service.
+/// A false suspicion is safe: the leader's key is replaced only at the expected version, so
+/// at most one node succeeds a leader, and all writes of a replaced leader are refused
+/// (rule 1). But a false suspicion costs a change of leader. Evidence that a packet filter or
+/// a slow network could cause is therefore checked by a probe through the state service.
 #[derive(Debug)]
 pub struct FailureDetector {
     timeouts: DetectorTimeouts,
-    /// The version of the leader's key.
+    /// The version of the leader's key, which is its fencing token.
     token: u64,
+    /// When this leader was first observed.
     observed_at: Time,
-    /// When the newest leaders were first heard of, the last one last.
+    /// When the most recent leaders were first observed, oldest first.
     leader_changes: VecDeque<Time>,
+    /// The strongest evidence against this leader, and when the first evidence was observed.
     evidence: Option<(Evidence, Time)>,
     no_probe_before: Time,
 }
 
 impl FailureDetector {
-    /// A detector that suspects nobody.
+    /// Creates a detector that knows no leader.
     pub fn new(timeouts: DetectorTimeouts) -> FailureDetector {
         FailureDetector {
             timeouts,
@@ -86,7 +92,8 @@
         }
     }
 
-    /// This key is the leader's now; suspicion of another is void.
+    /// Observes the token of the current leader. A newer token discards all evidence against
+    /// earlier leaders.
     pub fn observe_leader(&mut self, now: Time, token: u64) {
         if token > self.token {
             self.token = token;
@@ -100,7 +107,8 @@
         }
     }
 
-    /// Something speaks against the leader with this token. True if that is new.
+    /// Adds evidence against the leader with this token. Returns true if the evidence is
+    /// stronger than what was known.
     pub fn suspect(&mut self, now: Time, token: u64, evidence: Evidence) -> bool {
         if token != self.token || token == 0 {
             return false;
@@ -123,15 +131,15 @@
         }
     }
 
-    /// The leader has answered us, and leads.
+    /// Discards the evidence: the leader with this token has replied directly and still leads.
     pub fn clear_suspicion(&mut self, token: u64) {
         if token == self.token {
             self.evidence = None;
         }
     }
 
-    /// The leader has answered a question through the state service: only we
-    /// can't reach it.
+    /// The leader has replied to a probe through the state service: it is alive, but this
+    /// node cannot reach it directly.
     pub fn on_probe_reply(&mut self, now: Time, token: u64) {
         if token == self.token {
             self.evidence = None;
@@ -139,21 +147,22 @@
         }
     }
 
-    /// A question was put at `asked` and there was no answer at `now`: whether
-    /// that counts against the leader. Only a round through a state service that
-    /// kept to its time does.
+    /// Whether a probe that was written at `asked` and had no reply at `now` proves that the
+    /// leader has failed. It does only if the wait ended close to the timeout: a much longer
+    /// wait means that the state service or this process is slow.
     pub fn probe_timed_out(&self, asked: Time, now: Time) -> bool {
-        let took = now - asked;
+        let elapsed_s = now - asked;
         let probe_timeout_s = self.probe_timeout_s(asked);
-        took >= probe_timeout_s * 0.9 && took <= probe_timeout_s + self.timeouts.probe_slack_s
+        elapsed_s >= probe_timeout_s * 0.9
+            && elapsed_s <= probe_timeout_s + self.timeouts.probe_slack_s
     }
 
-    /// How long a question that is put now waits for an answer, seconds. Twice as
-    /// long with each change of leader but one within the last half minute: where
-    /// all are slow the lead comes to rest, while one that ends soon after another
+    /// How long a probe that is sent now waits for a reply, in seconds. The timeout doubles
+    /// with each leader change within the last 30 seconds except one. So leadership stops
+    /// moving where all nodes are slow, while a leader that ends soon after its predecessor
     /// is still replaced.
     pub fn probe_timeout_s(&self, now: Time) -> f64 {
-        let once = match self.evidence {
+        let base_s = match self.evidence {
             Some((Evidence::Unresponsive, _)) => self.timeouts.unresponsive_probe_timeout_s,
             _ => self.timeouts.probe_timeout_s,
         };
@@ -162,18 +171,18 @@
             .iter()
             .filter(|at| now - **at < CHANGE_WINDOW_S);
         let doublings = recent.count().saturating_sub(1);
-        once * f64::powi(2.0, doublings as i32)
+        base_s * f64::powi(2.0, doublings as i32)
     }
 
-    /// What to do now. `rank` is 0 for the one whom the leader named, and counts
-    /// on from 1 for the others.
+    /// What to do now. `rank` is 0 for the follower that the leader designated as its
+    /// successor, and 1, 2, ... for the others.
     pub fn next_step(&self, now: Time, rank: usize) -> DetectorStep {
         let Some((evidence, since)) = self.evidence else {
             return DetectorStep::Idle;
         };
-        let turn = since + rank as f64 * self.timeouts.stagger_s;
-        if now < turn {
-            return DetectorStep::WaitUntil(turn);
+        let turn_at = since + rank as f64 * self.timeouts.stagger_s;
+        if now < turn_at {
+            return DetectorStep::WaitUntil(turn_at);
         }
         match evidence {
             Evidence::Unresponsive | Evidence::ConnectionClosed if now < self.no_probe_before => {
@@ -205,9 +214,9 @@
     }
 
     #[test]
-    fn a_leader_that_answers_by_another_way_keeps_the_lead() {
-        // Guards against a lead that changes hands while connections between
-        // controllers are refused and the leader is well.
+    fn a_leader_that_replies_through_the_state_service_is_not_replaced() {
+        // Guards against replacing a healthy leader while connections between controllers
+        // are refused.
         let mut detector = failure_detector();
         assert_eq!(detector.next_step(0.0, 0), DetectorStep::Idle);
         assert!(detector.suspect(1.0, 7, Evidence::ConnectionClosed));
@@ -219,7 +228,7 @@
         detector.suspect(1.4, 7, Evidence::ConnectionClosed);
         assert_eq!(detector.next_step(1.4, 0), DetectorStep::WaitUntil(6.3));
         assert_eq!(detector.next_step(6.3, 0), DetectorStep::ProbeLeader);
-        // Its own word needs no question, not even within that time.
+        // A resignation needs no probe and takes effect even during the probe backoff.
         assert!(detector.suspect(2.0, 7, Evidence::Resigned));
         assert_eq!(detector.next_step(2.0, 0), DetectorStep::ReplaceLeader(7));
         detector.clear_suspicion(7);
@@ -227,24 +236,24 @@
     }
 
     #[test]
-    fn a_slow_state_service_or_a_freeze_of_our_own_proves_nothing() {
-        // Guards against a follower that stood still, wakes, and takes the lead
-        // from a healthy leader for the answers that it missed.
+    fn a_slow_state_service_or_a_pause_of_this_process_proves_nothing() {
+        // Guards against replacing a healthy leader after this follower's process was
+        // paused and so missed the leader's replies.
         let mut detector = failure_detector();
         assert!(detector.probe_timed_out(1.0, 1.55));
         assert!(!detector.probe_timed_out(1.0, 1.2));
         assert!(!detector.probe_timed_out(1.0, 9.0));
-        // Nor does the silence of a leader that has just been elected.
+        // A missing reply of a leader that has just been elected proves nothing either.
         assert!(!detector.suspect(5.0, 7, Evidence::Unresponsive));
         assert!(detector.suspect(7.0, 7, Evidence::Unresponsive));
         assert!(!detector.probe_timed_out(7.0, 7.55) && detector.probe_timed_out(7.0, 8.1));
     }
 
     #[test]
-    fn the_lead_comes_to_rest_where_every_leader_is_slow() {
-        // Guards against slow controllers that refuse each other's connections and
-        // replace one another every few seconds; and against a second end soon
-        // after a first that nobody notices.
+    fn probe_timeouts_double_with_each_recent_leader_change() {
+        // Guards against slow controllers that refuse each other's connections and replace
+        // one another every few seconds, and against not noticing that a leader ended soon
+        // after its predecessor.
         let mut detector = failure_detector();
         detector.suspect(1.0, 7, Evidence::ConnectionClosed);
         assert_eq!(detector.probe_timeout_s(1.0), 0.5);
@@ -263,8 +272,8 @@
     }
 
     #[test]
-    fn what_was_held_against_a_former_leader_is_void() {
-        // Guards against two nodes that play ping-pong.
+    fn evidence_against_a_former_leader_is_discarded() {
+        // Guards against two nodes that replace each other in turn.
         let mut detector = failure_detector();
         detector.suspect(1.0, 7, Evidence::ProcessReplaced);
         detector.observe_leader(1.5, 9);
--- a/crates/umbersail-standby/src/lib.rs
+++ b/crates/umbersail-standby/src/lib.rs
@@ -1,5 +1,7 @@
-//! What a controller must know to take over at once, and when it may: decisions
-//! without I/O and without a clock.
+//! Failover decisions of a controller: when to replace the leader, who succeeds the
+//! leader, and which work a new leader must assume to be still running.
+//!
+//! This crate does no I/O and reads no clock; callers pass the time.
 //!
 //! ```
 //! use umbersail_standby::{Evidence, DetectorTimeouts, DetectorStep, FailureDetector};
@@ -14,10 +16,11 @@
 //! };
 //! let mut failure_detector = FailureDetector::new(timeouts);
 //! failure_detector.observe_leader(0.0, 412);
-//! // Its connection was closed: perhaps it has ended, perhaps a filter did that.
+//! // The connection to the leader was closed. Either the leader's process has ended or
+//! // a packet filter closed the connection, so the leader is probed first.
 //! failure_detector.suspect(10.0, 412, Evidence::ConnectionClosed);
 //! assert_eq!(failure_detector.next_step(10.0, 0), DetectorStep::ProbeLeader);
-//! // Another process answers in its place: that proves it.
+//! // Another process replies at the leader's address: the elected process has ended.
 //! failure_detector.suspect(10.1, 412, Evidence::ProcessReplaced);
 //! assert_eq!(failure_detector.next_step(10.1, 0), DetectorStep::ReplaceLeader(412));
 //! ```
--- a/crates/umbersail-standby/src/orphaned_attempts.rs
+++ b/crates/umbersail-standby/src/orphaned_attempts.rs
@@ -1,32 +1,35 @@
-//! What jobs that are over may still run, so that a successor counts just that.
+//! Orphaned attempts: task attempts of finished jobs that may still be running. A new
+//! leader charges exactly these attempts to their teams.
 
 use std::collections::BTreeMap;
 
 use umbersail_policy::{Shape, Usage};
 
-/// A report's place among those of its machine: (session, count).
+/// Position of a heartbeat among all heartbeats of its machine: (agent session, sequence
+/// number).
 pub type HeartbeatOrder = (u64, u64);
 
-/// A job that is over whose attempts may still be about.
+/// The attempts of one finished job that may still be running.
 #[derive(Debug, Clone, PartialEq)]
 pub struct OrphanedAttempts<M> {
-    /// Index of its team.
+    /// Index of the job's team.
     pub team: Option<usize>,
-    /// What each attempt takes; absent where the record does not say.
+    /// Resources of each attempt; `None` if the job's record does not state them.
     pub shape: Option<Shape>,
-    /// Attempts that may still run, at most.
+    /// Upper bound on the attempts that may still be running.
     pub attempts: u32,
-    /// Machines that may hold them. One leaves with a report that shows our token
-    /// and nothing of the job; where an order stands, only with a later report
-    /// that came in turn, since a launch may have been on its way.
+    /// Machines that may run the attempts. A machine is removed by a heartbeat that shows
+    /// this leader's token and no active task of the job. If the machine has a
+    /// `HeartbeatOrder`, a launch may have been in flight; then only a later heartbeat that
+    /// arrived in sequence removes the machine.
     pub machines: BTreeMap<M, Option<HeartbeatOrder>>,
 }
 
-/// All of them, by job and by machine.
+/// All finished jobs with orphaned attempts, indexed by job and by machine.
 ///
-/// A job's record of progress stands for as long as it is in here: whoever
-/// takes over finds it, and so no machine needs to count by its whole size
-/// (rule 4).
+/// The progress record of a job is kept in the state service for as long as the job is in
+/// this index. The next leader therefore reads which attempts may be running, and does not
+/// have to treat whole machines as occupied (rule 4).
 #[derive(Debug, Clone)]
 pub struct OrphanedJobs<J, M> {
     jobs: BTreeMap<J, OrphanedAttempts<M>>,
@@ -43,7 +46,8 @@
 }
 
 impl<J: Ord + Clone, M: Ord + Clone> OrphanedJobs<J, M> {
-    /// Takes in what is left of a job; false if nothing is, and its record may go.
+    /// Adds the orphaned attempts of a job. Returns false if there are none, in which case
+    /// the job's record may be deleted.
     pub fn insert(&mut self, job: J, orphaned_attempts: OrphanedAttempts<M>) -> bool {
         if orphaned_attempts.attempts == 0 || orphaned_attempts.machines.is_empty() {
             return false;
@@ -73,12 +77,12 @@
         self.jobs.keys()
     }
 
-    /// Whether this job's attempts are counted here by their own size.
+    /// Whether this job is in the index and the resources of its attempts are known.
     pub fn has_known_shape(&self, job: &J) -> bool {
         self.jobs.get(job).is_some_and(|r| r.shape.is_some())
     }
 
-    /// Whether this machine may hold attempts of unknown size.
+    /// Whether this machine may run orphaned attempts whose resources are unknown.
     pub fn may_hold_unknown_shape(&self, machine: &M) -> bool {
         self.by_machine.get(machine).is_some_and(|jobs| {
             jobs.iter()
@@ -86,9 +90,9 @@
         })
     }
 
-    /// A machine's report with our token shows active tasks of just those jobs
-    /// that `active` names. Jobs of which nothing is left come back: their
-    /// records may go.
+    /// Handles a heartbeat that shows this leader's token. `active` tells whether the
+    /// heartbeat lists an active task of a job. Returns the jobs that have no orphaned
+    /// attempts any more; their records may be deleted.
     pub fn on_heartbeat(
         &mut self,
         machine: &M,
@@ -101,11 +105,14 @@
         })
     }
 
-    /// The machine is proven empty: its lease has lapsed, or it is gone.
+    /// Handles proof that a machine runs no tasks: its lease has expired or the machine was
+    /// deleted. Returns the jobs that have no orphaned attempts any more.
     pub fn on_machine_empty(&mut self, machine: &M) -> Vec<J> {
         self.settle_where(machine, |_, _| true)
     }
 
+    /// Removes the machine from all of its jobs for which `is_settled` holds. Returns the
+    /// jobs that are left without a machine.
     fn settle_where(
         &mut self,
         machine: &M,
@@ -138,7 +145,7 @@
         settled
     }
 
-    /// Adds what may still run to its team's use.
+    /// Adds the resources of the orphaned attempts to the usage of their teams.
     pub fn add_usage_to(&self, usage: &mut [Usage]) {
         for orphaned_attempts in self.jobs.values() {
             if let (Some(shape), Some(used)) = (
@@ -172,9 +179,9 @@
     }
 
     #[test]
-    fn orphaned_attempts_count_until_their_last_machine_has_shown_that_nothing_is_left() {
-        // Guards against a team's limit broken by a cancelled job's tasks on
-        // machines that a new leader has not heard of yet.
+    fn orphaned_attempts_are_charged_until_every_machine_has_reported_none() {
+        // Guards against exceeding a team's limit: a new leader has not received heartbeats
+        // from some machines yet, and they still run tasks of a cancelled job.
         let mut orphaned_jobs: OrphanedJobs<&str, &str> = OrphanedJobs::default();
         assert!(!orphaned_jobs.insert("none", orphaned_attempts(0, &[("m1", None)])));
         assert!(orphaned_jobs.insert(
@@ -197,7 +204,8 @@
                 .on_heartbeat(&"m1", (1, 2), false, |_| false)
                 .is_empty()
         );
-        // A launch may be on its way: only a later report in turn settles it.
+        // A launch may be in flight to m2: only a later heartbeat that arrived in sequence
+        // proves that m2 does not run the job.
         assert!(
             orphaned_jobs
                 .on_heartbeat(&"m2", (1, 6), false, |_| false)
@@ -218,14 +226,15 @@
     }
 
     #[test]
-    fn a_record_without_size_closes_its_machines_by_their_whole_size() {
-        // Guards against records of an older build, which did not say it.
+    fn a_record_without_resources_marks_its_machines_as_holding_unknown_attempts() {
+        // Guards against treating attempts as free of cost: records written by an older
+        // build do not state the resources of an attempt.
         let mut orphaned_jobs: OrphanedJobs<&str, &str> = OrphanedJobs::default();
-        let unsized_one = OrphanedAttempts {
+        let unknown_shape = OrphanedAttempts {
             shape: None,
             ..orphaned_attempts(1, &[("m1", None)])
         };
-        orphaned_jobs.insert("old", unsized_one);
+        orphaned_jobs.insert("old", unknown_shape);
         assert!(
             orphaned_jobs.may_hold_unknown_shape(&"m1")
                 && !orphaned_jobs.may_hold_unknown_shape(&"m2")
--- a/crates/umbersail-standby/src/succession.rs
+++ b/crates/umbersail-standby/src/succession.rs
@@ -1,39 +1,45 @@
-//! Who shall lead next, and when a leader asks for it itself.
+//! Succession: which follower leads next, and when a leader hands over on its own.
 
 use crate::failure_detector::Time;
 
-/// A follower as the leader knows it.
+/// What the leader knows about a follower.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Candidate {
     /// Name of the controller.
     pub member: String,
-    /// It answered us lately, and the state service answers it.
+    /// The follower replied to the leader recently and can reach the state service.
     pub eligible: bool,
-    /// It is in another zone than the leader.
+    /// The follower is in another zone than the leader.
     pub in_other_zone: bool,
-    /// How long its process has run, seconds.
+    /// How long the follower's process has run, in seconds.
     pub uptime_s: f64,
-    /// How late its timers fire, seconds.
+    /// Mean delay with which the follower's timers fire, in seconds.
     pub lag_s: f64,
 }
 
-/// A node that started within this was restarted in a roll that may still go
-/// on, seconds: a roll over five nodes takes about a minute.
+/// A node whose uptime is below this, in seconds, was restarted in a rolling restart that
+/// may still be in progress: a rolling restart of five nodes takes about a minute.
 const ROLLING_RESTART_S: f64 = 90.0;
-/// One that started more recently is still finding its way, seconds.
+/// A node whose uptime is below this, in seconds, is still initialising.
 const MIN_UPTIME_S: f64 = 2.0;
 
-/// The one to lead next.
+/// Chooses the follower that should lead next.
 ///
-/// In a roll that is a node which has had its restart: one that has not is often
-/// the next to go, and the lead would change hands with each. Otherwise one in
-/// another zone, that a cut of the leader's zone does not take as well.
+/// During a rolling restart this is a node that has already been restarted: a node that has
+/// not is often the next to be restarted, and then every restart would change the leader.
+/// Otherwise a node in another zone is preferred, because a network partition of the
+/// leader's zone does not affect it.
 pub fn next_leader(candidates: &[Candidate]) -> Option<&Candidate> {
     let rank = |c: &Candidate| {
-        let rolled = (MIN_UPTIME_S..ROLLING_RESTART_S).contains(&c.uptime_s);
-        let late = (c.lag_s * 4.0) as u64;
-        let unsettled = c.uptime_s < MIN_UPTIME_S;
-        (unsettled, late, !rolled, !c.in_other_zone)
+        let recently_restarted = (MIN_UPTIME_S..ROLLING_RESTART_S).contains(&c.uptime_s);
+        let lag_quarter_seconds = (c.lag_s * 4.0) as u64;
+        let initialising = c.uptime_s < MIN_UPTIME_S;
+        (
+            initialising,
+            lag_quarter_seconds,
+            !recently_restarted,
+            !c.in_other_zone,
+        )
     };
     candidates
         .iter()
@@ -41,19 +47,19 @@
         .min_by(|a, b| rank(a).cmp(&rank(b)).then(a.member.cmp(&b.member)))
 }
 
-/// Bounds for a hand-over, in seconds.
+/// Limits that govern a voluntary handover, in seconds.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct HandoverLimits {
-    /// Timers this late on average are too late.
+    /// A leader whose mean timer lag exceeds this is overloaded.
     pub max_lag_s: f64,
-    /// No hand-over this soon after the election: a take-over is the busiest
-    /// time of all.
+    /// No handover within this time after the election, since a leader has the most work
+    /// right after it takes over.
     pub min_term_s: f64,
 }
 
-/// Whether a leader that computes late does better to let another lead: only if
-/// there is one who computes in time, and not soon after its election, so that
-/// the lead comes to rest where all are slow.
+/// Whether an overloaded leader should hand over. It should only if the next leader's timers
+/// fire on time, and not soon after the election, so that leadership does not keep moving
+/// where all nodes are slow.
 pub fn should_hand_over(
     now: Time,
     elected: Time,
@@ -66,17 +72,18 @@
         && next.is_some_and(|c| c.lag_s < limits.max_lag_s / 4.0 && c.uptime_s >= MIN_UPTIME_S)
 }
 
-/// How late this process's timers fire: a mean over some two seconds.
+/// Delay with which this process's timers fire, as an exponential moving average over about
+/// two seconds.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 pub struct TimerLag {
     mean_s: f64,
 }
 
-/// Weight of the newest of four looks a second.
+/// Weight of the newest sample, at four samples per second.
 const LAG_SAMPLE_WEIGHT: f64 = 0.12;
 
 impl TimerLag {
-    /// A timer fired this much after it was due, seconds.
+    /// Adds a sample: a timer fired this many seconds after it was due.
     pub fn record_delay(&mut self, late_s: f64) {
         self.mean_s += LAG_SAMPLE_WEIGHT * (late_s.max(0.0) - self.mean_s);
     }
@@ -106,47 +113,50 @@
     }
 
     #[test]
-    fn in_a_roll_the_lead_goes_to_one_that_has_had_its_restart() {
-        // Guards against a lead that changes hands with every restart of a roll.
-        let roll = [
+    fn during_a_rolling_restart_an_already_restarted_node_leads_next() {
+        // Guards against a change of leader with every restart of a rolling restart.
+        let rolling_restart = [
             candidate("b", true, 600.0, 0.0),
             candidate("c", false, 12.0, 0.0),
             candidate("d", true, 1.0, 0.0),
         ];
-        assert_eq!(next(&roll), Some("c"));
-        assert_eq!(next(&roll[..1]), Some("b"));
-        let quiet = [
+        assert_eq!(next(&rolling_restart), Some("c"));
+        assert_eq!(next(&rolling_restart[..1]), Some("b"));
+        let stable = [
             candidate("b", false, 600.0, 0.0),
             candidate("c", true, 500.0, 0.0),
         ];
-        assert_eq!(next(&quiet), Some("c"));
+        assert_eq!(next(&stable), Some("c"));
         let slow = [
             candidate("b", false, 600.0, 0.0),
             candidate("c", true, 500.0, 2.0),
         ];
         assert_eq!(next(&slow), Some("b"));
-        let mut blind = quiet.clone();
-        blind.iter_mut().for_each(|c| c.eligible = false);
-        assert_eq!(next(&blind), None);
+        let mut ineligible = stable.clone();
+        ineligible.iter_mut().for_each(|c| c.eligible = false);
+        assert_eq!(next(&ineligible), None);
     }
 
     #[test]
-    fn a_slow_leader_hands_over_to_a_quick_one_and_not_where_all_are_slow() {
-        // Guards against a lead that goes round and round among slow nodes.
+    fn a_slow_leader_hands_over_to_a_fast_node_but_not_where_all_are_slow() {
+        // Guards against leadership that keeps moving among slow nodes.
         let limits = HandoverLimits {
             max_lag_s: 0.4,
             min_term_s: 10.0,
         };
-        let quick = candidate("b", true, 600.0, 0.01);
+        let fast = candidate("b", true, 600.0, 0.01);
         let slow = candidate("b", true, 600.0, 0.3);
         let mut lag = TimerLag::default();
         lag.record_delay(2.0);
-        assert!(lag.mean_s() < 0.4, "one late timer is no reason");
+        assert!(
+            lag.mean_s() < 0.4,
+            "a single late timer must not cause a handover"
+        );
         (0..20).for_each(|_| lag.record_delay(2.0));
-        let hands = |now, next| should_hand_over(now, 100.0, lag.mean_s(), next, limits);
-        assert!(hands(120.0, Some(&quick)));
-        assert!(!hands(105.0, Some(&quick)));
-        assert!(!hands(120.0, Some(&slow)));
-        assert!(!hands(120.0, None));
+        let hands_over = |now, next| should_hand_over(now, 100.0, lag.mean_s(), next, limits);
+        assert!(hands_over(120.0, Some(&fast)));
+        assert!(!hands_over(105.0, Some(&fast)));
+        assert!(!hands_over(120.0, Some(&slow)));
+        assert!(!hands_over(120.0, None));
     }
 }
--- a/crates/umbersail-standby/tests/model/degraded_mode.rs
+++ b/crates/umbersail-standby/tests/model/degraded_mode.rs
@@ -1,4 +1,5 @@
-//! Steps of degraded mode: agreement to unrecorded starts.
+//! Steps of degraded mode, in which a leader makes unrecorded starts with its peers'
+//! agreement.
 
 use crate::fault::InjectedFault;
 use crate::memory::AGREED;
@@ -6,7 +7,7 @@
 use crate::steps::Transition;
 
 impl World {
-    /// The leader waits for no more replies to its requests.
+    /// The leader stops waiting for replies to its requests for agreement.
     pub fn abandon_requests(&mut self, token: u8, fault: InjectedFault) {
         if fault == InjectedFault::StaleAgreementCounts {
             return;
@@ -27,19 +28,19 @@
             InjectedFault::AgreementWithReplacedLeader => token,
             _ => self.nodes[i].newest,
         };
-        let out = !self.state_up;
+        let is_unavailable = !self.state_up;
         let mut next = self.clone();
         let memory = &mut next.nodes[i].memory;
         if fault == InjectedFault::AgreementWithoutRead {
             memory.update(|m| m.observe_leader_key(token.into()));
         }
-        if !memory.update(|m| m.agree(AGREED, token.into(), newest.into(), out)) {
+        if !memory.update(|m| m.agree(AGREED, token.into(), newest.into(), is_unavailable)) {
             return None;
         }
         if let Some(greeting_reply) = next
             .greeting_reply
             .as_mut()
-            .filter(|w| usize::from(w.to) == i)
+            .filter(|reply| usize::from(reply.to) == i)
         {
             greeting_reply.stale = true;
         }
@@ -53,8 +54,8 @@
         Some(next)
     }
 
-    /// A leader requests agreement, receives replies, gives up, enters and leaves
-    /// degraded mode.
+    /// Adds the steps in which a leader requests agreement, receives a reply, abandons its
+    /// requests, and enters or leaves degraded mode.
     pub fn degraded_mode_steps(
         &self,
         i: usize,
@@ -62,7 +63,7 @@
         fault: InjectedFault,
         out: &mut Vec<Transition>,
     ) {
-        let set = |degraded_mode: DegradedMode| {
+        let set_mode = |degraded_mode: DegradedMode| {
             self.with(|w| {
                 w.nodes[i]
                     .leader
@@ -73,7 +74,7 @@
         };
         let is_recorded = leader
             .at
-            .is_none_or(|(m, told)| !told || leader.recorded & (1 << m) != 0);
+            .is_none_or(|(m, launched)| !launched || leader.recorded & (1 << m) != 0);
         let peers = (0..NODE_COUNT).filter(|j| *j != i);
         let peers: Vec<usize> = match fault {
             InjectedFault::OnePeerNotAsked => peers.take(1).collect(),
@@ -94,37 +95,44 @@
                     w.requests.dedup();
                 }))
             }
-            DegradedMode::Requesting(answered) => {
+            DegradedMode::Requesting(agreed_peers) => {
                 out.push(self.with(|w| {
                     w.abandon_requests(leader.token, fault);
                     let l = w.nodes[i].leader.as_mut().expect("the node leads");
                     l.degraded_mode = DegradedMode::Off;
                 }));
-                let here = |r: &AgreementRequest| r.token == leader.token && r.agreed && r.awaited;
-                for (index, request) in self.requests.iter().enumerate().filter(|(_, r)| here(r)) {
-                    let answered = answered | (1 << request.peer);
+                let is_agreement =
+                    |r: &AgreementRequest| r.token == leader.token && r.agreed && r.awaited;
+                for (index, request) in self
+                    .requests
+                    .iter()
+                    .enumerate()
+                    .filter(|(_, r)| is_agreement(r))
+                {
+                    let agreed_peers = agreed_peers | (1 << request.peer);
                     out.push(self.with(|w| {
                         w.requests.remove(index);
                         let l = w.nodes[i].leader.as_mut().expect("the node leads");
-                        l.degraded_mode = if peers.iter().all(|p| answered & (1 << p) != 0) {
+                        l.degraded_mode = if peers.iter().all(|p| agreed_peers & (1 << p) != 0) {
                             DegradedMode::Active
                         } else {
-                            DegradedMode::Requesting(answered)
+                            DegradedMode::Requesting(agreed_peers)
                         };
                     }));
                 }
             }
-            DegradedMode::Active => out.push(set(DegradedMode::Draining)),
+            DegradedMode::Active => out.push(set_mode(DegradedMode::Draining)),
             DegradedMode::Draining
                 if is_recorded || fault == InjectedFault::RecordedClaimedTooEarly =>
             {
-                out.push(set(DegradedMode::Off));
+                out.push(set_mode(DegradedMode::Off));
             }
             _ => {}
         }
-        // The reply to a liveness probe, which is not applied before the next probe.
-        let shut = leader.degraded_mode == DegradedMode::Off;
-        if shut && self.state_up && self.late_writes > 0 && self.late_write.is_none() {
+        // The leader replies to a liveness probe, and the write of that reply is applied only
+        // after the next probe.
+        let is_off = leader.degraded_mode == DegradedMode::Off;
+        if is_off && self.state_up && self.late_writes > 0 && self.late_write.is_none() {
             out.push(self.with(|w| {
                 w.late_writes -= 1;
                 w.late_write = Some(LateWrite::LivenessReply {
--- a/crates/umbersail-standby/tests/model/election.rs
+++ b/crates/umbersail-standby/tests/model/election.rs
@@ -9,7 +9,7 @@
 use crate::steps::Transition;
 
 impl World {
-    /// An election is applied, whether its node learns of it or not.
+    /// An election is applied, whether or not the elected node learns of the election.
     pub fn elected(&mut self, by: u8, open: bool) {
         self.key += 1;
         self.elected_nodes[self.key as usize] = by;
@@ -17,6 +17,8 @@
         self.recovery_pending |= open;
     }
 
+    /// Adds the steps of a node: its process ends and restarts, reads the leader's key,
+    /// handles a greeting or a request for agreement, or is elected.
     pub fn node_steps(&self, i: usize, fault: InjectedFault, out: &mut Vec<Transition>) {
         let node = &self.nodes[i];
         if self.process_ends > 0 && *node != Node::default() {
@@ -24,9 +26,7 @@
                 if let Some(leader) = node.leader {
                     w.abandon_requests(leader.token, fault);
                 }
-                w.greeting_reply = w
-                    .greeting_reply
-                    .filter(|greeting_reply| greeting_reply.to != i as u8);
+                w.greeting_reply = w.greeting_reply.filter(|reply| reply.to != i as u8);
                 w.nodes[i] = Node::default();
                 w.process_ends -= 1;
             }));
@@ -54,34 +54,34 @@
         }
         if self.state_up && self.elections > 0 {
             let key = u64::from(self.key);
-            let in_time = matches!(
+            let elected_in_lifetime = matches!(
                 fault,
                 InjectedFault::LateElectionIgnored | InjectedFault::PeerReplyCountsAsRead
             ) && node.first > 0
                 && node.first < self.key;
             let trusted = match node.memory.fingerprint {
                 _ if !node.memory.real.may_have_unrecorded_starts(key) => true,
-                (token, ..) if token != self.key && in_time => true,
+                (token, ..) if token != self.key && elected_in_lifetime => true,
                 (_, 0, _) => fault == InjectedFault::TrustWithoutMemory,
                 (_, 2, _) => fault == InjectedFault::AgreementForgotten,
                 _ => false,
             };
             let open = self.recovery_pending || (self.key > 0 && !trusted);
-            let noted = open && fault != InjectedFault::RecoveryNotInherited;
+            let recorded_open = open && fault != InjectedFault::RecoveryNotInherited;
             if self.late_elections > 0 && self.late_write.is_none() {
                 out.push(self.with(|w| {
                     w.late_elections -= 1;
                     w.late_write = Some(LateWrite::Election {
                         by: i as u8,
                         former: self.key,
-                        open: noted,
+                        open: recorded_open,
                     });
                 }));
             }
             out.push(self.with(|w| {
                 w.elections -= 1;
                 w.recovery_pending &= fault != InjectedFault::RecoveryNotInherited;
-                w.elected(i as u8, noted);
+                w.elected(i as u8, recorded_open);
                 w.nodes[i].newest = w.key;
                 w.nodes[i].leader = Some(Leader {
                     token: w.key,
@@ -93,13 +93,14 @@
                     recovery_pending: open,
                     past_deadline: false,
                     silent_leases: [0; MACHINE_COUNT as usize],
-                    newer_report: 0,
+                    newer_heartbeat: 0,
                 });
             }));
         }
     }
 
-    /// Replies of other nodes to greetings, at once or delayed.
+    /// Adds the steps in which a node receives another node's reply to a greeting, at once or
+    /// delayed.
     pub fn greeting_steps(&self, i: usize, fault: InjectedFault, out: &mut Vec<Transition>) {
         let node = &self.nodes[i];
         for j in (0..NODE_COUNT).filter(|j| *j != i) {
@@ -112,13 +113,13 @@
                 }
                 continue;
             }
-            let shut = leader.filter(|l| match l.degraded_mode {
+            let off_leader = leader.filter(|l| match l.degraded_mode {
                 DegradedMode::Off => true,
                 DegradedMode::Requesting(_) => fault == InjectedFault::RequestingReportedAsOff,
                 _ => false,
             });
             let recorded = match (leader, other.leader) {
-                (Some(_), _) => shut.map(|l| l.token),
+                (Some(_), _) => off_leader.map(|l| l.token),
                 (None, None) => other
                     .memory
                     .real
@@ -157,7 +158,7 @@
         }
         if let Some(greeting_reply) = self
             .greeting_reply
-            .filter(|greeting_reply| usize::from(greeting_reply.to) == i)
+            .filter(|reply| usize::from(reply.to) == i)
         {
             out.push(self.with(|w| {
                 w.greeting_reply = None;
@@ -174,7 +175,7 @@
         }
     }
 
-    /// A node learns the claim that the leader with this token has recorded all.
+    /// A node receives the claim that the leader with this token has recorded all starts.
     pub fn receive_recorded_claim(
         &mut self,
         i: usize,
@@ -192,8 +193,8 @@
             if from_leader || fault == InjectedFault::PeerRecordedClaimTrusted {
                 memory.on_leader_report(asked, token.into(), false);
             } else {
-                let any = fault == InjectedFault::PeerClaimOfLiveLeaderTrusted;
-                memory.on_peer_report(token.into(), former_self || any);
+                let counts_for_live = fault == InjectedFault::PeerClaimOfLiveLeaderTrusted;
+                memory.on_peer_report(token.into(), former_self || counts_for_live);
             }
         });
     }
--- a/crates/umbersail-standby/tests/model/late_writes.rs
+++ b/crates/umbersail-standby/tests/model/late_writes.rs
@@ -1,4 +1,4 @@
-//! Late writes: those without a reply, which are applied after newer ones.
+//! Late writes: writes that received no reply and are applied after newer writes.
 
 use crate::fault::InjectedFault;
 use crate::memory::AFTER;
@@ -6,7 +6,7 @@
 use crate::steps::Transition;
 
 impl World {
-    /// A late write is applied if its conditions hold by then.
+    /// Adds the step in which the late write is applied, if its conditions still hold.
     pub fn late_steps(&self, fault: InjectedFault, out: &mut Vec<Transition>) {
         let Some(late_write) = self.late_write.filter(|_| self.state_up) else {
             return;
@@ -24,9 +24,10 @@
                     record,
                     valid,
                 } => {
-                    let ours = token == self.key;
-                    let version = valid || fault == InjectedFault::UnconditionalProgressWrite;
-                    if ours && version {
+                    let is_newest_leader = token == self.key;
+                    let version_matches =
+                        valid || fault == InjectedFault::UnconditionalProgressWrite;
+                    if is_newest_leader && version_matches {
                         w.record = record;
                     }
                 }
--- a/crates/umbersail-standby/tests/model/leader.rs
+++ b/crates/umbersail-standby/tests/model/leader.rs
@@ -1,4 +1,4 @@
-//! Steps of a leader: reports, placement, records and launches.
+//! Steps of a leader: heartbeats, placement, records and launches.
 
 use crate::fault::InjectedFault;
 use crate::memory::AGREED;
@@ -6,7 +6,8 @@
 use crate::steps::Transition;
 
 impl Leader {
-    /// Handles a valid report, which shows our token and whether the task runs there.
+    /// Handles a valid heartbeat of machine `m`, which shows this leader's token and whether
+    /// the machine runs the task.
     pub fn observe(&mut self, m: u8, runs: bool) {
         let bit = 1 << m;
         self.fenced |= bit;
@@ -21,6 +22,7 @@
 }
 
 impl World {
+    /// Adds the steps of a leader.
     pub fn leader_steps(
         &self,
         i: usize,
@@ -31,12 +33,13 @@
         let set = |update: &dyn Fn(&mut Leader)| {
             self.with(|w| update(w.nodes[i].leader.as_mut().expect("the node leads")))
         };
-        let ours = self.state_up && self.key == leader.token;
-        let report_is_delayed = self.delayed_report.is_some();
+        let may_write = self.state_up && self.key == leader.token;
+        let heartbeat_is_delayed = self.delayed_heartbeat.is_some();
         let is_recorded = leader
             .at
-            .is_none_or(|(m, told)| !told || leader.recorded & (1 << m) != 0);
-        // It learns of a newer leader and steps down with what it knows of itself.
+            .is_none_or(|(m, launched)| !launched || leader.recorded & (1 << m) != 0);
+        // The leader learns of a newer leader and steps down. It remembers whether it may
+        // have left unrecorded starts.
         if self.nodes[i].newest > leader.token {
             out.push(self.with(|w| {
                 let open = leader.degraded_mode != DegradedMode::Off;
@@ -50,8 +53,9 @@
         for m in 0..MACHINE_COUNT {
             let bit = 1 << m;
             let (seen, runs) = self.machines[m as usize];
-            // A report: the reply carries our token, or the report shows it. Reports
-            // continue while we are isolated, and replies renew the lease.
+            // A heartbeat: the leader's reply carries its token, or the heartbeat already
+            // shows that token. Heartbeats continue while the leader is isolated from the
+            // state service, and replies renew the machine's lease.
             if seen <= leader.token
                 && !leader.past_deadline
                 && (seen, self.answered & bit) != (leader.token, bit)
@@ -61,18 +65,21 @@
                     w.answered |= bit;
                     let l = w.nodes[i].leader.as_mut().expect("the node leads");
                     l.silent_leases[m as usize] = 0;
-                    l.newer_report |= if report_is_delayed { bit } else { 0 };
+                    l.newer_heartbeat |= if heartbeat_is_delayed { bit } else { 0 };
                 }));
             }
-            // A delayed report shows a former state; newer reports prevail.
-            if let Some((of, token, ran)) = self.delayed_report
+            // A delayed heartbeat shows a former state; the leader ignores it if it has
+            // received a newer one.
+            if let Some((of, token, ran)) = self.delayed_heartbeat
                 && of == m
                 && token == leader.token
-                && (leader.newer_report & bit == 0 || fault == InjectedFault::DuplicateReportsCount)
+                && (leader.newer_heartbeat & bit == 0
+                    || fault == InjectedFault::DuplicateHeartbeatsCount)
             {
                 out.push(set(&|l| l.observe(m, ran)));
             }
-            // No leader has replied to it for a lease: its tasks have stopped (rule 3).
+            // No leader has replied to the machine for a full lease, so the machine's tasks
+            // have stopped (rule 3).
             if leader.silent_leases[m as usize] == 2 {
                 out.push(set(&|l| {
                     l.possible_orphans &= !bit;
@@ -82,12 +89,12 @@
                     }
                 }));
             }
-            let shows = seen == leader.token || fault == InjectedFault::AnyReportFences;
-            let on_its_way =
+            let shows_token = seen == leader.token || fault == InjectedFault::AnyHeartbeatFences;
+            let launch_in_flight =
                 (self.launches.iter()).any(|(to, token, _)| (*to, *token) == (m, leader.token));
-            if shows && seen <= leader.token && !on_its_way {
+            if shows_token && seen <= leader.token && !launch_in_flight {
                 out.push(set(&|l| {
-                    l.newer_report |= if report_is_delayed { bit } else { 0 };
+                    l.newer_heartbeat |= if heartbeat_is_delayed { bit } else { 0 };
                     l.observe(m, runs);
                 }));
             }
@@ -95,8 +102,8 @@
                 out.push(set(&|l| l.at = Some((m, false))));
             }
         }
-        if let Some((m, told)) = leader.at {
-            if ours && leader.recorded & (1 << m) == 0 {
+        if let Some((m, launched)) = leader.at {
+            if may_write && leader.recorded & (1 << m) == 0 {
                 let record = (1 << m) | leader.possible_orphans;
                 out.push(self.with(|w| {
                     w.record = record;
@@ -121,20 +128,20 @@
                     }));
                 }
             }
-            // A launch that was not sent yet may be placed elsewhere.
-            if !told && self.late_write.is_some() {
+            // If the launch was not sent yet, the task may be placed on another machine.
+            if !launched && self.late_write.is_some() {
                 out.push(set(&|l| l.at = None));
             }
             let may_launch = leader.recorded & (1 << m) != 0
                 || leader.degraded_mode == DegradedMode::Active
                 || fault == InjectedFault::LaunchBeforeRecord;
-            if !told && may_launch && self.launches.len() < 2 && !leader.past_deadline {
+            if !launched && may_launch && self.launches.len() < 2 && !leader.past_deadline {
                 out.push(self.with(|w| {
                     w.launches.push((m, leader.token, false));
                     w.launches.sort_unstable();
                     let l = w.nodes[i].leader.as_mut().expect("the node leads");
                     l.silent_leases[m as usize] = 0;
-                    l.newer_report |= if report_is_delayed { 1 << m } else { 0 };
+                    l.newer_heartbeat |= if heartbeat_is_delayed { 1 << m } else { 0 };
                     l.at = Some((m, true));
                 }));
             }
@@ -142,7 +149,7 @@
         let recovery_done = leader.possible_orphans == 0
             && (is_recorded || fault == InjectedFault::RecoveryEndsBeforeRecord);
         if leader.recovery_pending
-            && ours
+            && may_write
             && recovery_done
             && self.late_writes > 0
             && self.late_write.is_none()
@@ -154,7 +161,7 @@
                 });
             }));
         }
-        if leader.recovery_pending && ours && recovery_done {
+        if leader.recovery_pending && may_write && recovery_done {
             out.push(self.with(|w| {
                 w.recovery_pending = false;
                 let l = w.nodes[i].leader.as_mut().expect("the node leads");
--- a/crates/umbersail-standby/tests/model/main.rs
+++ b/crates/umbersail-standby/tests/model/main.rs
@@ -1,13 +1,16 @@
-//! Exhaustive search of the takeover protocol, up to limits.
+//! Model checker of the failover protocol: an exhaustive search up to limits.
 //!
 //! The model has three controllers, two machines, one task and the state service.
-//! Controllers elect, write, launch, ask, agree, crash, restart, hear of each other
-//! and reply while isolated; machines fall silent for a lease; reports are
-//! duplicated. In no order of these steps may the task be started on one machine
-//! while it runs on the other. Requests for agreement, the agreement, the arrival of
-//! its reply and greetings are separate steps, and a write without a reply may be
-//! applied after newer ones. What controllers know of unrecorded starts is kept by
-//! the real `DegradedModeRecord`. Each injected fault must be found.
+//! Controllers elect a leader, write records, launch the task, request agreement, agree,
+//! crash, restart, exchange greetings, and reply to heartbeats while they are isolated.
+//! Machines send no heartbeat for a lease, and heartbeats are duplicated. In no order of
+//! these steps may the task be started on one machine while it runs on the other.
+//!
+//! A request for agreement, the agreement, the arrival of the agreement's reply, and a
+//! greeting are separate steps. A write that received no reply may be applied after newer
+//! writes. What a controller knows about unrecorded starts is kept by the production type
+//! `DegradedModeMemory`. The search must also find each fault that is injected into the
+//! protocol.
 
 mod degraded_mode;
 mod election;
--- a/crates/umbersail-standby/tests/model/memory.rs
+++ b/crates/umbersail-standby/tests/model/memory.rs
@@ -1,4 +1,4 @@
-//! The controllers' real memory of unrecorded starts, comparable and hashable.
+//! The production type for knowledge of unrecorded starts, made comparable and hashable.
 
 use std::hash::{Hash, Hasher};
 
@@ -6,14 +6,15 @@
 
 use crate::state::TOKEN_LIMIT;
 
-/// Instants on a controller's clock, relative to its own last agreement.
+/// Times on a controller's clock, relative to the controller's own last agreement.
 pub const BEFORE: f64 = 0.0;
 pub const AGREED: f64 = 1.0;
 pub const AFTER: f64 = 2.0;
 
-/// The real memory, and a fingerprint by which states are compared: the leader that
-/// it knows of, whether it agreed with it (2) or was told that all is recorded (1),
-/// and how many tokens are no newer than the first that it read.
+/// The production `DegradedModeMemory`, and a fingerprint by which states are compared. The
+/// fingerprint holds the token of the leader that the memory is about; 2 if the controller
+/// agreed with that leader, 1 if the controller learned that all starts are recorded, else 0;
+/// and how many tokens are no newer than the first token that the controller read.
 #[derive(Debug, Clone)]
 pub struct Memory {
     pub real: DegradedModeMemory,
@@ -28,19 +29,20 @@
     }
 }
 
-/// Derives the fingerprint from what the memory replies to probes.
+/// Derives the fingerprint by applying reports to copies of the memory and observing the
+/// effect, since the memory's fields are private.
 fn fingerprint(memory: &DegradedModeMemory) -> (u8, u8, u8) {
-    let told = |asked: f64| {
+    let reported_token = |asked: f64| {
         let mut probe = memory.clone();
         (0..=TOKEN_LIMIT).find(|token| {
             probe.on_leader_report(asked, u64::from(*token), false);
             probe.fully_recorded_token() == Some(u64::from(*token))
         })
     };
-    let token = told(AFTER).unwrap_or(u8::MAX);
+    let token = reported_token(AFTER).unwrap_or(u8::MAX);
     let known = match memory.fully_recorded_token() {
         Some(_) => 1,
-        None if told(BEFORE) != Some(token) => 2,
+        None if reported_token(BEFORE) != Some(token) => 2,
         None => 0,
     };
     let mut probe = memory.clone();
--- a/crates/umbersail-standby/tests/model/search.rs
+++ b/crates/umbersail-standby/tests/model/search.rs
@@ -1,4 +1,4 @@
-//! Breadth-first search of states.
+//! Breadth-first search over states.
 
 use std::collections::{HashSet, VecDeque};
 use std::hash::{BuildHasher, RandomState};
@@ -6,7 +6,9 @@
 use crate::fault::InjectedFault;
 use crate::state::World;
 
-/// Searches breadth-first. States are remembered by their hash alone.
+/// Searches breadth-first until a step runs the task twice or all reachable states were
+/// visited. Remembers states only by their hash, and no more than `max_worlds` of them.
+/// Returns the number of states and whether the task ran twice.
 pub fn search(fault: InjectedFault, first: World, max_worlds: usize) -> (usize, bool) {
     let hasher = RandomState::new();
     let mut seen = HashSet::from([hasher.hash_one(&first)]);
--- a/crates/umbersail-standby/tests/model/searches.rs
+++ b/crates/umbersail-standby/tests/model/searches.rs
@@ -1,4 +1,4 @@
-//! The searches: no step order runs the task twice, and each injected fault is found.
+//! The searches: no order of steps runs the task twice, and each injected fault is found.
 
 use crate::fault::InjectedFault;
 use crate::search::search;
@@ -12,7 +12,7 @@
     }
 }
 
-/// Limits on elections and ends of processes alone.
+/// Limits that allow only elections and ends of processes.
 fn elections_and_ends(elections: u8, process_ends: u8) -> Limits {
     Limits {
         elections,
@@ -23,21 +23,22 @@
 
 #[test]
 fn no_order_of_steps_starts_the_task_twice() {
-    // Conditions for a start may hold one by one and not together. Searches without
-    // a limit on worlds are complete.
+    // Guards against conditions for a start that each hold separately but not at the same
+    // time. A search without a limit on the number of states is complete.
     let all = usize::MAX;
-    let silence = |limits| Limits {
+    let with_leases = |limits| Limits {
         leases: 3,
-        duplicate_reports: 1,
+        duplicate_heartbeats: 1,
         ..limits
     };
     let searches = [
         (elections_and_ends(1, 0), all, 70_000),
         (elections_and_ends(1, 1), 800_000, 800_000),
         (elections_and_ends(2, 1), 300_000, 300_000),
-        // Isolated leaders, silence and duplicates, and immediate restarts.
-        (silence(elections_and_ends(1, 0)), 200_000, 200_000),
-        (silence(elections_and_ends(2, 1)), 200_000, 200_000),
+        // Isolated leaders, machines without heartbeats, duplicated heartbeats, and
+        // immediate restarts.
+        (with_leases(elections_and_ends(1, 0)), 200_000, 200_000),
+        (with_leases(elections_and_ends(2, 1)), 200_000, 200_000),
         // Delayed replies to greetings, and delayed requests.
         (
             Limits {
@@ -123,13 +124,13 @@
 
 #[test]
 fn each_injected_fault_is_found() {
-    // Proves that the search can fail. Each fault has no more elections and process
-    // ends than it needs.
+    // Proves that the search can fail. Each fault is searched with the fewest elections and
+    // process ends that expose the fault.
     let late_write = Limits {
         late_writes: 1,
         ..elections_and_ends(1, 0)
     };
-    let fault = [
+    let faults = [
         (InjectedFault::AgreementForgotten, elections_and_ends(1, 0)),
         (InjectedFault::TrustWithoutMemory, elections_and_ends(1, 1)),
         (InjectedFault::OnePeerNotAsked, elections_and_ends(1, 0)),
@@ -148,7 +149,7 @@
             InjectedFault::RecoveryNotInherited,
             elections_and_ends(2, 0),
         ),
-        (InjectedFault::AnyReportFences, elections_and_ends(1, 0)),
+        (InjectedFault::AnyHeartbeatFences, elections_and_ends(1, 0)),
         (InjectedFault::LaunchBeforeRecord, elections_and_ends(1, 0)),
         (
             InjectedFault::RecordedClaimedTooEarly,
@@ -173,9 +174,9 @@
             },
         ),
         (
-            InjectedFault::DuplicateReportsCount,
+            InjectedFault::DuplicateHeartbeatsCount,
             Limits {
-                duplicate_reports: 1,
+                duplicate_heartbeats: 1,
                 ..NO_EVENTS
             },
         ),
@@ -218,7 +219,7 @@
         ),
     ];
     std::thread::scope(|scope| {
-        for (fault, limits) in fault {
+        for (fault, limits) in faults {
             scope.spawn(move || {
                 let started = std::time::Instant::now();
                 let (seen, ran_twice) = search(fault, initial_world(limits), 2_000_000);
--- a/crates/umbersail-standby/tests/model/state.rs
+++ b/crates/umbersail-standby/tests/model/state.rs
@@ -1,4 +1,4 @@
-//! The state of the modelled system, and the states at which searches start.
+//! The state of the modelled system, and the initial states of the searches.
 
 use crate::memory::{AFTER, AGREED, Memory};
 
@@ -6,7 +6,7 @@
 pub const MACHINE_COUNT: u8 = 2;
 pub const ALL_MACHINES: u8 = 0b11;
 
-/// Tokens are smaller than this in every search.
+/// Upper bound (exclusive) on tokens in every search.
 pub const TOKEN_LIMIT: u8 = 6;
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
@@ -18,28 +18,28 @@
     Draining,
 }
 
-/// A request for agreement to unrecorded starts.
+/// A request for agreement to unrecorded starts, or the reply to it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct AgreementRequest {
     pub token: u8,
     pub peer: u8,
-    /// The leader still waits for the reply.
+    /// The leader is still waiting for the reply.
     pub awaited: bool,
     /// The peer has agreed; its reply is in flight.
     pub agreed: bool,
 }
 
-/// A reply to a greeting in flight: all starts are recorded.
+/// A reply to a greeting, in flight, which reports that all starts are recorded.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub struct GreetingReply {
     pub to: u8,
     pub token: u8,
     pub from_leader: bool,
-    /// The receiver has agreed to unrecorded starts since it asked.
+    /// The receiver has agreed to unrecorded starts since it sent the greeting.
     pub stale: bool,
 }
 
-/// A write without a reply, which may still be applied.
+/// A write that received no reply and may still be applied.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum LateWrite {
     Election {
@@ -47,7 +47,8 @@
         former: u8,
         open: bool,
     },
-    /// `valid` until another write replaces the record.
+    /// The machines on which the task may run. `valid` until another write replaces the
+    /// record.
     Progress {
         token: u8,
         record: u8,
@@ -56,23 +57,24 @@
     RecoveryDone {
         token: u8,
     },
-    /// The reply to an earlier liveness probe: all starts are recorded.
+    /// The reply to an earlier liveness probe, which reports that all starts are recorded.
     LivenessReply {
         token: u8,
     },
 }
 
-/// How often events happen at most in a search.
+/// Upper bounds on the number of events in a search.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct Limits {
     pub elections: u8,
     pub process_ends: u8,
     pub leases: u8,
-    pub duplicate_reports: u8,
+    pub duplicate_heartbeats: u8,
     /// Delayed replies to greetings.
     pub delayed_replies: u8,
-    /// Late writes: elections, and others of the leader.
+    /// Elections that are applied late.
     pub late_elections: u8,
+    /// Other writes of a leader that are applied late.
     pub late_writes: u8,
     /// Requests for agreement may arrive after the leader has abandoned them.
     pub stray_requests: bool,
@@ -84,7 +86,7 @@
     elections: 0,
     process_ends: 0,
     leases: 0,
-    duplicate_reports: 0,
+    duplicate_heartbeats: 0,
     delayed_replies: 0,
     late_elections: 0,
     late_writes: 0,
@@ -96,29 +98,31 @@
 pub struct Leader {
     pub token: u8,
     pub degraded_mode: DegradedMode,
-    /// Machines that may run the task without its knowledge.
+    /// Bit set of the machines that may run the task without the leader's knowledge.
     pub possible_orphans: u8,
-    /// Machines that have shown its token.
+    /// Bit set of the machines that have shown the leader's token.
     pub fenced: u8,
-    /// Where it believes the task to be, and whether the launch was sent.
+    /// The machine on which the leader has placed the task, and whether the launch was sent.
     pub at: Option<(u8, bool)>,
-    /// Machines that the record names, as far as it knows.
+    /// Bit set of the machines that the record names, as far as the leader knows.
     pub recorded: u8,
     pub recovery_pending: bool,
-    /// Its deadline has passed: it replies to no worker and starts nothing.
+    /// The leader's deadline has passed: it replies to no heartbeat and starts nothing.
     pub past_deadline: bool,
-    /// Leases for which each machine was silent, two at most, counted from when no
-    /// earlier leader may reply any more.
+    /// Number of leases, at most two, in which each machine sent no heartbeat. Counting
+    /// begins once no earlier leader can reply any more.
     pub silent_leases: [u8; MACHINE_COUNT as usize],
-    /// Machines of which it has a newer report than the delayed one.
-    pub newer_report: u8,
+    /// Bit set of the machines from which the leader has a newer heartbeat than the delayed
+    /// one.
+    pub newer_heartbeat: u8,
 }
 
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Default)]
 pub struct Node {
+    /// The newest token that the node knows.
     pub newest: u8,
     pub memory: Memory,
-    /// The first token that its process read at the state service.
+    /// The first token that the node's process read from the state service; 0 if none.
     pub first: u8,
     pub leader: Option<Leader>,
 }
@@ -128,28 +132,32 @@
     pub state_up: bool,
     /// Token of the newest leader.
     pub key: u8,
+    /// Bit set of the machines that the progress record names.
     pub record: u8,
+    /// The state service holds the record that unrecorded starts must be accounted for.
     pub recovery_pending: bool,
     pub nodes: [Node; NODE_COUNT],
-    /// The highest token that each machine has seen, and whether the task runs there.
+    /// For each machine the highest token that it has seen, and whether it runs the task.
     pub machines: [(u8, bool); MACHINE_COUNT as usize],
-    /// Machines that had a reply since the last full lease.
+    /// Bit set of the machines that received a reply since the last full lease.
     pub answered: u8,
-    /// Full leases that may still pass, and whether the deadline of all leaders
-    /// before the newest has passed.
+    /// Number of full leases that may still pass.
     pub leases: u8,
+    /// The deadline of all leaders before the newest has passed.
     pub former_leaders_stopped: bool,
-    /// Launches in flight: machine, token, and whether a lease has passed since.
+    /// Launches in flight: machine, token, and whether a lease has passed since the launch
+    /// was sent.
     pub launches: Vec<(u8, u8, bool)>,
-    /// A duplicate of a report that may arrive at any time: machine, token and task.
-    pub delayed_report: Option<(u8, u8, bool)>,
-    pub duplicate_reports: u8,
+    /// A duplicate of a heartbeat that may arrive at any time: machine, token, and whether
+    /// the machine ran the task.
+    pub delayed_heartbeat: Option<(u8, u8, bool)>,
+    pub duplicate_heartbeats: u8,
     pub elections: u8,
     pub process_ends: u8,
     pub outages: u8,
-    /// The node elected with each token.
+    /// For each token the node that was elected with it.
     pub elected_nodes: [u8; TOKEN_LIMIT as usize],
-    /// Requests to peers, and their replies in flight.
+    /// Requests for agreement in flight, and the replies in flight.
     pub requests: Vec<AgreementRequest>,
     pub greeting_reply: Option<GreetingReply>,
     pub delayed_replies: u8,
@@ -160,8 +168,8 @@
 }
 
 impl World {
-    /// One node leads, its peers know that all is recorded, and the machines show
-    /// its token.
+    /// Initial state in which one node leads, the leader's peers know that all starts are
+    /// recorded, and the machines show the leader's token.
     pub fn with_leader(limits: Limits) -> World {
         let leader = Leader {
             token: 1,
@@ -173,7 +181,7 @@
             recovery_pending: false,
             past_deadline: false,
             silent_leases: [0; MACHINE_COUNT as usize],
-            newer_report: 0,
+            newer_heartbeat: 0,
         };
         let mut memory = Memory::default();
         memory.update(|m| m.observe_leader_key(1));
@@ -201,8 +209,8 @@
             leases: limits.leases,
             former_leaders_stopped: true,
             launches: Vec::new(),
-            delayed_report: None,
-            duplicate_reports: limits.duplicate_reports,
+            delayed_heartbeat: None,
+            duplicate_heartbeats: limits.duplicate_heartbeats,
             elections: limits.elections,
             process_ends: limits.process_ends,
             outages: 1,
@@ -217,8 +225,8 @@
         }
     }
 
-    /// A leader made an unrecorded start with its peers' agreement and ended; one of
-    /// them has been elected.
+    /// Initial state in which a leader made an unrecorded start with its peers' agreement and
+    /// ended, and one of the peers has been elected.
     pub fn with_recovery_pending(limits: Limits) -> World {
         let mut world = World::with_leader(limits);
         world.nodes[1]
--- a/crates/umbersail-standby/tests/model/steps.rs
+++ b/crates/umbersail-standby/tests/model/steps.rs
@@ -1,5 +1,5 @@
-//! Successor states: the state service, launches in flight, and the steps of the
-//! other modules.
+//! All successors of a state: outages of the state service and arriving launches, plus the
+//! steps that the other modules add.
 
 use crate::fault::InjectedFault;
 use crate::state::{NODE_COUNT, World};
@@ -12,14 +12,15 @@
 pub struct RanTwice;
 
 impl World {
-    /// This state after an update.
+    /// Returns a copy of this state with an update applied.
     pub fn with(&self, update: impl FnOnce(&mut World)) -> Transition {
         let mut next = self.clone();
         update(&mut next);
         Ok(next)
     }
 
-    /// All possible successor states; `Err` where the task would run twice.
+    /// Returns all possible successor states, and `Err` for each step that would run the task
+    /// twice.
     pub fn successors(&self, fault: InjectedFault) -> Vec<Transition> {
         let mut out = Vec::new();
         if self.state_up && self.outages > 0 {
@@ -29,7 +30,7 @@
             out.push(self.with(|w| {
                 w.state_up = true;
                 if w.outages == 0 {
-                    // No peer will agree to these any more.
+                    // No outage can follow, so no peer can agree to the remaining requests.
                     w.requests.retain(|r| r.agreed);
                 }
             }));
@@ -39,18 +40,18 @@
             out.push(self.with(|w| {
                 w.launches.remove(index);
             }));
-            let mut landed = self.clone();
-            landed.launches.remove(index);
+            let mut arrived = self.clone();
+            arrived.launches.remove(index);
             let (seen, runs) = self.machines[machine as usize];
             if token >= seen {
-                let other = self.machines[1 - machine as usize].1;
-                if other && !runs {
+                let runs_elsewhere = self.machines[1 - machine as usize].1;
+                if runs_elsewhere && !runs {
                     out.push(Err(RanTwice));
                     continue;
                 }
-                landed.machines[machine as usize] = (token, true);
-                landed.answered |= 1 << machine;
-                out.push(Ok(landed));
+                arrived.machines[machine as usize] = (token, true);
+                arrived.answered |= 1 << machine;
+                out.push(Ok(arrived));
             }
         }
         for i in 0..NODE_COUNT {
--- a/crates/umbersail-standby/tests/model/symmetry.rs
+++ b/crates/umbersail-standby/tests/model/symmetry.rs
@@ -8,7 +8,8 @@
 }
 
 impl World {
-    /// A representative of all states equal up to renaming.
+    /// Returns a representative of all states that are equal up to renaming of nodes and
+    /// machines.
     pub fn canonical(mut self) -> World {
         let mut order: [usize; NODE_COUNT] = std::array::from_fn(|i| i);
         let rank = |i: &usize| {
@@ -35,11 +36,11 @@
         self.nodes = order.map(|i| std::mem::take(&mut self.nodes[i]));
         for node in &mut self.nodes {
             if let Some(leader) = &mut node.leader
-                && let DegradedMode::Requesting(answered) = &mut leader.degraded_mode
+                && let DegradedMode::Requesting(agreed_peers) = &mut leader.degraded_mode
             {
-                let old = *answered;
+                let old = *agreed_peers;
                 let bits = (0..NODE_COUNT).filter(|i| old & (1 << i) != 0);
-                *answered = bits.map(|i| 1 << names[i]).sum();
+                *agreed_peers = bits.map(|i| 1 << names[i]).sum();
             }
         }
         let elected = self.key as usize;
@@ -54,29 +55,29 @@
         }
     }
 
-    /// Everything that distinguishes one machine from the other.
+    /// Everything in the state that distinguishes one machine from the other.
     fn machine_key(&self, m: u8) -> (u8, bool, bool, bool, u64, usize) {
         let bit = 1 << m;
         let has = |bits: u8| u64::from(bits & bit != 0);
-        let leads = self.nodes.iter().filter_map(|n| n.leader);
-        let leads = leads.fold(0u64, |all, l| {
+        let leaders = self.nodes.iter().filter_map(|n| n.leader);
+        let leaders = leaders.fold(0u64, |all, l| {
             let at = match l.at {
-                Some((at, told)) if at == m => 1 + u64::from(told),
+                Some((at, launched)) if at == m => 1 + u64::from(launched),
                 _ => 0,
             };
             let bits = has(l.possible_orphans) | has(l.fenced) << 1 | has(l.recorded) << 2;
             let silent_leases = u64::from(l.silent_leases[m as usize]);
-            all << 8 | bits | has(l.newer_report) << 3 | at << 4 | silent_leases << 6
+            all << 8 | bits | has(l.newer_heartbeat) << 3 | at << 4 | silent_leases << 6
         });
         let (token, runs) = self.machines[m as usize];
-        let launches = self.launches.iter().filter(|f| f.0 == m).count();
+        let launches = self.launches.iter().filter(|launch| launch.0 == m).count();
         let answered = self.answered & bit != 0;
         (
             token,
             runs,
             self.record & bit != 0,
             answered,
-            leads,
+            leaders,
             launches,
         )
     }
@@ -85,10 +86,12 @@
         self.machines.swap(0, 1);
         self.answered = swap_bits(self.answered);
         self.record = swap_bits(self.record);
-        self.launches.iter_mut().for_each(|f| f.0 = 1 - f.0);
+        self.launches
+            .iter_mut()
+            .for_each(|launch| launch.0 = 1 - launch.0);
         self.launches.sort_unstable();
-        if let Some(delayed_report) = &mut self.delayed_report {
-            delayed_report.0 = 1 - delayed_report.0;
+        if let Some(delayed_heartbeat) = &mut self.delayed_heartbeat {
+            delayed_heartbeat.0 = 1 - delayed_heartbeat.0;
         }
         if let Some(LateWrite::Progress { record, .. }) = &mut self.late_write {
             *record = swap_bits(*record);
@@ -98,7 +101,7 @@
                 &mut leader.possible_orphans,
                 &mut leader.fenced,
                 &mut leader.recorded,
-                &mut leader.newer_report,
+                &mut leader.newer_heartbeat,
             ] {
                 *bits = swap_bits(*bits);
             }
