--- a/crates/umbersail-control/src/all_replica_read.rs
+++ b/crates/umbersail-control/src/all_replica_read.rs
@@ -1,5 +1,5 @@
-//! Polls while the state service does not answer: asked of all controllers together,
-//! each of which says what it has seen and told of a job.
+//! All-replica reads: while the state service is unavailable, a poll for a job's status is
+//! answered from what all controllers have seen and reported about the job.
 
 use std::cell::{Cell, RefCell};
 use std::collections::{BTreeMap, BTreeSet};
@@ -18,22 +18,23 @@
 use crate::records::{Outcome, OverRecord};
 use crate::settings::Peer;
 
-/// How long a poll waits for others to be asked about with it, in seconds.
+/// How long a poll waits for further polls to be read in the same batch, in seconds.
 const BATCH_WINDOW_S: f64 = 0.05;
-/// Upper bound on jobs read in one batch, some 50 KiB in the request and four times that
-/// in an answer; polls of further jobs are refused until the next batch.
+/// Upper bound on jobs read in one batch: about 50 KiB in the request and four times that in
+/// an answer. Polls of further jobs are refused until the next batch.
 const MAX_JOBS_PER_BATCH: usize = 4096;
 
-/// Jobs that are asked about together.
+/// Jobs that are read together.
 #[derive(Default)]
 struct ReadBatch {
     jobs: RefCell<BTreeSet<String>>,
     outcomes: RefCell<BTreeMap<String, ReadOutcome<OverRecord>>>,
+    /// Whether the batch has been read, successfully or not.
     completed: Cell<bool>,
     completion: Broadcast,
 }
 
-/// The batch that gathers, and whether one is under way.
+/// The batch that still accepts jobs, and whether a batch is being read.
 #[derive(Default)]
 pub(crate) struct AllReplicaReads {
     open_batch: RefCell<Option<Rc<ReadBatch>>>,
@@ -41,7 +42,7 @@
 }
 
 impl Node {
-    /// Reads a job from all replicas (rule 6).
+    /// Reads a job's status from all controllers (rule 6).
     pub(crate) async fn all_replica_read(self: &Rc<Self>, id: &str) -> ReadOutcome<OverRecord> {
         if !self.all_peers_responsive() {
             return ReadOutcome::Unknown;
@@ -50,7 +51,8 @@
             let mut open_batch = self.all_replica_reads.open_batch.borrow_mut();
             let batch = open_batch.get_or_insert_with(|| {
                 let batch = Rc::new(ReadBatch::default());
-                // A routine of its own: whoever asked first may hang up.
+                // A separate routine, since the client whose poll opened the batch may
+                // disconnect.
                 spawn(self.clone().run_read_batch(batch.clone()));
                 batch
             });
@@ -68,8 +70,8 @@
         outcomes.get(id).copied().unwrap_or(ReadOutcome::Unknown)
     }
 
-    /// Whether each peer has answered us lately: with one away nothing can be said,
-    /// and the others are not troubled.
+    /// Whether every peer has replied to this node recently. If one is unresponsive, the
+    /// outcome would be unknown, so the other peers are not asked.
     fn all_peers_responsive(&self) -> bool {
         let now = self.clock.now();
         let fresh_s = 3.0 * self.tuning.peer_interval_s;
@@ -81,25 +83,26 @@
         })
     }
 
+    /// Collects a batch, reads it from all controllers and publishes the outcomes.
     async fn run_read_batch(self: Rc<Self>, batch: Rc<ReadBatch>) {
         sleep(BATCH_WINDOW_S).await;
         while self.all_replica_reads.in_progress.get() {
             sleep(BATCH_WINDOW_S).await;
         }
         self.all_replica_reads.in_progress.set(true);
-        // Whoever asks from here on is too late for these answers.
+        // Polls that arrive from here on are too late for this batch.
         *self.all_replica_reads.open_batch.borrow_mut() = None;
         let jobs: Vec<String> = batch.jobs.borrow().iter().cloned().collect();
         let peers = self.settings.peers.iter();
         let answers = join_all(peers.map(|peer| self.read_from_peer(peer, &jobs))).await;
-        let ours = self.own_answers(&jobs);
-        let all: Option<Vec<Vec<ReplicaAnswer<OverRecord>>>> =
-            answers.into_iter().chain([Some(ours)]).collect();
-        if let Some(all) = all {
+        let own = self.own_answers(&jobs);
+        let all_answers: Option<Vec<Vec<ReplicaAnswer<OverRecord>>>> =
+            answers.into_iter().chain([Some(own)]).collect();
+        if let Some(all_answers) = all_answers {
             let mut outcomes = batch.outcomes.borrow_mut();
             for (index, id) in jobs.into_iter().enumerate() {
                 let answers: Vec<ReplicaAnswer<OverRecord>> =
-                    all.iter().map(|answers| answers[index]).collect();
+                    all_answers.iter().map(|answers| answers[index]).collect();
                 let outcome = read_outcome(&answers);
                 if let ReadOutcome::Ended(over) = outcome {
                     self.remember_end(&id, over);
@@ -112,7 +115,8 @@
         batch.completion.raise();
     }
 
-    /// One peer's answers, in the order of the jobs; none if it does not answer in time.
+    /// One peer's answers, in the order of the jobs; `None` if the peer does not reply in
+    /// time.
     async fn read_from_peer(
         &self,
         peer: &Peer,
@@ -134,8 +138,9 @@
         }
         let now = self.clock.now();
         let drift = self.tuning.drift;
-        // What it has seen was at this time or later, and it remembers from this time
-        // or before, whenever between question and answer it spoke.
+        // The peer answered at an unknown time between request and reply. `seen_at` is the
+        // earliest time at which the peer can have seen the job unfinished, and
+        // `complete_since` the latest time since which the peer can remember.
         let seen_at = |ago_ms: u64| asked_at - ago_ms as f64 / 1000.0 * (1.0 + drift);
         let complete_since = now - answer.remembers_ms as f64 / 1000.0 * (1.0 - drift);
         let to_answer = |entry: ReplicaReadEntry| ReplicaAnswer {
@@ -146,6 +151,7 @@
         Some(answer.jobs.into_iter().map(to_answer).collect())
     }
 
+    /// This node's answers, in the order of the jobs.
     fn own_answers(&self, jobs: &[String]) -> Vec<ReplicaAnswer<OverRecord>> {
         let cache = self.cache.borrow();
         let to_answer = |id: &String| ReplicaAnswer {
@@ -156,7 +162,7 @@
         jobs.iter().map(to_answer).collect()
     }
 
-    /// A peer asks what we know.
+    /// Handles a peer's read request.
     pub(crate) fn handle_replica_read(&self, body: &[u8]) -> Response {
         let Ok(request) = decode::<ReplicaReadRequest>(body) else {
             return Response::empty(400);
@@ -164,7 +170,7 @@
         let now = self.clock.now();
         let ago_ms = |at: Time| ((now - at).max(0.0) * 1000.0) as u64;
         let answers = self.own_answers(&request.ids);
-        let from = (answers.first()).map_or(now, |answer| answer.complete_since);
+        let complete_since = (answers.first()).map_or(now, |answer| answer.complete_since);
         let to_entry = |(id, answer): (&String, &ReplicaAnswer<OverRecord>)| ReplicaReadEntry {
             ended: answer.ended.map(|over| JobStatus {
                 id: id.clone(),
@@ -172,17 +178,18 @@
                 done: Some(over.done),
                 running: None,
             }),
-            // Rounded up: it was seen no later than that.
+            // Rounded up, so that the reported time is not later than the actual one.
             unfinished_ago_ms: answer.unfinished_at.map(|at| ago_ms(at) + 1),
         };
         let answer = ReplicaReadAnswer {
-            remembers_ms: ago_ms(from),
+            remembers_ms: ago_ms(complete_since),
             jobs: request.ids.iter().zip(&answers).map(to_entry).collect(),
         };
         Response::new(200, encode(&answer))
     }
 }
 
+/// The record of a finished job; `None` if the status is not final.
 fn over_record_from(status: &JobStatus) -> Option<OverRecord> {
     let outcome = match status.state {
         JobStage::Done => Outcome::Done,
@@ -195,7 +202,7 @@
     })
 }
 
-/// The stage that tells this end.
+/// The stage by which clients are told of this final result.
 pub(crate) fn terminal_stage(over: OverRecord) -> JobStage {
     match over.outcome {
         Outcome::Done => JobStage::Done,
--- a/crates/umbersail-control/src/degraded_mode.rs
+++ b/crates/umbersail-control/src/degraded_mode.rs
@@ -1,4 +1,5 @@
-//! Starting tasks while the state service is out, with the agreement of all peers.
+//! Degraded mode: starting tasks without a record while the state service is unavailable,
+//! with the agreement of all peers.
 
 use std::collections::BTreeSet;
 use std::rc::Rc;
@@ -16,15 +17,17 @@
 use crate::settings::Peer;
 use crate::state::{StateError, Urgency};
 
-/// How often a leader looks whether it should open or shut, and how long it
-/// waits after a peer has not agreed, seconds.
+/// Interval at which a leader checks whether to enter or leave degraded mode, in seconds.
 const CHECK_INTERVAL_S: Time = 0.1;
+/// Delay before the next request for agreement after a peer has not agreed, in seconds.
 const REFUSAL_BACKOFF_S: Time = 1.0;
-/// Jobs with starts that are not recorded for which nothing is held up long.
+/// Once the state service is available again, degraded mode ends when no more jobs than this
+/// have unrecorded starts: so few records do not hold up other starts for long.
 const MAX_UNRECORDED_JOBS_AT_EXIT: usize = 8;
 
 impl Node {
-    /// Opens and shuts as the state service goes and comes back.
+    /// Enters degraded mode when the state service becomes unavailable, and leaves it after
+    /// the state service is available again.
     pub(crate) async fn run_degraded_mode(self: Rc<Self>, token: u64) {
         let mut available_since: Option<Time> = None;
         loop {
@@ -35,8 +38,9 @@
                 available_since = None;
                 self.wants_degraded_mode(now, token)
             } else {
-                // Records of what was started and of what has ended meanwhile
-                // take a while: until most are written, starts go on without.
+                // Writing the records of the tasks that were started or ended meanwhile
+                // takes time. Until most are written, tasks are still started without a
+                // record.
                 let available_s = now - *available_since.get_or_insert(now);
                 mode == DegradedMode::Active
                     && self.is_within_start_deadline(now)
@@ -49,21 +53,22 @@
                 sleep(REFUSAL_BACKOFF_S).await;
             }
             if mode == DegradedMode::Active && !wanted {
-                info!("starts without a record are over");
+                info!("degraded mode: no further unrecorded starts");
                 self.degraded_mode.borrow_mut().stop_starts();
                 self.with_engine(token, |e| e.set_degraded(false));
                 self.wake.notify();
             }
             let all_recorded = || self.with_engine(token, |e| e.unrecorded_jobs()) == Some(0);
             if mode == DegradedMode::Draining && all_recorded() {
-                info!("all that was started is recorded");
+                info!("degraded mode ended: all starts are recorded");
                 self.degraded_mode.borrow_mut().on_all_recorded();
             }
         }
     }
 
-    /// Whether tasks should be started without a record just now: the state
-    /// service answers nothing, something waits, and our time is not over.
+    /// Whether tasks should be started without a record now: the state service is
+    /// unavailable, tasks are waiting (or degraded mode is active already), and the deadline
+    /// for such starts has not passed.
     fn wants_degraded_mode(&self, now: Time, token: u64) -> bool {
         self.state_is_unavailable(now)
             && self.is_within_start_deadline(now)
@@ -71,11 +76,14 @@
                 || self.with_engine(token, |e| e.has_waiting_for_degraded_mode()) == Some(true))
     }
 
+    /// Whether requests to the state service have been failing for `degraded_mode_after_s`.
     fn state_is_unavailable(&self, now: Time) -> bool {
         let after_s = self.tuning.degraded_mode_after_s;
         (self.state.failing_since()).is_some_and(|at| now - at >= after_s)
     }
 
+    /// Whether this node leads, may still renew workers' leases, and renewed its own leader
+    /// lease no longer than `degraded_mode_s` ago.
     fn is_within_start_deadline(&self, now: Time) -> bool {
         let tuning = &self.tuning;
         match &*self.role.borrow() {
@@ -89,8 +97,9 @@
         }
     }
 
-    /// Asks all peers; true if every one of them agrees. While they are asked we
-    /// say that we may be open, so that none who agreed takes it for over.
+    /// Requests the agreement of all peers; returns true if every peer agrees. Meanwhile this
+    /// leader reports that it may have made unrecorded starts. Otherwise a peer that has
+    /// agreed would conclude that degraded mode is over.
     async fn request_degraded_mode(&self, token: u64) -> bool {
         *self.degraded_mode.borrow_mut() = DegradedMode::Requesting(BTreeSet::new());
         let peers = &self.settings.peers;
@@ -102,11 +111,12 @@
         if !self.wants_degraded_mode(now, token)
             || !self.degraded_mode.borrow().allows_unrecorded_starts()
         {
-            // Whoever agreed hears with our next greeting that nothing came of it.
+            // Peers that agreed learn from the next hello reply that no unrecorded start was
+            // made.
             *self.degraded_mode.borrow_mut() = DegradedMode::Off;
             return false;
         }
-        info!("starts without a record, with all peers' agreement: the state service is out");
+        info!("degraded mode: the state service is unavailable and all peers agreed");
         self.with_engine(token, |e| e.set_degraded(true));
         self.wake.notify();
         true
@@ -127,7 +137,8 @@
             _ => None,
         };
         if let Some(answer) = answer.filter(|a| a.agreed) {
-            // Before anything is started on the strength of its agreement.
+            // Applied before the agreement counts: the peer may know of cancelled jobs, which
+            // must not be started.
             self.on_cancelled_jobs(&answer.cancelled);
             let peers = self.settings.peers.len();
             self.degraded_mode
@@ -136,14 +147,15 @@
         } else {
             debug!(
                 peer = peer.member,
-                "does not agree to starts without a record"
+                "peer did not agree to unrecorded starts"
             );
         }
     }
 
-    /// A peer's part: agreed only if it leads as far as we know, and the state
-    /// service answers us no more than it. While an election of ours is under way
-    /// nothing is agreed to: it was sent by what we knew of such starts before.
+    /// The peer's side of a request for agreement. Agrees only if the requester is the newest
+    /// known leader and the state service is unavailable to this node too. Does not agree
+    /// while this node's own election is in progress, because the election states what this
+    /// node knew about unrecorded starts before the request.
     pub(crate) async fn handle_degraded_mode_request(&self, body: &[u8]) -> Response {
         let Ok(request) = decode::<DegradedModeRequest>(body) else {
             return Response::empty(400);
--- a/crates/umbersail-control/src/delegate.rs
+++ b/crates/umbersail-control/src/delegate.rs
@@ -1,9 +1,10 @@
-//! The lease-renewal delegate: renews workers' leases, so that their tasks live on while
-//! the leader can't be reached: nothing is started this way.
+//! The lease-renewal delegate: a peer of the leader that renews workers' leases, so that
+//! their tasks continue while workers cannot reach the leader. A delegate starts no tasks.
 //!
-//! The leader delegates this to its peers for a bounded time, as long as it
-//! may answer itself, and takes no machine for lapsed before each of them has
-//! told that it did not answer it, or can't do so any more (rule 3).
+//! The leader delegates lease renewal to its peers for a limited time, which ends no later
+//! than the time until which the leader itself may renew leases. The leader treats no
+//! machine's lease as expired before each delegate has reported that it did not renew the
+//! lease, or cannot renew leases any more (rule 3).
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::rc::Rc;
@@ -13,40 +14,41 @@
 
 use crate::engine::{epoch, split_task};
 
-/// Upper bound on tracked renewals, in machines; reports of further machines are not
-/// answered. Twice a fleet of 4,000 machines, some 100 bytes each.
+/// Upper bound on machines whose renewals are tracked; the leases of further machines are
+/// not renewed. Twice a fleet of 4,000 machines, at about 100 bytes each.
 const MAX_RENEWALS: usize = 8192;
-/// Upper bound on jobs known to be over, in jobs. Above it the leader's newest list
-/// replaces the earlier ones, which only matter until the leader has told of the same
-/// jobs again.
+/// Upper bound on known finished jobs. Above this bound the leader's newest list replaces the
+/// earlier lists, which matter only until the leader has listed the same jobs again.
 const MAX_FINISHED_JOBS: usize = 16_384;
 
-/// When a machine was answered in the leader's stead.
+/// The renewals of one machine's lease by this delegate.
 #[derive(Debug, Clone, Copy)]
 struct Renewal {
-    /// For the first time since the leader last answered it through us.
+    /// The first renewal since the leader last replied to the machine through this node.
     first_since_leader: Option<Time>,
+    /// The last renewal.
     last_at: Time,
-    /// (session, count) of the newest report that we answered in its stead: a
-    /// copy of it, or of one before, says nothing and gets no answer.
+    /// (session, sequence number) of the newest heartbeat for which this delegate renewed the
+    /// lease. A duplicate of this heartbeat or an older one proves nothing and gets no reply.
     order: (u64, u64),
 }
 
-/// Renews workers' leases under the leader's token, within the time delegated to it.
+/// Renews workers' leases with the leader's token, for as long as the leader has delegated.
 #[derive(Debug)]
 pub(crate) struct Delegate {
     lease_s: f64,
-    /// No machine goes without word of the leader for longer: a cancellation
-    /// would not reach it.
+    /// Longest time for which a machine's lease is renewed without a reply of the leader:
+    /// beyond that time a cancellation would not reach the machine.
     renewal_s: f64,
-    /// The revision of the leader's grant, and until when on our clock.
+    /// The revision of the leader's grant, and the end of the delegation on this process's
+    /// clock.
     delegation: Option<(u64, Time)>,
-    /// Jobs that are over, as the leader told with its delegation: whoever is answered in
-    /// its stead is told to stop them, as the leader would tell it (rule 2).
+    /// Finished jobs, as listed by the leader with its delegation. Workers whose leases are
+    /// renewed are told to stop the tasks of these jobs, as the leader would do (rule 2).
     finished_jobs: BTreeSet<String>,
     renewals: BTreeMap<Rc<str>, Renewal>,
-    /// Every renewal with its time, the oldest first, so that expiry costs what has
-    /// expired and not the size of the fleet.
+    /// Times of all renewals, oldest first, so that the cost of expiry depends on the number
+    /// of expired entries and not on the size of the fleet.
     expiry: VecDeque<(Time, Rc<str>)>,
 }
 
@@ -62,32 +64,33 @@
         }
     }
 
-    /// The leader with this grant delegates to us until then, and knows these jobs to be
-    /// over of which tasks may still be about.
+    /// The leader with this grant delegates lease renewal to this node until `until`.
+    /// `finished_jobs` are finished jobs of which tasks may still be running.
     pub fn on_delegation(&mut self, revision: u64, until: Time, finished_jobs: &[String]) {
-        let newer = self
+        let is_newer = self
             .delegation
             .is_none_or(|(known, end)| revision > known || (revision == known && until > end));
-        // What is over stays so: an older word adds to a newer one.
-        if newer && self.finished_jobs.len() + finished_jobs.len() > MAX_FINISHED_JOBS {
+        // A finished job stays finished, so an older message adds to a newer one.
+        if is_newer && self.finished_jobs.len() + finished_jobs.len() > MAX_FINISHED_JOBS {
             self.finished_jobs.clear();
         }
         self.finished_jobs.extend(finished_jobs.iter().cloned());
-        if newer {
+        if is_newer {
             self.delegation = Some((revision, until));
         }
     }
 
-    /// A grant with this revision exists: an older leader's word is over.
+    /// A grant with this revision exists: the delegation of an older leader ends.
     pub fn on_newer_leader(&mut self, revision: u64) {
         if self.delegation.is_some_and(|(known, _)| known < revision) {
             self.delegation = None;
         }
     }
 
-    /// The token with which this report may be answered in the leader's stead.
-    /// Only workers that have shown the leader's token are answered: to it all
-    /// others still belong to an earlier holder.
+    /// Renews the lease of the machine that sent this heartbeat, and returns the token for
+    /// the reply; `None` if the lease may not be renewed. Renews only leases of machines that
+    /// have shown the leader's token, since to the leader all other machines still belong to
+    /// an earlier leader.
     pub fn renew(&mut self, now: Time, report: &Report) -> Option<u64> {
         let (revision, until) = self.delegation?;
         if now >= until || epoch(report.token) != revision {
@@ -108,7 +111,8 @@
         Some(report.token)
     }
 
-    /// The tracked name of a machine, entered if it is new; none beyond the bound.
+    /// Returns the tracked name of a machine, and begins to track a new machine. Returns
+    /// `None` if the bound on tracked machines is reached.
     fn track(&mut self, now: Time, machine: &str) -> Option<Rc<str>> {
         if let Some((name, _)) = self.renewals.get_key_value(machine) {
             return Some(name.clone());
@@ -127,10 +131,10 @@
         Some(name)
     }
 
-    /// What a worker answered in the leader's stead is told: to stop tasks of jobs that
-    /// are over, by the leader's word or by what `ended` knows. Stopping what is over
-    /// harms nothing; that it is told with every answer is what lets a cancellation
-    /// get through however long the leader itself reaches nobody (rule 2).
+    /// Commands for a worker whose lease this delegate renews: stop the tasks of finished
+    /// jobs, as listed by the leader or known by `ended`. Stopping tasks of finished jobs is
+    /// always safe. Because every reply repeats these commands, a cancellation reaches the
+    /// workers however long the leader itself can reach none (rule 2).
     pub fn stop_commands(&self, report: &Report, ended: impl Fn(&str) -> bool) -> Vec<Command> {
         let is_finished = |task: &str| {
             split_task(task).is_some_and(|(id, _)| self.finished_jobs.contains(id) || ended(id))
@@ -142,9 +146,9 @@
             .collect()
     }
 
-    /// The leader has answered this report through us. One from before what we
-    /// renewed the machine on, late or a copy, brings its worker no word: whoever
-    /// waited for that answer has given up.
+    /// The leader has replied to this heartbeat through this node. A heartbeat that is not
+    /// newer than the one on which this delegate last renewed the lease, because it is late
+    /// or a duplicate, does not count: the worker no longer waits for that reply.
     pub fn on_relayed_reply(&mut self, report: &Report) {
         if let Some(renewal) = self.renewals.get_mut(report.machine.as_str())
             && report.order() > renewal.order
@@ -153,8 +157,9 @@
         }
     }
 
-    /// Machines answered within the last two leases: who was answered longer
-    /// ago has lapsed, or was answered by somebody else since.
+    /// Machines whose leases this delegate renewed within the last two lease times. The lease
+    /// of a machine that was renewed earlier has expired, or another node has renewed it
+    /// since.
     pub fn recent_renewals(&mut self, now: Time) -> Vec<RenewedMachine> {
         self.expire(now);
         let renewals = self.renewals.iter();
@@ -166,7 +171,7 @@
             .collect()
     }
 
-    /// Drops machines whose last renewal is two leases ago.
+    /// Removes machines whose last renewal is two lease times ago.
     fn expire(&mut self, now: Time) {
         let max_age_s = 2.0 * self.lease_s;
         while let Some((at, name)) = self.expiry.front()
--- a/crates/umbersail-control/src/delegate/tests.rs
+++ b/crates/umbersail-control/src/delegate/tests.rs
@@ -1,15 +1,15 @@
-//! The delegate by itself. Each test names the failure that it guards against.
+//! Unit tests of the delegate. Each test names the failure that it guards against.
 
 use umbersail_wire::TaskReport;
 
 use super::*;
 use crate::engine::token_of;
 
-fn report(machine: &str, token: u64) -> Report {
-    nth(1, machine, token)
+fn first_heartbeat(machine: &str, token: u64) -> Report {
+    heartbeat(1, machine, token)
 }
 
-fn nth(seq: u64, machine: &str, token: u64) -> Report {
+fn heartbeat(seq: u64, machine: &str, token: u64) -> Report {
     Report {
         machine: machine.into(),
         addr: String::new(),
@@ -25,42 +25,60 @@
 }
 
 #[test]
-fn a_delegate_answers_under_its_leaders_token_only_and_for_its_time_only() {
-    // Guards against tasks kept alive that a successor, or the leader
-    // itself, takes for lapsed.
+fn a_delegate_renews_only_with_its_leaders_token_and_only_while_delegated() {
+    // Guards against renewing the lease of a machine that the leader or its successor
+    // considers expired: the machine's tasks would run on.
     let mut delegate = Delegate::new(10.0, 100.0);
     let token = token_of(7) + 3;
-    assert_eq!(delegate.renew(0.0, &report("m1", token)), None);
+    assert_eq!(delegate.renew(0.0, &first_heartbeat("m1", token)), None);
     delegate.on_delegation(7, 16.0, &[]);
-    assert_eq!(delegate.renew(1.0, &report("m1", token)), Some(token));
-    assert_eq!(delegate.renew(1.0, &report("m2", token_of(6))), None);
-    assert_eq!(delegate.renew(1.0, &report("m2", token_of(8))), None);
-    assert_eq!(delegate.renew(16.0, &report("m1", token)), None);
-    // An answer that was under way does not shorten a later word.
+    assert_eq!(
+        delegate.renew(1.0, &first_heartbeat("m1", token)),
+        Some(token)
+    );
+    assert_eq!(
+        delegate.renew(1.0, &first_heartbeat("m2", token_of(6))),
+        None
+    );
+    assert_eq!(
+        delegate.renew(1.0, &first_heartbeat("m2", token_of(8))),
+        None
+    );
+    assert_eq!(delegate.renew(16.0, &first_heartbeat("m1", token)), None);
+    // A delayed reply does not shorten a later delegation.
     delegate.on_delegation(7, 20.0, &[]);
     delegate.on_delegation(7, 18.0, &[]);
-    assert!(delegate.renew(19.0, &nth(2, "m1", token)).is_some());
+    assert!(delegate.renew(19.0, &heartbeat(2, "m1", token)).is_some());
     delegate.on_newer_leader(8);
-    assert_eq!(delegate.renew(19.5, &report("m1", token)), None);
+    assert_eq!(delegate.renew(19.5, &first_heartbeat("m1", token)), None);
     delegate.on_delegation(7, 30.0, &[]);
     delegate.on_newer_leader(7);
-    assert!(delegate.renew(20.0, &report("m3", token)).is_some());
+    assert!(
+        delegate
+            .renew(20.0, &first_heartbeat("m3", token))
+            .is_some()
+    );
 }
 
 #[test]
-fn no_machine_is_renewed_without_word_of_the_leader_for_longer_than_the_renewal_time() {
-    // Guards against a leader that still greets and answers no report in
-    // time: the tasks of a cancelled job would live on for ever.
+fn no_lease_is_renewed_without_a_reply_of_the_leader_for_longer_than_the_renewal_time() {
+    // Guards against tasks of a cancelled job that run forever: the leader still exchanges
+    // hello messages, but replies to no heartbeat in time.
     let mut delegate = Delegate::new(10.0, 16.0);
-    let m1 = |seq| nth(seq, "m1", token_of(7));
+    let m1 = |seq| heartbeat(seq, "m1", token_of(7));
     for second in 0..16u32 {
         let now = f64::from(second);
         delegate.on_delegation(7, now + 16.0, &[]);
         assert!(delegate.renew(now, &m1(u64::from(second) + 1)).is_some());
     }
     assert!(delegate.renew(16.0, &m1(17)).is_none());
-    assert!(delegate.renew(16.5, &report("m2", token_of(7))).is_some());
-    // The leader answered a copy: its worker has heard nothing of that.
+    assert!(
+        delegate
+            .renew(16.5, &first_heartbeat("m2", token_of(7)))
+            .is_some()
+    );
+    // The leader replied to a duplicate of an older heartbeat; the worker did not receive
+    // that reply.
     delegate.on_relayed_reply(&m1(8));
     assert!(delegate.renew(16.6, &m1(18)).is_none());
     delegate.on_relayed_reply(&m1(19));
@@ -68,11 +86,14 @@
 }
 
 #[test]
-fn a_copy_of_a_renewed_report_is_not_renewed_again() {
-    // Guards against copies that hold off the lapse of a machine that is dead.
+fn a_duplicated_heartbeat_does_not_renew_the_lease_again() {
+    // Guards against duplicates that delay the lease expiry of a dead machine.
     let mut delegate = Delegate::new(10.0, 100.0);
     delegate.on_delegation(7, 100.0, &[]);
-    let (first, second) = (nth(1, "m1", token_of(7)), nth(2, "m1", token_of(7)));
+    let (first, second) = (
+        heartbeat(1, "m1", token_of(7)),
+        heartbeat(2, "m1", token_of(7)),
+    );
     assert!(delegate.renew(1.0, &first).is_some());
     assert!(delegate.renew(2.0, &second).is_some());
     assert!(delegate.renew(8.0, &first).is_none());
@@ -81,12 +102,16 @@
 }
 
 #[test]
-fn what_was_answered_is_told_for_two_leases() {
-    // Guards against a leader that hears of nothing and takes a machine
-    // for lapsed which was answered a moment ago.
+fn renewals_are_reported_for_two_lease_times() {
+    // Guards against a leader that is not told of a recent renewal and treats the machine's
+    // lease as expired.
     let mut delegate = Delegate::new(10.0, 100.0);
     delegate.on_delegation(7, 100.0, &[]);
-    assert!(delegate.renew(1.0, &report("m1", token_of(7))).is_some());
+    assert!(
+        delegate
+            .renew(1.0, &first_heartbeat("m1", token_of(7)))
+            .is_some()
+    );
     let renewed = delegate.recent_renewals(5.0);
     assert_eq!(renewed.len(), 1);
     assert_eq!(
@@ -98,12 +123,13 @@
 }
 
 #[test]
-fn a_renewal_by_a_delegate_carries_the_stops_of_what_is_over() {
-    // Guards against a cancellation that never reaches a worker which peers keep one
-    // after the other: each within its time, and together beyond what it may take.
+fn a_renewal_by_a_delegate_carries_stop_commands_for_finished_jobs() {
+    // Guards against a cancellation that never reaches a worker: several peers renew the
+    // worker's lease one after the other, each within its own time limit, but together for
+    // longer than a cancellation may take.
     let mut delegate = Delegate::new(10.0, 100.0);
     delegate.on_delegation(7, 50.0, &["req-1".into()]);
-    let mut shown = report("m1", token_of(7));
+    let mut with_tasks = first_heartbeat("m1", token_of(7));
     let task = |task: &str, state| TaskReport {
         task: task.into(),
         attempt: 3,
@@ -111,14 +137,14 @@
         cause: None,
         saved: None,
     };
-    shown.tasks = vec![
+    with_tasks.tasks = vec![
         task("req-1/0", TaskState::Running),
         task("req-1/1", TaskState::Exited),
         task("req-2/0", TaskState::Saving),
         task("req-3/0", TaskState::Running),
     ];
     let stopped = |delegate: &Delegate| -> Vec<String> {
-        let commands = delegate.stop_commands(&shown, |id| id == "req-2");
+        let commands = delegate.stop_commands(&with_tasks, |id| id == "req-2");
         let stops = commands.into_iter().map(|c| match c {
             Command::Stop {
                 task, grace_s: 0.0, ..
@@ -128,7 +154,7 @@
         stops.collect()
     };
     assert_eq!(stopped(&delegate), ["req-1/0", "req-2/0"]);
-    // An answer that was under way knows less: nothing is forgotten for it.
+    // A delayed reply with a shorter list removes no finished job.
     delegate.on_delegation(7, 40.0, &[]);
     assert_eq!(stopped(&delegate), ["req-1/0", "req-2/0"]);
     delegate.on_delegation(7, 60.0, &["req-3".into()]);
@@ -136,21 +162,21 @@
 }
 
 #[test]
-fn every_machine_of_a_fleet_of_4000_is_renewed_and_told_of() {
-    // Guards against a bound below the fleet: machines beyond it lost their tasks
-    // whenever the leader could not be reached.
+fn every_lease_of_a_fleet_of_4000_machines_is_renewed_and_reported() {
+    // Guards against a bound below the size of the fleet: machines beyond the bound lost
+    // their tasks whenever the leader could not be reached.
     let machines = 4000;
     let mut delegate = Delegate::new(10.0, 100.0);
     delegate.on_delegation(7, 100.0, &[]);
     for round in 1..=20u64 {
         for machine in 0..machines {
             let name = format!("host-{machine:06}");
-            let renewed = delegate.renew(round as f64, &nth(round, &name, token_of(7)));
+            let renewed = delegate.renew(round as f64, &heartbeat(round, &name, token_of(7)));
             assert!(renewed.is_some(), "{name} in round {round}");
         }
     }
     assert_eq!(delegate.recent_renewals(21.0).len(), machines);
-    // All but what was renewed last has expired, and nothing is left behind.
+    // The renewals expire two lease times after the last one, and no entry remains.
     assert_eq!(delegate.recent_renewals(39.9).len(), machines);
     assert!(delegate.recent_renewals(40.0).is_empty());
     assert!(delegate.renewals.is_empty() && delegate.expiry.is_empty());
--- a/crates/umbersail-control/src/peers.rs
+++ b/crates/umbersail-control/src/peers.rs
@@ -1,4 +1,5 @@
-//! What controllers tell each other.
+//! Messages between controllers: periodic hello messages, relayed heartbeats, and relayed
+//! requests of users.
 
 use std::rc::Rc;
 
@@ -13,11 +14,12 @@
 use crate::settings::Peer;
 use crate::standby::evidence_from_error;
 
-/// Upper bound on jobs told of in a greeting as lately cancelled: some 12 KiB, a burst of
-/// cancellations on a fleet of 4,000 machines. The newest go first.
+/// Upper bound on recently cancelled jobs in a hello message: about 12 KiB, enough for a burst
+/// of cancellations on a fleet of 4,000 machines. The newest come first.
 const MAX_CANCELLED_IN_HELLO: usize = 1024;
 
 impl Node {
+    /// Builds the hello message with this node's current state.
     pub(crate) fn build_hello(&self) -> Hello {
         let now = self.clock.now();
         let (leading, superseded) = match &*self.role.borrow() {
@@ -53,9 +55,10 @@
         }
     }
 
-    /// Jobs that we lately read or recorded to be cancelled. The leader may not be able
-    /// to read of them, and hears it from us: a help only, since its time to answer
-    /// workers ends early enough without (rule 2).
+    /// Jobs that this node recently read or recorded as cancelled. An isolated leader cannot
+    /// read them from the state service and learns of them from its peers. This only speeds
+    /// up the cancellation: such a leader must in any case stop renewing workers' leases in
+    /// time for it (rule 2).
     pub(crate) fn recently_cancelled(&self) -> Vec<String> {
         let since = self.clock.now() - self.settings.facts.workers.cancel_s;
         let cache = self.cache.borrow();
@@ -63,8 +66,8 @@
         newest.cloned().collect()
     }
 
-    /// A peer has read or recorded that these jobs are cancelled, which is final: as
-    /// the leader we start nothing more of them and stop what runs (rule 6).
+    /// A peer has read or recorded that these jobs are cancelled, which is final. If this
+    /// node leads, it starts no more tasks of these jobs and stops the running ones (rule 6).
     pub(crate) fn on_cancelled_jobs(&self, ids: &[String]) {
         if let Role::Leading(leading) = &mut *self.role.borrow_mut() {
             ids.iter().for_each(|id| leading.engine.job_dropped(id));
@@ -74,9 +77,10 @@
         }
     }
 
-    /// What we say when a peer has greeted us: whom we answered in the leader's
-    /// stead, and as the leader, for how long the peer may do so. Both are
-    /// told in answers only, since only who asked knows when that was.
+    /// Builds the reply to a peer's hello. It also lists the machines whose leases this node
+    /// renewed as a delegate and, if this node leads, the time for which the peer may renew
+    /// leases. Both times are relative to the request, and only the sender of the request
+    /// knows when it was sent, so they are part of replies only.
     fn build_hello_reply(&self, member: &str) -> Hello {
         let mut hello = self.build_hello();
         let now = self.clock.now();
@@ -97,7 +101,7 @@
         hello
     }
 
-    /// A peer's answer to a greeting sent at `asked_at`.
+    /// Handles a peer's reply to a hello that was sent at `asked_at`.
     fn on_hello_reply(&self, asked_at: Time, hello: &Hello) {
         self.on_hello(hello);
         let now = self.clock.now();
@@ -114,7 +118,8 @@
             let mut memory = self.degraded_mode_record.borrow_mut();
             memory.on_leader_report(asked_at, hello.token, hello.open);
         } else if let Some(token) = hello.recorded {
-            // As good as the leader's own word if that was our former process (rule 3).
+            // Counts like a report of the leader itself if the leader was the former process
+            // of this controller (rule 3).
             let former_self = (self.leader.borrow().as_ref())
                 .is_some_and(|(name, t)| *name == self.settings.member && *t == token)
                 && matches!(&*self.role.borrow(), Role::Following);
@@ -138,8 +143,8 @@
         }
     }
 
-    /// What we say of our own accord: a leader adds how far the jobs are, so
-    /// that the others need not read it for each poll.
+    /// Builds the periodic hello. A leader adds the progress of the jobs, so that its peers
+    /// do not have to read the progress for each poll.
     fn build_hello_with_progress(&self) -> Hello {
         let mut hello = self.build_hello();
         if let Role::Leading(leading) = &*self.role.borrow() {
@@ -149,6 +154,7 @@
         hello
     }
 
+    /// Handles a hello message of a peer, whether request or reply.
     pub(crate) fn on_hello(&self, hello: &Hello) {
         if !self.settings.peers.iter().any(|p| p.member == hello.member) {
             return;
@@ -182,7 +188,7 @@
         }
     }
 
-    /// A request on the back address.
+    /// Handles a request on the back address.
     pub(crate) async fn handle_peer_request(self: Rc<Self>, request: Request) -> Response {
         match (request.method.as_str(), request.path()) {
             ("POST", paths::PEER_HELLO) => {}
@@ -223,19 +229,19 @@
                 Response::new(200, encode(&self.build_hello_reply(&hello.member)))
             }
             Err(e) => {
-                warn!(reason = %e, "malformed hello of a peer");
+                warn!(reason = %e, "malformed hello from a peer");
                 Response::empty(400)
             }
         }
     }
 
-    /// Hands a worker's report on to the leader. The worker takes an answer with
-    /// the leader's token from any node, and drops it if it comes too late, like
-    /// any other. If the leader can't be reached, the worker's tasks are kept
-    /// alive in its stead, as far as it has delegated that to us.
+    /// Relays a worker's heartbeat to the leader. The worker accepts a reply with the leader's
+    /// token from any node, and drops a late reply like any other. If the leader cannot be
+    /// reached, this node renews the worker's lease as a delegate, as far as the leader has
+    /// delegated that.
     ///
-    /// `direct` is whether the worker may try the leader itself: where peers'
-    /// connections are refused, that may do.
+    /// `direct` returns whether the worker may contact the leader itself, which may work where
+    /// connections between controllers are refused.
     pub(crate) async fn relay_heartbeat(
         &self,
         leader: &str,
@@ -256,7 +262,8 @@
                         return None;
                     }
                 }
-                // All that may wait for it do so already.
+                // Too many requests to this peer are waiting for a reply already, which is no
+                // evidence that the leader has failed.
                 Err(ClientError::NotSent(_)) => {}
                 Err(_) => self.mark_silent(leader),
             }
@@ -270,22 +277,22 @@
         Some(Response::new(200, encode(&reply)))
     }
 
-    /// A peer did not answer in time.
+    /// Marks a peer as unresponsive, since it did not reply in time.
     fn mark_silent(&self, member: &str) {
         let mut peers = self.peers.borrow_mut();
         let peer = peers.entry(member.to_owned()).or_default();
         if !peer.silent && self.leader_name().as_deref() == Some(member) {
             info!(
                 leader = member,
-                "does not answer: a delegate renews its workers' leases"
+                "the leader does not reply: this node renews workers' leases as a delegate"
             );
         }
         peer.silent = true;
     }
 
-    /// Whether this node stands between the leader and a worker: it is in the
-    /// worker's zone and the leader is not, so that a cut between the zones does
-    /// not take the worker's tasks.
+    /// Whether this node relays heartbeats of workers in `zone`: it is in their zone and the
+    /// leader is not. A network partition between the zones then does not cost the workers
+    /// their tasks, since this node can renew their leases.
     pub(crate) fn is_zone_proxy(&self, leader: &str, zone: &str) -> bool {
         self.tuning.zone_proxy > 0.0
             && self.settings.zone == zone
@@ -296,7 +303,7 @@
                 .any(|p| p.member == leader && p.zone != zone)
     }
 
-    /// The leader's choice of a delegate in the worker's zone.
+    /// The delegate in the worker's zone to which the leader directs this worker.
     pub(crate) fn zone_delegate(&self, report: &Report) -> Option<String> {
         if self.tuning.zone_proxy == 0.0 || report.zone == self.settings.zone {
             return None;
@@ -307,12 +314,13 @@
         let Role::Leading(leading) = &*role else {
             return None;
         };
-        // One that has not shown our token yet is answered first.
+        // A worker that has not shown this leader's token yet must receive a reply of the
+        // leader first.
         if epoch(report.token) != leading.engine.revision() {
             return None;
         }
         let peers = self.peers.borrow();
-        let able: Vec<&Peer> = self
+        let candidates: Vec<&Peer> = self
             .settings
             .peers
             .iter()
@@ -324,13 +332,13 @@
                 })
             })
             .collect();
-        let spread: usize = report.machine.bytes().map(usize::from).sum();
-        let index = spread.checked_rem(able.len())?;
-        Some(able[index].member.clone())
+        let hash: usize = report.machine.bytes().map(usize::from).sum();
+        let index = hash.checked_rem(candidates.len())?;
+        Some(candidates[index].member.clone())
     }
 
-    /// Hands a submission on to a peer. Without an answer it may have been
-    /// accepted; the user asks again.
+    /// Relays a submission to a peer. If there is no reply, the submission may have been
+    /// accepted nevertheless; the user retries.
     pub(crate) async fn relay_submission(&self, peer: &str, body: &[u8]) -> Option<Response> {
         match self
             .send_to_peer(peer, paths::PEER_SUBMIT, body)
@@ -342,8 +350,8 @@
         }
     }
 
-    /// Hands a user's question on a job, or a cancellation, on to a peer, if the state
-    /// service refuses us alone: the peer reads for it anew (rule 6).
+    /// Relays a user's poll or cancellation of a job to a peer, if the state service refuses
+    /// only this node. The peer reads the job's current state (rule 6).
     pub(crate) async fn relay_job_request(&self, path: &str, id: &str) -> Option<Response> {
         if !self.is_isolated_from_state() {
             return None;
@@ -358,13 +366,14 @@
         }
     }
 
-    /// A peer that the state service lately answered: for what gives way any but the
-    /// leader, else the leader if it is one.
+    /// A peer that can reach the state service. With `avoid_leader`, which is used for
+    /// best-effort submissions, polls and cancellations, a random peer other than the leader;
+    /// otherwise the leader if it can reach the state service, else any peer that can.
     pub(crate) fn peer_with_state_access(&self, avoid_leader: bool) -> Option<String> {
         let now = self.clock.now();
         let fresh_s = 3.0 * self.tuning.peer_interval_s;
         let peers = self.peers.borrow();
-        let able = |name: &String| {
+        let has_state_access = |name: &String| {
             peers.get(name).is_some_and(|p| {
                 p.state_reachable && !p.silent && p.heard_at.is_some_and(|at| now - at < fresh_s)
             })
@@ -372,15 +381,16 @@
         let leader = self.leader_name();
         if avoid_leader {
             let others = peers.keys().filter(|n| Some(*n) != leader.as_ref());
-            let others: Vec<&String> = others.filter(|n| able(n)).collect();
-            let any = random(|rng| rng.random_range(0..others.len().max(1)));
-            return others.get(any).map(|name| (*name).clone());
+            let others: Vec<&String> = others.filter(|n| has_state_access(n)).collect();
+            let index = random(|rng| rng.random_range(0..others.len().max(1)));
+            return others.get(index).map(|name| (*name).clone());
         }
         leader
-            .filter(|name| able(name))
-            .or_else(|| peers.keys().find(|name| able(name)).cloned())
+            .filter(|name| has_state_access(name))
+            .or_else(|| peers.keys().find(|name| has_state_access(name)).cloned())
     }
 
+    /// Sends a relayed request to a peer.
     async fn send_to_peer(
         &self,
         member: &str,
@@ -388,7 +398,9 @@
         body: &[u8],
     ) -> Result<(u16, Vec<u8>), ClientError> {
         let Some(peer) = self.settings.peers.iter().find(|p| p.member == member) else {
-            return Err(ClientError::NotSent("unknown peer".into()));
+            return Err(ClientError::NotSent(
+                "no peer of this name is configured".into(),
+            ));
         };
         let wait_s = self.tuning.relay_timeout_s;
         self.peer_http
@@ -396,7 +408,7 @@
             .await
     }
 
-    /// Says hello to one peer for ever.
+    /// Sends hello messages to one peer for the lifetime of the process.
     pub(crate) async fn exchange_hellos(self: Rc<Self>, peer: Peer) {
         let mut reachable = true;
         loop {
@@ -419,7 +431,7 @@
                         true
                     }
                     Err(e) => {
-                        warn!(peer = peer.member, reason = %e, "malformed answer of a peer");
+                        warn!(peer = peer.member, reason = %e, "malformed reply from a peer");
                         false
                     }
                 },
@@ -435,7 +447,11 @@
                 _ => false,
             };
             if answered != reachable {
-                info!(peer = peer.member, reachable = answered, "peer");
+                info!(
+                    peer = peer.member,
+                    reachable = answered,
+                    "reachability of a peer changed"
+                );
                 reachable = answered;
             }
             let leads = self.leader_name().as_deref() == Some(&*peer.member);
@@ -448,6 +464,7 @@
         }
     }
 
+    /// Reports evidence against the leader if the peer that caused this error leads.
     fn suspect_if_leader(&self, member: &str, error: &ClientError) {
         let token = match &*self.leader.borrow() {
             Some((leader, token)) if leader == member => *token,
--- a/crates/umbersail-control/src/standby.rs
+++ b/crates/umbersail-control/src/standby.rs
@@ -1,5 +1,5 @@
-//! Standing by: what speaks against the leader, the question that is put to it
-//! before its key is replaced, and its own wish that another shall lead.
+//! Failover: how a follower collects evidence that the leader has failed and probes the
+//! leader before replacing its key, and how a leader resigns in favour of another node.
 
 use std::rc::Rc;
 
@@ -20,29 +20,30 @@
 use crate::settings::Peer;
 use crate::state::{StateError, Urgency};
 
-/// How often a node looks how late its timers fire, seconds.
+/// Interval at which a node measures how late its timers fire, in seconds.
 const LAG_SAMPLE_S: Time = 0.25;
-/// Between two tries at a leader that does not answer, and at the most while
-/// nothing speaks against it, seconds.
+/// Delay before the next request to a leader that did not reply, in seconds.
 const RETRY_S: Time = 0.2;
+/// Longest delay between two checks while there is no evidence against the leader, in
+/// seconds.
 const IDLE_CHECK_S: Time = 5.0;
 
 impl Node {
-    /// Whether this node leads and means to go on.
+    /// Whether this node leads, is not superseded and has not resigned.
     fn is_leading(&self) -> bool {
         matches!(&*self.role.borrow(), Role::Leading(l) if !l.superseded.get())
             && !self.resigning.get()
     }
 
-    /// Another node that leads as far as we know, and the version of its key.
+    /// The newest known leader and the version of its key, unless this node is that leader.
     fn remote_leader(&self) -> Option<(Peer, u64)> {
         let (member, token) = self.leader.borrow().clone()?;
         let peer = self.settings.peers.iter().find(|p| p.member == member)?;
         Some((peer.clone(), token))
     }
 
-    /// Keeps a question open at the leader: it ends when the leader's process
-    /// does, and is answered when the leader wants another to lead.
+    /// Keeps a long-polling request open at the leader. The connection closes when the
+    /// leader's process ends, and the leader replies early when it resigns.
     pub(crate) async fn watch_leader(self: Rc<Self>) {
         loop {
             let Some((peer, token)) = self.remote_leader() else {
@@ -65,7 +66,8 @@
                         continue;
                     }
                 }
-                // An older build: what its greetings tell must do.
+                // The leader runs an older build without this request. Its replies to hello
+                // messages are the only information.
                 Ok(_) => sleep(IDLE_CHECK_S).await,
                 Err(e) => self.suspect(token, evidence_from_error(&e)),
             }
@@ -73,7 +75,8 @@
         }
     }
 
-    /// The answer to such a question; true if its sender leads under this token.
+    /// Handles the reply to a leader watch. Returns true if the replying process leads with
+    /// this token.
     fn on_leader_watch_reply(&self, token: u64, hello: &Hello) -> bool {
         self.on_hello(hello);
         if hello.leads && hello.token == token {
@@ -90,7 +93,8 @@
         false
     }
 
-    /// The leader's part of that question.
+    /// The leader's side of a leader watch: replies when the leader resigns or stops leading,
+    /// or after `leader_watch_s`.
     pub(crate) async fn handle_leader_watch(&self, body: &[u8]) -> Response {
         let Ok(hello) = decode::<Hello>(body) else {
             return Response::empty(400);
@@ -102,13 +106,13 @@
             if !self.is_leading() || now >= deadline {
                 break;
             }
-            // Out of time, or something has changed: looked at again either way.
+            // Whether the timeout passed or the role changed, the loop checks both again.
             let _ = timeout(deadline - now, self.changed.raised()).await;
         }
         Response::new(200, encode(&self.build_hello()))
     }
 
-    /// Something speaks against the leader whose key has this version.
+    /// Reports evidence against the leader whose key has this version.
     pub(crate) fn suspect(&self, token: u64, evidence: Evidence) {
         let now = self.clock.now();
         if self
@@ -116,22 +120,28 @@
             .borrow_mut()
             .suspect(now, token, evidence)
         {
-            info!(token, ?evidence, "speaks against the leader");
+            info!(token, ?evidence, "new evidence that the leader has failed");
             self.suspected.notify();
         }
     }
 
-    /// 0 for the one whom the leader named; the others in the order of names.
+    /// Order in which followers try to succeed the leader: 0 for the successor that the
+    /// leader designated, and 1, 2, ... for the others in the order of their names.
     pub(crate) fn campaign_rank(&self) -> usize {
         let designated_successor = self.designated_successor.borrow();
         if designated_successor.as_deref() == Some(&*self.settings.member) {
             return 0;
         }
-        let sorts_before_us = |p: &&Peer| p.member < self.settings.member;
-        1 + self.settings.peers.iter().filter(sorts_before_us).count()
+        let sorts_before_this_node = |p: &&Peer| p.member < self.settings.member;
+        1 + self
+            .settings
+            .peers
+            .iter()
+            .filter(sorts_before_this_node)
+            .count()
     }
 
-    /// Weighs what speaks against the leader, for ever.
+    /// Runs the failure detector for the lifetime of the process.
     pub(crate) async fn run_failure_detector(self: Rc<Self>) {
         loop {
             let now = self.clock.now();
@@ -149,7 +159,7 @@
                 DetectorStep::ReplaceLeader(token) => {
                     self.confirm_leader_failure(
                         token,
-                        "its own word, or another process in its place",
+                        "the leader resigned, or another process replied at its address",
                     );
                     RETRY_S
                 }
@@ -158,8 +168,8 @@
         }
     }
 
-    /// Asks the leader through the state service whether it lives. A leader that
-    /// may start anything reaches that, and so do we, or nothing is concluded.
+    /// Probes the leader through the state service. A leader that may start tasks can reach
+    /// the state service. If this node cannot reach it, the probe is inconclusive.
     async fn probe_leader(&self) {
         let Some((_, token)) = self.remote_leader() else {
             return;
@@ -167,7 +177,7 @@
         let txn = suspicion(&self.settings.member, token);
         let probe_started_at = self.clock.now();
         let TxnOutcome::Applied { revision } = self.state.txn(&txn, Urgency::Vital).await else {
-            // Another leads already, or nobody can say anything just now.
+            // Another node leads already, or the state service is unavailable.
             sleep(RETRY_S).await;
             return;
         };
@@ -183,9 +193,13 @@
         let now = self.clock.now();
         match answer {
             Ok(result) if !result.events.is_empty() => {
-                info!(token, "the leader answers by the state service");
-                // Its word is as good as in a greeting, if it answers our question:
-                // one written for an earlier question may come late (rule 3).
+                info!(
+                    token,
+                    "the leader replied to a probe through the state service"
+                );
+                // The record's `open` counts like that of a hello message, provided that the
+                // record replies to this probe: a reply to an earlier probe may be applied
+                // late (rule 3).
                 let replies = result.events.iter().filter_map(|e| e.value.as_ref());
                 let is_reply_to_probe =
                     |a: &&LivenessRecord| a.token == token && a.answers >= revision;
@@ -205,18 +219,19 @@
             {
                 self.confirm_leader_failure(
                     token,
-                    "no answer, neither here nor by the state service",
+                    "the leader replied neither directly nor through the state service",
                 );
             }
             _ => debug!(
                 token,
-                "the state service is slow: no conclusion on the leader"
+                "probe of the leader is inconclusive: the state service failed or is slow"
             ),
         }
     }
 
+    /// Requests a campaign to replace this leader, if the leader is still suspected.
     fn confirm_leader_failure(&self, token: u64, reason: &str) {
-        // It may have said something in the meantime, or another may lead.
+        // The leader may have replied in the meantime, or another node may lead.
         let no_longer_suspected = matches!(
             self.failure_detector
                 .borrow()
@@ -224,13 +239,13 @@
             DetectorStep::Idle | DetectorStep::WaitUntil(_)
         );
         if !no_longer_suspected && self.remote_leader().is_some_and(|(_, t)| t == token) {
-            info!(token, reason, "the leader is to be replaced");
+            info!(token, reason, "replacing the leader");
             self.confirmed_failure.set(Some(token));
             self.campaign_requested.notify();
         }
     }
 
-    /// The leader answers whoever asks by the state service whether it lives.
+    /// The leader's side of a probe: replies through the state service that it is alive.
     pub(crate) async fn answer_liveness_probes(self: Rc<Self>, token: u64) {
         let mut from = token;
         loop {
@@ -271,7 +286,7 @@
         }
     }
 
-    /// The leader's key is not ours any more.
+    /// The leader's key no longer belongs to this node: ends the term.
     pub(crate) fn mark_superseded(&self) {
         if let Role::Leading(leading) = &*self.role.borrow() {
             leading.superseded.set(true);
@@ -280,8 +295,8 @@
         self.step_down.notify();
     }
 
-    /// Looks how late timers fire, for ever: a node short of processor time shows
-    /// it there first.
+    /// Measures how late timers fire, for the lifetime of the process. Late timers are the
+    /// first sign that a node lacks processor time.
     pub(crate) async fn measure_timer_lag(self: Rc<Self>) {
         loop {
             let started_at = self.clock.now();
@@ -293,7 +308,7 @@
         }
     }
 
-    /// The one that is to lead after us.
+    /// The node that should lead after this one.
     pub(crate) fn choose_successor(&self) -> Option<Candidate> {
         let now = self.clock.now();
         let peers = self.peers.borrow();
@@ -315,7 +330,7 @@
         next_leader(&candidates).cloned()
     }
 
-    /// Whether we compute so late that another does better to lead.
+    /// Whether this leader's timers fire so late that it should hand over to another node.
     pub(crate) fn is_overloaded(&self, elected: Time) -> bool {
         let limits = HandoverLimits {
             max_lag_s: self.tuning.hand_over_lag_s,
@@ -326,8 +341,9 @@
         should_hand_over(now, elected, self.lag.get().mean_s(), next.as_ref(), limits)
     }
 
-    /// Whether the state service refuses us while it answers a peer: that peer had
-    /// an answer clearly after our last one.
+    /// Whether the state service refuses this node while it replies to a peer: this node has
+    /// received no reply for longer than `refused_s`, and a peer has received a reply more
+    /// than `refused_s` after this node's last one.
     pub(crate) fn is_isolated_from_state(&self) -> bool {
         let now = self.clock.now();
         let margin_s = self.tuning.refused_s;
@@ -339,18 +355,18 @@
                 .any(|p| p.state_answer_at.is_some_and(|at| at > last + margin_s))
     }
 
-    /// Says, while we lead, whether we want another to lead.
+    /// Sets whether this leader asks for another node to lead.
     pub(crate) fn set_resigning(&self, resigns: bool) {
         if self.resigning.replace(resigns) != resigns {
             if resigns {
-                info!("the state service answers others and not us: another is to lead");
+                info!("resigning: the state service replies to peers but not to this node");
             }
             self.changed.raise();
         }
     }
 }
 
-/// What a request without an answer says.
+/// The evidence that a failed request to the leader is.
 pub(crate) fn evidence_from_error(error: &ClientError) -> Evidence {
     match error {
         ClientError::Closed(_) => Evidence::ConnectionClosed,
