--- a/crates/umbersail-standby/src/all_replica_read.rs
+++ b/crates/umbersail-standby/src/all_replica_read.rs
@@ -66,15 +66,21 @@
             unfinished_at,
             complete_since,
         };
-        let ours = replica_answer(None, Some(50.0), 0.0);
-        assert_eq!(read_outcome::<u8>(&[ours]), ReadOutcome::Unfinished);
+        let own_answer = replica_answer(None, Some(50.0), 0.0);
+        assert_eq!(read_outcome::<u8>(&[own_answer]), ReadOutcome::Unfinished);
         let restarted = replica_answer(None, None, 60.0);
-        assert_eq!(read_outcome(&[ours, restarted]), ReadOutcome::Unknown);
+        assert_eq!(read_outcome(&[own_answer, restarted]), ReadOutcome::Unknown);
         // The restarted controller has read the job itself since its restart.
         let restarted = replica_answer(None, Some(61.0), 60.0);
-        assert_eq!(read_outcome(&[ours, restarted]), ReadOutcome::Unfinished);
+        assert_eq!(
+            read_outcome(&[own_answer, restarted]),
+            ReadOutcome::Unfinished
+        );
         let knows_result = replica_answer(Some(7), None, 60.0);
-        assert_eq!(read_outcome(&[ours, knows_result]), ReadOutcome::Ended(7));
+        assert_eq!(
+            read_outcome(&[own_answer, knows_result]),
+            ReadOutcome::Ended(7)
+        );
         let never_seen = [
             replica_answer(None, None, 0.0),
             replica_answer(None, None, 0.0),
--- a/crates/umbersail-standby/src/degraded_mode.rs
+++ b/crates/umbersail-standby/src/degraded_mode.rs
@@ -24,7 +24,7 @@
 /// What a controller that may succeed the leader remembers about unrecorded starts.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct DegradedModeMemory {
-    /// Fencing token of the leader that `known` is about.
+    /// Token of the leader that `known` is about.
     token: u64,
     known: Option<StartsKnowledge>,
     /// The first leader's token that this process read from the state service.
@@ -45,9 +45,15 @@
     /// can then have been elected. The exception is the former process of this controller,
     /// which may have been elected and may have started tasks; so this process must have read
     /// a leader's token itself first.
-    pub fn agree(&mut self, now: Time, token: u64, newest: u64, state_is_out: bool) -> bool {
-        let read = self.first_token_read.is_some_and(|first| first <= token);
-        if !state_is_out || token != newest || !read {
+    pub fn agree(
+        &mut self,
+        now: Time,
+        token: u64,
+        newest: u64,
+        state_is_unavailable: bool,
+    ) -> bool {
+        let has_read_leader = self.first_token_read.is_some_and(|first| first <= token);
+        if !state_is_unavailable || token != newest || !has_read_leader {
             return false;
         }
         self.token = token;
@@ -55,10 +61,10 @@
         true
     }
 
-    /// The leader's reply to a message that this process sent at `asked`: `open` is whether
+    /// The leader's reply to a message that this process sent at `sent_at`: `open` is whether
     /// the leader may have made unrecorded starts. A reply to a message from before the
     /// agreement of this process proves nothing.
-    pub fn on_leader_report(&mut self, asked: Time, token: u64, open: bool) {
+    pub fn on_leader_report(&mut self, sent_at: Time, token: u64, open: bool) {
         // `open` adds no information: the leader cannot make unrecorded starts without the
         // agreement of this process, and a process without information assumes such starts.
         if open || token < self.token {
@@ -68,7 +74,7 @@
             Some(StartsKnowledge::Agreed(at)) if self.token == token => Some(at),
             _ => None,
         };
-        if agreed.is_some_and(|at| asked <= at) {
+        if agreed.is_some_and(|at| sent_at <= at) {
             return;
         }
         self.token = token;
@@ -211,7 +217,7 @@
     }
 
     #[test]
-    fn a_peer_report_from_before_the_peer_agreed_does_not_cancel_our_agreement() {
+    fn a_peer_report_from_before_the_peer_agreed_cancels_no_agreement() {
         // Guards against a peer's report that cancels an agreement: the peer reports that
         // all is recorded, then agrees itself, and the report arrives after both agreements.
         let (mut early, mut late) = (DegradedModeMemory::default(), DegradedModeMemory::default());
--- a/crates/umbersail-standby/src/failure_detector.rs
+++ b/crates/umbersail-standby/src/failure_detector.rs
@@ -68,7 +68,7 @@
 #[derive(Debug)]
 pub struct FailureDetector {
     timeouts: DetectorTimeouts,
-    /// The version of the leader's key, which is its fencing token.
+    /// The version of the leader's key, by which the leader is identified.
     token: u64,
     /// When this leader was first observed.
     observed_at: Time,
@@ -147,12 +147,12 @@
         }
     }
 
-    /// Whether a probe that was written at `asked` and had no reply at `now` proves that the
+    /// Whether a probe that was sent at `sent_at` and had no reply at `now` proves that the
     /// leader has failed. It does only if the wait ended close to the timeout: a much longer
     /// wait means that the state service or this process is slow.
-    pub fn probe_timed_out(&self, asked: Time, now: Time) -> bool {
-        let elapsed_s = now - asked;
-        let probe_timeout_s = self.probe_timeout_s(asked);
+    pub fn probe_timed_out(&self, sent_at: Time, now: Time) -> bool {
+        let elapsed_s = now - sent_at;
+        let probe_timeout_s = self.probe_timeout_s(sent_at);
         elapsed_s >= probe_timeout_s * 0.9
             && elapsed_s <= probe_timeout_s + self.timeouts.probe_slack_s
     }
--- a/crates/umbersail-standby/src/orphaned_attempts.rs
+++ b/crates/umbersail-standby/src/orphaned_attempts.rs
@@ -79,14 +79,16 @@
 
     /// Whether this job is in the index and the resources of its attempts are known.
     pub fn has_known_shape(&self, job: &J) -> bool {
-        self.jobs.get(job).is_some_and(|r| r.shape.is_some())
+        self.jobs
+            .get(job)
+            .is_some_and(|attempts| attempts.shape.is_some())
     }
 
     /// Whether this machine may run orphaned attempts whose resources are unknown.
     pub fn may_hold_unknown_shape(&self, machine: &M) -> bool {
         self.by_machine.get(machine).is_some_and(|jobs| {
             jobs.iter()
-                .any(|job| self.jobs.get(job).is_some_and(|r| r.shape.is_none()))
+                .any(|job| (self.jobs.get(job)).is_some_and(|attempts| attempts.shape.is_none()))
         })
     }
 
--- a/crates/umbersail-standby/tests/model/degraded_mode.rs
+++ b/crates/umbersail-standby/tests/model/degraded_mode.rs
@@ -3,10 +3,10 @@
 
 use crate::fault::InjectedFault;
 use crate::memory::AGREED;
-use crate::state::{AgreementRequest, DegradedMode, LateWrite, Leader, NODE_COUNT, World};
+use crate::state::{AgreementRequest, DegradedMode, LateWrite, Leader, NODE_COUNT, SystemState};
 use crate::steps::Transition;
 
-impl World {
+impl SystemState {
     /// The leader stops waiting for replies to its requests for agreement.
     pub fn abandon_requests(&mut self, token: u8, fault: InjectedFault) {
         if fault == InjectedFault::StaleAgreementCounts {
@@ -22,13 +22,18 @@
     }
 
     /// A request for agreement arrives at a peer, which may agree.
-    pub fn handle_request(&self, i: usize, index: usize, fault: InjectedFault) -> Option<World> {
+    pub fn handle_request(
+        &self,
+        i: usize,
+        index: usize,
+        fault: InjectedFault,
+    ) -> Option<SystemState> {
         let token = self.requests[index].token;
         let newest = match fault {
             InjectedFault::AgreementWithReplacedLeader => token,
             _ => self.nodes[i].newest,
         };
-        let is_unavailable = !self.state_up;
+        let is_unavailable = !self.state_service_up;
         let mut next = self.clone();
         let memory = &mut next.nodes[i].memory;
         if fault == InjectedFault::AgreementWithoutRead {
@@ -37,12 +42,12 @@
         if !memory.update(|m| m.agree(AGREED, token.into(), newest.into(), is_unavailable)) {
             return None;
         }
-        if let Some(greeting_reply) = next
-            .greeting_reply
+        if let Some(hello_reply) = next
+            .hello_reply
             .as_mut()
             .filter(|reply| usize::from(reply.to) == i)
         {
-            greeting_reply.stale = true;
+            hello_reply.stale = true;
         }
         if self.requests[index].awaited {
             next.requests[index].agreed = true;
@@ -81,7 +86,7 @@
             _ => peers.collect(),
         };
         match leader.degraded_mode {
-            DegradedMode::Off if !self.state_up && !leader.past_deadline => {
+            DegradedMode::Off if !self.state_service_up && !leader.past_deadline => {
                 out.push(self.with(|w| {
                     let l = w.nodes[i].leader.as_mut().expect("the node leads");
                     l.degraded_mode = DegradedMode::Requesting(0);
@@ -132,7 +137,7 @@
         // The leader replies to a liveness probe, and the write of that reply is applied only
         // after the next probe.
         let is_off = leader.degraded_mode == DegradedMode::Off;
-        if is_off && self.state_up && self.late_writes > 0 && self.late_write.is_none() {
+        if is_off && self.state_service_up && self.late_writes > 0 && self.late_write.is_none() {
             out.push(self.with(|w| {
                 w.late_writes -= 1;
                 w.late_write = Some(LateWrite::LivenessReply {
--- a/crates/umbersail-standby/tests/model/election.rs
+++ b/crates/umbersail-standby/tests/model/election.rs
@@ -1,14 +1,14 @@
-//! Steps of a node: restarts, reads, elections and greetings.
+//! Steps of a node: restarts, reads, elections and hello messages.
 
 use crate::fault::InjectedFault;
 use crate::memory::{AFTER, BEFORE};
 use crate::state::{
-    ALL_MACHINES, DegradedMode, GreetingReply, LateWrite, Leader, MACHINE_COUNT, NODE_COUNT, Node,
-    World,
+    ALL_MACHINES, DegradedMode, HelloReply, LateWrite, Leader, MACHINE_COUNT, NODE_COUNT, Node,
+    SystemState,
 };
 use crate::steps::Transition;
 
-impl World {
+impl SystemState {
     /// An election is applied, whether or not the elected node learns of the election.
     pub fn elected(&mut self, by: u8, open: bool) {
         self.key += 1;
@@ -18,7 +18,7 @@
     }
 
     /// Adds the steps of a node: its process ends and restarts, reads the leader's key,
-    /// handles a greeting or a request for agreement, or is elected.
+    /// handles a hello message or a request for agreement, or is elected.
     pub fn node_steps(&self, i: usize, fault: InjectedFault, out: &mut Vec<Transition>) {
         let node = &self.nodes[i];
         if self.process_ends > 0 && *node != Node::default() {
@@ -26,12 +26,12 @@
                 if let Some(leader) = node.leader {
                     w.abandon_requests(leader.token, fault);
                 }
-                w.greeting_reply = w.greeting_reply.filter(|reply| reply.to != i as u8);
+                w.hello_reply = w.hello_reply.filter(|reply| reply.to != i as u8);
                 w.nodes[i] = Node::default();
                 w.process_ends -= 1;
             }));
         }
-        if self.state_up && (self.key > node.newest || node.first == 0) {
+        if self.state_service_up && (self.key > node.newest || node.first == 0) {
             out.push(self.with(|w| {
                 w.nodes[i].newest = w.key;
                 let key = u64::from(w.key);
@@ -41,7 +41,7 @@
                 }
             }));
         }
-        self.greeting_steps(i, fault, out);
+        self.hello_steps(i, fault, out);
         let follows = node.leader.is_none();
         for (index, request) in self.requests.iter().enumerate() {
             let asked = usize::from(request.peer) == i && !request.agreed;
@@ -52,7 +52,7 @@
         if !follows {
             return;
         }
-        if self.state_up && self.elections > 0 {
+        if self.state_service_up && self.elections > 0 {
             let key = u64::from(self.key);
             let elected_in_lifetime = matches!(
                 fault,
@@ -99,9 +99,9 @@
         }
     }
 
-    /// Adds the steps in which a node receives another node's reply to a greeting, at once or
-    /// delayed.
-    pub fn greeting_steps(&self, i: usize, fault: InjectedFault, out: &mut Vec<Transition>) {
+    /// Adds the steps in which a node receives another node's reply to a hello message, at once
+    /// or delayed.
+    pub fn hello_steps(&self, i: usize, fault: InjectedFault, out: &mut Vec<Transition>) {
         let node = &self.nodes[i];
         for j in (0..NODE_COUNT).filter(|j| *j != i) {
             let other = &self.nodes[j];
@@ -143,11 +143,11 @@
             }));
             if let Some(token) = recorded
                 && self.delayed_replies > 0
-                && self.greeting_reply.is_none()
+                && self.hello_reply.is_none()
             {
                 out.push(self.with(|w| {
                     w.delayed_replies -= 1;
-                    w.greeting_reply = Some(GreetingReply {
+                    w.hello_reply = Some(HelloReply {
                         to: i as u8,
                         token,
                         from_leader: leader.is_some(),
@@ -156,18 +156,15 @@
                 }));
             }
         }
-        if let Some(greeting_reply) = self
-            .greeting_reply
-            .filter(|reply| usize::from(reply.to) == i)
-        {
+        if let Some(hello_reply) = self.hello_reply.filter(|reply| usize::from(reply.to) == i) {
             out.push(self.with(|w| {
-                w.greeting_reply = None;
+                w.hello_reply = None;
                 if node.leader.is_none() {
                     w.receive_recorded_claim(
                         i,
-                        greeting_reply.token,
-                        greeting_reply.from_leader,
-                        greeting_reply.stale,
+                        hello_reply.token,
+                        hello_reply.from_leader,
+                        hello_reply.stale,
                         fault,
                     );
                 }
--- a/crates/umbersail-standby/tests/model/fault.rs
+++ b/crates/umbersail-standby/tests/model/fault.rs
@@ -39,7 +39,7 @@
     AgreementWithoutRead,
     /// A peer's claim about a live leader counts, unless the receiver has agreed itself.
     PeerClaimOfLiveLeaderTrusted,
-    /// A leader's reply to a greeting that was sent before the receiver agreed cancels the
+    /// A leader's reply to a hello message that was sent before the receiver agreed cancels the
     /// receiver's agreement.
     StaleReplyCounts,
     /// A leader that requests agreement claims that all is recorded.
--- a/crates/umbersail-standby/tests/model/late_writes.rs
+++ b/crates/umbersail-standby/tests/model/late_writes.rs
@@ -2,13 +2,13 @@
 
 use crate::fault::InjectedFault;
 use crate::memory::AFTER;
-use crate::state::{LateWrite, World};
+use crate::state::{LateWrite, SystemState};
 use crate::steps::Transition;
 
-impl World {
+impl SystemState {
     /// Adds the step in which the late write is applied, if its conditions still hold.
     pub fn late_steps(&self, fault: InjectedFault, out: &mut Vec<Transition>) {
-        let Some(late_write) = self.late_write.filter(|_| self.state_up) else {
+        let Some(late_write) = self.late_write.filter(|_| self.state_service_up) else {
             return;
         };
         out.push(self.with(|w| {
--- a/crates/umbersail-standby/tests/model/leader.rs
+++ b/crates/umbersail-standby/tests/model/leader.rs
@@ -2,7 +2,7 @@
 
 use crate::fault::InjectedFault;
 use crate::memory::AGREED;
-use crate::state::{DegradedMode, LateWrite, Leader, MACHINE_COUNT, World};
+use crate::state::{DegradedMode, LateWrite, Leader, MACHINE_COUNT, SystemState};
 use crate::steps::Transition;
 
 impl Leader {
@@ -21,7 +21,7 @@
     }
 }
 
-impl World {
+impl SystemState {
     /// Adds the steps of a leader.
     pub fn leader_steps(
         &self,
@@ -33,7 +33,7 @@
         let set = |update: &dyn Fn(&mut Leader)| {
             self.with(|w| update(w.nodes[i].leader.as_mut().expect("the node leads")))
         };
-        let may_write = self.state_up && self.key == leader.token;
+        let may_write = self.state_service_up && self.key == leader.token;
         let heartbeat_is_delayed = self.delayed_heartbeat.is_some();
         let is_recorded = leader
             .at
--- a/crates/umbersail-standby/tests/model/searches.rs
+++ b/crates/umbersail-standby/tests/model/searches.rs
@@ -2,13 +2,13 @@
 
 use crate::fault::InjectedFault;
 use crate::search::search;
-use crate::state::{Limits, NO_EVENTS, World};
+use crate::state::{Limits, NO_EVENTS, SystemState};
 
-fn initial_world(limits: Limits) -> World {
+fn initial_state(limits: Limits) -> SystemState {
     if limits.recovery_pending {
-        World::with_recovery_pending(limits)
+        SystemState::with_recovery_pending(limits)
     } else {
-        World::with_leader(limits)
+        SystemState::with_leader(limits)
     }
 }
 
@@ -39,7 +39,7 @@
         // immediate restarts.
         (with_leases(elections_and_ends(1, 0)), 200_000, 200_000),
         (with_leases(elections_and_ends(2, 1)), 200_000, 200_000),
-        // Delayed replies to greetings, and delayed requests.
+        // Delayed replies to hello messages, and delayed requests.
         (
             Limits {
                 delayed_replies: 1,
@@ -109,14 +109,14 @@
         ),
     ];
     std::thread::scope(|scope| {
-        for (limits, max_worlds, min_worlds) in searches {
+        for (limits, max_states, min_states) in searches {
             scope.spawn(move || {
                 let started = std::time::Instant::now();
                 let (seen, ran_twice) =
-                    search(InjectedFault::None, initial_world(limits), max_worlds);
-                println!("{limits:?}: {seen} worlds in {:.1?}", started.elapsed());
-                assert!(!ran_twice, "{limits:?}: after {seen} worlds");
-                assert!(seen >= min_worlds, "{limits:?}: {seen} worlds only");
+                    search(InjectedFault::None, initial_state(limits), max_states);
+                println!("{limits:?}: {seen} states in {:.1?}", started.elapsed());
+                assert!(!ran_twice, "{limits:?}: after {seen} states");
+                assert!(seen >= min_states, "{limits:?}: {seen} states only");
             });
         }
     });
@@ -222,9 +222,9 @@
         for (fault, limits) in faults {
             scope.spawn(move || {
                 let started = std::time::Instant::now();
-                let (seen, ran_twice) = search(fault, initial_world(limits), 2_000_000);
-                println!("{fault:?}: {seen} worlds in {:.1?}", started.elapsed());
-                assert!(ran_twice, "{fault:?} is not found in {seen} worlds");
+                let (seen, ran_twice) = search(fault, initial_state(limits), 2_000_000);
+                println!("{fault:?}: {seen} states in {:.1?}", started.elapsed());
+                assert!(ran_twice, "{fault:?} is not found in {seen} states");
             });
         }
     });
--- a/crates/umbersail-standby/tests/model/state.rs
+++ b/crates/umbersail-standby/tests/model/state.rs
@@ -29,13 +29,13 @@
     pub agreed: bool,
 }
 
-/// A reply to a greeting, in flight, which reports that all starts are recorded.
+/// A reply to a hello message, in flight, which reports that all starts are recorded.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
-pub struct GreetingReply {
+pub struct HelloReply {
     pub to: u8,
     pub token: u8,
     pub from_leader: bool,
-    /// The receiver has agreed to unrecorded starts since it sent the greeting.
+    /// The receiver has agreed to unrecorded starts since it sent the hello message.
     pub stale: bool,
 }
 
@@ -70,7 +70,7 @@
     pub process_ends: u8,
     pub leases: u8,
     pub duplicate_heartbeats: u8,
-    /// Delayed replies to greetings.
+    /// Delayed replies to hello messages.
     pub delayed_replies: u8,
     /// Elections that are applied late.
     pub late_elections: u8,
@@ -128,8 +128,8 @@
 }
 
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
-pub struct World {
-    pub state_up: bool,
+pub struct SystemState {
+    pub state_service_up: bool,
     /// Token of the newest leader.
     pub key: u8,
     /// Bit set of the machines that the progress record names.
@@ -159,7 +159,7 @@
     pub elected_nodes: [u8; TOKEN_LIMIT as usize],
     /// Requests for agreement in flight, and the replies in flight.
     pub requests: Vec<AgreementRequest>,
-    pub greeting_reply: Option<GreetingReply>,
+    pub hello_reply: Option<HelloReply>,
     pub delayed_replies: u8,
     pub late_write: Option<LateWrite>,
     pub late_elections: u8,
@@ -167,10 +167,10 @@
     pub stray_requests: bool,
 }
 
-impl World {
+impl SystemState {
     /// Initial state in which one node leads, the leader's peers know that all starts are
     /// recorded, and the machines show the leader's token.
-    pub fn with_leader(limits: Limits) -> World {
+    pub fn with_leader(limits: Limits) -> SystemState {
         let leader = Leader {
             token: 1,
             degraded_mode: DegradedMode::Off,
@@ -198,8 +198,8 @@
             first: 1,
             leader: None,
         };
-        World {
-            state_up: true,
+        SystemState {
+            state_service_up: true,
             key: 1,
             record: 0,
             recovery_pending: false,
@@ -216,7 +216,7 @@
             outages: 1,
             elected_nodes: [0; TOKEN_LIMIT as usize],
             requests: Vec::new(),
-            greeting_reply: None,
+            hello_reply: None,
             delayed_replies: limits.delayed_replies,
             late_write: None,
             late_elections: limits.late_elections,
@@ -227,27 +227,27 @@
 
     /// Initial state in which a leader made an unrecorded start with its peers' agreement and
     /// ended, and one of the peers has been elected.
-    pub fn with_recovery_pending(limits: Limits) -> World {
-        let mut world = World::with_leader(limits);
-        world.nodes[1]
+    pub fn with_recovery_pending(limits: Limits) -> SystemState {
+        let mut state = SystemState::with_leader(limits);
+        state.nodes[1]
             .memory
             .update(|m| m.agree(AGREED, 1, 1, true));
-        let agreed = world.nodes[1].clone();
+        let agreed = state.nodes[1].clone();
         let leader = Leader {
             token: 2,
             possible_orphans: ALL_MACHINES,
             fenced: 0,
             recovery_pending: true,
-            ..world.nodes[0].leader.expect("the node leads")
+            ..state.nodes[0].leader.expect("the node leads")
         };
-        world.nodes[0] = Node {
+        state.nodes[0] = Node {
             newest: 2,
             leader: Some(leader),
             ..agreed.clone()
         };
-        world.nodes[2] = Node::default();
-        world.machines[0].1 = true;
-        (world.key, world.recovery_pending, world.outages) = (2, true, 0);
-        world
+        state.nodes[2] = Node::default();
+        state.machines[0].1 = true;
+        (state.key, state.recovery_pending, state.outages) = (2, true, 0);
+        state
     }
 }
--- a/crates/umbersail-standby/tests/model/steps.rs
+++ b/crates/umbersail-standby/tests/model/steps.rs
@@ -2,18 +2,18 @@
 //! steps that the other modules add.
 
 use crate::fault::InjectedFault;
-use crate::state::{NODE_COUNT, World};
+use crate::state::{NODE_COUNT, SystemState};
 
 /// The state after a step.
-pub type Transition = Result<World, RanTwice>;
+pub type Transition = Result<SystemState, RanTwice>;
 
 /// The task was started on one machine while it ran on the other.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct RanTwice;
 
-impl World {
+impl SystemState {
     /// Returns a copy of this state with an update applied.
-    pub fn with(&self, update: impl FnOnce(&mut World)) -> Transition {
+    pub fn with(&self, update: impl FnOnce(&mut SystemState)) -> Transition {
         let mut next = self.clone();
         update(&mut next);
         Ok(next)
@@ -23,12 +23,12 @@
     /// twice.
     pub fn successors(&self, fault: InjectedFault) -> Vec<Transition> {
         let mut out = Vec::new();
-        if self.state_up && self.outages > 0 {
-            out.push(self.with(|w| (w.state_up, w.outages) = (false, w.outages - 1)));
+        if self.state_service_up && self.outages > 0 {
+            out.push(self.with(|w| (w.state_service_up, w.outages) = (false, w.outages - 1)));
         }
-        if !self.state_up {
+        if !self.state_service_up {
             out.push(self.with(|w| {
-                w.state_up = true;
+                w.state_service_up = true;
                 if w.outages == 0 {
                     // No outage can follow, so no peer can agree to the remaining requests.
                     w.requests.retain(|r| r.agreed);
--- a/crates/umbersail-standby/tests/model/symmetry.rs
+++ b/crates/umbersail-standby/tests/model/symmetry.rs
@@ -1,16 +1,16 @@
 //! Symmetry reduction: states that differ only in the names of nodes or machines
 //! are searched once.
 
-use crate::state::{DegradedMode, LateWrite, NODE_COUNT, World};
+use crate::state::{DegradedMode, LateWrite, NODE_COUNT, SystemState};
 
 fn swap_bits(bits: u8) -> u8 {
     (bits & 1) << 1 | bits >> 1
 }
 
-impl World {
+impl SystemState {
     /// Returns a representative of all states that are equal up to renaming of nodes and
     /// machines.
-    pub fn canonical(mut self) -> World {
+    pub fn canonical(mut self) -> SystemState {
         let mut order: [usize; NODE_COUNT] = std::array::from_fn(|i| i);
         let rank = |i: &usize| {
             let node = &self.nodes[*i];
@@ -47,8 +47,8 @@
         self.elected_nodes[1..=elected].iter_mut().for_each(renamed);
         self.requests.iter_mut().for_each(|r| renamed(&mut r.peer));
         self.requests.sort_unstable();
-        if let Some(greeting_reply) = &mut self.greeting_reply {
-            renamed(&mut greeting_reply.to);
+        if let Some(hello_reply) = &mut self.hello_reply {
+            renamed(&mut hello_reply.to);
         }
         if let Some(LateWrite::Election { by, .. }) = &mut self.late_write {
             renamed(by);
--- a/crates/umbersail-standby/tests/model/time.rs
+++ b/crates/umbersail-standby/tests/model/time.rs
@@ -1,10 +1,10 @@
 //! Steps that depend on time: leaders' deadlines, leases and duplicated heartbeats.
 
 use crate::fault::InjectedFault;
-use crate::state::{ALL_MACHINES, MACHINE_COUNT, World};
+use crate::state::{ALL_MACHINES, MACHINE_COUNT, SystemState};
 use crate::steps::Transition;
 
-impl World {
+impl SystemState {
     /// Adds the steps in which the deadline of earlier leaders passes, a full lease passes, or
     /// a heartbeat is duplicated.
     pub fn time_steps(&self, fault: InjectedFault, out: &mut Vec<Transition>) {
