--- a/crates/umbersail-control/src/all_replica_read.rs
+++ b/crates/umbersail-control/src/all_replica_read.rs
@@ -15,7 +15,7 @@
 };
 
 use crate::node::Node;
-use crate::records::{Outcome, OverRecord};
+use crate::records::{EndedJobRecord, Outcome};
 use crate::settings::Peer;
 
 /// How long a poll waits for further polls to be read in the same batch, in seconds.
@@ -28,7 +28,7 @@
 #[derive(Default)]
 struct ReadBatch {
     jobs: RefCell<BTreeSet<String>>,
-    outcomes: RefCell<BTreeMap<String, ReadOutcome<OverRecord>>>,
+    outcomes: RefCell<BTreeMap<String, ReadOutcome<EndedJobRecord>>>,
     /// Whether the batch has been read, successfully or not.
     completed: Cell<bool>,
     completion: Broadcast,
@@ -43,7 +43,7 @@
 
 impl Node {
     /// Reads a job's status from all controllers (rule 6).
-    pub(crate) async fn all_replica_read(self: &Rc<Self>, id: &str) -> ReadOutcome<OverRecord> {
+    pub(crate) async fn all_replica_read(self: &Rc<Self>, id: &str) -> ReadOutcome<EndedJobRecord> {
         if !self.all_peers_responsive() {
             return ReadOutcome::Unknown;
         }
@@ -78,7 +78,7 @@
         let peers = self.peers.borrow();
         (self.settings.peers.iter()).all(|peer| {
             peers.get(&peer.member).is_some_and(|state| {
-                !state.silent && state.answered_at.is_some_and(|at| now - at < fresh_s)
+                !state.unresponsive && state.answered_at.is_some_and(|at| now - at < fresh_s)
             })
         })
     }
@@ -96,16 +96,16 @@
         let peers = self.settings.peers.iter();
         let answers = join_all(peers.map(|peer| self.read_from_peer(peer, &jobs))).await;
         let own = self.own_answers(&jobs);
-        let all_answers: Option<Vec<Vec<ReplicaAnswer<OverRecord>>>> =
+        let all_answers: Option<Vec<Vec<ReplicaAnswer<EndedJobRecord>>>> =
             answers.into_iter().chain([Some(own)]).collect();
         if let Some(all_answers) = all_answers {
             let mut outcomes = batch.outcomes.borrow_mut();
             for (index, id) in jobs.into_iter().enumerate() {
-                let answers: Vec<ReplicaAnswer<OverRecord>> =
+                let answers: Vec<ReplicaAnswer<EndedJobRecord>> =
                     all_answers.iter().map(|answers| answers[index]).collect();
                 let outcome = read_outcome(&answers);
                 if let ReadOutcome::Ended(over) = outcome {
-                    self.remember_end(&id, over);
+                    self.cache_end(&id, over);
                 }
                 outcomes.insert(id, outcome);
             }
@@ -121,7 +121,7 @@
         &self,
         peer: &Peer,
         jobs: &[String],
-    ) -> Option<Vec<ReplicaAnswer<OverRecord>>> {
+    ) -> Option<Vec<ReplicaAnswer<EndedJobRecord>>> {
         let body = encode(&ReplicaReadRequest { ids: jobs.into() });
         let asked_at = self.clock.now();
         let wait_s = self.tuning.peer_timeout_s;
@@ -137,12 +137,12 @@
             return None;
         }
         let now = self.clock.now();
-        let drift = self.tuning.drift;
+        let drift = self.tuning.clock_drift;
         // The peer answered at an unknown time between request and reply. `seen_at` is the
         // earliest time at which the peer can have seen the job unfinished, and
         // `complete_since` the latest time since which the peer can remember.
         let seen_at = |ago_ms: u64| asked_at - ago_ms as f64 / 1000.0 * (1.0 + drift);
-        let complete_since = now - answer.remembers_ms as f64 / 1000.0 * (1.0 - drift);
+        let complete_since = now - answer.retention_ms as f64 / 1000.0 * (1.0 - drift);
         let to_answer = |entry: ReplicaReadEntry| ReplicaAnswer {
             ended: entry.ended.as_ref().and_then(over_record_from),
             unfinished_at: entry.unfinished_ago_ms.map(seen_at),
@@ -152,11 +152,11 @@
     }
 
     /// This node's answers, in the order of the jobs.
-    fn own_answers(&self, jobs: &[String]) -> Vec<ReplicaAnswer<OverRecord>> {
-        let cache = self.cache.borrow();
+    fn own_answers(&self, jobs: &[String]) -> Vec<ReplicaAnswer<EndedJobRecord>> {
+        let cache = self.terminal_cache.borrow();
         let to_answer = |id: &String| ReplicaAnswer {
             ended: cache.get(id),
-            unfinished_at: self.polls.unfinished_at(id),
+            unfinished_at: self.batched_polls.unfinished_at(id),
             complete_since: cache.complete_from().max(self.started_at),
         };
         jobs.iter().map(to_answer).collect()
@@ -171,7 +171,7 @@
         let ago_ms = |at: Time| ((now - at).max(0.0) * 1000.0) as u64;
         let answers = self.own_answers(&request.ids);
         let complete_since = (answers.first()).map_or(now, |answer| answer.complete_since);
-        let to_entry = |(id, answer): (&String, &ReplicaAnswer<OverRecord>)| ReplicaReadEntry {
+        let to_entry = |(id, answer): (&String, &ReplicaAnswer<EndedJobRecord>)| ReplicaReadEntry {
             ended: answer.ended.map(|over| JobStatus {
                 id: id.clone(),
                 state: terminal_stage(over),
@@ -182,7 +182,7 @@
             unfinished_ago_ms: answer.unfinished_at.map(|at| ago_ms(at) + 1),
         };
         let answer = ReplicaReadAnswer {
-            remembers_ms: ago_ms(complete_since),
+            retention_ms: ago_ms(complete_since),
             jobs: request.ids.iter().zip(&answers).map(to_entry).collect(),
         };
         Response::new(200, encode(&answer))
@@ -190,20 +190,20 @@
 }
 
 /// The record of a finished job; `None` if the status is not final.
-fn over_record_from(status: &JobStatus) -> Option<OverRecord> {
+fn over_record_from(status: &JobStatus) -> Option<EndedJobRecord> {
     let outcome = match status.state {
         JobStage::Done => Outcome::Done,
         JobStage::Cancelled => Outcome::Cancelled,
         _ => return None,
     };
-    Some(OverRecord {
+    Some(EndedJobRecord {
         outcome,
         done: status.done.unwrap_or(0),
     })
 }
 
 /// The stage by which clients are told of this final result.
-pub(crate) fn terminal_stage(over: OverRecord) -> JobStage {
+pub(crate) fn terminal_stage(over: EndedJobRecord) -> JobStage {
     match over.outcome {
         Outcome::Done => JobStage::Done,
         Outcome::Cancelled => JobStage::Cancelled,
--- a/crates/umbersail-control/src/degraded_mode.rs
+++ b/crates/umbersail-control/src/degraded_mode.rs
@@ -15,7 +15,7 @@
 use crate::node::{Node, Role};
 use crate::records::LEADER_KEY;
 use crate::settings::Peer;
-use crate::state::{StateError, Urgency};
+use crate::state::{KeyValueError, RequestPriority};
 
 /// Interval at which a leader checks whether to enter or leave degraded mode, in seconds.
 const CHECK_INTERVAL_S: Time = 0.1;
@@ -44,10 +44,10 @@
                 let available_s = now - *available_since.get_or_insert(now);
                 mode == DegradedMode::Active
                     && self.is_within_start_deadline(now)
-                    && available_s < self.tuning.degraded_mode_catch_up_s
-                    && self
-                        .with_engine(token, |e| e.unrecorded_jobs() > MAX_UNRECORDED_JOBS_AT_EXIT)
-                        == Some(true)
+                    && available_s < self.tuning.degraded_mode_catch_up_max_s
+                    && self.with_engine(token, |e| {
+                        e.unrecorded_job_count() > MAX_UNRECORDED_JOBS_AT_EXIT
+                    }) == Some(true)
             };
             if mode == DegradedMode::Off && wanted && !self.request_degraded_mode(token).await {
                 sleep(REFUSAL_BACKOFF_S).await;
@@ -55,10 +55,10 @@
             if mode == DegradedMode::Active && !wanted {
                 info!("degraded mode: no further unrecorded starts");
                 self.degraded_mode.borrow_mut().stop_starts();
-                self.with_engine(token, |e| e.set_degraded(false));
-                self.wake.notify();
+                self.with_engine(token, |e| e.set_degraded_mode(false));
+                self.scheduler_wakeup.notify();
             }
-            let all_recorded = || self.with_engine(token, |e| e.unrecorded_jobs()) == Some(0);
+            let all_recorded = || self.with_engine(token, |e| e.unrecorded_job_count()) == Some(0);
             if mode == DegradedMode::Draining && all_recorded() {
                 info!("degraded mode ended: all starts are recorded");
                 self.degraded_mode.borrow_mut().on_all_recorded();
@@ -73,13 +73,13 @@
         self.state_is_unavailable(now)
             && self.is_within_start_deadline(now)
             && (self.degraded_mode.borrow().allows_unrecorded_starts()
-                || self.with_engine(token, |e| e.has_waiting_for_degraded_mode()) == Some(true))
+                || self.with_engine(token, |e| e.has_jobs_for_degraded_mode()) == Some(true))
     }
 
     /// Whether requests to the state service have been failing for `degraded_mode_after_s`.
     fn state_is_unavailable(&self, now: Time) -> bool {
         let after_s = self.tuning.degraded_mode_after_s;
-        (self.state.failing_since()).is_some_and(|at| now - at >= after_s)
+        (self.kv.failing_since()).is_some_and(|at| now - at >= after_s)
     }
 
     /// Whether this node leads, may still renew workers' leases, and renewed its own leader
@@ -91,7 +91,7 @@
                 let workers = &self.settings.facts.workers;
                 let renewal_s = tuning.renewal_s(workers.cancel_s, workers.lease_s);
                 let renewed = l.lease.renew_until() - renewal_s;
-                now < l.lease.renew_until() && now < renewed + tuning.degraded_mode_s
+                now < l.lease.renew_until() && now < renewed + tuning.degraded_mode_max_s
             }
             _ => false,
         }
@@ -117,8 +117,8 @@
             return false;
         }
         info!("degraded mode: the state service is unavailable and all peers agreed");
-        self.with_engine(token, |e| e.set_degraded(true));
-        self.wake.notify();
+        self.with_engine(token, |e| e.set_degraded_mode(true));
+        self.scheduler_wakeup.notify();
         true
     }
 
@@ -139,7 +139,7 @@
         if let Some(answer) = answer.filter(|a| a.agreed) {
             // Applied before the agreement counts: the peer may know of cancelled jobs, which
             // must not be started.
-            self.on_cancelled_jobs(&answer.cancelled);
+            self.on_cancelled_jobs(&answer.cancelled_jobs);
             let peers = self.settings.peers.len();
             self.degraded_mode
                 .borrow_mut()
@@ -171,12 +171,12 @@
         let mut agreed = false;
         if is_current_leader(self) {
             let probe = self
-                .state
-                .get::<IgnoredAny>(LEADER_KEY, Urgency::Vital)
+                .kv
+                .get::<IgnoredAny>(LEADER_KEY, RequestPriority::Critical)
                 .await;
             let is_unavailable = matches!(
                 probe,
-                Err(StateError::Unavailable(_) | StateError::NoAnswer(_))
+                Err(KeyValueError::Unavailable(_) | KeyValueError::NoAnswer(_))
             );
             if is_current_leader(self) {
                 let now = self.clock.now();
@@ -185,6 +185,12 @@
             }
         }
         let cancelled = self.recently_cancelled();
-        Response::new(200, encode(&DegradedModeAnswer { agreed, cancelled }))
+        Response::new(
+            200,
+            encode(&DegradedModeAnswer {
+                agreed,
+                cancelled_jobs: cancelled,
+            }),
+        )
     }
 }
--- a/crates/umbersail-control/src/delegate.rs
+++ b/crates/umbersail-control/src/delegate.rs
@@ -10,7 +10,7 @@
 use std::rc::Rc;
 
 use umbersail_runtime::Time;
-use umbersail_wire::{Command, RenewedMachine, Report, TaskState};
+use umbersail_wire::{Command, Heartbeat, RenewedMachine, TaskState};
 
 use crate::engine::{epoch, split_task};
 
@@ -91,7 +91,7 @@
     /// the reply; `None` if the lease may not be renewed. Renews only leases of machines that
     /// have shown the leader's token, since to the leader all other machines still belong to
     /// an earlier leader.
-    pub fn renew(&mut self, now: Time, report: &Report) -> Option<u64> {
+    pub fn renew(&mut self, now: Time, report: &Heartbeat) -> Option<u64> {
         let (revision, until) = self.delegation?;
         if now >= until || epoch(report.token) != revision {
             return None;
@@ -99,10 +99,10 @@
         self.expire(now);
         let name = self.track(now, &report.machine)?;
         let renewal = self.renewals.get_mut(&name)?;
-        if report.order() <= renewal.order {
+        if report.ordering_key() <= renewal.order {
             return None;
         }
-        renewal.order = report.order();
+        renewal.order = report.ordering_key();
         if now - *renewal.first_since_leader.get_or_insert(now) >= self.renewal_s {
             return None;
         }
@@ -135,7 +135,7 @@
     /// jobs, as listed by the leader or known by `ended`. Stopping tasks of finished jobs is
     /// always safe. Because every reply repeats these commands, a cancellation reaches the
     /// workers however long the leader itself can reach none (rule 2).
-    pub fn stop_commands(&self, report: &Report, ended: impl Fn(&str) -> bool) -> Vec<Command> {
+    pub fn stop_commands(&self, report: &Heartbeat, ended: impl Fn(&str) -> bool) -> Vec<Command> {
         let is_finished = |task: &str| {
             split_task(task).is_some_and(|(id, _)| self.finished_jobs.contains(id) || ended(id))
         };
@@ -149,9 +149,9 @@
     /// The leader has replied to this heartbeat through this node. A heartbeat that is not
     /// newer than the one on which this delegate last renewed the lease, because it is late
     /// or a duplicate, does not count: the worker no longer waits for that reply.
-    pub fn on_relayed_reply(&mut self, report: &Report) {
+    pub fn on_relayed_reply(&mut self, report: &Heartbeat) {
         if let Some(renewal) = self.renewals.get_mut(report.machine.as_str())
-            && report.order() > renewal.order
+            && report.ordering_key() > renewal.order
         {
             renewal.first_since_leader = None;
         }
@@ -166,7 +166,7 @@
         renewals
             .map(|(machine, renewal)| RenewedMachine {
                 machine: machine.to_string(),
-                ago_ms: ((now - renewal.last_at).max(0.0) * 1000.0) as u64,
+                reply_ago_ms: ((now - renewal.last_at).max(0.0) * 1000.0) as u64,
             })
             .collect()
     }
--- a/crates/umbersail-control/src/delegate/tests.rs
+++ b/crates/umbersail-control/src/delegate/tests.rs
@@ -3,14 +3,14 @@
 use umbersail_wire::TaskReport;
 
 use super::*;
-use crate::engine::token_of;
+use crate::engine::first_token;
 
-fn first_heartbeat(machine: &str, token: u64) -> Report {
+fn first_heartbeat(machine: &str, token: u64) -> Heartbeat {
     heartbeat(1, machine, token)
 }
 
-fn heartbeat(seq: u64, machine: &str, token: u64) -> Report {
-    Report {
+fn heartbeat(seq: u64, machine: &str, token: u64) -> Heartbeat {
+    Heartbeat {
         machine: machine.into(),
         addr: String::new(),
         machine_type: String::new(),
@@ -29,7 +29,7 @@
     // Guards against renewing the lease of a machine that the leader or its successor
     // considers expired: the machine's tasks would run on.
     let mut delegate = Delegate::new(10.0, 100.0);
-    let token = token_of(7) + 3;
+    let token = first_token(7) + 3;
     assert_eq!(delegate.renew(0.0, &first_heartbeat("m1", token)), None);
     delegate.on_delegation(7, 16.0, &[]);
     assert_eq!(
@@ -37,11 +37,11 @@
         Some(token)
     );
     assert_eq!(
-        delegate.renew(1.0, &first_heartbeat("m2", token_of(6))),
+        delegate.renew(1.0, &first_heartbeat("m2", first_token(6))),
         None
     );
     assert_eq!(
-        delegate.renew(1.0, &first_heartbeat("m2", token_of(8))),
+        delegate.renew(1.0, &first_heartbeat("m2", first_token(8))),
         None
     );
     assert_eq!(delegate.renew(16.0, &first_heartbeat("m1", token)), None);
@@ -65,7 +65,7 @@
     // Guards against tasks of a cancelled job that run forever: the leader still exchanges
     // hello messages, but replies to no heartbeat in time.
     let mut delegate = Delegate::new(10.0, 16.0);
-    let m1 = |seq| heartbeat(seq, "m1", token_of(7));
+    let m1 = |seq| heartbeat(seq, "m1", first_token(7));
     for second in 0..16u32 {
         let now = f64::from(second);
         delegate.on_delegation(7, now + 16.0, &[]);
@@ -74,7 +74,7 @@
     assert!(delegate.renew(16.0, &m1(17)).is_none());
     assert!(
         delegate
-            .renew(16.5, &first_heartbeat("m2", token_of(7)))
+            .renew(16.5, &first_heartbeat("m2", first_token(7)))
             .is_some()
     );
     // The leader replied to a duplicate of an older heartbeat; the worker did not receive
@@ -91,14 +91,14 @@
     let mut delegate = Delegate::new(10.0, 100.0);
     delegate.on_delegation(7, 100.0, &[]);
     let (first, second) = (
-        heartbeat(1, "m1", token_of(7)),
-        heartbeat(2, "m1", token_of(7)),
+        heartbeat(1, "m1", first_token(7)),
+        heartbeat(2, "m1", first_token(7)),
     );
     assert!(delegate.renew(1.0, &first).is_some());
     assert!(delegate.renew(2.0, &second).is_some());
     assert!(delegate.renew(8.0, &first).is_none());
     assert!(delegate.renew(8.0, &second).is_none());
-    assert_eq!(delegate.recent_renewals(9.0)[0].ago_ms, 7000);
+    assert_eq!(delegate.recent_renewals(9.0)[0].reply_ago_ms, 7000);
 }
 
 #[test]
@@ -109,13 +109,13 @@
     delegate.on_delegation(7, 100.0, &[]);
     assert!(
         delegate
-            .renew(1.0, &first_heartbeat("m1", token_of(7)))
+            .renew(1.0, &first_heartbeat("m1", first_token(7)))
             .is_some()
     );
     let renewed = delegate.recent_renewals(5.0);
     assert_eq!(renewed.len(), 1);
     assert_eq!(
-        (renewed[0].machine.as_str(), renewed[0].ago_ms),
+        (renewed[0].machine.as_str(), renewed[0].reply_ago_ms),
         ("m1", 4000)
     );
     assert_eq!(delegate.recent_renewals(20.0).len(), 1);
@@ -129,7 +129,7 @@
     // longer than a cancellation may take.
     let mut delegate = Delegate::new(10.0, 100.0);
     delegate.on_delegation(7, 50.0, &["req-1".into()]);
-    let mut with_tasks = first_heartbeat("m1", token_of(7));
+    let mut with_tasks = first_heartbeat("m1", first_token(7));
     let task = |task: &str, state| TaskReport {
         task: task.into(),
         attempt: 3,
@@ -171,7 +171,7 @@
     for round in 1..=20u64 {
         for machine in 0..machines {
             let name = format!("host-{machine:06}");
-            let renewed = delegate.renew(round as f64, &heartbeat(round, &name, token_of(7)));
+            let renewed = delegate.renew(round as f64, &heartbeat(round, &name, first_token(7)));
             assert!(renewed.is_some(), "{name} in round {round}");
         }
     }
--- a/crates/umbersail-control/src/engine/rental.rs
+++ b/crates/umbersail-control/src/engine/rental.rs
@@ -8,12 +8,12 @@
 };
 use umbersail_wire::{MachineType, RentRequest};
 
-use super::plans::KeptRoom;
+use super::plans::ReservedCapacity;
 use super::{CloudAction, Engine, Job, Machine, MachineId, Time, epoch};
 
 /// Most names in one deletion, and machines in one rental, by the protocol.
-const MAX_DELETED_AT_ONCE: usize = 100;
-pub(super) const MAX_RENTED_AT_ONCE: u32 = 50;
+const MAX_MACHINES_PER_DELETION: usize = 100;
+pub(super) const MAX_MACHINES_PER_RENTAL: u32 = 50;
 
 impl Engine {
     /// What the cloud shall do now, deletions first: they cost money and hold
@@ -23,18 +23,18 @@
         let mut actions = Vec::new();
         // A new name for what may have been granted already would rent without
         // bound while the cloud does not answer.
-        let mut requests = match self.unanswered.pop_front() {
+        let mut requests = match self.unanswered_rentals.pop_front() {
             Some(request) => vec![request],
-            None => self.plan(now),
+            None => self.plan_rentals(now),
         };
-        requests.extend(self.reserve_requests());
+        requests.extend(self.reservation_requests());
         let mut deletes: Vec<String> = Vec::new();
         for (name, machine) in &mut self.machines {
             if let Some(reason) = machine.delete_reason
-                && !machine.delete_asked
-                && deletes.len() < MAX_DELETED_AT_ONCE
+                && !machine.delete_requested
+                && deletes.len() < MAX_MACHINES_PER_DELETION
             {
-                machine.delete_asked = true;
+                machine.delete_requested = true;
                 info!(machine = &**name, reason, "returned");
                 deletes.push(name.to_string());
             }
@@ -55,12 +55,12 @@
             if machine.delete_reason.is_some() {
                 continue;
             }
-            if let Some(report) = machine.last_report {
+            if let Some(report) = machine.last_heartbeat {
                 let unreachable_s = machine
                     .reachability
                     .unreachable_since()
                     .map_or(0.0, |at| now - at);
-                if now - report > tuning.vanish_s {
+                if now - report > tuning.silent_machine_delete_s {
                     machine.delete_reason = Some("silent for too long");
                 } else if !machine.confirmed && now - report > 2.0 * self.cfg.lease_s {
                     // The deletion of one that is gone already does nothing.
@@ -73,14 +73,16 @@
                 }
                 continue;
             }
-            let boot_s = machine.type_index.map_or(60.0, |i| self.types[i].boot_s);
-            let patience = tuning.boot_patience * boot_s + tuning.boot_patience_s;
+            let boot_s = machine
+                .type_index
+                .map_or(60.0, |i| self.machine_types[i].boot_s);
+            let patience = tuning.boot_timeout_factor * boot_s + tuning.boot_timeout_margin_s;
             // A machine that ran under an earlier holder needs time to find us.
-            let since = machine.since.max(self.elected_at + 20.0 - patience);
+            let since = machine.created_at.max(self.elected_at + 20.0 - patience);
             if now - since > patience {
                 warn!(
                     machine = &**name,
-                    waited_s = (now - machine.since) as u64,
+                    waited_s = (now - machine.created_at) as u64,
                     "does not come up"
                 );
                 machine.delete_reason = Some("does not come up");
@@ -88,14 +90,17 @@
             }
         }
         for name in late {
-            self.boot_ended(now, &name);
+            self.note_boot_ended(now, &name);
         }
     }
 
     /// Whether so many machines hear nothing that it is us: none is given back
     /// or replaced for it.
     pub(super) fn is_mostly_unreachable(&self) -> bool {
-        let up = self.machines.values().filter(|m| m.last_report.is_some());
+        let up = self
+            .machines
+            .values()
+            .filter(|m| m.last_heartbeat.is_some());
         let (unreachable, all) = up.fold((0, 0), |(unreachable, all), m| {
             (
                 unreachable + usize::from(m.reachability.is_unreachable()),
@@ -106,22 +111,22 @@
     }
 
     /// What to rent now; machines that nobody will want are marked for return.
-    fn plan(&mut self, now: Time) -> Vec<RentRequest> {
-        let dt = (now - self.last_rental).max(0.0);
-        self.last_rental = now;
-        self.learner.fade(dt, self.cfg.tuning.load_window_s);
-        let mut kept = self.kept_room();
-        let mut demands = self.demands(now, kept.as_mut());
-        let warm = self.warm_demands(now, &demands, kept.as_ref());
+    fn plan_rentals(&mut self, now: Time) -> Vec<RentRequest> {
+        let dt = (now - self.last_rental_at).max(0.0);
+        self.last_rental_at = now;
+        self.learner.decay_load(dt, self.cfg.tuning.load_window_s);
+        let mut kept = self.reserved_capacity();
+        let mut demands = self.current_demands(now, kept.as_mut());
+        let warm = self.spare_demands(now, &demands, kept.as_ref());
         demands.extend(warm);
         demands.extend(self.planned_demands(now));
         let demands: Vec<Demand> = demands.into_iter().map(|(_, demand)| demand).collect();
         let fleet = self.rented_fleet(now);
         let plan = plan_rental(
-            &self.types,
+            &self.machine_types,
             &demands,
             &fleet,
-            |index, zone, spot| self.is_refused(now, index, zone, spot),
+            |index, zone, spot| self.is_rental_backed_off(now, index, zone, spot),
             &self.idle_limits(now),
             self.cfg.tuning.ordinary_share,
         );
@@ -134,42 +139,44 @@
 
     /// What is kept ready for classes with an aim on starting, by their learned load, beside
     /// what `demands` and reserved machines have for them.
-    fn warm_demands(
+    fn spare_demands(
         &self,
         now: Time,
         demands: &[(String, Demand)],
-        kept: Option<&KeptRoom<'_>>,
+        kept: Option<&ReservedCapacity<'_>>,
     ) -> Vec<(String, Demand)> {
         let tuning = &self.cfg.tuning;
         let mut now_by_class: BTreeMap<&str, u32> = BTreeMap::new();
         for (class, demand) in demands {
-            *now_by_class.entry(class).or_default() += demand.now;
+            *now_by_class.entry(class).or_default() += demand.tasks;
         }
-        let mut warm_demands = Vec::new();
-        for (class, sample) in &self.samples {
-            if self.cfg.guarantee_aim.is_none() && !self.cfg.start_aims.contains_key(class) {
+        let mut spare_demands = Vec::new();
+        for (class, sample) in &self.class_samples {
+            if self.cfg.guarantee_start_objective.is_none()
+                && !self.cfg.start_objectives.contains_key(class)
+            {
                 continue;
             }
-            let Some(stats) = self.learner.get(class).filter(|s| !s.is_silent(now)) else {
+            let Some(stats) = self.learner.get(class).filter(|s| !s.is_inactive(now)) else {
                 continue;
             };
-            let reserved = kept.map_or(0, |kept| kept.ready(self, class, &sample.shape));
+            let reserved = kept.map_or(0, |kept| kept.free_slots(self, class, &sample.task_shape));
             let there = now_by_class.get(&**class).copied().unwrap_or(0) + reserved;
             let tasks = |times: f64| (stats.load * times + stats.tasks_per_job).ceil() as u32;
             let reserve = tasks(tuning.headroom).saturating_sub(there);
             let demand = Demand {
-                shape: sample.shape,
+                shape: sample.task_shape,
                 types: sample.types.clone(),
                 zone: sample.zone.clone(),
                 spot: sample.spot,
-                now: 0,
-                turns: 0.0,
-                reserve,
-                warm: tasks(tuning.warm_headroom).saturating_sub(there + reserve),
+                tasks: 0,
+                max_turnovers: 0.0,
+                spare: reserve,
+                warm_spare: tasks(tuning.warm_headroom).saturating_sub(there + reserve),
             };
-            warm_demands.push((class.clone(), demand));
+            spare_demands.push((class.clone(), demand));
         }
-        warm_demands
+        spare_demands
     }
 
     /// Machines that stay and may be used by anybody, as the plan sees them.
@@ -177,19 +184,19 @@
         let mostly_unreachable = self.is_mostly_unreachable();
         let stays = |machine: &&Machine| {
             machine.delete_reason.is_none()
-                && machine.notice_until.is_none()
+                && machine.reclaim_at.is_none()
                 && machine.reservations == 0
                 && machine.confirmed
                 && (mostly_unreachable || !machine.reachability.is_unreachable())
-                && (machine.last_report.is_none()
+                && (machine.last_heartbeat.is_none()
                     || machine.silent_for(now) < 2.0 * self.cfg.lease_s)
         };
         let machines = self.machines.values().filter(stays);
         machines
             .filter_map(|machine| {
-                let up = machine.last_report.is_some() && machine.fenced;
+                let up = machine.last_heartbeat.is_some() && machine.fenced;
                 let holds =
-                    !machine.tasks.is_empty() || machine.orphaned_tasks || machine.inherited;
+                    !machine.tasks.is_empty() || machine.has_orphaned_tasks || machine.inherited;
                 Some(FleetMachine {
                     machine: machine.name.clone(),
                     type_index: machine.type_index?,
@@ -204,8 +211,10 @@
     fn idle_limits(&self, now: Time) -> IdleLimits {
         let tuning = &self.cfg.tuning;
         let by_type = |most_s: f64| -> Vec<f64> {
-            let types = self.types.iter();
-            types.map(|t| self.idle_limit_s(now, t, most_s)).collect()
+            let types = self.machine_types.iter();
+            types
+                .map(|t| self.type_idle_limit_s(now, t, most_s))
+                .collect()
         };
         IdleLimits {
             warm_s: by_type(tuning.idle_s),
@@ -217,17 +226,28 @@
     /// cover must be there at once, and with it the images that only machines in use have.
     fn return_surplus(&mut self, surplus: Vec<MachineId>, fleet: &[FleetMachine<MachineId>]) {
         let headroom = self.cfg.tuning.headroom;
-        let guaranteed = self.cfg.teams.iter().map(|t| t.cpus).sum::<f64>() * headroom;
-        let mut kept: f64 = fleet.iter().map(|m| self.types[m.type_index].cpus).sum();
+        let guaranteed = self
+            .cfg
+            .teams
+            .iter()
+            .map(|t| t.guaranteed_cpus)
+            .sum::<f64>()
+            * headroom;
+        let mut kept: f64 = fleet
+            .iter()
+            .map(|m| self.machine_types[m.type_index].cpus)
+            .sum();
         for name in surplus {
             let Some(machine) = self.machines.get_mut(&name) else {
                 continue;
             };
             let in_use = !machine.tasks.is_empty() || machine.reservations != 0;
-            if in_use || self.plans.images.keeps(&name) {
+            if in_use || self.plans.images.is_last_holder(&name) {
                 continue;
             }
-            let cpus = machine.type_index.map_or(0.0, |i| self.types[i].cpus);
+            let cpus = machine
+                .type_index
+                .map_or(0.0, |i| self.machine_types[i].cpus);
             if kept - cpus < guaranteed {
                 continue;
             }
@@ -238,14 +258,14 @@
 
     /// Names a request. The token differs for every holder, so no name is used twice.
     fn rent_request(&mut self, request: ScaleOutRequest) -> RentRequest {
-        self.requests += 1;
+        self.request_counter += 1;
         let holder = epoch(self.token);
         let named = RentRequest {
-            request: format!("{}-{holder}-{}", self.cfg.member, self.requests),
-            machine_type: self.types[request.type_index].name.clone(),
+            request: format!("{}-{holder}-{}", self.cfg.member, self.request_counter),
+            machine_type: self.machine_types[request.type_index].name.clone(),
             zone: request.zone,
             spot: request.spot,
-            count: request.count.min(MAX_RENTED_AT_ONCE),
+            count: request.count.min(MAX_MACHINES_PER_RENTAL),
         };
         info!(
             machine_type = named.machine_type,
@@ -260,13 +280,13 @@
 
     /// How long machines of a type are kept idle: for what comes next, if
     /// anything that fits seems to come.
-    fn idle_limit_s(&self, now: Time, machine_type: &MachineType, most_s: f64) -> f64 {
+    fn type_idle_limit_s(&self, now: Time, machine_type: &MachineType, most_s: f64) -> f64 {
         let room = Shape::of_type(machine_type);
-        let quiet = self.samples.iter().all(|(class, sample)| {
-            let silent = |stats: &ClassStats| stats.is_silent(now);
-            !sample.shape.fits_in(&room) || self.learner.get(class).is_some_and(silent)
+        let quiet = self.class_samples.iter().all(|(class, sample)| {
+            let silent = |stats: &ClassStats| stats.is_inactive(now);
+            !sample.task_shape.fits_in(&room) || self.learner.get(class).is_some_and(silent)
         });
-        if quiet && !self.samples.is_empty() {
+        if quiet && !self.class_samples.is_empty() {
             self.cfg.tuning.quiet_idle_s.min(most_s)
         } else {
             most_s
@@ -276,45 +296,51 @@
     /// How often machines in use turn over before a job's waiting tasks must
     /// start. What is late already, or would be when a machine has booted,
     /// gains little by an ordinary one: it waits for a turn of what there is.
-    fn turns(&self, now: Time, job: &Job) -> f64 {
+    fn max_turnovers(&self, now: Time, job: &Job) -> f64 {
         let tuning = &self.cfg.tuning;
-        if self.cfg.guarantee_aim.is_some() {
+        if self.cfg.guarantee_start_objective.is_some() {
             return 0.0;
         }
         if job.pending() == 0 {
             return f64::INFINITY;
         }
         let boots = self
-            .types
+            .machine_types
             .iter()
             .filter(|t| job.shape.fits_in(&Shape::of_type(t)));
         let boot_s = boots.map(|t| t.boot_s).fold(f64::INFINITY, f64::min);
         match self.slack_s(now, job) {
-            Some(slack) if slack >= boot_s => tuning.turns_share * slack / self.run_s(job).max(1.0),
-            Some(_) => tuning.late_turns,
+            Some(slack) if slack >= boot_s => {
+                tuning.queueing_slack_share * slack / self.expected_run_s(job).max(1.0)
+            }
+            Some(_) => tuning.max_late_turns,
             None => 0.0,
         }
     }
 
     /// Tasks that run or wait, by class and shape, as far as their teams'
     /// limits let them run at once.
-    fn demands(&self, now: Time, mut kept: Option<&mut KeptRoom<'_>>) -> Vec<(String, Demand)> {
+    fn current_demands(
+        &self,
+        now: Time,
+        mut kept: Option<&mut ReservedCapacity<'_>>,
+    ) -> Vec<(String, Demand)> {
         let mut left: Vec<f64> = (0..self.cfg.teams.len())
-            .map(|team| self.limit_cpus(Some(team)))
+            .map(|team| self.team_cpu_limit(Some(team)))
             .collect();
         let mut jobs: Vec<_> = self.jobs.iter().filter(|(_, j)| !j.cancelled).collect();
         jobs.sort_by(|(_, a), (_, b)| {
             b.spec
                 .priority
                 .cmp(&a.spec.priority)
-                .then(a.submitted.total_cmp(&b.submitted))
+                .then(a.submitted_at.total_cmp(&b.submitted_at))
         });
         let mut demands: Vec<(String, Demand)> = Vec::new();
         let mut indices = BTreeMap::new();
         for (id, job) in jobs {
             let faulty = job.backoff_until.is_some() && job.errors > 0;
             let waiting = if faulty { 0 } else { job.startable() };
-            let mut tasks = waiting + job.occupied() as u32;
+            let mut tasks = waiting + job.occupied_tasks() as u32;
             if let Some(team) = job.team
                 && job.shape.cpus > 0.0
             {
@@ -323,12 +349,12 @@
                 left[team] -= f64::from(tasks) * job.shape.cpus;
             }
             if let Some(kept) = &mut kept {
-                tasks -= kept.serve(self, job, tasks);
+                tasks -= kept.assign(self, job, tasks);
             }
             if tasks == 0 {
                 continue;
             }
-            let turns = self.turns(now, job);
+            let turns = self.max_turnovers(now, job);
             // The task with which a boosted job begins does not wait for a turn.
             let begins = u32::from(waiting > 0 && self.is_boosted_to_start(id, job)).min(tasks);
             // By what tells demands apart: every job may have a shape of its own.
@@ -350,8 +376,8 @@
                 let index = *indices.entry((key, begins)).or_insert(next);
                 match demands.get_mut(index) {
                     Some((_, demand)) => {
-                        demand.now += tasks;
-                        demand.turns = demand.turns.min(turns);
+                        demand.tasks += tasks;
+                        demand.max_turnovers = demand.max_turnovers.min(turns);
                     }
                     None => demands.push((
                         job.spec.class.clone(),
@@ -360,10 +386,10 @@
                             types: job.spec.types.clone(),
                             zone: job.spec.zone.clone(),
                             spot: job.spec.spot(),
-                            now: tasks,
-                            turns,
-                            reserve: 0,
-                            warm: 0,
+                            tasks,
+                            max_turnovers: turns,
+                            spare: 0,
+                            warm_spare: 0,
                         },
                     )),
                 }
--- a/crates/umbersail-control/src/peers.rs
+++ b/crates/umbersail-control/src/peers.rs
@@ -7,7 +7,7 @@
 use tracing::{info, warn};
 use umbersail_http::{ClientError, Request, Response};
 use umbersail_runtime::{Time, random, sleep};
-use umbersail_wire::{Hello, JobIdOnly, Report, ReportReply, decode, encode, paths};
+use umbersail_wire::{Heartbeat, HeartbeatReply, Hello, JobIdOnly, decode, encode, paths};
 
 use crate::engine::epoch;
 use crate::node::{Node, ReportedProgress, Role};
@@ -34,23 +34,23 @@
         Hello {
             member: self.settings.member.clone(),
             incarnation: self.incarnation,
-            state_reachable: self.sees_state(),
+            state_reachable: self.is_store_reachable(),
             token: leader.as_ref().map_or(0, |(_, token)| *token),
             leader: leader.as_ref().map(|(name, _)| name.clone()),
-            machines: 0,
+            machine_count: 0,
             progress: Vec::new(),
             renewal_ms: None,
-            over: Vec::new(),
-            cancelled: self.recently_cancelled(),
-            up_ms: ((now - self.started_at) * 1000.0) as u64,
+            ended_jobs: Vec::new(),
+            cancelled_jobs: self.recently_cancelled(),
+            uptime_ms: ((now - self.started_at) * 1000.0) as u64,
             renewed: Vec::new(),
-            leads: leading && !superseded && !self.resigning.get(),
-            resigns: leading && self.resigning.get(),
-            recorded: self.degraded_mode_record.borrow().fully_recorded_token(),
-            open: leading && self.degraded_mode.borrow().may_have_unrecorded_starts(),
-            standby: standby.map(|s| s.member),
-            lag_ms: (self.lag.get().mean_s() * 1000.0) as u64,
-            state_ago_ms: (self.state.last_answer())
+            is_leader: leading && !superseded && !self.resigning.get(),
+            is_resigning: leading && self.resigning.get(),
+            recorded_token: self.degraded_mode_record.borrow().fully_recorded_token(),
+            unrecorded_starts: leading && self.degraded_mode.borrow().may_have_unrecorded_starts(),
+            successor: standby.map(|s| s.member),
+            timer_lag_ms: (self.timer_lag.get().mean_s() * 1000.0) as u64,
+            state_answer_ago_ms: (self.kv.last_success())
                 .map(|at| ((now - at).max(0.0) * 1000.0) as u64),
         }
     }
@@ -61,7 +61,7 @@
     /// time for it (rule 2).
     pub(crate) fn recently_cancelled(&self) -> Vec<String> {
         let since = self.clock.now() - self.settings.facts.workers.cancel_s;
-        let cache = self.cache.borrow();
+        let cache = self.terminal_cache.borrow();
         let newest = cache.cancelled_since(since).take(MAX_CANCELLED_IN_HELLO);
         newest.cloned().collect()
     }
@@ -70,10 +70,10 @@
     /// node leads, it starts no more tasks of these jobs and stops the running ones (rule 6).
     pub(crate) fn on_cancelled_jobs(&self, ids: &[String]) {
         if let Role::Leading(leading) = &mut *self.role.borrow_mut() {
-            ids.iter().for_each(|id| leading.engine.job_dropped(id));
+            ids.iter().for_each(|id| leading.engine.job_key_removed(id));
         }
         if !ids.is_empty() {
-            self.wake.notify();
+            self.scheduler_wakeup.notify();
         }
     }
 
@@ -90,11 +90,11 @@
         {
             let until = leading.lease.renew_until();
             if until > now
-                && let Some(over) = leading.engine.over_jobs()
+                && let Some(over) = leading.engine.finished_jobs()
             {
-                leading.engine.delegate_to(member, until);
+                leading.engine.delegate_renewals_to(member, until);
                 hello.renewal_ms = Some(((until - now) * 1000.0) as u64);
-                hello.over = over;
+                hello.ended_jobs = over;
             }
         }
         hello.renewed = self.delegate.borrow_mut().recent_renewals(now);
@@ -107,17 +107,19 @@
         let now = self.clock.now();
         if let Some(peer) = self.peers.borrow_mut().get_mut(&hello.member) {
             peer.answered_at = Some(now);
-            peer.silent = false;
+            peer.unresponsive = false;
         }
-        if hello.leads {
+        if hello.is_leader {
             self.failure_detector
                 .borrow_mut()
                 .clear_suspicion(hello.token);
         }
-        if (hello.leads || hello.resigns) && hello.leader.as_deref() == Some(&*hello.member) {
+        if (hello.is_leader || hello.is_resigning)
+            && hello.leader.as_deref() == Some(&*hello.member)
+        {
             let mut memory = self.degraded_mode_record.borrow_mut();
-            memory.on_leader_report(asked_at, hello.token, hello.open);
-        } else if let Some(token) = hello.recorded {
+            memory.on_leader_report(asked_at, hello.token, hello.unrecorded_starts);
+        } else if let Some(token) = hello.recorded_token {
             // Counts like a report of the leader itself if the leader was the former process
             // of this controller (rule 3).
             let former_self = (self.leader.borrow().as_ref())
@@ -129,17 +131,17 @@
         if let Some(renewal_ms) = hello.renewal_ms
             && hello.leader.as_deref() == Some(&*hello.member)
         {
-            let renewal_s = renewal_ms as f64 / 1000.0 * (1.0 - self.tuning.drift);
+            let renewal_s = renewal_ms as f64 / 1000.0 * (1.0 - self.tuning.clock_drift);
             self.delegate.borrow_mut().on_delegation(
                 hello.token,
                 asked_at + renewal_s,
-                &hello.over,
+                &hello.ended_jobs,
             );
         }
         if let Role::Leading(leading) = &mut *self.role.borrow_mut() {
-            let up_s = hello.up_ms as f64 / 1000.0;
+            let up_s = hello.uptime_ms as f64 / 1000.0;
             let engine = &mut leading.engine;
-            engine.renewed_by(now, &hello.member, asked_at, up_s, &hello.renewed);
+            engine.record_delegated_renewals(now, &hello.member, asked_at, up_s, &hello.renewed);
         }
     }
 
@@ -148,8 +150,10 @@
     fn build_hello_with_progress(&self) -> Hello {
         let mut hello = self.build_hello();
         if let Role::Leading(leading) = &*self.role.borrow() {
-            hello.machines = leading.engine.machine_count();
-            hello.progress = leading.engine.progress(self.tuning.progress_most as usize);
+            hello.machine_count = leading.engine.machine_count();
+            hello.progress = leading
+                .engine
+                .all_job_progress(self.tuning.max_progress_jobs as usize);
         }
         hello
     }
@@ -162,12 +166,12 @@
         if let Some(leader) = &hello.leader {
             self.observe_leader(leader, hello.token);
         }
-        self.on_cancelled_jobs(&hello.cancelled);
+        self.on_cancelled_jobs(&hello.cancelled_jobs);
         if hello.leader.as_deref() == Some(&*hello.member)
             && self.leader_name().as_deref() == Some(&*hello.member)
-            && hello.machines > 0
+            && hello.machine_count > 0
         {
-            self.keep_sockets_for(hello.machines);
+            self.reserve_sockets_for(hello.machine_count);
             let jobs = hello.progress.iter();
             *self.reported_progress.borrow_mut() = ReportedProgress {
                 at: Some(self.clock.now()),
@@ -179,12 +183,16 @@
         let now = self.clock.now();
         peer.heard_at = Some(now);
         peer.state_reachable = hello.state_reachable;
-        peer.up_s = hello.up_ms as f64 / 1000.0;
-        peer.lag_s = hello.lag_ms as f64 / 1000.0;
-        peer.state_answer_at = hello.state_ago_ms.map(|ago| now - ago as f64 / 1000.0);
+        peer.uptime_s = hello.uptime_ms as f64 / 1000.0;
+        peer.lag_s = hello.timer_lag_ms as f64 / 1000.0;
+        peer.store_answer_at = hello
+            .state_answer_ago_ms
+            .map(|ago| now - ago as f64 / 1000.0);
         drop(peers);
-        if (hello.leads || hello.resigns) && self.leader_name().as_deref() == Some(&*hello.member) {
-            *self.designated_successor.borrow_mut() = hello.standby.clone();
+        if (hello.is_leader || hello.is_resigning)
+            && self.leader_name().as_deref() == Some(&*hello.member)
+        {
+            *self.designated_successor.borrow_mut() = hello.successor.clone();
         }
     }
 
@@ -192,7 +200,7 @@
     pub(crate) async fn handle_peer_request(self: Rc<Self>, request: Request) -> Response {
         match (request.method.as_str(), request.path()) {
             ("POST", paths::PEER_HELLO) => {}
-            ("POST", paths::PEER_REPORT) => return self.take_report(&request.body).await,
+            ("POST", paths::PEER_HEARTBEAT) => return self.accept_heartbeat(&request.body).await,
             ("POST", paths::PEER_SUBMIT) => return self.submit(&request.body).await,
             ("POST", path @ (paths::PEER_POLL | paths::PEER_CANCEL)) => {
                 return match decode::<JobIdOnly>(&request.body) {
@@ -211,7 +219,7 @@
             (
                 _,
                 paths::PEER_HELLO
-                | paths::PEER_REPORT
+                | paths::PEER_HEARTBEAT
                 | paths::PEER_SUBMIT
                 | paths::PEER_WATCH_LEADER
                 | paths::PEER_POLL
@@ -245,13 +253,17 @@
     pub(crate) async fn relay_heartbeat(
         &self,
         leader: &str,
-        report: &Report,
+        report: &Heartbeat,
         body: &[u8],
         direct: impl FnOnce() -> bool,
     ) -> Option<Response> {
-        let silent = self.peers.borrow().get(leader).is_some_and(|p| p.silent);
+        let silent = self
+            .peers
+            .borrow()
+            .get(leader)
+            .is_some_and(|p| p.unresponsive);
         if !silent {
-            match self.send_to_peer(leader, paths::PEER_REPORT, body).await {
+            match self.send_to_peer(leader, paths::PEER_HEARTBEAT, body).await {
                 Ok((200, body)) => {
                     self.delegate.borrow_mut().on_relayed_reply(report);
                     return Some(Response::new(200, body));
@@ -271,9 +283,9 @@
         let now = self.clock.now();
         let mut delegate = self.delegate.borrow_mut();
         let token = delegate.renew(now, report)?;
-        let cache = self.cache.borrow();
+        let cache = self.terminal_cache.borrow();
         let commands = delegate.stop_commands(report, |id| cache.get(id).is_some());
-        let reply = ReportReply { token, commands };
+        let reply = HeartbeatReply { token, commands };
         Some(Response::new(200, encode(&reply)))
     }
 
@@ -281,13 +293,13 @@
     fn mark_silent(&self, member: &str) {
         let mut peers = self.peers.borrow_mut();
         let peer = peers.entry(member.to_owned()).or_default();
-        if !peer.silent && self.leader_name().as_deref() == Some(member) {
+        if !peer.unresponsive && self.leader_name().as_deref() == Some(member) {
             info!(
                 leader = member,
                 "the leader does not reply: this node renews workers' leases as a delegate"
             );
         }
-        peer.silent = true;
+        peer.unresponsive = true;
     }
 
     /// Whether this node relays heartbeats of workers in `zone`: it is in their zone and the
@@ -304,7 +316,7 @@
     }
 
     /// The delegate in the worker's zone to which the leader directs this worker.
-    pub(crate) fn zone_delegate(&self, report: &Report) -> Option<String> {
+    pub(crate) fn zone_delegate(&self, report: &Heartbeat) -> Option<String> {
         if self.tuning.zone_proxy == 0.0 || report.zone == self.settings.zone {
             return None;
         }
@@ -328,7 +340,7 @@
             .filter(|p| {
                 let state = peers.get(&p.member);
                 state.is_some_and(|s| {
-                    !s.silent && s.answered_at.is_some_and(|at| now - at < fresh_s)
+                    !s.unresponsive && s.answered_at.is_some_and(|at| now - at < fresh_s)
                 })
             })
             .collect();
@@ -375,7 +387,9 @@
         let peers = self.peers.borrow();
         let has_state_access = |name: &String| {
             peers.get(name).is_some_and(|p| {
-                p.state_reachable && !p.silent && p.heard_at.is_some_and(|at| now - at < fresh_s)
+                p.state_reachable
+                    && !p.unresponsive
+                    && p.heard_at.is_some_and(|at| now - at < fresh_s)
             })
         };
         let leader = self.leader_name();
@@ -456,7 +470,9 @@
             }
             let leads = self.leader_name().as_deref() == Some(&*peer.member);
             sleep(if leads {
-                self.tuning.leader_greet_s.min(self.tuning.peer_interval_s)
+                self.tuning
+                    .leader_hello_interval_s
+                    .min(self.tuning.peer_interval_s)
             } else {
                 self.tuning.peer_interval_s
             })
--- a/crates/umbersail-control/src/standby.rs
+++ b/crates/umbersail-control/src/standby.rs
@@ -16,9 +16,9 @@
 
 use crate::engine::TxnOutcome;
 use crate::node::{Node, Role};
-use crate::records::{LIVENESS_KEY, LivenessRecord, SUSPICIONS, liveness, suspicion};
+use crate::records::{LIVENESS_KEY, LivenessRecord, SUSPICIONS, liveness_txn, suspicion_txn};
 use crate::settings::Peer;
-use crate::state::{StateError, Urgency};
+use crate::state::{KeyValueError, RequestPriority};
 
 /// Interval at which a node measures how late its timers fire, in seconds.
 const LAG_SAMPLE_S: Time = 0.25;
@@ -51,7 +51,7 @@
                 continue;
             };
             let body = encode(&self.build_hello());
-            let wait_s = self.tuning.leader_watch_s + self.tuning.peer_timeout_s;
+            let wait_s = self.tuning.leader_watch_timeout_s + self.tuning.peer_timeout_s;
             let answer = self
                 .peer_http
                 .request(peer.addr, "POST", paths::PEER_WATCH_LEADER, &body, wait_s)
@@ -79,15 +79,15 @@
     /// this token.
     fn on_leader_watch_reply(&self, token: u64, hello: &Hello) -> bool {
         self.on_hello(hello);
-        if hello.leads && hello.token == token {
+        if hello.is_leader && hello.token == token {
             self.failure_detector.borrow_mut().clear_suspicion(token);
             return true;
         }
-        let is_other_process = (self.elected.get())
+        let is_other_process = (self.leader_key_read.get())
             .is_some_and(|(of, incarnation)| of == token && incarnation != hello.incarnation);
         if is_other_process {
             self.suspect(token, Evidence::ProcessReplaced);
-        } else if hello.resigns && hello.token == token {
+        } else if hello.is_resigning && hello.token == token {
             self.suspect(token, Evidence::Resigned);
         }
         false
@@ -100,14 +100,14 @@
             return Response::empty(400);
         };
         self.on_hello(&hello);
-        let deadline = self.clock.now() + self.tuning.leader_watch_s;
+        let deadline = self.clock.now() + self.tuning.leader_watch_timeout_s;
         loop {
             let now = self.clock.now();
             if !self.is_leading() || now >= deadline {
                 break;
             }
             // Whether the timeout passed or the role changed, the loop checks both again.
-            let _ = timeout(deadline - now, self.changed.raised()).await;
+            let _ = timeout(deadline - now, self.role_changed.raised()).await;
         }
         Response::new(200, encode(&self.build_hello()))
     }
@@ -174,9 +174,10 @@
         let Some((_, token)) = self.remote_leader() else {
             return;
         };
-        let txn = suspicion(&self.settings.member, token);
+        let txn = suspicion_txn(&self.settings.member, token);
         let probe_started_at = self.clock.now();
-        let TxnOutcome::Applied { revision } = self.state.txn(&txn, Urgency::Vital).await else {
+        let TxnOutcome::Applied { revision } = self.kv.txn(&txn, RequestPriority::Critical).await
+        else {
             // Another node leads already, or the state service is unavailable.
             sleep(RETRY_S).await;
             return;
@@ -187,7 +188,7 @@
             .borrow()
             .probe_timeout_s(probe_written_at);
         let answer = self
-            .state
+            .kv
             .watch::<LivenessRecord>(LIVENESS_KEY, revision, timeout_s)
             .await;
         let now = self.clock.now();
@@ -202,10 +203,10 @@
                 // late (rule 3).
                 let replies = result.events.iter().filter_map(|e| e.value.as_ref());
                 let is_reply_to_probe =
-                    |a: &&LivenessRecord| a.token == token && a.answers >= revision;
+                    |a: &&LivenessRecord| a.token == token && a.newest_suspicion >= revision;
                 for reply in replies.filter(is_reply_to_probe) {
                     let mut memory = self.degraded_mode_record.borrow_mut();
-                    memory.on_leader_report(probe_started_at, token, reply.open);
+                    memory.on_leader_report(probe_started_at, token, reply.may_have_unrecorded);
                 }
                 self.failure_detector
                     .borrow_mut()
@@ -249,33 +250,32 @@
     pub(crate) async fn answer_liveness_probes(self: Rc<Self>, token: u64) {
         let mut from = token;
         loop {
-            let hold_s = self.tuning.watch_hold_s;
-            match self
-                .state
-                .watch::<IgnoredAny>(SUSPICIONS, from, hold_s)
-                .await
-            {
+            let hold_s = self.tuning.watch_timeout_s;
+            match self.kv.watch::<IgnoredAny>(SUSPICIONS, from, hold_s).await {
                 Ok(result) => {
                     from = from.max(result.revision);
                     let newest = result.events.iter().map(|e| e.version).max();
                     let Some(answers) = newest else {
                         continue;
                     };
-                    let txn = liveness(LivenessRecord {
+                    let txn = liveness_txn(LivenessRecord {
                         token,
-                        open: self.degraded_mode.borrow().may_have_unrecorded_starts(),
-                        answers,
+                        may_have_unrecorded: self
+                            .degraded_mode
+                            .borrow()
+                            .may_have_unrecorded_starts(),
+                        newest_suspicion: answers,
                     });
-                    let outcome = self.state.txn(&txn, Urgency::Vital).await;
+                    let outcome = self.kv.txn(&txn, RequestPriority::Critical).await;
                     if matches!(outcome, TxnOutcome::Conflict { .. }) {
                         self.mark_superseded();
                         return;
                     }
                 }
-                Err(StateError::Gone) => {
+                Err(KeyValueError::Gone) => {
                     let listed = self
-                        .state
-                        .list::<IgnoredAny>(SUSPICIONS, Urgency::Patient)
+                        .kv
+                        .list::<IgnoredAny>(SUSPICIONS, RequestPriority::Background)
                         .await;
                     if let Ok((_, revision)) = listed {
                         from = revision;
@@ -291,7 +291,7 @@
         if let Role::Leading(leading) = &*self.role.borrow() {
             leading.superseded.set(true);
         }
-        self.changed.raise();
+        self.role_changed.raise();
         self.step_down.notify();
     }
 
@@ -302,9 +302,9 @@
             let started_at = self.clock.now();
             sleep(LAG_SAMPLE_S).await;
             let delay_s = self.clock.now() - started_at - LAG_SAMPLE_S;
-            let mut lag = self.lag.get();
+            let mut lag = self.timer_lag.get();
             lag.record_delay(delay_s);
-            self.lag.set(lag);
+            self.timer_lag.set(lag);
         }
     }
 
@@ -320,9 +320,9 @@
                     .is_some_and(|at| now - at < 3.0 * self.tuning.peer_interval_s);
                 Some(Candidate {
                     member: peer.member.clone(),
-                    eligible: fresh && !state.silent && state.state_reachable,
+                    eligible: fresh && !state.unresponsive && state.state_reachable,
                     in_other_zone: peer.zone != self.settings.zone,
-                    uptime_s: state.up_s + (now - state.heard_at?),
+                    uptime_s: state.uptime_s + (now - state.heard_at?),
                     lag_s: state.lag_s,
                 })
             })
@@ -338,7 +338,13 @@
         };
         let now = self.clock.now();
         let next = self.choose_successor();
-        should_hand_over(now, elected, self.lag.get().mean_s(), next.as_ref(), limits)
+        should_hand_over(
+            now,
+            elected,
+            self.timer_lag.get().mean_s(),
+            next.as_ref(),
+            limits,
+        )
     }
 
     /// Whether the state service refuses this node while it replies to a peer: this node has
@@ -346,13 +352,13 @@
     /// than `refused_s` after this node's last one.
     pub(crate) fn is_isolated_from_state(&self) -> bool {
         let now = self.clock.now();
-        let margin_s = self.tuning.refused_s;
-        let Some(last) = self.state.last_answer() else {
+        let margin_s = self.tuning.state_loss_hand_over_s;
+        let Some(last) = self.kv.last_success() else {
             return false;
         };
         now - last > margin_s
             && (self.peers.borrow().values())
-                .any(|p| p.state_answer_at.is_some_and(|at| at > last + margin_s))
+                .any(|p| p.store_answer_at.is_some_and(|at| at > last + margin_s))
     }
 
     /// Sets whether this leader asks for another node to lead.
@@ -361,7 +367,7 @@
             if resigns {
                 info!("resigning: the state service replies to peers but not to this node");
             }
-            self.changed.raise();
+            self.role_changed.raise();
         }
     }
 }
--- a/crates/umbersail-kv/src/lib.rs
+++ b/crates/umbersail-kv/src/lib.rs
@@ -1,20 +1,21 @@
-//! The state service without I/O and clock: keys with revisions, leases,
-//! transactions, changes for watches, and limits, by the published protocol.
+//! The key-value store of the state service, without I/O and clock: keys with revisions,
+//! leases, transactions, changes for watches, and limits, according to the published
+//! protocol.
 //!
-//! Time goes in as seconds on the service's own steady clock. What answers
-//! requests, keeps data on a disk or plays an outage stands elsewhere.
+//! The caller passes the time as seconds of the service's own monotonic clock. Serving
+//! requests, storing data on disk and simulating outages are not part of this package.
 //!
 //! ```
-//! use umbersail_kv::{Bounds, KvStore, Outcome};
+//! use umbersail_kv::{KvStore, Limits, Outcome};
 //! use umbersail_wire::{Change, Condition, Txn};
 //!
-//! let mut ledger = KvStore::new(Bounds::default());
+//! let mut store = KvStore::new(Limits::default());
 //! let txn = Txn {
 //!     conditions: vec![Condition { key: "a/b".into(), version: 0 }],
 //!     changes: vec![Change::Put { key: "a/b".into(), value: 7.into(), lease: None }],
 //! };
-//! assert_eq!(ledger.txn(0.0, &txn), Ok(Outcome::Applied { revision: 1 }));
-//! assert_eq!(ledger.txn(0.0, &txn), Ok(Outcome::Failed { keys: vec!["a/b".into()] }));
+//! assert_eq!(store.txn(0.0, &txn), Ok(Outcome::Applied { revision: 1 }));
+//! assert_eq!(store.txn(0.0, &txn), Ok(Outcome::Failed { keys: vec!["a/b".into()] }));
 //! ```
 #![deny(missing_docs)]
 #![warn(
@@ -35,57 +36,58 @@
 use thiserror::Error;
 use umbersail_wire::{Change, KeyList, KeyValue, Txn, WatchEvent};
 
-pub use limit::Bucket;
+pub use limit::TokenBucket;
 pub use size::json_bytes;
 
-/// Seconds on the service's steady clock.
+/// Seconds of the service's monotonic clock.
 pub type Time = f64;
 
-/// Bounds of the protocol; sizes in bytes of the JSON form.
+/// Limits of the protocol; sizes are bytes of the JSON form.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Bounds {
-    /// Puts and deletes of one transaction; four times as many conditions.
+pub struct Limits {
+    /// Maximum number of puts and deletes of one transaction. Four times as many conditions
+    /// are allowed.
     pub txn_ops: usize,
-    /// Bytes of one transaction.
+    /// Maximum size of one transaction.
     pub txn_bytes: usize,
-    /// Bytes of one value.
+    /// Maximum size of one value.
     pub value_bytes: usize,
-    /// Items and bytes of one listing.
+    /// Maximum number of items of one listing.
     pub list_items: usize,
-    /// Bytes of one listing.
+    /// Maximum size of one listing.
     pub list_bytes: usize,
-    /// Changes that a watch may still ask for.
-    pub changes: usize,
+    /// Number of changes that are kept for watches.
+    pub kept_changes: usize,
 }
 
-impl Default for Bounds {
+impl Default for Limits {
     fn default() -> Self {
-        Bounds {
+        Limits {
             txn_ops: 32,
             txn_bytes: 64 * 1024,
             value_bytes: 32 * 1024,
             list_items: 1000,
             list_bytes: 512 * 1024,
-            changes: 10_000,
+            kept_changes: 10_000,
         }
     }
 }
 
-/// Why a request can't be executed as it is.
+/// Why a request cannot be executed.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
-pub enum Refusal {
+pub enum RequestError {
     /// The request violates the protocol.
     #[error("malformed: {0}")]
     Malformed(&'static str),
     /// The lease does not exist or has expired.
     #[error("no such lease")]
     NoSuchLease,
-    /// Changes from that revision on are not kept any more.
+    /// Changes after the requested revision are no longer kept.
     #[error("compacted: read the keys again")]
     Compacted,
 }
 
-/// What became of a transaction.
+/// The result of a transaction.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Outcome {
     /// All puts and deletes were applied.
@@ -93,9 +95,9 @@
         /// Revision of the store afterwards.
         revision: u64,
     },
-    /// These keys did not have the version that was asked for.
+    /// Conditions did not hold, and nothing was changed.
     Failed {
-        /// The keys.
+        /// The keys whose version was not the expected one.
         keys: Vec<String>,
     },
 }
@@ -110,35 +112,37 @@
 #[derive(Debug, Clone)]
 struct Lease {
     ttl_s: f64,
-    end: Time,
+    expires_at: Time,
     keys: BTreeSet<String>,
 }
 
-/// Keys, leases and the newest changes.
+/// Keys with their values, leases, and the newest changes.
 #[derive(Debug)]
 pub struct KvStore {
-    bounds: Bounds,
+    limits: Limits,
     revision: u64,
     keys: BTreeMap<String, Entry>,
     leases: BTreeMap<u64, Lease>,
     last_lease: u64,
     log: VecDeque<WatchEvent<Value>>,
-    /// The newest revision whose changes are not kept any more.
+    /// The newest revision whose changes are no longer kept.
     compacted: u64,
 }
 
-fn check_key(key: &str) -> Result<(), Refusal> {
+fn check_key(key: &str) -> Result<(), RequestError> {
     if key.is_empty() || key.len() > 200 || key.contains(' ') {
-        return Err(Refusal::Malformed("a key has 1 to 200 bytes and no spaces"));
+        return Err(RequestError::Malformed(
+            "a key has 1 to 200 bytes and no spaces",
+        ));
     }
     Ok(())
 }
 
 impl KvStore {
     /// An empty store.
-    pub fn new(bounds: Bounds) -> KvStore {
+    pub fn new(limits: Limits) -> KvStore {
         KvStore {
-            bounds,
+            limits,
             revision: 0,
             keys: BTreeMap::new(),
             leases: BTreeMap::new(),
@@ -148,7 +152,8 @@
         }
     }
 
-    /// Counts every transaction that changed something.
+    /// Revision of the store: increases with every transaction and lease expiry that changes a
+    /// key.
     pub fn revision(&self) -> u64 {
         self.revision
     }
@@ -163,7 +168,7 @@
         self.keys.is_empty()
     }
 
-    /// One key; `None` if it does not exist.
+    /// Returns a key with its value; `None` if it does not exist.
     pub fn get(&self, key: &str) -> Option<KeyValue<Value>> {
         let entry = self.keys.get(key)?;
         Some(KeyValue {
@@ -173,19 +178,21 @@
         })
     }
 
-    /// Keys with a prefix, in order, after `from`, as many as one answer holds.
-    pub fn list(&self, under: &str, from: Option<&str>, most: usize) -> KeyList<Value> {
-        let most = most.clamp(1, self.bounds.list_items);
+    /// Lists the keys with a prefix in order, starting after `from`: at most `limit` keys and
+    /// as many as fit into one answer.
+    pub fn list(&self, prefix: &str, from: Option<&str>, limit: usize) -> KeyList<Value> {
+        let limit = limit.clamp(1, self.limits.list_items);
         let start = match from {
-            Some(from) if from >= under => Bound::Excluded(from.to_owned()),
-            _ => Bound::Included(under.to_owned()),
+            Some(from) if from >= prefix => Bound::Excluded(from.to_owned()),
+            _ => Bound::Included(prefix.to_owned()),
         };
         let mut items: Vec<KeyValue<Value>> = Vec::new();
         let (mut bytes, mut more) = (0, false);
         let range = self.keys.range((start, Bound::Unbounded));
-        for (key, entry) in range.take_while(|(key, _)| key.starts_with(under)) {
+        for (key, entry) in range.take_while(|(key, _)| key.starts_with(prefix)) {
             let size = json_bytes(&entry.value) + key.len() + 32;
-            if items.len() >= most || (bytes + size > self.bounds.list_bytes && !items.is_empty()) {
+            if items.len() >= limit || (bytes + size > self.limits.list_bytes && !items.is_empty())
+            {
                 more = true;
                 break;
             }
@@ -203,12 +210,12 @@
         }
     }
 
-    /// Applies a transaction whole or not at all.
+    /// Applies a transaction completely or not at all.
     ///
     /// # Errors
-    /// `Malformed` if it is out of bounds, `NoSuchLease` if a put names a lease
-    /// that has ended, whatever its conditions say.
-    pub fn txn(&mut self, now: Time, txn: &Txn<Value>) -> Result<Outcome, Refusal> {
+    /// `Malformed` if the transaction exceeds the limits; `NoSuchLease` if a put names a lease
+    /// that has ended, even if the conditions do not hold.
+    pub fn txn(&mut self, now: Time, txn: &Txn<Value>) -> Result<Outcome, RequestError> {
         self.expire(now);
         self.check_txn(txn)?;
         let version = |key: &str| self.keys.get(key).map_or(0, |e| e.version);
@@ -226,7 +233,7 @@
         for change in &txn.changes {
             match change {
                 Change::Put { key, value, lease } => self.put(key, value, *lease),
-                Change::Delete { key } => self.drop_key(key),
+                Change::Delete { key } => self.delete_key(key),
             }
         }
         Ok(Outcome::Applied {
@@ -234,10 +241,10 @@
         })
     }
 
-    fn check_txn(&self, txn: &Txn<Value>) -> Result<(), Refusal> {
-        let bounds = &self.bounds;
-        if txn.changes.len() > bounds.txn_ops || txn.conditions.len() > 4 * bounds.txn_ops {
-            return Err(Refusal::Malformed("too many changes or conditions"));
+    fn check_txn(&self, txn: &Txn<Value>) -> Result<(), RequestError> {
+        let limits = &self.limits;
+        if txn.changes.len() > limits.txn_ops || txn.conditions.len() > 4 * limits.txn_ops {
+            return Err(RequestError::Malformed("too many changes or conditions"));
         }
         let mut bytes = 0;
         for condition in &txn.conditions {
@@ -249,19 +256,19 @@
             let (Change::Put { key, .. } | Change::Delete { key }) = change;
             check_key(key)?;
             if !named.insert(key) {
-                return Err(Refusal::Malformed("a key is changed twice"));
+                return Err(RequestError::Malformed("a key is changed twice"));
             }
             bytes += key.len() + 16;
             if let Change::Put { value, .. } = change {
                 let size = json_bytes(value);
-                if size > bounds.value_bytes {
-                    return Err(Refusal::Malformed("a value is too large"));
+                if size > limits.value_bytes {
+                    return Err(RequestError::Malformed("a value is too large"));
                 }
                 bytes += size;
             }
         }
-        if bytes > bounds.txn_bytes {
-            return Err(Refusal::Malformed("the transaction is too large"));
+        if bytes > limits.txn_bytes {
+            return Err(RequestError::Malformed("the transaction is too large"));
         }
         let ended = |change: &Change<Value>| match change {
             Change::Put {
@@ -270,7 +277,7 @@
             _ => false,
         };
         match txn.changes.iter().any(ended) {
-            true => Err(Refusal::NoSuchLease),
+            true => Err(RequestError::NoSuchLease),
             false => Ok(()),
         }
     }
@@ -289,7 +296,7 @@
         if let Some(lease) = lease.and_then(|id| self.leases.get_mut(&id)) {
             lease.keys.insert(key.to_owned());
         }
-        self.remember(WatchEvent {
+        self.log_event(WatchEvent {
             put: Some(key.to_owned()),
             delete: None,
             value: Some(value.clone()),
@@ -297,12 +304,12 @@
         });
     }
 
-    fn drop_key(&mut self, key: &str) {
+    fn delete_key(&mut self, key: &str) {
         let Some(entry) = self.keys.remove(key) else {
             return;
         };
         self.detach(key, entry.lease);
-        self.remember(WatchEvent {
+        self.log_event(WatchEvent {
             put: None,
             delete: Some(key.to_owned()),
             value: None,
@@ -316,9 +323,9 @@
         }
     }
 
-    fn remember(&mut self, event: WatchEvent<Value>) {
+    fn log_event(&mut self, event: WatchEvent<Value>) {
         self.log.push_back(event);
-        while self.log.len() > self.bounds.changes {
+        while self.log.len() > self.limits.kept_changes {
             if let Some(old) = self.log.pop_front() {
                 self.compacted = old.version;
             }
@@ -328,91 +335,101 @@
     /// Changes of keys with a prefix after a revision, oldest first.
     ///
     /// # Errors
-    /// `Compacted` if some of them may not be kept any more.
-    pub fn changes(&self, under: &str, from: u64) -> Result<Vec<WatchEvent<Value>>, Refusal> {
+    /// `Compacted` if some of these changes may no longer be kept.
+    pub fn changes_since(
+        &self,
+        prefix: &str,
+        from: u64,
+    ) -> Result<Vec<WatchEvent<Value>>, RequestError> {
         if from < self.compacted {
-            return Err(Refusal::Compacted);
+            return Err(RequestError::Compacted);
         }
         let start = self.log.partition_point(|e| e.version <= from);
         let named = |e: &&WatchEvent<Value>| {
             let key = e.put.as_ref().or(e.delete.as_ref());
-            key.is_some_and(|k| k.starts_with(under))
+            key.is_some_and(|k| k.starts_with(prefix))
         };
         Ok(self.log.range(start..).filter(named).cloned().collect())
     }
 
-    /// A lease for so many milliseconds.
+    /// Grants a lease of `ttl_ms` milliseconds and returns its number.
     ///
     /// # Errors
-    /// `Malformed` outside of 100 to 600,000.
-    pub fn grant(&mut self, now: Time, ttl_ms: u64) -> Result<u64, Refusal> {
+    /// `Malformed` if `ttl_ms` is not within 100 to 600,000.
+    pub fn grant(&mut self, now: Time, ttl_ms: u64) -> Result<u64, RequestError> {
         if !(100..=600_000).contains(&ttl_ms) {
-            return Err(Refusal::Malformed("ttl_ms is 100 to 600000"));
+            return Err(RequestError::Malformed("ttl_ms is 100 to 600000"));
         }
         self.last_lease += 1;
         let ttl_s = ttl_ms as f64 / 1000.0;
         let lease = Lease {
             ttl_s,
-            end: now + ttl_s,
+            expires_at: now + ttl_s,
             keys: BTreeSet::new(),
         };
         self.leases.insert(self.last_lease, lease);
         Ok(self.last_lease)
     }
 
-    /// Its full time again.
+    /// Renews a lease: it expires after its full duration from now.
     ///
     /// # Errors
-    /// `NoSuchLease` once it has ended, also in the very instant of its end.
-    pub fn renew(&mut self, now: Time, lease: u64) -> Result<(), Refusal> {
+    /// `NoSuchLease` if the lease has ended. A lease has ended at the exact time of its expiry.
+    pub fn renew(&mut self, now: Time, lease: u64) -> Result<(), RequestError> {
         self.expire(now);
-        let lease = self.leases.get_mut(&lease).ok_or(Refusal::NoSuchLease)?;
-        lease.end = now + lease.ttl_s;
+        let lease = self
+            .leases
+            .get_mut(&lease)
+            .ok_or(RequestError::NoSuchLease)?;
+        lease.expires_at = now + lease.ttl_s;
         Ok(())
     }
 
-    /// Ends a lease, and with it the keys attached to it.
+    /// Ends a lease and deletes the keys attached to it.
     ///
     /// # Errors
-    /// `NoSuchLease` if it has ended before.
-    pub fn end(&mut self, now: Time, lease: u64) -> Result<(), Refusal> {
+    /// `NoSuchLease` if the lease has already ended.
+    pub fn revoke(&mut self, now: Time, lease: u64) -> Result<(), RequestError> {
         self.expire(now);
-        let lease = self.leases.remove(&lease).ok_or(Refusal::NoSuchLease)?;
-        self.drop_keys(lease.keys);
+        let lease = self
+            .leases
+            .remove(&lease)
+            .ok_or(RequestError::NoSuchLease)?;
+        self.delete_keys(lease.keys);
         Ok(())
     }
 
-    fn drop_keys(&mut self, keys: BTreeSet<String>) {
+    fn delete_keys(&mut self, keys: BTreeSet<String>) {
         if !keys.is_empty() {
             self.revision += 1;
         }
         for key in keys {
-            self.drop_key(&key);
+            self.delete_key(&key);
         }
     }
 
-    /// Ends the leases whose time is over; true if a key went with one.
+    /// Ends the leases that have expired. Returns whether a key was deleted with a lease.
     pub fn expire(&mut self, now: Time) -> bool {
-        let over = |(id, lease): (&u64, &Lease)| (lease.end <= now).then_some(*id);
-        let ended: Vec<u64> = self.leases.iter().filter_map(over).collect();
+        let expired = |(id, lease): (&u64, &Lease)| (lease.expires_at <= now).then_some(*id);
+        let expired: Vec<u64> = self.leases.iter().filter_map(expired).collect();
         let before = self.revision;
-        for id in ended {
+        for id in expired {
             if let Some(lease) = self.leases.remove(&id) {
-                self.drop_keys(lease.keys);
+                self.delete_keys(lease.keys);
             }
         }
         self.revision != before
     }
 
-    /// When the next lease ends unless it is renewed.
-    pub fn next_end(&self) -> Option<Time> {
-        self.leases.values().map(|l| l.end).reduce(f64::min)
+    /// When the next lease expires unless it is renewed.
+    pub fn next_expiry(&self) -> Option<Time> {
+        self.leases.values().map(|l| l.expires_at).reduce(f64::min)
     }
 
-    /// After an outage every lease has its full time again.
-    pub fn resume(&mut self, now: Time) {
+    /// Restarts the duration of every lease, as the service does after an outage.
+    pub fn restart_leases(&mut self, now: Time) {
         for lease in self.leases.values_mut() {
-            lease.end = now + lease.ttl_s;
+            lease.expires_at = now + lease.ttl_s;
         }
     }
 }
