--- a/crates/umbersail-control/src/degraded_mode.rs
+++ b/crates/umbersail-control/src/degraded_mode.rs
@@ -83,7 +83,7 @@
     }
 
     /// Whether this node leads, may still renew workers' leases, and renewed its own leader
-    /// lease no longer than `degraded_mode_s` ago.
+    /// lease no longer than `degraded_mode_max_s` ago.
     fn is_within_start_deadline(&self, now: Time) -> bool {
         let tuning = &self.tuning;
         match &*self.role.borrow() {
--- a/crates/umbersail-control/src/delegate.rs
+++ b/crates/umbersail-control/src/delegate.rs
@@ -91,24 +91,24 @@
     /// the reply; `None` if the lease may not be renewed. Renews only leases of machines that
     /// have shown the leader's token, since to the leader all other machines still belong to
     /// an earlier leader.
-    pub fn renew(&mut self, now: Time, report: &Heartbeat) -> Option<u64> {
+    pub fn renew(&mut self, now: Time, heartbeat: &Heartbeat) -> Option<u64> {
         let (revision, until) = self.delegation?;
-        if now >= until || epoch(report.token) != revision {
+        if now >= until || epoch(heartbeat.token) != revision {
             return None;
         }
         self.expire(now);
-        let name = self.track(now, &report.machine)?;
+        let name = self.track(now, &heartbeat.machine)?;
         let renewal = self.renewals.get_mut(&name)?;
-        if report.ordering_key() <= renewal.order {
+        if heartbeat.ordering_key() <= renewal.order {
             return None;
         }
-        renewal.order = report.ordering_key();
+        renewal.order = heartbeat.ordering_key();
         if now - *renewal.first_since_leader.get_or_insert(now) >= self.renewal_s {
             return None;
         }
         renewal.last_at = now;
         self.expiry.push_back((now, name));
-        Some(report.token)
+        Some(heartbeat.token)
     }
 
     /// Returns the tracked name of a machine, and begins to track a new machine. Returns
@@ -135,11 +135,15 @@
     /// jobs, as listed by the leader or known by `ended`. Stopping tasks of finished jobs is
     /// always safe. Because every reply repeats these commands, a cancellation reaches the
     /// workers however long the leader itself can reach none (rule 2).
-    pub fn stop_commands(&self, report: &Heartbeat, ended: impl Fn(&str) -> bool) -> Vec<Command> {
+    pub fn stop_commands(
+        &self,
+        heartbeat: &Heartbeat,
+        ended: impl Fn(&str) -> bool,
+    ) -> Vec<Command> {
         let is_finished = |task: &str| {
             split_task(task).is_some_and(|(id, _)| self.finished_jobs.contains(id) || ended(id))
         };
-        let active = (report.tasks.iter()).filter(|entry| entry.state != TaskState::Exited);
+        let active = (heartbeat.tasks.iter()).filter(|entry| entry.state != TaskState::Exited);
         active
             .filter(|entry| is_finished(&entry.task))
             .map(|entry| Command::stop(entry, 0.0))
@@ -149,9 +153,9 @@
     /// The leader has replied to this heartbeat through this node. A heartbeat that is not
     /// newer than the one on which this delegate last renewed the lease, because it is late
     /// or a duplicate, does not count: the worker no longer waits for that reply.
-    pub fn on_relayed_reply(&mut self, report: &Heartbeat) {
-        if let Some(renewal) = self.renewals.get_mut(report.machine.as_str())
-            && report.ordering_key() > renewal.order
+    pub fn on_relayed_reply(&mut self, heartbeat: &Heartbeat) {
+        if let Some(renewal) = self.renewals.get_mut(heartbeat.machine.as_str())
+            && heartbeat.ordering_key() > renewal.order
         {
             renewal.first_since_leader = None;
         }
--- a/crates/umbersail-control/src/peers.rs
+++ b/crates/umbersail-control/src/peers.rs
@@ -253,19 +253,19 @@
     pub(crate) async fn relay_heartbeat(
         &self,
         leader: &str,
-        report: &Heartbeat,
+        heartbeat: &Heartbeat,
         body: &[u8],
         direct: impl FnOnce() -> bool,
     ) -> Option<Response> {
-        let silent = self
+        let is_unresponsive = self
             .peers
             .borrow()
             .get(leader)
             .is_some_and(|p| p.unresponsive);
-        if !silent {
+        if !is_unresponsive {
             match self.send_to_peer(leader, paths::PEER_HEARTBEAT, body).await {
                 Ok((200, body)) => {
-                    self.delegate.borrow_mut().on_relayed_reply(report);
+                    self.delegate.borrow_mut().on_relayed_reply(heartbeat);
                     return Some(Response::new(200, body));
                 }
                 Ok(_) => return None,
@@ -277,20 +277,20 @@
                 // Too many requests to this peer are waiting for a reply already, which is no
                 // evidence that the leader has failed.
                 Err(ClientError::NotSent(_)) => {}
-                Err(_) => self.mark_silent(leader),
+                Err(_) => self.mark_unresponsive(leader),
             }
         }
         let now = self.clock.now();
         let mut delegate = self.delegate.borrow_mut();
-        let token = delegate.renew(now, report)?;
+        let token = delegate.renew(now, heartbeat)?;
         let cache = self.terminal_cache.borrow();
-        let commands = delegate.stop_commands(report, |id| cache.get(id).is_some());
+        let commands = delegate.stop_commands(heartbeat, |id| cache.get(id).is_some());
         let reply = HeartbeatReply { token, commands };
         Some(Response::new(200, encode(&reply)))
     }
 
     /// Marks a peer as unresponsive, since it did not reply in time.
-    fn mark_silent(&self, member: &str) {
+    fn mark_unresponsive(&self, member: &str) {
         let mut peers = self.peers.borrow_mut();
         let peer = peers.entry(member.to_owned()).or_default();
         if !peer.unresponsive && self.leader_name().as_deref() == Some(member) {
@@ -316,8 +316,8 @@
     }
 
     /// The delegate in the worker's zone to which the leader directs this worker.
-    pub(crate) fn zone_delegate(&self, report: &Heartbeat) -> Option<String> {
-        if self.tuning.zone_proxy == 0.0 || report.zone == self.settings.zone {
+    pub(crate) fn zone_delegate(&self, heartbeat: &Heartbeat) -> Option<String> {
+        if self.tuning.zone_proxy == 0.0 || heartbeat.zone == self.settings.zone {
             return None;
         }
         let now = self.clock.now();
@@ -328,7 +328,7 @@
         };
         // A worker that has not shown this leader's token yet must receive a reply of the
         // leader first.
-        if epoch(report.token) != leading.engine.revision() {
+        if epoch(heartbeat.token) != leading.engine.revision() {
             return None;
         }
         let peers = self.peers.borrow();
@@ -336,7 +336,7 @@
             .settings
             .peers
             .iter()
-            .filter(|p| p.zone == report.zone && leading.engine.is_delegate(now, &p.member))
+            .filter(|p| p.zone == heartbeat.zone && leading.engine.is_delegate(now, &p.member))
             .filter(|p| {
                 let state = peers.get(&p.member);
                 state.is_some_and(|s| {
@@ -344,7 +344,7 @@
                 })
             })
             .collect();
-        let hash: usize = report.machine.bytes().map(usize::from).sum();
+        let hash: usize = heartbeat.machine.bytes().map(usize::from).sum();
         let index = hash.checked_rem(candidates.len())?;
         Some(candidates[index].member.clone())
     }
@@ -450,7 +450,7 @@
                     }
                 },
                 Err(e @ (ClientError::NoAnswer(_) | ClientError::Unreachable)) => {
-                    self.mark_silent(&peer.member);
+                    self.mark_unresponsive(&peer.member);
                     self.suspect_if_leader(&peer.member, &e);
                     false
                 }
--- a/crates/umbersail-control/src/standby.rs
+++ b/crates/umbersail-control/src/standby.rs
@@ -94,7 +94,7 @@
     }
 
     /// The leader's side of a leader watch: replies when the leader resigns or stops leading,
-    /// or after `leader_watch_s`.
+    /// or after `leader_watch_timeout_s`.
     pub(crate) async fn handle_leader_watch(&self, body: &[u8]) -> Response {
         let Ok(hello) = decode::<Hello>(body) else {
             return Response::empty(400);
@@ -348,8 +348,8 @@
     }
 
     /// Whether the state service refuses this node while it replies to a peer: this node has
-    /// received no reply for longer than `refused_s`, and a peer has received a reply more
-    /// than `refused_s` after this node's last one.
+    /// received no reply for longer than `state_loss_hand_over_s`, and a peer has received a
+    /// reply more than `state_loss_hand_over_s` after this node's last one.
     pub(crate) fn is_isolated_from_state(&self) -> bool {
         let now = self.clock.now();
         let margin_s = self.tuning.state_loss_hand_over_s;
