--- a/crates/umbersail-control/src/capacity.rs
+++ b/crates/umbersail-control/src/capacity.rs
@@ -58,7 +58,7 @@
             max_per_address: STATE_CONNECTIONS,
             max_idle: 8,
             max_total: STATE_CONNECTIONS,
-            connect_s: CONNECT_S,
+            connect_timeout_s: CONNECT_S,
         }),
         settings.external.state,
         clock,
@@ -80,7 +80,7 @@
             max_per_address: CLOUD_CONNECTIONS,
             max_idle: 2,
             max_total: CLOUD_CONNECTIONS,
-            connect_s: CONNECT_S,
+            connect_timeout_s: CONNECT_S,
         }),
         settings.external.cloud,
         clock,
@@ -96,7 +96,7 @@
         max_per_address: 40,
         max_idle: 2,
         max_total: connections_to_workers(tuning, settings),
-        connect_s: CONNECT_S,
+        connect_timeout_s: CONNECT_S,
     })
 }
 
@@ -108,7 +108,7 @@
         max_per_address: to_peer,
         max_idle: to_peer,
         max_total: EXTRA_PEER_CONNECTIONS + to_peer,
-        connect_s: CONNECT_S,
+        connect_timeout_s: CONNECT_S,
     })
 }
 
@@ -162,17 +162,17 @@
             max_body_bytes: tuning.max_body_bytes as usize,
             max_connections: most.min(left).max(least),
             reserved: self.reserved_sockets.clone(),
-            least_unreserved: least,
+            min_unreserved: least,
             reserved_paths: vec![paths::HEARTBEAT.into(), paths::HEALTH.into()],
-            idle_s: tuning.idle_connection_s,
-            receive_s: tuning.receive_s,
-            send_s: tuning.receive_s,
+            idle_timeout_s: tuning.idle_connection_s,
+            receive_timeout_s: tuning.receive_s,
+            send_timeout_s: tuning.receive_s,
         };
         let back = ServerLimits {
             max_body_bytes: MAX_PEER_BODY_BYTES,
             max_connections: from_peers,
             reserved: Rc::default(),
-            least_unreserved: 0,
+            min_unreserved: 0,
             ..front.clone()
         };
         (front, back)
--- a/crates/umbersail-control/src/peers.rs
+++ b/crates/umbersail-control/src/peers.rs
@@ -437,7 +437,7 @@
                         false
                     }
                 },
-                Err(e @ (ClientError::NoAnswer(_) | ClientError::Unreachable)) => {
+                Err(e @ (ClientError::Timeout(_) | ClientError::Unreachable)) => {
                     self.mark_silent(&peer.member);
                     self.suspect_if_leader(&peer.member, &e);
                     false
--- a/crates/umbersail-control/src/plans.rs
+++ b/crates/umbersail-control/src/plans.rs
@@ -112,7 +112,7 @@
         max_per_address: 1,
         max_idle: 1,
         max_total: 1,
-        connect_s: READ_S,
+        connect_timeout_s: READ_S,
     });
     let mut plans = Vec::new();
     let mut from = String::new();
--- a/crates/umbersail-control/src/state.rs
+++ b/crates/umbersail-control/src/state.rs
@@ -314,7 +314,7 @@
                 Ok((status, body))
             }
             Ok((status, _)) => Err(KeyValueError::NoAnswer(format!("status {status}"))),
-            Err(e) if e.is_not_sent() => {
+            Err(e) if e.is_request_not_executed() => {
                 self.failed();
                 Err(KeyValueError::Unavailable(e.to_string()))
             }
--- a/crates/umbersail-control/tests/isolated.rs
+++ b/crates/umbersail-control/tests/isolated.rs
@@ -14,7 +14,7 @@
 
 use standin::{StateService, start_cloud};
 use umbersail_control::Settings;
-use umbersail_http::{Answer, Client, ClientLimits};
+use umbersail_http::{Client, ClientLimits, ClientResponse};
 use umbersail_runtime::{
     CutId, CutMode, HostId, HostSpec, NetworkConfig, Simulation, WorldHandle, sleep, spawn,
 };
@@ -103,7 +103,13 @@
         start_node(&self.world, self.nodes[node], node);
     }
 
-    async fn ask(&self, node: usize, method: &str, target: &str, body: &[u8]) -> Option<Answer> {
+    async fn ask(
+        &self,
+        node: usize,
+        method: &str,
+        target: &str,
+        body: &[u8],
+    ) -> Option<ClientResponse> {
         self.ask_for(node, method, target, body, 4.0).await
     }
 
@@ -114,9 +120,9 @@
         target: &str,
         body: &[u8],
         wait_s: f64,
-    ) -> Option<Answer> {
+    ) -> Option<ClientResponse> {
         let to = front(node);
-        self.http.ask(to, method, target, body, wait_s).await.ok()
+        self.http.send(to, method, target, body, wait_s).await.ok()
     }
 
     async fn status(&self, node: usize, method: &str, target: &str, body: &[u8]) -> u16 {
@@ -243,7 +249,7 @@
                     max_per_address: 8,
                     max_idle: 2,
                     max_total: 64,
-                    connect_s: 4.0,
+                    connect_timeout_s: 4.0,
                 }),
             });
             world.start(users, async move {
@@ -330,7 +336,7 @@
                 max_per_address: 2,
                 max_idle: 1,
                 max_total: 4,
-                connect_s: 4.0,
+                connect_timeout_s: 4.0,
             }),
             node,
             report: new_report(machine),
@@ -355,7 +361,7 @@
         let sent = self.scene.world.now();
         let to = front(self.node);
         let body = encode(&self.report);
-        let answer = self.http.ask(to, "POST", "/v1/report", &body, 4.0).await;
+        let answer = self.http.send(to, "POST", "/v1/report", &body, 4.0).await;
         let next = (self.node + 1) % NODES;
         match answer {
             Ok(a) if a.status == 200 => {
@@ -664,7 +670,7 @@
         let state = [scene.state_host];
         let cut = (scene.world).cut(&[scene.nodes[leader]], &state, CutMode::Hold);
         let (there, body) = (scene.clone(), encode(&worker.report));
-        let told: Rc<RefCell<Option<Answer>>> = Rc::default();
+        let told: Rc<RefCell<Option<ClientResponse>>> = Rc::default();
         let tell = told.clone();
         spawn(async move {
             let answer = there.ask_for(leader, "POST", "/v1/report", &body, 30.0);
--- a/crates/umbersail-control/tests/isolated/successors.rs
+++ b/crates/umbersail-control/tests/isolated/successors.rs
@@ -104,7 +104,7 @@
             max_per_address: WORKERS,
             max_idle: WORKERS,
             max_total: WORKERS + 1,
-            connect_s: 4.0,
+            connect_timeout_s: 4.0,
         }));
         let reports = |seq: u64, token: u64| {
             let all = (0..WORKERS).map(|n| {
@@ -113,7 +113,7 @@
                 (report.seq, report.token) = (seq, token);
                 async move {
                     let body = encode(&report);
-                    let answer = http.ask(front(leader), "POST", paths::HEARTBEAT, &body, 9.0);
+                    let answer = http.send(front(leader), "POST", paths::HEARTBEAT, &body, 9.0);
                     let answer = answer.await.ok().filter(|a| a.status == 200)?;
                     Some(decode::<HeartbeatReply>(&answer.body).unwrap().token)
                 }
@@ -130,7 +130,7 @@
             };
             async move {
                 let body = encode(&hello);
-                let answer = http.ask(back(leader), "POST", paths::PEER_HELLO, &body, 9.0);
+                let answer = http.send(back(leader), "POST", paths::PEER_HELLO, &body, 9.0);
                 answer.await.map_or(0, |a| a.status)
             }
         };
--- a/crates/umbersail-control/tests/service.rs
+++ b/crates/umbersail-control/tests/service.rs
@@ -118,7 +118,7 @@
                 max_per_address: 8,
                 max_idle: 2,
                 max_total: 64,
-                connect_s: 1.0,
+                connect_timeout_s: 1.0,
             }),
         };
         for node in 0..2 {
--- a/crates/umbersail-control/tests/standin/mod.rs
+++ b/crates/umbersail-control/tests/standin/mod.rs
@@ -16,11 +16,11 @@
         max_body_bytes: 1 << 20,
         max_connections: 100,
         reserved: Rc::default(),
-        least_unreserved: 100,
+        min_unreserved: 100,
         reserved_paths: vec![],
-        idle_s: 30.0,
-        receive_s: 5.0,
-        send_s: 5.0,
+        idle_timeout_s: 30.0,
+        receive_timeout_s: 5.0,
+        send_timeout_s: 5.0,
     }
 }
 
--- a/crates/umbersail-http/src/client.rs
+++ b/crates/umbersail-http/src/client.rs
@@ -23,7 +23,7 @@
     Unreachable,
     /// There was no response in time.
     #[error("no answer: {0}")]
-    NoAnswer(String),
+    Timeout(String),
     /// No answer either: the other side closed the connection.
     #[error("closed: {0}")]
     Closed(String),
@@ -34,7 +34,7 @@
 
 impl ClientError {
     /// Whether the other side has certainly not executed the request.
-    pub fn is_not_sent(&self) -> bool {
+    pub fn is_request_not_executed(&self) -> bool {
         matches!(
             self,
             ClientError::NotSent(_) | ClientError::Refused(_) | ClientError::Unreachable
@@ -55,7 +55,7 @@
     /// hundreds of addresses would use up the process's sockets.
     pub max_total: usize,
     /// Seconds to open a connection.
-    pub connect_s: f64,
+    pub connect_timeout_s: f64,
 }
 
 /// Sends requests over kept-open connections.
@@ -74,13 +74,13 @@
 }
 
 /// Counts one open exchange with an address.
-struct Permit {
+struct ExchangePermit {
     client: Rc<ClientInner>,
     addr: SocketAddr,
 }
 
-impl Permit {
-    fn take(client: &Rc<ClientInner>, addr: SocketAddr) -> Option<Permit> {
+impl ExchangePermit {
+    fn acquire(client: &Rc<ClientInner>, addr: SocketAddr) -> Option<ExchangePermit> {
         let limits = &client.limits;
         let mut open = client.open.borrow_mut();
         let count = open.get(&addr).copied().unwrap_or(0);
@@ -89,14 +89,14 @@
         }
         open.insert(addr, count + 1);
         client.open_total.set(client.open_total.get() + 1);
-        Some(Permit {
+        Some(ExchangePermit {
             client: client.clone(),
             addr,
         })
     }
 }
 
-impl Drop for Permit {
+impl Drop for ExchangePermit {
     fn drop(&mut self) {
         let mut open = self.client.open.borrow_mut();
         match open.get_mut(&self.addr) {
@@ -135,7 +135,7 @@
         body: &[u8],
         seconds: f64,
     ) -> Result<(u16, Vec<u8>), ClientError> {
-        let answer = self.ask(addr, method, target, body, seconds).await?;
+        let answer = self.send(addr, method, target, body, seconds).await?;
         Ok((answer.status, answer.body))
     }
 
@@ -143,20 +143,20 @@
     ///
     /// # Errors
     /// Why there is no answer, and with that whether the request may have been executed.
-    pub async fn ask(
+    pub async fn send(
         &self,
         addr: SocketAddr,
         method: &str,
         target: &str,
         body: &[u8],
         seconds: f64,
-    ) -> Result<Answer, ClientError> {
-        let Some(_permit) = Permit::take(&self.inner, addr) else {
+    ) -> Result<ClientResponse, ClientError> {
+        let Some(_permit) = ExchangePermit::acquire(&self.inner, addr) else {
             return Err(ClientError::NotSent("too many open exchanges".into()));
         };
         match timeout(seconds, self.exchange(addr, method, target, body)).await {
             Ok(result) => result,
-            Err(_) => Err(ClientError::NoAnswer("out of time".into())),
+            Err(_) => Err(ClientError::Timeout("out of time".into())),
         }
     }
 
@@ -166,11 +166,11 @@
         method: &str,
         target: &str,
         body: &[u8],
-    ) -> Result<Answer, ClientError> {
+    ) -> Result<ClientResponse, ClientError> {
         let limits = &self.inner.limits;
         let mut stream = match self.take_idle(addr) {
             Some(stream) => stream,
-            None => match timeout(limits.connect_s, TcpStream::connect(addr)).await {
+            None => match timeout(limits.connect_timeout_s, TcpStream::connect(addr)).await {
                 Ok(Ok(stream)) => stream,
                 Ok(Err(e)) => return Err(ClientError::Refused(e.to_string())),
                 Err(_) => return Err(ClientError::Unreachable),
@@ -199,7 +199,7 @@
             buf.extend_from_slice(&chunk[..n]);
             if let Some((answer, close)) = parse(&buf, limits.max_body_bytes)? {
                 if !close {
-                    self.keep(addr, stream);
+                    self.return_to_pool(addr, stream);
                 }
                 return Ok(answer);
             }
@@ -210,7 +210,7 @@
         let mut idle = self.inner.idle.borrow_mut();
         while let Some(at) = idle.iter().rposition(|(a, _)| *a == addr) {
             let (_, mut stream) = idle.remove(at)?;
-            if stream.is_quiet() {
+            if stream.is_reusable() {
                 return Some(stream);
             }
         }
@@ -222,7 +222,7 @@
         None
     }
 
-    fn keep(&self, addr: SocketAddr, stream: TcpStream) {
+    fn return_to_pool(&self, addr: SocketAddr, stream: TcpStream) {
         let mut idle = self.inner.idle.borrow_mut();
         if idle.iter().filter(|(a, _)| *a == addr).count() < self.inner.limits.max_idle {
             idle.push_back((addr, stream));
@@ -232,7 +232,7 @@
 
 /// An answer, whole.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Answer {
+pub struct ClientResponse {
     /// Status code.
     pub status: u16,
     /// Body.
@@ -240,13 +240,13 @@
     /// Seconds after which to come back, if the other side says so.
     pub retry_after_s: Option<u32>,
     /// The other side ends the connection with this answer.
-    pub closes: bool,
+    pub closes_connection: bool,
 }
 
 /// An answer, and whether the connection ends with it.
-type Parsed = Option<(Answer, bool)>;
+type ParsedResponse = Option<(ClientResponse, bool)>;
 
-fn parse(buf: &[u8], max_body: usize) -> Result<Parsed, ClientError> {
+fn parse(buf: &[u8], max_body: usize) -> Result<ParsedResponse, ClientError> {
     let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
     let mut head = httparse::Response::new(&mut headers);
     let start = match head.parse(buf) {
@@ -269,11 +269,11 @@
         .iter()
         .find(|h| h.name.eq_ignore_ascii_case("retry-after"));
     let retry = retry.and_then(|h| std::str::from_utf8(h.value).ok());
-    let answer = Answer {
+    let answer = ClientResponse {
         status: head.code.unwrap_or(0),
         body: buf[start..start + framing.length].to_vec(),
         retry_after_s: retry.and_then(|text| text.trim().parse().ok()),
-        closes: framing.close,
+        closes_connection: framing.close,
     };
     Ok(Some((answer, framing.close)))
 }
@@ -285,11 +285,11 @@
     #[test]
     fn answers_are_cut_at_their_length_and_bounded() {
         let whole = b"HTTP/1.1 503 No\r\nretry-after: 7\r\nContent-Length: 3\r\n\r\nabc";
-        let answer = Answer {
+        let answer = ClientResponse {
             status: 503,
             body: b"abc".to_vec(),
             retry_after_s: Some(7),
-            closes: false,
+            closes_connection: false,
         };
         assert_eq!(parse(whole, 10), Ok(Some((answer, false))));
         assert_eq!(parse(&whole[..whole.len() - 1], 10), Ok(None));
@@ -312,7 +312,7 @@
                     max_per_address: 2,
                     max_idle: 2,
                     max_total: 3,
-                    connect_s: 1.0,
+                    connect_timeout_s: 1.0,
                 });
                 let mut addrs = Vec::new();
                 for _ in 0..5 {
@@ -337,9 +337,12 @@
                     client.inner.idle.borrow().iter().map(|(a, _)| *a).collect();
                 assert_eq!(kept[kept.len() - 1], addrs[4]);
                 let inner = &client.inner;
-                let held: Vec<_> = addrs[..3].iter().map(|a| Permit::take(inner, *a)).collect();
+                let held: Vec<_> = addrs[..3]
+                    .iter()
+                    .map(|a| ExchangePermit::acquire(inner, *a))
+                    .collect();
                 assert!(held.iter().all(Option::is_some));
-                let refused = Permit::take(inner, addrs[3]).is_none();
+                let refused = ExchangePermit::acquire(inner, addrs[3]).is_none();
                 drop(held);
                 let open = client.inner.open.borrow().len();
                 (kept.len(), refused, open)
--- a/crates/umbersail-http/src/lib.rs
+++ b/crates/umbersail-http/src/lib.rs
@@ -11,7 +11,7 @@
 mod client;
 mod server;
 
-pub use client::{Answer, Client, ClientError, ClientLimits};
+pub use client::{Client, ClientError, ClientLimits, ClientResponse};
 pub use server::{Handler, Request, Response, ServerLimits, serve};
 
 /// Room for the head of one message, in bytes.
--- a/crates/umbersail-http/src/server.rs
+++ b/crates/umbersail-http/src/server.rs
@@ -65,19 +65,19 @@
 
 /// Of all connections, one in so many is kept free of connections that wait for their
 /// next request.
-const FREE_SHARE: usize = 8;
+const FREE_CONNECTIONS_DIVISOR: usize = 8;
 
 impl ServerLimits {
     fn max_unreserved(&self) -> usize {
         let left = self.max_connections.saturating_sub(self.reserved.get());
-        left.max(self.least_unreserved)
+        left.max(self.min_unreserved)
     }
 
     /// Connections that may wait for their next request. Beyond that each is closed with
     /// its response, so that more clients than connections are served in turn: kept open
     /// between requests, they would shut the rest out.
-    fn max_kept(&self) -> usize {
-        self.max_connections - self.max_connections / FREE_SHARE
+    fn max_keep_alive(&self) -> usize {
+        self.max_connections - self.max_connections / FREE_CONNECTIONS_DIVISOR
     }
 }
 
@@ -95,30 +95,30 @@
     /// `reserved_paths`; it changes with the number of those who use them.
     pub reserved: Rc<Cell<usize>>,
     /// Left to all others however many are kept.
-    pub least_unreserved: usize,
+    pub min_unreserved: usize,
     /// Paths whose connections have reserved places.
     pub reserved_paths: Vec<String>,
     /// Without a request for this long, a connection is closed.
-    pub idle_s: f64,
+    pub idle_timeout_s: f64,
     /// From the first byte of a request to its last one.
-    pub receive_s: f64,
+    pub receive_timeout_s: f64,
     /// To hand a response to the system.
-    pub send_s: f64,
+    pub send_timeout_s: f64,
 }
 
 #[derive(Default)]
-struct Counts {
+struct ConnectionCounts {
     all: Cell<usize>,
     reserved: Cell<usize>,
 }
 
 struct Connection {
-    counts: Rc<Counts>,
+    counts: Rc<ConnectionCounts>,
     reserved: bool,
 }
 
 impl Connection {
-    fn open(counts: &Rc<Counts>) -> Connection {
+    fn open(counts: &Rc<ConnectionCounts>) -> Connection {
         counts.all.set(counts.all.get() + 1);
         Connection {
             counts: counts.clone(),
@@ -126,7 +126,7 @@
         }
     }
 
-    fn classify(&mut self, reserved: bool) {
+    fn set_reserved(&mut self, reserved: bool) {
         if reserved != self.reserved {
             let now = self.counts.reserved.get();
             self.counts
@@ -139,7 +139,7 @@
 
 impl Drop for Connection {
     fn drop(&mut self) {
-        self.classify(false);
+        self.set_reserved(false);
         self.counts.all.set(self.counts.all.get() - 1);
     }
 }
@@ -147,7 +147,7 @@
 /// Accepts connections for ever, a routine for each.
 pub async fn serve(listener: TcpListener, limits: ServerLimits, handler: Handler) {
     let limits = Rc::new(limits);
-    let counts = Rc::new(Counts::default());
+    let counts = Rc::new(ConnectionCounts::default());
     loop {
         match listener.accept().await {
             Ok(stream) => {
@@ -155,7 +155,7 @@
                     continue;
                 }
                 let connection = Connection::open(&counts);
-                spawn(converse(
+                spawn(handle_connection(
                     stream,
                     connection,
                     limits.clone(),
@@ -174,7 +174,7 @@
     Closed,
 }
 
-async fn converse(
+async fn handle_connection(
     mut stream: TcpStream,
     mut connection: Connection,
     limits: Rc<ServerLimits>,
@@ -185,23 +185,26 @@
     loop {
         if buf.is_empty() {
             let mut first = [0u8; 2048];
-            match timeout(limits.idle_s, stream.read(&mut first)).await {
+            match timeout(limits.idle_timeout_s, stream.read(&mut first)).await {
                 Ok(Ok(n)) if n > 0 => buf.extend_from_slice(&first[..n]),
                 _ => return,
             }
         }
         let received = match parse(&mut buf, &limits) {
             Some(received) => received,
-            None => timeout(limits.receive_s, receive(&mut stream, &mut buf, &limits))
-                .await
-                .unwrap_or(Received::Closed),
+            None => timeout(
+                limits.receive_timeout_s,
+                receive(&mut stream, &mut buf, &limits),
+            )
+            .await
+            .unwrap_or(Received::Closed),
         };
         let (response, close) = match received {
             Received::Closed => return,
             Received::Refuse(response) => (response, true),
             Received::Request(request, framing) => {
                 let path = request.path();
-                connection.classify(limits.reserved_paths.iter().any(|p| p == path));
+                connection.set_reserved(limits.reserved_paths.iter().any(|p| p == path));
                 let counts = &connection.counts;
                 if !connection.reserved
                     && counts.all.get() - counts.reserved.get() > limits.max_unreserved()
@@ -209,14 +212,14 @@
                     (Response::retry(503, 1), true)
                 } else {
                     let response = handler(request).await;
-                    let is_full = connection.counts.all.get() > limits.max_kept();
-                    let close = framing.close || response.close || is_full;
+                    let at_keep_alive_limit = connection.counts.all.get() > limits.max_keep_alive();
+                    let close = framing.close || response.close || at_keep_alive_limit;
                     (response, close)
                 }
             }
         };
         encode(&response, close, &mut out);
-        match timeout(limits.send_s, stream.write_all(&out)).await {
+        match timeout(limits.send_timeout_s, stream.write_all(&out)).await {
             Ok(Ok(())) if !close => {}
             _ => return,
         }
@@ -328,11 +331,11 @@
             max_body_bytes: 64,
             max_connections: 8,
             reserved: Rc::default(),
-            least_unreserved: 8,
+            min_unreserved: 8,
             reserved_paths: vec!["/v1/report".into()],
-            idle_s: 5.0,
-            receive_s: 5.0,
-            send_s: 5.0,
+            idle_timeout_s: 5.0,
+            receive_timeout_s: 5.0,
+            send_timeout_s: 5.0,
         }
     }
 
@@ -412,14 +415,14 @@
                 }
                 let kept = clients
                     .iter_mut()
-                    .map(TcpStream::is_quiet)
+                    .map(TcpStream::is_reusable)
                     .filter(|quiet| *quiet)
                     .count();
                 (served, kept)
             })
             .unwrap();
         assert_eq!(served, 3 * limits().max_connections);
-        assert_eq!(kept, limits().max_kept(), "the first ones stay open");
+        assert_eq!(kept, limits().max_keep_alive(), "the first ones stay open");
     }
 
     #[test]
--- a/crates/umbersail-rehearsal/src/kv_store_host.rs
+++ b/crates/umbersail-rehearsal/src/kv_store_host.rs
@@ -38,11 +38,11 @@
         max_body_bytes: 1 << 20,
         max_connections: 10_000,
         reserved: Rc::default(),
-        least_unreserved: 10_000,
+        min_unreserved: 10_000,
         reserved_paths: vec![],
-        idle_s: 120.0,
-        receive_s: 10.0,
-        send_s: 10.0,
+        idle_timeout_s: 120.0,
+        receive_timeout_s: 10.0,
+        send_timeout_s: 10.0,
     }
 }
 
--- a/crates/umbersail-rehearsal/src/late.rs
+++ b/crates/umbersail-rehearsal/src/late.rs
@@ -273,7 +273,7 @@
         max_per_address: 1,
         max_idle: 0,
         max_total: 1,
-        connect_s: COPY_S,
+        connect_timeout_s: COPY_S,
     });
     let body = encode(&copied.report);
     let answer = client
--- a/crates/umbersail-rehearsal/src/user_troubles.rs
+++ b/crates/umbersail-rehearsal/src/user_troubles.rs
@@ -153,7 +153,7 @@
         max_per_address: 1,
         max_idle: 0,
         max_total: 1,
-        connect_s: CONNECT_S,
+        connect_timeout_s: CONNECT_S,
     })
 }
 
@@ -231,7 +231,7 @@
         let sent_s = self.fleet().history.now_s();
         let addr: SocketAddr = self.nodes()[node];
         let answer = direct_client()
-            .ask(addr, method, target, body, wait_s)
+            .send(addr, method, target, body, wait_s)
             .await;
         let question = Question { node, sent_s };
         answer.ok().map(|answer| Told { answer, question })
--- a/crates/umbersail-rehearsal/src/users.rs
+++ b/crates/umbersail-rehearsal/src/users.rs
@@ -8,7 +8,7 @@
 use rand::{Rng, RngCore, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use rand_distr::{Distribution, Exp, Geometric, LogNormal};
-use umbersail_http::{Answer, Client, ClientError, ClientLimits};
+use umbersail_http::{Client, ClientError, ClientLimits, ClientResponse};
 use umbersail_runtime::{random, sleep, spawn};
 use umbersail_wire::{JobKind, JobSpec, JobStage, JobStatus, Priority, decode, encode, paths};
 
@@ -121,13 +121,13 @@
         max_per_address: 4,
         max_idle: 1,
         max_total: 4,
-        connect_s: ACCEPT_S,
+        connect_timeout_s: ACCEPT_S,
     })
 }
 
 /// An answer and the question that it belongs to.
 pub(crate) struct Told {
-    pub answer: Answer,
+    pub answer: ClientResponse,
     pub question: Question,
 }
 
@@ -186,7 +186,7 @@
             };
             let addr = self.balancer.nodes[node];
             let sent_s = self.fleet.history.now_s();
-            let answer = self.client.ask(addr, method, target, body, wait_s).await;
+            let answer = self.client.send(addr, method, target, body, wait_s).await;
             let refused = matches!(
                 answer,
                 Err(ClientError::Refused(_) | ClientError::Unreachable)
@@ -203,7 +203,7 @@
             match answer {
                 Ok(answer) => {
                     // The next request goes through the balancer anew.
-                    if answer.closes {
+                    if answer.closes_connection {
                         self.leave();
                     }
                     let question = Question { node, sent_s };
@@ -652,7 +652,7 @@
     }
 }
 
-pub(crate) fn stage(answer: &Answer) -> Option<JobStage> {
+pub(crate) fn stage(answer: &ClientResponse) -> Option<JobStage> {
     decode::<JobStatus>(&answer.body)
         .ok()
         .map(|status| status.state)
--- a/crates/umbersail-rehearsal/src/worker.rs
+++ b/crates/umbersail-rehearsal/src/worker.rs
@@ -700,7 +700,7 @@
             max_per_address: 1,
             max_idle: 1,
             max_total: 2,
-            connect_s: REPLY_S,
+            connect_timeout_s: REPLY_S,
         };
         let mut client = Client::new(limits.clone());
         let nodes = fleet.fronts().to_vec();
--- a/crates/umbersail-runtime/src/net.rs
+++ b/crates/umbersail-runtime/src/net.rs
@@ -257,7 +257,7 @@
 
     /// True if the connection can carry a new request: nothing to read, not
     /// closed by the other side.
-    pub fn is_quiet(&mut self) -> bool {
+    pub fn is_reusable(&mut self) -> bool {
         match &mut self.socket {
             Socket::Real(io, _) => {
                 matches!(io.read(&mut [0u8; 1]), Err(e) if e.kind() == io::ErrorKind::WouldBlock)
