--- a/crates/umbersail-control/src/leader/scheduler.rs
+++ b/crates/umbersail-control/src/leader/scheduler.rs
@@ -7,7 +7,7 @@
 use futures::future::{Either, select};
 use serde::de::IgnoredAny;
 use tracing::debug;
-use umbersail_runtime::{Time, charge, sleep, spawn};
+use umbersail_runtime::{Time, charge_cpu, sleep, spawn};
 use umbersail_wire::{Change, Txn, Value};
 
 use crate::engine::{Engine, FencingCommand, PendingTxn, TxnOutcome};
@@ -117,7 +117,7 @@
         }
         pacing.last_cycle = now;
         engine.schedule(now);
-        charge(engine.take_steps() as f64 * self.tuning.step_ns * 1e-9);
+        charge_cpu(engine.take_steps() as f64 * self.tuning.step_ns * 1e-9);
         self.scheduler_progress.raise();
     }
 
--- a/crates/umbersail-control/tests/isolated.rs
+++ b/crates/umbersail-control/tests/isolated.rs
@@ -16,7 +16,8 @@
 use umbersail_control::Settings;
 use umbersail_http::{Client, ClientLimits, ClientResponse};
 use umbersail_runtime::{
-    CutId, CutMode, HostId, HostSpec, NetworkConfig, Simulation, WorldHandle, sleep, spawn,
+    HostId, HostSpec, NetworkConfig, PartitionId, PartitionMode, Simulation, WorldHandle, sleep,
+    spawn,
 };
 use umbersail_tuning::Tuning;
 use umbersail_wire::{
@@ -182,11 +183,12 @@
     }
 
     /// Cuts a node from the state service and from its peers.
-    fn isolate(&self, node: usize) -> CutId {
+    fn isolate(&self, node: usize) -> PartitionId {
         let mut others = self.nodes.clone();
         others.remove(node);
         others.push(self.state_host);
-        self.world.cut(&[self.nodes[node]], &others, CutMode::Hold)
+        self.world
+            .partition(&[self.nodes[node]], &others, PartitionMode::Hold)
     }
 }
 
@@ -576,7 +578,7 @@
         // The successor can't tell the old one, nor reach the worker, which stays.
         let mut others = scene.nodes.clone();
         others.remove(leader);
-        (scene.world).cut(&[scene.nodes[leader]], &others, CutMode::Hold);
+        (scene.world).partition(&[scene.nodes[leader]], &others, PartitionMode::Hold);
         scene.refused[leader].set(false);
         let told = scene.cancel((leader + 1) % NODES, "req-1").await;
         while scene.world.now() < told + CANCEL_S {
@@ -604,7 +606,7 @@
                 let mut others = there.nodes.clone();
                 others.remove(leader);
                 if !zone_is_cut {
-                    others.iter().for_each(|node| there.world.end(*node));
+                    others.iter().for_each(|node| there.world.kill(*node));
                 }
                 there.isolate(leader);
                 let cut_at = there.world.now();
@@ -617,8 +619,10 @@
                 let mut outside = scene.nodes.clone();
                 outside.remove(leader);
                 let here = [scene.worker_host, scene.nodes[leader]];
-                scene.world.cut(&here, &outside, CutMode::Hold);
-                scene.world.cut(&here, &[scene.users_host], CutMode::Hold);
+                scene.world.partition(&here, &outside, PartitionMode::Hold);
+                scene
+                    .world
+                    .partition(&here, &[scene.users_host], PartitionMode::Hold);
             }
             while !done.get() {
                 sleep(0.5).await;
@@ -668,7 +672,7 @@
         worker.report.tasks[0].cause = Some(ExitCause::Done);
         worker.report.seq += 1;
         let state = [scene.state_host];
-        let cut = (scene.world).cut(&[scene.nodes[leader]], &state, CutMode::Hold);
+        let cut = (scene.world).partition(&[scene.nodes[leader]], &state, PartitionMode::Hold);
         let (there, body) = (scene.clone(), encode(&worker.report));
         let told: Rc<RefCell<Option<ClientResponse>>> = Rc::default();
         let tell = told.clone();
@@ -714,7 +718,7 @@
         let leader = scene.leader().await;
         let follower = (leader + 1) % NODES;
         let state = [scene.state_host];
-        let cut = (scene.world).cut(&[scene.nodes[follower]], &state, CutMode::Hold);
+        let cut = (scene.world).partition(&[scene.nodes[follower]], &state, PartitionMode::Hold);
         let body = encode(&job("req-1", 2.0));
         let (there, late) = (scene.clone(), body.clone());
         spawn(async move {
@@ -752,7 +756,7 @@
             let crash = |node: usize| {
                 let there = scene.clone();
                 spawn(async move {
-                    there.world.end(there.nodes[node]);
+                    there.world.kill(there.nodes[node]);
                     sleep(0.2).await;
                     there.start(node);
                 })
@@ -807,7 +811,7 @@
         );
         let saves = |w: &Worker| w.report.tasks[0].state == TaskState::Saving;
         first.until(saves, 120.0).await;
-        scene.world.end(scene.nodes[leader]);
+        scene.world.kill(scene.nodes[leader]);
         let saved_at = scene.world.now() + 6.0;
         let mut second = Worker::new(&scene, "host-000002", (leader + 1) % NODES);
         while scene.world.now() < saved_at {
@@ -867,7 +871,7 @@
             assert_eq!(stranger, 503, "404 only after reading");
         }
         // One that was restarted does not know what it told, but takes users.
-        scene.world.end(scene.nodes[two]);
+        scene.world.kill(scene.nodes[two]);
         scene.start(two);
         sleep(4.0).await;
         assert_eq!(scene.status(one, "GET", "/v2/runs/req-1", b"").await, 503);
--- a/crates/umbersail-rehearsal/src/play.rs
+++ b/crates/umbersail-rehearsal/src/play.rs
@@ -11,7 +11,7 @@
 use thiserror::Error;
 use umbersail_control::{InvalidSettings, Settings};
 use umbersail_runtime::{
-    EPOCH_MS, HostId, HostSpec, NetworkConfig, Simulation, WorkDone, WorldHandle, sleep, spawn,
+    EPOCH_MS, HostId, HostSpec, NetworkConfig, Simulation, WorkCounters, WorldHandle, sleep, spawn,
 };
 use umbersail_tuning::Tuning;
 
@@ -195,7 +195,7 @@
     let most = night.ends_s();
     let (told, seen) = std::sync::mpsc::channel::<f64>();
     let (played, length) = (night.clone(), world.clone());
-    let result = simulation.run_watched(
+    let result = simulation.block_on_observed(
         async move {
             let begin = |world: &WorldHandle, night: &Night| {
                 start_controllers(world, night, seed, configs, &tuning)
@@ -213,9 +213,9 @@
 
 impl Outcome {
     pub(crate) fn of(night: &Night, seed: u64, events: Vec<Event>, world: &WorldHandle) -> Outcome {
-        let WorkDone { packets, steps } = world.work_done();
+        let WorkCounters { packets, steps } = world.work_counters();
         let (_, hash) = crate::history::lines(&events);
-        let processor_s = world.used_by_all_s();
+        let processor_s = world.total_cpu_s();
         let most_s = night.controllers.processor_most_s;
         Outcome {
             seed,
@@ -323,8 +323,8 @@
         spec.clock_rate = rng.random_range(1.0..=1.0005);
         spec.skew_ms = rng.random_range(-1.0..1.0) * night.controllers.skew_ms;
         spec.max_sockets = night.controllers.max_sockets;
-        spec.step_s = STEP_S;
-        spec.core = night.controllers.core;
+        spec.cpu_per_step_s = STEP_S;
+        spec.cpu_share = night.controllers.core;
         let host: HostId = world.add_host(spec);
         let ends = world.clone();
         let (world, tuning) = (world.clone(), tuning.clone());
@@ -342,7 +342,7 @@
             zone: zone(night, n).to_owned(),
             host,
             start: Box::new(start),
-            end: Box::new(move || ends.end(host)),
+            end: Box::new(move || ends.kill(host)),
             pause: None,
         }
     };
--- a/crates/umbersail-rehearsal/src/trouble.rs
+++ b/crates/umbersail-rehearsal/src/trouble.rs
@@ -8,7 +8,7 @@
 use rand::seq::IndexedRandom;
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
-use umbersail_runtime::{CutMode, HostId, NetworkConfig, WorldHandle, sleep};
+use umbersail_runtime::{HostId, NetworkConfig, PartitionMode, WorldHandle, sleep};
 
 use crate::fleet::{Fleet, Machine};
 use crate::history::What;
@@ -175,16 +175,16 @@
         }
     }
 
-    fn cut(&self, a: &[HostId], b: &[HostId], mode: CutMode) -> Undo {
-        let cut = self.world.cut(a, b, mode);
+    fn cut(&self, a: &[HostId], b: &[HostId], mode: PartitionMode) -> Undo {
+        let cut = self.world.partition(a, b, mode);
         Box::new(move |stage| stage.world.heal(cut))
     }
 
     /// Packets of a cut are held as often as not.
-    fn some_mode(&self) -> CutMode {
+    fn some_mode(&self) -> PartitionMode {
         match self.rng.borrow_mut().random_bool(0.5) {
-            true => CutMode::Hold,
-            false => CutMode::Reset,
+            true => PartitionMode::Hold,
+            false => PartitionMode::Reset,
         }
     }
 
@@ -415,7 +415,7 @@
             }
             Trouble::ControllerSilent => {
                 let whom = self.hosts(&self.whom(failure));
-                Some(self.cut(&whom, &self.all_hosts(), CutMode::Hold))
+                Some(self.cut(&whom, &self.all_hosts(), PartitionMode::Hold))
             }
             Trouble::ControllerCutFromState => {
                 let whom = self.hosts(&self.whom(failure));
@@ -445,11 +445,11 @@
             Trouble::ControllerSlow => {
                 let whom = self.whom(failure);
                 for n in &whom {
-                    self.world.set_slow(self.controllers[*n].host, times);
+                    self.world.set_slowdown(self.controllers[*n].host, times);
                 }
                 Some(Box::new(move |s| {
                     for n in whom {
-                        s.world.set_slow(s.controllers[n].host, 1.0);
+                        s.world.set_slowdown(s.controllers[n].host, 1.0);
                     }
                 }))
             }
@@ -470,11 +470,11 @@
             }
             Trouble::PeersRefused => {
                 let all = self.hosts(&self.whom(failure));
-                Some(self.cut(&all, &all, CutMode::Refuse))
+                Some(self.cut(&all, &all, PartitionMode::Refuse))
             }
             Trouble::ControllersApart => {
                 let all = self.hosts(&self.whom(failure));
-                Some(self.cut(&all, &all, CutMode::Hold))
+                Some(self.cut(&all, &all, PartitionMode::Hold))
             }
             Trouble::StateDown => {
                 self.ledger.set_down(true);
@@ -543,7 +543,7 @@
                 let mut others: Vec<HostId> = self.controllers.iter().map(|c| c.host).collect();
                 others.extend(self.machine_hosts(None));
                 others.retain(|h| !first.contains(h));
-                Some(self.cut(&first, &others, CutMode::Hold))
+                Some(self.cut(&first, &others, PartitionMode::Hold))
             }
         }
     }
--- a/crates/umbersail-runtime/src/executor.rs
+++ b/crates/umbersail-runtime/src/executor.rs
@@ -18,8 +18,8 @@
 
 type BoxedRoutine = Pin<Box<dyn Future<Output = ()>>>;
 
-/// Events between two calls of the watcher in [`Runtime::block_on_watched`].
-const TURNS_PER_WATCH: u32 = 1000;
+/// Events between two calls of the watcher in [`Runtime::block_on_observed`].
+const ITERATIONS_PER_OBSERVATION: u32 = 1000;
 /// Socket events taken from the operating system at once.
 const EVENT_CAPACITY: usize = 256;
 /// Longest sleep, for durations that can't be represented.
@@ -125,7 +125,7 @@
 }
 
 /// Runs `f` with the runtime of this thread, if there is one.
-pub(crate) fn current_world<R>(f: impl FnOnce(&Rc<Inner>) -> Option<R>) -> Option<R> {
+pub(crate) fn query_current<R>(f: impl FnOnce(&Rc<Inner>) -> Option<R>) -> Option<R> {
     let seen = CURRENT.try_with(|current| f(current.try_borrow().ok()?.as_ref()?));
     seen.ok().flatten()
 }
@@ -154,7 +154,7 @@
     pub fn new() -> io::Result<Runtime> {
         let poll = mio::Poll::new()?;
         let registry = poll.registry().try_clone()?;
-        Ok(Runtime::of(World::Real(Real {
+        Ok(Runtime::with_world(World::Real(Real {
             poll: RefCell::new(poll),
             registry,
             start: Instant::now(),
@@ -162,7 +162,7 @@
         })))
     }
 
-    pub(crate) fn of(world: World) -> Runtime {
+    pub(crate) fn with_world(world: World) -> Runtime {
         Runtime {
             inner: Rc::new(Inner {
                 world,
@@ -183,16 +183,16 @@
     /// If the operating system's event queue fails, or if all routines of a
     /// simulated world wait and no event is scheduled.
     pub fn block_on<T: 'static>(&self, main: impl Future<Output = T> + 'static) -> io::Result<T> {
-        self.block_on_watched(main, || {})
+        self.block_on_observed(main, || {})
     }
 
-    /// The same, and calls `watch` now and then.
-    pub(crate) fn block_on_watched<T: 'static>(
+    /// The same, and calls `observe` now and then.
+    pub(crate) fn block_on_observed<T: 'static>(
         &self,
         main: impl Future<Output = T> + 'static,
-        mut watch: impl FnMut(),
+        mut observe: impl FnMut(),
     ) -> io::Result<T> {
-        let mut turns = 0u32;
+        let mut iterations = 0u32;
         CURRENT.with(|current| *current.borrow_mut() = Some(self.inner.clone()));
         let out: Rc<RefCell<Option<T>>> = Rc::new(RefCell::new(None));
         let slot = out.clone();
@@ -206,12 +206,12 @@
             if let Some(value) = out.borrow_mut().take() {
                 break Ok(value);
             }
-            if let Err(e) = self.inner.turn(&mut events) {
+            if let Err(e) = self.inner.process_events(&mut events) {
                 break Err(e);
             }
-            turns = turns.wrapping_add(1);
-            if turns.is_multiple_of(TURNS_PER_WATCH) {
-                watch();
+            iterations = iterations.wrapping_add(1);
+            if iterations.is_multiple_of(ITERATIONS_PER_OBSERVATION) {
+                observe();
             }
         };
         // Dropped outside of the borrow: a routine may own sockets and timers
@@ -350,9 +350,9 @@
     }
 
     /// Waits for the next event and handles all that are due.
-    fn turn(&self, events: &mut mio::Events) -> io::Result<()> {
+    fn process_events(&self, events: &mut mio::Events) -> io::Result<()> {
         match &self.world {
-            World::Real(real) => self.turn_real(real, events)?,
+            World::Real(real) => self.poll_sockets(real, events)?,
             World::Simulated(sim) => {
                 let next = self.timers.next_at();
                 let stalled = || io::Error::other("every routine waits, and nothing is due");
@@ -373,7 +373,7 @@
     }
 
     /// Waits for socket events until the next timer is due.
-    fn turn_real(&self, real: &Real, events: &mut mio::Events) -> io::Result<()> {
+    fn poll_sockets(&self, real: &Real, events: &mut mio::Events) -> io::Result<()> {
         let now = self.now();
         let next = self.timers.next_at();
         let wait = next
--- a/crates/umbersail-runtime/src/lib.rs
+++ b/crates/umbersail-runtime/src/lib.rs
@@ -29,8 +29,10 @@
 pub use clock::{Clock, FakeClock, SystemClock, Time};
 pub use executor::{Routine, Runtime, spawn};
 pub use net::{TcpListener, TcpStream};
-pub use sim::{CutId, CutMode, EPOCH_MS, HostId, HostSpec, NetworkConfig, WorkDone};
+pub use sim::{
+    EPOCH_MS, HostId, HostSpec, NetworkConfig, PartitionId, PartitionMode, WorkCounters,
+};
 pub use simulation::Simulation;
 pub use sync::{Broadcast, Notify};
 pub use time::{Elapsed, Sleep, sleep, timeout};
-pub use world::{WorldHandle, charge, random, simulated_place};
+pub use world::{WorldHandle, charge_cpu, random, simulated_time_and_host};
--- a/crates/umbersail-runtime/src/net.rs
+++ b/crates/umbersail-runtime/src/net.rs
@@ -50,7 +50,7 @@
 /// A real socket or a simulated one.
 enum Socket<R, S: Release> {
     Real(R, Registration),
-    Simulated(OnDrop<S>),
+    Simulated(ReleaseOnDrop<S>),
 }
 
 /// A resource of the simulated network, released on drop.
@@ -58,9 +58,9 @@
     fn release(&self, inner: &Inner);
 }
 
-struct OnDrop<S: Release>(S);
+struct ReleaseOnDrop<S: Release>(S);
 
-impl<S: Release> Drop for OnDrop<S> {
+impl<S: Release> Drop for ReleaseOnDrop<S> {
     fn drop(&mut self) {
         try_with_current(|inner| self.0.release(inner));
     }
@@ -78,12 +78,12 @@
 }
 
 /// An open end of a connection.
-struct OpenEnd {
+struct OpenEndpoint {
     connection: ConnectionId,
     side: Side,
 }
 
-impl Release for OpenEnd {
+impl Release for OpenEndpoint {
     fn release(&self, inner: &Inner) {
         if let Some(sim) = inner.simulated() {
             sim.close(&inner.timers, self.connection, self.side);
@@ -92,7 +92,7 @@
 }
 
 /// Uses the simulated world; a simulated socket is never seen outside of one.
-fn in_world<R>(f: impl FnOnce(&Inner, &Sim) -> R) -> R {
+fn with_sim<R>(f: impl FnOnce(&Inner, &Sim) -> R) -> R {
     with_current(|inner| match &inner.world {
         World::Simulated(sim) => f(inner, sim),
         World::Real(_) => unreachable!("a simulated socket in the real world"),
@@ -118,7 +118,7 @@
                     Socket::Real(io, registration)
                 }
                 World::Simulated(sim) => {
-                    Socket::Simulated(OnDrop(BoundAddress(sim.bind(inner.host(), addr)?)))
+                    Socket::Simulated(ReleaseOnDrop(BoundAddress(sim.bind(inner.host(), addr)?)))
                 }
             };
             Ok(TcpListener { socket })
@@ -145,7 +145,7 @@
             Socket::Real(io, registration) => (io, registration),
             Socket::Simulated(bound) => {
                 let accepted = poll_fn(|cx| {
-                    in_world(|_, sim| sim.accept(bound.0.0, cx.waker()))
+                    with_sim(|_, sim| sim.accept(bound.0.0, cx.waker()))
                         .map_or(Poll::Pending, Poll::Ready)
                 });
                 return Ok(TcpStream::simulated(accepted.await?, Side::Server));
@@ -166,13 +166,13 @@
 
 /// A TCP connection.
 pub struct TcpStream {
-    socket: Socket<mio::net::TcpStream, OpenEnd>,
+    socket: Socket<mio::net::TcpStream, OpenEndpoint>,
 }
 
 impl TcpStream {
     fn simulated(connection: ConnectionId, side: Side) -> TcpStream {
         TcpStream {
-            socket: Socket::Simulated(OnDrop(OpenEnd { connection, side })),
+            socket: Socket::Simulated(ReleaseOnDrop(OpenEndpoint { connection, side })),
         }
     }
 
@@ -196,10 +196,10 @@
     /// If it is refused or the address can't be reached.
     pub async fn connect(addr: SocketAddr) -> io::Result<TcpStream> {
         if with_current(|inner| inner.simulated().is_some()) {
-            let connection = in_world(|inner, sim| sim.connect(&inner.timers, inner.host(), addr))?;
+            let connection = with_sim(|inner, sim| sim.connect(&inner.timers, inner.host(), addr))?;
             let stream = TcpStream::simulated(connection, Side::Client);
             poll_fn(|cx| {
-                in_world(|_, sim| sim.connected(connection, cx.waker()))
+                with_sim(|_, sim| sim.connected(connection, cx.waker()))
                     .map_or(Poll::Pending, Poll::Ready)
             })
             .await?;
@@ -245,10 +245,12 @@
                 })
                 .await
             }
-            Socket::Simulated(OnDrop(end)) => {
+            Socket::Simulated(ReleaseOnDrop(endpoint)) => {
                 poll_fn(|cx| {
-                    in_world(|_, sim| sim.read(end.connection, end.side, buf, Some(cx.waker())))
-                        .map_or(Poll::Pending, Poll::Ready)
+                    with_sim(|_, sim| {
+                        sim.read(endpoint.connection, endpoint.side, buf, Some(cx.waker()))
+                    })
+                    .map_or(Poll::Pending, Poll::Ready)
                 })
                 .await
             }
@@ -262,8 +264,9 @@
             Socket::Real(io, _) => {
                 matches!(io.read(&mut [0u8; 1]), Err(e) if e.kind() == io::ErrorKind::WouldBlock)
             }
-            Socket::Simulated(OnDrop(end)) => {
-                in_world(|_, sim| sim.read(end.connection, end.side, &mut [0u8; 1], None)).is_none()
+            Socket::Simulated(ReleaseOnDrop(endpoint)) => {
+                with_sim(|_, sim| sim.read(endpoint.connection, endpoint.side, &mut [0u8; 1], None))
+                    .is_none()
             }
         }
     }
@@ -275,9 +278,9 @@
     pub async fn write_all(&mut self, mut buf: &[u8]) -> io::Result<()> {
         let (io, registration) = match &mut self.socket {
             Socket::Real(io, registration) => (io, registration),
-            Socket::Simulated(OnDrop(end)) => {
-                return in_world(|inner, sim| {
-                    sim.write(&inner.timers, end.connection, end.side, buf)
+            Socket::Simulated(ReleaseOnDrop(endpoint)) => {
+                return with_sim(|inner, sim| {
+                    sim.write(&inner.timers, endpoint.connection, endpoint.side, buf)
                 });
             }
         };
--- a/crates/umbersail-runtime/src/sim/connection.rs
+++ b/crates/umbersail-runtime/src/sim/connection.rs
@@ -29,26 +29,26 @@
 }
 
 /// One end of a connection.
-pub(crate) struct End {
+pub(crate) struct Endpoint {
     pub host: HostId,
     /// Whether a socket holds it.
     pub open: bool,
     pub received: VecDeque<u8>,
     /// The peer has closed its end.
-    pub finished: bool,
+    pub peer_closed: bool,
     pub reset: bool,
     pub reader: Option<Waker>,
     /// Arrival time of the last packet sent to it: packets stay in order.
     pub last_arrival: Nanos,
 }
 
-impl End {
-    fn new(host: HostId, open: bool) -> End {
-        End {
+impl Endpoint {
+    fn new(host: HostId, open: bool) -> Endpoint {
+        Endpoint {
             host,
             open,
             received: VecDeque::new(),
-            finished: false,
+            peer_closed: false,
             reset: false,
             reader: None,
             last_arrival: 0,
@@ -77,8 +77,8 @@
 
 /// A connection, from the attempt to open it until both ends are closed.
 pub(crate) struct Connection {
-    client: End,
-    server: End,
+    client: Endpoint,
+    server: Endpoint,
     /// The address that the client connects to.
     pub target: SocketAddr,
     pub handshake: Handshake,
@@ -88,21 +88,21 @@
     /// An attempt to connect; no socket holds the server's end before it is accepted.
     pub fn new(client: HostId, server: HostId, target: SocketAddr) -> Connection {
         Connection {
-            client: End::new(client, true),
-            server: End::new(server, false),
+            client: Endpoint::new(client, true),
+            server: Endpoint::new(server, false),
             target,
             handshake: Handshake::Pending,
         }
     }
 
-    pub fn end(&self, side: Side) -> &End {
+    pub fn endpoint(&self, side: Side) -> &Endpoint {
         match side {
             Side::Client => &self.client,
             Side::Server => &self.server,
         }
     }
 
-    pub fn end_mut(&mut self, side: Side) -> &mut End {
+    pub fn endpoint_mut(&mut self, side: Side) -> &mut Endpoint {
         match side {
             Side::Client => &mut self.client,
             Side::Server => &mut self.server,
--- a/crates/umbersail-runtime/src/sim/delivery.rs
+++ b/crates/umbersail-runtime/src/sim/delivery.rs
@@ -5,10 +5,10 @@
 use crate::timers::{Event, nanos};
 
 /// Connections that wait to be accepted, as in a kernel's backlog.
-const BACKLOG: usize = 128;
+const MAX_BACKLOG: usize = 128;
 
 /// Seconds until a request to connect to a host without power is sent again.
-const SYN_RETRY_S: f64 = 1.0;
+const SYN_RETRY_INTERVAL_S: f64 = 1.0;
 
 /// A packet of a connection.
 pub(crate) struct Packet {
@@ -44,9 +44,9 @@
         let Some(connection) = network.connections.get_mut(&packet.connection) else {
             return;
         };
-        let end = connection.end_mut(packet.to);
-        let arrival = (self.now() + self.draw_travel_time()).max(end.last_arrival);
-        end.last_arrival = arrival;
+        let endpoint = connection.endpoint_mut(packet.to);
+        let arrival = (self.now() + self.draw_transit_time()).max(endpoint.last_arrival);
+        endpoint.last_arrival = arrival;
         self.count_packet();
         timers.schedule(arrival, Event::Deliver(packet));
     }
@@ -65,14 +65,14 @@
             Payload::Data(bytes) => self.deliver_data(timers, &mut network, connection, to, bytes),
             Payload::Fin => {
                 if let Some(connection) = network.connections.get_mut(&connection) {
-                    let end = connection.end_mut(to);
-                    end.finished = true;
-                    end.wake();
+                    let endpoint = connection.endpoint_mut(to);
+                    endpoint.peer_closed = true;
+                    endpoint.wake();
                 }
             }
             Payload::Reset => {
                 if let Some(connection) = network.connections.get_mut(&connection) {
-                    connection.end_mut(to).reset();
+                    connection.endpoint_mut(to).reset();
                 }
             }
         }
@@ -83,7 +83,7 @@
             return;
         };
         // The client has given up: the connection is not established later.
-        if !connection.end(Side::Client).open {
+        if !connection.endpoint(Side::Client).open {
             network.remove_if_closed(id);
             return;
         }
@@ -97,13 +97,17 @@
                 to: Side::Server,
                 payload: Payload::Syn,
             };
-            timers.schedule(self.now() + nanos(SYN_RETRY_S), Event::Deliver(retry));
+            timers.schedule(
+                self.now() + nanos(SYN_RETRY_INTERVAL_S),
+                Event::Deliver(retry),
+            );
             return;
         }
-        let refused = !self.host(server).has_free_socket() || network.is_refused_by_cut(hosts);
+        let refused =
+            !self.host(server).has_free_socket() || network.is_refused_by_partition(hosts);
         let accepted = !refused && network.enqueue_connection(target, id);
         if accepted && let Some(connection) = network.connections.get_mut(&id) {
-            connection.end_mut(Side::Server).open = true;
+            connection.endpoint_mut(Side::Server).open = true;
         }
         let reply = Packet {
             connection: id,
@@ -124,14 +128,14 @@
         let Some(connection) = network.connections.get_mut(&id) else {
             return;
         };
-        let peer_is_open = connection.end(to.peer()).open;
-        let end = connection.end_mut(to);
-        if !self.host(end.host).powered {
+        let peer_is_open = connection.endpoint(to.peer()).open;
+        let endpoint = connection.endpoint_mut(to);
+        if !self.host(endpoint.host).powered {
             return;
         }
-        if end.open {
-            end.received.extend(bytes);
-            end.wake();
+        if endpoint.open {
+            endpoint.received.extend(bytes);
+            endpoint.wake();
         } else if peer_is_open {
             let reset = Packet {
                 connection: id,
@@ -149,7 +153,7 @@
         let Some(listener) = self.listeners.get_mut(&target) else {
             return false;
         };
-        if listener.backlog.len() >= BACKLOG {
+        if listener.backlog.len() >= MAX_BACKLOG {
             return false;
         }
         listener.backlog.push_back(id);
@@ -168,5 +172,5 @@
         true => Handshake::Established,
         false => Handshake::Refused,
     };
-    connection.end_mut(Side::Client).wake();
+    connection.endpoint_mut(Side::Client).wake();
 }
--- a/crates/umbersail-runtime/src/sim/host.rs
+++ b/crates/umbersail-runtime/src/sim/host.rs
@@ -32,9 +32,9 @@
     /// Connections that it may have open at once.
     pub max_sockets: usize,
     /// Processor time per step of a routine, in seconds of a whole core; 0 is free.
-    pub step_s: f64,
+    pub cpu_per_step_s: f64,
     /// Share of a core that it has.
-    pub core: f64,
+    pub cpu_share: f64,
 }
 
 impl HostSpec {
@@ -46,8 +46,8 @@
             clock_rate: 1.0,
             skew_ms: 0.0,
             max_sockets: usize::MAX,
-            step_s: 0.0,
-            core: 1.0,
+            cpu_per_step_s: 0.0,
+            cpu_share: 1.0,
         }
     }
 }
@@ -64,7 +64,7 @@
     /// Factor by which it computes more slowly than specified.
     pub slowdown: f64,
     /// Processor time used so far, in seconds of a whole core.
-    pub used_s: f64,
+    pub cpu_s: f64,
     /// When its current process started.
     pub started_at: Nanos,
     pub root: Option<RoutineId>,
@@ -83,7 +83,7 @@
             parked: Vec::new(),
             busy_until: 0,
             slowdown: 1.0,
-            used_s: 0.0,
+            cpu_s: 0.0,
             started_at: now,
             root: None,
             rng,
@@ -93,10 +93,10 @@
     }
 
     /// Charges processor time, after what was charged before.
-    pub fn charge(&mut self, core_s: f64) {
+    pub fn charge_cpu(&mut self, core_s: f64) {
         let duration_s = core_s * self.slowdown;
-        self.used_s += duration_s;
-        self.busy_until += nanos(duration_s / self.spec.core);
+        self.cpu_s += duration_s;
+        self.busy_until += nanos(duration_s / self.spec.cpu_share);
     }
 
     pub fn has_free_socket(&self) -> bool {
@@ -155,14 +155,14 @@
             return StepAdmission::Delayed(host.busy_until);
         }
         host.busy_until = now;
-        let step_s = host.spec.step_s;
-        host.charge(step_s);
+        let cpu_per_step_s = host.spec.cpu_per_step_s;
+        host.charge_cpu(cpu_per_step_s);
         self.count_step();
         StepAdmission::Run
     }
 
     /// Processor time used by all hosts, in seconds of a whole core.
-    pub(crate) fn total_used_s(&self) -> f64 {
-        self.hosts.borrow().iter().map(|host| host.used_s).sum()
+    pub(crate) fn total_cpu_s(&self) -> f64 {
+        self.hosts.borrow().iter().map(|host| host.cpu_s).sum()
     }
 }
--- a/crates/umbersail-runtime/src/sim/mod.rs
+++ b/crates/umbersail-runtime/src/sim/mod.rs
@@ -26,7 +26,7 @@
 
 pub use host::{HostId, HostSpec};
 pub use network::NetworkConfig;
-pub use partition::{CutId, CutMode};
+pub use partition::{PartitionId, PartitionMode};
 
 /// The time of day at which every simulated world begins, in milliseconds since 1970.
 pub const EPOCH_MS: u64 = 1_700_000_000_000;
@@ -36,7 +36,7 @@
 
 /// Work that a simulated world has done so far.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-pub struct WorkDone {
+pub struct WorkCounters {
     /// Packets sent.
     pub packets: u64,
     /// Steps of routines.
@@ -51,7 +51,7 @@
     network_rng: RefCell<ChaCha8Rng>,
     network: RefCell<Network>,
     hosts: RefCell<Vec<Host>>,
-    work_done: Cell<WorkDone>,
+    work_counters: Cell<WorkCounters>,
 }
 
 impl Sim {
@@ -69,7 +69,7 @@
             network_rng: RefCell::new(ChaCha8Rng::seed_from_u64(seed)),
             network: RefCell::default(),
             hosts: RefCell::new(Vec::new()),
-            work_done: Cell::default(),
+            work_counters: Cell::default(),
         }
     }
 
@@ -81,19 +81,19 @@
         self.now.set(to.max(self.now.get()));
     }
 
-    pub fn work_done(&self) -> WorkDone {
-        self.work_done.get()
+    pub fn work_counters(&self) -> WorkCounters {
+        self.work_counters.get()
     }
 
     fn count_packet(&self) {
-        let mut work = self.work_done.get();
+        let mut work = self.work_counters.get();
         work.packets += 1;
-        self.work_done.set(work);
+        self.work_counters.set(work);
     }
 
     fn count_step(&self) {
-        let mut work = self.work_done.get();
+        let mut work = self.work_counters.get();
         work.steps += 1;
-        self.work_done.set(work);
+        self.work_counters.set(work);
     }
 }
--- a/crates/umbersail-runtime/src/sim/network.rs
+++ b/crates/umbersail-runtime/src/sim/network.rs
@@ -6,8 +6,8 @@
 use std::task::Waker;
 
 use super::connection::{Connection, ConnectionId, Handshake, Listener, Side};
-use super::partition::Cut;
-use super::{CutId, HostId, Packet, PacketTimers, Payload, Sim};
+use super::partition::Partition;
+use super::{HostId, Packet, PacketTimers, PartitionId, Payload, Sim};
 
 /// First port that is assigned to listeners without one.
 const FIRST_FREE_PORT: u16 = 20_000;
@@ -22,7 +22,7 @@
     /// Share of packets that are lost and retransmitted.
     pub loss: f64,
     /// Seconds until a lost packet is retransmitted.
-    pub resend_s: f64,
+    pub retransmit_s: f64,
 }
 
 impl Default for NetworkConfig {
@@ -31,7 +31,7 @@
             latency_s: 0.000_5,
             jitter_s: 0.000_3,
             loss: 0.000_2,
-            resend_s: 0.2,
+            retransmit_s: 0.2,
         }
     }
 }
@@ -42,8 +42,8 @@
     pub listeners: BTreeMap<SocketAddr, Listener>,
     pub connections: BTreeMap<ConnectionId, Connection>,
     last_connection: ConnectionId,
-    pub cuts: BTreeMap<CutId, Cut>,
-    pub last_cut: u64,
+    pub partitions: BTreeMap<PartitionId, Partition>,
+    pub last_partition: u64,
     pub hosts_by_ip: BTreeMap<Ipv4Addr, HostId>,
 }
 
@@ -90,7 +90,7 @@
             return;
         };
         for connection in listener.backlog {
-            self.close_end(timers, &mut network, connection, Side::Server);
+            self.close_endpoint(timers, &mut network, connection, Side::Server);
         }
     }
 
@@ -153,7 +153,7 @@
             return Some(Err(io::ErrorKind::ConnectionReset.into()));
         };
         let handshake = connection.handshake;
-        let client = connection.end_mut(Side::Client);
+        let client = connection.endpoint_mut(Side::Client);
         if handshake == Handshake::Refused || client.reset {
             return Some(Err(io::ErrorKind::ConnectionRefused.into()));
         }
@@ -176,19 +176,19 @@
         let Some(connection) = network.connections.get_mut(&id) else {
             return Some(Err(io::ErrorKind::ConnectionReset.into()));
         };
-        let end = connection.end_mut(side);
-        if end.reset {
+        let endpoint = connection.endpoint_mut(side);
+        if endpoint.reset {
             return Some(Err(io::ErrorKind::ConnectionReset.into()));
         }
-        if end.received.is_empty() {
-            if end.finished {
+        if endpoint.received.is_empty() {
+            if endpoint.peer_closed {
                 return Some(Ok(0));
             }
-            end.reader = waker.cloned();
+            endpoint.reader = waker.cloned();
             return None;
         }
-        let count = buf.len().min(end.received.len());
-        for (slot, byte) in buf.iter_mut().zip(end.received.drain(..count)) {
+        let count = buf.len().min(endpoint.received.len());
+        for (slot, byte) in buf.iter_mut().zip(endpoint.received.drain(..count)) {
             *slot = byte;
         }
         Some(Ok(count))
@@ -204,7 +204,7 @@
     ) -> io::Result<()> {
         let mut network = self.network.borrow_mut();
         match network.connections.get(&id) {
-            Some(connection) if !connection.end(side).reset => {}
+            Some(connection) if !connection.endpoint(side).reset => {}
             _ => return Err(io::ErrorKind::BrokenPipe.into()),
         }
         let data = Packet {
@@ -220,13 +220,13 @@
     pub(crate) fn close(&self, timers: &PacketTimers, id: ConnectionId, side: Side) {
         let mut network = self.network.borrow_mut();
         if let Some(connection) = network.connections.get(&id) {
-            let mut host = self.host(connection.end(side).host);
+            let mut host = self.host(connection.endpoint(side).host);
             host.sockets = host.sockets.saturating_sub(1);
         }
-        self.close_end(timers, &mut network, id, side);
+        self.close_endpoint(timers, &mut network, id, side);
     }
 
-    fn close_end(
+    fn close_endpoint(
         &self,
         timers: &PacketTimers,
         network: &mut Network,
@@ -236,12 +236,12 @@
         let Some(connection) = network.connections.get_mut(&id) else {
             return;
         };
-        let peer_is_open = connection.end(side.peer()).open;
-        let end = connection.end_mut(side);
-        end.open = false;
-        end.reader = None;
+        let peer_is_open = connection.endpoint(side.peer()).open;
+        let endpoint = connection.endpoint_mut(side);
+        endpoint.open = false;
+        endpoint.reader = None;
         // A host without power sends nothing.
-        if peer_is_open && self.host(end.host).powered {
+        if peer_is_open && self.host(endpoint.host).powered {
             let fin = Packet {
                 connection: id,
                 to: side.peer(),
--- a/crates/umbersail-runtime/src/sim/partition.rs
+++ b/crates/umbersail-runtime/src/sim/partition.rs
@@ -6,11 +6,11 @@
 
 /// A partition between hosts, until it is healed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-pub struct CutId(pub(crate) u64);
+pub struct PartitionId(pub(crate) u64);
 
 /// What happens to packets that meet a partition.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum CutMode {
+pub enum PartitionMode {
     /// They are held back and delivered in order once it heals.
     Hold,
     /// Connections across it are reset when it starts.
@@ -20,78 +20,78 @@
 }
 
 /// A partition between two sets of hosts.
-pub(crate) struct Cut {
+pub(crate) struct Partition {
     a: BTreeSet<HostId>,
     b: BTreeSet<HostId>,
-    mode: CutMode,
+    mode: PartitionMode,
     held: Vec<Packet>,
 }
 
-impl Cut {
+impl Partition {
     fn separates(&self, x: HostId, y: HostId) -> bool {
         let across = |x, y| self.a.contains(&x) && self.b.contains(&y);
         across(x, y) || across(y, x)
     }
 
     fn holds_packets(&self, x: HostId, y: HostId) -> bool {
-        self.mode != CutMode::Refuse && self.separates(x, y)
+        self.mode != PartitionMode::Refuse && self.separates(x, y)
     }
 
     fn refuses_connections(&self, x: HostId, y: HostId) -> bool {
-        self.mode == CutMode::Refuse && self.separates(x, y)
+        self.mode == PartitionMode::Refuse && self.separates(x, y)
     }
 }
 
 impl Network {
     /// Holds a packet back if a partition is in its way; otherwise returns it.
     pub(super) fn hold_back(&mut self, hosts: (HostId, HostId), packet: Packet) -> Option<Packet> {
-        let mut cuts = self.cuts.values_mut();
-        match cuts.find(|cut| cut.holds_packets(hosts.0, hosts.1)) {
-            Some(cut) => {
-                cut.held.push(packet);
+        let mut partitions = self.partitions.values_mut();
+        match partitions.find(|partition| partition.holds_packets(hosts.0, hosts.1)) {
+            Some(partition) => {
+                partition.held.push(packet);
                 None
             }
             None => Some(packet),
         }
     }
 
-    pub(super) fn is_refused_by_cut(&self, hosts: (HostId, HostId)) -> bool {
-        let mut cuts = self.cuts.values();
-        cuts.any(|cut| cut.refuses_connections(hosts.0, hosts.1))
+    pub(super) fn is_refused_by_partition(&self, hosts: (HostId, HostId)) -> bool {
+        let mut partitions = self.partitions.values();
+        partitions.any(|partition| partition.refuses_connections(hosts.0, hosts.1))
     }
 }
 
 impl Sim {
     /// Separates all hosts of `a` from all of `b`.
-    pub(crate) fn cut(&self, a: &[HostId], b: &[HostId], mode: CutMode) -> CutId {
+    pub(crate) fn partition(&self, a: &[HostId], b: &[HostId], mode: PartitionMode) -> PartitionId {
         let mut network = self.network.borrow_mut();
-        network.last_cut += 1;
-        let id = CutId(network.last_cut);
-        let cut = Cut {
+        network.last_partition += 1;
+        let id = PartitionId(network.last_partition);
+        let partition = Partition {
             a: a.iter().copied().collect(),
             b: b.iter().copied().collect(),
             mode,
             held: Vec::new(),
         };
-        if mode == CutMode::Reset {
+        if mode == PartitionMode::Reset {
             for connection in network.connections.values_mut() {
                 let (client, server) = connection.hosts();
-                if cut.separates(client, server) {
+                if partition.separates(client, server) {
                     connection.reset();
                 }
             }
         }
-        network.cuts.insert(id, cut);
+        network.partitions.insert(id, partition);
         id
     }
 
     /// Ends a partition; held packets are sent in order.
-    pub(crate) fn heal(&self, timers: &PacketTimers, cut: CutId) {
+    pub(crate) fn heal(&self, timers: &PacketTimers, partition: PartitionId) {
         let mut network = self.network.borrow_mut();
-        let Some(cut) = network.cuts.remove(&cut) else {
+        let Some(partition) = network.partitions.remove(&partition) else {
             return;
         };
-        for packet in cut.held {
+        for packet in partition.held {
             self.send(timers, &mut network, packet);
         }
     }
--- a/crates/umbersail-runtime/src/simulation.rs
+++ b/crates/umbersail-runtime/src/simulation.rs
@@ -38,7 +38,7 @@
     pub fn new(seed: u64, config: NetworkConfig) -> Simulation {
         let sim = Sim::new(seed, config);
         let simulation = Simulation {
-            runtime: Runtime::of(World::Simulated(Box::new(sim))),
+            runtime: Runtime::with_world(World::Simulated(Box::new(sim))),
         };
         let outside = HostSpec::new("outside", Ipv4Addr::UNSPECIFIED);
         simulation.world().add_host(outside);
@@ -58,16 +58,16 @@
         self.runtime.block_on(main)
     }
 
-    /// The same, and calls `watch` about once per thousand events: it runs
+    /// The same, and calls `observe` about once per thousand events: it runs
     /// outside of the world and can't change what happens there.
     ///
     /// # Errors
     /// As `block_on`.
-    pub fn run_watched<T: 'static>(
+    pub fn block_on_observed<T: 'static>(
         &self,
         main: impl Future<Output = T> + 'static,
-        watch: impl FnMut(),
+        observe: impl FnMut(),
     ) -> io::Result<T> {
-        self.runtime.block_on_watched(main, watch)
+        self.runtime.block_on_observed(main, observe)
     }
 }
--- a/crates/umbersail-runtime/src/world.rs
+++ b/crates/umbersail-runtime/src/world.rs
@@ -6,9 +6,11 @@
 use rand::RngCore;
 
 use crate::clock::{Clock, SystemClock, Time};
-use crate::executor::{Inner, Runtime, World, current_world, with_current};
+use crate::executor::{Inner, Runtime, World, query_current, with_current};
 use crate::routine_id::RoutineId;
-use crate::sim::{CutId, CutMode, EPOCH_MS, Host, HostId, HostSpec, NetworkConfig, WorkDone};
+use crate::sim::{
+    EPOCH_MS, Host, HostId, HostSpec, NetworkConfig, PartitionId, PartitionMode, WorkCounters,
+};
 
 const NANOS_PER_SECOND: f64 = 1e9;
 const NANOS_PER_MILLISECOND: f64 = 1e6;
@@ -44,9 +46,9 @@
     }
 
     /// Packets sent and steps of routines so far.
-    pub fn work_done(&self) -> WorkDone {
+    pub fn work_counters(&self) -> WorkCounters {
         let sim = self.inner.simulated();
-        sim.map_or(WorkDone::default(), |sim| sim.work_done())
+        sim.map_or(WorkCounters::default(), |sim| sim.work_counters())
     }
 
     /// Adds a host with power and nothing running.
@@ -63,7 +65,7 @@
 
     /// Starts a process there in place of the one before.
     pub fn start(&self, host: HostId, process: impl Future<Output = ()> + 'static) {
-        self.end(host);
+        self.kill(host);
         if let Some(sim) = self.inner.simulated() {
             sim.reset_for_start(host);
         }
@@ -88,7 +90,7 @@
     }
 
     /// The process ends; its kernel closes its connections.
-    pub fn end(&self, host: HostId) {
+    pub fn kill(&self, host: HostId) {
         self.update_host(host, |host| host.parked.clear());
         if let Some(root) = self.replace_root(host, None) {
             self.inner.remove(root);
@@ -99,7 +101,7 @@
     /// The machine loses power: it stops without closing its connections.
     pub fn power_off(&self, host: HostId) {
         self.update_host(host, |host| host.powered = false);
-        self.end(host);
+        self.kill(host);
     }
 
     /// Suspends everything on the host until it thaws.
@@ -123,7 +125,7 @@
     }
 
     /// Sets the factor by which the host computes more slowly; 1 is normal.
-    pub fn set_slow(&self, host: HostId, times: f64) {
+    pub fn set_slowdown(&self, host: HostId, times: f64) {
         self.update_host(host, |host| host.slowdown = times);
     }
 
@@ -134,16 +136,16 @@
         }
     }
 
-    /// Processor time used by all hosts together, as [`WorldHandle::used_s`].
-    pub fn used_by_all_s(&self) -> f64 {
+    /// Processor time used by all hosts together, as [`WorldHandle::cpu_s`].
+    pub fn total_cpu_s(&self) -> f64 {
         let sim = self.inner.simulated();
-        sim.map_or(0.0, |sim| sim.total_used_s())
+        sim.map_or(0.0, |sim| sim.total_cpu_s())
     }
 
     /// Processor time used by the host so far, in seconds of a whole core.
-    pub fn used_s(&self, host: HostId) -> f64 {
+    pub fn cpu_s(&self, host: HostId) -> f64 {
         let sim = self.inner.simulated();
-        sim.map_or(0.0, |sim| sim.host(host).used_s)
+        sim.map_or(0.0, |sim| sim.host(host).cpu_s)
     }
 
     /// Sets the offset of the host's time of day, in milliseconds.
@@ -158,15 +160,15 @@
     }
 
     /// Separates all hosts of `a` from all of `b` until it is healed.
-    pub fn cut(&self, a: &[HostId], b: &[HostId], mode: CutMode) -> CutId {
+    pub fn partition(&self, a: &[HostId], b: &[HostId], mode: PartitionMode) -> PartitionId {
         let sim = self.inner.simulated();
-        sim.map_or(CutId(0), |sim| sim.cut(a, b, mode))
+        sim.map_or(PartitionId(0), |sim| sim.partition(a, b, mode))
     }
 
     /// Ends a partition; held packets are delivered in order.
-    pub fn heal(&self, cut: CutId) {
+    pub fn heal(&self, partition: PartitionId) {
         if let Some(sim) = self.inner.simulated() {
-            sim.heal(&self.inner.timers, cut);
+            sim.heal(&self.inner.timers, partition);
         }
     }
 
@@ -236,18 +238,18 @@
 ///
 /// A real machine has spent it already. A simulated host falls behind by it, so
 /// that work which grows with the fleet has a cost in simulations.
-pub fn charge(core_s: f64) {
-    current_world(|inner| {
+pub fn charge_cpu(core_s: f64) {
+    query_current(|inner| {
         let sim = inner.simulated()?;
-        sim.host(inner.host()).charge(core_s);
+        sim.host(inner.host()).charge_cpu(core_s);
         Some(())
     });
 }
 
 /// True time and the name of the current host, for log lines; `None` outside of
 /// a simulated world.
-pub fn simulated_place() -> Option<(f64, String)> {
-    current_world(|inner| {
+pub fn simulated_time_and_host() -> Option<(f64, String)> {
+    query_current(|inner| {
         let sim = inner.simulated()?;
         let name = sim.host(inner.host()).spec.name.clone();
         Some((sim.now() as f64 / NANOS_PER_SECOND, name))
--- a/crates/umbersail-runtime/tests/simulation.rs
+++ b/crates/umbersail-runtime/tests/simulation.rs
@@ -5,8 +5,8 @@
 use std::rc::Rc;
 
 use umbersail_runtime::{
-    CutId, CutMode, HostId, HostSpec, NetworkConfig, Simulation, TcpListener, TcpStream,
-    WorldHandle, charge, sleep, spawn, timeout,
+    HostId, HostSpec, NetworkConfig, PartitionId, PartitionMode, Simulation, TcpListener,
+    TcpStream, WorldHandle, charge_cpu, sleep, spawn, timeout,
 };
 
 fn addr(last: u8) -> SocketAddr {
@@ -36,7 +36,7 @@
 /// The log of an exchange of one byte per second, in true time.
 fn exchange(
     seed: u64,
-    at_5_s: impl Fn(&WorldHandle, HostId, HostId) -> Option<CutId> + 'static,
+    at_5_s: impl Fn(&WorldHandle, HostId, HostId) -> Option<PartitionId> + 'static,
 ) -> Vec<String> {
     let simulation = Simulation::new(seed, NetworkConfig::default());
     let world = simulation.world();
@@ -82,7 +82,9 @@
 #[test]
 fn partitions_and_freezes_delay_packets() {
     // Bytes must arrive late, in order and completely.
-    let cut = exchange(3, |w, a, b| Some(w.cut(&[a], &[b], CutMode::Hold)));
+    let cut = exchange(3, |w, a, b| {
+        Some(w.partition(&[a], &[b], PartitionMode::Hold))
+    });
     let frozen = exchange(3, |w, _, b| {
         w.freeze(b);
         None
@@ -100,10 +102,12 @@
 #[test]
 fn reset_process_exit_and_power_loss_differ() {
     // A host without power must not close its connections: peers time out.
-    let reset = exchange(3, |w, a, b| Some(w.cut(&[a], &[b], CutMode::Reset)));
+    let reset = exchange(3, |w, a, b| {
+        Some(w.partition(&[a], &[b], PartitionMode::Reset))
+    });
     assert!(reset[5].contains("ConnectionReset") || reset[5].contains("BrokenPipe"));
     let ended = exchange(3, |w, _, b| {
-        w.end(b);
+        w.kill(b);
         None
     });
     assert!(ended[5].contains("Ok(Ok(0))"), "{ended:?}");
@@ -138,9 +142,9 @@
             let (truth, own) = seen.get();
             assert!((truth - 10.0).abs() < 0.001 && (own - 10.1).abs() < 0.001);
             let mut spec = HostSpec::new("slow", [10, 0, 0, 2].into());
-            (spec.step_s, spec.core) = (0.01, 0.2);
+            (spec.cpu_per_step_s, spec.cpu_share) = (0.01, 0.2);
             let slow = world.add_host(spec);
-            world.set_slow(slow, 2.0);
+            world.set_slowdown(slow, 2.0);
             let (at, seen) = (world.clone(), Rc::new(Cell::new(0.0)));
             let told = seen.clone();
             world.start(slow, async move {
@@ -155,14 +159,14 @@
             // Declared processor time counts in the same way.
             let (told, at) = (seen.clone(), world.clone());
             world.start(slow, async move {
-                charge(0.3);
+                charge_cpu(0.3);
                 spawn(async move { told.set(at.now()) });
                 sleep(60.0).await;
             });
-            let (used_s, began) = (world.used_s(slow), world.now());
+            let (cpu_s, began) = (world.cpu_s(slow), world.now());
             sleep(30.0).await;
             assert!((seen.get() - began - 3.1).abs() < 0.2, "{}", seen.get());
-            assert!((world.used_s(slow) - used_s - 0.64).abs() < 0.05);
+            assert!((world.cpu_s(slow) - cpu_s - 0.64).abs() < 0.05);
         })
         .unwrap();
 }
--- a/crates/umbersail/src/main.rs
+++ b/crates/umbersail/src/main.rs
@@ -164,7 +164,7 @@
 
 impl FormatTime for SimulatedPlace {
     fn format_time(&self, w: &mut Writer<'_>) -> std::fmt::Result {
-        match umbersail_runtime::simulated_place() {
+        match umbersail_runtime::simulated_time_and_host() {
             Some((at, host)) => write!(w, "{at:.6} {host}"),
             None => write!(w, "outside"),
         }
