--- a/crates/umbersail-control/src/all_replica_read.rs
+++ b/crates/umbersail-control/src/all_replica_read.rs
@@ -62,7 +62,7 @@
             batch.clone()
         };
         while !batch.completed.get() {
-            batch.completion.raised().await;
+            batch.completion.notified().await;
         }
         let outcomes = batch.outcomes.borrow();
         outcomes.get(id).copied().unwrap_or(ReadOutcome::Unknown)
@@ -109,7 +109,7 @@
         }
         self.all_replica_reads.in_progress.set(false);
         batch.completed.set(true);
-        batch.completion.raise();
+        batch.completion.notify_all();
     }
 
     /// One peer's answers, in the order of the jobs; none if it does not answer in time.
--- a/crates/umbersail-control/src/front.rs
+++ b/crates/umbersail-control/src/front.rs
@@ -252,7 +252,7 @@
                 break;
             }
             // A step further or out of time: looked at again either way.
-            let _ = timeout(until - now, self.scheduler_progress.raised()).await;
+            let _ = timeout(until - now, self.scheduler_progress.notified()).await;
         }
         // A moment has passed: are we still entitled, under the same token?
         let now = self.clock.now();
--- a/crates/umbersail-control/src/leader/mod.rs
+++ b/crates/umbersail-control/src/leader/mod.rs
@@ -105,7 +105,7 @@
                 recovered.revision,
             )));
             self.clone().start_term_tasks(token, &mut tasks);
-            self.role_changed.raise();
+            self.role_changed.notify_all();
             let reason = self.wait_for_term_end(&lease).await;
             warn!(token, %reason, "leadership is over");
         }
@@ -133,7 +133,7 @@
         );
         *self.role.borrow_mut() = Role::Following;
         self.set_resigning(false);
-        self.role_changed.raise();
+        self.role_changed.notify_all();
         self.apply_rate_limits(false);
         self.kv.end_lease(lease_id).await;
         sleep(AFTER_TERM_S).await;
--- a/crates/umbersail-control/src/leader/scheduler.rs
+++ b/crates/umbersail-control/src/leader/scheduler.rs
@@ -51,7 +51,7 @@
         while let Some(step) = self.scheduler_step(token, &mut pacing) {
             if self.degraded_mode.borrow().allows_unrecorded_starts() && step.txn.is_none() {
                 // Nothing can be written, or need be: launches go without.
-                self.scheduler_progress.raise();
+                self.scheduler_progress.notify_all();
                 self.raise_tokens(token);
                 self.wait_for_work(step.next_s).await;
                 continue;
@@ -118,7 +118,7 @@
         pacing.last_cycle = now;
         engine.schedule(now);
         charge_cpu(engine.take_steps() as f64 * self.tuning.step_ns * 1e-9);
-        self.scheduler_progress.raise();
+        self.scheduler_progress.notify_all();
     }
 
     /// Waits until something has changed; false if only the time was over.
@@ -160,7 +160,7 @@
             engine.txn_finished(now, pending, outcome);
             (engine.has_lost_leadership(), engine.token_increments(now))
         });
-        self.scheduler_progress.raise();
+        self.scheduler_progress.notify_all();
         let Some((false, increments)) = after else {
             return false;
         };
--- a/crates/umbersail-control/src/polls.rs
+++ b/crates/umbersail-control/src/polls.rs
@@ -82,7 +82,7 @@
         };
         let round = self.join_batch(id, version);
         while !round.over.get() {
-            round.done.raised().await;
+            round.done.notified().await;
         }
         match &*round.moved.borrow() {
             Some(moved) if moved.contains(id) => {
@@ -162,6 +162,6 @@
         };
         *round.moved.borrow_mut() = answered.then_some(moved);
         round.over.set(true);
-        round.done.raise();
+        round.done.notify_all();
     }
 }
--- a/crates/umbersail-control/src/standby.rs
+++ b/crates/umbersail-control/src/standby.rs
@@ -103,7 +103,7 @@
                 break;
             }
             // Out of time, or something has changed: looked at again either way.
-            let _ = timeout(deadline - now, self.role_changed.raised()).await;
+            let _ = timeout(deadline - now, self.role_changed.notified()).await;
         }
         Response::new(200, encode(&self.build_hello()))
     }
@@ -276,7 +276,7 @@
         if let Role::Leading(leading) = &*self.role.borrow() {
             leading.superseded.set(true);
         }
-        self.role_changed.raise();
+        self.role_changed.notify_all();
         self.step_down.notify();
     }
 
@@ -351,7 +351,7 @@
             if resigns {
                 info!("the state service answers others and not us: another is to lead");
             }
-            self.role_changed.raise();
+            self.role_changed.notify_all();
         }
     }
 }
--- a/crates/umbersail-rehearsal/src/kv_store_host.rs
+++ b/crates/umbersail-rehearsal/src/kv_store_host.rs
@@ -128,7 +128,7 @@
             sleep(0.02).await;
             let now = self.world.now();
             if !self.down.get() && self.ledger.borrow_mut().expire(now) {
-                self.changed.raise();
+                self.changed.notify_all();
             }
         }
     }
@@ -137,7 +137,7 @@
         self.down.set(down);
         if !down {
             self.ledger.borrow_mut().restart_leases(self.world.now());
-            self.changed.raise();
+            self.changed.notify_all();
         }
     }
 
@@ -199,7 +199,7 @@
         let is_changed = |key: &&String| changed.contains(*key);
         let overtaken = keys.iter().filter(is_changed).cloned().collect();
         let done = self.ledger.borrow_mut().txn(self.world.now(), &txn);
-        self.changed.raise();
+        self.changed.notify_all();
         let applied = matches!(done, Ok(Outcome::Applied { .. }));
         if applied {
             self.figures.applied(&txn);
@@ -287,7 +287,7 @@
         let before = self.ledger.borrow().revision();
         let (status, body) = call.execute(&mut self.ledger.borrow_mut(), now);
         if self.ledger.borrow().revision() != before {
-            self.changed.raise();
+            self.changed.notify_all();
             self.tell_election();
             if let KvRequest::Txn(txn) = &call {
                 self.figures.applied(txn);
@@ -319,7 +319,7 @@
                 }
             }
             let wait = if away { 0.5 } else { until - now };
-            let _ = select(pin!(self.changed.raised()), pin!(sleep(wait.max(0.001)))).await;
+            let _ = select(pin!(self.changed.notified()), pin!(sleep(wait.max(0.001)))).await;
         }
     }
 }
--- a/crates/umbersail-rehearsal/src/store.rs
+++ b/crates/umbersail-rehearsal/src/store.rs
@@ -531,7 +531,7 @@
         if let Some(node) = self.nodes.borrow_mut().remove(&addr) {
             self.swarm.borrow_mut().remove(now, node);
             self.workers.borrow_mut().remove(&node);
-            self.wake.raise();
+            self.wake.notify_all();
         }
     }
 
@@ -545,14 +545,14 @@
         let holders: Vec<Node> = holders.iter().filter_map(known).collect();
         let image = number(&self.images, image) as Image;
         (self.swarm.borrow_mut()).fetch(now, *node, image, gb, &holders);
-        self.wake.raise();
+        self.wake.notify_all();
     }
 
     pub fn give_up(&self, now: f64, addr: SocketAddr, image: &str) {
         if let Some(node) = self.nodes.borrow().get(&addr) {
             let image = number(&self.images, image) as Image;
             self.swarm.borrow_mut().give_up(now, *node, image);
-            self.wake.raise();
+            self.wake.notify_all();
         }
     }
 
@@ -587,7 +587,7 @@
                 }
             }
             let wait = sleep((next - now).max(0.0));
-            let _ = select(pin!(self.wake.raised()), pin!(wait)).await;
+            let _ = select(pin!(self.wake.notified()), pin!(wait)).await;
         }
     }
 }
--- a/crates/umbersail-rehearsal/src/worker.rs
+++ b/crates/umbersail-rehearsal/src/worker.rs
@@ -155,7 +155,7 @@
             self.advance(&fleet);
             let due = self.next_due();
             let wait = due.map_or(60.0, |due| due - fleet.world.now());
-            let _ = select(pin!(self.wake.raised()), pin!(sleep(wait.max(0.0)))).await;
+            let _ = select(pin!(self.wake.notified()), pin!(sleep(wait.max(0.0)))).await;
         }
     }
 
@@ -192,7 +192,7 @@
         state.notice_until = until;
         state.changed = true;
         drop(state);
-        self.wake.raise();
+        self.wake.notify_all();
     }
 
     /// Jobs whose tasks run here, and how long each goes on, in seconds.
@@ -251,7 +251,7 @@
         if let Some(end) = self.state.borrow_mut().fetches.get_mut(image) {
             *end = now;
         }
-        self.wake.raise();
+        self.wake.notify_all();
     }
 
     /// Ends the session if its lease is over, by the worker's own clock.
@@ -367,7 +367,7 @@
             task: *number,
             attempt: *attempt,
         });
-        self.wake.raise();
+        self.wake.notify_all();
     }
 
     fn exit(
@@ -400,7 +400,7 @@
         let before = task.before;
         state.changed = true;
         drop(state);
-        self.wake.raise();
+        self.wake.notify_all();
         if !ran {
             fleet.history.add(What::Withdrawn {
                 machine: self.name.clone(),
@@ -580,7 +580,7 @@
                 }
             }
         }
-        self.wake.raise();
+        self.wake.notify_all();
     }
 
     fn launch(&self, fleet: &Fleet, key: (String, u32, u64), holders: &[String]) {
@@ -786,7 +786,7 @@
                 due
             };
             let wait = (next - now).max(0.001);
-            let _ = select(pin!(self.wake.raised()), pin!(sleep(wait))).await;
+            let _ = select(pin!(self.wake.notified()), pin!(sleep(wait))).await;
         }
     }
 
--- a/crates/umbersail-runtime/src/sync.rs
+++ b/crates/umbersail-runtime/src/sync.rs
@@ -21,7 +21,7 @@
 
 impl Broadcast {
     /// Wakes all that wait.
-    pub fn raise(&self) {
+    pub fn notify_all(&self) {
         self.inner.serial.set(self.inner.serial.get() + 1);
         for waker in self.inner.wakers.take() {
             waker.wake();
@@ -29,7 +29,7 @@
     }
 
     /// Waits for the next signal.
-    pub async fn raised(&self) {
+    pub async fn notified(&self) {
         let seen = self.inner.serial.get();
         poll_fn(|cx| {
             if self.inner.serial.get() != seen {
