--- a/crates/umbersail-http/src/client.rs
+++ b/crates/umbersail-http/src/client.rs
@@ -1,3 +1,5 @@
+//! The client and its pool of connections.
+
 use std::cell::{Cell, RefCell};
 use std::collections::{BTreeMap, VecDeque};
 use std::net::SocketAddr;
@@ -8,32 +10,33 @@
 
 use crate::{MAX_HEAD_BYTES, MAX_HEADERS, framing};
 
-/// Why there is no answer. `NotSent`, `Refused` and `Unreachable` prove that the
-/// other side has not executed the request.
+/// Why a request has no usable response. `NotSent`, `Refused` and `Unreachable` prove
+/// that the server has not executed the request.
 #[derive(Debug, Error, Clone, PartialEq, Eq)]
 pub enum ClientError {
-    /// The request was not sent.
-    #[error("not sent: {0}")]
+    /// The client did not send the request, for example because of its own limits.
+    #[error("request not sent: {0}")]
     NotSent(String),
-    /// There is somebody who takes no connection.
-    #[error("refused: {0}")]
+    /// The attempt to connect failed with an error, such as a refused connection.
+    #[error("connect failed: {0}")]
     Refused(String),
-    /// Nobody answers there, not even with a refusal.
+    /// The attempt to connect got no reply before its timeout, not even a refusal.
     #[error("unreachable")]
     Unreachable,
-    /// There was no response in time.
-    #[error("no answer: {0}")]
+    /// The response did not arrive in time; the request may have been executed.
+    #[error("no response: {0}")]
     Timeout(String),
-    /// No answer either: the other side closed the connection.
-    #[error("closed: {0}")]
+    /// The connection closed or failed before the response was complete; the request may
+    /// have been executed.
+    #[error("connection closed: {0}")]
     Closed(String),
-    /// The response violates the protocol.
-    #[error("malformed answer: {0}")]
+    /// The response violates the protocol or exceeds a limit.
+    #[error("malformed response: {0}")]
     Malformed(String),
 }
 
 impl ClientError {
-    /// Whether the other side has certainly not executed the request.
+    /// Whether the error proves that the server has not executed the request.
     pub fn is_request_not_executed(&self) -> bool {
         matches!(
             self,
@@ -42,23 +45,23 @@
     }
 }
 
-/// Bounds of one client.
+/// Limits of one client.
 #[derive(Debug, Clone)]
 pub struct ClientLimits {
     /// Largest body of a response, in bytes.
     pub max_body_bytes: usize,
-    /// Open connections to one address.
+    /// Most requests in flight to one address.
     pub max_per_address: usize,
-    /// Idle connections kept for one address.
+    /// Most idle connections in the pool for one address.
     pub max_idle: usize,
-    /// Connections in all, open exchanges and idle ones together: whoever has
-    /// hundreds of addresses would use up the process's sockets.
+    /// Most connections in total, in use and idle: a client that sends to hundreds of
+    /// addresses would otherwise use up the sockets of the process.
     pub max_total: usize,
-    /// Seconds to open a connection.
+    /// Longest time to open a connection, in seconds.
     pub connect_timeout_s: f64,
 }
 
-/// Sends requests over kept-open connections.
+/// An HTTP client that keeps idle connections open in a pool.
 #[derive(Clone)]
 pub struct Client {
     inner: Rc<ClientInner>,
@@ -66,14 +69,15 @@
 
 struct ClientInner {
     limits: ClientLimits,
-    /// The one that was used last stands last.
+    /// Idle connections, the most recently used one last.
     idle: RefCell<VecDeque<(SocketAddr, TcpStream)>>,
-    /// Open exchanges by address.
+    /// Requests in flight by address.
     open: RefCell<BTreeMap<SocketAddr, usize>>,
+    /// Requests in flight to all addresses.
     open_total: Cell<usize>,
 }
 
-/// Counts one open exchange with an address.
+/// Counts one request in flight to an address, until the permit is dropped.
 struct ExchangePermit {
     client: Rc<ClientInner>,
     addr: SocketAddr,
@@ -111,7 +115,7 @@
 }
 
 impl Client {
-    /// A client without connections.
+    /// Creates a client without connections.
     pub fn new(limits: ClientLimits) -> Client {
         Client {
             inner: Rc::new(ClientInner {
@@ -123,10 +127,11 @@
         }
     }
 
-    /// Sends one request and waits for status and body, `seconds` at most.
+    /// Sends one request and waits at most `seconds` for the status and body of the response.
     ///
     /// # Errors
-    /// Why there is no answer, and with that whether the request may have been executed.
+    /// Fails without a usable response; the error tells whether the request may have been
+    /// executed.
     pub async fn request(
         &self,
         addr: SocketAddr,
@@ -135,14 +140,15 @@
         body: &[u8],
         seconds: f64,
     ) -> Result<(u16, Vec<u8>), ClientError> {
-        let answer = self.send(addr, method, target, body, seconds).await?;
-        Ok((answer.status, answer.body))
+        let response = self.send(addr, method, target, body, seconds).await?;
+        Ok((response.status, response.body))
     }
 
-    /// Sends one request and waits for its answer, `seconds` at most.
+    /// Sends one request and waits at most `seconds` for the response.
     ///
     /// # Errors
-    /// Why there is no answer, and with that whether the request may have been executed.
+    /// Fails without a usable response; the error tells whether the request may have been
+    /// executed.
     pub async fn send(
         &self,
         addr: SocketAddr,
@@ -152,11 +158,11 @@
         seconds: f64,
     ) -> Result<ClientResponse, ClientError> {
         let Some(_permit) = ExchangePermit::acquire(&self.inner, addr) else {
-            return Err(ClientError::NotSent("too many open exchanges".into()));
+            return Err(ClientError::NotSent("too many requests in flight".into()));
         };
         match timeout(seconds, self.exchange(addr, method, target, body)).await {
             Ok(result) => result,
-            Err(_) => Err(ClientError::Timeout("out of time".into())),
+            Err(_) => Err(ClientError::Timeout("timeout elapsed".into())),
         }
     }
 
@@ -197,15 +203,17 @@
                 return Err(ClientError::Closed("end of stream".into()));
             }
             buf.extend_from_slice(&chunk[..n]);
-            if let Some((answer, close)) = parse(&buf, limits.max_body_bytes)? {
+            if let Some((response, close)) = parse(&buf, limits.max_body_bytes)? {
                 if !close {
                     self.return_to_pool(addr, stream);
                 }
-                return Ok(answer);
+                return Ok(response);
             }
         }
     }
 
+    /// Takes the most recently used reusable connection to the address out of the pool. If
+    /// there is none, makes room under `max_total` for a new connection.
     fn take_idle(&self, addr: SocketAddr) -> Option<TcpStream> {
         let mut idle = self.inner.idle.borrow_mut();
         while let Some(at) = idle.iter().rposition(|(a, _)| *a == addr) {
@@ -214,7 +222,7 @@
                 return Some(stream);
             }
         }
-        // A new connection takes the place of the one unused for longest.
+        // A new connection replaces the least recently used idle one.
         let limits = &self.inner.limits;
         while !idle.is_empty() && idle.len() + self.inner.open_total.get() > limits.max_total {
             idle.pop_front();
@@ -230,22 +238,23 @@
     }
 }
 
-/// An answer, whole.
+/// A complete response.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ClientResponse {
     /// Status code.
     pub status: u16,
     /// Body.
     pub body: Vec<u8>,
-    /// Seconds after which to come back, if the other side says so.
+    /// Value of the Retry-After header in seconds, if the response has one.
     pub retry_after_s: Option<u32>,
-    /// The other side ends the connection with this answer.
+    /// Whether the server closes the connection after this response.
     pub closes_connection: bool,
 }
 
-/// An answer, and whether the connection ends with it.
+/// A response, and whether the connection closes after it; `None` if more bytes are needed.
 type ParsedResponse = Option<(ClientResponse, bool)>;
 
+/// Parses one response from the start of the buffer.
 fn parse(buf: &[u8], max_body: usize) -> Result<ParsedResponse, ClientError> {
     let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
     let mut head = httparse::Response::new(&mut headers);
@@ -253,13 +262,17 @@
         Ok(httparse::Status::Complete(n)) => n,
         Ok(httparse::Status::Partial) if buf.len() <= MAX_HEAD_BYTES => return Ok(None),
         Ok(httparse::Status::Partial) => {
-            return Err(ClientError::Malformed("head too long".into()));
+            return Err(ClientError::Malformed(format!(
+                "the head exceeds {MAX_HEAD_BYTES} bytes"
+            )));
         }
         Err(e) => return Err(ClientError::Malformed(e.to_string())),
     };
     let framing = framing(head.headers);
     if framing.unsupported || framing.length > max_body {
-        return Err(ClientError::Malformed("body not acceptable".into()));
+        return Err(ClientError::Malformed(format!(
+            "unsupported framing, or a body of more than {max_body} bytes"
+        )));
     }
     if buf.len() < start + framing.length {
         return Ok(None);
@@ -269,13 +282,13 @@
         .iter()
         .find(|h| h.name.eq_ignore_ascii_case("retry-after"));
     let retry = retry.and_then(|h| std::str::from_utf8(h.value).ok());
-    let answer = ClientResponse {
+    let response = ClientResponse {
         status: head.code.unwrap_or(0),
         body: buf[start..start + framing.length].to_vec(),
         retry_after_s: retry.and_then(|text| text.trim().parse().ok()),
         closes_connection: framing.close,
     };
-    Ok(Some((answer, framing.close)))
+    Ok(Some((response, framing.close)))
 }
 
 #[cfg(test)]
@@ -283,15 +296,15 @@
     use super::*;
 
     #[test]
-    fn answers_are_cut_at_their_length_and_bounded() {
+    fn a_response_ends_at_its_content_length_and_its_body_is_bounded() {
         let whole = b"HTTP/1.1 503 No\r\nretry-after: 7\r\nContent-Length: 3\r\n\r\nabc";
-        let answer = ClientResponse {
+        let response = ClientResponse {
             status: 503,
             body: b"abc".to_vec(),
             retry_after_s: Some(7),
             closes_connection: false,
         };
-        assert_eq!(parse(whole, 10), Ok(Some((answer, false))));
+        assert_eq!(parse(whole, 10), Ok(Some((response, false))));
         assert_eq!(parse(&whole[..whole.len() - 1], 10), Ok(None));
         assert!(matches!(parse(whole, 2), Err(ClientError::Malformed(_))));
         assert!(matches!(
@@ -301,9 +314,9 @@
     }
 
     #[test]
-    fn connections_in_all_are_bounded_and_the_oldest_idle_one_goes_first() {
-        // Guards against one kept-open connection for each of hundreds of
-        // workers: they would take the sockets of the front door.
+    fn total_connections_are_bounded_and_the_least_recently_used_idle_one_is_closed() {
+        // Guards against one idle connection for each of hundreds of workers: these would
+        // use up the sockets that the listener for users and workers needs.
         let runtime = umbersail_runtime::Runtime::new().unwrap();
         let (idle, refused, open) = runtime
             .block_on(async {
@@ -324,31 +337,34 @@
                         let mut stream = listener.accept().await.unwrap();
                         let mut chunk = [0u8; 256];
                         stream.read(&mut chunk).await.unwrap();
-                        let answer = b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n";
-                        stream.write_all(answer).await.unwrap();
+                        let response = b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n";
+                        stream.write_all(response).await.unwrap();
                         umbersail_runtime::sleep(5.0).await;
                     });
                 }
                 for addr in &addrs {
-                    let answer = client.request(*addr, "GET", "/", b"", 2.0).await;
-                    assert_eq!(answer, Ok((200, Vec::new())));
+                    let response = client.request(*addr, "GET", "/", b"", 2.0).await;
+                    assert_eq!(response, Ok((200, Vec::new())));
                 }
-                let kept: Vec<SocketAddr> =
+                let idle: Vec<SocketAddr> =
                     client.inner.idle.borrow().iter().map(|(a, _)| *a).collect();
-                assert_eq!(kept[kept.len() - 1], addrs[4]);
+                assert_eq!(idle[idle.len() - 1], addrs[4]);
                 let inner = &client.inner;
-                let held: Vec<_> = addrs[..3]
+                let permits: Vec<_> = addrs[..3]
                     .iter()
                     .map(|a| ExchangePermit::acquire(inner, *a))
                     .collect();
-                assert!(held.iter().all(Option::is_some));
+                assert!(permits.iter().all(Option::is_some));
                 let refused = ExchangePermit::acquire(inner, addrs[3]).is_none();
-                drop(held);
+                drop(permits);
                 let open = client.inner.open.borrow().len();
-                (kept.len(), refused, open)
+                (idle.len(), refused, open)
             })
             .unwrap();
         assert!(idle <= 3 && refused);
-        assert_eq!(open, 0, "no entry is kept for an address that is done with");
+        assert_eq!(
+            open, 0,
+            "an address without a request in flight has no entry"
+        );
     }
 }
--- a/crates/umbersail-http/src/lib.rs
+++ b/crates/umbersail-http/src/lib.rs
@@ -1,5 +1,7 @@
-//! HTTP/1.1 on `httparse`: a server and a pooled client, both bounded in
-//! bodies, connections and time.
+//! HTTP/1.1 over the sockets of `umbersail-runtime`: a server and a client with a connection
+//! pool, both with limits on body sizes, connections and time. `httparse` parses the heads.
+//!
+//! Bodies have a `Content-Length`; messages with `Transfer-Encoding` are rejected.
 #![deny(missing_docs)]
 #![warn(
     clippy::too_many_lines,
@@ -14,19 +16,24 @@
 pub use client::{Client, ClientError, ClientLimits, ClientResponse};
 pub use server::{Handler, Request, Response, ServerLimits, serve};
 
-/// Room for the head of one message, in bytes.
+/// Size in bytes at which an incomplete head (start line and headers) of a message is
+/// rejected.
 const MAX_HEAD_BYTES: usize = 8 * 1024;
-/// Headers of one message.
+/// Most headers of one message.
 const MAX_HEADERS: usize = 32;
 
-/// Headers that both sides act on.
+/// How a message is delimited, as its headers say.
 #[derive(Default, Clone, Copy, Debug, PartialEq, Eq)]
 struct Framing {
+    /// Length of the body in bytes; 0 without a `Content-Length` header.
     length: usize,
+    /// Whether `Connection: close` is set.
     close: bool,
+    /// Whether the headers do not determine where the message ends.
     unsupported: bool,
 }
 
+/// Reads the headers that delimit a message.
 fn framing(headers: &[httparse::Header<'_>]) -> Framing {
     let mut out = Framing::default();
     let mut length: Option<usize> = None;
@@ -35,8 +42,8 @@
         if header.name.eq_ignore_ascii_case("content-length") {
             let digits = !value.is_empty() && value.bytes().all(|b| b.is_ascii_digit());
             match value.parse::<usize>() {
-                // Two lengths that differ would let a peer and us disagree on
-                // where the next message begins.
+                // With two different lengths, sender and receiver could disagree on where
+                // the next message begins (request smuggling).
                 Ok(n) if digits && length.is_none_or(|old| old == n) => length = Some(n),
                 _ => out.unsupported = true,
             }
--- a/crates/umbersail-http/src/server.rs
+++ b/crates/umbersail-http/src/server.rs
@@ -1,3 +1,5 @@
+//! The server: limits, connections and responses.
+
 use std::cell::Cell;
 use std::future::Future;
 use std::pin::Pin;
@@ -7,39 +9,39 @@
 
 use crate::{Framing, MAX_HEAD_BYTES, MAX_HEADERS, framing};
 
-/// One request, whole.
+/// A complete request.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Request {
-    /// The method.
+    /// Method, such as `GET`.
     pub method: String,
-    /// The path with its query.
+    /// Path and query.
     pub target: String,
-    /// The body.
+    /// Body; empty if the request has none.
     pub body: Vec<u8>,
 }
 
 impl Request {
-    /// The path without its query.
+    /// Returns the path without the query.
     pub fn path(&self) -> &str {
         self.target.split('?').next().unwrap_or("")
     }
 }
 
-/// One response.
+/// A response to one request.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Response {
     /// Status code.
     pub status: u16,
-    /// Body.
+    /// Body; empty if the response has none.
     pub body: Vec<u8>,
-    /// Value of the Retry-After header in seconds.
+    /// Value of the Retry-After header in seconds; `None` omits the header.
     pub retry_after_s: Option<u32>,
-    /// Whether the connection is closed afterwards.
+    /// Whether the server closes the connection after the response.
     pub close: bool,
 }
 
 impl Response {
-    /// A response with a body.
+    /// Creates a response with a body.
     pub fn new(status: u16, body: Vec<u8>) -> Response {
         Response {
             status,
@@ -49,12 +51,12 @@
         }
     }
 
-    /// A response without a body.
+    /// Creates a response without a body.
     pub fn empty(status: u16) -> Response {
         Response::new(status, Vec::new())
     }
 
-    /// A refusal that says when to come back.
+    /// Creates a response without a body that asks the client to retry after `after_s` seconds.
     pub fn retry(status: u16, after_s: u32) -> Response {
         Response {
             retry_after_s: Some(after_s),
@@ -63,57 +65,64 @@
     }
 }
 
-/// Of all connections, one in so many is kept free of connections that wait for their
-/// next request.
+/// One connection in this many stays available to new clients: connections that wait for
+/// their next request may not occupy that part of the limit.
 const FREE_CONNECTIONS_DIVISOR: usize = 8;
 
 impl ServerLimits {
+    /// Most connections whose last request had none of the `reserved_paths`.
     fn max_unreserved(&self) -> usize {
         let left = self.max_connections.saturating_sub(self.reserved.get());
         left.max(self.min_unreserved)
     }
 
-    /// Connections that may wait for their next request. Beyond that each is closed with
-    /// its response, so that more clients than connections are served in turn: kept open
-    /// between requests, they would shut the rest out.
+    /// Number of open connections up to which a connection stays open after its response.
+    /// Beyond that, each closes after its response, so that more clients than
+    /// `max_connections` are served in turn: connections kept open between requests would
+    /// shut the other clients out.
     fn max_keep_alive(&self) -> usize {
         self.max_connections - self.max_connections / FREE_CONNECTIONS_DIVISOR
     }
 }
 
-/// Answers requests.
+/// Computes the response to a request.
 pub type Handler = Rc<dyn Fn(Request) -> Pin<Box<dyn Future<Output = Response>>>>;
 
-/// Bounds of one listener.
+/// Limits of one listener.
 #[derive(Debug, Clone)]
 pub struct ServerLimits {
     /// Largest body of a request, in bytes.
     pub max_body_bytes: usize,
-    /// Connections in all.
+    /// Most open connections. A connection accepted beyond the limit is closed at once.
     pub max_connections: usize,
-    /// Of these, kept for connections whose last request had one of
-    /// `reserved_paths`; it changes with the number of those who use them.
+    /// Number of connections reserved for those whose last request had one of
+    /// `reserved_paths`. The owner of the listener changes the number with the number of
+    /// clients that use these paths.
     pub reserved: Rc<Cell<usize>>,
-    /// Left to all others however many are kept.
+    /// Connections available to all other requests, however many are reserved.
     pub min_unreserved: usize,
-    /// Paths whose connections have reserved places.
+    /// Paths whose connections may use the reserved ones.
     pub reserved_paths: Vec<String>,
-    /// Without a request for this long, a connection is closed.
+    /// A connection without a request for this many seconds is closed.
     pub idle_timeout_s: f64,
-    /// From the first byte of a request to its last one.
+    /// Longest time in seconds from the first byte of a request to its last one.
     pub receive_timeout_s: f64,
-    /// To hand a response to the system.
+    /// Longest time in seconds to hand a response to the operating system.
     pub send_timeout_s: f64,
 }
 
+/// Numbers of open connections of one listener.
 #[derive(Default)]
 struct ConnectionCounts {
     all: Cell<usize>,
+    /// Connections whose last request had one of the reserved paths.
     reserved: Cell<usize>,
 }
 
+/// Counts one open connection until it is dropped.
 struct Connection {
     counts: Rc<ConnectionCounts>,
+    /// Whether the last request had one of the reserved paths.
     reserved: bool,
 }
 
@@ -128,10 +137,10 @@
 
     fn set_reserved(&mut self, reserved: bool) {
         if reserved != self.reserved {
-            let now = self.counts.reserved.get();
+            let count = self.counts.reserved.get();
             self.counts
                 .reserved
-                .set(if reserved { now + 1 } else { now - 1 });
+                .set(if reserved { count + 1 } else { count - 1 });
             self.reserved = reserved;
         }
     }
@@ -144,7 +153,7 @@
     }
 }
 
-/// Accepts connections for ever, a routine for each.
+/// Accepts connections forever and handles each in a routine of its own.
 pub async fn serve(listener: TcpListener, limits: ServerLimits, handler: Handler) {
     let limits = Rc::new(limits);
     let counts = Rc::new(ConnectionCounts::default());
@@ -162,18 +171,23 @@
                     handler.clone(),
                 ));
             }
-            // Mostly out of sockets: give the others time to close.
+            // The usual cause is that the process has no free socket: wait for other
+            // connections to close.
             Err(_) => sleep(0.05).await,
         }
     }
 }
 
+/// Outcome of receiving one request.
 enum Received {
     Request(Request, Framing),
+    /// The request is malformed or too large; the connection closes after this response.
     Refuse(Response),
+    /// The client closed the connection, or the receive timeout elapsed.
     Closed,
 }
 
+/// Handles the requests of one connection until it closes.
 async fn handle_connection(
     mut stream: TcpStream,
     mut connection: Connection,
@@ -223,7 +237,7 @@
             Ok(Ok(())) if !close => {}
             _ => return,
         }
-        // A connection that once carried a large body gives its memory back.
+        // Frees the buffers after a large body: the connection may stay open for long.
         if out.capacity() > MAX_HEAD_BYTES {
             out = Vec::new();
         }
@@ -233,6 +247,7 @@
     }
 }
 
+/// Reads from the connection until one request is complete.
 async fn receive(stream: &mut TcpStream, buf: &mut Vec<u8>, limits: &ServerLimits) -> Received {
     let mut chunk = vec![0u8; 8 * 1024];
     loop {
@@ -246,7 +261,7 @@
     }
 }
 
-/// Takes one message off the buffer; `None` if more bytes are needed.
+/// Removes one request from the start of the buffer; `None` if more bytes are needed.
 fn parse(buf: &mut Vec<u8>, limits: &ServerLimits) -> Option<Received> {
     let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
     let mut head = httparse::Request::new(&mut headers);
@@ -283,6 +298,7 @@
     ))
 }
 
+/// Writes a response in wire format into `out`, replacing what `out` contains.
 fn encode(response: &Response, close: bool, out: &mut Vec<u8>) {
     use std::io::Write;
     out.clear();
@@ -300,7 +316,7 @@
         503 => "Service Unavailable",
         _ => "Status",
     };
-    // Writing to a Vec cannot fail.
+    // Writing to a `Vec` never fails.
     let _ = write!(
         out,
         "HTTP/1.1 {} {}\r\nContent-Length: {}\r\n",
@@ -339,6 +355,8 @@
         }
     }
 
+    /// Sends the pieces one by one to a server that echoes target and body. Returns all that
+    /// the server sends, followed by `<closed>` if the server closes the connection.
     fn exchange(pieces: Vec<&'static [u8]>) -> String {
         let runtime = Runtime::new().unwrap();
         runtime
@@ -374,24 +392,24 @@
     }
 
     #[test]
-    fn a_torn_request_is_put_together_and_the_connection_kept() {
-        let got = exchange(vec![
+    fn a_request_in_several_pieces_is_reassembled_and_the_connection_stays_open() {
+        let received = exchange(vec![
             b"POST /a?b=1 HT",
             b"TP/1.1\r\nContent-Le",
             b"ngth: 4\r\n\r\nab",
             b"cdGET /next HTTP/1.1\r\n\r\n",
         ]);
-        assert!(got.contains("/a?b=1|abcd"), "{got}");
-        assert!(got.contains("/next|"), "{got}");
-        assert!(!got.contains("<closed>"), "{got}");
+        assert!(received.contains("/a?b=1|abcd"), "{received}");
+        assert!(received.contains("/next|"), "{received}");
+        assert!(!received.contains("<closed>"), "{received}");
     }
 
     #[test]
     fn more_clients_than_connections_are_served_in_turn() {
-        // Guards against workers that are shut out, and lose their leases, because the
-        // connections of others stay open from one heartbeat to the next.
+        // Guards against workers that can't connect, and therefore lose their leases, because
+        // the connections of other workers stay open between heartbeats.
         let runtime = Runtime::new().unwrap();
-        let (served, kept) = runtime
+        let (served, still_open) = runtime
             .block_on(async {
                 let listener = TcpListener::bind("127.0.0.1:0".parse().unwrap()).unwrap();
                 let addr = listener.local_addr().unwrap();
@@ -408,25 +426,26 @@
                         .unwrap();
                     let mut chunk = [0u8; 1024];
                     let read = timeout(1.0, stream.read(&mut chunk)).await;
-                    let answer = read.unwrap().unwrap();
-                    served += usize::from(chunk[..answer].starts_with(b"HTTP/1.1 200"));
+                    let length = read.unwrap().unwrap();
+                    served += usize::from(chunk[..length].starts_with(b"HTTP/1.1 200"));
                     clients.push(stream);
                     sleep(0.005).await;
                 }
-                let kept = clients
+                let still_open = clients
                     .iter_mut()
                     .map(TcpStream::is_reusable)
-                    .filter(|quiet| *quiet)
+                    .filter(|reusable| *reusable)
                     .count();
-                (served, kept)
+                (served, still_open)
             })
             .unwrap();
         assert_eq!(served, 3 * limits().max_connections);
-        assert_eq!(kept, limits().max_keep_alive(), "the first ones stay open");
+        let limit = limits().max_keep_alive();
+        assert_eq!(still_open, limit, "connections up to the limit stay open");
     }
 
     #[test]
-    fn oversized_and_malformed_messages_are_refused_and_closed() {
+    fn an_oversized_or_malformed_request_is_refused_and_the_connection_closed() {
         let big = exchange(vec![b"POST / HTTP/1.1\r\nContent-Length: 65\r\n\r\n"]);
         assert!(
             big.starts_with("HTTP/1.1 413") && big.ends_with("<closed>"),
