--- a/crates/umbersail-runtime/src/clock.rs
+++ b/crates/umbersail-runtime/src/clock.rs
@@ -1,21 +1,22 @@
-//! Clocks, as routines see them.
+//! Clocks: the steady clock and the time of day.
 
 use std::cell::Cell;
 use std::time::{Instant, SystemTime, UNIX_EPOCH};
 
-/// Seconds on the steady clock of this process, counted from its start.
+/// Seconds on the steady clock of a process, counted from the start of the process.
 pub type Time = f64;
 
-/// Where routines read time; decisions take it as an argument.
+/// A source of time for routines. Code that makes decisions takes the time as an argument
+/// instead, which keeps it deterministic.
 pub trait Clock {
-    /// Steady time: never goes back, may drift.
+    /// Returns the steady time, which never goes back but may drift.
     fn now(&self) -> Time;
-    /// Time of day in milliseconds since the Unix epoch, accurate within the
-    /// platform's bound.
+    /// Returns the time of day in milliseconds since the Unix epoch. Its error stays within
+    /// the clock skew that the platform guarantees.
     fn unix_ms(&self) -> u64;
 }
 
-/// The machine's clocks.
+/// The clocks of the machine.
 pub struct SystemClock {
     start: Instant,
 }
@@ -42,7 +43,7 @@
 /// Time of day at which [`FakeClock`] starts, in milliseconds.
 const FAKE_EPOCH_MS: u64 = 1_000_000_000;
 
-/// A clock that a test moves by hand.
+/// A clock for tests, which moves only through [`FakeClock::advance`].
 #[derive(Default)]
 pub struct FakeClock {
     now: Cell<Time>,
--- a/crates/umbersail-runtime/src/executor.rs
+++ b/crates/umbersail-runtime/src/executor.rs
@@ -18,11 +18,12 @@
 
 type BoxedRoutine = Pin<Box<dyn Future<Output = ()>>>;
 
-/// Events between two calls of the watcher in [`Runtime::block_on_observed`].
+/// Iterations of the event loop between two calls of the observer in
+/// [`Runtime::block_on_observed`].
 const ITERATIONS_PER_OBSERVATION: u32 = 1000;
-/// Socket events taken from the operating system at once.
+/// Most socket events taken from the operating system in one call.
 const EVENT_CAPACITY: usize = 256;
-/// Longest sleep, for durations that can't be represented.
+/// Replaces durations that can't be represented as a [`Duration`].
 const MAX_SLEEP: Duration = Duration::from_secs(3600);
 
 /// A routine in the slab.
@@ -34,33 +35,34 @@
     cancelled: bool,
     parent: Option<RoutineId>,
     children: BTreeSet<RoutineId>,
-    /// Where it runs, in a simulated world.
+    /// Host on which the routine runs.
     host: HostId,
 }
 
-/// The machine's own clock, sockets and random numbers.
+/// The real world: clock, sockets and random numbers of the machine.
 pub(crate) struct Real {
     poll: RefCell<mio::Poll>,
     pub(crate) registry: mio::Registry,
     start: Instant,
-    /// First routines of the hosts that this process emulates.
+    /// Root routine of each host; in the real world a host is a group of routines of this
+    /// process.
     pub(crate) host_roots: RefCell<Vec<Option<RoutineId>>>,
 }
 
-/// Where time, network and random numbers come from.
+/// Source of time, network and random numbers.
 pub(crate) enum World {
     Real(Real),
     Simulated(Box<Sim>),
 }
 
-/// Wakers of one registered socket.
+/// Routines that wait for one registered socket.
 #[derive(Default)]
 pub(crate) struct Source {
     pub(crate) reader: Option<Waker>,
     pub(crate) writer: Option<Waker>,
 }
 
-/// State of a runtime.
+/// Shared state of a runtime.
 pub(crate) struct Inner {
     pub(crate) world: World,
     slots: RefCell<Slab<Slot>>,
@@ -68,11 +70,12 @@
     pub(crate) timers: PacketTimers,
     pub(crate) sources: RefCell<Slab<Source>>,
     generation: Cell<u64>,
-    /// The routine that is being polled, and its host.
+    /// The routine being polled and its host; `None` between polls.
     running: Cell<Option<(RoutineId, HostId)>>,
 }
 
-/// Routines that are ready to run, in order.
+/// Routines that are ready to run, in the order in which they were woken. Wakers are `Send`,
+/// so the queue has a lock although the runtime uses one thread.
 #[derive(Default)]
 struct ReadyQueue {
     queue: Mutex<VecDeque<RoutineId>>,
@@ -90,6 +93,7 @@
     }
 }
 
+/// Queues its routine when woken.
 struct RoutineWaker {
     id: RoutineId,
     ready: Arc<ReadyQueue>,
@@ -111,26 +115,27 @@
 
 /// Runs `f` with the runtime of this thread.
 ///
-/// Sockets, timers and `spawn` only work inside of [`Runtime::block_on`].
+/// Sockets, timers and `spawn` only work inside [`Runtime::block_on`].
 ///
 /// # Panics
-/// Outside of it, which is a programming error.
+/// Outside [`Runtime::block_on`], which is a programming error.
 pub(crate) fn with_current<R>(f: impl FnOnce(&Rc<Inner>) -> R) -> R {
     CURRENT.with(|current| {
         let current = current.borrow();
         f(current
             .as_ref()
-            .expect("used outside of Runtime::block_on, which is a programming error"))
+            .expect("sockets, timers and spawn only work inside Runtime::block_on"))
     })
 }
 
-/// Runs `f` with the runtime of this thread, if there is one.
+/// Runs `f` with the runtime of this thread and returns its result; `None` if this thread has
+/// no runtime.
 pub(crate) fn query_current<R>(f: impl FnOnce(&Rc<Inner>) -> Option<R>) -> Option<R> {
-    let seen = CURRENT.try_with(|current| f(current.try_borrow().ok()?.as_ref()?));
-    seen.ok().flatten()
+    let result = CURRENT.try_with(|current| f(current.try_borrow().ok()?.as_ref()?));
+    result.ok().flatten()
 }
 
-/// Runs `f` with the runtime of this thread; does nothing if there is none.
+/// Runs `f` with the runtime of this thread; does nothing if this thread has no runtime.
 pub(crate) fn try_with_current(f: impl FnOnce(&Rc<Inner>)) {
     let _ = CURRENT.try_with(|current| {
         if let Ok(current) = current.try_borrow()
@@ -147,10 +152,10 @@
 }
 
 impl Runtime {
-    /// A runtime on the machine's own clock and sockets.
+    /// Creates a runtime on the clock and the sockets of the machine.
     ///
     /// # Errors
-    /// If the operating system provides no event queue.
+    /// If the operating system can't create an event queue.
     pub fn new() -> io::Result<Runtime> {
         let poll = mio::Poll::new()?;
         let registry = poll.registry().try_clone()?;
@@ -176,8 +181,8 @@
         }
     }
 
-    /// Runs `main` to its end, and with it every routine that it spawns;
-    /// routines still alive then are dropped.
+    /// Runs `main` and all routines until `main` completes; then drops the routines that
+    /// still exist.
     ///
     /// # Errors
     /// If the operating system's event queue fails, or if all routines of a
@@ -186,7 +191,8 @@
         self.block_on_observed(main, || {})
     }
 
-    /// The same, and calls `observe` now and then.
+    /// Runs `main` as [`Runtime::block_on`] does, and calls `observe` after every
+    /// [`ITERATIONS_PER_OBSERVATION`] iterations of the event loop.
     pub(crate) fn block_on_observed<T: 'static>(
         &self,
         main: impl Future<Output = T> + 'static,
@@ -214,8 +220,8 @@
                 observe();
             }
         };
-        // Dropped outside of the borrow: a routine may own sockets and timers
-        // that remove themselves from the tables when they are dropped.
+        // Dropped after the borrow of `slots` ends: a routine may own sockets, timers and
+        // handles whose `drop` borrows the tables of the runtime.
         let remaining: Vec<Slot> = self.inner.slots.borrow_mut().drain().collect();
         drop(remaining);
         CURRENT.with(|current| *current.borrow_mut() = None);
@@ -224,7 +230,7 @@
 }
 
 impl Inner {
-    /// Nanoseconds since the world began.
+    /// Returns the nanoseconds since the start of the world.
     pub(crate) fn now(&self) -> Nanos {
         match &self.world {
             World::Real(real) => real.start.elapsed().as_nanos() as Nanos,
@@ -232,7 +238,7 @@
         }
     }
 
-    /// Converts a duration on the running routine's clock to true time.
+    /// Converts a duration on the clock of the running routine to true time.
     pub(crate) fn duration(&self, seconds: f64) -> Nanos {
         let to_nanos = |seconds: f64| {
             Duration::try_from_secs_f64(seconds.max(0.0))
@@ -241,8 +247,8 @@
         };
         match &self.world {
             World::Real(_) => to_nanos(seconds),
-            // Rounded up: a routine that waits for a point in time must not wake
-            // just before it again and again.
+            // Rounded up: otherwise a routine that waits for a point in time could wake just
+            // before that time over and over.
             World::Simulated(sim) if seconds > 0.0 => {
                 to_nanos(seconds / sim.clock_rate(self.host())) + 1
             }
@@ -250,11 +256,12 @@
         }
     }
 
-    /// The host of the running routine.
+    /// Returns the host of the running routine, or [`HostId::OUTSIDE`] if none is running.
     pub(crate) fn host(&self) -> HostId {
         self.running.get().map_or(HostId::OUTSIDE, |(_, host)| host)
     }
 
+    /// Returns the state of the simulated world; `None` in the real world.
     pub(crate) fn simulated(&self) -> Option<&Sim> {
         match &self.world {
             World::Real(_) => None,
@@ -267,13 +274,14 @@
         self.ready.push(id);
     }
 
+    /// Polls routines until none is ready.
     fn run_ready(&self) {
         while let Some(id) = self.ready.pop() {
             self.run_step(id);
         }
     }
 
-    /// Polls a routine once, if its host admits it.
+    /// Polls a routine once, unless its host is frozen or busy.
     fn run_step(&self, id: RoutineId) {
         let Some((mut future, waker, host)) = self.take_for_polling(id) else {
             return;
@@ -292,12 +300,13 @@
                 _ => future,
             }
         };
-        // Dropped outside of the borrow: it may own sockets and timers.
+        // Dropped after the borrow of `slots` ends: the future may own sockets and timers.
         drop(finished);
         self.remove(id);
     }
 
-    /// Takes a ready routine out of its slot, unless its host delays it.
+    /// Takes the future of a ready routine out of its slot. Returns `None` if the routine has
+    /// ended or if its host is frozen or busy; the routine then runs later.
     fn take_for_polling(&self, id: RoutineId) -> Option<(BoxedRoutine, Waker, HostId)> {
         let mut slots = self.slots.borrow_mut();
         let slot = slots.get_mut(id.index)?;
@@ -318,7 +327,7 @@
         Some((future, slot.waker.clone(), slot.host))
     }
 
-    /// Ends a routine and all that it started.
+    /// Cancels a routine and all routines that it started, directly or indirectly.
     pub(crate) fn remove(&self, id: RoutineId) {
         let mut pending = vec![id];
         while let Some(id) = pending.pop() {
@@ -328,7 +337,7 @@
                     Some(slot) if slot.generation == id.generation => {
                         pending.extend(std::mem::take(&mut slot.children));
                         if self.running.get().map(|(running, _)| running) == Some(id) {
-                            // It is being polled: it is removed right after.
+                            // The routine is being polled; `run_step` removes it afterwards.
                             slot.cancelled = true;
                             continue;
                         }
@@ -344,18 +353,19 @@
                 }
                 slot
             };
-            // Dropped outside of the borrow: it may own sockets and timers.
+            // Dropped after the borrow of `slots` ends: the future may own sockets and timers.
             drop(slot);
         }
     }
 
-    /// Waits for the next event and handles all that are due.
+    /// Waits for the next event and handles all events that are due.
     fn process_events(&self, events: &mut mio::Events) -> io::Result<()> {
         match &self.world {
             World::Real(real) => self.poll_sockets(real, events)?,
             World::Simulated(sim) => {
                 let next = self.timers.next_at();
-                let stalled = || io::Error::other("every routine waits, and nothing is due");
+                let stalled =
+                    || io::Error::other("deadlock: all routines wait and no event is scheduled");
                 sim.advance(next.ok_or_else(stalled)?);
             }
         }
@@ -372,7 +382,8 @@
         Ok(())
     }
 
-    /// Waits for socket events until the next timer is due.
+    /// Waits for socket events, at the latest until the next timer is due, and wakes the
+    /// routines that wait for the sockets.
     fn poll_sockets(&self, real: &Real, events: &mut mio::Events) -> io::Result<()> {
         let now = self.now();
         let next = self.timers.next_at();
@@ -403,7 +414,7 @@
         Ok(())
     }
 
-    /// Starts a routine, as a child of `parent` if there is one.
+    /// Starts a routine on a host, as a child of `parent` if given.
     pub(crate) fn start(
         &self,
         host: HostId,
@@ -442,22 +453,22 @@
     }
 }
 
-/// A running routine. Dropping the handle lets the routine go on;
-/// [`Routine::cancel`] ends it.
+/// A handle on a routine. The routine continues when the handle is dropped;
+/// [`Routine::cancel`] ends the routine.
 pub struct Routine {
     id: RoutineId,
 }
 
 impl Routine {
-    /// Drops the routine's future with everything it holds, and the routines
-    /// that it started.
+    /// Drops the future of the routine with everything it owns, and cancels the routines that
+    /// it started.
     pub fn cancel(self) {
         with_current(|inner| inner.clone()).remove(self.id);
     }
 }
 
-/// Starts a routine on the runtime of this thread. It ends at the latest with
-/// the routine that started it.
+/// Starts a routine on the runtime of this thread, on the host of the running routine. The
+/// new routine is cancelled when the routine that started it ends.
 pub fn spawn(future: impl Future<Output = ()> + 'static) -> Routine {
     with_current(|inner| {
         let running = inner.running.get();
@@ -468,7 +479,7 @@
     })
 }
 
-/// Stores the waker of the routine that waits.
+/// Stores the waker of the waiting routine in `slot`; always returns `Poll::Pending`.
 pub(crate) fn wait_on(slot: &mut Option<Waker>, cx: &Context<'_>) -> Poll<()> {
     match slot {
         Some(waker) if waker.will_wake(cx.waker()) => {}
--- a/crates/umbersail-runtime/src/lib.rs
+++ b/crates/umbersail-runtime/src/lib.rs
@@ -1,12 +1,18 @@
-//! A single-threaded asynchronous runtime, over `mio` or over a simulated world.
+//! A single-threaded asynchronous runtime, over the operating system (`mio`) or over a
+//! simulated world.
 //!
-//! A routine is a `Future`; it is cancelled by dropping it or through its
-//! [`Routine`] handle. Nothing here knows about cluster scheduling.
+//! A *world* provides time, network and random numbers. The real world uses the clock, the
+//! sockets and the random numbers of the machine. A simulated world has virtual time, hosts
+//! with drifting clocks, and a network in memory with partitions and lost packets; one seed
+//! determines its entire run.
 //!
-//! Modules depend on each other in one direction: `clock`, `timers` and
-//! `routine_id` on none; `sim` (state of a simulated world) on those; the
-//! `executor` on `sim`; `net`, `sync`, `time`, `world` and `simulation` on the
-//! executor.
+//! A *routine* is a spawned `Future`, called "task" in other runtimes; here a task is a unit
+//! of a job of the scheduler. A routine is cancelled through its [`Routine`] handle, or when
+//! the routine that spawned it ends. This crate has no knowledge of cluster scheduling.
+//!
+//! Modules depend on each other in one direction: `clock`, `timers` and `routine_id` on no
+//! other module; `sim` (state of a simulated world) on these three; `executor` on `sim`;
+//! `net`, `sync`, `time`, `world` and `simulation` on `executor`.
 #![deny(missing_docs)]
 #![warn(
     clippy::too_many_lines,
--- a/crates/umbersail-runtime/src/net.rs
+++ b/crates/umbersail-runtime/src/net.rs
@@ -1,4 +1,4 @@
-//! TCP, by the machine's sockets or those of a simulated world.
+//! TCP over the sockets of the machine or of a simulated world.
 
 use std::future::poll_fn;
 use std::io::{self, Read, Write};
@@ -10,7 +10,7 @@
 use crate::executor::{Inner, Real, Source, World, try_with_current, wait_on, with_current};
 use crate::sim::{ConnectionId, Side, Sim};
 
-/// A socket's registration with the event loop, removed on drop.
+/// Registration of a socket with the event loop, removed on drop.
 struct Registration {
     key: usize,
 }
@@ -47,7 +47,7 @@
     }
 }
 
-/// A real socket or a simulated one.
+/// A socket of the real world or of a simulated world.
 enum Socket<R, S: Release> {
     Real(R, Registration),
     Simulated(ReleaseOnDrop<S>),
@@ -58,6 +58,7 @@
     fn release(&self, inner: &Inner);
 }
 
+/// Releases its resource when dropped.
 struct ReleaseOnDrop<S: Release>(S);
 
 impl<S: Release> Drop for ReleaseOnDrop<S> {
@@ -66,7 +67,7 @@
     }
 }
 
-/// A bound address.
+/// An address to which a listener is bound.
 struct BoundAddress(SocketAddr);
 
 impl Release for BoundAddress {
@@ -77,7 +78,7 @@
     }
 }
 
-/// An open end of a connection.
+/// An open endpoint of a connection.
 struct OpenEndpoint {
     connection: ConnectionId,
     side: Side,
@@ -91,11 +92,12 @@
     }
 }
 
-/// Uses the simulated world; a simulated socket is never seen outside of one.
+/// Runs `f` with the simulated world. Only called for simulated sockets, which exist only in a
+/// simulated world.
 fn with_sim<R>(f: impl FnOnce(&Inner, &Sim) -> R) -> R {
     with_current(|inner| match &inner.world {
         World::Simulated(sim) => f(inner, sim),
-        World::Real(_) => unreachable!("a simulated socket in the real world"),
+        World::Real(_) => unreachable!("simulated socket used in the real world"),
     })
 }
 
@@ -105,10 +107,10 @@
 }
 
 impl TcpListener {
-    /// Binds a socket and listens; port 0 selects a free port.
+    /// Binds a socket to the address and listens; port 0 selects a free port.
     ///
     /// # Errors
-    /// If the address can't be bound.
+    /// If the address can't be bound, for example because it is in use.
     pub fn bind(addr: SocketAddr) -> io::Result<TcpListener> {
         with_current(|inner| {
             let socket = match &inner.world {
@@ -125,10 +127,10 @@
         })
     }
 
-    /// The address it is bound to.
+    /// Returns the address to which the listener is bound.
     ///
     /// # Errors
-    /// If the operating system can't tell.
+    /// If the operating system can't determine the address.
     pub fn local_addr(&self) -> io::Result<SocketAddr> {
         match &self.socket {
             Socket::Real(io, _) => io.local_addr(),
@@ -139,7 +141,8 @@
     /// Waits for the next connection.
     ///
     /// # Errors
-    /// As for the operating system's call, such as when sockets run out.
+    /// If the operating system reports an error, for example because no socket is free. In a
+    /// simulated world, if the host has no free socket.
     pub async fn accept(&self) -> io::Result<TcpStream> {
         let (io, registration) = match &self.socket {
             Socket::Real(io, registration) => (io, registration),
@@ -179,7 +182,7 @@
     fn from_mio(mut io: mio::net::TcpStream) -> io::Result<TcpStream> {
         with_current(|inner| {
             let World::Real(real) = &inner.world else {
-                unreachable!("a real socket in a simulated world")
+                unreachable!("real socket used in a simulated world")
             };
             let interest = Interest::READABLE | Interest::WRITABLE;
             let registration = Registration::new(inner, real, &mut io, interest)?;
@@ -190,10 +193,10 @@
         })
     }
 
-    /// Opens a connection.
+    /// Opens a connection to the address.
     ///
     /// # Errors
-    /// If it is refused or the address can't be reached.
+    /// If the connection is refused, the address is unreachable or no socket is free.
     pub async fn connect(addr: SocketAddr) -> io::Result<TcpStream> {
         if with_current(|inner| inner.simulated().is_some()) {
             let connection = with_sim(|inner, sim| sim.connect(&inner.timers, inner.host(), addr))?;
@@ -224,7 +227,8 @@
         Ok(stream)
     }
 
-    /// Reads what has arrived; 0 at the end of the stream.
+    /// Waits for data, copies what has arrived into `buf` and returns the number of bytes; 0
+    /// means the end of the stream.
     ///
     /// # Errors
     /// If the connection was reset.
@@ -257,8 +261,8 @@
         }
     }
 
-    /// True if the connection can carry a new request: nothing to read, not
-    /// closed by the other side.
+    /// Whether the connection can carry a new request: no data waits to be read and the peer
+    /// has not closed the connection.
     pub fn is_reusable(&mut self) -> bool {
         match &mut self.socket {
             Socket::Real(io, _) => {
@@ -271,7 +275,7 @@
         }
     }
 
-    /// Writes all bytes.
+    /// Writes all bytes of `buf`.
     ///
     /// # Errors
     /// If the connection was reset or closed.
--- a/crates/umbersail-runtime/src/routine_id.rs
+++ b/crates/umbersail-runtime/src/routine_id.rs
@@ -1,6 +1,7 @@
-//! Identity of a routine.
+//! Identifiers of routines.
 
-/// A slab index, and the generation that tells apart successive users of it.
+/// Identifies a routine: a slab index, and a generation that distinguishes the routines that
+/// successively use the same index.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct RoutineId {
     pub index: usize,
--- a/crates/umbersail-runtime/src/sim/connection.rs
+++ b/crates/umbersail-runtime/src/sim/connection.rs
@@ -10,12 +10,12 @@
 /// Identifies a connection.
 pub(crate) type ConnectionId = u64;
 
-/// One of the two ends of a connection.
+/// One of the two sides of a connection.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum Side {
-    /// The end that opened the connection.
+    /// The side that opened the connection.
     Client,
-    /// The end that accepted it.
+    /// The side that accepted the connection.
     Server,
 }
 
@@ -28,17 +28,20 @@
     }
 }
 
-/// One end of a connection.
+/// State of one side of a connection.
 pub(crate) struct Endpoint {
     pub host: HostId,
-    /// Whether a socket holds it.
+    /// Whether a socket uses the endpoint.
     pub open: bool,
+    /// Bytes that have arrived and are not read yet.
     pub received: VecDeque<u8>,
-    /// The peer has closed its end.
+    /// Whether the peer has closed its endpoint.
     pub peer_closed: bool,
     pub reset: bool,
+    /// Waker of the routine that waits for data or for the result of the handshake.
     pub reader: Option<Waker>,
-    /// Arrival time of the last packet sent to it: packets stay in order.
+    /// Arrival time of the last packet sent to this endpoint. Later packets arrive no earlier,
+    /// so that packets stay in order.
     pub last_arrival: Nanos,
 }
 
@@ -61,13 +64,14 @@
         }
     }
 
+    /// Resets the endpoint and wakes its reader.
     pub fn reset(&mut self) {
         self.reset = true;
         self.wake();
     }
 }
 
-/// The outcome of an attempt to connect.
+/// State of an attempt to connect.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum Handshake {
     Pending,
@@ -75,7 +79,7 @@
     Refused,
 }
 
-/// A connection, from the attempt to open it until both ends are closed.
+/// A connection, from the attempt to connect until both endpoints are closed.
 pub(crate) struct Connection {
     client: Endpoint,
     server: Endpoint,
@@ -85,7 +89,8 @@
 }
 
 impl Connection {
-    /// An attempt to connect; no socket holds the server's end before it is accepted.
+    /// Creates a connection whose handshake is pending; the endpoint of the server is not open
+    /// yet.
     pub fn new(client: HostId, server: HostId, target: SocketAddr) -> Connection {
         Connection {
             client: Endpoint::new(client, true),
@@ -109,7 +114,7 @@
         }
     }
 
-    /// Hosts of the client and the server.
+    /// Returns the hosts of the client and the server.
     pub fn hosts(&self) -> (HostId, HostId) {
         (self.client.host, self.server.host)
     }
@@ -124,10 +129,11 @@
     }
 }
 
-/// A bound address with the connections that wait to be accepted.
+/// A listener and the connections that wait to be accepted.
 pub(crate) struct Listener {
     pub host: HostId,
     pub backlog: VecDeque<ConnectionId>,
+    /// Waker of the routine that waits to accept a connection.
     pub waker: Option<Waker>,
 }
 
--- a/crates/umbersail-runtime/src/sim/delivery.rs
+++ b/crates/umbersail-runtime/src/sim/delivery.rs
@@ -1,39 +1,39 @@
-//! Packets: sending and delivery.
+//! Sending and delivery of packets.
 
 use super::connection::{ConnectionId, Handshake, Side};
 use super::{Network, PacketTimers, Sim};
 use crate::timers::{Event, nanos};
 
-/// Connections that wait to be accepted, as in a kernel's backlog.
+/// Most connections that wait to be accepted by one listener, as in the backlog of a kernel.
 const MAX_BACKLOG: usize = 128;
 
-/// Seconds until a request to connect to a host without power is sent again.
+/// Seconds between attempts to open a connection to a host without power.
 const SYN_RETRY_INTERVAL_S: f64 = 1.0;
 
 /// A packet of a connection.
 pub(crate) struct Packet {
     pub connection: ConnectionId,
-    /// The end that receives it.
+    /// The side that receives the packet.
     pub to: Side,
     pub payload: Payload,
 }
 
 /// Contents of a packet.
 pub(crate) enum Payload {
-    /// Asks for a connection.
+    /// Requests a connection.
     Syn,
     /// Accepts or refuses a connection.
     SynAck { accepted: bool },
     /// Bytes of the stream.
     Data(Vec<u8>),
-    /// The sender has closed its end.
+    /// The sender has closed its endpoint.
     Fin,
-    /// The receiver of earlier data had no open end.
+    /// Data arrived at an endpoint that was not open.
     Reset,
 }
 
 impl Sim {
-    /// Sends a packet, in order with those sent to the same end before.
+    /// Sends a packet. Packets to the same endpoint arrive in the order of sending.
     pub(super) fn send(&self, timers: &PacketTimers, network: &mut Network, packet: Packet) {
         let Some(connection) = network.connections.get(&packet.connection) else {
             return;
@@ -51,7 +51,7 @@
         timers.schedule(arrival, Event::Deliver(packet));
     }
 
-    /// A packet arrives.
+    /// Processes a packet that arrives at its destination.
     pub(crate) fn deliver(&self, timers: &PacketTimers, packet: Packet) {
         let mut network = self.network.borrow_mut();
         let Packet {
@@ -78,11 +78,13 @@
         }
     }
 
+    /// Processes a request to connect: accepts it, refuses it, or retries it later if the host
+    /// of the server has no power.
     fn deliver_syn(&self, timers: &PacketTimers, network: &mut Network, id: ConnectionId) {
         let Some(connection) = network.connections.get(&id) else {
             return;
         };
-        // The client has given up: the connection is not established later.
+        // The client has closed its endpoint: the connection must not be established later.
         if !connection.endpoint(Side::Client).open {
             network.remove_if_closed(id);
             return;
@@ -91,7 +93,7 @@
         let (_, server) = hosts;
         let target = connection.target;
         if !self.host(server).powered {
-            // Sent again, as a kernel does, while the client waits.
+            // The request is repeated, as a kernel does, while the client waits.
             let retry = Packet {
                 connection: id,
                 to: Side::Server,
@@ -117,6 +119,8 @@
         self.send(timers, network, reply);
     }
 
+    /// Processes data: buffers it for the receiver, or resets the sender if the receiver has
+    /// closed its endpoint. A host without power drops the data.
     fn deliver_data(
         &self,
         timers: &PacketTimers,
@@ -148,7 +152,8 @@
 }
 
 impl Network {
-    /// Queues a connection at the listener of its target, if there is room.
+    /// Adds a connection to the backlog of the listener at `target`; returns false if there is
+    /// no listener or its backlog is full.
     fn enqueue_connection(&mut self, target: std::net::SocketAddr, id: ConnectionId) -> bool {
         let Some(listener) = self.listeners.get_mut(&target) else {
             return false;
@@ -164,6 +169,7 @@
     }
 }
 
+/// Processes the reply to a request to connect.
 fn deliver_syn_ack(network: &mut Network, id: ConnectionId, accepted: bool) {
     let Some(connection) = network.connections.get_mut(&id) else {
         return;
--- a/crates/umbersail-runtime/src/sim/host.rs
+++ b/crates/umbersail-runtime/src/sim/host.rs
@@ -1,4 +1,4 @@
-//! Simulated hosts: power, processor time and clocks.
+//! Simulated hosts: power, processor time, clocks and open sockets.
 
 use std::cell::RefMut;
 use std::net::Ipv4Addr;
@@ -9,36 +9,37 @@
 use crate::routine_id::RoutineId;
 use crate::timers::{Nanos, nanos};
 
-/// A host of a simulated world.
+/// Identifies a host of a world.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct HostId(pub(crate) u32);
 
 impl HostId {
-    /// The controller of the simulation; it has no address on the network.
+    /// The pseudo-host of routines outside of every host, such as the one that controls the
+    /// simulation. This host has no address on the network.
     pub const OUTSIDE: HostId = HostId(0);
 }
 
-/// Properties of a host to be added.
+/// Properties of a host.
 #[derive(Debug, Clone)]
 pub struct HostSpec {
-    /// Name, for log lines; it also seeds the host's random numbers.
+    /// Name, used in log lines and as part of the seed of the random numbers of the host.
     pub name: String,
     /// Address on the simulated network.
     pub ip: Ipv4Addr,
-    /// Rate of its steady clock relative to true time.
+    /// Rate of the steady clock relative to true time.
     pub clock_rate: f64,
-    /// Offset of its time of day in milliseconds.
+    /// Offset of the time of day in milliseconds.
     pub skew_ms: f64,
-    /// Connections that it may have open at once.
+    /// Most connections that the host may have open at once.
     pub max_sockets: usize,
-    /// Processor time per step of a routine, in seconds of a whole core; 0 is free.
+    /// Processor time of each step of a routine, in core-seconds; with 0, steps take no time.
     pub cpu_per_step_s: f64,
-    /// Share of a core that it has.
+    /// Share of a core that the host has.
     pub cpu_share: f64,
 }
 
 impl HostSpec {
-    /// A host with exact clocks, unlimited sockets and a free processor.
+    /// Describes a host with exact clocks, unlimited sockets and steps that take no time.
     pub fn new(name: impl Into<String>, ip: Ipv4Addr) -> HostSpec {
         HostSpec {
             name: name.into(),
@@ -55,22 +56,26 @@
 /// State of a simulated host.
 pub(crate) struct Host {
     pub spec: HostSpec,
-    /// Without power it neither replies nor refuses.
+    /// A host without power neither accepts nor refuses connections.
     pub powered: bool,
+    /// The routines of a frozen host do not run.
     pub frozen: bool,
-    /// Routines that became ready during a freeze.
+    /// Routines that became ready while the host was frozen.
     pub parked: Vec<RoutineId>,
+    /// Time until which the processor is busy.
     pub busy_until: Nanos,
-    /// Factor by which it computes more slowly than specified.
+    /// Factor by which the host computes more slowly than specified.
     pub slowdown: f64,
-    /// Processor time used so far, in seconds of a whole core.
+    /// Processor time used so far, in core-seconds.
     pub cpu_s: f64,
-    /// When its current process started.
+    /// Time at which the current process started.
     pub started_at: Nanos,
+    /// Root routine of the current process.
     pub root: Option<RoutineId>,
     pub rng: ChaCha8Rng,
+    /// Number of open connections.
     pub sockets: usize,
-    /// How often a process was started there.
+    /// Number of processes started on the host so far.
     pub starts: u64,
 }
 
@@ -92,7 +97,8 @@
         }
     }
 
-    /// Charges processor time, after what was charged before.
+    /// Charges `core_s` core-seconds of processor time: the host is busy for that time after
+    /// `busy_until`.
     pub fn charge_cpu(&mut self, core_s: f64) {
         let duration_s = core_s * self.slowdown;
         self.cpu_s += duration_s;
@@ -107,9 +113,9 @@
 /// Whether a routine may run its next step.
 pub(crate) enum StepAdmission {
     Run,
-    /// The host is frozen; the routine is resumed when it thaws.
+    /// The host is frozen; the routine runs when the host thaws.
     Parked,
-    /// The processor is busy until then.
+    /// The processor is busy until this time.
     Delayed(Nanos),
 }
 
@@ -118,7 +124,7 @@
         RefMut::map(self.hosts.borrow_mut(), |hosts| &mut hosts[id.0 as usize])
     }
 
-    /// Adds a host with power and nothing running.
+    /// Adds a host that is powered on and has no process.
     pub(crate) fn add_host(&self, spec: HostSpec) -> HostId {
         let mut hosts = self.hosts.borrow_mut();
         let id = HostId(hosts.len() as u32);
@@ -128,7 +134,8 @@
         id
     }
 
-    /// Resets the host for the start of a process.
+    /// Prepares the host for a new process: powers it on, and restarts its steady clock and its
+    /// random numbers.
     pub(crate) fn reset_for_start(&self, id: HostId) {
         let mut host = self.host(id);
         host.starts += 1;
@@ -143,7 +150,7 @@
         self.host(id).spec.clock_rate
     }
 
-    /// Charges a step of the routine to its host if it may run now.
+    /// Decides whether the routine may run a step now. If so, charges the step to the host.
     pub(crate) fn admit_step(&self, host: HostId, routine: RoutineId) -> StepAdmission {
         let now = self.now();
         let mut host = self.host(host);
@@ -161,7 +168,7 @@
         StepAdmission::Run
     }
 
-    /// Processor time used by all hosts, in seconds of a whole core.
+    /// Returns the processor time used by all hosts so far, in core-seconds.
     pub(crate) fn total_cpu_s(&self) -> f64 {
         self.hosts.borrow().iter().map(|host| host.cpu_s).sum()
     }
--- a/crates/umbersail-runtime/src/sim/mod.rs
+++ b/crates/umbersail-runtime/src/sim/mod.rs
@@ -1,9 +1,9 @@
-//! State of a simulated world: virtual time, hosts with clocks that drift, and
-//! a network in memory that delays, loses, holds back and refuses packets.
+//! State of a simulated world: virtual time, hosts with drifting clocks, and a network in
+//! memory that delays, loses and holds back packets and refuses connections.
 //!
-//! One seed decides everything, so that the same program runs the same way
-//! twice. This module does not know the executor: what happens later is
-//! scheduled on [`Timers`].
+//! One seed determines all random numbers, so that every run of the same program is
+//! identical. This module does not depend on the executor: it schedules later events on
+//! [`Timers`].
 
 mod connection;
 mod delivery;
@@ -28,18 +28,18 @@
 pub use network::NetworkConfig;
 pub use partition::{PartitionId, PartitionMode};
 
-/// The time of day at which every simulated world begins, in milliseconds since 1970.
+/// The time of day at which every simulated world starts, in milliseconds since the Unix epoch.
 pub const EPOCH_MS: u64 = 1_700_000_000_000;
 
-/// Timers of a world whose network delivers [`Packet`]s.
+/// Timers whose delivery events carry a [`Packet`].
 pub(crate) type PacketTimers = Timers<Packet>;
 
-/// Work that a simulated world has done so far.
+/// Counts of the work of a simulation so far.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct WorkCounters {
     /// Packets sent.
     pub packets: u64,
-    /// Steps of routines.
+    /// Steps run by routines; a step is one poll of the future.
     pub steps: u64,
 }
 
@@ -55,12 +55,12 @@
 }
 
 impl Sim {
-    /// Sets how packets travel from now on.
+    /// Sets latency, jitter and loss for packets sent from now on.
     pub(crate) fn set_network_config(&self, config: NetworkConfig) {
         self.network_config.set(config);
     }
 
-    /// A world without hosts.
+    /// Creates a world without hosts.
     pub fn new(seed: u64, network_config: NetworkConfig) -> Sim {
         Sim {
             now: Cell::new(0),
@@ -77,6 +77,7 @@
         self.now.get()
     }
 
+    /// Advances virtual time to `to`; never moves it back.
     pub fn advance(&self, to: Nanos) {
         self.now.set(to.max(self.now.get()));
     }
@@ -86,14 +87,14 @@
     }
 
     fn count_packet(&self) {
-        let mut work = self.work_counters.get();
-        work.packets += 1;
-        self.work_counters.set(work);
+        let mut counters = self.work_counters.get();
+        counters.packets += 1;
+        self.work_counters.set(counters);
     }
 
     fn count_step(&self) {
-        let mut work = self.work_counters.get();
-        work.steps += 1;
-        self.work_counters.set(work);
+        let mut counters = self.work_counters.get();
+        counters.steps += 1;
+        self.work_counters.set(counters);
     }
 }
--- a/crates/umbersail-runtime/src/sim/network.rs
+++ b/crates/umbersail-runtime/src/sim/network.rs
@@ -1,4 +1,4 @@
-//! The simulated network: listeners and connections as sockets see them.
+//! The simulated network: the operations of sockets on listeners and connections.
 
 use std::collections::BTreeMap;
 use std::io;
@@ -9,19 +9,19 @@
 use super::partition::Partition;
 use super::{HostId, Packet, PacketTimers, PartitionId, Payload, Sim};
 
-/// First port that is assigned to listeners without one.
+/// First port that is assigned to listeners bound to port 0.
 const FIRST_FREE_PORT: u16 = 20_000;
 
-/// How long packets travel.
+/// Latency, jitter and loss of packets.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct NetworkConfig {
-    /// Seconds from any host to any other.
+    /// Base latency between any two hosts, in seconds.
     pub latency_s: f64,
-    /// Mean of the random delay added to the latency, in seconds.
+    /// Mean of the exponentially distributed delay added to the latency, in seconds.
     pub jitter_s: f64,
-    /// Share of packets that are lost and retransmitted.
+    /// Probability that a transmission of a packet is lost and the packet is retransmitted.
     pub loss: f64,
-    /// Seconds until a lost packet is retransmitted.
+    /// Time until a lost packet is retransmitted, in seconds.
     pub retransmit_s: f64,
 }
 
@@ -43,18 +43,20 @@
     pub connections: BTreeMap<ConnectionId, Connection>,
     last_connection: ConnectionId,
     pub partitions: BTreeMap<PartitionId, Partition>,
+    /// Number of the last partition that was created.
     pub last_partition: u64,
     pub hosts_by_ip: BTreeMap<Ipv4Addr, HostId>,
 }
 
 impl Network {
-    /// Forgets a connection once no socket holds it.
+    /// Removes a connection if both its endpoints are closed.
     pub fn remove_if_closed(&mut self, id: ConnectionId) {
         if self.connections.get(&id).is_some_and(Connection::is_closed) {
             self.connections.remove(&id);
         }
     }
 
+    /// Returns `addr` with the first port that has no listener.
     fn free_port(&self, mut addr: SocketAddr) -> io::Result<SocketAddr> {
         for port in FIRST_FREE_PORT..u16::MAX {
             addr.set_port(port);
@@ -66,11 +68,12 @@
     }
 }
 
-fn out_of_sockets() -> io::Error {
-    io::Error::other("out of sockets")
+fn no_free_socket() -> io::Error {
+    io::Error::other("the host has no free socket")
 }
 
 impl Sim {
+    /// Binds a listener to the address; port 0 selects a free port. Returns the bound address.
     pub(crate) fn bind(&self, host: HostId, addr: SocketAddr) -> io::Result<SocketAddr> {
         let mut network = self.network.borrow_mut();
         let addr = match addr.port() {
@@ -84,6 +87,7 @@
         Ok(addr)
     }
 
+    /// Removes the listener and closes the connections in its backlog.
     pub(crate) fn unbind(&self, timers: &PacketTimers, addr: SocketAddr) {
         let mut network = self.network.borrow_mut();
         let Some(listener) = network.listeners.remove(&addr) else {
@@ -94,7 +98,8 @@
         }
     }
 
-    /// The next connection in the backlog, if there is one.
+    /// Accepts the next connection in the backlog. If there is none, stores the waker and
+    /// returns `None`.
     pub(crate) fn accept(
         &self,
         addr: SocketAddr,
@@ -108,12 +113,13 @@
         }
         let mut host = self.host(listener.host);
         if !host.has_free_socket() {
-            return Some(Err(out_of_sockets()));
+            return Some(Err(no_free_socket()));
         }
         host.sockets += 1;
         listener.backlog.pop_front().map(Ok)
     }
 
+    /// Starts an attempt to connect; [`Sim::connected`] returns its result.
     pub(crate) fn connect(
         &self,
         timers: &PacketTimers,
@@ -129,7 +135,7 @@
         {
             let mut host = self.host(from);
             if !host.has_free_socket() {
-                return Err(out_of_sockets());
+                return Err(no_free_socket());
             }
             host.sockets += 1;
         }
@@ -146,7 +152,8 @@
         Ok(id)
     }
 
-    /// The outcome of an attempt to connect; `None` while there is no reply.
+    /// Returns the result of an attempt to connect. Before the server replies, stores the waker
+    /// and returns `None`.
     pub(crate) fn connected(&self, id: ConnectionId, waker: &Waker) -> Option<io::Result<()>> {
         let mut network = self.network.borrow_mut();
         let Some(connection) = network.connections.get_mut(&id) else {
@@ -164,7 +171,8 @@
         None
     }
 
-    /// Reads what has arrived; `None` if that is nothing yet.
+    /// Reads bytes that have arrived; `Some(Ok(0))` at the end of the stream. If nothing has
+    /// arrived, stores the waker and returns `None`.
     pub(crate) fn read(
         &self,
         id: ConnectionId,
@@ -194,7 +202,7 @@
         Some(Ok(count))
     }
 
-    /// Sends all bytes at once; the network accepts any amount.
+    /// Sends all bytes in one packet; the network accepts packets of any size.
     pub(crate) fn write(
         &self,
         timers: &PacketTimers,
@@ -216,7 +224,7 @@
         Ok(())
     }
 
-    /// A socket lets go of its end.
+    /// Closes the endpoint of a socket and frees the socket on its host.
     pub(crate) fn close(&self, timers: &PacketTimers, id: ConnectionId, side: Side) {
         let mut network = self.network.borrow_mut();
         if let Some(connection) = network.connections.get(&id) {
@@ -226,6 +234,7 @@
         self.close_endpoint(timers, &mut network, id, side);
     }
 
+    /// Closes an endpoint; notifies the peer, unless the host has no power.
     fn close_endpoint(
         &self,
         timers: &PacketTimers,
@@ -240,7 +249,7 @@
         let endpoint = connection.endpoint_mut(side);
         endpoint.open = false;
         endpoint.reader = None;
-        // A host without power sends nothing.
+        // A host without power sends no packets.
         if peer_is_open && self.host(endpoint.host).powered {
             let fin = Packet {
                 connection: id,
--- a/crates/umbersail-runtime/src/sim/partition.rs
+++ b/crates/umbersail-runtime/src/sim/partition.rs
@@ -4,18 +4,19 @@
 
 use super::{HostId, Network, Packet, PacketTimers, Sim};
 
-/// A partition between hosts, until it is healed.
+/// Identifies a partition until it is healed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub struct PartitionId(pub(crate) u64);
 
-/// What happens to packets that meet a partition.
+/// What a partition does to connections and packets between its two sets of hosts.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum PartitionMode {
-    /// They are held back and delivered in order once it heals.
+    /// Packets are held back, and delivered in order when the partition is healed.
     Hold,
-    /// Connections across it are reset when it starts.
+    /// Open connections are reset when the partition starts; later packets are held back as in
+    /// [`PartitionMode::Hold`].
     Reset,
-    /// New connections across it are refused; established ones are unaffected.
+    /// New connections are refused; established connections are unaffected.
     Refuse,
 }
 
@@ -24,10 +25,12 @@
     a: BTreeSet<HostId>,
     b: BTreeSet<HostId>,
     mode: PartitionMode,
+    /// Packets held back, in the order of sending.
     held: Vec<Packet>,
 }
 
 impl Partition {
+    /// Whether the partition is between the two hosts, in either direction.
     fn separates(&self, x: HostId, y: HostId) -> bool {
         let across = |x, y| self.a.contains(&x) && self.b.contains(&y);
         across(x, y) || across(y, x)
@@ -43,7 +46,8 @@
 }
 
 impl Network {
-    /// Holds a packet back if a partition is in its way; otherwise returns it.
+    /// Stores a packet in the first partition that holds back packets between the two hosts;
+    /// returns the packet if there is no such partition.
     pub(super) fn hold_back(&mut self, hosts: (HostId, HostId), packet: Packet) -> Option<Packet> {
         let mut partitions = self.partitions.values_mut();
         match partitions.find(|partition| partition.holds_packets(hosts.0, hosts.1)) {
@@ -62,7 +66,7 @@
 }
 
 impl Sim {
-    /// Separates all hosts of `a` from all of `b`.
+    /// Starts a partition between all hosts of `a` and all hosts of `b`.
     pub(crate) fn partition(&self, a: &[HostId], b: &[HostId], mode: PartitionMode) -> PartitionId {
         let mut network = self.network.borrow_mut();
         network.last_partition += 1;
@@ -85,7 +89,7 @@
         id
     }
 
-    /// Ends a partition; held packets are sent in order.
+    /// Ends a partition and sends the packets that it held back, in order.
     pub(crate) fn heal(&self, timers: &PacketTimers, partition: PartitionId) {
         let mut network = self.network.borrow_mut();
         let Some(partition) = network.partitions.remove(&partition) else {
--- a/crates/umbersail-runtime/src/sim/randomness.rs
+++ b/crates/umbersail-runtime/src/sim/randomness.rs
@@ -1,4 +1,4 @@
-//! Seeded random numbers: one generator for the network, one per host.
+//! Seeded random numbers: one generator for the network and one for each host.
 
 use rand::{Rng, RngCore, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -6,18 +6,19 @@
 use super::{HostId, Sim};
 use crate::timers::{Nanos, nanos};
 
-/// Multiplier that spreads the number of starts over the seed.
+/// Multiplier that spreads the number of process starts over all bits of the seed.
 const START_COUNT_MULTIPLIER: u64 = 0x9e37_79b9_7f4a_7c15;
 /// Prime of the 64-bit FNV hash.
 const FNV_PRIME: u64 = 0x0000_0100_0000_01b3;
 
 impl Sim {
-    /// Draws from the host's own generator, which no other host's use disturbs.
+    /// Draws from the generator of the host, which is independent of the draws of other hosts.
     pub(crate) fn draw<R>(&self, host: HostId, draw: impl FnOnce(&mut dyn RngCore) -> R) -> R {
         draw(&mut self.host(host).rng)
     }
 
-    /// A generator seeded by the world's seed, the host's name and its number of starts.
+    /// Creates a generator seeded by the seed of the world, the name of the host and its number
+    /// of process starts.
     pub(super) fn host_rng(&self, name: &str, starts: u64) -> ChaCha8Rng {
         let mut seed = self.seed ^ starts.wrapping_mul(START_COUNT_MULTIPLIER);
         for byte in name.bytes() {
@@ -26,7 +27,7 @@
         ChaCha8Rng::seed_from_u64(seed)
     }
 
-    /// Draws the travel time of a packet, retransmissions included.
+    /// Draws the transit time of a packet, including retransmissions.
     pub(super) fn draw_transit_time(&self) -> Nanos {
         let config = self.network_config.get();
         let mut rng = self.network_rng.borrow_mut();
--- a/crates/umbersail-runtime/src/simulation.rs
+++ b/crates/umbersail-runtime/src/simulation.rs
@@ -1,4 +1,4 @@
-//! A runtime whose world is simulated.
+//! The runtime of a simulated world.
 
 use std::future::Future;
 use std::io;
@@ -10,9 +10,9 @@
 
 /// A runtime whose world is simulated.
 ///
-/// A host is one process on a machine of its own. What runs there uses
+/// A host is a machine that runs one process. The routines of the process use
 /// [`sleep`](crate::sleep), [`TcpStream`](crate::TcpStream) and
-/// [`random`](crate::random) as in the real world and can't tell the difference.
+/// [`random`](crate::random) in the same way as in the real world.
 ///
 /// ```
 /// use umbersail_runtime::{HostSpec, NetworkConfig, Simulation, sleep};
@@ -34,7 +34,7 @@
 }
 
 impl Simulation {
-    /// A world without hosts, in which `seed` decides all random numbers.
+    /// Creates a world without hosts, in which `seed` determines all random numbers.
     pub fn new(seed: u64, config: NetworkConfig) -> Simulation {
         let sim = Sim::new(seed, config);
         let simulation = Simulation {
@@ -45,24 +45,25 @@
         simulation
     }
 
-    /// The world, to add hosts and inject faults.
+    /// Returns a handle on the world, to add hosts and inject faults.
     pub fn world(&self) -> WorldHandle {
         self.runtime.world()
     }
 
-    /// Runs `main` outside of every host, to its end.
+    /// Runs `main` outside of every host until `main` completes.
     ///
     /// # Errors
-    /// If `main` and all others wait and no event is scheduled.
+    /// If all routines wait and no event is scheduled.
     pub fn block_on<T: 'static>(&self, main: impl Future<Output = T> + 'static) -> io::Result<T> {
         self.runtime.block_on(main)
     }
 
-    /// The same, and calls `observe` about once per thousand events: it runs
-    /// outside of the world and can't change what happens there.
+    /// Runs `main` as [`Simulation::block_on`] does, and calls `observe` after every 1000
+    /// iterations of the event loop, for example to show progress. `observe` runs outside of
+    /// the world and can't change the run.
     ///
     /// # Errors
-    /// As `block_on`.
+    /// If all routines wait and no event is scheduled.
     pub fn block_on_observed<T: 'static>(
         &self,
         main: impl Future<Output = T> + 'static,
--- a/crates/umbersail-runtime/src/sync.rs
+++ b/crates/umbersail-runtime/src/sync.rs
@@ -7,7 +7,8 @@
 
 use crate::executor::wait_on;
 
-/// Wakes all routines that currently wait; a later one waits for the next signal.
+/// Wakes all routines that currently wait. A routine that starts to wait later is woken by
+/// the next notification.
 #[derive(Clone, Default)]
 pub struct Broadcast {
     inner: Rc<BroadcastInner>,
@@ -15,12 +16,13 @@
 
 #[derive(Default)]
 struct BroadcastInner {
+    /// Number of notifications so far.
     serial: Cell<u64>,
     wakers: RefCell<Vec<Waker>>,
 }
 
 impl Broadcast {
-    /// Wakes all that wait.
+    /// Wakes all waiting routines.
     pub fn notify_all(&self) {
         self.inner.serial.set(self.inner.serial.get() + 1);
         for waker in self.inner.wakers.take() {
@@ -28,7 +30,7 @@
         }
     }
 
-    /// Waits for the next signal.
+    /// Waits for the next notification.
     pub async fn notified(&self) {
         let seen = self.inner.serial.get();
         poll_fn(|cx| {
@@ -42,7 +44,8 @@
     }
 }
 
-/// Wakes one waiting routine; a notification without a waiter is kept for the next.
+/// Wakes one waiting routine. A notification without a waiting routine is kept for the next
+/// routine that waits; at most one is kept.
 #[derive(Clone, Default)]
 pub struct Notify {
     inner: Rc<NotifyInner>,
@@ -55,7 +58,7 @@
 }
 
 impl Notify {
-    /// Notifies the waiting routine.
+    /// Wakes the waiting routine, or keeps the notification for the next one.
     pub fn notify(&self) {
         self.inner.pending.set(true);
         if let Some(waker) = self.inner.waker.borrow_mut().take() {
--- a/crates/umbersail-runtime/src/time.rs
+++ b/crates/umbersail-runtime/src/time.rs
@@ -1,4 +1,4 @@
-//! Waiting, by the clock of the current world.
+//! Timers and timeouts, measured by the clock of the current world.
 
 use std::future::Future;
 use std::pin::{Pin, pin};
@@ -9,7 +9,7 @@
 use crate::executor::{try_with_current, with_current};
 use crate::timers::{Event, Nanos, TimerKey};
 
-/// A pending timer; dropping it cancels it.
+/// A pending timer; dropping the timer cancels it.
 pub struct Sleep {
     at: Nanos,
     key: Option<TimerKey>,
@@ -52,7 +52,7 @@
     }
 }
 
-/// The timeout elapsed before the future was ready.
+/// Error of [`timeout`]: the time elapsed before the future was ready.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Elapsed;
 
--- a/crates/umbersail-runtime/src/timers.rs
+++ b/crates/umbersail-runtime/src/timers.rs
@@ -4,13 +4,14 @@
 use std::collections::BTreeMap;
 use std::task::{Context, Waker};
 
-/// Nanoseconds since the world began.
+/// Nanoseconds since the start of the world.
 pub(crate) type Nanos = u64;
 
-/// Identifies a scheduled event: its time, and a serial number for ties.
+/// Identifies a scheduled event: its time, and a serial number that orders events due at the
+/// same time.
 pub(crate) type TimerKey = (Nanos, u64);
 
-/// Converts seconds; negative values become zero.
+/// Converts seconds to nanoseconds; negative values become zero.
 pub(crate) fn nanos(seconds: f64) -> Nanos {
     (seconds.max(0.0) * 1e9) as Nanos
 }
@@ -23,7 +24,7 @@
     Deliver(P),
 }
 
-/// Scheduled events. Those due at the same time keep the order of scheduling.
+/// Scheduled events. Events due at the same time keep the order of scheduling.
 pub(crate) struct Timers<P> {
     events: RefCell<BTreeMap<TimerKey, Event<P>>>,
     last_serial: Cell<u64>,
@@ -37,7 +38,7 @@
         }
     }
 
-    /// Schedules an event; the key cancels it.
+    /// Schedules an event; the returned key can cancel the event.
     pub fn schedule(&self, at: Nanos, event: Event<P>) -> TimerKey {
         let serial = self.last_serial.get() + 1;
         self.last_serial.set(serial);
@@ -49,7 +50,7 @@
         self.events.borrow_mut().remove(&key);
     }
 
-    /// Whether a wake-up is still pending; its waker is brought up to date.
+    /// Whether a wake-up is still pending; if so, its waker is replaced by that of `context`.
     pub fn is_pending(&self, key: TimerKey, context: &Context<'_>) -> bool {
         match self.events.borrow_mut().get_mut(&key) {
             Some(Event::Wake(waker)) => {
@@ -62,13 +63,13 @@
         }
     }
 
-    /// When the next event is due.
+    /// Returns the time at which the next event is due.
     pub fn next_at(&self) -> Option<Nanos> {
         let events = self.events.borrow();
         events.first_key_value().map(|((at, _), _)| *at)
     }
 
-    /// Takes the next event that is due by `now`.
+    /// Removes the next event if it is due by `now`.
     pub fn pop_due(&self, now: Nanos) -> Option<Event<P>> {
         let mut events = self.events.borrow_mut();
         let entry = events.first_entry()?;
--- a/crates/umbersail-runtime/src/world.rs
+++ b/crates/umbersail-runtime/src/world.rs
@@ -1,4 +1,4 @@
-//! Handles on a world: hosts, processes, fault injection and clocks.
+//! Access to a world: hosts, processes, fault injection, clocks and random numbers.
 
 use std::future::Future;
 use std::rc::Rc;
@@ -17,16 +17,16 @@
 
 /// A handle on a world, to add hosts and inject faults.
 ///
-/// In the real world hosts are only names for routines of this process: they
-/// start and end, but can't be partitioned, frozen, skewed or slowed down, and
-/// calls that ask for it do nothing ([`WorldHandle::is_simulated`] tells).
+/// In the real world a host is only a group of routines of this process. Such a host can be
+/// started and killed, but not partitioned, frozen, skewed or slowed down: calls that inject
+/// these faults do nothing ([`WorldHandle::is_simulated`] distinguishes the two cases).
 #[derive(Clone)]
 pub struct WorldHandle {
     inner: Rc<Inner>,
 }
 
 impl Runtime {
-    /// The world in which it runs.
+    /// Returns a handle on the world of this runtime.
     pub fn world(&self) -> WorldHandle {
         WorldHandle {
             inner: self.inner.clone(),
@@ -40,18 +40,19 @@
         self.inner.simulated().is_some()
     }
 
-    /// True time in seconds since the start.
+    /// Returns true time, in seconds since the start of the world. Unlike the clock of a host,
+    /// true time neither drifts nor has an offset.
     pub fn now(&self) -> f64 {
         self.inner.now() as f64 / NANOS_PER_SECOND
     }
 
-    /// Packets sent and steps of routines so far.
+    /// Returns the numbers of packets and of routine steps so far; zero in the real world.
     pub fn work_counters(&self) -> WorkCounters {
         let sim = self.inner.simulated();
         sim.map_or(WorkCounters::default(), |sim| sim.work_counters())
     }
 
-    /// Adds a host with power and nothing running.
+    /// Adds a host that is powered on and has no process.
     pub fn add_host(&self, spec: HostSpec) -> HostId {
         match &self.inner.world {
             World::Simulated(sim) => sim.add_host(spec),
@@ -63,7 +64,7 @@
         }
     }
 
-    /// Starts a process there in place of the one before.
+    /// Starts a process on the host; kills its previous process.
     pub fn start(&self, host: HostId, process: impl Future<Output = ()> + 'static) {
         self.kill(host);
         if let Some(sim) = self.inner.simulated() {
@@ -73,7 +74,7 @@
         self.replace_root(host, Some(root));
     }
 
-    /// Sets a host's first routine and returns the one before.
+    /// Sets the root routine of a host and returns the previous one.
     fn replace_root(&self, host: HostId, root: Option<RoutineId>) -> Option<RoutineId> {
         match &self.inner.world {
             World::Simulated(sim) => std::mem::replace(&mut sim.host(host).root, root),
@@ -84,12 +85,14 @@
         }
     }
 
-    /// Starts a routine outside of every host; no other routine's end ends it.
+    /// Starts a routine outside of every host. The routine has no parent, so it is not
+    /// cancelled when another routine ends.
     pub fn spawn(&self, routine: impl Future<Output = ()> + 'static) {
         self.inner.start(HostId::OUTSIDE, None, routine);
     }
 
-    /// The process ends; its kernel closes its connections.
+    /// Kills the process of the host. The host stays up and closes the connections of the
+    /// process.
     pub fn kill(&self, host: HostId) {
         self.update_host(host, |host| host.parked.clear());
         if let Some(root) = self.replace_root(host, None) {
@@ -98,13 +101,13 @@
         self.update_host(host, |host| host.sockets = 0);
     }
 
-    /// The machine loses power: it stops without closing its connections.
+    /// Cuts the power of the host: its process ends without closing its connections.
     pub fn power_off(&self, host: HostId) {
         self.update_host(host, |host| host.powered = false);
         self.kill(host);
     }
 
-    /// Suspends everything on the host until it thaws.
+    /// Suspends all routines of the host until [`WorldHandle::thaw`].
     pub fn freeze(&self, host: HostId) {
         self.update_host(host, |host| host.frozen = true);
     }
@@ -124,55 +127,58 @@
         }
     }
 
-    /// Sets the factor by which the host computes more slowly; 1 is normal.
-    pub fn set_slowdown(&self, host: HostId, times: f64) {
-        self.update_host(host, |host| host.slowdown = times);
+    /// Sets the factor by which the host computes more slowly than specified; 1 is normal.
+    pub fn set_slowdown(&self, host: HostId, factor: f64) {
+        self.update_host(host, |host| host.slowdown = factor);
     }
 
-    /// Sets how packets travel from now on.
+    /// Sets latency, jitter and loss for packets sent from now on.
     pub fn set_network(&self, config: NetworkConfig) {
         if let Some(sim) = self.inner.simulated() {
             sim.set_network_config(config);
         }
     }
 
-    /// Processor time used by all hosts together, as [`WorldHandle::cpu_s`].
+    /// Returns the processor time used by all hosts together so far, in core-seconds; 0 in the
+    /// real world.
     pub fn total_cpu_s(&self) -> f64 {
         let sim = self.inner.simulated();
         sim.map_or(0.0, |sim| sim.total_cpu_s())
     }
 
-    /// Processor time used by the host so far, in seconds of a whole core.
+    /// Returns the processor time used by the host so far, in core-seconds; 0 in the real
+    /// world.
     pub fn cpu_s(&self, host: HostId) -> f64 {
         let sim = self.inner.simulated();
         sim.map_or(0.0, |sim| sim.host(host).cpu_s)
     }
 
-    /// Sets the offset of the host's time of day, in milliseconds.
+    /// Sets the offset of the time of day on the host, in milliseconds.
     pub fn set_skew(&self, host: HostId, skew_ms: f64) {
         self.update_host(host, |host| host.spec.skew_ms = skew_ms);
     }
 
-    /// Open connections of a host.
+    /// Returns the number of open connections of a host; 0 in the real world.
     pub fn sockets(&self, host: HostId) -> usize {
         let sim = self.inner.simulated();
         sim.map_or(0, |sim| sim.host(host).sockets)
     }
 
-    /// Separates all hosts of `a` from all of `b` until it is healed.
+    /// Partitions the network between all hosts of `a` and all hosts of `b` until
+    /// [`WorldHandle::heal`].
     pub fn partition(&self, a: &[HostId], b: &[HostId], mode: PartitionMode) -> PartitionId {
         let sim = self.inner.simulated();
         sim.map_or(PartitionId(0), |sim| sim.partition(a, b, mode))
     }
 
-    /// Ends a partition; held packets are delivered in order.
+    /// Ends a partition; packets that it held back are delivered in order.
     pub fn heal(&self, partition: PartitionId) {
         if let Some(sim) = self.inner.simulated() {
             sim.heal(&self.inner.timers, partition);
         }
     }
 
-    /// The clocks of a host; the steady one counts from the start of its process.
+    /// Returns the clocks of a host; the steady clock counts from the start of its process.
     pub fn clock(&self, host: HostId) -> Rc<dyn Clock> {
         match self.is_simulated() {
             true => Rc::new(HostClock {
@@ -214,8 +220,8 @@
     }
 }
 
-/// Draws a value: from the host's own seeded generator in a simulated world,
-/// from the machine's elsewhere.
+/// Draws a random value: in a simulated world from the seeded generator of the running
+/// routine's host, in the real world from that of the machine.
 ///
 /// ```
 /// use rand::Rng;
@@ -233,11 +239,12 @@
     })
 }
 
-/// Declares processor time of the current step beyond what every step takes, in
-/// seconds of a whole core.
+/// Charges `core_s` core-seconds of processor time to the host of the running routine, beyond
+/// the fixed cost of each step.
 ///
-/// A real machine has spent it already. A simulated host falls behind by it, so
-/// that work which grows with the fleet has a cost in simulations.
+/// In the real world the call does nothing: the machine has already spent the time. A
+/// simulated host stays busy for the charged time, so that work that grows with the fleet has
+/// a cost in simulations.
 pub fn charge_cpu(core_s: f64) {
     query_current(|inner| {
         let sim = inner.simulated()?;
@@ -246,8 +253,8 @@
     });
 }
 
-/// True time and the name of the current host, for log lines; `None` outside of
-/// a simulated world.
+/// Returns true time and the name of the current host, for log lines; `None` outside a
+/// simulated world.
 pub fn simulated_time_and_host() -> Option<(f64, String)> {
     query_current(|inner| {
         let sim = inner.simulated()?;
