--- a/crates/umbersail-runtime/tests/cancellation.rs
+++ b/crates/umbersail-runtime/tests/cancellation.rs
@@ -1,4 +1,4 @@
-//! Cancellation of routines.
+//! Cancellation of routines and of futures with a timeout.
 
 use std::cell::Cell;
 use std::rc::Rc;
@@ -7,45 +7,44 @@
 
 #[test]
 fn cancelling_a_routine_cancels_its_children() {
-    let count = Rc::new(Cell::new(0));
-    let inner = count.clone();
+    let steps = Rc::new(Cell::new(0));
     Runtime::new()
         .unwrap()
         .block_on(async move {
-            let child = inner.clone();
+            let child_steps = steps.clone();
             let parent = spawn(async move {
                 spawn(async move {
                     loop {
-                        child.set(child.get() + 1);
+                        child_steps.set(child_steps.get() + 1);
                         sleep(0.002).await;
                     }
                 });
                 sleep(60.0).await;
             });
             sleep(0.02).await;
-            assert!(inner.get() > 1);
+            assert!(steps.get() > 1);
             parent.cancel();
-            let seen = inner.get();
+            let at_cancel = steps.get();
             sleep(0.02).await;
-            assert_eq!(inner.get(), seen);
+            assert_eq!(steps.get(), at_cancel);
         })
         .unwrap();
 }
 
 #[test]
 fn a_timeout_drops_the_future() {
-    struct Flag(Rc<Cell<bool>>);
-    impl Drop for Flag {
+    struct SetOnDrop(Rc<Cell<bool>>);
+    impl Drop for SetOnDrop {
         fn drop(&mut self) {
             self.0.set(true);
         }
     }
     let dropped = Rc::new(Cell::new(false));
-    let flag = Flag(dropped.clone());
+    let guard = SetOnDrop(dropped.clone());
     let result = Runtime::new()
         .unwrap()
         .block_on(timeout(0.01, async move {
-            let _flag = flag;
+            let _guard = guard;
             sleep(60.0).await;
         }))
         .unwrap();
