--- a/crates/umbersail/src/main.rs
+++ b/crates/umbersail/src/main.rs
@@ -1,4 +1,5 @@
 //! The command line of umbersail.
+#![deny(missing_docs)]
 
 mod plans;
 mod rehearse;
@@ -17,7 +18,7 @@
 use umbersail_runtime::{Runtime, SystemClock};
 use umbersail_tuning::Tuning;
 
-/// A cluster scheduler: one process of this program is one controller.
+/// A cluster scheduler. Without a subcommand, this process runs one controller.
 #[derive(Parser)]
 #[command(
     name = "umbersail",
@@ -27,78 +28,81 @@
 )]
 struct Cli {
     #[command(flatten)]
-    files: Files,
+    files: SettingsFiles,
     #[command(subcommand)]
-    command: Option<Action>,
+    command: Option<Subcommands>,
 }
 
+/// Options that name the settings files.
 #[derive(clap::Args)]
-struct Files {
-    /// The platform's settings (TOML).
+struct SettingsFiles {
+    /// Platform settings (TOML): addresses, peers, cloud, state service, teams and limits.
+    /// Required.
     #[arg(long, value_name = "FILE")]
     config: Option<PathBuf>,
-    /// The operator's settings (Java-style properties).
+    /// Operator settings (Java properties). Properties that are not set have their defaults.
     #[arg(long, value_name = "FILE")]
     settings: Option<PathBuf>,
 }
 
 #[derive(Subcommand)]
-enum Action {
-    /// Validate the files without starting.
+enum Subcommands {
+    /// Validate the settings files without starting a controller; prints "ok".
     Check {
         #[command(flatten)]
-        files: Files,
+        files: SettingsFiles,
     },
-    /// Print the calendar's and the planner's entries with their next times and, if
-    /// asked, all plans as the state service holds them, images under way included.
+    /// Print the calendar runs and capacity reservations in the settings, with their next times.
     Plans {
         #[command(flatten)]
-        files: Files,
-        /// Read what is recorded at the state service that --config names.
+        files: SettingsFiles,
+        /// Also print all plans recorded in the state service that --config names, including
+        /// image rollouts in progress.
         #[arg(long)]
         recorded: bool,
     },
-    /// List all properties with defaults, bounds, units and reasons.
+    /// List all properties with default, bounds, unit and purpose.
     Properties,
     Rehearse(rehearse::Rehearse),
     Experiment(rehearse::Experiments),
 }
 
-/// A file that can't be used, or a command line without one.
-const BAD_SETTINGS: u8 = 2;
+/// Exit code if a settings file is missing, unreadable or invalid, or if the recorded plans
+/// can't be read.
+const EXIT_INVALID_SETTINGS: u8 = 2;
 
 fn main() -> ExitCode {
     let cli = Cli::parse();
     let (files, check_only) = match cli.command {
-        Some(Action::Properties) => {
+        Some(Subcommands::Properties) => {
             print_properties();
             return ExitCode::SUCCESS;
         }
-        Some(Action::Rehearse(rehearsal)) => {
+        Some(Subcommands::Rehearse(rehearsal)) => {
             start_logging(true);
             return rehearsal.run();
         }
-        Some(Action::Experiment(experiments)) => {
+        Some(Subcommands::Experiment(experiments)) => {
             start_logging(true);
             return experiments.run();
         }
-        Some(Action::Plans { files, recorded }) => {
+        Some(Subcommands::Plans { files, recorded }) => {
             return match load(&files).and_then(|(s, t)| plans::print(&s, &t, recorded)) {
                 Ok(()) => ExitCode::SUCCESS,
                 Err(e) => {
                     eprintln!("umbersail: {e:#}");
-                    ExitCode::from(BAD_SETTINGS)
+                    ExitCode::from(EXIT_INVALID_SETTINGS)
                 }
             };
         }
-        Some(Action::Check { files }) => (files, true),
+        Some(Subcommands::Check { files }) => (files, true),
         None => (cli.files, false),
     };
     let (settings, tuning) = match load(&files) {
         Ok(loaded) => loaded,
         Err(e) => {
             eprintln!("umbersail: {e:#}");
-            return ExitCode::from(BAD_SETTINGS);
+            return ExitCode::from(EXIT_INVALID_SETTINGS);
         }
     };
     if check_only {
@@ -115,30 +119,33 @@
     }
 }
 
-fn load(files: &Files) -> anyhow::Result<(Settings, Tuning)> {
+/// Loads and validates the settings files.
+fn load(files: &SettingsFiles) -> anyhow::Result<(Settings, Tuning)> {
     let config = files
         .config
         .as_deref()
-        .ok_or_else(|| anyhow!("--config FILE is missing"))?;
+        .ok_or_else(|| anyhow!("the option --config FILE is required"))?;
     let settings = Settings::load(config)?;
     let tuning = match files.settings.as_deref() {
         Some(path) => load_properties(path)?,
         None => Tuning::default(),
     };
     if let Err(e) = umbersail_control::check_plans(&settings, &tuning) {
-        // Entries come from the properties, so there is such a file.
+        // Entries of plans are properties, so the operator settings contain the error.
         let file = files.settings.as_deref().unwrap_or(config);
         return Err(anyhow!(e).context(file.display().to_string()));
     }
     Ok((settings, tuning))
 }
 
+/// Loads the operator settings; errors name the file.
 fn load_properties(path: &Path) -> anyhow::Result<Tuning> {
     let name = || path.display().to_string();
     let file = File::open(path).with_context(name)?;
     Tuning::from_properties(file).with_context(name)
 }
 
+/// Prints all properties in the format of a properties file.
 fn print_properties() {
     for c in umbersail_tuning::CONSTANTS {
         println!(
@@ -148,52 +155,57 @@
     }
 }
 
-/// `LOG_LEVEL` is `error`, `info` or `debug`; anything else means `info`, and
-/// for a rehearsal, whose controllers say a lot, `error`.
-fn log_level(usual: LevelFilter) -> LevelFilter {
+/// Returns the level that the environment variable `LOG_LEVEL` names (`error`, `info` or
+/// `debug`), or `default` if the variable is unset or has another value.
+fn log_level(default: LevelFilter) -> LevelFilter {
     match std::env::var("LOG_LEVEL").as_deref() {
         Ok("error") => LevelFilter::ERROR,
         Ok("info") => LevelFilter::INFO,
         Ok("debug") => LevelFilter::DEBUG,
-        _ => usual,
+        _ => default,
     }
 }
 
-/// Simulated time and the controller's name, in place of this machine's time.
-struct SimulatedPlace;
+/// Prefixes log lines with simulated time and the name of the simulated host, instead of the
+/// time of this machine.
+struct SimulatedTime;
 
-impl FormatTime for SimulatedPlace {
+impl FormatTime for SimulatedTime {
     fn format_time(&self, w: &mut Writer<'_>) -> std::fmt::Result {
         match umbersail_runtime::simulated_time_and_host() {
             Some((at, host)) => write!(w, "{at:.6} {host}"),
-            None => write!(w, "outside"),
+            None => write!(w, "not simulated"),
         }
     }
 }
 
+/// Starts logging to standard error. The default level is `info`; for a rehearsal the default
+/// is `error`, because many controllers log at once.
 fn start_logging(rehearsal: bool) {
-    let usual = if rehearsal {
+    let default = if rehearsal {
         LevelFilter::ERROR
     } else {
         LevelFilter::INFO
     };
-    let logs = tracing_subscriber::fmt()
-        .with_max_level(log_level(usual))
+    let subscriber = tracing_subscriber::fmt()
+        .with_max_level(log_level(default))
         .with_writer(std::io::stderr)
         .with_ansi(false);
     if rehearsal {
-        logs.with_timer(SimulatedPlace).init();
+        subscriber.with_timer(SimulatedTime).init();
     } else {
-        logs.with_timer(tracing_subscriber::fmt::time::uptime())
+        subscriber
+            .with_timer(tracing_subscriber::fmt::time::uptime())
             .init();
     }
 }
 
+/// Runs the controller until the process is killed.
 fn serve(settings: Settings, tuning: Tuning) -> anyhow::Result<()> {
-    let runtime = Runtime::new().context("event loop")?;
+    let runtime = Runtime::new().context("the event loop cannot be created")?;
     let clock = Rc::new(SystemClock::default());
     runtime
         .block_on(umbersail_control::run(settings, tuning, clock))
-        .context("event loop")?
-        .context("listening")
+        .context("the event loop failed")?
+        .context("the controller cannot listen on its addresses")
 }
--- a/crates/umbersail/src/rehearse.rs
+++ b/crates/umbersail/src/rehearse.rs
@@ -1,4 +1,7 @@
-//! `umbersail rehearse`: a whole night on this machine.
+//! `umbersail rehearse` runs a scenario on this machine; `umbersail experiment` compares
+//! settings over scenarios.
+//!
+//! A scenario is a [`Night`] in the code: a fleet, its users and the failures injected.
 
 use std::io::IsTerminal;
 use std::path::PathBuf;
@@ -12,52 +15,57 @@
     BUNDLED, Bundled, Night, NightError, Outcome, bundled, play, play_many, play_real, report,
 };
 
-/// Cores of this machine.
-pub fn cores() -> usize {
+/// Returns the number of cores of this machine.
+fn cores() -> usize {
     std::thread::available_parallelism().map_or(1, usize::from)
 }
 
-/// A rule was broken, or the night was not played in its time.
-const FAILED: u8 = 1;
-/// The night can't be played.
-const BAD_NIGHT: u8 = 2;
+/// Exit code if the run failed: a rule was broken, the scenario did not end in time, too few
+/// jobs were served, or one of the largest jobs started too late.
+const EXIT_FAILED: u8 = 1;
+/// Exit code if the scenario or experiment is invalid or can't be run.
+const EXIT_INVALID_SCENARIO: u8 = 2;
 
-/// Play a night: real controllers, stand-ins for everything else, scripted
-/// failures, simulated time. The last line is `outcome <hash>`; the same night
-/// and seed give the same hash.
+/// Run a scenario with real controllers and injected failures in simulated time.
+///
+/// Machines, cloud, state service, load balancer and users are simulated. The last line of the
+/// output is `outcome <hash>`; the same scenario and seed give the same hash. The exit code is 0,
+/// 1 if the run failed, or 2 if the scenario is invalid or cannot be run.
 #[derive(clap::Args)]
 pub struct Rehearse {
-    /// A night file (TOML), or the name of a bundled night.
-    #[arg(value_name = "NIGHT", required_unless_present_any = ["list", "schema"])]
-    night: Option<String>,
-    /// What decides all chance.
+    /// Scenario file (TOML), or the name of a bundled scenario.
+    #[arg(value_name = "SCENARIO", required_unless_present_any = ["list", "schema"])]
+    scenario: Option<String>,
+    /// Seed that determines all random numbers.
     #[arg(long, default_value_t = 1)]
     seed: u64,
-    /// Play so many seeds, from --seed on, over the cores, and tell those that
-    /// broke a rule.
+    /// Run N seeds, starting with --seed, in parallel on all cores. Prints a line for each seed
+    /// and the summary of each failed run.
     #[arg(long, value_name = "N", conflicts_with = "report")]
     seeds: Option<u64>,
-    /// Play it with real processes of this program on loopback, so many times as
-    /// fast. What loopback can't do (cuts, skewed clocks) is left out and said.
+    /// Run the scenario with real processes of this program on the loopback interface, TIMES
+    /// times as fast. Failures that are impossible on loopback (network partitions, clock skew)
+    /// are skipped and listed.
     #[arg(long, value_name = "TIMES", num_args = 0..=1, default_missing_value = "4",
           conflicts_with = "seeds")]
     real: Option<f64>,
-    /// Write report.html, figures.json and history.tar.gz into this folder.
+    /// Write report.html, figures.json and history.tar.gz into this directory.
     #[arg(long, value_name = "DIR")]
     report: Option<PathBuf>,
-    /// List the bundled nights.
+    /// List the bundled scenarios.
     #[arg(long)]
     list: bool,
-    /// Print the schema of night files (JSON Schema).
+    /// Print the JSON Schema of scenario files.
     #[arg(long)]
     schema: bool,
-    /// Print a bundled night, as a start for one of your own.
+    /// Print the scenario file instead of running it, for example as a template.
     #[arg(long)]
     print: bool,
 }
 
-/// Text of a night by its name or path, and what it is called in errors.
-fn text_of(name: &str) -> Result<(String, String), NightError> {
+/// Returns the name of a scenario for error messages, and its text: that of the bundled scenario
+/// with this name, else that of the file with this path.
+fn scenario_text(name: &str) -> Result<(String, String), NightError> {
     if let Some(text) = bundled(name) {
         return Ok((name.to_owned(), text.to_owned()));
     }
@@ -66,84 +74,86 @@
         Err(e) => Err(NightError {
             file: name.to_owned(),
             key: "file".into(),
-            reason: format!("{e}; bundled nights are listed by --list"),
+            reason: format!("{e}; --list shows the bundled scenarios"),
         }),
     }
 }
 
-fn list() {
+/// Prints names and titles of the bundled scenarios.
+fn print_bundled() {
     for Bundled { name, text, .. } in BUNDLED {
         match Night::parse(name, text) {
-            Ok(night) => println!("{name:<35} {}", night.title),
+            Ok(scenario) => println!("{name:<35} {}", scenario.title),
             Err(e) => eprintln!("{e}"),
         }
     }
 }
 
 impl Rehearse {
-    /// Exit code 0, 1 if a rule was broken or the night was not played in its
-    /// time, 2 if it can't be played.
+    /// Runs the subcommand. Returns exit code 0, [`EXIT_FAILED`] or [`EXIT_INVALID_SCENARIO`].
     pub fn run(&self) -> ExitCode {
         if self.list {
-            list();
+            print_bundled();
             return ExitCode::SUCCESS;
         }
         if self.schema {
             println!("{:#}", Night::schema());
             return ExitCode::SUCCESS;
         }
-        let name = self.night.as_deref().unwrap_or("");
-        let read = text_of(name).and_then(|(file, text)| {
-            let night = Night::parse(&file, &text)?;
-            Ok((night, text))
+        let name = self.scenario.as_deref().unwrap_or("");
+        let parsed = scenario_text(name).and_then(|(file, text)| {
+            let scenario = Night::parse(&file, &text)?;
+            Ok((scenario, text))
         });
-        let (night, text) = match read {
-            Ok(read) => read,
+        let (scenario, text) = match parsed {
+            Ok(parsed) => parsed,
             Err(e) => {
                 eprintln!("umbersail: {e}");
-                return ExitCode::from(BAD_NIGHT);
+                return ExitCode::from(EXIT_INVALID_SCENARIO);
             }
         };
         if self.print {
             print!("{text}");
             return ExitCode::SUCCESS;
         }
-        let played = match self.seeds {
-            Some(seeds) => self.play_seeds(&night, seeds),
-            None => self.play_one(&night, &text),
+        let result = match self.seeds {
+            Some(seeds) => self.run_seeds(&scenario, seeds),
+            None => self.run_once(&scenario, &text),
         };
-        match played {
+        match result {
             Ok(true) => ExitCode::SUCCESS,
-            Ok(false) => ExitCode::from(FAILED),
+            Ok(false) => ExitCode::from(EXIT_FAILED),
             Err(e) => {
                 eprintln!("umbersail: {name}: {e:#}");
-                ExitCode::from(BAD_NIGHT)
+                ExitCode::from(EXIT_INVALID_SCENARIO)
             }
         }
     }
 
-    /// True unless the night failed.
-    fn play_one(&self, night: &Night, text: &str) -> anyhow::Result<bool> {
-        let hastened = self.real.map(|times| night.hastened(times.max(0.1)));
-        let (night, outcome) = match &hastened {
-            Some(night) => (
-                night,
-                play_real(night, self.seed, &std::env::current_exe()?)?,
+    /// Runs the scenario with one seed and prints its summary. Returns whether the run succeeded.
+    fn run_once(&self, scenario: &Night, text: &str) -> anyhow::Result<bool> {
+        let accelerated = self.real.map(|times| scenario.hastened(times.max(0.1)));
+        let (scenario, outcome) = match &accelerated {
+            Some(scenario) => (
+                scenario,
+                play_real(scenario, self.seed, &std::env::current_exe()?)?,
             ),
-            None => (night, self.play(night, self.seed)?),
+            None => (scenario, self.simulate(scenario, self.seed)?),
         };
         if let Some(dir) = &self.report {
-            report::write(dir, night, text, &outcome).with_context(|| dir.display().to_string())?;
+            report::write(dir, scenario, text, &outcome)
+                .with_context(|| dir.display().to_string())?;
             println!("report in {}", dir.join("report.html").display());
         }
-        print!("{}", report::summary(night, &outcome));
+        print!("{}", report::summary(scenario, &outcome));
         Ok(!outcome.figures.failed())
     }
 
-    /// A line for each seed, with those that failed at length.
-    fn play_seeds(&self, night: &Night, seeds: u64) -> anyhow::Result<bool> {
+    /// Runs several seeds; prints a line for each and the summary of each failed run. Returns
+    /// whether all runs succeeded.
+    fn run_seeds(&self, scenario: &Night, seeds: u64) -> anyhow::Result<bool> {
         let seeds: Vec<u64> = (self.seed..self.seed.saturating_add(seeds)).collect();
-        let outcomes = play_many(night, &seeds, cores())?;
+        let outcomes = play_many(scenario, &seeds, cores())?;
         let mut failed = 0;
         for outcome in &outcomes {
             let figures = &outcome.figures;
@@ -159,66 +169,74 @@
             );
             if figures.failed() {
                 failed += 1;
-                print!("{}", report::summary(night, outcome));
+                print!("{}", report::summary(scenario, outcome));
             }
         }
         println!("{} seeds, {failed} failed", outcomes.len());
         Ok(failed == 0)
     }
 
-    fn play(&self, night: &Night, seed: u64) -> Result<Outcome, umbersail_rehearsal::PlayError> {
+    /// Simulates the scenario with one seed; shows progress if standard error is a terminal.
+    fn simulate(
+        &self,
+        scenario: &Night,
+        seed: u64,
+    ) -> Result<Outcome, umbersail_rehearsal::PlayError> {
         if !std::io::stderr().is_terminal() {
-            return play(night, seed, &mut |_, _| {});
+            return play(scenario, seed, &mut |_, _| {});
         }
-        let bar = ProgressBar::new((night.length_s + night.drain_s) as u64);
-        // The template is a constant; a bad one falls back to the default look.
+        let bar = ProgressBar::new((scenario.length_s + scenario.drain_s) as u64);
+        // If the template were invalid, the progress bar would keep its default style.
         if let Ok(style) = ProgressStyle::with_template("{msg} {bar:40} {pos} of at most {len} s") {
             bar.set_style(style);
         }
         bar.set_message(format!("seed {seed}"));
-        let outcome = play(night, seed, &mut |at, _| bar.set_position(at as u64));
+        let outcome = play(scenario, seed, &mut |at, _| bar.set_position(at as u64));
         bar.finish_and_clear();
         outcome
     }
 }
 
-/// Play variants of the operators' properties on the same nights with the same
-/// seeds, and tell the differences with 95% intervals.
+/// Compare variants of the operator settings over the same scenarios and seeds.
+///
+/// Prints the differences between the variants with 95% confidence intervals.
 #[derive(clap::Args)]
 pub struct Experiments {
-    /// An experiment file (TOML).
+    /// Experiment file (TOML).
     #[arg(value_name = "EXPERIMENT", required_unless_present = "paper")]
     file: Option<PathBuf>,
-    /// The experiment of the paper behind the design, its Table 2 and Figure 4.
+    /// Run the experiment behind Table 2 and Figure 4 of the paper on which the design is based
+    /// (Amini Salehi, Javadi and Buyya), with the eviction policy of this program.
     #[arg(long, conflicts_with = "file")]
     paper: bool,
-    /// Seeds of the paper's experiment, at each of its points.
+    /// Number of seeds for each point of the paper's experiment; at least 2 are used.
     #[arg(long, default_value_t = 10)]
     seeds: u64,
 }
 
 impl Experiments {
-    /// Exit code 0, or 2 if a file can't be used.
+    /// Runs the subcommand. Returns exit code 0, or [`EXIT_INVALID_SCENARIO`] if a file is
+    /// invalid or a run fails.
     pub fn run(&self) -> ExitCode {
         let Some(file) = &self.file else {
             print!("{}", paper::table(self.seeds.max(2)));
             return ExitCode::SUCCESS;
         };
-        let read = Experiment::load(file).and_then(|e| Ok((e.nights()?, e)));
-        let played = match read {
-            Ok((nights, found)) => {
-                experiment::run(&found, &nights, cores()).map_err(|e| e.to_string())
+        let loaded = Experiment::load(file).and_then(|e| Ok((e.nights()?, e)));
+        let result = match loaded {
+            Ok((scenarios, experiment)) => {
+                experiment::run(&experiment, &scenarios, cores()).map_err(|e| e.to_string())
             }
             Err(e) => Err(e.to_string()),
         };
-        match played {
+        match result {
             Ok(text) => {
                 print!("{text}");
                 ExitCode::SUCCESS
             }
             Err(e) => {
                 eprintln!("umbersail: {e}");
-                ExitCode::from(BAD_NIGHT)
+                ExitCode::from(EXIT_INVALID_SCENARIO)
             }
         }
     }
--- a/crates/umbersail/tests/cli.rs
+++ b/crates/umbersail/tests/cli.rs
@@ -1,4 +1,4 @@
-//! The command line: what it accepts, and how it says no.
+//! The command line: accepted options, exit codes and error messages.
 
 use std::path::PathBuf;
 use std::process::{Command, Output};
@@ -8,7 +8,7 @@
 area = "a"
 front = "127.0.0.1:1"
 back = "127.0.0.1:2"
-field_of_the_future = true
+unknown_field = true
 [external]
 cloud = "127.0.0.1:3"
 state = "127.0.0.1:4"
@@ -28,12 +28,14 @@
 max_sockets = 600
 "#;
 
+/// Writes a temporary file and returns its path.
 fn file(name: &str, text: &str) -> PathBuf {
     let path = PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join(name);
     std::fs::write(&path, text).unwrap();
     path
 }
 
+/// Runs the program and waits for its end.
 fn umbersail(args: &[&str]) -> Output {
     Command::new(env!("CARGO_BIN_EXE_umbersail"))
         .args(args)
@@ -41,8 +43,9 @@
         .unwrap()
 }
 
-/// The one line on standard error of a run that must end with code 2.
-fn complaint(args: &[&str]) -> String {
+/// Runs the program, which must exit with code 2 and print one line to standard error; returns
+/// the line.
+fn error_line(args: &[&str]) -> String {
     let output = umbersail(args);
     let text = String::from_utf8(output.stderr).unwrap();
     assert_eq!(output.status.code(), Some(2), "{text}");
@@ -51,31 +54,34 @@
 }
 
 #[test]
-fn good_files_are_found_good_and_bad_ones_named() {
-    let config = file("good.toml", SETTINGS);
+fn valid_files_are_accepted_and_errors_name_file_and_key() {
+    let config = file("valid.toml", SETTINGS);
     let config = config.to_str().unwrap();
-    let properties = file("good.properties", "rental.idle_s = 30\n");
+    let properties = file("valid.properties", "rental.idle_s = 30\n");
     let properties = properties.to_str().unwrap();
     let ok = umbersail(&["check", "--config", config, "--settings", properties]);
     assert!(ok.status.success());
     assert_eq!(String::from_utf8_lossy(&ok.stdout), "ok\n");
 
-    let bad = file("bad.toml", &SETTINGS.replace("rps = 5.0", "rps = -5.0"));
-    let line = complaint(&["check", "--config", bad.to_str().unwrap()]);
+    let negative = file(
+        "negative.toml",
+        &SETTINGS.replace("rps = 5.0", "rps = -5.0"),
+    );
+    let line = error_line(&["check", "--config", negative.to_str().unwrap()]);
     assert!(
-        line.contains("bad.toml") && line.contains("facts.cloud.rps"),
+        line.contains("negative.toml") && line.contains("facts.cloud.rps"),
         "{line}"
     );
 
     let unknown = file("unknown.properties", "rental.idle = 30\n");
-    let line = complaint(&["--config", config, "--settings", unknown.to_str().unwrap()]);
+    let line = error_line(&["--config", config, "--settings", unknown.to_str().unwrap()]);
     assert!(
         line.contains("unknown.properties") && line.contains("rental.idle"),
         "{line}"
     );
 
     let range = file("range.properties", "clock.drift = 7\n");
-    let line = complaint(&["--config", config, "--settings", range.to_str().unwrap()]);
+    let line = error_line(&["--config", config, "--settings", range.to_str().unwrap()]);
     assert!(
         line.contains("range.properties") && line.contains("clock.drift"),
         "{line}"
@@ -83,39 +89,45 @@
 
     let calendar = "calendar.dawn.team = t\ncalendar.dawn.zone = Etc/Nowhere\n";
     let calendar = file("calendar.properties", calendar);
-    let line = complaint(&["--config", config, "--settings", calendar.to_str().unwrap()]);
+    let line = error_line(&["--config", config, "--settings", calendar.to_str().unwrap()]);
     assert!(
         line.contains("calendar.properties") && line.contains("'calendar.dawn.opens': is missing"),
         "{line}"
     );
 
-    let beyond = "reserve.sale.team = t\nreserve.sale.cpus = 33\n\
+    let over_quota = "reserve.sale.team = t\nreserve.sale.cpus = 33\n\
                   reserve.sale.from = 2027-02-05T18:00Z\nreserve.sale.to = 2027-02-06T18:00Z\n";
-    let beyond = file("beyond.properties", beyond);
+    let over_quota = file("over-quota.properties", over_quota);
     let team = "[[facts.teams]]\nname = \"t\"\ncpus_max = 32.0\n";
     let limited = file("limited.toml", &format!("{SETTINGS}\n{team}"));
     let limited = limited.to_str().unwrap();
-    let line = complaint(&["--config", limited, "--settings", beyond.to_str().unwrap()]);
+    let line = error_line(&[
+        "--config",
+        limited,
+        "--settings",
+        over_quota.to_str().unwrap(),
+    ]);
     assert!(
-        line.contains("beyond.properties") && line.contains("reserve.sale.cpus"),
+        line.contains("over-quota.properties") && line.contains("reserve.sale.cpus"),
         "{line}"
     );
 
-    let line = complaint(&["check", "--config", "/nonexistent/file"]);
+    let line = error_line(&["check", "--config", "/nonexistent/file"]);
     assert!(line.contains("/nonexistent/file"), "{line}");
-    assert!(complaint(&["check"]).contains("--config"));
+    assert!(error_line(&["check"]).contains("--config"));
 }
 
-/// A state service that gives one answer to one request, and its address.
-fn answers_once(body: Vec<u8>) -> std::net::SocketAddr {
+/// Starts a state service that answers one request with `body` and then stops listening;
+/// returns its address.
+fn serve_one_response(body: Vec<u8>) -> std::net::SocketAddr {
     use std::io::{Read, Write};
     let listener = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
     let addr = listener.local_addr().unwrap();
     std::thread::spawn(move || {
         let (mut stream, _) = listener.accept().unwrap();
         let mut request = [0; 4096];
-        let got = stream.read(&mut request).unwrap();
-        let request = String::from_utf8_lossy(&request[..got]);
+        let length = stream.read(&mut request).unwrap();
+        let request = String::from_utf8_lossy(&request[..length]);
         assert!(request.starts_with("GET /keys?under=plans/"), "{request}");
         let head = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n", body.len());
         stream.write_all(head.as_bytes()).unwrap();
@@ -125,7 +137,7 @@
 }
 
 #[test]
-fn plans_are_printed_from_files_and_as_recorded() {
+fn configured_and_recorded_plans_are_printed() {
     let plan = umbersail_wire::Value::from(vec![(
         umbersail_wire::Value::from("open"),
         umbersail_wire::Value::from(3),
@@ -136,7 +148,7 @@
         value,
         version: 5,
     };
-    let state = answers_once(umbersail_wire::encode(&umbersail_wire::KeyList {
+    let state = serve_one_response(umbersail_wire::encode(&umbersail_wire::KeyList {
         items: vec![
             item("plans/calendar/dawn/7", record),
             item("plans/odd", "text".into()),
@@ -148,7 +160,7 @@
     let text = SETTINGS.replace("127.0.0.1:4", &state.to_string());
     assert!(
         text.contains(&state.to_string()),
-        "the state service's address"
+        "the settings name the address of the state service"
     );
     let config = file("plans.toml", &format!("{text}\n{team}"));
     let entries = "calendar.dawn.team = t\ncalendar.dawn.zone = Europe/London\n\
@@ -168,8 +180,8 @@
         entries,
     ]);
     let text = String::from_utf8(out.stdout).unwrap();
-    let told = String::from_utf8(out.stderr).unwrap();
-    assert!(out.status.success(), "{told}");
+    let errors = String::from_utf8(out.stderr).unwrap();
+    assert!(out.status.success(), "{errors}");
     for line in [
         "calendar dawn: team t, scan+sort then press, 2127-01-04T01:00:00Z to 2127-01-04T05:30:00Z",
         "2127-02-05T18:00:00Z to 2127-02-06T18:00:00Z",
@@ -178,8 +190,8 @@
     ] {
         assert!(text.contains(line), "{line} is not in {text}");
     }
-    // Nobody listens there any more.
-    let line = complaint(&[
+    // The state service no longer listens.
+    let line = error_line(&[
         "plans",
         "--recorded",
         "--config",
@@ -212,52 +224,55 @@
 }
 
 #[test]
-fn a_rehearsal_ends_with_the_same_outcome_in_two_processes() {
-    // Guards against a night that can't be played again, and against a report
-    // whose bytes depend on the machine.
+fn a_scenario_has_the_same_outcome_and_report_in_two_processes() {
+    // Guards against a run that the same seed does not reproduce, and against a report whose
+    // bytes depend on the process or the machine.
     let dir = |n: u32| PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join(format!("rehearsal-{n}"));
-    let play = |n: u32, seed: &str| {
+    let run = |n: u32, seed: &str| {
         let dir = dir(n);
-        let to = dir.to_str().unwrap();
+        let report_dir = dir.to_str().unwrap();
         umbersail(&[
             "rehearse",
             "zone-power-loss-cold-caches",
             "--seed",
             seed,
             "--report",
-            to,
+            report_dir,
         ])
     };
-    let last = |out: &Output| {
+    let last_line = |out: &Output| {
         let text = String::from_utf8(out.stdout.clone()).unwrap();
         text.lines().last().unwrap().to_owned()
     };
-    let (once, again, other) = (play(1, "5"), play(2, "5"), play(3, "6"));
-    assert_eq!(once.status.code(), Some(0));
-    assert!(last(&once).starts_with("outcome "));
-    assert_eq!(last(&once), last(&again));
-    assert_ne!(last(&once), last(&other));
-    for part in ["history.tar.gz", "figures.json", "report.html"] {
-        let bytes = |n| std::fs::read(dir(n).join(part)).unwrap();
-        assert_eq!(bytes(1), bytes(2), "{part}");
-        assert_ne!(bytes(1), bytes(3), "{part}");
+    let (first, repeated, other_seed) = (run(1, "5"), run(2, "5"), run(3, "6"));
+    assert_eq!(first.status.code(), Some(0));
+    assert!(last_line(&first).starts_with("outcome "));
+    assert_eq!(last_line(&first), last_line(&repeated));
+    assert_ne!(last_line(&first), last_line(&other_seed));
+    for name in ["history.tar.gz", "figures.json", "report.html"] {
+        let bytes = |n| std::fs::read(dir(n).join(name)).unwrap();
+        assert_eq!(bytes(1), bytes(2), "{name}");
+        assert_ne!(bytes(1), bytes(3), "{name}");
     }
 }
 
 #[test]
-fn nights_and_experiments_that_cannot_be_played_are_refused_in_one_line() {
-    // Guards against a page of backtrace where a word would do.
-    let night = file("bad-night.toml", "title = \"x\"\nlength_s = -1\n");
+fn invalid_scenarios_and_experiments_are_refused_in_one_line() {
+    // Guards against a backtrace instead of an error that names the file and the key.
+    let scenario = file("invalid-scenario.toml", "title = \"x\"\nlength_s = -1\n");
     let experiment = file(
-        "bad-experiment.toml",
+        "invalid-experiment.toml",
         "title = \"x\"\nnights = [\"nightly-batch\"]\nseeds = 2\n[[variants]]\nname = \"a\"\n",
     );
     for (args, key) in [
-        (["rehearse", night.to_str().unwrap()], "bad-night.toml: "),
-        (["rehearse", "no-such-night"], "no-such-night: file: "),
+        (
+            ["rehearse", scenario.to_str().unwrap()],
+            "invalid-scenario.toml: ",
+        ),
+        (["rehearse", "no-such-scenario"], "no-such-scenario: file: "),
         (
             ["experiment", experiment.to_str().unwrap()],
-            "bad-experiment.toml: variants: ",
+            "invalid-experiment.toml: variants: ",
         ),
     ] {
         let out = umbersail(&args);
@@ -272,11 +287,11 @@
 }
 
 #[test]
-fn a_night_with_bad_troubles_ends_with_exit_code_2_and_names_file_key_and_reason() {
-    // Guards against a night that is played although it says what can't be.
+fn a_scenario_with_an_invalid_failure_exits_with_2_and_names_file_key_and_reason() {
+    // Guards against a run of a scenario whose failures or aims have impossible values.
     let printed = umbersail(&["rehearse", "zone-power-loss-cold-caches", "--print"]);
     let text = String::from_utf8(printed.stdout).unwrap();
-    let late = "what = \"commands-late\"\nto_s = 3\n";
+    let without_from_s = "what = \"commands-late\"\nto_s = 3\n";
     for (from, to, wanted) in [
         (
             "what = \"power-cut\"",
@@ -292,17 +307,17 @@
         ),
         (
             "what = \"power-cut\"",
-            late,
+            without_from_s,
             "failures.1.from_s: is missing",
         ),
         (
             "what = \"power-cut\"",
-            &format!("{late}from_s = -2"),
+            &format!("{without_from_s}from_s = -2"),
             "failures.1.from_s: -2 is less",
         ),
         (
             "what = \"power-cut\"",
-            &format!("{late}from_s = 1\nshare = 2"),
+            &format!("{without_from_s}from_s = 1\nshare = 2"),
             "failures.1.share: 2 is greater",
         ),
         (
@@ -312,14 +327,14 @@
         ),
     ] {
         assert!(text.contains(from), "{from}");
-        let night = file("bad-trouble.toml", &text.replacen(from, to, 1));
-        let out = umbersail(&["rehearse", night.to_str().unwrap()]);
+        let scenario = file("invalid-failure.toml", &text.replacen(from, to, 1));
+        let out = umbersail(&["rehearse", scenario.to_str().unwrap()]);
         assert_eq!(out.status.code(), Some(2), "{to}");
-        let told = String::from_utf8(out.stderr).unwrap();
-        assert_eq!(told.lines().count(), 1, "{told}");
+        let error = String::from_utf8(out.stderr).unwrap();
+        assert_eq!(error.lines().count(), 1, "{error}");
         assert!(
-            told.contains(&format!("bad-trouble.toml: {wanted}")),
-            "{told}"
+            error.contains(&format!("invalid-failure.toml: {wanted}")),
+            "{error}"
         );
     }
 }
--- a/crates/umbersail/tests/external_names.rs
+++ b/crates/umbersail/tests/external_names.rs
@@ -1,9 +1,10 @@
-//! Names that leave the process stay as users, workers, peers, stored data and operators'
-//! files know them, whatever the code calls them inside.
+//! Guards against renamed external names: names that users, workers, peers, stored data and the
+//! files of operators depend on must stay, whatever the identifiers in the code are.
 //!
-//! `external_names.txt` lists them by source folder: fields and values of messages, keys and
-//! fields of records, settings, properties, flags, environment variables, scenario and
-//! report files. A name leaves the list only together with a plan for mixed builds.
+//! `external_names.txt` lists these names by source folder: fields and values of messages, keys
+//! and fields of records, settings, properties, flags, environment variables, and fields of
+//! scenario and report files. Removing a name from the list requires a migration plan for
+//! clusters that run two builds at once.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -12,7 +13,7 @@
 
 const NAMES: &str = include_str!("external_names.txt");
 
-/// Names by source folder below `crates/`: `[folder]`, then one name per line.
+/// Parses `external_names.txt`: a line `[folder]`, relative to `crates/`, then one name per line.
 fn names_by_folder() -> BTreeMap<&'static str, Vec<&'static str>> {
     let mut folders: BTreeMap<&str, Vec<&str>> = BTreeMap::new();
     let mut folder = None;
@@ -20,7 +21,7 @@
         match line.strip_prefix('[').and_then(|l| l.strip_suffix(']')) {
             Some(name) => folder = Some(name),
             None => {
-                let folder = folder.expect("a name before the first folder");
+                let folder = folder.expect("a folder line precedes the first name");
                 folders.entry(folder).or_default().push(line);
             }
         }
@@ -28,8 +29,8 @@
     folders
 }
 
-/// Rust files below `folder`, without those of tests: a name that only a test still has
-/// is lost.
+/// Collects the Rust files below `folder`, except tests: a name that occurs only in a test is
+/// no longer in use.
 fn rust_files(folder: &Path, found: &mut Vec<PathBuf>) {
     for entry in fs::read_dir(folder).unwrap() {
         let path = entry.unwrap().path();
@@ -45,13 +46,13 @@
     }
 }
 
-/// The code of a file without lines that are only comments.
+/// Returns the lines of a file, except lines that are only a comment.
 fn code_lines(text: &str) -> impl Iterator<Item = &str> {
     text.lines()
         .filter(|line| !line.trim_start().starts_with("//"))
 }
 
-/// A name as it may stand in code: itself, or the variant that `rename_all` writes so.
+/// Converts a name to the enum variant that `rename_all` serializes under this name.
 fn variant(name: &str) -> String {
     name.split(['-', '_'])
         .map(|word| {
@@ -62,11 +63,12 @@
         .collect()
 }
 
+/// Whether the character may occur in an external name.
 fn is_part_of_name(c: char) -> bool {
     c.is_ascii_alphanumeric() || matches!(c, '_' | '-' | '.' | '/')
 }
 
-/// Every text in the code of `folder` that may be a name.
+/// Returns every identifier and every text in the code of `folder` that may be a name.
 fn words_of(folder: &str) -> BTreeSet<String> {
     let root = Path::new(env!("CARGO_MANIFEST_DIR")).join("..");
     let mut files = Vec::new();
@@ -84,14 +86,14 @@
 }
 
 #[test]
-fn every_name_that_leaves_the_process_is_in_the_code() {
+fn every_external_name_is_in_the_code() {
     let mut missing = Vec::new();
     for (folder, names) in names_by_folder() {
         let words = words_of(folder);
-        let lost = names
+        let absent = names
             .into_iter()
             .filter(|name| !words.contains(*name) && !words.contains(&variant(name)));
-        missing.extend(lost.map(|name| format!("{folder}: {name}")));
+        missing.extend(absent.map(|name| format!("{folder}: {name}")));
     }
-    assert!(missing.is_empty(), "lost: {missing:#?}");
+    assert!(missing.is_empty(), "missing from the code: {missing:#?}");
 }
