--- a/crates/umbersail-control/src/capacity.rs
+++ b/crates/umbersail-control/src/capacity.rs
@@ -62,7 +62,7 @@
             max_per_address: STORE_CONNECTIONS,
             max_idle: 8,
             max_total: STORE_CONNECTIONS,
-            connect_s: CONNECT_S,
+            connect_timeout_s: CONNECT_S,
         }),
         settings.external.state,
         clock,
@@ -85,7 +85,7 @@
             max_per_address: CLOUD_CONNECTIONS,
             max_idle: 2,
             max_total: CLOUD_CONNECTIONS,
-            connect_s: CONNECT_S,
+            connect_timeout_s: CONNECT_S,
         }),
         settings.external.cloud,
         clock,
@@ -102,7 +102,7 @@
         max_per_address: 40,
         max_idle: 2,
         max_total: connections_to_workers(tuning, settings),
-        connect_s: CONNECT_S,
+        connect_timeout_s: CONNECT_S,
     })
 }
 
@@ -114,7 +114,7 @@
         max_per_address: to_peer,
         max_idle: to_peer,
         max_total: EXTRA_PEER_CONNECTIONS + to_peer,
-        connect_s: CONNECT_S,
+        connect_timeout_s: CONNECT_S,
     })
 }
 
@@ -174,17 +174,17 @@
             max_body_bytes: tuning.max_body_bytes as usize,
             max_connections: upper_bound.min(left).max(lower_bound),
             reserved: self.reserved_sockets.clone(),
-            least_unreserved: lower_bound,
+            min_unreserved: lower_bound,
             reserved_paths: vec![paths::HEARTBEAT.into(), paths::HEALTH.into()],
-            idle_s: tuning.idle_connection_s,
-            receive_s: tuning.receive_s,
-            send_s: tuning.receive_s,
+            idle_timeout_s: tuning.idle_connection_s,
+            receive_timeout_s: tuning.receive_s,
+            send_timeout_s: tuning.receive_s,
         };
         let back = ServerLimits {
             max_body_bytes: MAX_PEER_BODY_BYTES,
             max_connections: from_peers,
             reserved: Rc::default(),
-            least_unreserved: 0,
+            min_unreserved: 0,
             ..front.clone()
         };
         (front, back)
--- a/crates/umbersail-control/src/front.rs
+++ b/crates/umbersail-control/src/front.rs
@@ -266,7 +266,7 @@
                 break;
             }
             // Progress and a timeout are handled alike: the loop checks all conditions again.
-            let _ = timeout(until - now, self.scheduler_progress.raised()).await;
+            let _ = timeout(until - now, self.scheduler_progress.notified()).await;
         }
         // Time has passed in the loop: the node may no longer be allowed to answer, or may lead
         // under another token.
--- a/crates/umbersail-control/src/leader/scheduler.rs
+++ b/crates/umbersail-control/src/leader/scheduler.rs
@@ -7,7 +7,7 @@
 use futures::future::{Either, select};
 use serde::de::IgnoredAny;
 use tracing::debug;
-use umbersail_runtime::{Time, charge, sleep, spawn};
+use umbersail_runtime::{Time, charge_cpu, sleep, spawn};
 use umbersail_wire::{Change, Txn, Value};
 
 use crate::engine::{Engine, FencingCommand, PendingTxn, TxnOutcome};
@@ -55,7 +55,7 @@
             if self.degraded_mode.borrow().allows_unrecorded_starts() && step.txn.is_none() {
                 // In degraded mode tasks are started without a record. Either nothing can be
                 // written now, or nothing needs to be written.
-                self.scheduler_progress.raise();
+                self.scheduler_progress.notify_all();
                 self.send_increased_tokens(token);
                 self.wait_for_work(step.next_s).await;
                 continue;
@@ -123,8 +123,8 @@
         }
         pacing.last_cycle = now;
         engine.schedule(now);
-        charge(engine.take_steps() as f64 * self.tuning.step_ns * 1e-9);
-        self.scheduler_progress.raise();
+        charge_cpu(engine.take_steps() as f64 * self.tuning.step_ns * 1e-9);
+        self.scheduler_progress.notify_all();
     }
 
     /// Waits until the engine state changes. Returns false if the wait timed out.
@@ -167,7 +167,7 @@
             engine.txn_finished(now, pending, outcome);
             (engine.has_lost_leadership(), engine.token_increments(now))
         });
-        self.scheduler_progress.raise();
+        self.scheduler_progress.notify_all();
         let Some((false, increments)) = after_commit else {
             return false;
         };
--- a/crates/umbersail-control/src/peers.rs
+++ b/crates/umbersail-control/src/peers.rs
@@ -449,7 +449,7 @@
                         false
                     }
                 },
-                Err(e @ (ClientError::NoAnswer(_) | ClientError::Unreachable)) => {
+                Err(e @ (ClientError::Timeout(_) | ClientError::Unreachable)) => {
                     self.mark_unresponsive(&peer.member);
                     self.suspect_if_leader(&peer.member, &e);
                     false
--- a/crates/umbersail-control/src/polls.rs
+++ b/crates/umbersail-control/src/polls.rs
@@ -88,7 +88,7 @@
         };
         let batch = self.join_batch(id, version);
         while !batch.finished.get() {
-            batch.done.raised().await;
+            batch.done.notified().await;
         }
         match &*batch.changed.borrow() {
             Some(changed) if changed.contains(id) => {
@@ -174,6 +174,6 @@
         };
         *batch.changed.borrow_mut() = answered.then_some(changed);
         batch.finished.set(true);
-        batch.done.raise();
+        batch.done.notify_all();
     }
 }
--- a/crates/umbersail-control/src/state.rs
+++ b/crates/umbersail-control/src/state.rs
@@ -324,7 +324,7 @@
                 Ok((status, body))
             }
             Ok((status, _)) => Err(KeyValueError::NoAnswer(format!("status {status}"))),
-            Err(e) if e.is_not_sent() => {
+            Err(e) if e.is_request_not_executed() => {
                 self.record_failure();
                 Err(KeyValueError::Unavailable(e.to_string()))
             }
--- a/crates/umbersail-runtime/src/sim/network.rs
+++ b/crates/umbersail-runtime/src/sim/network.rs
@@ -1,4 +1,4 @@
-//! The simulated network: listeners and connections as sockets see them.
+//! The simulated network: the operations of sockets on listeners and connections.
 
 use std::collections::BTreeMap;
 use std::io;
@@ -6,23 +6,23 @@
 use std::task::Waker;
 
 use super::connection::{Connection, ConnectionId, Handshake, Listener, Side};
-use super::partition::Cut;
-use super::{CutId, HostId, Packet, PacketTimers, Payload, Sim};
+use super::partition::Partition;
+use super::{HostId, Packet, PacketTimers, PartitionId, Payload, Sim};
 
-/// First port that is assigned to listeners without one.
+/// First port that is assigned to listeners bound to port 0.
 const FIRST_FREE_PORT: u16 = 20_000;
 
-/// How long packets travel.
+/// Latency, jitter and loss of packets.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct NetworkConfig {
-    /// Seconds from any host to any other.
+    /// Base latency between any two hosts, in seconds.
     pub latency_s: f64,
-    /// Mean of the random delay added to the latency, in seconds.
+    /// Mean of the exponentially distributed delay added to the latency, in seconds.
     pub jitter_s: f64,
-    /// Share of packets that are lost and retransmitted.
+    /// Probability that a transmission of a packet is lost and the packet is retransmitted.
     pub loss: f64,
-    /// Seconds until a lost packet is retransmitted.
-    pub resend_s: f64,
+    /// Time until a lost packet is retransmitted, in seconds.
+    pub retransmit_s: f64,
 }
 
 impl Default for NetworkConfig {
@@ -31,7 +31,7 @@
             latency_s: 0.000_5,
             jitter_s: 0.000_3,
             loss: 0.000_2,
-            resend_s: 0.2,
+            retransmit_s: 0.2,
         }
     }
 }
@@ -42,19 +42,21 @@
     pub listeners: BTreeMap<SocketAddr, Listener>,
     pub connections: BTreeMap<ConnectionId, Connection>,
     last_connection: ConnectionId,
-    pub cuts: BTreeMap<CutId, Cut>,
-    pub last_cut: u64,
+    pub partitions: BTreeMap<PartitionId, Partition>,
+    /// Number of the last partition that was created.
+    pub last_partition: u64,
     pub hosts_by_ip: BTreeMap<Ipv4Addr, HostId>,
 }
 
 impl Network {
-    /// Forgets a connection once no socket holds it.
+    /// Removes a connection if both its endpoints are closed.
     pub fn remove_if_closed(&mut self, id: ConnectionId) {
         if self.connections.get(&id).is_some_and(Connection::is_closed) {
             self.connections.remove(&id);
         }
     }
 
+    /// Returns `addr` with the first port that has no listener.
     fn free_port(&self, mut addr: SocketAddr) -> io::Result<SocketAddr> {
         for port in FIRST_FREE_PORT..u16::MAX {
             addr.set_port(port);
@@ -66,11 +68,12 @@
     }
 }
 
-fn out_of_sockets() -> io::Error {
-    io::Error::other("out of sockets")
+fn no_free_socket() -> io::Error {
+    io::Error::other("the host has no free socket")
 }
 
 impl Sim {
+    /// Binds a listener to the address; port 0 selects a free port. Returns the bound address.
     pub(crate) fn bind(&self, host: HostId, addr: SocketAddr) -> io::Result<SocketAddr> {
         let mut network = self.network.borrow_mut();
         let addr = match addr.port() {
@@ -84,17 +87,19 @@
         Ok(addr)
     }
 
+    /// Removes the listener and closes the connections in its backlog.
     pub(crate) fn unbind(&self, timers: &PacketTimers, addr: SocketAddr) {
         let mut network = self.network.borrow_mut();
         let Some(listener) = network.listeners.remove(&addr) else {
             return;
         };
         for connection in listener.backlog {
-            self.close_end(timers, &mut network, connection, Side::Server);
+            self.close_endpoint(timers, &mut network, connection, Side::Server);
         }
     }
 
-    /// The next connection in the backlog, if there is one.
+    /// Accepts the next connection in the backlog. If there is none, stores the waker and
+    /// returns `None`.
     pub(crate) fn accept(
         &self,
         addr: SocketAddr,
@@ -108,12 +113,13 @@
         }
         let mut host = self.host(listener.host);
         if !host.has_free_socket() {
-            return Some(Err(out_of_sockets()));
+            return Some(Err(no_free_socket()));
         }
         host.sockets += 1;
         listener.backlog.pop_front().map(Ok)
     }
 
+    /// Starts an attempt to connect; [`Sim::connected`] returns its result.
     pub(crate) fn connect(
         &self,
         timers: &PacketTimers,
@@ -129,7 +135,7 @@
         {
             let mut host = self.host(from);
             if !host.has_free_socket() {
-                return Err(out_of_sockets());
+                return Err(no_free_socket());
             }
             host.sockets += 1;
         }
@@ -146,14 +152,15 @@
         Ok(id)
     }
 
-    /// The outcome of an attempt to connect; `None` while there is no reply.
+    /// Returns the result of an attempt to connect. Before the server replies, stores the waker
+    /// and returns `None`.
     pub(crate) fn connected(&self, id: ConnectionId, waker: &Waker) -> Option<io::Result<()>> {
         let mut network = self.network.borrow_mut();
         let Some(connection) = network.connections.get_mut(&id) else {
             return Some(Err(io::ErrorKind::ConnectionReset.into()));
         };
         let handshake = connection.handshake;
-        let client = connection.end_mut(Side::Client);
+        let client = connection.endpoint_mut(Side::Client);
         if handshake == Handshake::Refused || client.reset {
             return Some(Err(io::ErrorKind::ConnectionRefused.into()));
         }
@@ -164,7 +171,8 @@
         None
     }
 
-    /// Reads what has arrived; `None` if that is nothing yet.
+    /// Reads bytes that have arrived; `Some(Ok(0))` at the end of the stream. If nothing has
+    /// arrived, stores the waker and returns `None`.
     pub(crate) fn read(
         &self,
         id: ConnectionId,
@@ -176,25 +184,25 @@
         let Some(connection) = network.connections.get_mut(&id) else {
             return Some(Err(io::ErrorKind::ConnectionReset.into()));
         };
-        let end = connection.end_mut(side);
-        if end.reset {
+        let endpoint = connection.endpoint_mut(side);
+        if endpoint.reset {
             return Some(Err(io::ErrorKind::ConnectionReset.into()));
         }
-        if end.received.is_empty() {
-            if end.finished {
+        if endpoint.received.is_empty() {
+            if endpoint.peer_closed {
                 return Some(Ok(0));
             }
-            end.reader = waker.cloned();
+            endpoint.reader = waker.cloned();
             return None;
         }
-        let count = buf.len().min(end.received.len());
-        for (slot, byte) in buf.iter_mut().zip(end.received.drain(..count)) {
+        let count = buf.len().min(endpoint.received.len());
+        for (slot, byte) in buf.iter_mut().zip(endpoint.received.drain(..count)) {
             *slot = byte;
         }
         Some(Ok(count))
     }
 
-    /// Sends all bytes at once; the network accepts any amount.
+    /// Sends all bytes in one packet; the network accepts packets of any size.
     pub(crate) fn write(
         &self,
         timers: &PacketTimers,
@@ -204,7 +212,7 @@
     ) -> io::Result<()> {
         let mut network = self.network.borrow_mut();
         match network.connections.get(&id) {
-            Some(connection) if !connection.end(side).reset => {}
+            Some(connection) if !connection.endpoint(side).reset => {}
             _ => return Err(io::ErrorKind::BrokenPipe.into()),
         }
         let data = Packet {
@@ -216,17 +224,18 @@
         Ok(())
     }
 
-    /// A socket lets go of its end.
+    /// Closes the endpoint of a socket and frees the socket on its host.
     pub(crate) fn close(&self, timers: &PacketTimers, id: ConnectionId, side: Side) {
         let mut network = self.network.borrow_mut();
         if let Some(connection) = network.connections.get(&id) {
-            let mut host = self.host(connection.end(side).host);
+            let mut host = self.host(connection.endpoint(side).host);
             host.sockets = host.sockets.saturating_sub(1);
         }
-        self.close_end(timers, &mut network, id, side);
+        self.close_endpoint(timers, &mut network, id, side);
     }
 
-    fn close_end(
+    /// Closes an endpoint; notifies the peer, unless the host has no power.
+    fn close_endpoint(
         &self,
         timers: &PacketTimers,
         network: &mut Network,
@@ -236,12 +245,12 @@
         let Some(connection) = network.connections.get_mut(&id) else {
             return;
         };
-        let peer_is_open = connection.end(side.peer()).open;
-        let end = connection.end_mut(side);
-        end.open = false;
-        end.reader = None;
-        // A host without power sends nothing.
-        if peer_is_open && self.host(end.host).powered {
+        let peer_is_open = connection.endpoint(side.peer()).open;
+        let endpoint = connection.endpoint_mut(side);
+        endpoint.open = false;
+        endpoint.reader = None;
+        // A host without power sends no packets.
+        if peer_is_open && self.host(endpoint.host).powered {
             let fin = Packet {
                 connection: id,
                 to: side.peer(),
