--- a/crates/umbersail-control/src/engine/plans/reserve.rs
+++ b/crates/umbersail-control/src/engine/plans/reserve.rs
@@ -8,8 +8,8 @@
 use tracing::{debug, error, info, warn};
 use umbersail_policy::{Shape, Usage};
 use umbersail_reserve::{
-    Boots, Borrower, Facts, HeldMachine, Notice, Reservations, ReserveRecord, Rules, Standing,
-    VERSION, View, What, lends, plan,
+    Availability, BootTimeStats, Borrower, ClusterView, EntryLimits, Notice, NoticeKind,
+    ReservableMachine, ReservationRecord, Reservations, Settings, VERSION, may_borrow, plan,
 };
 use umbersail_tuning::Tuning;
 use umbersail_wire::RentRequest;
@@ -39,12 +39,12 @@
 /// The leader's state of all reservations.
 pub(in crate::engine) struct ReservationState {
     entries: Reservations,
-    rules: Rules,
-    records: BTreeMap<String, ReserveRecord>,
+    settings: Settings,
+    records: BTreeMap<String, ReservationRecord>,
     /// For each entry that has machines, the bit of its own work.
     bits: BTreeMap<String, u64>,
     /// Boot times learned for each machine type.
-    boots: Boots,
+    boots: BootTimeStats,
     /// Rented machines that have sent no heartbeat yet, with the time of the rental.
     booting: BTreeMap<MachineId, Time>,
     /// Names of the rental requests that were sent and not answered. They are sent again under
@@ -59,11 +59,11 @@
 pub(crate) fn reservation_limits<'a>(
     teams: &'a [umbersail_policy::TeamLimits],
     tuning: &Tuning,
-) -> Facts<'a> {
-    Facts {
+) -> EntryLimits<'a> {
+    EntryLimits {
         teams,
-        entries_most: (tuning.max_reservations as usize).min(MAX_RESERVATIONS),
-        machines_most: tuning.max_reservation_machines as u32,
+        max_entries: (tuning.max_reservations as usize).min(MAX_RESERVATIONS),
+        max_machines: tuning.max_reservation_machines as u32,
     }
 }
 
@@ -85,22 +85,22 @@
         });
         ReservationState {
             entries,
-            rules: Rules {
-                withdraw_s: tuning.reserve_settings_delay_s,
-                margin_s: tuning.reserve_lead_margin_s,
-                lead_most_s: tuning.reserve_max_lead_s,
-                boot_share: tuning.reserve_boot_quantile,
-                boot_patience: tuning.boot_timeout_factor,
-                boot_patience_s: tuning.boot_timeout_margin_s,
-                request_machines: MAX_MACHINES_PER_RENTAL,
-                requests_most: tuning.max_reservation_requests as usize,
-                machines_most: tuning.max_reservation_machines as u32,
-                floor_s: tuning.reserve_borrow_after_s,
+            settings: Settings {
+                settings_delay_s: tuning.reserve_settings_delay_s,
+                lead_margin_s: tuning.reserve_lead_margin_s,
+                max_lead_s: tuning.reserve_max_lead_s,
+                boot_quantile: tuning.reserve_boot_quantile,
+                boot_timeout_factor: tuning.boot_timeout_factor,
+                boot_timeout_margin_s: tuning.boot_timeout_margin_s,
+                max_machines_per_request: MAX_MACHINES_PER_RENTAL,
+                max_pending_requests: tuning.max_reservation_requests as usize,
+                max_machines: tuning.max_reservation_machines as u32,
+                borrow_after_s: tuning.reserve_borrow_after_s,
                 guarantee_wait_s: tuning.reserve_guarantee_wait_s,
             },
             records: BTreeMap::new(),
             bits: BTreeMap::new(),
-            boots: Boots::new(
+            boots: BootTimeStats::new(
                 tuning.max_boot_samples as usize,
                 tuning.max_classes as usize,
             ),
@@ -192,7 +192,7 @@
     pub(in crate::engine) fn inherit_reservations(&mut self, now: Time) {
         for key in self.plans.store.names(KIND) {
             let name = key[KIND.len() + 1..].to_owned();
-            match self.plans.store.read::<ReserveRecord>(&key, VERSION) {
+            match self.plans.store.read::<ReservationRecord>(&key, VERSION) {
                 Ok(Some(record)) => {
                     self.plans.reserve.records.insert(name, record);
                 }
@@ -247,10 +247,10 @@
         let notices = self.plan_reservations(now, &mut records, &mut requests);
         self.request_counter = requests;
         self.plans.reserve.records = records;
-        for Notice { entry, what } in notices {
-            match what {
-                What::Short(_) => warn!(entry, "reservation: {what}"),
-                _ => info!(entry, "reservation: {what}"),
+        for Notice { entry, kind } in notices {
+            match kind {
+                NoticeKind::Shortfall(_) => warn!(entry, "reservation: {kind}"),
+                _ => info!(entry, "reservation: {kind}"),
             }
         }
         self.record_reservations(now);
@@ -261,7 +261,7 @@
     fn plan_reservations(
         &self,
         now: Time,
-        records: &mut BTreeMap<String, ReserveRecord>,
+        records: &mut BTreeMap<String, ReservationRecord>,
         requests: &mut u64,
     ) -> Vec<Notice> {
         let reserve = &self.plans.reserve;
@@ -274,11 +274,11 @@
                     && machine.delete_reason.is_none()
                     && let Some(type_index) = machine.type_index
                 {
-                    let held = HeldMachine {
+                    let held = ReservableMachine {
                         type_index,
                         zone: &machine.zone,
                         spot: machine.spot,
-                        standing: self.standing(now, record, machine, &usage),
+                        availability: self.availability(now, record, machine, &usage),
                         idle: is_empty(machine),
                     };
                     machines.insert(&**name, held);
@@ -296,11 +296,11 @@
                 && machine.accepts_tasks(now, silent_after)
                 && let Some(type_index) = machine.type_index
             {
-                let idle = HeldMachine {
+                let idle = ReservableMachine {
                     type_index,
                     zone: &machine.zone,
                     spot: machine.spot,
-                    standing: Standing::Up,
+                    availability: Availability::Available,
                     idle: true,
                 };
                 free.insert(&**name, idle);
@@ -319,17 +319,17 @@
             })?;
             Some((entry.name.clone(), largest))
         });
-        let view = View {
+        let view = ClusterView {
             now_ms: self.plans.unix_ms(now),
-            elected_s: now - self.elected_at,
+            leader_for_s: now - self.elected_at,
             types: &self.machine_types,
             teams: &self.cfg.teams,
             machines: &machines,
-            free: &free,
-            refused: &|index, zone, spot| self.is_rental_backed_off(now, index, zone, spot),
-            largest: &largest.collect(),
-            boots: &reserve.boots,
-            rules: &reserve.rules,
+            idle_machines: &free,
+            is_refused: &|index, zone, spot| self.is_rental_backed_off(now, index, zone, spot),
+            largest_tasks: &largest.collect(),
+            boot_times: &reserve.boots,
+            settings: &reserve.settings,
         };
         // The fencing token differs for every leader, so no request name is used twice.
         let mut new_request = || {
@@ -341,21 +341,21 @@
 
     /// State of a reserved machine: booting, available, lent to borrowers that stay, or not
     /// available.
-    fn standing(
+    fn availability(
         &self,
         now: Time,
-        record: &ReserveRecord,
+        record: &ReservationRecord,
         machine: &Machine,
         usage: &[Usage],
-    ) -> Standing {
+    ) -> Availability {
         let Some(last_heartbeat) = machine.last_heartbeat else {
-            return Standing::Coming;
+            return Availability::Booting;
         };
         let silent = now - last_heartbeat > self.cfg.tuning.reserve_silent_after_s;
         let out =
             silent || (machine.reachability.is_unreachable() && !self.is_mostly_unreachable());
         if out || machine.quarantined || machine.reclaim_at.is_some() {
-            return Standing::Out;
+            return Availability::Unavailable;
         }
         let stays = |(id, _): &(JobId, u32)| {
             let Some(job) = self.jobs.get(id) else {
@@ -365,11 +365,11 @@
             let named = terms.borrow.classes.contains(&job.spec.class);
             !terms.covers(&job.spec.team, &job.spec.class, job.spec.priority)
                 && !named
-                && !self.borrower(now, job, usage).gives_back(terms)
+                && !self.borrower(now, job, usage).is_preemptible_for(terms)
         };
         match machine.tasks.iter().any(stays) {
-            true => Standing::Lent,
-            false => Standing::Up,
+            true => Availability::Borrowed,
+            false => Availability::Available,
         }
     }
 
@@ -385,7 +385,7 @@
         Borrower {
             class: &job.spec.class,
             tier: job.spec.priority,
-            save_s: (job.spec.checkpoint_s() > 0.0).then_some(job.spec.save_s()),
+            checkpoint_s: (job.spec.checkpoint_s() > 0.0).then_some(job.spec.save_s()),
             waited_s: now - job.submitted_at,
             guaranteed: !usage.is_empty() && self.is_guaranteed(job, usage),
         }
@@ -494,7 +494,8 @@
                         guaranteed: of_other,
                         ..borrower
                     };
-                    if own & bit == 0 && lends(terms, &borrower, waiting & bit != 0, &reserve.rules)
+                    if own & bit == 0
+                        && may_borrow(terms, &borrower, waiting & bit != 0, &reserve.settings)
                     {
                         all |= borrower_bit(*bit);
                     }
@@ -568,7 +569,9 @@
                 let bit = reserve.bits.get(entry).copied().unwrap_or(0);
                 machine.reservations & bit != 0
                     && !record.terms.borrow.classes.contains(&job.spec.class)
-                    && self.borrower(now, job, &[]).gives_back(&record.terms)
+                    && self
+                        .borrower(now, job, &[])
+                        .is_preemptible_for(&record.terms)
             })
     }
 
@@ -688,7 +691,7 @@
             if !plans.store.is_recorded(&format!("{KIND}/{entry}")) {
                 continue;
             }
-            for batch in record.unanswered() {
+            for batch in record.pending_requests() {
                 if let Some(request) = &batch.request {
                     let request = RentRequest {
                         request: request.clone(),
@@ -734,8 +737,8 @@
         }
         for record in self.plans.reserve.records.values_mut() {
             match machines {
-                Some(names) => record.answered(request, names),
-                None => record.refused(request),
+                Some(names) => record.record_answer(request, names),
+                None => record.record_refusal(request),
             }
         }
         self.record_reservations(now);
--- a/crates/umbersail-control/src/plans.rs
+++ b/crates/umbersail-control/src/plans.rs
@@ -91,7 +91,7 @@
         name: format!("reserve {}", entry.name),
         team: entry.terms.team.clone(),
         steps: vec![entry.terms.classes.to_vec()],
-        next_ms: (entry.when.window_at(now_ms)).map(|window| (window.from_ms, window.to_ms)),
+        next_ms: (entry.schedule.window_at(now_ms)).map(|window| (window.from_ms, window.to_ms)),
     });
     Ok(runs.chain(windows).collect())
 }
--- a/crates/umbersail-reserve/src/admit.rs
+++ b/crates/umbersail-reserve/src/admit.rs
@@ -1,30 +1,30 @@
 //! What a window is promised: by the catalogue, and by what its team may use beside what
-//! was promised to it before.
+//! was promised to it earlier.
 
 use umbersail_policy::{Shape, TeamLimits};
 use umbersail_wire::MachineType;
 
-use crate::{Item, Terms, Verdict, View, Want};
+use crate::{Admission, ClusterView, Demand, PromisedMachines, Terms};
 
-/// What was promised to the same team before, for times that overlap.
-pub(crate) struct Before<'a> {
+/// What was promised to the same team earlier, for times that overlap.
+pub(crate) struct EarlierPromise<'a> {
     pub name: &'a str,
-    pub items: &'a [Item],
+    pub items: &'a [PromisedMachines],
 }
 
-/// The verdict on an entry's window, and what it is promised.
+/// The admission on an entry's window, and what it is promised.
 pub(crate) fn admit(
     name: &str,
     terms: &Terms,
-    before: &[Before<'_>],
-    view: &View<'_>,
-) -> (Verdict, Vec<Item>) {
+    earlier: &[EarlierPromise<'_>],
+    view: &ClusterView<'_>,
+) -> (Admission, Vec<PromisedMachines>) {
     let mut reasons: Vec<String> = Vec::new();
-    let mut items = match &terms.want {
-        Want::Machines(machines) => machines
+    let mut items = match &terms.demand {
+        Demand::Machines(machines) => machines
             .iter()
             .filter_map(|(machine_type, count)| {
-                let item = Item {
+                let item = PromisedMachines {
                     machine_type: machine_type.clone(),
                     count: *count,
                     exact: true,
@@ -32,7 +32,7 @@
                 let found = view.types.iter().find(|t| t.name == *machine_type);
                 match found {
                     None => reasons.push(format!("the catalogue has no type '{machine_type}'")),
-                    Some(t) if !offers(t, terms) => {
+                    Some(t) if !is_offered(t, terms) => {
                         let zone = terms.zone.as_deref().unwrap_or_default();
                         reasons.push(format!("type '{machine_type}' is not in zone '{zone}'"));
                     }
@@ -41,21 +41,23 @@
                 None
             })
             .collect(),
-        Want::Amounts { cpus, memory_gb } => match cheapest(name, terms, *cpus, *memory_gb, view) {
-            Some(item) => vec![item],
-            None => {
-                reasons.push("no type of the catalogue takes its tasks there".to_owned());
-                Vec::new()
+        Demand::Resources { cpus, memory_gb } => {
+            match cheapest_type(name, terms, *cpus, *memory_gb, view) {
+                Some(item) => vec![item],
+                None => {
+                    reasons.push("no type of the catalogue takes its tasks there".to_owned());
+                    Vec::new()
+                }
             }
-        },
+        }
     };
-    let mut room = view.rules.machines_most;
+    let mut left = view.settings.max_machines;
     for item in &mut items {
-        if item.count > room {
-            item.count = room;
-            reasons.push(format!("more than {} machines", view.rules.machines_most));
+        if item.count > left {
+            item.count = left;
+            reasons.push(format!("more than {} machines", view.settings.max_machines));
         }
-        room -= item.count;
+        left -= item.count;
     }
     let limits = view.teams.iter().find(|t| t.name == terms.team);
     match limits {
@@ -63,34 +65,34 @@
             reasons.push(format!("there is no team '{}'", terms.team));
             items.clear();
         }
-        Some(limits) => trim(limits, &mut items, before, view, &mut reasons),
+        Some(limits) => trim_to_team_limit(limits, &mut items, earlier, view, &mut reasons),
     }
     items.retain(|item| item.count > 0);
     let reason = reasons.join("; ");
-    let verdict = match (items.is_empty(), reason.is_empty()) {
-        (true, _) => Verdict::Refused(reason),
-        (false, true) => Verdict::Promised,
-        (false, false) => Verdict::Part(reason),
+    let admission = match (items.is_empty(), reason.is_empty()) {
+        (true, _) => Admission::Rejected(reason),
+        (false, true) => Admission::Full,
+        (false, false) => Admission::Partial(reason),
     };
-    (verdict, items)
+    (admission, items)
 }
 
 /// Takes off, from the last item on, what the team could not use within its limit.
-fn trim(
+fn trim_to_team_limit(
     limits: &TeamLimits,
-    items: &mut [Item],
-    before: &[Before<'_>],
-    view: &View<'_>,
+    items: &mut [PromisedMachines],
+    earlier: &[EarlierPromise<'_>],
+    view: &ClusterView<'_>,
     reasons: &mut Vec<String>,
 ) {
-    let size = |item: &Item| {
+    let size = |item: &PromisedMachines| {
         let found = view.types.iter().find(|t| t.name == item.machine_type);
         found.map(Shape::of_type).unwrap_or_default()
     };
     let cpus = |s: &Shape| s.cpus;
     let gpus = |s: &Shape| s.gpus;
     let mut promised = Shape::default();
-    for item in before.iter().flat_map(|b| b.items) {
+    for item in earlier.iter().flat_map(|b| b.items) {
         promised.add(&size(item), f64::from(item.count));
     }
     for (kind, most, of) in [
@@ -121,7 +123,7 @@
             left = (left - each * f64::from(item.count)).max(0.0);
         }
         if trimmed {
-            let names: Vec<&str> = before.iter().map(|b| b.name).collect();
+            let names: Vec<&str> = earlier.iter().map(|b| b.name).collect();
             let beside = match names.as_slice() {
                 [] => String::new(),
                 names => format!(
@@ -136,7 +138,7 @@
 }
 
 /// Whether the type can be had where the entry wants it.
-pub(crate) fn offers(t: &MachineType, terms: &Terms) -> bool {
+pub(crate) fn is_offered(t: &MachineType, terms: &Terms) -> bool {
     terms
         .zone
         .as_ref()
@@ -145,16 +147,22 @@
 
 /// Whether machines of the type are of use for amounts: they take the largest task of its
 /// classes that was seen, and have no GPUs that nobody asked for.
-pub(crate) fn serves(name: &str, t: &MachineType, view: &View<'_>) -> bool {
+pub(crate) fn suits_resources(name: &str, t: &MachineType, view: &ClusterView<'_>) -> bool {
     let room = Shape::of_type(t);
-    match view.largest.get(name) {
+    match view.largest_tasks.get(name) {
         Some(task) => task.fits_in(&room) && (t.gpus <= 0.0 || task.gpus > 0.0),
         None => t.gpus <= 0.0,
     }
 }
 
 /// The type that gives these amounts at the least price, and how many of it.
-fn cheapest(name: &str, terms: &Terms, cpus: f64, memory_gb: f64, view: &View<'_>) -> Option<Item> {
+fn cheapest_type(
+    name: &str,
+    terms: &Terms,
+    cpus: f64,
+    memory_gb: f64,
+    view: &ClusterView<'_>,
+) -> Option<PromisedMachines> {
     let of_type = |t: &MachineType| {
         let need = |want: f64, each: f64| match want > 0.0 {
             true if each <= 0.0 => f64::INFINITY,
@@ -166,7 +174,7 @@
     };
     view.types
         .iter()
-        .filter(|t| offers(t, terms) && serves(name, t, view))
+        .filter(|t| is_offered(t, terms) && suits_resources(name, t, view))
         .filter_map(|t| Some((t, of_type(t)?)))
         .min_by(|(a, na), (b, nb)| {
             let price = |t: &MachineType, n: u32| t.price * f64::from(n);
@@ -174,7 +182,7 @@
                 .total_cmp(&price(b, *nb))
                 .then(a.name.cmp(&b.name))
         })
-        .map(|(t, count)| Item {
+        .map(|(t, count)| PromisedMachines {
             machine_type: t.name.clone(),
             count,
             exact: false,
--- a/crates/umbersail-reserve/src/lend.rs
+++ b/crates/umbersail-reserve/src/borrow.rs
@@ -2,7 +2,7 @@
 
 use umbersail_wire::Priority;
 
-use crate::{Rules, Terms};
+use crate::{Settings, Terms};
 
 /// Work that is not what the machine is held for.
 #[derive(Debug, Clone, Copy, PartialEq)]
@@ -10,7 +10,7 @@
     pub class: &'a str,
     pub tier: Priority,
     /// Seconds to save when stopped; none if it can't.
-    pub save_s: Option<f64>,
+    pub checkpoint_s: Option<f64>,
     /// Seconds since it was submitted.
     pub waited_s: f64,
     /// Within its team's guarantee, of another team.
@@ -20,8 +20,11 @@
 impl Borrower<'_> {
     /// Whether it may be stopped for the work that the machine is held for: it saves in
     /// time, and its tier is lower.
-    pub fn gives_back(&self, terms: &Terms) -> bool {
-        self.tier < terms.priority && self.save_s.is_some_and(|s| s <= terms.give_back_s)
+    pub fn is_preemptible_for(&self, terms: &Terms) -> bool {
+        self.tier < terms.priority
+            && self
+                .checkpoint_s
+                .is_some_and(|s| s <= terms.max_checkpoint_s)
     }
 }
 
@@ -29,18 +32,23 @@
 /// for waits (`own_waits`).
 ///
 /// A reservation keeps nobody waiting for ever: what is within another team's guarantee
-/// is lent a machine after `guarantee_wait_s`, and what has waited for `floor_s` too
+/// is lent a machine after `guarantee_wait_s`, and what has waited for `borrow_after_s` too
 /// unless the entry says that nobody borrows; such a wait ends with the window. A
 /// machine lent to what neither gives it back nor is named by the entry counts as not
 /// there, and is replaced.
-pub fn lends(terms: &Terms, borrower: &Borrower<'_>, own_waits: bool, rules: &Rules) -> bool {
-    if borrower.guaranteed && borrower.waited_s >= rules.guarantee_wait_s {
+pub fn may_borrow(
+    terms: &Terms,
+    borrower: &Borrower<'_>,
+    own_waits: bool,
+    settings: &Settings,
+) -> bool {
+    if borrower.guaranteed && borrower.waited_s >= settings.guarantee_wait_s {
         return true;
     }
-    if own_waits || terms.borrow.is_nobody() {
+    if own_waits || terms.borrow.is_forbidden() {
         return false;
     }
     terms.borrow.classes.iter().any(|c| c == borrower.class)
-        || (terms.borrow.savable && borrower.gives_back(terms))
-        || borrower.waited_s >= rules.floor_s
+        || (terms.borrow.checkpointable && borrower.is_preemptible_for(terms))
+        || borrower.waited_s >= settings.borrow_after_s
 }
--- a/crates/umbersail-reserve/src/entry.rs
+++ b/crates/umbersail-reserve/src/entry.rs
@@ -8,7 +8,7 @@
 use umbersail_wire::Priority;
 
 use crate::window::{parse_length, parse_time, parse_zone};
-use crate::{Borrow, Terms, Want, When, Window};
+use crate::{BorrowPolicy, Demand, Schedule, Terms, Window};
 
 /// What the keys of entries begin with.
 pub const PREFIX: &str = "reserve.";
@@ -23,12 +23,12 @@
 
 /// What an entry is checked against.
 #[derive(Debug, Clone, Copy)]
-pub struct Facts<'a> {
+pub struct EntryLimits<'a> {
     pub teams: &'a [TeamLimits],
     /// Entries at most.
-    pub entries_most: usize,
+    pub max_entries: usize,
     /// Machines at most of one entry: its record names them all.
-    pub machines_most: u32,
+    pub max_machines: u32,
 }
 
 /// One reservation as its operator wants it.
@@ -36,7 +36,7 @@
 pub struct Entry {
     pub name: String,
     pub terms: Terms,
-    pub when: When,
+    pub schedule: Schedule,
 }
 
 /// All entries by name.
@@ -61,9 +61,9 @@
     "borrow",
     "priority",
 ];
-const GIVE_BACK: &str = "give_back_s";
-const GIVE_BACK_S: f64 = 30.0;
-const NAME_MOST: usize = 40;
+const GIVE_BACK_FIELD: &str = "give_back_s";
+const DEFAULT_CHECKPOINT_S: f64 = 30.0;
+const MAX_NAME_BYTES: usize = 40;
 
 impl Reservations {
     /// Reads the entries among all properties; other keys are left alone.
@@ -72,7 +72,7 @@
     /// The first key that can't be used, with the reason.
     pub fn parse(
         properties: &BTreeMap<String, String>,
-        facts: &Facts<'_>,
+        limits: &EntryLimits<'_>,
     ) -> Result<Reservations, EntryError> {
         let mut found: BTreeMap<&str, Fields<'_>> = BTreeMap::new();
         for (key, value) in properties {
@@ -87,12 +87,12 @@
                 .split_once('.')
                 .ok_or_else(|| fail("must be reserve.NAME.FIELD"))?;
             let plain = |c: char| c.is_ascii_alphanumeric() || c == '-' || c == '_';
-            if name.is_empty() || name.len() > NAME_MOST || !name.chars().all(plain) {
+            if name.is_empty() || name.len() > MAX_NAME_BYTES || !name.chars().all(plain) {
                 return Err(fail("the name must be of 1 to 40 letters, digits, - and _"));
             }
-            if !FIELDS.contains(&field) && field != GIVE_BACK {
+            if !FIELDS.contains(&field) && field != GIVE_BACK_FIELD {
                 return Err(fail(&format!(
-                    "no such field: use {} or {GIVE_BACK}",
+                    "no such field: use {} or {GIVE_BACK_FIELD}",
                     FIELDS.join(", ")
                 )));
             }
@@ -102,15 +102,15 @@
             });
             fields.values.insert(field, value.trim());
         }
-        if found.len() > facts.entries_most {
+        if found.len() > limits.max_entries {
             return Err(EntryError {
                 key: PREFIX.to_owned(),
-                reason: format!("{} entries: at most {}", found.len(), facts.entries_most),
+                reason: format!("{} entries: at most {}", found.len(), limits.max_entries),
             });
         }
         let entries = found
             .into_iter()
-            .map(|(name, fields)| Ok((name.to_owned(), fields.entry(facts)?)));
+            .map(|(name, fields)| Ok((name.to_owned(), fields.entry(limits)?)));
         Ok(Reservations {
             entries: entries.collect::<Result<_, EntryError>>()?,
         })
@@ -132,7 +132,7 @@
 impl Entry {
     /// The window that holds at this time, or the next one.
     pub fn window_at(&self, now_ms: u64) -> Option<Window> {
-        self.when.window_at(now_ms)
+        self.schedule.window_at(now_ms)
     }
 }
 
@@ -142,7 +142,7 @@
 }
 
 impl Fields<'_> {
-    fn fail(&self, field: &str, reason: impl ToString) -> EntryError {
+    fn error(&self, field: &str, reason: impl ToString) -> EntryError {
         EntryError {
             key: format!("{PREFIX}{}.{field}", self.name),
             reason: reason.to_string(),
@@ -153,50 +153,51 @@
         self.values.get(field).copied()
     }
 
-    fn number(&self, field: &str, most: f64) -> Result<Option<f64>, EntryError> {
+    fn number(&self, field: &str, max: f64) -> Result<Option<f64>, EntryError> {
         let Some(text) = self.get(field) else {
             return Ok(None);
         };
         match text.parse::<f64>() {
-            Ok(value) if (0.0..=most).contains(&value) => Ok(Some(value)),
-            _ => Err(self.fail(field, format!("'{text}' must be a number from 0 to {most}"))),
+            Ok(value) if (0.0..=max).contains(&value) => Ok(Some(value)),
+            _ => Err(self.error(field, format!("'{text}' must be a number from 0 to {max}"))),
         }
     }
 
     /// Words between commas, each once.
-    fn words(&self, field: &str) -> Result<Vec<String>, EntryError> {
-        let mut words: Vec<String> = Vec::new();
-        for word in self.get(field).into_iter().flat_map(|text| text.split(',')) {
-            let word = word.trim();
-            if word.is_empty() || word.contains(char::is_whitespace) {
-                return Err(self.fail(field, "must be names between commas"));
+    fn names(&self, field: &str) -> Result<Vec<String>, EntryError> {
+        let mut names: Vec<String> = Vec::new();
+        for item in self.get(field).into_iter().flat_map(|text| text.split(',')) {
+            let item = item.trim();
+            if item.is_empty() || item.contains(char::is_whitespace) {
+                return Err(self.error(field, "must be names between commas"));
             }
-            if words.iter().any(|w| w == word) {
-                return Err(self.fail(field, format!("'{word}' stands twice")));
+            if names.iter().any(|name| name == item) {
+                return Err(self.error(field, format!("'{item}' stands twice")));
             }
-            words.push(word.to_owned());
+            names.push(item.to_owned());
         }
-        Ok(words)
+        Ok(names)
     }
 
-    fn entry(self, facts: &Facts<'_>) -> Result<Entry, EntryError> {
+    fn entry(self, limits: &EntryLimits<'_>) -> Result<Entry, EntryError> {
         let team = self
             .get("team")
-            .ok_or_else(|| self.fail("team", "is missing"))?;
-        let limits = facts.teams.iter().find(|t| t.name == team);
-        let limits = limits.ok_or_else(|| self.fail("team", format!("no team '{team}'")))?;
-        let want = self.want(limits, facts)?;
+            .ok_or_else(|| self.error("team", "is missing"))?;
+        let team_limits = limits.teams.iter().find(|t| t.name == team);
+        let team_limits =
+            team_limits.ok_or_else(|| self.error("team", format!("no team '{team}'")))?;
+        let demand = self.demand(team_limits, limits)?;
         let spot = match self.get("spot") {
             None | Some("false") => false,
             Some("true") => true,
             Some(text) => {
-                return Err(self.fail("spot", format!("'{text}' must be true or false")));
+                return Err(self.error("spot", format!("'{text}' must be true or false")));
             }
         };
-        let zone = match self.words("zone")?.as_slice() {
+        let zone = match self.names("zone")?.as_slice() {
             [] => None,
             [zone] => Some(zone.clone()),
-            _ => return Err(self.fail("zone", "must be one zone, or left out for any")),
+            _ => return Err(self.error("zone", "must be one zone, or left out for any")),
         };
         let priority = match self.get("priority") {
             None | Some("normal") => Priority::Normal,
@@ -205,130 +206,132 @@
             Some("production") => Priority::Production,
             Some(text) => {
                 let reason = format!("'{text}' must be production, high, normal or low");
-                return Err(self.fail("priority", reason));
+                return Err(self.error("priority", reason));
             }
         };
-        let give_back_s = self.number(GIVE_BACK, 3600.0)?.unwrap_or(GIVE_BACK_S);
-        let when = self.when()?;
+        let max_checkpoint_s = self
+            .number(GIVE_BACK_FIELD, 3600.0)?
+            .unwrap_or(DEFAULT_CHECKPOINT_S);
+        let schedule = self.schedule()?;
         Ok(Entry {
             name: self.name.to_owned(),
             terms: Terms {
                 team: team.to_owned(),
-                classes: self.words("classes")?,
-                want,
+                classes: self.names("classes")?,
+                demand,
                 zone,
                 spot,
                 borrow: self.borrow()?,
                 priority,
-                give_back_s,
+                max_checkpoint_s,
             },
-            when,
+            schedule,
         })
     }
 
-    fn want(&self, limits: &TeamLimits, facts: &Facts<'_>) -> Result<Want, EntryError> {
+    fn demand(&self, team: &TeamLimits, limits: &EntryLimits<'_>) -> Result<Demand, EntryError> {
         let cpus = self.number("cpus", 1e6)?;
         let memory_gb = self.number("memory_gb", 1e7)?;
         if self.get("machines").is_none() {
             let (cpus, memory_gb) = (cpus.unwrap_or(0.0), memory_gb.unwrap_or(0.0));
             if cpus + memory_gb <= 0.0 {
-                return Err(self.fail("cpus", "is missing: set cpus, memory_gb or machines"));
+                return Err(self.error("cpus", "is missing: set cpus, memory_gb or machines"));
             }
-            if limits.max_cpus > 0.0 && cpus > limits.max_cpus {
+            if team.max_cpus > 0.0 && cpus > team.max_cpus {
                 let reason = format!(
                     "{cpus} is beyond the limit of team '{}', {}",
-                    limits.name, limits.max_cpus
+                    team.name, team.max_cpus
                 );
-                return Err(self.fail("cpus", reason));
+                return Err(self.error("cpus", reason));
             }
-            return Ok(Want::Amounts { cpus, memory_gb });
+            return Ok(Demand::Resources { cpus, memory_gb });
         }
         for (field, value) in [("cpus", cpus), ("memory_gb", memory_gb)] {
             if value.is_some() {
-                return Err(self.fail(field, "contradicts machines: set one of the two"));
+                return Err(self.error(field, "contradicts machines: set one of the two"));
             }
         }
         let mut machines = BTreeMap::new();
         let mut sum = 0u32;
-        for word in self.words("machines")? {
-            let parsed = word
+        for item in self.names("machines")? {
+            let parsed = item
                 .split_once(':')
                 .and_then(|(name, count)| Some((name.trim(), count.trim().parse::<u32>().ok()?)));
             let Some((name, count)) = parsed.filter(|(name, count)| {
-                !name.is_empty() && (1..=facts.machines_most).contains(count)
+                !name.is_empty() && (1..=limits.max_machines).contains(count)
             }) else {
                 let reason = format!(
-                    "'{word}' must be TYPE:NUMBER, of 1 to {} machines",
-                    facts.machines_most
+                    "'{item}' must be TYPE:NUMBER, of 1 to {} machines",
+                    limits.max_machines
                 );
-                return Err(self.fail("machines", reason));
+                return Err(self.error("machines", reason));
             };
             sum += count;
             if machines.insert(name.to_owned(), count).is_some() {
-                return Err(self.fail("machines", format!("type '{name}' stands twice")));
+                return Err(self.error("machines", format!("type '{name}' stands twice")));
             }
         }
-        if machines.is_empty() || sum > facts.machines_most {
-            let reason = format!("{sum} machines: 1 to {}", facts.machines_most);
-            return Err(self.fail("machines", reason));
+        if machines.is_empty() || sum > limits.max_machines {
+            let reason = format!("{sum} machines: 1 to {}", limits.max_machines);
+            return Err(self.error("machines", reason));
         }
-        Ok(Want::Machines(machines))
+        Ok(Demand::Machines(machines))
     }
 
-    fn borrow(&self) -> Result<Borrow, EntryError> {
-        let mut words = self.words("borrow")?;
-        if words.is_empty() {
-            return Ok(Borrow {
-                savable: true,
+    fn borrow(&self) -> Result<BorrowPolicy, EntryError> {
+        let mut names = self.names("borrow")?;
+        if names.is_empty() {
+            return Ok(BorrowPolicy {
+                checkpointable: true,
                 classes: Vec::new(),
             });
         }
-        if words.iter().any(|w| w == "nobody") {
-            if words.len() > 1 {
-                return Err(self.fail("borrow", "'nobody' contradicts the others"));
+        if names.iter().any(|name| name == "nobody") {
+            if names.len() > 1 {
+                return Err(self.error("borrow", "'nobody' contradicts the others"));
             }
-            return Ok(Borrow::default());
+            return Ok(BorrowPolicy::default());
         }
-        let savable = words.iter().any(|w| w == "savable");
-        words.retain(|w| w != "savable");
-        Ok(Borrow {
-            savable,
-            classes: words,
+        let checkpointable = names.iter().any(|name| name == "savable");
+        names.retain(|name| name != "savable");
+        Ok(BorrowPolicy {
+            checkpointable,
+            classes: names,
         })
     }
 
-    fn when(&self) -> Result<When, EntryError> {
+    fn schedule(&self) -> Result<Schedule, EntryError> {
         let zone: Option<TimeZone> = self
             .get("time_zone")
-            .map(|text| parse_zone(text).map_err(|e| self.fail("time_zone", e)))
+            .map(|text| parse_zone(text).map_err(|e| self.error("time_zone", e)))
             .transpose()?;
         let time = |field: &str| {
             self.get(field)
-                .map(|text| parse_time(text, zone.as_ref()).map_err(|e| self.fail(field, e)))
+                .map(|text| parse_time(text, zone.as_ref()).map_err(|e| self.error(field, e)))
                 .transpose()
         };
         let (from, to) = (time("from")?, time("to")?);
         let Some(pattern) = self.get("recurrence") else {
             if self.get("length").is_some() {
-                return Err(self.fail("length", "goes with recurrence only: set to"));
+                return Err(self.error("length", "goes with recurrence only: set to"));
             }
-            let from = from.ok_or_else(|| self.fail("from", "is missing"))?;
-            let to = to.ok_or_else(|| self.fail("to", "is missing"))?;
-            return When::once(from, to).map_err(|e| self.fail("to", e));
+            let from = from.ok_or_else(|| self.error("from", "is missing"))?;
+            let to = to.ok_or_else(|| self.error("to", "is missing"))?;
+            return Schedule::once(from, to).map_err(|e| self.error("to", e));
         };
         let zone = zone
-            .ok_or_else(|| self.fail("time_zone", "is missing: a recurrence is by local time"))?;
+            .ok_or_else(|| self.error("time_zone", "is missing: a recurrence is by local time"))?;
         let length = self
             .get("length")
-            .ok_or_else(|| self.fail("length", "is missing: how long each window is"))?;
-        let length_ms = parse_length(length).map_err(|e| self.fail("length", e))?;
-        When::recurring(pattern, &zone, length_ms, from, to).map_err(|e| {
+            .ok_or_else(|| self.error("length", "is missing: how long each window is"))?;
+        let length_ms = parse_length(length).map_err(|e| self.error("length", e))?;
+        Schedule::recurring(pattern, &zone, length_ms, from, to).map_err(|e| {
             let field = match e {
-                crate::WhenError::Overlaps { .. } => "length",
-                crate::WhenError::Reversed => "to",
+                crate::ScheduleError::Overlapping { .. } => "length",
+                crate::ScheduleError::EndBeforeStart => "to",
                 _ => "recurrence",
             };
-            self.fail(field, e)
+            self.error(field, e)
         })
     }
 }
--- a/crates/umbersail-reserve/src/lib.rs
+++ b/crates/umbersail-reserve/src/lib.rs
@@ -3,7 +3,7 @@
 //!
 //! An operator's entries ([`Reservations::parse`]) are admitted, and what was admitted,
 //! which rental requests were named for it and which machines are held stands in one
-//! record by entry ([`ReserveRecord`]). [`plan`] brings the records up to what is: the
+//! record by entry ([`ReservationRecord`]). [`plan`] brings the records up to what is: the
 //! caller records them, and asks the cloud only for requests that are recorded, so
 //! that a successor asks by the same names and rents nothing twice.
 #![warn(
@@ -14,18 +14,22 @@
 )]
 
 mod admit;
-mod boots;
+mod boot_times;
+mod borrow;
 mod entry;
-mod lend;
 mod plan;
 mod record;
 #[cfg(test)]
 mod tests;
 mod window;
 
-pub use boots::Boots;
-pub use entry::{Entry, EntryError, Facts, PREFIX, Reservations};
-pub use lend::{Borrower, lends};
-pub use plan::{HeldMachine, Notice, Rules, Standing, View, What, lead_s, plan};
-pub use record::{Batch, Borrow, Item, ReserveRecord, Terms, VERSION, Verdict, Want};
-pub use window::{When, WhenError, Window};
+pub use boot_times::BootTimeStats;
+pub use borrow::{Borrower, may_borrow};
+pub use entry::{Entry, EntryError, EntryLimits, PREFIX, Reservations};
+pub use plan::{
+    Availability, ClusterView, Notice, NoticeKind, ReservableMachine, Settings, lead_s, plan,
+};
+pub use record::{
+    Admission, Batch, BorrowPolicy, Demand, PromisedMachines, ReservationRecord, Terms, VERSION,
+};
+pub use window::{Schedule, ScheduleError, Window};
--- a/crates/umbersail-reserve/src/record.rs
+++ b/crates/umbersail-reserve/src/record.rs
@@ -7,34 +7,35 @@
 
 use crate::Window;
 
-/// Version of [`ReserveRecord`] as this build writes and reads it.
+/// Version of [`ReservationRecord`] as this build writes and reads it.
 pub const VERSION: u32 = 1;
 
 /// What an entry asks for.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Want {
+pub enum Demand {
     /// So many machines of each type.
     Machines(BTreeMap<String, u32>),
     /// Amounts, on whatever types take them at the least price.
-    Amounts { cpus: f64, memory_gb: f64 },
+    #[serde(rename = "amounts")]
+    Resources { cpus: f64, memory_gb: f64 },
 }
 
 /// What others may have of a reservation while it is not used.
 #[derive(Debug, Clone, PartialEq, Eq, Default, Serialize, Deserialize)]
-pub struct Borrow {
+pub struct BorrowPolicy {
     /// Work of a lower tier that can be stopped and saved in time.
-    #[serde(default)]
-    pub savable: bool,
+    #[serde(default, rename = "savable")]
+    pub checkpointable: bool,
     /// Classes that may borrow whatever they are. They are not stopped: who names a class
     /// takes it that its tasks end first.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub classes: Vec<String>,
 }
 
-impl Borrow {
-    pub fn is_nobody(&self) -> bool {
-        !self.savable && self.classes.is_empty()
+impl BorrowPolicy {
+    pub fn is_forbidden(&self) -> bool {
+        !self.checkpointable && self.classes.is_empty()
     }
 }
 
@@ -45,15 +46,17 @@
     /// None: all classes of the team.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub classes: Vec<String>,
-    pub want: Want,
+    #[serde(rename = "want")]
+    pub demand: Demand,
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub zone: Option<String>,
     pub spot: bool,
-    pub borrow: Borrow,
+    pub borrow: BorrowPolicy,
     /// Work of the team below this tier has no part in it.
     pub priority: Priority,
     /// Borrowers must be able to save within this many seconds.
-    pub give_back_s: f64,
+    #[serde(rename = "give_back_s")]
+    pub max_checkpoint_s: f64,
 }
 
 impl Terms {
@@ -67,7 +70,7 @@
 
 /// Machines of one type that were promised.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Item {
+pub struct PromisedMachines {
     #[serde(rename = "type")]
     pub machine_type: String,
     pub count: u32,
@@ -78,10 +81,13 @@
 
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Verdict {
-    Promised,
-    Part(String),
-    Refused(String),
+pub enum Admission {
+    #[serde(rename = "promised")]
+    Full,
+    #[serde(rename = "part")]
+    Partial(String),
+    #[serde(rename = "refused")]
+    Rejected(String),
 }
 
 /// Machines of one rental request, or some that were there already.
@@ -103,27 +109,28 @@
 
 /// One window of one entry.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct ReserveRecord {
+pub struct ReservationRecord {
     pub terms: Terms,
     pub window: Window,
     /// Unix time in milliseconds. Who was admitted first comes first.
     pub admitted_ms: u64,
-    pub verdict: Verdict,
-    pub items: Vec<Item>,
+    #[serde(rename = "verdict")]
+    pub admission: Admission,
+    pub items: Vec<PromisedMachines>,
     pub batches: Vec<Batch>,
     /// Why less is there than was promised; absent while all is there or not yet due.
-    #[serde(default, skip_serializing_if = "Option::is_none")]
-    pub short: Option<String>,
+    #[serde(default, rename = "short", skip_serializing_if = "Option::is_none")]
+    pub shortfall: Option<String>,
     /// Renting begins this many times twice as early as boots alone would ask for, since
     /// the cloud refused before.
-    #[serde(default)]
-    pub earlier: u32,
+    #[serde(default, rename = "earlier")]
+    pub lead_doublings: u32,
     /// The window has opened while a leader saw it.
     #[serde(default)]
     pub opened: bool,
 }
 
-impl ReserveRecord {
+impl ReservationRecord {
     /// Names of all machines held.
     pub fn machines(&self) -> impl Iterator<Item = &str> {
         let named = self
@@ -134,12 +141,12 @@
     }
 
     /// Requests that the cloud has not answered, as far as is recorded.
-    pub fn unanswered(&self) -> impl Iterator<Item = &Batch> {
+    pub fn pending_requests(&self) -> impl Iterator<Item = &Batch> {
         self.batches.iter().filter(|b| b.machines.is_none())
     }
 
     /// The cloud gave these.
-    pub fn answered(&mut self, request: &str, names: &[String]) {
+    pub fn record_answer(&mut self, request: &str, names: &[String]) {
         if let Some(batch) = self.batch(request)
             && batch.machines.is_none()
         {
@@ -148,7 +155,7 @@
     }
 
     /// The cloud gave none: the request is over and its name is used up.
-    pub fn refused(&mut self, request: &str) {
+    pub fn record_refusal(&mut self, request: &str) {
         self.batches
             .retain(|b| b.machines.is_some() || b.request.as_deref() != Some(request));
     }
@@ -160,7 +167,7 @@
     }
 
     /// Takes machines out, and batches that hold none any more.
-    pub(crate) fn drop_machines(&mut self, gone: impl Fn(&str) -> bool) {
+    pub(crate) fn release_machines(&mut self, gone: impl Fn(&str) -> bool) {
         for batch in &mut self.batches {
             if let Some(machines) = &mut batch.machines {
                 machines.retain(|m| !gone(m));
@@ -171,7 +178,7 @@
     }
 
     /// Who comes first where two want the same.
-    pub(crate) fn rank<'a>(&self, name: &'a str) -> (u64, &'a str) {
+    pub(crate) fn admission_order<'a>(&self, name: &'a str) -> (u64, &'a str) {
         (self.admitted_ms, name)
     }
 }
--- a/crates/umbersail-reserve/src/tests.rs
+++ b/crates/umbersail-reserve/src/tests.rs
@@ -8,17 +8,17 @@
 
 use crate::*;
 
-const RULES: Rules = Rules {
-    withdraw_s: 45.0,
-    margin_s: 30.0,
-    lead_most_s: 1800.0,
-    boot_share: 0.95,
-    boot_patience: 3.0,
-    boot_patience_s: 10.0,
-    request_machines: 50,
-    requests_most: 8,
-    machines_most: 1000,
-    floor_s: 200.0,
+const SETTINGS: Settings = Settings {
+    settings_delay_s: 45.0,
+    lead_margin_s: 30.0,
+    max_lead_s: 1800.0,
+    boot_quantile: 0.95,
+    boot_timeout_factor: 3.0,
+    boot_timeout_margin_s: 10.0,
+    max_machines_per_request: 50,
+    max_pending_requests: 8,
+    max_machines: 1000,
+    borrow_after_s: 200.0,
     guarantee_wait_s: 20.0,
 };
 
@@ -56,10 +56,10 @@
 fn parse(text: &str) -> Result<Reservations, EntryError> {
     let pairs = text.lines().filter_map(|line| line.trim().split_once('='));
     let pairs = pairs.map(|(key, value)| (key.trim().to_owned(), value.trim().to_owned()));
-    let facts = Facts {
+    let facts = EntryLimits {
         teams: &teams(),
-        entries_most: 64,
-        machines_most: 1000,
+        max_entries: 64,
+        max_machines: 1000,
     };
     Reservations::parse(&pairs.collect(), &facts)
 }
@@ -80,7 +80,7 @@
     type_index: usize,
     zone: String,
     spot: bool,
-    standing: Standing,
+    availability: Availability,
     idle: bool,
 }
 
@@ -89,13 +89,13 @@
     entries: Reservations,
     types: Vec<MachineType>,
     now_s: f64,
-    elected_s: f64,
+    leader_for_s: f64,
     machines: BTreeMap<String, Rented>,
     /// What the cloud answered, by request: again the same.
     answers: BTreeMap<String, Vec<String>>,
     refuses: BTreeSet<(usize, String, bool)>,
-    records: BTreeMap<String, ReserveRecord>,
-    recorded: BTreeMap<String, ReserveRecord>,
+    records: BTreeMap<String, ReservationRecord>,
+    recorded: BTreeMap<String, ReservationRecord>,
     free: Vec<String>,
     names: u64,
     told: Vec<Notice>,
@@ -107,7 +107,7 @@
             entries: parse(text).unwrap(),
             types: types(),
             now_s: 10_000.0,
-            elected_s: 0.0,
+            leader_for_s: 0.0,
             machines: BTreeMap::new(),
             answers: BTreeMap::new(),
             refuses: BTreeSet::new(),
@@ -120,37 +120,37 @@
     }
 
     fn plan(&mut self) {
-        let boots = Boots::new(64, 8);
+        let boots = BootTimeStats::new(64, 8);
         let view = |rented: &Rented| (rented.type_index, rented.zone.clone(), rented.clone());
         let all: Vec<_> = self.machines.iter().map(|(n, m)| (n, view(m))).collect();
         let held = all.iter().map(|(name, (type_index, zone, m))| {
-            let machine = HeldMachine {
+            let machine = ReservableMachine {
                 type_index: *type_index,
                 zone,
                 spot: m.spot,
-                standing: m.standing,
+                availability: m.availability,
                 idle: m.idle,
             };
             (name.as_str(), machine)
         });
-        let machines: BTreeMap<&str, HeldMachine<'_>> = held.collect();
+        let machines: BTreeMap<&str, ReservableMachine<'_>> = held.collect();
         let free = machines
             .iter()
             .filter(|(name, _)| self.free.iter().any(|f| f == *name))
             .map(|(name, m)| (*name, *m))
             .collect();
         let refuses = &self.refuses;
-        let view = View {
+        let view = ClusterView {
             now_ms: (self.now_s * 1000.0) as u64,
-            elected_s: self.elected_s,
+            leader_for_s: self.leader_for_s,
             types: &self.types,
             teams: &teams(),
             machines: &machines,
-            free: &free,
-            refused: &|index, zone, spot| refuses.contains(&(index, zone.to_owned(), spot)),
-            largest: &BTreeMap::new(),
-            boots: &boots,
-            rules: &RULES,
+            idle_machines: &free,
+            is_refused: &|index, zone, spot| refuses.contains(&(index, zone.to_owned(), spot)),
+            largest_tasks: &BTreeMap::new(),
+            boot_times: &boots,
+            settings: &SETTINGS,
         };
         let names = &mut self.names;
         let mut name = || {
@@ -168,12 +168,15 @@
     /// Sends what is recorded; `heard` tells whether the answers come.
     fn ask(&mut self, heard: bool) {
         for (name, record) in self.recorded.clone() {
-            for batch in record.unanswered() {
+            for batch in record.pending_requests() {
                 let request = batch.request.clone().unwrap();
                 let index = self.types.iter().position(|t| t.name == batch.machine_type);
                 let key = (index.unwrap(), batch.zone.clone(), batch.spot);
                 if !self.answers.contains_key(&request) && self.refuses.contains(&key) {
-                    self.records.get_mut(&name).unwrap().refused(&request);
+                    self.records
+                        .get_mut(&name)
+                        .unwrap()
+                        .record_refusal(&request);
                     continue;
                 }
                 let (count, already) = (batch.count, self.machines.len());
@@ -188,7 +191,7 @@
                                 type_index: key.0,
                                 zone: key.1.clone(),
                                 spot: key.2,
-                                standing: Standing::Coming,
+                                availability: Availability::Booting,
                                 idle: true,
                             },
                         );
@@ -196,7 +199,7 @@
                     new
                 });
                 if heard && let Some(record) = self.records.get_mut(&name) {
-                    record.answered(&request, answer);
+                    record.record_answer(&request, answer);
                 }
             }
         }
@@ -208,7 +211,7 @@
         self.ask(true);
         self.record();
         self.now_s += 1.0;
-        self.elected_s += 1.0;
+        self.leader_for_s += 1.0;
     }
 
     fn rounds(&mut self, n: usize) {
@@ -218,12 +221,12 @@
     /// The leader ends; its successor reads what is recorded.
     fn take_over(&mut self) {
         self.records = self.recorded.clone();
-        self.elected_s = 0.0;
+        self.leader_for_s = 0.0;
     }
 
     fn boot(&mut self) {
         for machine in self.machines.values_mut() {
-            machine.standing = Standing::Up;
+            machine.availability = Availability::Available;
         }
     }
 
@@ -231,8 +234,8 @@
         self.records.get(name).map_or(0, |r| r.machines().count())
     }
 
-    fn told(&self, name: &str, what: impl Fn(&What) -> bool) -> bool {
-        self.told.iter().any(|n| n.entry == name && what(&n.what))
+    fn told(&self, name: &str, kind: impl Fn(&NoticeKind) -> bool) -> bool {
+        self.told.iter().any(|n| n.entry == name && kind(&n.kind))
     }
 }
 
@@ -308,8 +311,8 @@
     };
     let mut world = World::new(&[of("a", "m8:6"), of("b", "m8:4"), of("c", "m99:1")].concat());
     world.round();
-    assert_eq!(world.records["a"].verdict, Verdict::Promised);
-    let Verdict::Part(reason) = &world.records["b"].verdict else {
+    assert_eq!(world.records["a"].admission, Admission::Full);
+    let Admission::Partial(reason) = &world.records["b"].admission else {
         panic!("{:?}", world.records["b"]);
     };
     assert!(
@@ -317,17 +320,20 @@
         "{reason}"
     );
     assert_eq!(world.records["b"].items[0].count, 2);
-    assert!(matches!(&world.records["c"].verdict, Verdict::Refused(r) if r.contains("m99")));
+    assert!(matches!(&world.records["c"].admission, Admission::Rejected(r) if r.contains("m99")));
     // What comes later in time of admission comes last, whatever its name.
     world.entries = parse(&[of("b", "m8:4"), of("a", "m8:6"), of("0", "m8:3")].concat()).unwrap();
     world.rounds(60);
-    assert_eq!(world.records["a"].verdict, Verdict::Promised);
-    assert!(matches!(world.records["0"].verdict, Verdict::Refused(_)));
+    assert_eq!(world.records["a"].admission, Admission::Full);
+    assert!(matches!(
+        world.records["0"].admission,
+        Admission::Rejected(_)
+    ));
     // Once the first is withdrawn there is more for those after it.
     world.entries = parse(&[of("b", "m8:4"), of("0", "m8:3")].concat()).unwrap();
     world.rounds(2);
-    assert!(world.told("a", |w| matches!(w, What::Withdrawn { .. })));
-    assert_eq!(world.records["b"].verdict, Verdict::Promised);
+    assert!(world.told("a", |w| matches!(w, NoticeKind::Withdrawn { .. })));
+    assert_eq!(world.records["b"].admission, Admission::Full);
 }
 
 #[test]
@@ -346,11 +352,11 @@
     world.boot();
     world.rounds(890);
     assert!(world.told("fair", |w| *w
-        == What::Opened {
-            there: 70,
+        == NoticeKind::Opened {
+            available: 70,
             promised: 70
         }));
-    assert!(world.told("fair", |w| *w == What::Over { machines: 70 }));
+    assert!(world.told("fair", |w| *w == NoticeKind::Expired { machines: 70 }));
     assert!(world.records.is_empty());
     assert_eq!(world.machines.len(), 70, "nothing was rented twice");
 }
@@ -361,8 +367,8 @@
     world.round();
     assert_eq!(world.held("fair"), 3);
     assert!(world.told("fair", |w| *w
-        == What::Opened {
-            there: 0,
+        == NoticeKind::Opened {
+            available: 0,
             promised: 3
         }));
 }
@@ -406,11 +412,14 @@
     }
     world.machines.clear();
     world.rounds(2);
-    assert!(world.told("fair", |w| matches!(w, What::Short(r) if r.contains("m8"))));
+    assert!(world.told(
+        "fair",
+        |w| matches!(w, NoticeKind::Shortfall(r) if r.contains("m8"))
+    ));
     world.refuses.clear();
     world.rounds(2);
     assert_eq!(world.held("fair"), 4);
-    assert!(world.told("fair", |w| *w == What::Complete));
+    assert!(world.told("fair", |w| *w == NoticeKind::Fulfilled));
 }
 
 #[test]
@@ -423,8 +432,8 @@
         .map(str::to_owned)
         .collect();
     world.machines.remove(&names[0]);
-    world.machines.get_mut(&names[1]).unwrap().standing = Standing::Out;
-    world.machines.get_mut(&names[2]).unwrap().standing = Standing::Lent;
+    world.machines.get_mut(&names[1]).unwrap().availability = Availability::Unavailable;
+    world.machines.get_mut(&names[2]).unwrap().availability = Availability::Borrowed;
     world.machines.get_mut(&names[2]).unwrap().idle = false;
     world.names = 100;
     world.rounds(2);
@@ -494,9 +503,9 @@
     assert_eq!((world.held("zoo"), world.held("ball")), (3, 2));
     assert!(world.told(
         "zoo",
-        |w| matches!(w, What::Took { from, .. } if from == "ball")
+        |w| matches!(w, NoticeKind::Reassigned { from, .. } if from == "ball")
     ));
-    assert!(world.told("ball", |w| matches!(w, What::Short(_))));
+    assert!(world.told("ball", |w| matches!(w, NoticeKind::Shortfall(_))));
 }
 
 #[test]
@@ -508,7 +517,7 @@
             type_index: 0,
             zone: "a".into(),
             spot: false,
-            standing: Standing::Up,
+            availability: Availability::Available,
             idle: true,
         },
     );
@@ -534,17 +543,17 @@
             ..Shape::default()
         },
     )]);
-    let view = View {
+    let view = ClusterView {
         now_ms: 0,
-        elected_s: 0.0,
+        leader_for_s: 0.0,
         types: &world.types,
         teams: &teams(),
         machines: &BTreeMap::new(),
-        free: &BTreeMap::new(),
-        refused: &|_, _, _| false,
-        largest: &largest,
-        boots: &Boots::new(8, 8),
-        rules: &RULES,
+        idle_machines: &BTreeMap::new(),
+        is_refused: &|_, _, _| false,
+        largest_tasks: &largest,
+        boot_times: &BootTimeStats::new(8, 8),
+        settings: &SETTINGS,
     };
     let mut records = BTreeMap::new();
     plan(&world.entries, &mut records, &view, &mut || "r".into());
@@ -553,7 +562,7 @@
 
 #[test]
 fn boots_are_learned_with_their_tail() {
-    let mut boots = Boots::new(64, 2);
+    let mut boots = BootTimeStats::new(64, 2);
     assert_eq!(boots.quantile_s("m8", 40.0, 0.95), 60.0);
     for i in 0..64 {
         boots.observe("m8", 40.0, if i % 10 == 0 { 160.0 } else { 30.0 });
@@ -576,19 +585,19 @@
     let plain = Borrower {
         class: "thumbs",
         tier: Priority::Low,
-        save_s: None,
+        checkpoint_s: None,
         waited_s: 0.0,
         guaranteed: false,
     };
-    let lent = |name: &str, b: Borrower<'_>, own| lends(terms(name), &b, own, &RULES);
+    let lent = |name: &str, b: Borrower<'_>, own| may_borrow(terms(name), &b, own, &SETTINGS);
     let savable = Borrower {
-        save_s: Some(10.0),
+        checkpoint_s: Some(10.0),
         ..plain
     };
     assert!(!lent("fair", plain, false) && lent("fair", savable, false));
     assert!(!lent("fair", savable, true), "its own work waits");
     let slow = Borrower {
-        save_s: Some(31.0),
+        checkpoint_s: Some(31.0),
         ..plain
     };
     let above = Borrower {
--- a/crates/umbersail-reserve/src/window.rs
+++ b/crates/umbersail-reserve/src/window.rs
@@ -30,59 +30,59 @@
 
 /// Why a time can't be used.
 #[derive(Debug, Clone, PartialEq, Error)]
-pub enum WhenError {
+pub enum ScheduleError {
     #[error(
         "'{0}' is neither a time with its offset (2027-02-05T18:00:00+01:00) nor a local one (2027-02-05T18:00)"
     )]
-    Time(String),
+    InvalidTime(String),
     #[error("'{0}' is a local time: set time_zone beside it")]
-    NoZone(String),
+    MissingTimeZone(String),
     #[error("time zone '{0}' is unknown")]
-    Zone(String),
+    UnknownTimeZone(String),
     #[error("'{value}' is no pattern of minute, hour, day, month, weekday: {reason}")]
-    Pattern { value: String, reason: String },
+    InvalidRecurrence { value: String, reason: String },
     #[error("'{0}' is no length of time (10h, 90m, 1h 30m)")]
-    Length(String),
+    InvalidLength(String),
     #[error("lies before its beginning")]
-    Reversed,
+    EndBeforeStart,
     #[error("windows of {length_h:.1} h begin {gap_h:.1} h apart: they overlap one another")]
-    Overlaps { length_h: f64, gap_h: f64 },
+    Overlapping { length_h: f64, gap_h: f64 },
     #[error("never comes")]
-    Never,
+    NoOccurrence,
 }
 
 /// The time of an entry.
 #[derive(Debug, Clone)]
-pub struct When {
+pub struct Schedule {
     /// For all time, or for as long as the pattern is heeded.
     from_ms: u64,
     to_ms: u64,
-    pattern: Option<Pattern>,
+    recurrence: Option<Recurrence>,
 }
 
 #[derive(Debug, Clone)]
-struct Pattern {
+struct Recurrence {
     cron: Cron,
     zone: TimeZone,
     length_ms: u64,
 }
 
 /// Occurrences looked at for two that overlap: more than a year of weeks.
-const CHECKED: usize = 60;
+const CHECKED_OCCURRENCES: usize = 60;
 
-impl When {
+impl Schedule {
     /// One window.
     ///
     /// # Errors
     /// If it ends before it begins.
-    pub fn once(from_ms: u64, to_ms: u64) -> Result<When, WhenError> {
+    pub fn once(from_ms: u64, to_ms: u64) -> Result<Schedule, ScheduleError> {
         if to_ms <= from_ms {
-            return Err(WhenError::Reversed);
+            return Err(ScheduleError::EndBeforeStart);
         }
-        Ok(When {
+        Ok(Schedule {
             from_ms,
             to_ms,
-            pattern: None,
+            recurrence: None,
         })
     }
 
@@ -98,36 +98,36 @@
         length_ms: u64,
         from_ms: Option<u64>,
         to_ms: Option<u64>,
-    ) -> Result<When, WhenError> {
-        let fail = |reason: String| WhenError::Pattern {
+    ) -> Result<Schedule, ScheduleError> {
+        let fail = |reason: String| ScheduleError::InvalidRecurrence {
             value: pattern.to_owned(),
             reason,
         };
         let cron: Cron = pattern.parse().map_err(|e| fail(format!("{e}")))?;
-        let when = When {
+        let schedule = Schedule {
             from_ms: from_ms.unwrap_or(0),
             to_ms: to_ms.unwrap_or(u64::MAX),
-            pattern: Some(Pattern {
+            recurrence: Some(Recurrence {
                 cron,
                 zone: zone.clone(),
                 length_ms,
             }),
         };
-        if when.to_ms <= when.from_ms {
-            return Err(WhenError::Reversed);
+        if schedule.to_ms <= schedule.from_ms {
+            return Err(ScheduleError::EndBeforeStart);
         }
         // From a fixed day, since there is no clock here.
-        let mut last = when.from_ms.max(FIRST_DAY_MS);
+        let mut last = schedule.from_ms.max(CHECK_FROM_MS);
         let mut before: Option<Window> = None;
-        for _ in 0..CHECKED {
-            let Some(window) = when.starting_at(last) else {
+        for _ in 0..CHECKED_OCCURRENCES {
+            let Some(window) = schedule.starting_at(last) else {
                 break;
             };
             if let Some(before) = before
                 && window.from_ms < before.from_ms + length_ms
             {
                 let hours = |ms: u64| ms as f64 / 3.6e6;
-                return Err(WhenError::Overlaps {
+                return Err(ScheduleError::Overlapping {
                     length_h: hours(length_ms),
                     gap_h: hours(window.from_ms - before.from_ms),
                 });
@@ -136,14 +136,14 @@
             before = Some(window);
         }
         if before.is_none() {
-            return Err(WhenError::Never);
+            return Err(ScheduleError::NoOccurrence);
         }
-        Ok(when)
+        Ok(schedule)
     }
 
     /// The window that holds at this time or else the next one; none if all are over.
     pub fn window_at(&self, now_ms: u64) -> Option<Window> {
-        match &self.pattern {
+        match &self.recurrence {
             None => {
                 let window = Window {
                     from_ms: self.from_ms,
@@ -151,8 +151,8 @@
                 };
                 (!window.is_over(now_ms)).then_some(window)
             }
-            Some(pattern) => {
-                let earliest = now_ms.saturating_sub(pattern.length_ms) + 1;
+            Some(recurrence) => {
+                let earliest = now_ms.saturating_sub(recurrence.length_ms) + 1;
                 self.starting_at(earliest.max(self.from_ms))
             }
         }
@@ -160,48 +160,48 @@
 
     /// The first window that begins at this time or later.
     fn starting_at(&self, ms: u64) -> Option<Window> {
-        let pattern = self.pattern.as_ref()?;
+        let recurrence = self.recurrence.as_ref()?;
         // Patterns are by whole seconds.
         let second = i64::try_from(ms.div_ceil(1000)).ok()?;
         let start = Timestamp::from_second(second).ok()?;
-        let found = pattern
+        let found = recurrence
             .cron
-            .find_next_occurrence(&start.to_zoned(pattern.zone.clone()), true)
+            .find_next_occurrence(&start.to_zoned(recurrence.zone.clone()), true)
             .ok()?;
         let from_ms = u64::try_from(found.timestamp().as_millisecond()).ok()?;
         let window = Window {
             from_ms,
-            to_ms: (from_ms + pattern.length_ms).min(self.to_ms),
+            to_ms: (from_ms + recurrence.length_ms).min(self.to_ms),
         };
         (from_ms < self.to_ms).then_some(window)
     }
 }
 
 /// 2026-01-01.
-const FIRST_DAY_MS: u64 = 1_767_225_600_000;
+const CHECK_FROM_MS: u64 = 1_767_225_600_000;
 
 /// A time with its offset, or a local one in this zone. One that clocks skip is taken as
 /// much later as they skip, one that they repeat as the first of the two.
-pub(crate) fn parse_time(text: &str, zone: Option<&TimeZone>) -> Result<u64, WhenError> {
-    let bad = || WhenError::Time(text.to_owned());
+pub(crate) fn parse_time(text: &str, zone: Option<&TimeZone>) -> Result<u64, ScheduleError> {
+    let bad = || ScheduleError::InvalidTime(text.to_owned());
     let at = match text.parse::<Timestamp>() {
         Ok(at) => at,
         Err(_) => {
             let local: DateTime = text.parse().map_err(|_| bad())?;
-            let zone = zone.ok_or_else(|| WhenError::NoZone(text.to_owned()))?;
+            let zone = zone.ok_or_else(|| ScheduleError::MissingTimeZone(text.to_owned()))?;
             zone.to_timestamp(local).map_err(|_| bad())?
         }
     };
     u64::try_from(at.as_millisecond()).map_err(|_| bad())
 }
 
-pub(crate) fn parse_zone(text: &str) -> Result<TimeZone, WhenError> {
-    TimeZone::get(text).map_err(|_| WhenError::Zone(text.to_owned()))
+pub(crate) fn parse_zone(text: &str) -> Result<TimeZone, ScheduleError> {
+    TimeZone::get(text).map_err(|_| ScheduleError::UnknownTimeZone(text.to_owned()))
 }
 
 /// In milliseconds.
-pub(crate) fn parse_length(text: &str) -> Result<u64, WhenError> {
-    let bad = || WhenError::Length(text.to_owned());
+pub(crate) fn parse_length(text: &str) -> Result<u64, ScheduleError> {
+    let bad = || ScheduleError::InvalidLength(text.to_owned());
     let length: SignedDuration = text.parse().map_err(|_| bad())?;
     match u64::try_from(length.as_millis()) {
         Ok(ms) if ms >= 1000 => Ok(ms),
