--- a/crates/umbersail-reserve/src/tests.rs
+++ b/crates/umbersail-reserve/src/tests.rs
@@ -660,3 +660,63 @@
         prop_assert_eq!((world.held("fair"), world.held("ball")), (73, 20));
     }
 }
+
+#[test]
+fn records_keep_the_names_of_the_stored_format() {
+    let mut record = ReservationRecord {
+        terms: Terms {
+            team: "floats".into(),
+            classes: vec!["scan".into()],
+            demand: Demand::Resources {
+                cpus: 8.0,
+                memory_gb: 16.0,
+            },
+            zone: Some("a".into()),
+            spot: true,
+            borrow: BorrowPolicy {
+                checkpointable: true,
+                classes: vec!["crops".into()],
+            },
+            priority: Priority::Normal,
+            max_checkpoint_s: 30.0,
+        },
+        window: Window {
+            from_ms: 1,
+            to_ms: 2,
+        },
+        admitted_ms: 3,
+        admission: Admission::Partial("limit".into()),
+        items: vec![PromisedMachines {
+            machine_type: "m8".into(),
+            count: 4,
+            exact: false,
+        }],
+        batches: vec![Batch {
+            request: Some("r1".into()),
+            machine_type: "m8".into(),
+            zone: "a".into(),
+            spot: true,
+            count: 4,
+            machines: Some(vec!["h1".into()]),
+        }],
+        shortfall: Some("refused".into()),
+        lead_doublings: 1,
+        opened: true,
+    };
+    let text = |record: &ReservationRecord| umbersail_wire::to_value(record).unwrap().to_string();
+    assert_eq!(
+        text(&record),
+        r#"{"terms": {"team": "floats", "classes": ["scan"], "want": {"amounts": {"cpus": 8, "memory_gb": 16}}, "zone": "a", "spot": true, "borrow": {"savable": true, "classes": ["crops"]}, "priority": "normal", "give_back_s": 30}, "window": {"from_ms": 1, "to_ms": 2}, "admitted_ms": 3, "verdict": {"part": "limit"}, "items": [{"type": "m8", "count": 4, "exact": false}], "batches": [{"request": "r1", "type": "m8", "zone": "a", "spot": true, "count": 4, "machines": ["h1"]}], "short": "refused", "earlier": 1, "opened": true}"#
+    );
+    let value = umbersail_wire::to_value(&record).unwrap();
+    assert_eq!(
+        umbersail_wire::from_value::<ReservationRecord>(&value).unwrap(),
+        record
+    );
+    record.terms.demand = Demand::Machines(BTreeMap::from([("m8".to_owned(), 4)]));
+    record.admission = Admission::Full;
+    assert!(text(&record).contains(r#""want": {"machines": {"m8": 4}}"#));
+    assert!(text(&record).contains(r#""verdict": "promised""#));
+    record.admission = Admission::Rejected("no team".into());
+    assert!(text(&record).contains(r#""verdict": {"refused": "no team"}"#));
+}
