--- a/crates/umbersail-calendar/src/entry.rs
+++ b/crates/umbersail-calendar/src/entry.rs
@@ -5,7 +5,7 @@
 use thiserror::Error;
 use xxhash_rust::xxh3::xxh3_64;
 
-use crate::when::{After, InvalidValue, Openings, UnixMs, span};
+use crate::openings::{InvalidValue, Openings, RelativeTime, UnixMs, parse_duration_s};
 
 /// Prefix of the keys of all entries.
 pub const PREFIX: &str = "calendar.";
@@ -34,7 +34,7 @@
     pub team: String,
     /// When its runs open.
     pub openings: Openings,
-    pub(crate) due: After,
+    pub(crate) due: RelativeTime,
     pub(crate) steps: Vec<Step>,
     /// Distinguishes versions of the entry.
     pub(crate) fingerprint: String,
@@ -46,9 +46,9 @@
     pub classes: Vec<String>,
     pub count: Option<u32>,
     pub quiet_s: Option<f64>,
-    pub until: Option<After>,
+    pub until: Option<RelativeTime>,
     /// How long it takes, in seconds, as long as none has been seen.
-    pub takes_s: Option<f64>,
+    pub expected_s: Option<f64>,
 }
 
 impl Entry {
@@ -59,7 +59,7 @@
 
     /// When the run that opens at this moment is due.
     pub fn due(&self, opening: UnixMs) -> UnixMs {
-        self.openings.after(opening, self.due)
+        self.openings.resolve(opening, self.due)
     }
 }
 
@@ -73,7 +73,7 @@
 /// The fields of one entry with their keys.
 struct Fields<'a> {
     name: &'a str,
-    texts: BTreeMap<&'a str, &'a str>,
+    values: BTreeMap<&'a str, &'a str>,
 }
 
 impl Fields<'_> {
@@ -89,10 +89,10 @@
     }
 
     fn take(&mut self, field: &str) -> Option<&str> {
-        self.texts.remove(field).map(str::trim)
+        self.values.remove(field).map(str::trim)
     }
 
-    fn need(&mut self, field: &str) -> Result<String, EntryError> {
+    fn required(&mut self, field: &str) -> Result<String, EntryError> {
         match self.take(field) {
             Some(text) if !text.is_empty() && text.len() <= 200 => Ok(text.to_owned()),
             Some(_) => Err(self.error(field, "must have 1 to 200 bytes")),
@@ -101,30 +101,31 @@
     }
 
     /// A field that may be left out, read by `read`.
-    fn read<T>(
+    fn optional<T>(
         &mut self,
         field: &str,
-        read: impl FnOnce(&str) -> Result<T, InvalidValue>,
+        parse: impl FnOnce(&str) -> Result<T, InvalidValue>,
     ) -> Result<Option<T>, EntryError> {
-        let read = self.take(field).map(read).transpose();
-        read.map_err(|reason| self.error(field, reason.to_string()))
+        let value = self.take(field).map(parse).transpose();
+        value.map_err(|reason| self.error(field, reason.to_string()))
     }
 
     fn entry(mut self) -> Result<Entry, EntryError> {
-        let text = format!("{:?}", self.texts);
-        let team = self.need("team")?;
-        let zone = self.need("zone")?;
-        let opens = self.need("opens")?;
+        let text = format!("{:?}", self.values);
+        let team = self.required("team")?;
+        let zone = self.required("zone")?;
+        let opens = self.required("opens")?;
         let repeat = self.take("repeat").map(str::to_owned);
         let openings = Openings::parse(&zone, &opens, repeat.as_deref())
             .map_err(|(field, reason)| self.error(field, reason))?;
-        let due = self.need("due")?;
-        let due = After::parse(&due).map_err(|reason| self.error("due", reason.to_string()))?;
+        let due = self.required("due")?;
+        let due =
+            RelativeTime::parse(&due).map_err(|reason| self.error("due", reason.to_string()))?;
         let mut steps: Vec<Step> = Vec::new();
         let mut seen: BTreeSet<String> = BTreeSet::new();
         while steps.len() < MAX_STEPS {
             let prefix = format!("step.{}.", steps.len() + 1);
-            if !self.texts.keys().any(|field| field.starts_with(&prefix)) {
+            if !self.values.keys().any(|field| field.starts_with(&prefix)) {
                 break;
             }
             let step = self.step(&prefix)?;
@@ -139,7 +140,7 @@
         if steps.is_empty() {
             return Err(self.error("step.1.classes", "is missing"));
         }
-        if let Some(field) = self.texts.keys().next() {
+        if let Some(field) = self.values.keys().next() {
             let reason = if field.starts_with("step.") {
                 format!("steps are numbered from 1 to {MAX_STEPS} without a gap")
             } else {
@@ -158,28 +159,28 @@
 
     fn step(&mut self, prefix: &str) -> Result<Step, EntryError> {
         let field = |name: &str| format!("{prefix}{name}");
-        let classes = self.need(&field("classes"))?;
+        let classes = self.required(&field("classes"))?;
         let classes: Vec<String> = classes.split(',').map(|c| c.trim().to_owned()).collect();
         if classes.len() > MAX_CLASSES || classes.iter().any(String::is_empty) {
             let reason = format!("must be up to {MAX_CLASSES} classes, with commas between");
             return Err(self.error(&field("classes"), reason));
         }
-        let count = self.read(&field("count"), |text| match text.parse::<u32>() {
+        let count = self.optional(&field("count"), |text| match text.parse::<u32>() {
             Ok(count) if (1..=MAX_COUNT).contains(&count) => Ok(count),
             _ => Err(InvalidValue::Count {
                 text: text.to_owned(),
-                most: MAX_COUNT,
+                max: MAX_COUNT,
             }),
         })?;
-        let quiet_s = self.read(&field("quiet"), span)?;
-        let until = self.read(&field("until"), After::parse)?;
-        let takes_s = self.read(&field("takes"), span)?;
+        let quiet_s = self.optional(&field("quiet"), parse_duration_s)?;
+        let until = self.optional(&field("until"), RelativeTime::parse)?;
+        let expected_s = self.optional(&field("takes"), parse_duration_s)?;
         if count.is_none() && quiet_s.is_none() && until.is_none() {
             let reason = "a step closes by count, quiet or until: one of them at least";
             return Err(self.error(&field("classes"), reason));
         }
         // For what is left under this step's number to be told as no field.
-        let left = self.texts.keys().find(|field| field.starts_with(prefix));
+        let left = self.values.keys().find(|field| field.starts_with(prefix));
         if let Some(left) = left {
             return Err(self.error(left, "is no field of a step"));
         }
@@ -188,7 +189,7 @@
             count,
             quiet_s,
             until,
-            takes_s,
+            expected_s,
         })
     }
 }
@@ -224,8 +225,8 @@
             }
         }
         let mut calendar = Calendar::default();
-        for (name, texts) in by_name {
-            let entry = Fields { name, texts }.entry()?;
+        for (name, values) in by_name {
+            let entry = Fields { name, values }.entry()?;
             calendar.entries.insert(name.to_owned(), entry);
         }
         calendar.check_classes()?;
--- a/crates/umbersail-calendar/src/event.rs
+++ b/crates/umbersail-calendar/src/event.rs
@@ -3,7 +3,7 @@
 use std::fmt;
 use std::rc::Rc;
 
-use crate::when::UnixMs;
+use crate::openings::UnixMs;
 
 /// Identifies a run by its entry and its opening time.
 pub type RunKey = (Rc<str>, UnixMs);
@@ -36,41 +36,41 @@
         /// Index of the step.
         index: usize,
         /// The reason.
-        why: &'static str,
+        reason: &'static str,
         /// Jobs that it has taken.
-        came: u32,
+        accepted_jobs: u32,
     },
     /// All jobs of a step have ended.
     Finished {
         /// Index of the step.
         index: usize,
         /// Duration in seconds.
-        took_s: f64,
+        duration_s: f64,
         /// Jobs that it has taken.
-        came: u32,
+        accepted_jobs: u32,
         /// A job that was not waited for, since it fails on every machine.
-        failing: Option<Rc<str>>,
+        failing_job: Option<Rc<str>>,
     },
     /// It is expected to end late.
     Late {
         /// Index of the current step.
         index: usize,
         /// Expected delay in seconds.
-        by_s: f64,
+        delay_s: f64,
         /// The reason.
-        why: &'static str,
+        reason: &'static str,
     },
     /// It is due while jobs of later steps were held back; they are released.
     Released {
         /// Jobs that were held back.
-        held: usize,
+        held_jobs: usize,
     },
     /// It ended.
     Ended {
         /// Seconds after its due time; negative if it was in time.
         late_s: f64,
         /// Unfinished jobs.
-        left: usize,
+        unfinished_jobs: usize,
     },
 }
 
@@ -81,8 +81,11 @@
             RunEventKind::Missed | RunEventKind::Late { .. } | RunEventKind::Released { .. } => {
                 true
             }
-            RunEventKind::Finished { failing, .. } => failing.is_some(),
-            RunEventKind::Ended { late_s, left } => *late_s > 0.0 || *left > 0,
+            RunEventKind::Finished { failing_job, .. } => failing_job.is_some(),
+            RunEventKind::Ended {
+                late_s,
+                unfinished_jobs,
+            } => *late_s > 0.0 || *unfinished_jobs > 0,
             _ => false,
         }
     }
@@ -99,40 +102,60 @@
             RunEventKind::Removed => {
                 write!(f, "goes on with its recorded steps: the entry is gone")
             }
-            RunEventKind::Closed { index, why, came } => {
+            RunEventKind::Closed {
+                index,
+                reason,
+                accepted_jobs,
+            } => {
                 write!(
                     f,
-                    "step {} takes no more jobs: {why}; {came} came",
+                    "step {} takes no more jobs: {reason}; {accepted_jobs} came",
                     index + 1
                 )
             }
             RunEventKind::Finished {
                 index,
-                took_s,
-                came,
-                failing,
+                duration_s,
+                accepted_jobs,
+                failing_job,
             } => {
                 write!(
                     f,
-                    "step {} finished in {took_s:.1} s, {came} jobs",
+                    "step {} finished in {duration_s:.1} s, {accepted_jobs} jobs",
                     index + 1
                 )?;
-                match failing {
+                match failing_job {
                     Some(id) => write!(f, "; not waiting for {id}, which fails wherever it runs"),
                     None => Ok(()),
                 }
             }
-            RunEventKind::Late { index, by_s, why } => {
-                write!(f, "will be late by {by_s:.0} s: step {}: {why}", index + 1)
+            RunEventKind::Late {
+                index,
+                delay_s,
+                reason,
+            } => {
+                write!(
+                    f,
+                    "will be late by {delay_s:.0} s: step {}: {reason}",
+                    index + 1
+                )
             }
-            RunEventKind::Released { held } => {
-                write!(f, "is due: lets go {held} jobs of later steps")
+            RunEventKind::Released { held_jobs } => {
+                write!(f, "is due: lets go {held_jobs} jobs of later steps")
             }
-            RunEventKind::Ended { late_s, left: 0 } if *late_s <= 0.0 => {
+            RunEventKind::Ended {
+                late_s,
+                unfinished_jobs: 0,
+            } if *late_s <= 0.0 => {
                 write!(f, "ended {:.1} s before its due time", -late_s)
             }
-            RunEventKind::Ended { late_s, left: 0 } => write!(f, "ended {late_s:.1} s late"),
-            RunEventKind::Ended { left, .. } => write!(f, "given up with {left} jobs unfinished"),
+            RunEventKind::Ended {
+                late_s,
+                unfinished_jobs: 0,
+            } => write!(f, "ended {late_s:.1} s late"),
+            RunEventKind::Ended {
+                unfinished_jobs, ..
+            } => write!(f, "given up with {unfinished_jobs} jobs unfinished"),
         }
     }
 }
--- a/crates/umbersail-calendar/src/lib.rs
+++ b/crates/umbersail-calendar/src/lib.rs
@@ -21,7 +21,7 @@
 //! }
 //! let calendar = Calendar::parse(&file).unwrap();
 //! let evening = &calendar.entries["evening"];
-//! let (_, next) = evening.openings.around(1_800_000_000_000);
+//! let (_, next) = evening.openings.last_and_next(1_800_000_000_000);
 //! assert_eq!(evening.due(next.unwrap()) - next.unwrap(), (4 * 60 + 30) * 60_000);
 //! ```
 #![forbid(unsafe_code)]
@@ -35,17 +35,17 @@
 
 mod entry;
 mod event;
+mod openings;
 mod record;
 mod run;
 mod settings;
 mod timestamp;
 mod tracker;
-mod when;
 
 pub use entry::{Calendar, Entry, EntryError, PREFIX};
 pub use event::{RunEvent, RunEventKind, RunKey};
+pub use openings::{InvalidValue, Openings, RelativeTime, UnixMs};
 pub use record::{InvalidRunRecord, RunRecord, StepRecord};
 pub use settings::Settings;
 pub use timestamp::Timestamp;
 pub use tracker::{AcceptedJob, RecordWrite, RunTracker, TickOutcome};
-pub use when::{After, InvalidValue, Openings, UnixMs};
--- a/crates/umbersail-calendar/src/openings.rs
+++ b/crates/umbersail-calendar/src/openings.rs
@@ -14,7 +14,7 @@
 
 /// The time at which clocks in a zone show `local`. A skipped time counts as if the
 /// clocks had not been moved; of a repeated one the first counts.
-fn unix_time_of(zone: Tz, local: NaiveDateTime) -> UnixMs {
+fn unix_ms_of(zone: Tz, local: NaiveDateTime) -> UnixMs {
     let found = zone.from_local_datetime(&local).earliest();
     let at = found.map(|at| at.with_timezone(&Utc)).or_else(|| {
         let before = local.checked_sub_days(Days::new(1))?;
@@ -36,56 +36,57 @@
 pub enum InvalidValue {
     /// Neither a time of day nor a span.
     #[error("'{0}' is neither a time of day such as 06:00 nor a span such as 2h 30m")]
-    NeitherTimeNorSpan(String),
+    NeitherTimeNorDuration(String),
     /// A span that is too short or too long.
     #[error("'{0}' must be from 1s to 31days")]
-    SpanOutOfRange(String),
+    DurationOutOfRange(String),
     /// Not a span.
     #[error("'{0}' is no span such as 2h 30m")]
-    NoSpan(String),
+    NotADuration(String),
     /// Not a number of jobs from 1 on, or too many.
-    #[error("'{text}' must be a number from 1 to {most}")]
+    #[error("'{text}' must be a number from 1 to {max}")]
     Count {
         /// The text.
         text: String,
         /// The largest valid number.
-        most: u32,
+        max: u32,
     },
 }
 
 /// A time that follows an opening.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum After {
+pub enum RelativeTime {
     /// When clocks in the zone show this next.
-    Clock(NaiveTime),
+    TimeOfDay(NaiveTime),
     /// So many milliseconds later.
-    Span(u64),
+    Delay(u64),
 }
 
-impl After {
+impl RelativeTime {
     /// `06:00`, or a span as in `2h 30m`.
-    pub(crate) fn parse(text: &str) -> Result<After, InvalidValue> {
+    pub(crate) fn parse(text: &str) -> Result<RelativeTime, InvalidValue> {
         for form in ["%H:%M", "%H:%M:%S"] {
             if let Ok(time) = NaiveTime::parse_from_str(text, form) {
-                return Ok(After::Clock(time));
+                return Ok(RelativeTime::TimeOfDay(time));
             }
         }
-        let span = span(text).map_err(|_| InvalidValue::NeitherTimeNorSpan(text.to_owned()))?;
-        Ok(After::Span((span * 1000.0) as u64))
+        let seconds = parse_duration_s(text)
+            .map_err(|_| InvalidValue::NeitherTimeNorDuration(text.to_owned()))?;
+        Ok(RelativeTime::Delay((seconds * 1000.0) as u64))
     }
 }
 
 /// A span such as `2h 30m`, in seconds.
-pub(crate) fn span(text: &str) -> Result<f64, InvalidValue> {
+pub(crate) fn parse_duration_s(text: &str) -> Result<f64, InvalidValue> {
     match humantime::parse_duration(text) {
-        Ok(span) if (1.0..=MAX_SPAN_S).contains(&span.as_secs_f64()) => Ok(span.as_secs_f64()),
-        Ok(_) => Err(InvalidValue::SpanOutOfRange(text.to_owned())),
-        Err(_) => Err(InvalidValue::NoSpan(text.to_owned())),
+        Ok(span) if (1.0..=MAX_DURATION_S).contains(&span.as_secs_f64()) => Ok(span.as_secs_f64()),
+        Ok(_) => Err(InvalidValue::DurationOutOfRange(text.to_owned())),
+        Err(_) => Err(InvalidValue::NotADuration(text.to_owned())),
     }
 }
 
 /// Longest span in seconds: a run may hold back jobs for as long.
-const MAX_SPAN_S: f64 = 31.0 * 86400.0;
+const MAX_DURATION_S: f64 = 31.0 * 86400.0;
 
 /// When the runs of an entry open.
 #[derive(Debug, Clone, PartialEq)]
@@ -111,7 +112,7 @@
             .iter()
             .find_map(|form| NaiveDateTime::parse_from_str(first, form).ok())
             .ok_or_else(|| opens(format!("'{first}' is no time such as 2027-01-04 22:00")))?;
-        // A rule is gone through from its first time on.
+        // A rule is elapsed through from its first time on.
         let year = chrono::Datelike::year(&first);
         if !(2000..2200).contains(&year) {
             return Err(opens("the year must be from 2000 to 2199".into()));
@@ -131,7 +132,9 @@
                 return Err(repeat("runs open once a minute at most".into()));
             }
             let parts = text.to_ascii_uppercase();
-            if openings.is_short(&rule) && parts.split(';').any(|p| p.starts_with("BY")) {
+            if openings.is_hourly_or_minutely(&rule)
+                && parts.split(';').any(|p| p.starts_with("BY"))
+            {
                 return Err(repeat(
                     "HOURLY and MINUTELY take no BY part; write FREQ=DAILY;BYHOUR=...".into(),
                 ));
@@ -140,22 +143,22 @@
                 .build(floating(first))
                 .map_err(|e| repeat(format!("'{text}': {e}")))?;
             openings.rule = Some(rule);
-            if openings.starting_near(0).next().is_none() {
+            if openings.local_openings_from(0).next().is_none() {
                 return Err(repeat(format!("'{text}' never comes")));
             }
         }
         Ok(openings)
     }
 
-    fn is_short(&self, rule: &RRule<Unvalidated>) -> bool {
+    fn is_hourly_or_minutely(&self, rule: &RRule<Unvalidated>) -> bool {
         matches!(rule.get_freq(), Frequency::Hourly | Frequency::Minutely)
     }
 
     /// The last opening at or before this time, and the first one after it.
-    pub fn around(&self, at: UnixMs) -> (Option<UnixMs>, Option<UnixMs>) {
+    pub fn last_and_next(&self, at: UnixMs) -> (Option<UnixMs>, Option<UnixMs>) {
         let mut last = None;
-        for local in self.starting_near(at) {
-            let opening = unix_time_of(self.zone, local);
+        for local in self.local_openings_from(at) {
+            let opening = unix_ms_of(self.zone, local);
             if opening > at {
                 return (last, Some(opening));
             }
@@ -165,21 +168,22 @@
     }
 
     /// Openings in local time from one on that is not after `at`, if there is one.
-    fn starting_near(&self, at: UnixMs) -> Box<dyn Iterator<Item = NaiveDateTime> + '_> {
+    fn local_openings_from(&self, at: UnixMs) -> Box<dyn Iterator<Item = NaiveDateTime> + '_> {
         let Some(rule) = &self.rule else {
             return Box::new(std::iter::once(self.first));
         };
         let mut start = self.first;
-        if self.is_short(rule) && rule.get_count().is_none() {
+        if self.is_hourly_or_minutely(rule) && rule.get_count().is_none() {
             let minutes = match rule.get_freq() {
                 Frequency::Hourly => 60,
                 _ => 1,
             } * i64::from(rule.get_interval().max(1));
             // A day before is before it however the clocks are moved.
-            let near = local_of(self.zone, at).and_then(|n| n.checked_sub_days(Days::new(1)));
-            let gone = near.map_or(0, |near| (near - self.first).num_minutes() / minutes);
-            let moved = TimeDelta::try_minutes(gone.max(0) * minutes);
-            start = moved
+            let day_before = local_of(self.zone, at).and_then(|n| n.checked_sub_days(Days::new(1)));
+            let elapsed =
+                day_before.map_or(0, |before| (before - self.first).num_minutes() / minutes);
+            let shift = TimeDelta::try_minutes(elapsed.max(0) * minutes);
+            start = shift
                 .and_then(|m| start.checked_add_signed(m))
                 .unwrap_or(start);
         }
@@ -191,19 +195,19 @@
     }
 
     /// The time that follows an opening.
-    pub fn after(&self, opening: UnixMs, after: After) -> UnixMs {
+    pub fn resolve(&self, opening: UnixMs, after: RelativeTime) -> UnixMs {
         match after {
-            After::Span(ms) => opening.saturating_add(ms),
-            After::Clock(time) => {
+            RelativeTime::Delay(ms) => opening.saturating_add(ms),
+            RelativeTime::TimeOfDay(time) => {
                 let Some(local) = local_of(self.zone, opening) else {
                     return opening;
                 };
-                let today = unix_time_of(self.zone, local.date().and_time(time));
+                let today = unix_ms_of(self.zone, local.date().and_time(time));
                 if today > opening {
                     return today;
                 }
                 let next = local.date().checked_add_days(Days::new(1));
-                next.map_or(opening, |day| unix_time_of(self.zone, day.and_time(time)))
+                next.map_or(opening, |day| unix_ms_of(self.zone, day.and_time(time)))
             }
         }
     }
--- a/crates/umbersail-calendar/src/record.rs
+++ b/crates/umbersail-calendar/src/record.rs
@@ -3,7 +3,7 @@
 use serde::{Deserialize, Serialize};
 use thiserror::Error;
 
-use crate::when::UnixMs;
+use crate::openings::UnixMs;
 
 /// Largest number of steps in a valid record.
 const MAX_STEPS: usize = 64;
@@ -21,12 +21,13 @@
     /// Its due time.
     pub due_ms: UnixMs,
     /// Fingerprint of the version of the entry that opened it.
-    pub print: String,
+    #[serde(rename = "print")]
+    pub fingerprint: String,
     /// Its steps in order.
     pub steps: Vec<StepRecord>,
     /// Whether its lateness has been reported.
-    #[serde(default)]
-    pub told_late: bool,
+    #[serde(default, rename = "told_late")]
+    pub lateness_reported: bool,
     /// When it ended.
     #[serde(default)]
     pub ended_ms: Option<UnixMs>,
@@ -49,8 +50,8 @@
     #[serde(default)]
     pub began_ms: Option<UnixMs>,
     /// Jobs that it has taken, except those cut off `unfinished`.
-    #[serde(default)]
-    pub came: u32,
+    #[serde(default, rename = "came")]
+    pub accepted_jobs: u32,
     /// Names of unfinished jobs among them, up to a limit: a successor must not count
     /// a job twice.
     #[serde(default)]
@@ -65,8 +66,8 @@
     #[serde(default)]
     pub mean_s: f64,
     /// Mean deviation of that duration, in seconds.
-    #[serde(default)]
-    pub range_s: f64,
+    #[serde(default, rename = "range_s")]
+    pub deviation_s: f64,
     /// Whether the duration was measured, not only configured.
     #[serde(default)]
     pub learned: bool,
@@ -83,7 +84,7 @@
     DueBeforeOpening,
     /// A duration is negative or no number.
     #[error("a span is no number of seconds")]
-    Span,
+    Duration,
     /// A step takes no jobs.
     #[error("a step has no class")]
     NoClass,
@@ -92,8 +93,8 @@
 impl RunRecord {
     /// Validates the record.
     pub(crate) fn check(&self) -> Result<(), InvalidRunRecord> {
-        let spans = |s: &StepRecord| {
-            [s.mean_s, s.range_s, s.quiet_s.unwrap_or(0.0)]
+        let has_valid_durations = |s: &StepRecord| {
+            [s.mean_s, s.deviation_s, s.quiet_s.unwrap_or(0.0)]
                 .iter()
                 .all(|v| v.is_finite() && *v >= 0.0)
         };
@@ -103,8 +104,8 @@
         if self.due_ms < self.opening_ms {
             return Err(InvalidRunRecord::DueBeforeOpening);
         }
-        if !self.steps.iter().all(spans) {
-            return Err(InvalidRunRecord::Span);
+        if !self.steps.iter().all(has_valid_durations) {
+            return Err(InvalidRunRecord::Duration);
         }
         if self.steps.iter().any(|s| s.classes.is_empty()) {
             return Err(InvalidRunRecord::NoClass);
--- a/crates/umbersail-calendar/src/run/mod.rs
+++ b/crates/umbersail-calendar/src/run/mod.rs
@@ -8,8 +8,8 @@
 
 use crate::Timestamp;
 use crate::entry::Entry;
+use crate::openings::UnixMs;
 use crate::record::{RunRecord, StepRecord};
-use crate::when::UnixMs;
 
 /// State of a step that is not recorded: a successor derives it again.
 #[derive(Debug, Clone, Default)]
@@ -21,7 +21,7 @@
     /// Jobs that fail on every machine, and since when on the steady clock.
     pub failing: BTreeMap<Rc<str>, f64>,
     /// Jobs that the record counts already.
-    pub counted: BTreeSet<String>,
+    pub counted_jobs: BTreeSet<String>,
     /// When the step began, its last job came or we took over: its quiet time counts
     /// from here.
     pub last_activity_s: f64,
@@ -50,11 +50,11 @@
 
 impl Run {
     /// Opens a run, with the durations learned in the previous one.
-    pub fn open(entry: &Entry, opening: UnixMs, before: Option<&Run>, at: Timestamp) -> Run {
+    pub fn open(entry: &Entry, opening: UnixMs, previous: Option<&Run>, at: Timestamp) -> Run {
         let due_ms = entry.due(opening);
         let steps = entry.steps.iter().enumerate().map(|(index, step)| {
-            let until = step.until.map(|u| entry.openings.after(opening, u));
-            let known = before
+            let until = step.until.map(|u| entry.openings.resolve(opening, u));
+            let known = previous
                 .and_then(|run| run.record.steps.get(index))
                 .filter(|known| known.learned && known.classes == step.classes);
             StepRecord {
@@ -62,8 +62,8 @@
                 count: step.count,
                 quiet_s: step.quiet_s,
                 until_ms: until.map_or(due_ms, |until| until.min(due_ms)),
-                mean_s: known.map_or(step.takes_s.unwrap_or(0.0), |k| k.mean_s),
-                range_s: known.map_or(0.0, |k| k.range_s),
+                mean_s: known.map_or(step.expected_s.unwrap_or(0.0), |k| k.mean_s),
+                deviation_s: known.map_or(0.0, |k| k.deviation_s),
                 learned: known.is_some(),
                 ..StepRecord::default()
             }
@@ -72,9 +72,9 @@
             team: entry.team.clone(),
             opening_ms: opening,
             due_ms,
-            print: entry.fingerprint.clone(),
+            fingerprint: entry.fingerprint.clone(),
             steps: steps.collect(),
-            told_late: false,
+            lateness_reported: false,
             ended_ms: None,
         };
         let mut run = Run::with_record(record, at);
@@ -91,7 +91,7 @@
         }
         let mut run = Run::with_record(record, at);
         for (state, counted) in run.states.iter_mut().zip(counted) {
-            state.counted = counted;
+            state.counted_jobs = counted;
         }
         (run.version, run.written_version) = (1, 1);
         run.recorded_steps = run.current();
@@ -149,11 +149,11 @@
     /// bear a later time.
     pub fn step_of(&self, class: &str, accepted_ms: UnixMs, skew_ms: u64) -> Option<usize> {
         let steps = &self.record.steps;
-        let of = |s: &StepRecord| s.classes.iter().any(|c| c == class);
-        let index = steps.iter().position(of)?;
+        let names_class = |s: &StepRecord| s.classes.iter().any(|c| c == class);
+        let index = steps.iter().position(names_class)?;
         let step = &steps[index];
-        let last = |at: UnixMs| at.saturating_add(2 * skew_ms);
-        let closed = step.closed_ms.is_some_and(|at| accepted_ms > last(at));
+        let latest = |at: UnixMs| at.saturating_add(2 * skew_ms);
+        let closed = step.closed_ms.is_some_and(|at| accepted_ms > latest(at));
         (!self.is_over() && step.finished_ms.is_none() && !closed).then_some(index)
     }
 
@@ -167,8 +167,8 @@
         state.last_activity_s = state.last_activity_s.max(at.steady_s);
         let step = &mut self.record.steps[index];
         // A closed step takes no more jobs: this one was counted before.
-        if !state.counted.remove(&**id) && step.closed_ms.is_none() {
-            step.came = step.came.saturating_add(1);
+        if !state.counted_jobs.remove(&**id) && step.closed_ms.is_none() {
+            step.accepted_jobs = step.accepted_jobs.saturating_add(1);
         }
         if step.count.is_some() && step.closed_ms.is_none() {
             self.mark_changed(at, false);
@@ -190,23 +190,23 @@
     }
 
     /// Whether jobs of this step wait for an earlier step.
-    pub fn holds(&self, index: usize) -> bool {
+    pub fn is_step_held(&self, index: usize) -> bool {
         index > self.recorded_steps && !self.released && !self.is_over()
     }
 
     /// The record to be stored, with at most `max_names` names of jobs.
     pub fn to_record(&self, max_names: usize) -> RunRecord {
         let mut record = self.record.clone();
-        let mut room = max_names;
+        let mut names_left = max_names;
         for (step, state) in record.steps.iter_mut().zip(&self.states) {
             if step.count.is_none() || step.closed_ms.is_some() {
                 continue;
             }
-            let named = state.members.keys().take(room);
+            let named = state.members.keys().take(names_left);
             step.unfinished = named.map(|id| id.to_string()).collect();
-            room -= step.unfinished.len();
-            let cut = state.members.len() - step.unfinished.len();
-            step.came = step.came.saturating_sub(cut as u32);
+            names_left -= step.unfinished.len();
+            let unnamed = state.members.len() - step.unfinished.len();
+            step.accepted_jobs = step.accepted_jobs.saturating_sub(unnamed as u32);
         }
         record
     }
--- a/crates/umbersail-calendar/src/run/progress.rs
+++ b/crates/umbersail-calendar/src/run/progress.rs
@@ -19,17 +19,17 @@
         if self.is_over() {
             return false;
         }
-        let passed = at.unix_ms >= self.record.due_ms;
-        let lets_go = passed && !self.released;
-        if lets_go {
+        let is_past_due = at.unix_ms >= self.record.due_ms;
+        let releases = is_past_due && !self.released;
+        if releases {
             self.released = true;
-            let held = self.states[self.recorded_steps.min(self.states.len())..]
+            let held_jobs = self.states[self.recorded_steps.min(self.states.len())..]
                 .iter()
                 .skip(1)
                 .map(|state| state.members.len())
                 .sum();
-            if held > 0 {
-                events.push(RunEventKind::Released { held });
+            if held_jobs > 0 {
+                events.push(RunEventKind::Released { held_jobs });
             }
         }
         self.close_steps(at, settings, events);
@@ -44,14 +44,14 @@
         } else {
             self.plan_deadlines(at, settings, events);
         }
-        lets_go
+        releases
     }
 
     pub fn end(&mut self, at: Timestamp, events: &mut Vec<RunEventKind>) {
-        let left = self.states.iter().map(|state| state.members.len()).sum();
+        let unfinished_jobs = self.states.iter().map(|state| state.members.len()).sum();
         events.push(RunEventKind::Ended {
             late_s: at.unix_ms as f64 / 1000.0 - self.record.due_ms as f64 / 1000.0,
-            left,
+            unfinished_jobs,
         });
         self.record.ended_ms = Some(at.unix_ms);
         self.mark_changed(at, true);
@@ -70,16 +70,22 @@
                 // Before a step can begin, a lack of jobs does not indicate its end.
                 index == self.recorded_steps && at.steady_s - state.last_activity_s >= quiet_s
             };
-            let why = match () {
-                () if step.count.is_some_and(|count| step.came >= count) => "all have come",
+            let reason = match () {
+                () if step.count.is_some_and(|count| step.accepted_jobs >= count) => {
+                    "all have come"
+                }
                 () if at.unix_ms >= until => "its closing hour",
                 () if step.quiet_s.is_some_and(is_quiet) => "none came for its quiet time",
                 () if self.superseded => "the next run has opened",
                 () => continue,
             };
             step.closed_ms = Some(at.unix_ms);
-            let came = step.came;
-            closed.push(RunEventKind::Closed { index, why, came });
+            let accepted_jobs = step.accepted_jobs;
+            closed.push(RunEventKind::Closed {
+                index,
+                reason,
+                accepted_jobs,
+            });
         }
         if !closed.is_empty() {
             self.mark_changed(at, false);
@@ -95,30 +101,31 @@
             return;
         }
         let state = &self.states[index];
-        let given_up = |since: &f64| at.steady_s - since >= settings.failing_grace_s;
-        let waited_for =
-            state.members.len() > state.failing.len() || !state.failing.values().all(given_up);
+        let is_given_up = |since: &f64| at.steady_s - since >= settings.failing_grace_s;
+        let has_awaited_jobs =
+            state.members.len() > state.failing.len() || !state.failing.values().all(is_given_up);
         let step = &mut self.record.steps[index];
-        if step.closed_ms.is_none() || waited_for {
+        if step.closed_ms.is_none() || has_awaited_jobs {
             return;
         }
         step.finished_ms = Some(at.unix_ms);
         step.unfinished.clear();
-        let took_s = seconds_between(step.began_ms.unwrap_or(at.unix_ms), at.unix_ms);
-        if step.came > 0 {
+        let duration_s = seconds_between(step.began_ms.unwrap_or(at.unix_ms), at.unix_ms);
+        if step.accepted_jobs > 0 {
             if step.learned {
-                step.range_s += SAMPLE_WEIGHT * ((took_s - step.mean_s).abs() - step.range_s);
-                step.mean_s += SAMPLE_WEIGHT * (took_s - step.mean_s);
+                step.deviation_s +=
+                    SAMPLE_WEIGHT * ((duration_s - step.mean_s).abs() - step.deviation_s);
+                step.mean_s += SAMPLE_WEIGHT * (duration_s - step.mean_s);
             } else {
-                (step.mean_s, step.range_s) = (took_s, took_s / 4.0);
+                (step.mean_s, step.deviation_s) = (duration_s, duration_s / 4.0);
                 step.learned = true;
             }
         }
         events.push(RunEventKind::Finished {
             index,
-            took_s,
-            came: step.came,
-            failing: state.members.keys().next().cloned(),
+            duration_s,
+            accepted_jobs: step.accepted_jobs,
+            failing_job: state.members.keys().next().cloned(),
         });
         self.mark_changed(at, true);
     }
--- a/crates/umbersail-calendar/src/timestamp.rs
+++ b/crates/umbersail-calendar/src/timestamp.rs
@@ -1,6 +1,6 @@
 //! Times by the clocks of a node.
 
-use crate::when::UnixMs;
+use crate::openings::UnixMs;
 
 /// The current time by both clocks of a node.
 #[derive(Debug, Clone, Copy, PartialEq)]
--- a/crates/umbersail-calendar/src/tracker/mod.rs
+++ b/crates/umbersail-calendar/src/tracker/mod.rs
@@ -8,9 +8,9 @@
 
 use crate::entry::Calendar;
 use crate::event::{RunEvent, RunEventKind, RunKey};
+use crate::openings::UnixMs;
 use crate::record::{InvalidRunRecord, RunRecord};
 use crate::run::Run;
-use crate::when::UnixMs;
 use crate::{Settings, Timestamp};
 
 pub use recording::RecordWrite;
@@ -55,7 +55,7 @@
     settings: Settings,
     runs: BTreeMap<RunKey, Run>,
     /// Records to be removed.
-    gone: BTreeSet<RunKey>,
+    removed_records: BTreeSet<RunKey>,
     /// The first tick has passed.
     started: bool,
     /// The next opening of each entry, once looked for.
@@ -71,7 +71,7 @@
             calendar,
             settings,
             runs: BTreeMap::new(),
-            gone: BTreeSet::new(),
+            removed_records: BTreeSet::new(),
             started: false,
             next: BTreeMap::new(),
             members: BTreeMap::new(),
@@ -117,15 +117,15 @@
         // Clocks differ: who may have come after the opening belongs to the run. Of
         // several the one that opened last; one whose step is closed takes none, and
         // leaves it to no earlier one.
-        let seen_ms = job.accepted_ms.saturating_add(self.settings.skew_ms);
-        let names = |run: &Run| {
+        let latest_opening_ms = job.accepted_ms.saturating_add(self.settings.skew_ms);
+        let takes_job = |run: &Run| {
             run.record.team == job.team
                 && (run.record.steps.iter()).any(|s| s.classes.iter().any(|c| c == job.class))
         };
         let newest = self
             .runs
             .iter()
-            .filter(|((_, opening), run)| *opening <= seen_ms && names(run))
+            .filter(|((_, opening), run)| *opening <= latest_opening_ms && takes_job(run))
             .max_by_key(|((_, opening), _)| *opening)
             .map(|(key, _)| key.clone());
         let Some(key) = newest else {
@@ -175,7 +175,7 @@
         self.members
             .get(id)
             .and_then(|(key, index)| Some((self.runs.get(key)?, *index)))
-            .is_some_and(|(run, index)| run.holds(index))
+            .is_some_and(|(run, index)| run.is_step_held(index))
     }
 
     /// When a job should end for its run to be in time.
@@ -195,7 +195,7 @@
                 outcome.report(key, kind);
             }
         }
-        self.forget(at);
+        self.remove_ended_runs(at);
         outcome
     }
 
--- a/crates/umbersail-calendar/src/tracker/opening.rs
+++ b/crates/umbersail-calendar/src/tracker/opening.rs
@@ -6,9 +6,9 @@
 use crate::Timestamp;
 use crate::entry::Entry;
 use crate::event::{RunEventKind, RunKey};
+use crate::openings::UnixMs;
 use crate::run::Run;
 use crate::timestamp::seconds_between;
-use crate::when::UnixMs;
 
 impl RunTracker {
     /// Opens the runs whose time has come.
@@ -23,7 +23,7 @@
                 continue;
             }
             let name: Rc<str> = name.as_str().into();
-            let (last, next) = entry.openings.around(ahead);
+            let (last, next) = entry.openings.last_and_next(ahead);
             self.next.insert(name.clone(), next.unwrap_or(UnixMs::MAX));
             if let Some(opening) = last
                 && !self.is_covered(&name, entry, opening)
@@ -38,7 +38,7 @@
         for (key, run) in self.runs.iter().filter(|(_, run)| !run.is_over()) {
             let kind = match self.calendar.entries.get(&*key.0) {
                 None => RunEventKind::Removed,
-                Some(entry) if entry.fingerprint != run.record.print => RunEventKind::Changed,
+                Some(entry) if entry.fingerprint != run.record.fingerprint => RunEventKind::Changed,
                 Some(_) => continue,
             };
             outcome.report(key, kind);
@@ -50,7 +50,7 @@
     fn is_covered(&self, name: &Rc<str>, entry: &Entry, opening: UnixMs) -> bool {
         self.newest(name).is_some_and(|(_, run)| {
             let record = &run.record;
-            let is_changed = record.print != entry.fingerprint;
+            let is_changed = record.fingerprint != entry.fingerprint;
             opening <= record.opening_ms || (is_changed && opening < record.due_ms)
         })
     }
@@ -78,8 +78,8 @@
             run.superseded = true;
             active.push(key.clone());
         }
-        let kept = self.settings.max_active_runs.max(1) - 1;
-        for key in active.iter().rev().skip(kept) {
+        let max_earlier = self.settings.max_active_runs.max(1) - 1;
+        for key in active.iter().rev().skip(max_earlier) {
             let Some(run) = self.runs.get_mut(key) else {
                 continue;
             };
@@ -106,25 +106,26 @@
 
     /// Forgets ended runs once a later one of their entry is recorded, which prevents
     /// that they open again; runs without an entry after a while.
-    pub(super) fn forget(&mut self, at: Timestamp) {
-        let mut over: Vec<RunKey> = Vec::new();
+    pub(super) fn remove_ended_runs(&mut self, at: Timestamp) {
+        let mut ended: Vec<RunKey> = Vec::new();
         for (key, run) in &self.runs {
             let later = (key.0.clone(), key.1 + 1)..=(key.0.clone(), UnixMs::MAX);
-            let follows = (self.runs.range(later)).any(|(_, later)| later.written_version > 0);
-            let keep_ms = (self.settings.retention_s * 1000.0) as u64;
-            let old = !self.calendar.entries.contains_key(&*key.0)
-                && at.unix_ms >= run.record.due_ms.saturating_add(keep_ms);
-            if run.is_over() && run.written_version >= run.version && (follows || old) {
-                over.push(key.clone());
+            let later_recorded =
+                (self.runs.range(later)).any(|(_, later)| later.written_version > 0);
+            let retention_ms = (self.settings.retention_s * 1000.0) as u64;
+            let expired = !self.calendar.entries.contains_key(&*key.0)
+                && at.unix_ms >= run.record.due_ms.saturating_add(retention_ms);
+            if run.is_over() && run.written_version >= run.version && (later_recorded || expired) {
+                ended.push(key.clone());
             }
         }
-        for key in over {
+        for key in ended {
             if let Some(run) = self.runs.remove(&key) {
                 for id in run.states.iter().flat_map(|state| state.members.keys()) {
                     self.members.remove(id);
                 }
             }
-            self.gone.insert(key);
+            self.removed_records.insert(key);
         }
     }
 }
--- a/crates/umbersail-calendar/src/tracker/recording.rs
+++ b/crates/umbersail-calendar/src/tracker/recording.rs
@@ -22,8 +22,8 @@
     pub fn due_writes(&self, at: Timestamp) -> Vec<RecordWrite> {
         let mut writes: Vec<RecordWrite> = Vec::new();
         for (run, state) in &self.runs {
-            let waited = |since: f64| at.steady_s - since >= self.settings.write_delay_s;
-            if state.urgent || state.dirty_since.is_some_and(waited) {
+            let is_due = |since: f64| at.steady_s - since >= self.settings.write_delay_s;
+            if state.urgent || state.dirty_since.is_some_and(is_due) {
                 writes.push(RecordWrite {
                     run: run.clone(),
                     record: Some(state.to_record(self.settings.max_names)),
@@ -33,7 +33,7 @@
             }
         }
         writes.sort_by_key(|w| !w.urgent);
-        writes.extend(self.gone.iter().map(|run| RecordWrite {
+        writes.extend(self.removed_records.iter().map(|run| RecordWrite {
             run: run.clone(),
             record: None,
             urgent: false,
@@ -45,15 +45,19 @@
     /// A write has been applied. Whether jobs that were held back may start.
     pub fn mark_written(&mut self, at: Timestamp, write: &RecordWrite) -> bool {
         let Some(record) = &write.record else {
-            self.gone.remove(&write.run);
+            self.removed_records.remove(&write.run);
             return false;
         };
         let Some(run) = self.runs.get_mut(&write.run) else {
             return false;
         };
-        let open = record.steps.iter().position(|s| s.finished_ms.is_none());
-        let before = run.recorded_steps;
-        run.mark_written(at, write.version, open.unwrap_or(record.steps.len()));
-        run.recorded_steps > before
+        let first_unfinished = record.steps.iter().position(|s| s.finished_ms.is_none());
+        let previously_recorded = run.recorded_steps;
+        run.mark_written(
+            at,
+            write.version,
+            first_unfinished.unwrap_or(record.steps.len()),
+        );
+        run.recorded_steps > previously_recorded
     }
 }
--- a/crates/umbersail-calendar/tests/runs.rs
+++ b/crates/umbersail-calendar/tests/runs.rs
@@ -34,7 +34,7 @@
 fn opening() -> UnixMs {
     Calendar::parse(&pairs(FILE)).unwrap().entries["dawn"]
         .openings
-        .around(0)
+        .last_and_next(0)
         .1
         .unwrap()
 }
@@ -239,7 +239,7 @@
         let dawn = &calendar.entries["dawn"];
         let (mut at, mut found) = (0, Vec::new());
         while found.len() < 5 {
-            at = dawn.openings.around(at).1.unwrap();
+            at = dawn.openings.last_and_next(at).1.unwrap();
             found.push((at, dawn.due(at) - at));
         }
         let gaps: Vec<u64> = found.windows(2).map(|w| (w[1].0 - w[0].0) / 1000).collect();
@@ -267,10 +267,13 @@
         let calendar = Calendar::parse(&pairs(&file)).unwrap();
         let openings = &calendar.entries["dawn"].openings;
         // Three weeks on: no change of clocks lies between.
-        let (last, next) = openings.around(opening() + 1_814_400_000 + 1);
+        let (last, next) = openings.last_and_next(opening() + 1_814_400_000 + 1);
         assert_eq!((last.unwrap() - opening()) % (step_s * 1000), 0, "{rule}");
         assert_eq!(next.unwrap() - last.unwrap(), step_s * 1000, "{rule}");
-        assert_eq!(openings.around(opening() - 1), (None, Some(opening())));
+        assert_eq!(
+            openings.last_and_next(opening() - 1),
+            (None, Some(opening()))
+        );
     }
 }
 
@@ -542,7 +545,7 @@
             let record = world.records.values().next().unwrap();
             assert!(record.ended_ms.is_some());
             let mut record = record.clone();
-            (record.steps[1].mean_s, record.steps[1].range_s) = (100.0, 25.0);
+            (record.steps[1].mean_s, record.steps[1].deviation_s) = (100.0, 25.0);
             world.records.insert(("dawn".into(), opening()), record);
             world.take_over();
             world.settle(86_400.0 - 1801.0);
--- a/crates/umbersail-control/src/engine/tests/calendar.rs
+++ b/crates/umbersail-control/src/engine/tests/calendar.rs
@@ -297,7 +297,7 @@
         assert!(place.jobs.is_empty());
         let steps = place.recorded().steps;
         assert!(steps[0].finished_ms.is_some(), "ends at {ends_at}");
-        assert_eq!(steps[0].came, 2);
+        assert_eq!(steps[0].accepted_jobs, 2);
     }
 }
 
--- a/crates/umbersail-control/src/plans.rs
+++ b/crates/umbersail-control/src/plans.rs
@@ -78,7 +78,7 @@
         Reservations::parse(&tuning.plan_entries, &reservation_limits(&limits, tuning))
             .map_err(|e| refused(e.key, e.reason))?;
     let runs = calendar.entries.iter().map(|(name, entry)| {
-        let (last, next) = entry.openings.around(now_ms);
+        let (last, next) = entry.openings.last_and_next(now_ms);
         let open = last.filter(|opening| entry.due(*opening) > now_ms);
         PlannedEntry {
             name: format!("calendar {name}"),
