--- a/crates/umbersail-reserve/src/admit.rs
+++ b/crates/umbersail-reserve/src/admit.rs
@@ -1,18 +1,19 @@
-//! What a window is promised: by the catalogue, and by what its team may use beside what
-//! was promised to it earlier.
+//! Admission: decides how many machines an entry is promised. The limits are the catalogue of
+//! machine types, and the team's limit less what was promised to the team earlier.
 
 use umbersail_policy::{Shape, TeamLimits};
 use umbersail_wire::MachineType;
 
 use crate::{Admission, ClusterView, Demand, PromisedMachines, Terms};
 
-/// What was promised to the same team earlier, for times that overlap.
+/// Machines that were promised earlier to another entry of the same team whose window
+/// overlaps.
 pub(crate) struct EarlierPromise<'a> {
     pub name: &'a str,
     pub items: &'a [PromisedMachines],
 }
 
-/// The admission on an entry's window, and what it is promised.
+/// Decides how much of an entry's demand is promised, and which machines.
 pub(crate) fn admit(
     name: &str,
     terms: &Terms,
@@ -31,10 +32,14 @@
                 };
                 let found = view.types.iter().find(|t| t.name == *machine_type);
                 match found {
-                    None => reasons.push(format!("the catalogue has no type '{machine_type}'")),
+                    None => reasons.push(format!(
+                        "the catalogue has no machine type '{machine_type}'"
+                    )),
                     Some(t) if !is_offered(t, terms) => {
                         let zone = terms.zone.as_deref().unwrap_or_default();
-                        reasons.push(format!("type '{machine_type}' is not in zone '{zone}'"));
+                        reasons.push(format!(
+                            "machine type '{machine_type}' is not offered in zone '{zone}'"
+                        ));
                     }
                     Some(_) => return Some(item),
                 }
@@ -45,7 +50,9 @@
             match cheapest_type(name, terms, *cpus, *memory_gb, view) {
                 Some(item) => vec![item],
                 None => {
-                    reasons.push("no type of the catalogue takes its tasks there".to_owned());
+                    reasons.push(
+                        "no machine type that the zone offers fits the entry's tasks".to_owned(),
+                    );
                     Vec::new()
                 }
             }
@@ -55,14 +62,17 @@
     for item in &mut items {
         if item.count > left {
             item.count = left;
-            reasons.push(format!("more than {} machines", view.settings.max_machines));
+            reasons.push(format!(
+                "exceeds the maximum of {} machines",
+                view.settings.max_machines
+            ));
         }
         left -= item.count;
     }
     let limits = view.teams.iter().find(|t| t.name == terms.team);
     match limits {
         None => {
-            reasons.push(format!("there is no team '{}'", terms.team));
+            reasons.push(format!("team '{}' is unknown", terms.team));
             items.clear();
         }
         Some(limits) => trim_to_team_limit(limits, &mut items, earlier, view, &mut reasons),
@@ -77,7 +87,8 @@
     (admission, items)
 }
 
-/// Takes off, from the last item on, what the team could not use within its limit.
+/// Reduces the items to what the team can use within its limit. The last items are reduced
+/// first.
 fn trim_to_team_limit(
     limits: &TeamLimits,
     items: &mut [PromisedMachines],
@@ -86,8 +97,8 @@
     reasons: &mut Vec<String>,
 ) {
     let size = |item: &PromisedMachines| {
-        let found = view.types.iter().find(|t| t.name == item.machine_type);
-        found.map(Shape::of_type).unwrap_or_default()
+        let machine_type = view.types.iter().find(|t| t.name == item.machine_type);
+        machine_type.map(Shape::of_type).unwrap_or_default()
     };
     let cpus = |s: &Shape| s.cpus;
     let gpus = |s: &Shape| s.gpus;
@@ -95,22 +106,23 @@
     for item in earlier.iter().flat_map(|b| b.items) {
         promised.add(&size(item), f64::from(item.count));
     }
-    for (kind, most, of) in [
+    for (kind, limit, amount) in [
         ("CPUs", limits.max_cpus, cpus as fn(&Shape) -> f64),
         ("GPUs", limits.max_gpus, gpus),
     ] {
-        if most <= 0.0 {
+        if limit <= 0.0 {
             continue;
         }
-        let mut left = (most - of(&promised)).max(0.0);
+        let mut left = (limit - amount(&promised)).max(0.0);
         let mut trimmed = false;
         for item in items.iter_mut() {
-            let each = of(&size(item));
+            let each = amount(&size(item));
             if each <= 0.0 {
                 continue;
             }
-            // A machine of which the team may use a part is worth having if it is the
-            // first; amounts asked for are rounded up to machines.
+            // A demand for resources is rounded up to whole machines: a machine is useful even
+            // if the team may use only a part of it. A demand for machine types is rounded
+            // down.
             let count = if item.exact {
                 (left / each + 1e-9).floor()
             } else {
@@ -124,20 +136,21 @@
         }
         if trimmed {
             let names: Vec<&str> = earlier.iter().map(|b| b.name).collect();
-            let beside = match names.as_slice() {
+            let earlier_note = match names.as_slice() {
                 [] => String::new(),
                 names => format!(
-                    ", {:.0} of them promised to {}",
-                    of(&promised),
+                    ", of which {:.0} are promised to {}",
+                    amount(&promised),
                     names.join(", ")
                 ),
             };
-            reasons.push(format!("the team's limit of {most} {kind}{beside}"));
+            reasons.push(format!("the team's limit of {limit} {kind}{earlier_note}"));
         }
     }
 }
 
-/// Whether the type can be had where the entry wants it.
+/// Whether the machine type is offered in the entry's zone, or in any zone if the entry names
+/// none.
 pub(crate) fn is_offered(t: &MachineType, terms: &Terms) -> bool {
     terms
         .zone
@@ -145,17 +158,19 @@
         .map_or(!t.zones.is_empty(), |zone| t.zones.contains(zone))
 }
 
-/// Whether machines of the type are of use for amounts: they take the largest task of its
-/// classes that was seen, and have no GPUs that nobody asked for.
+/// Whether machines of the type suit an entry that asks for amounts of resources: the largest
+/// observed task of the entry's classes fits on the machine, and the machine has no GPUs
+/// unless that task uses GPUs.
 pub(crate) fn suits_resources(name: &str, t: &MachineType, view: &ClusterView<'_>) -> bool {
-    let room = Shape::of_type(t);
+    let machine = Shape::of_type(t);
     match view.largest_tasks.get(name) {
-        Some(task) => task.fits_in(&room) && (t.gpus <= 0.0 || task.gpus > 0.0),
+        Some(task) => task.fits_in(&machine) && (t.gpus <= 0.0 || task.gpus > 0.0),
         None => t.gpus <= 0.0,
     }
 }
 
-/// The type that gives these amounts at the least price, and how many of it.
+/// The machine type that provides the amounts of resources at the lowest price, and the number
+/// of machines.
 fn cheapest_type(
     name: &str,
     terms: &Terms,
@@ -163,10 +178,10 @@
     memory_gb: f64,
     view: &ClusterView<'_>,
 ) -> Option<PromisedMachines> {
-    let of_type = |t: &MachineType| {
-        let need = |want: f64, each: f64| match want > 0.0 {
+    let machines_needed = |t: &MachineType| {
+        let need = |demand: f64, each: f64| match demand > 0.0 {
             true if each <= 0.0 => f64::INFINITY,
-            true => (want / each - 1e-9).ceil(),
+            true => (demand / each - 1e-9).ceil(),
             false => 0.0,
         };
         let count = need(cpus, t.cpus).max(need(memory_gb, t.memory_gb));
@@ -175,7 +190,7 @@
     view.types
         .iter()
         .filter(|t| is_offered(t, terms) && suits_resources(name, t, view))
-        .filter_map(|t| Some((t, of_type(t)?)))
+        .filter_map(|t| Some((t, machines_needed(t)?)))
         .min_by(|(a, na), (b, nb)| {
             let price = |t: &MachineType, n: u32| t.price * f64::from(n);
             price(a, *na)
--- a/crates/umbersail-reserve/src/boot_times.rs
+++ b/crates/umbersail-reserve/src/boot_times.rs
@@ -1,20 +1,23 @@
-//! How long machines take to come up, learned with the tail.
+//! Boot-time statistics of each machine type, used to estimate high quantiles of boot times.
 
 use std::collections::{BTreeMap, VecDeque};
 
-/// Boots in shares of the type's nominal time before any was seen: 0.6 to 1.5 times.
+/// Boot times that are assumed for a machine type with few samples, as multiples of its nominal
+/// boot time: 0.6 to 1.5.
 const PRIOR_FACTORS: [f64; 8] = [0.6, 0.75, 0.9, 1.05, 1.2, 1.35, 1.5, 1.5];
 
-/// Boots seen, by type, newest last, in shares of the type's nominal time.
+/// The most recent boot times of each machine type.
 #[derive(Debug, Default)]
 pub struct BootTimeStats {
+    /// By machine type, oldest first, as multiples of the nominal boot time.
     samples: BTreeMap<String, VecDeque<f64>>,
     max_samples: usize,
     max_types: usize,
 }
 
 impl BootTimeStats {
-    /// Remembers so many of each type, and so many types.
+    /// Statistics that keep at most `max_samples` boot times of each machine type, for at most
+    /// `max_types` machine types.
     pub fn new(max_samples: usize, max_types: usize) -> BootTimeStats {
         BootTimeStats {
             samples: BTreeMap::new(),
@@ -23,8 +26,8 @@
         }
     }
 
-    /// One took `duration_s` from its rental to its first report, or was given up after
-    /// that long, where its type says `boot_s`.
+    /// Adds a sample: a machine sent its first heartbeat, or its boot was given up,
+    /// `duration_s` after its rental. `boot_s` is the nominal boot time of its type.
     pub fn observe(&mut self, machine_type: &str, boot_s: f64, duration_s: f64) {
         if !(boot_s > 0.0 && duration_s >= 0.0 && duration_s.is_finite()) {
             return;
@@ -39,8 +42,8 @@
         }
     }
 
-    /// Seconds within which this share of the machines of a type come up. What was not
-    /// seen yet is taken from 0.6 to 1.5 times the nominal time, until enough was.
+    /// The quantile of the boot times of a machine type, in seconds. With fewer than 32 samples,
+    /// assumed boot times of 0.6 to 1.5 times the nominal boot time are included.
     pub fn quantile_s(&self, machine_type: &str, boot_s: f64, quantile: f64) -> f64 {
         let mut factors: Vec<f64> = Vec::new();
         if let Some(samples) = self.samples.get(machine_type) {
--- a/crates/umbersail-reserve/src/borrow.rs
+++ b/crates/umbersail-reserve/src/borrow.rs
@@ -1,25 +1,29 @@
-//! Who may use a held machine that is not for them.
+//! Decides which work outside a reservation may use reserved machines.
 
 use umbersail_wire::Priority;
 
 use crate::{Settings, Terms};
 
-/// Work that is not what the machine is held for.
+/// A job whose work a machine is not reserved for.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Borrower<'a> {
+    /// Class of the job.
     pub class: &'a str,
+    /// Priority of the job.
     pub tier: Priority,
-    /// Seconds to save when stopped; none if it can't.
+    /// Time in seconds that a task needs to save a checkpoint when it is preempted; absent if
+    /// tasks of the job save no checkpoints.
     pub checkpoint_s: Option<f64>,
-    /// Seconds since it was submitted.
+    /// Seconds since the job was submitted.
     pub waited_s: f64,
-    /// Within its team's guarantee, of another team.
+    /// Whether the job belongs to a team other than the reservation's and is within that team's
+    /// guaranteed capacity.
     pub guaranteed: bool,
 }
 
 impl Borrower<'_> {
-    /// Whether it may be stopped for the work that the machine is held for: it saves in
-    /// time, and its tier is lower.
+    /// Whether the job's tasks may be preempted for the work that the machine is reserved for:
+    /// the job has a lower priority and saves a checkpoint in the allowed time.
     pub fn is_preemptible_for(&self, terms: &Terms) -> bool {
         self.tier < terms.priority
             && self
@@ -28,14 +32,15 @@
     }
 }
 
-/// Whether a held machine that is idle is lent, while none of the work that it is held
-/// for waits (`own_waits`).
+/// Whether a job may borrow an idle reserved machine. `own_waits` states whether work that
+/// the machine is reserved for is waiting.
 ///
-/// A reservation keeps nobody waiting for ever: what is within another team's guarantee
-/// is lent a machine after `guarantee_wait_s`, and what has waited for `borrow_after_s` too
-/// unless the entry says that nobody borrows; such a wait ends with the window. A
-/// machine lent to what neither gives it back nor is named by the entry counts as not
-/// there, and is replaced.
+/// A reservation makes no other job wait without limit. A job within another team's guaranteed
+/// capacity may borrow after `guarantee_wait_s`. Any other job may borrow after
+/// `borrow_after_s` unless the entry forbids borrowing; if the entry forbids borrowing, the job
+/// waits until the window ends at the latest. If a borrower is neither preemptible nor of a
+/// class that the entry lists, the machine counts as unavailable for the reservation and is
+/// replaced.
 pub fn may_borrow(
     terms: &Terms,
     borrower: &Borrower<'_>,
--- a/crates/umbersail-reserve/src/entry.rs
+++ b/crates/umbersail-reserve/src/entry.rs
@@ -1,4 +1,4 @@
-//! Operators' entries: `reserve.<name>.<field>`.
+//! Reads the operators' entries from properties with keys of the form `reserve.<name>.<field>`.
 
 use std::collections::BTreeMap;
 
@@ -10,41 +10,49 @@
 use crate::window::{parse_length, parse_time, parse_zone};
 use crate::{BorrowPolicy, Demand, Schedule, Terms, Window};
 
-/// What the keys of entries begin with.
+/// Prefix of the keys of all entries.
 pub const PREFIX: &str = "reserve.";
 
-/// An entry that can't be used, and which of its keys says so.
+/// Why an entry is invalid.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 #[error("key '{key}': {reason}")]
 pub struct EntryError {
+    /// Key of the property that is invalid or missing.
     pub key: String,
+    /// What is wrong with the property.
     pub reason: String,
 }
 
-/// What an entry is checked against.
+/// The teams and limits that entries are validated against.
 #[derive(Debug, Clone, Copy)]
 pub struct EntryLimits<'a> {
+    /// The known teams with their limits.
     pub teams: &'a [TeamLimits],
-    /// Entries at most.
+    /// Maximum number of entries.
     pub max_entries: usize,
-    /// Machines at most of one entry: its record names them all.
+    /// Maximum number of machines of one entry: the record of the entry contains the names of
+    /// all its machines.
     pub max_machines: u32,
 }
 
-/// One reservation as its operator wants it.
+/// A reservation as configured by an operator.
 #[derive(Debug, Clone)]
 pub struct Entry {
+    /// Name of the entry.
     pub name: String,
+    /// What is reserved, for which work and under which conditions.
     pub terms: Terms,
+    /// The time windows.
     pub schedule: Schedule,
 }
 
-/// All entries by name.
+/// The configured reservations by name.
 #[derive(Debug, Clone, Default)]
 pub struct Reservations {
     entries: BTreeMap<String, Entry>,
 }
 
+/// Fields of an entry, without [`GIVE_BACK_FIELD`].
 const FIELDS: [&str; 14] = [
     "team",
     "classes",
@@ -61,15 +69,17 @@
     "borrow",
     "priority",
 ];
+/// Field with the maximum time in seconds that a borrower may need to save a checkpoint.
 const GIVE_BACK_FIELD: &str = "give_back_s";
+/// Default of [`GIVE_BACK_FIELD`].
 const DEFAULT_CHECKPOINT_S: f64 = 30.0;
 const MAX_NAME_BYTES: usize = 40;
 
 impl Reservations {
-    /// Reads the entries among all properties; other keys are left alone.
+    /// Reads the entries from all properties and ignores keys with another prefix.
     ///
     /// # Errors
-    /// The first key that can't be used, with the reason.
+    /// The first invalid property, with the reason.
     pub fn parse(
         properties: &BTreeMap<String, String>,
         limits: &EntryLimits<'_>,
@@ -88,11 +98,13 @@
                 .ok_or_else(|| fail("must be reserve.NAME.FIELD"))?;
             let plain = |c: char| c.is_ascii_alphanumeric() || c == '-' || c == '_';
             if name.is_empty() || name.len() > MAX_NAME_BYTES || !name.chars().all(plain) {
-                return Err(fail("the name must be of 1 to 40 letters, digits, - and _"));
+                return Err(fail(
+                    "the name must have 1 to 40 characters: letters, digits, - and _",
+                ));
             }
             if !FIELDS.contains(&field) && field != GIVE_BACK_FIELD {
                 return Err(fail(&format!(
-                    "no such field: use {} or {GIVE_BACK_FIELD}",
+                    "no such field; the fields are {} and {GIVE_BACK_FIELD}",
                     FIELDS.join(", ")
                 )));
             }
@@ -105,7 +117,11 @@
         if found.len() > limits.max_entries {
             return Err(EntryError {
                 key: PREFIX.to_owned(),
-                reason: format!("{} entries: at most {}", found.len(), limits.max_entries),
+                reason: format!(
+                    "{} entries exceed the maximum of {}",
+                    found.len(),
+                    limits.max_entries
+                ),
             });
         }
         let entries = found
@@ -116,26 +132,31 @@
         })
     }
 
+    /// Whether no reservation is configured.
     pub fn is_empty(&self) -> bool {
         self.entries.is_empty()
     }
 
+    /// The entry of this name.
     pub fn get(&self, name: &str) -> Option<&Entry> {
         self.entries.get(name)
     }
 
+    /// All entries, sorted by name.
     pub fn iter(&self) -> impl Iterator<Item = &Entry> {
         self.entries.values()
     }
 }
 
 impl Entry {
-    /// The window that holds at this time, or the next one.
+    /// The window that contains this time, or else the next window; `None` if all windows have
+    /// ended.
     pub fn window_at(&self, now_ms: u64) -> Option<Window> {
         self.schedule.window_at(now_ms)
     }
 }
 
+/// The fields of one entry as text.
 struct Fields<'a> {
     name: &'a str,
     values: BTreeMap<&'a str, &'a str>,
@@ -163,16 +184,16 @@
         }
     }
 
-    /// Words between commas, each once.
+    /// Parses names separated by commas, without duplicates; empty if the field is absent.
     fn names(&self, field: &str) -> Result<Vec<String>, EntryError> {
         let mut names: Vec<String> = Vec::new();
         for item in self.get(field).into_iter().flat_map(|text| text.split(',')) {
             let item = item.trim();
             if item.is_empty() || item.contains(char::is_whitespace) {
-                return Err(self.error(field, "must be names between commas"));
+                return Err(self.error(field, "must be names separated by commas"));
             }
             if names.iter().any(|name| name == item) {
-                return Err(self.error(field, format!("'{item}' stands twice")));
+                return Err(self.error(field, format!("'{item}' is listed twice")));
             }
             names.push(item.to_owned());
         }
@@ -182,10 +203,10 @@
     fn entry(self, limits: &EntryLimits<'_>) -> Result<Entry, EntryError> {
         let team = self
             .get("team")
-            .ok_or_else(|| self.error("team", "is missing"))?;
+            .ok_or_else(|| self.error("team", "missing"))?;
         let team_limits = limits.teams.iter().find(|t| t.name == team);
         let team_limits =
-            team_limits.ok_or_else(|| self.error("team", format!("no team '{team}'")))?;
+            team_limits.ok_or_else(|| self.error("team", format!("team '{team}' is unknown")))?;
         let demand = self.demand(team_limits, limits)?;
         let spot = match self.get("spot") {
             None | Some("false") => false,
@@ -197,7 +218,7 @@
         let zone = match self.names("zone")?.as_slice() {
             [] => None,
             [zone] => Some(zone.clone()),
-            _ => return Err(self.error("zone", "must be one zone, or left out for any")),
+            _ => return Err(self.error("zone", "must be one zone, or absent for any zone")),
         };
         let priority = match self.get("priority") {
             None | Some("normal") => Priority::Normal,
@@ -235,11 +256,11 @@
         if self.get("machines").is_none() {
             let (cpus, memory_gb) = (cpus.unwrap_or(0.0), memory_gb.unwrap_or(0.0));
             if cpus + memory_gb <= 0.0 {
-                return Err(self.error("cpus", "is missing: set cpus, memory_gb or machines"));
+                return Err(self.error("cpus", "missing: set cpus, memory_gb or machines"));
             }
             if team.max_cpus > 0.0 && cpus > team.max_cpus {
                 let reason = format!(
-                    "{cpus} is beyond the limit of team '{}', {}",
+                    "{cpus} exceeds the limit of team '{}', {}",
                     team.name, team.max_cpus
                 );
                 return Err(self.error("cpus", reason));
@@ -248,7 +269,7 @@
         }
         for (field, value) in [("cpus", cpus), ("memory_gb", memory_gb)] {
             if value.is_some() {
-                return Err(self.error(field, "contradicts machines: set one of the two"));
+                return Err(self.error(field, "cannot be combined with machines"));
             }
         }
         let mut machines = BTreeMap::new();
@@ -261,18 +282,21 @@
                 !name.is_empty() && (1..=limits.max_machines).contains(count)
             }) else {
                 let reason = format!(
-                    "'{item}' must be TYPE:NUMBER, of 1 to {} machines",
+                    "'{item}' must be TYPE:NUMBER with a number from 1 to {}",
                     limits.max_machines
                 );
                 return Err(self.error("machines", reason));
             };
             sum += count;
             if machines.insert(name.to_owned(), count).is_some() {
-                return Err(self.error("machines", format!("type '{name}' stands twice")));
+                return Err(self.error("machines", format!("type '{name}' is listed twice")));
             }
         }
         if machines.is_empty() || sum > limits.max_machines {
-            let reason = format!("{sum} machines: 1 to {}", limits.max_machines);
+            let reason = format!(
+                "{sum} machines: the total must be from 1 to {}",
+                limits.max_machines
+            );
             return Err(self.error("machines", reason));
         }
         Ok(Demand::Machines(machines))
@@ -288,7 +312,7 @@
         }
         if names.iter().any(|name| name == "nobody") {
             if names.len() > 1 {
-                return Err(self.error("borrow", "'nobody' contradicts the others"));
+                return Err(self.error("borrow", "'nobody' cannot be combined with other values"));
             }
             return Ok(BorrowPolicy::default());
         }
@@ -313,17 +337,17 @@
         let (from, to) = (time("from")?, time("to")?);
         let Some(pattern) = self.get("recurrence") else {
             if self.get("length").is_some() {
-                return Err(self.error("length", "goes with recurrence only: set to"));
+                return Err(self.error("length", "valid with recurrence only; set to instead"));
             }
-            let from = from.ok_or_else(|| self.error("from", "is missing"))?;
-            let to = to.ok_or_else(|| self.error("to", "is missing"))?;
+            let from = from.ok_or_else(|| self.error("from", "missing"))?;
+            let to = to.ok_or_else(|| self.error("to", "missing"))?;
             return Schedule::once(from, to).map_err(|e| self.error("to", e));
         };
-        let zone = zone
-            .ok_or_else(|| self.error("time_zone", "is missing: a recurrence is by local time"))?;
+        let zone =
+            zone.ok_or_else(|| self.error("time_zone", "missing: a recurrence is in local time"))?;
         let length = self
             .get("length")
-            .ok_or_else(|| self.error("length", "is missing: how long each window is"))?;
+            .ok_or_else(|| self.error("length", "missing: the duration of each window"))?;
         let length_ms = parse_length(length).map_err(|e| self.error("length", e))?;
         Schedule::recurring(pattern, &zone, length_ms, from, to).map_err(|e| {
             let field = match e {
--- a/crates/umbersail-reserve/src/lib.rs
+++ b/crates/umbersail-reserve/src/lib.rs
@@ -1,11 +1,14 @@
-//! Reservations: capacity held for a team's work over a window of time. Decisions only,
-//! without I/O and without a clock.
+//! Reservations: machines that are kept for one team's work during a time window. This crate
+//! only makes decisions; it performs no I/O and reads no clock.
 //!
-//! An operator's entries ([`Reservations::parse`]) are admitted, and what was admitted,
-//! which rental requests were named for it and which machines are held stands in one
-//! record by entry ([`ReservationRecord`]). [`plan`] brings the records up to what is: the
-//! caller records them, and asks the cloud only for requests that are recorded, so
-//! that a successor asks by the same names and rents nothing twice.
+//! [`Reservations::parse`] reads the operators' entries. For each entry one
+//! [`ReservationRecord`] states what was promised, the rental requests with their names, and
+//! the reserved machines. [`plan`] updates the records to the current state of the cluster.
+//! The caller stores the records and sends only those rental requests that are recorded.
+//! After a change of leader, the next leader therefore sends the same requests under the same
+//! names, and no machine is rented twice.
+#![forbid(unsafe_code)]
+#![deny(missing_docs)]
 #![warn(
     clippy::too_many_lines,
     clippy::cognitive_complexity,
--- a/crates/umbersail-reserve/src/plan.rs
+++ b/crates/umbersail-reserve/src/plan.rs
@@ -1,5 +1,6 @@
-//! Brings the records of reservations up to what is: admits, names requests, counts what
-//! is there, works around refusals and gives back.
+//! Updates the records of reservations to the current state of the cluster: admits entries,
+//! names rental requests, counts the machines that are available, uses substitutes where the
+//! cloud refuses requests, and releases machines that are not needed.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt;
@@ -13,134 +14,193 @@
     Terms, Window,
 };
 
-/// Constants in force.
+/// Settings of reservations.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Settings {
-    /// Entries changed or taken out of the file are heeded this many seconds after an
-    /// election: in a roll two files are about.
+    /// A leader applies changed and removed entries this many seconds after its election: in a
+    /// rolling restart, controllers with the old and the new properties run at the same time.
     pub settings_delay_s: f64,
-    /// Added to the lead for requests, records and refusals, in seconds.
+    /// Part of the lead time for requests, records and refusals, in seconds.
     pub lead_margin_s: f64,
-    /// Longest lead, in seconds.
+    /// Maximum lead time, in seconds.
     pub max_lead_s: f64,
-    /// Share of boots that the lead reckons with.
+    /// Quantile of the boot times that the lead time allows for.
     pub boot_quantile: f64,
-    /// A machine is given up after this many times its nominal boot time and so many
-    /// seconds more.
+    /// The boot of a machine is given up after its nominal boot time multiplied by this factor,
+    /// plus `boot_timeout_margin_s`.
     pub boot_timeout_factor: f64,
+    /// See `boot_timeout_factor`, in seconds.
     pub boot_timeout_margin_s: f64,
-    /// Machines of one request at most, and requests of one entry under way at most.
+    /// Maximum number of machines of one rental request.
     pub max_machines_per_request: u32,
+    /// Maximum number of rental requests of one entry without an answer.
     pub max_pending_requests: usize,
+    /// Maximum number of machines of one entry.
     pub max_machines: u32,
-    /// See [`crate::may_borrow`], in seconds.
+    /// Waiting time in seconds after which a job may borrow machines of an entry that allows
+    /// borrowing, see [`crate::may_borrow`].
     pub borrow_after_s: f64,
+    /// Waiting time in seconds after which a job within another team's guaranteed capacity may
+    /// borrow any machine, see [`crate::may_borrow`].
     pub guarantee_wait_s: f64,
 }
 
-/// How a machine stands, as far as a reservation is concerned.
+/// Whether a machine is available to its reservation.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Availability {
-    /// On its way.
+    /// The machine is booting.
     Booting,
+    /// The machine is running and can be used.
     Available,
-    /// Silent, deaf, faulty, or to be taken: counts as not there.
+    /// The machine sends no heartbeats, is unreachable or faulty, or will be reclaimed by the
+    /// cloud. The reservation does not count it.
     Unavailable,
-    /// Has work of others that does not give it back: counts as not there.
+    /// The machine runs other work that cannot be preempted for the reservation. The
+    /// reservation does not count it.
     Borrowed,
 }
 
-/// A machine that is held, or that could be.
+/// A machine that is reserved or can be reserved.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct ReservableMachine<'a> {
+    /// Index of the machine type in [`ClusterView::types`].
     pub type_index: usize,
+    /// Zone of the machine.
     pub zone: &'a str,
+    /// Whether the machine is a spot instance.
     pub spot: bool,
+    /// Whether the machine is available to its reservation.
     pub availability: Availability,
-    /// It has no task.
+    /// Whether the machine runs no task.
     pub idle: bool,
 }
 
-/// What there is.
+/// The state of the cluster that a round of [`plan`] works with.
 pub struct ClusterView<'a> {
-    /// Unix time.
+    /// Current Unix time in milliseconds.
     pub now_ms: u64,
-    /// Seconds since our election.
+    /// Seconds since this leader was elected.
     pub leader_for_s: f64,
+    /// The catalogue of machine types.
     pub types: &'a [MachineType],
+    /// The teams with their limits.
     pub teams: &'a [TeamLimits],
-    /// Machines that records name, those that are gone left out.
+    /// The machines that records name, without machines that no longer exist.
     pub machines: &'a BTreeMap<&'a str, ReservableMachine<'a>>,
-    /// Machines that nobody holds and that have been idle for a while.
+    /// Machines that are not reserved and have been idle for the configured time.
     pub idle_machines: &'a BTreeMap<&'a str, ReservableMachine<'a>>,
-    /// Whether the cloud has just refused a type, zone and kind.
+    /// Whether the cloud has recently refused this machine type (by index) in this zone, as a
+    /// spot instance (`true`) or as an on-demand instance (`false`).
     pub is_refused: &'a dyn Fn(usize, &str, bool) -> bool,
-    /// The largest task seen of an entry's classes.
+    /// For each entry, the largest observed task of its classes.
     pub largest_tasks: &'a BTreeMap<String, Shape>,
+    /// Observed boot times.
     pub boot_times: &'a BootTimeStats,
+    /// Settings of reservations.
     pub settings: &'a Settings,
 }
 
-/// What operators are told.
+/// An event of a reservation, for the log.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Notice {
+    /// Name of the entry.
     pub entry: String,
+    /// What happened.
     pub kind: NoticeKind,
 }
 
+/// What happened to a reservation.
 #[derive(Debug, Clone, PartialEq)]
 pub enum NoticeKind {
+    /// A new entry, or one whose demand was not promised in full, was evaluated.
     Admitted(Admission),
+    /// A changed entry was evaluated.
     Changed(Admission),
-    Withdrawn { machines: usize },
-    Opened { available: u32, promised: u32 },
+    /// The entry was removed or has no further window.
+    Withdrawn {
+        /// Number of machines that are released.
+        machines: usize,
+    },
+    /// The window started.
+    Opened {
+        /// Number of machines that can be used.
+        available: u32,
+        /// Number of promised machines.
+        promised: u32,
+    },
+    /// Fewer machines are reserved or requested than were promised; states why.
     Shortfall(String),
+    /// All promised machines are reserved or requested again.
     Fulfilled,
-    Reassigned { machine: String, from: String },
-    Expired { machines: usize },
+    /// A machine of a reservation that was admitted later was moved to this reservation.
+    Reassigned {
+        /// Name of the machine.
+        machine: String,
+        /// Name of the entry that had reserved the machine.
+        from: String,
+    },
+    /// The window ended.
+    Expired {
+        /// Number of machines that are released.
+        machines: usize,
+    },
 }
 
 impl fmt::Display for NoticeKind {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let admission = |v: &Admission| match v {
-            Admission::Full => "promised".to_owned(),
+        let text = |admission: &Admission| match admission {
+            Admission::Full => "promised in full".to_owned(),
             Admission::Partial(reason) => format!("promised in part: {reason}"),
-            Admission::Rejected(reason) => format!("refused: {reason}"),
+            Admission::Rejected(reason) => format!("rejected: {reason}"),
         };
         match self {
-            NoticeKind::Admitted(v) => f.write_str(&admission(v)),
-            NoticeKind::Changed(v) => write!(f, "changed, {}", admission(v)),
+            NoticeKind::Admitted(admission) => f.write_str(&text(admission)),
+            NoticeKind::Changed(admission) => write!(f, "changed, now {}", text(admission)),
             NoticeKind::Withdrawn { machines } => {
-                write!(f, "withdrawn, gives up {machines} machines")
+                write!(f, "withdrawn, releasing {machines} machines")
             }
             NoticeKind::Opened {
                 available,
                 promised,
             } => {
-                write!(f, "opens with {available} of {promised} machines")
+                write!(
+                    f,
+                    "the window starts with {available} of {promised} machines available"
+                )
+            }
+            NoticeKind::Shortfall(reason) => {
+                write!(f, "fewer machines than promised: {reason}")
             }
-            NoticeKind::Shortfall(reason) => write!(f, "less than promised: {reason}"),
-            NoticeKind::Fulfilled => f.write_str("all that was promised is there or on its way"),
+            NoticeKind::Fulfilled => f.write_str("all promised machines are reserved or requested"),
             NoticeKind::Reassigned { machine, from } => {
-                write!(f, "takes {machine} from '{from}', admitted later")
+                write!(
+                    f,
+                    "machine {machine} was reassigned from '{from}', which was admitted later"
+                )
+            }
+            NoticeKind::Expired { machines } => {
+                write!(f, "the window has ended, releasing {machines} machines")
             }
-            NoticeKind::Expired { machines } => write!(f, "over, gives up {machines} machines"),
         }
     }
 }
 
-/// Type, zone, and whether spot.
+/// Something that can be rented: the index of the machine type, the zone, and whether the
+/// machine is a spot instance.
 type Offer<'v> = (usize, &'v str, bool);
-/// Of another type than asked for, price for what it stands for, and how many there are.
+/// Sort key of an offer, lowest first: whether the type is another than the requested one, the
+/// price per covered machine, and the number of machines already reserved or requested from
+/// this offer. The number spreads machines over zones of the same price.
 type OfferCost = (bool, f64, u32);
 
-/// Doublings of the lead at most.
+/// Maximum number of doublings of the lead time.
 const MAX_LEAD_DOUBLINGS: u32 = 3;
-/// A deficit below this is rounding.
+/// A missing amount of at most this many machines is a rounding error.
 const ROUNDING_TOLERANCE: f64 = 1e-6;
 
-/// Seconds before a window at which renting begins: a boot with its tail, the time after
-/// which one that does not come up is given up, and a boot of what stands in for it.
+/// Lead time in seconds: how long before a window renting begins. The lead time allows for a
+/// boot at the configured quantile, the timeout of a failed boot, the boot of the substitute,
+/// and a margin.
 pub fn lead_s(record: &ReservationRecord, view: &ClusterView<'_>) -> f64 {
     let settings = view.settings;
     let lead = record.items.iter().filter_map(|item| {
@@ -156,9 +216,9 @@
     (lead * f64::from(1 << record.lead_doublings.min(MAX_LEAD_DOUBLINGS))).min(settings.max_lead_s)
 }
 
-/// One round. `new_request` gives a name that no request ever had.
+/// Runs one round. `new_request` must return a name that was never used for a request.
 ///
-/// Afterwards the machines that the records name are the ones held, and requests
+/// After the round, exactly the machines named in the records are reserved. Requests
 /// without an answer ([`ReservationRecord::pending_requests`]) are to be sent once their record
 /// stands, and again until they are answered.
 pub fn plan(
@@ -176,8 +236,8 @@
             .admission_order(a)
             .cmp(&records[b].admission_order(b))
     });
-    let mut free: BTreeSet<&str> = view.idle_machines.keys().copied().collect();
-    for (at, name) in order.iter().enumerate() {
+    let mut idle_machines: BTreeSet<&str> = view.idle_machines.keys().copied().collect();
+    for (position, name) in order.iter().enumerate() {
         let Some(mut record) = records.remove(name) else {
             continue;
         };
@@ -188,32 +248,38 @@
                 view,
                 notices: &mut notices,
             };
-            update.run(records, &order[at + 1..], &mut free, new_request);
+            update.run(
+                records,
+                &order[position + 1..],
+                &mut idle_machines,
+                new_request,
+            );
         }
         records.insert(name.clone(), record);
     }
     notices
 }
 
-/// Renting has begun, or shall.
+/// Whether renting for the window has begun or is due.
 fn is_renting_due(record: &ReservationRecord, view: &ClusterView<'_>) -> bool {
     let lead_ms = (lead_s(record, view) * 1000.0) as u64;
     !record.items.is_empty()
         && (!record.batches.is_empty() || view.now_ms + lead_ms >= record.window.from_ms)
 }
 
-/// Records of windows that are over, of entries that changed or are gone, and of those
-/// that have none.
+/// Removes the records of windows that have ended and of removed entries, applies changed
+/// entries, and adds records for entries without one.
 fn refresh_records(
     reservations: &Reservations,
     records: &mut BTreeMap<String, ReservationRecord>,
     view: &ClusterView<'_>,
     notices: &mut Vec<Notice>,
 ) {
+    // In a rolling restart, the next leader may still have the old properties.
     let applies_changes = view.leader_for_s >= view.settings.settings_delay_s;
     let mut doublings: BTreeMap<String, u32> = BTreeMap::new();
     records.retain(|name, record| {
-        let mut note = |kind| {
+        let mut add_notice = |kind| {
             notices.push(Notice {
                 entry: name.clone(),
                 kind,
@@ -221,7 +287,7 @@
         };
         let machines = record.machines().count();
         if record.window.is_over(view.now_ms) {
-            note(NoticeKind::Expired { machines });
+            add_notice(NoticeKind::Expired { machines });
             doublings.insert(name.clone(), record.lead_doublings);
             return false;
         }
@@ -233,7 +299,7 @@
             .and_then(|entry| Some((entry, entry.window_at(view.now_ms)?)));
         match current {
             None => {
-                note(NoticeKind::Withdrawn { machines });
+                add_notice(NoticeKind::Withdrawn { machines });
                 false
             }
             Some((entry, window)) => {
@@ -268,8 +334,8 @@
     }
 }
 
-/// The entry says otherwise now. One that only became shorter keeps its place among
-/// others; what is held stays where the new window wants it.
+/// Applies a changed entry to its record. An entry whose window was only shortened keeps its
+/// time of admission. The machines stay reserved unless the new window is too far away.
 fn apply_entry(
     record: &mut ReservationRecord,
     entry: &Entry,
@@ -293,12 +359,13 @@
     }
 }
 
-/// Verdicts that stand only until the same round has judged.
-const NOT_EVALUATED: &str = "not yet looked at";
-const CHANGED_NOT_EVALUATED: &str = "changed, not yet looked at";
+/// Marks a new record until `admit_pending` evaluates the record in the same round.
+const NOT_EVALUATED: &str = "not yet evaluated";
+/// Marks a changed record until `admit_pending` evaluates the record in the same round.
+const CHANGED_NOT_EVALUATED: &str = "changed, not yet evaluated";
 
-/// Verdicts on what is new or changed, and on what was promised in part or not at all:
-/// it may have more by now. What was promised stays promised.
+/// Evaluates new and changed entries, and those whose demand was not promised in full, because
+/// more may be possible now. What was promised stays promised.
 fn admit_pending(
     records: &mut BTreeMap<String, ReservationRecord>,
     view: &ClusterView<'_>,
@@ -310,12 +377,12 @@
             .admission_order(a)
             .cmp(&records[b].admission_order(b))
     });
-    for (at, name) in order.iter().enumerate() {
+    for (position, name) in order.iter().enumerate() {
         let record = &records[name];
         if record.admission == Admission::Full {
             continue;
         }
-        let before: Vec<EarlierPromise<'_>> = order[..at]
+        let earlier: Vec<EarlierPromise<'_>> = order[..position]
             .iter()
             .map(|name| (name, &records[name]))
             .filter(|(_, other)| {
@@ -326,9 +393,12 @@
                 items: &other.items,
             })
             .collect();
-        let (admission, items) = admit(name, &record.terms, &before, view);
+        let (admission, items) = admit(name, &record.terms, &earlier, view);
         let count = |items: &[PromisedMachines]| items.iter().map(|i| i.count).sum::<u32>();
-        let not_evaluated = matches!(&record.admission, Admission::Rejected(r) if r == NOT_EVALUATED || r == CHANGED_NOT_EVALUATED);
+        let not_evaluated = matches!(
+            &record.admission,
+            Admission::Rejected(r) if r == NOT_EVALUATED || r == CHANGED_NOT_EVALUATED
+        );
         let changed =
             matches!(&record.admission, Admission::Rejected(r) if r == CHANGED_NOT_EVALUATED);
         if admission == record.admission || (!not_evaluated && count(&items) < count(&record.items))
@@ -349,25 +419,25 @@
     }
 }
 
-/// How many of an item's machines one of this type stands for.
+/// How many of an item's machines one machine of type `t` covers.
 fn coverage(name: &str, item: &PromisedMachines, t: &MachineType, view: &ClusterView<'_>) -> f64 {
     if t.name == item.machine_type {
         return 1.0;
     }
-    let Some(asked) = view.types.iter().find(|t| t.name == item.machine_type) else {
+    let Some(requested) = view.types.iter().find(|t| t.name == item.machine_type) else {
         return 0.0;
     };
     if item.exact {
-        let fits = Shape::of_type(asked).fits_in(&Shape::of_type(t));
+        let fits = Shape::of_type(requested).fits_in(&Shape::of_type(t));
         return if fits { 1.0 } else { 0.0 };
     }
-    if !suits_resources(name, t, view) || asked.cpus <= 0.0 || asked.memory_gb <= 0.0 {
+    if !suits_resources(name, t, view) || requested.cpus <= 0.0 || requested.memory_gb <= 0.0 {
         return 0.0;
     }
-    (t.cpus / asked.cpus).min(t.memory_gb / asked.memory_gb)
+    (t.cpus / requested.cpus).min(t.memory_gb / requested.memory_gb)
 }
 
-/// One record that is due, under work.
+/// The update of one record for which renting has begun or is due.
 struct RecordUpdate<'a, 'v> {
     name: &'a str,
     record: &'a mut ReservationRecord,
@@ -383,11 +453,14 @@
         });
     }
 
+    /// Releases machines that no longer exist or are not needed, then reserves and requests the
+    /// missing ones. `others` are the other records, `later` the names of the entries that were
+    /// admitted later, and `idle_machines` the machines that are not reserved yet.
     fn run(
         &mut self,
         others: &mut BTreeMap<String, ReservationRecord>,
         later: &[String],
-        free: &mut BTreeSet<&str>,
+        idle_machines: &mut BTreeSet<&str>,
         new_request: &mut dyn FnMut() -> String,
     ) {
         let view = self.view;
@@ -398,7 +471,7 @@
         if !self.record.opened && self.record.window.has_begun(view.now_ms) {
             self.mark_opened();
         }
-        self.reserve_idle_machines(&mut missing, free);
+        self.reserve_idle_machines(&mut missing, idle_machines);
         let mut reason = self.request_missing(&mut missing, new_request);
         if reason.is_some() {
             self.reassign_machines(&mut missing, others, later);
@@ -410,29 +483,31 @@
         }
     }
 
-    /// What of each item is neither there nor on its way, in machines of its type; and
-    /// idle machines beyond what was promised.
+    /// For each item, the number of machines that are neither available, booting nor requested,
+    /// in machines of the item's type; and the names of machines that are not needed and can be
+    /// released.
     fn missing(&self) -> (Vec<f64>, BTreeSet<String>) {
         let view = self.view;
         let items = &self.record.items;
         let mut missing: Vec<f64> = items.iter().map(|i| f64::from(i.count)).collect();
-        let mut cover = |t: &MachineType, count: f64| {
-            let mut left = count;
-            // Its own item first, then whatever it can stand for.
-            for own in [true, false] {
+        let mut cover_items = |t: &MachineType, count: f64| {
+            let mut remaining = count;
+            // The item of the machine's own type first, then the items that it can substitute.
+            for same_type in [true, false] {
                 for (item, missing) in items.iter().zip(&mut missing) {
                     let coverage = coverage(self.name, item, t, view);
-                    if (item.machine_type == t.name) != own || coverage <= 0.0 {
+                    if (item.machine_type == t.name) != same_type || coverage <= 0.0 {
                         continue;
                     }
-                    let used = left.min((*missing / coverage - ROUNDING_TOLERANCE).ceil().max(0.0));
+                    let used =
+                        remaining.min((*missing / coverage - ROUNDING_TOLERANCE).ceil().max(0.0));
                     *missing -= used * coverage;
-                    left -= used;
+                    remaining -= used;
                 }
             }
-            left
+            remaining
         };
-        let mut there: Vec<(&str, &ReservableMachine<'_>)> = self
+        let mut machines: Vec<(&str, &ReservableMachine<'_>)> = self
             .record
             .machines()
             .filter_map(|name| view.machines.get_key_value(name))
@@ -444,14 +519,14 @@
                 )
             })
             .collect();
-        // What is in use stays; of the rest what is up.
-        there.sort_by_key(|(name, m)| (m.idle, m.availability == Availability::Booting, *name));
+        // Machines in use are counted first, then idle ones, then those that are booting.
+        machines.sort_by_key(|(name, m)| (m.idle, m.availability == Availability::Booting, *name));
         let mut spare = BTreeSet::new();
-        for (name, machine) in there {
+        for (name, machine) in machines {
             let Some(t) = view.types.get(machine.type_index) else {
                 continue;
             };
-            if cover(t, 1.0) > 0.0
+            if cover_items(t, 1.0) > 0.0
                 && (machine.idle || machine.availability == Availability::Booting)
             {
                 spare.insert(name.to_owned());
@@ -459,22 +534,23 @@
         }
         for batch in self.record.pending_requests() {
             if let Some(t) = view.types.iter().find(|t| t.name == batch.machine_type) {
-                cover(t, f64::from(batch.count));
+                cover_items(t, f64::from(batch.count));
             }
         }
         (missing, spare)
     }
 
+    /// Notes the start of the window, and adapts the lead time of the entry's next window.
     fn mark_opened(&mut self) {
         let view = self.view;
         self.record.opened = true;
-        let up = |m: &str| {
-            let found = view.machines.get(m);
-            found.is_some_and(|m| m.availability == Availability::Available)
+        let is_available = |m: &str| {
+            let machine = view.machines.get(m);
+            machine.is_some_and(|m| m.availability == Availability::Available)
         };
-        let available = self.record.machines().filter(|m| up(m)).count() as u32;
+        let available = self.record.machines().filter(|m| is_available(m)).count() as u32;
         let promised = self.record.items.iter().map(|i| i.count).sum();
-        // The next window of this entry gains by it.
+        // The record of the entry's next window takes the new value over.
         let doublings = self.record.lead_doublings;
         self.record.lead_doublings = match self.record.shortfall {
             Some(_) => (doublings + 1).min(MAX_LEAD_DOUBLINGS),
@@ -486,11 +562,12 @@
         });
     }
 
-    /// Whether the entry's terms allow such a machine.
+    /// Whether the terms of the entry allow machines of this zone and kind.
     fn allows(terms: &Terms, zone: &str, spot: bool) -> bool {
         terms.zone.as_ref().is_none_or(|z| z == zone) && (terms.spot || !spot)
     }
 
+    /// Adds a machine that is already rented to the record.
     fn reserve_machine(&mut self, name: &str, machine: &ReservableMachine<'_>) {
         let machine_type = self.view.types[machine.type_index].name.clone();
         let batch = self.record.batches.iter_mut().find(|b| {
@@ -515,7 +592,8 @@
         }
     }
 
-    /// The missing item that such a machine is to stand for, and how much of it.
+    /// The first missing item that the machine can cover, and how many of the item's machines it
+    /// covers.
     fn missing_item_for(
         &self,
         missing: &[f64],
@@ -532,11 +610,11 @@
             .find(|(_, coverage)| *coverage > 0.0)
     }
 
-    /// Holds idle machines of which nobody has need.
-    fn reserve_idle_machines(&mut self, missing: &mut [f64], free: &mut BTreeSet<&str>) {
+    /// Reserves idle machines that are not reserved.
+    fn reserve_idle_machines(&mut self, missing: &mut [f64], idle_machines: &mut BTreeSet<&str>) {
         let view = self.view;
-        let mut taken = Vec::new();
-        for name in free.iter() {
+        let mut reserved = Vec::new();
+        for name in idle_machines.iter() {
             if is_covered(missing) {
                 break;
             }
@@ -544,16 +622,16 @@
             if let Some((index, coverage)) = self.missing_item_for(missing, machine) {
                 missing[index] -= coverage;
                 self.reserve_machine(name, machine);
-                taken.push(*name);
+                reserved.push(*name);
             }
         }
-        for name in taken {
-            free.remove(name);
+        for name in reserved {
+            idle_machines.remove(name);
         }
     }
 
-    /// Names requests for what is missing: the asked type first, then others that stand
-    /// for it, spread over zones. Why something is left that nothing can be asked for.
+    /// Adds rental requests for the missing machines: the requested type first, then types that
+    /// can substitute it, spread over zones. Returns a reason if no offer is left for a part.
     fn request_missing(
         &mut self,
         missing: &mut [f64],
@@ -564,14 +642,14 @@
         let mut reason = None;
         for (index, item) in self.record.items.iter().enumerate() {
             while missing[index] > ROUNDING_TOLERANCE {
-                let Some((kind, coverage)) = self.cheapest_offer(item, &counts) else {
+                let Some((offer, coverage)) = self.cheapest_offer(item, &counts) else {
                     reason = Some(format!(
-                        "the cloud refuses {} and what could stand for it",
+                        "the cloud refuses machine type {} and its substitutes",
                         item.machine_type
                     ));
                     break;
                 };
-                *counts.entry(kind).or_default() += 1;
+                *counts.entry(offer).or_default() += 1;
                 missing[index] -= coverage;
             }
         }
@@ -594,7 +672,8 @@
         reason
     }
 
-    /// The type, zone and kind to ask for, and what one of it is coverage.
+    /// The cheapest offer for an item, and how many of the item's machines one machine of the
+    /// offer covers.
     fn cheapest_offer(
         &self,
         item: &PromisedMachines,
@@ -619,33 +698,34 @@
                     {
                         continue;
                     }
-                    let held =
+                    let batches =
                         self.record.batches.iter().filter(|b| {
                             b.machine_type == t.name && b.zone == *zone && b.spot == spot
                         });
-                    let held =
-                        held.map(|b| b.machines.as_ref().map_or(b.count, |m| m.len() as u32));
-                    let kind = (type_index, zone.as_str(), spot);
-                    let already = held.sum::<u32>() + counts.get(&kind).copied().unwrap_or(0);
-                    let other = item.exact && t.name != item.machine_type;
-                    let cost = (other, price / coverage, already);
-                    let less = |than: &OfferCost| {
+                    let counts_held =
+                        batches.map(|b| b.machines.as_ref().map_or(b.count, |m| m.len() as u32));
+                    let offer = (type_index, zone.as_str(), spot);
+                    let count = counts_held.sum::<u32>() + counts.get(&offer).copied().unwrap_or(0);
+                    let is_substitute = item.exact && t.name != item.machine_type;
+                    let cost = (is_substitute, price / coverage, count);
+                    let is_less = |other: &OfferCost| {
                         cost.0
-                            .cmp(&than.0)
-                            .then(cost.1.total_cmp(&than.1))
-                            .then(cost.2.cmp(&than.2))
+                            .cmp(&other.0)
+                            .then(cost.1.total_cmp(&other.1))
+                            .then(cost.2.cmp(&other.2))
                             .is_lt()
                     };
-                    if best.as_ref().is_none_or(|(than, _, _)| less(than)) {
-                        best = Some((cost, kind, coverage));
+                    if best.as_ref().is_none_or(|(cost, _, _)| is_less(cost)) {
+                        best = Some((cost, offer, coverage));
                     }
                 }
             }
         }
-        best.map(|(_, kind, coverage)| (kind, coverage))
+        best.map(|(_, offer, coverage)| (offer, coverage))
     }
 
-    /// Takes idle machines that are held for who was admitted later.
+    /// Moves idle machines from reservations that were admitted later to this one, starting with
+    /// the latest.
     fn reassign_machines(
         &mut self,
         missing: &mut [f64],
@@ -679,6 +759,7 @@
     }
 }
 
+/// Whether nothing is missing.
 fn is_covered(missing: &[f64]) -> bool {
     missing.iter().all(|m| *m <= ROUNDING_TOLERANCE)
 }
--- a/crates/umbersail-reserve/src/tests.rs
+++ b/crates/umbersail-reserve/src/tests.rs
@@ -246,14 +246,22 @@
     assert!(parse(good).is_ok());
     let weekly = "reserve.x.recurrence = 0 9 * * SAT\nreserve.x.length = 10h\n";
     for (change, key, reason) in [
-        ("reserve.x.cpus = 65", "cpus", "beyond the limit"),
-        ("reserve.x.team = nobody", "team", "no team"),
-        ("reserve.x.machines = m8:2", "cpus", "contradicts"),
-        ("reserve.x.to = 2027-02-05T18:00", "to", "before"),
+        ("reserve.x.cpus = 65", "cpus", "exceeds the limit"),
+        ("reserve.x.team = nobody", "team", "is unknown"),
+        ("reserve.x.machines = m8:2", "cpus", "cannot be combined"),
+        (
+            "reserve.x.to = 2027-02-05T18:00",
+            "to",
+            "not after the start",
+        ),
         ("reserve.x.to = soon", "to", "neither"),
         ("reserve.x.time_zone = Mars/Base", "time_zone", "unknown"),
         ("reserve.x.length = 2h", "length", "recurrence only"),
-        ("reserve.x.borrow = nobody, crops", "borrow", "contradicts"),
+        (
+            "reserve.x.borrow = nobody, crops",
+            "borrow",
+            "cannot be combined",
+        ),
         ("reserve.x.spot = maybe", "spot", "true or false"),
         ("reserve.x.cpu = 3", "cpu", "no such field"),
         ("reserve.x.cpus = NaN", "cpus", "must be a number"),
@@ -261,7 +269,7 @@
         (
             "reserve.x.recurrence = at noon\nreserve.x.length = 2h",
             "recurrence",
-            "no pattern",
+            "not a cron pattern",
         ),
         (
             "reserve.x.recurrence = 0 9 * * *\nreserve.x.length = 25h",
--- a/crates/umbersail-reserve/src/window.rs
+++ b/crates/umbersail-reserve/src/window.rs
@@ -1,4 +1,5 @@
-//! When a reservation holds: once, or again and again by a pattern in a time zone.
+//! Time windows of reservations: a single window, or windows that recur by a cron pattern in a
+//! time zone.
 
 use croner::Cron;
 use jiff::civil::DateTime;
@@ -7,54 +8,79 @@
 use serde::{Deserialize, Serialize};
 use thiserror::Error;
 
-/// From and to, unix time in milliseconds; the end is not part of it.
+/// A time window; its end is exclusive.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Window {
+    /// Start, as Unix time in milliseconds.
     pub from_ms: u64,
+    /// End, as Unix time in milliseconds.
     pub to_ms: u64,
 }
 
 impl Window {
+    /// Whether the two windows have a moment in common.
     pub fn overlaps(&self, other: &Window) -> bool {
         self.from_ms < other.to_ms && other.from_ms < self.to_ms
     }
 
+    /// Whether the window has ended.
     pub fn is_over(&self, now_ms: u64) -> bool {
         now_ms >= self.to_ms
     }
 
+    /// Whether the window has started.
     pub fn has_begun(&self, now_ms: u64) -> bool {
         now_ms >= self.from_ms
     }
 }
 
-/// Why a time can't be used.
+/// Why the time fields of an entry are invalid.
 #[derive(Debug, Clone, PartialEq, Error)]
 pub enum ScheduleError {
+    /// The text is not a time.
     #[error(
-        "'{0}' is neither a time with its offset (2027-02-05T18:00:00+01:00) nor a local one (2027-02-05T18:00)"
+        "'{0}' is neither a time with a UTC offset (2027-02-05T18:00:00+01:00) nor a local time (2027-02-05T18:00)"
     )]
     InvalidTime(String),
-    #[error("'{0}' is a local time: set time_zone beside it")]
+    /// The text is a local time and the entry has no time zone.
+    #[error("'{0}' is a local time: time_zone must be set")]
     MissingTimeZone(String),
+    /// The text is not the name of a time zone.
     #[error("time zone '{0}' is unknown")]
     UnknownTimeZone(String),
-    #[error("'{value}' is no pattern of minute, hour, day, month, weekday: {reason}")]
-    InvalidRecurrence { value: String, reason: String },
-    #[error("'{0}' is no length of time (10h, 90m, 1h 30m)")]
+    /// The text is not a cron pattern.
+    #[error(
+        "'{value}' is not a cron pattern of minute, hour, day of month, month and weekday: {reason}"
+    )]
+    InvalidRecurrence {
+        /// The text.
+        value: String,
+        /// What is wrong with the text.
+        reason: String,
+    },
+    /// The text is not a duration of at least one second.
+    #[error("'{0}' is not a duration of at least one second (10h, 90m, 1h 30m)")]
     InvalidLength(String),
-    #[error("lies before its beginning")]
+    /// The end is at or before the start.
+    #[error("the end is not after the start")]
     EndBeforeStart,
-    #[error("windows of {length_h:.1} h begin {gap_h:.1} h apart: they overlap one another")]
-    Overlapping { length_h: f64, gap_h: f64 },
-    #[error("never comes")]
+    /// A window of the pattern starts before the previous window has ended.
+    #[error("windows of {length_h:.1} h that start {gap_h:.1} h apart overlap")]
+    Overlapping {
+        /// Length of a window in hours.
+        length_h: f64,
+        /// Time between the starts of the two windows in hours.
+        gap_h: f64,
+    },
+    /// The pattern has no occurrence in the allowed time.
+    #[error("the pattern never occurs")]
     NoOccurrence,
 }
 
-/// The time of an entry.
+/// The windows of an entry.
 #[derive(Debug, Clone)]
 pub struct Schedule {
-    /// For all time, or for as long as the pattern is heeded.
+    /// Start and end of the single window, or of the time in which the pattern applies.
     from_ms: u64,
     to_ms: u64,
     recurrence: Option<Recurrence>,
@@ -67,14 +93,14 @@
     length_ms: u64,
 }
 
-/// Occurrences looked at for two that overlap: more than a year of weeks.
+/// Number of occurrences that are checked for overlaps: more than one year of a weekly pattern.
 const CHECKED_OCCURRENCES: usize = 60;
 
 impl Schedule {
-    /// One window.
+    /// A schedule with a single window.
     ///
     /// # Errors
-    /// If it ends before it begins.
+    /// If the end is not after the start.
     pub fn once(from_ms: u64, to_ms: u64) -> Result<Schedule, ScheduleError> {
         if to_ms <= from_ms {
             return Err(ScheduleError::EndBeforeStart);
@@ -86,12 +112,14 @@
         })
     }
 
-    /// A window of this length at each occurrence of a pattern of minute, hour, day of
-    /// month, month and weekday in the time zone, between two times if given. The
-    /// length is time that passes, whatever clocks are put forward or back within it.
+    /// A schedule with a window at each occurrence of a cron pattern of minute, hour, day of
+    /// month, month and weekday in the time zone. If `from_ms` or `to_ms` is set, only windows
+    /// that start in that time occur, and a window ends at `to_ms` at the latest. The length is
+    /// elapsed time: changes of daylight saving time during a window do not affect it.
     ///
     /// # Errors
-    /// If the pattern makes no sense, or its windows overlap.
+    /// If the pattern is invalid or never occurs, the windows overlap, or `to_ms` is not after
+    /// `from_ms`.
     pub fn recurring(
         pattern: &str,
         zone: &TimeZone,
@@ -116,7 +144,7 @@
         if schedule.to_ms <= schedule.from_ms {
             return Err(ScheduleError::EndBeforeStart);
         }
-        // From a fixed day, since there is no clock here.
+        // The check starts on a fixed day, because this crate reads no clock.
         let mut last = schedule.from_ms.max(CHECK_FROM_MS);
         let mut before: Option<Window> = None;
         for _ in 0..CHECKED_OCCURRENCES {
@@ -141,7 +169,8 @@
         Ok(schedule)
     }
 
-    /// The window that holds at this time or else the next one; none if all are over.
+    /// The window that contains this time, or else the next window; `None` if all windows have
+    /// ended.
     pub fn window_at(&self, now_ms: u64) -> Option<Window> {
         match &self.recurrence {
             None => {
@@ -158,10 +187,10 @@
         }
     }
 
-    /// The first window that begins at this time or later.
+    /// The first window that starts at this time or later.
     fn starting_at(&self, ms: u64) -> Option<Window> {
         let recurrence = self.recurrence.as_ref()?;
-        // Patterns are by whole seconds.
+        // The pattern library works with whole seconds.
         let second = i64::try_from(ms.div_ceil(1000)).ok()?;
         let start = Timestamp::from_second(second).ok()?;
         let found = recurrence
@@ -177,11 +206,13 @@
     }
 }
 
-/// 2026-01-01.
+/// 2026-01-01, from which occurrences are checked for overlaps.
 const CHECK_FROM_MS: u64 = 1_767_225_600_000;
 
-/// A time with its offset, or a local one in this zone. One that clocks skip is taken as
-/// much later as they skip, one that they repeat as the first of the two.
+/// Parses a time with a UTC offset, or a local time in the zone, and returns Unix time in
+/// milliseconds. A local time that is skipped when clocks go forward is moved later by the
+/// skipped duration. A local time that occurs twice when clocks go back means its first
+/// occurrence.
 pub(crate) fn parse_time(text: &str, zone: Option<&TimeZone>) -> Result<u64, ScheduleError> {
     let bad = || ScheduleError::InvalidTime(text.to_owned());
     let at = match text.parse::<Timestamp>() {
@@ -199,7 +230,7 @@
     TimeZone::get(text).map_err(|_| ScheduleError::UnknownTimeZone(text.to_owned()))
 }
 
-/// In milliseconds.
+/// Parses a duration of at least one second and returns milliseconds.
 pub(crate) fn parse_length(text: &str) -> Result<u64, ScheduleError> {
     let bad = || ScheduleError::InvalidLength(text.to_owned());
     let length: SignedDuration = text.parse().map_err(|_| bad())?;
