--- a/crates/umbersail-reserve/src/tests.rs
+++ b/crates/umbersail-reserve/src/tests.rs
@@ -1,4 +1,4 @@
-//! Entries, admission and rounds against a scripted cloud and leaders that end.
+//! Tests of entries, admission and planning rounds with a simulated cloud and leader changes.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -64,7 +64,8 @@
     Reservations::parse(&pairs.collect(), &facts)
 }
 
-/// An entry of `floats` by its machines, from and to these seconds.
+/// The properties of an entry of the team `floats` with machines by type and a window in Unix
+/// seconds.
 fn entry(name: &str, machines: &str, from_s: i64, to_s: i64) -> String {
     let time = |s| jiff::Timestamp::from_second(s).unwrap();
     format!(
@@ -76,7 +77,7 @@
 }
 
 #[derive(Debug, Clone)]
-struct Rented {
+struct RentedMachine {
     type_index: usize,
     zone: String,
     spot: bool,
@@ -84,46 +85,47 @@
     idle: bool,
 }
 
-/// A cloud, the records as they stand, and what the present leader makes of them.
-struct World {
+/// A simulated cloud, the stored records, and the records of the current leader.
+struct TestCluster {
     entries: Reservations,
     types: Vec<MachineType>,
     now_s: f64,
     leader_for_s: f64,
-    machines: BTreeMap<String, Rented>,
-    /// What the cloud answered, by request: again the same.
+    machines: BTreeMap<String, RentedMachine>,
+    /// The cloud's answer to each request; a repeated request gets the same answer.
     answers: BTreeMap<String, Vec<String>>,
-    refuses: BTreeSet<(usize, String, bool)>,
+    refused_offers: BTreeSet<(usize, String, bool)>,
     records: BTreeMap<String, ReservationRecord>,
     recorded: BTreeMap<String, ReservationRecord>,
-    free: Vec<String>,
-    names: u64,
-    told: Vec<Notice>,
+    idle_names: Vec<String>,
+    request_count: u64,
+    notices: Vec<Notice>,
 }
 
-impl World {
-    fn new(text: &str) -> World {
-        World {
+impl TestCluster {
+    fn new(text: &str) -> TestCluster {
+        TestCluster {
             entries: parse(text).unwrap(),
             types: types(),
             now_s: 10_000.0,
             leader_for_s: 0.0,
             machines: BTreeMap::new(),
             answers: BTreeMap::new(),
-            refuses: BTreeSet::new(),
+            refused_offers: BTreeSet::new(),
             records: BTreeMap::new(),
             recorded: BTreeMap::new(),
-            free: Vec::new(),
-            names: 0,
-            told: Vec::new(),
+            idle_names: Vec::new(),
+            request_count: 0,
+            notices: Vec::new(),
         }
     }
 
     fn plan(&mut self) {
-        let boots = BootTimeStats::new(64, 8);
-        let view = |rented: &Rented| (rented.type_index, rented.zone.clone(), rented.clone());
-        let all: Vec<_> = self.machines.iter().map(|(n, m)| (n, view(m))).collect();
-        let held = all.iter().map(|(name, (type_index, zone, m))| {
+        let boot_times = BootTimeStats::new(64, 8);
+        let parts =
+            |machine: &RentedMachine| (machine.type_index, machine.zone.clone(), machine.clone());
+        let all: Vec<_> = self.machines.iter().map(|(n, m)| (n, parts(m))).collect();
+        let views = all.iter().map(|(name, (type_index, zone, m))| {
             let machine = ReservableMachine {
                 type_index: *type_index,
                 zone,
@@ -133,46 +135,49 @@
             };
             (name.as_str(), machine)
         });
-        let machines: BTreeMap<&str, ReservableMachine<'_>> = held.collect();
-        let free = machines
+        let machines: BTreeMap<&str, ReservableMachine<'_>> = views.collect();
+        let idle_machines = machines
             .iter()
-            .filter(|(name, _)| self.free.iter().any(|f| f == *name))
+            .filter(|(name, _)| self.idle_names.iter().any(|idle| idle == *name))
             .map(|(name, m)| (*name, *m))
             .collect();
-        let refuses = &self.refuses;
+        let refused_offers = &self.refused_offers;
         let view = ClusterView {
             now_ms: (self.now_s * 1000.0) as u64,
             leader_for_s: self.leader_for_s,
             types: &self.types,
             teams: &teams(),
             machines: &machines,
-            idle_machines: &free,
-            is_refused: &|index, zone, spot| refuses.contains(&(index, zone.to_owned(), spot)),
+            idle_machines: &idle_machines,
+            is_refused: &|index, zone, spot| {
+                refused_offers.contains(&(index, zone.to_owned(), spot))
+            },
             largest_tasks: &BTreeMap::new(),
-            boot_times: &boots,
+            boot_times: &boot_times,
             settings: &SETTINGS,
         };
-        let names = &mut self.names;
-        let mut name = || {
-            *names += 1;
-            format!("r{names}")
+        let request_count = &mut self.request_count;
+        let mut new_request = || {
+            *request_count += 1;
+            format!("r{request_count}")
         };
-        let told = plan(&self.entries, &mut self.records, &view, &mut name);
-        self.told.extend(told);
+        let notices = plan(&self.entries, &mut self.records, &view, &mut new_request);
+        self.notices.extend(notices);
     }
 
     fn record(&mut self) {
         self.recorded = self.records.clone();
     }
 
-    /// Sends what is recorded; `heard` tells whether the answers come.
-    fn ask(&mut self, heard: bool) {
+    /// Sends the stored requests. If `answers_arrive` is false, the cloud rents the machines and
+    /// its answers are lost.
+    fn send_requests(&mut self, answers_arrive: bool) {
         for (name, record) in self.recorded.clone() {
             for batch in record.pending_requests() {
                 let request = batch.request.clone().unwrap();
                 let index = self.types.iter().position(|t| t.name == batch.machine_type);
                 let key = (index.unwrap(), batch.zone.clone(), batch.spot);
-                if !self.answers.contains_key(&request) && self.refuses.contains(&key) {
+                if !self.answers.contains_key(&request) && self.refused_offers.contains(&key) {
                     self.records
                         .get_mut(&name)
                         .unwrap()
@@ -187,7 +192,7 @@
                     for name in &new {
                         machines.insert(
                             name.clone(),
-                            Rented {
+                            RentedMachine {
                                 type_index: key.0,
                                 zone: key.1.clone(),
                                 spot: key.2,
@@ -198,7 +203,7 @@
                     }
                     new
                 });
-                if heard && let Some(record) = self.records.get_mut(&name) {
+                if answers_arrive && let Some(record) = self.records.get_mut(&name) {
                     record.record_answer(&request, answer);
                 }
             }
@@ -208,7 +213,7 @@
     fn round(&mut self) {
         self.plan();
         self.record();
-        self.ask(true);
+        self.send_requests(true);
         self.record();
         self.now_s += 1.0;
         self.leader_for_s += 1.0;
@@ -218,8 +223,8 @@
         (0..n).for_each(|_| self.round());
     }
 
-    /// The leader ends; its successor reads what is recorded.
-    fn take_over(&mut self) {
+    /// Replaces the leader; the new leader reads the stored records.
+    fn change_leader(&mut self) {
         self.records = self.recorded.clone();
         self.leader_for_s = 0.0;
     }
@@ -230,17 +235,19 @@
         }
     }
 
-    fn held(&self, name: &str) -> usize {
+    fn reserved(&self, name: &str) -> usize {
         self.records.get(name).map_or(0, |r| r.machines().count())
     }
 
-    fn told(&self, name: &str, kind: impl Fn(&NoticeKind) -> bool) -> bool {
-        self.told.iter().any(|n| n.entry == name && kind(&n.kind))
+    fn has_notice(&self, name: &str, kind: impl Fn(&NoticeKind) -> bool) -> bool {
+        self.notices
+            .iter()
+            .any(|n| n.entry == name && kind(&n.kind))
     }
 }
 
 #[test]
-fn a_bad_entry_is_refused_with_its_key_and_the_reason() {
+fn an_invalid_entry_is_rejected_with_its_key_and_the_reason() {
     let good = "reserve.x.team = tickets\nreserve.x.cpus = 32\nreserve.x.time_zone = Europe/Lisbon\n\
                 reserve.x.from = 2027-02-05T18:00\nreserve.x.to = 2027-02-09T06:00\n";
     assert!(parse(good).is_ok());
@@ -291,7 +298,7 @@
 }
 
 #[test]
-fn a_window_is_as_long_as_it_says_across_a_change_of_clocks() {
+fn a_window_keeps_its_length_across_a_daylight_saving_change() {
     let entries = parse(
         "reserve.x.team = floats\nreserve.x.cpus = 8\nreserve.x.time_zone = Europe/Lisbon\n\
          reserve.x.recurrence = 0 22 * * SAT\nreserve.x.length = 10h\n",
@@ -299,82 +306,91 @@
     .unwrap();
     let ms = |text: &str| text.parse::<jiff::Timestamp>().unwrap().as_millisecond() as u64;
     let window = |at: &str| entries.get("x").unwrap().window_at(ms(at)).unwrap();
-    // On 2027-03-28 clocks go forward at 01:00: the window ends at 09:00 local time.
+    // On 2027-03-28 clocks go forward at 01:00, so the window ends at 09:00 local time.
     let over_night = Window {
         from_ms: ms("2027-03-27T22:00:00Z"),
         to_ms: ms("2027-03-28T08:00:00Z"),
     };
     assert_eq!(window("2027-03-27T20:00:00Z"), over_night);
-    assert_eq!(window("2027-03-28T07:59:59Z"), over_night, "already begun");
+    assert_eq!(
+        window("2027-03-28T07:59:59Z"),
+        over_night,
+        "the window has started"
+    );
     let next = window("2027-03-28T08:00:00Z");
-    assert_eq!(next.from_ms, ms("2027-04-03T21:00:00Z"), "summer time");
+    assert_eq!(
+        next.from_ms,
+        ms("2027-04-03T21:00:00Z"),
+        "in daylight saving time"
+    );
 }
 
 #[test]
-fn admission_is_by_catalogue_limit_and_what_was_promised_before() {
+fn admission_respects_the_catalogue_the_team_limit_and_earlier_promises() {
     let of = |name: &str, rest: &str| {
         entry(name, "m8:2", 20_000, 30_000)
             .replace("floats", "tickets")
             .replace("m8:2", rest)
     };
-    let mut world = World::new(&[of("a", "m8:6"), of("b", "m8:4"), of("c", "m99:1")].concat());
-    world.round();
-    assert_eq!(world.records["a"].admission, Admission::Full);
-    let Admission::Partial(reason) = &world.records["b"].admission else {
-        panic!("{:?}", world.records["b"]);
+    let mut cluster =
+        TestCluster::new(&[of("a", "m8:6"), of("b", "m8:4"), of("c", "m99:1")].concat());
+    cluster.round();
+    assert_eq!(cluster.records["a"].admission, Admission::Full);
+    let Admission::Partial(reason) = &cluster.records["b"].admission else {
+        panic!("{:?}", cluster.records["b"]);
     };
     assert!(
         reason.contains("limit of 64 CPUs") && reason.contains('a'),
         "{reason}"
     );
-    assert_eq!(world.records["b"].items[0].count, 2);
-    assert!(matches!(&world.records["c"].admission, Admission::Rejected(r) if r.contains("m99")));
-    // What comes later in time of admission comes last, whatever its name.
-    world.entries = parse(&[of("b", "m8:4"), of("a", "m8:6"), of("0", "m8:3")].concat()).unwrap();
-    world.rounds(60);
-    assert_eq!(world.records["a"].admission, Admission::Full);
+    assert_eq!(cluster.records["b"].items[0].count, 2);
+    assert!(matches!(&cluster.records["c"].admission, Admission::Rejected(r) if r.contains("m99")));
+    // An entry that was admitted later has lower precedence, whatever its name.
+    cluster.entries = parse(&[of("b", "m8:4"), of("a", "m8:6"), of("0", "m8:3")].concat()).unwrap();
+    cluster.rounds(60);
+    assert_eq!(cluster.records["a"].admission, Admission::Full);
     assert!(matches!(
-        world.records["0"].admission,
+        cluster.records["0"].admission,
         Admission::Rejected(_)
     ));
-    // Once the first is withdrawn there is more for those after it.
-    world.entries = parse(&[of("b", "m8:4"), of("0", "m8:3")].concat()).unwrap();
-    world.rounds(2);
-    assert!(world.told("a", |w| matches!(w, NoticeKind::Withdrawn { .. })));
-    assert_eq!(world.records["b"].admission, Admission::Full);
+    // When the first entry is withdrawn, the entries admitted later are promised more.
+    cluster.entries = parse(&[of("b", "m8:4"), of("0", "m8:3")].concat()).unwrap();
+    cluster.rounds(2);
+    assert!(cluster.has_notice("a", |kind| matches!(kind, NoticeKind::Withdrawn { .. })));
+    assert_eq!(cluster.records["b"].admission, Admission::Full);
 }
 
 #[test]
-fn renting_begins_by_two_boots_ahead_and_ends_with_the_window() {
-    let mut world = World::new(&entry("fair", "m8:70", 10_400, 11_000));
-    // Two boots of 60 s, 130 s until one is given up, and the margin.
-    while world.now_s < 10_119.0 {
-        world.round();
-        assert_eq!(world.held("fair"), 0, "{}", world.now_s);
+fn renting_begins_at_the_lead_time_and_ends_with_the_window() {
+    let mut cluster = TestCluster::new(&entry("fair", "m8:70", 10_400, 11_000));
+    // The lead time is two boots of 60 s, the boot timeout of 130 s and the margin of 30 s.
+    while cluster.now_s < 10_119.0 {
+        cluster.round();
+        assert_eq!(cluster.reserved("fair"), 0, "{}", cluster.now_s);
     }
-    world.rounds(2);
-    assert_eq!(world.held("fair"), 70);
-    let counts = |zone: &str| world.machines.values().filter(|m| m.zone == zone).count();
+    cluster.rounds(2);
+    assert_eq!(cluster.reserved("fair"), 70);
+    let counts = |zone: &str| cluster.machines.values().filter(|m| m.zone == zone).count();
     assert_eq!((counts("a"), counts("b")), (35, 35), "spread over zones");
-    assert!(world.machines.values().all(|m| !m.spot));
-    world.boot();
-    world.rounds(890);
-    assert!(world.told("fair", |w| *w
+    assert!(cluster.machines.values().all(|m| !m.spot));
+    cluster.boot();
+    cluster.rounds(890);
+    assert!(cluster.has_notice("fair", |kind| *kind
         == NoticeKind::Opened {
             available: 70,
             promised: 70
         }));
-    assert!(world.told("fair", |w| *w == NoticeKind::Expired { machines: 70 }));
-    assert!(world.records.is_empty());
-    assert_eq!(world.machines.len(), 70, "nothing was rented twice");
+    assert!(cluster.has_notice("fair", |kind| *kind == NoticeKind::Expired { machines: 70 }));
+    assert!(cluster.records.is_empty());
+    assert_eq!(cluster.machines.len(), 70, "nothing was rented twice");
 }
 
 #[test]
-fn a_window_already_begun_is_served_at_once() {
-    let mut world = World::new(&entry("fair", "m8:3", 9_000, 11_000));
-    world.round();
-    assert_eq!(world.held("fair"), 3);
-    assert!(world.told("fair", |w| *w
+fn machines_for_a_window_that_has_started_are_requested_at_once() {
+    let mut cluster = TestCluster::new(&entry("fair", "m8:3", 9_000, 11_000));
+    cluster.round();
+    assert_eq!(cluster.reserved("fair"), 3);
+    assert!(cluster.has_notice("fair", |kind| *kind
         == NoticeKind::Opened {
             available: 0,
             promised: 3
@@ -382,146 +398,154 @@
 }
 
 #[test]
-fn a_refusal_is_worked_around_by_zone_then_kind_then_type_and_told() {
-    let mut world = World::new(&format!(
+fn refused_requests_fall_back_to_another_zone_then_on_demand_then_another_type() {
+    let mut cluster = TestCluster::new(&format!(
         "{}reserve.fair.spot = true\n",
         entry("fair", "m8:4", 9_000, 11_000)
     ));
-    let refuse = |world: &mut World, index: usize, zone: &str, spot| {
-        world.refuses.insert((index, zone.to_owned(), spot));
+    let refuse = |cluster: &mut TestCluster, index: usize, zone: &str, spot| {
+        cluster
+            .refused_offers
+            .insert((index, zone.to_owned(), spot));
     };
-    refuse(&mut world, 0, "a", true);
-    world.rounds(2);
-    assert!(world.machines.values().all(|m| m.zone == "b" && m.spot));
-    assert_eq!(world.held("fair"), 4);
-    world.machines.clear();
-    refuse(&mut world, 0, "b", true);
-    world.rounds(2);
+    refuse(&mut cluster, 0, "a", true);
+    cluster.rounds(2);
+    assert!(cluster.machines.values().all(|m| m.zone == "b" && m.spot));
+    assert_eq!(cluster.reserved("fair"), 4);
+    cluster.machines.clear();
+    refuse(&mut cluster, 0, "b", true);
+    cluster.rounds(2);
     assert!(
-        world
+        cluster
             .machines
             .values()
             .all(|m| m.type_index == 0 && !m.spot)
     );
-    world.machines.clear();
+    cluster.machines.clear();
     for zone in ["a", "b"] {
-        refuse(&mut world, 0, zone, false);
+        refuse(&mut cluster, 0, zone, false);
     }
-    world.rounds(2);
-    assert!(world.machines.values().all(|m| m.type_index == 1));
+    cluster.rounds(2);
+    assert!(cluster.machines.values().all(|m| m.type_index == 1));
     assert_eq!(
-        world.held("fair"),
+        cluster.reserved("fair"),
         4,
-        "a larger one stands for one that was asked for"
+        "one larger machine substitutes one requested machine"
     );
     for zone in ["a", "b"] {
-        refuse(&mut world, 1, zone, false);
-        refuse(&mut world, 1, zone, true);
+        refuse(&mut cluster, 1, zone, false);
+        refuse(&mut cluster, 1, zone, true);
     }
-    world.machines.clear();
-    world.rounds(2);
-    assert!(world.told(
+    cluster.machines.clear();
+    cluster.rounds(2);
+    assert!(cluster.has_notice(
         "fair",
-        |w| matches!(w, NoticeKind::Shortfall(r) if r.contains("m8"))
+        |kind| matches!(kind, NoticeKind::Shortfall(r) if r.contains("m8"))
     ));
-    world.refuses.clear();
-    world.rounds(2);
-    assert_eq!(world.held("fair"), 4);
-    assert!(world.told("fair", |w| *w == NoticeKind::Fulfilled));
+    cluster.refused_offers.clear();
+    cluster.rounds(2);
+    assert_eq!(cluster.reserved("fair"), 4);
+    assert!(cluster.has_notice("fair", |kind| *kind == NoticeKind::Fulfilled));
 }
 
 #[test]
-fn what_dies_goes_silent_or_is_lent_for_good_is_replaced_and_given_back_once_it_is_back() {
-    let mut world = World::new(&entry("fair", "m8:4", 9_000, 11_000));
-    world.rounds(2);
-    world.boot();
-    let names: Vec<String> = world.records["fair"]
+fn lost_unavailable_and_borrowed_machines_are_replaced_and_surplus_is_released() {
+    let mut cluster = TestCluster::new(&entry("fair", "m8:4", 9_000, 11_000));
+    cluster.rounds(2);
+    cluster.boot();
+    let names: Vec<String> = cluster.records["fair"]
         .machines()
         .map(str::to_owned)
         .collect();
-    world.machines.remove(&names[0]);
-    world.machines.get_mut(&names[1]).unwrap().availability = Availability::Unavailable;
-    world.machines.get_mut(&names[2]).unwrap().availability = Availability::Borrowed;
-    world.machines.get_mut(&names[2]).unwrap().idle = false;
-    world.names = 100;
-    world.rounds(2);
+    cluster.machines.remove(&names[0]);
+    cluster.machines.get_mut(&names[1]).unwrap().availability = Availability::Unavailable;
+    cluster.machines.get_mut(&names[2]).unwrap().availability = Availability::Borrowed;
+    cluster.machines.get_mut(&names[2]).unwrap().idle = false;
+    cluster.request_count = 100;
+    cluster.rounds(2);
     assert_eq!(
-        world.held("fair"),
+        cluster.reserved("fair"),
         6,
-        "three of four and three in their stead"
+        "three of four machines and three replacements"
     );
-    world.boot();
-    world.rounds(2);
-    assert_eq!(world.held("fair"), 4);
+    cluster.boot();
+    cluster.rounds(2);
+    assert_eq!(cluster.reserved("fair"), 4);
     assert!(
-        world.records["fair"].machines().any(|m| m == names[2]),
-        "in use"
+        cluster.records["fair"].machines().any(|m| m == names[2]),
+        "a machine in use stays reserved"
     );
 }
 
 #[test]
-fn shortened_moved_and_withdrawn_ones_give_up_just_what_they_need_not() {
-    let mut world = World::new(&entry("fair", "m8:4", 9_000, 12_000));
-    world.rounds(60);
-    world.boot();
-    let before = world.records["fair"].admitted_ms;
-    world.entries = parse(&entry("fair", "m8:4", 9_000, 11_000)).unwrap();
-    world.round();
-    assert_eq!(world.records["fair"].window.to_ms, 11_000_000);
-    assert_eq!(world.records["fair"].admitted_ms, before, "keeps its place");
-    assert_eq!(world.held("fair"), 4);
-    world.entries = parse(&entry("fair", "m8:1", 9_000, 11_000)).unwrap();
-    world.rounds(2);
-    assert_eq!(world.held("fair"), 1);
-    // Moved away: nothing is held until it is due again.
-    world.entries = parse(&entry("fair", "m8:1", 11_000, 12_000)).unwrap();
-    world.rounds(2);
-    assert_eq!(world.held("fair"), 0);
-    assert_eq!(world.machines.len(), 4);
-    // A new leader heeds no change of its file at once: two files may be about.
-    world.take_over();
-    world.entries = parse("").unwrap();
-    world.rounds(45);
-    assert!(world.records.contains_key("fair"));
-    world.rounds(2);
-    assert!(world.records.is_empty());
+fn changed_entries_release_only_the_machines_they_no_longer_need() {
+    let mut cluster = TestCluster::new(&entry("fair", "m8:4", 9_000, 12_000));
+    cluster.rounds(60);
+    cluster.boot();
+    let before = cluster.records["fair"].admitted_ms;
+    cluster.entries = parse(&entry("fair", "m8:4", 9_000, 11_000)).unwrap();
+    cluster.round();
+    assert_eq!(cluster.records["fair"].window.to_ms, 11_000_000);
+    assert_eq!(
+        cluster.records["fair"].admitted_ms, before,
+        "keeps its time of admission"
+    );
+    assert_eq!(cluster.reserved("fair"), 4);
+    cluster.entries = parse(&entry("fair", "m8:1", 9_000, 11_000)).unwrap();
+    cluster.rounds(2);
+    assert_eq!(cluster.reserved("fair"), 1);
+    // The window was moved to a later time: nothing is reserved until renting is due again.
+    cluster.entries = parse(&entry("fair", "m8:1", 11_000, 12_000)).unwrap();
+    cluster.rounds(2);
+    assert_eq!(cluster.reserved("fair"), 0);
+    assert_eq!(cluster.machines.len(), 4);
+    // A new leader does not apply a removed entry at once, because in a rolling restart
+    // controllers with different properties run at the same time.
+    cluster.change_leader();
+    cluster.entries = parse("").unwrap();
+    cluster.rounds(45);
+    assert!(cluster.records.contains_key("fair"));
+    cluster.rounds(2);
+    assert!(cluster.records.is_empty());
 }
 
 #[test]
-fn the_one_admitted_first_takes_from_the_other_where_the_cloud_has_no_more() {
-    let mut world = World::new(&entry("zoo", "m8:3", 9_500, 12_000));
-    world.rounds(50);
-    world.entries = parse(&format!(
+fn the_reservation_admitted_first_gets_machines_of_the_other_when_the_cloud_refuses() {
+    let mut cluster = TestCluster::new(&entry("zoo", "m8:3", 9_500, 12_000));
+    cluster.rounds(50);
+    cluster.entries = parse(&format!(
         "{}{}",
         entry("zoo", "m8:3", 9_500, 12_000),
         entry("ball", "m8:3", 9_500, 12_000)
     ))
     .unwrap();
-    world.rounds(2);
-    world.boot();
-    assert_eq!((world.held("zoo"), world.held("ball")), (3, 3));
+    cluster.rounds(2);
+    cluster.boot();
+    assert_eq!((cluster.reserved("zoo"), cluster.reserved("ball")), (3, 3));
     for index in [0, 1] {
         for zone in ["a", "b"] {
-            world.refuses.insert((index, zone.to_owned(), false));
+            cluster
+                .refused_offers
+                .insert((index, zone.to_owned(), false));
         }
     }
-    let lost = world.records["zoo"].machines().next().unwrap().to_owned();
-    world.machines.remove(&lost);
-    world.rounds(3);
-    assert_eq!((world.held("zoo"), world.held("ball")), (3, 2));
-    assert!(world.told(
+    let lost = cluster.records["zoo"].machines().next().unwrap().to_owned();
+    cluster.machines.remove(&lost);
+    cluster.rounds(3);
+    assert_eq!((cluster.reserved("zoo"), cluster.reserved("ball")), (3, 2));
+    assert!(cluster.has_notice(
         "zoo",
-        |w| matches!(w, NoticeKind::Reassigned { from, .. } if from == "ball")
+        |kind| matches!(kind, NoticeKind::Reassigned { from, .. } if from == "ball")
     ));
-    assert!(world.told("ball", |w| matches!(w, NoticeKind::Shortfall(_))));
+    assert!(cluster.has_notice("ball", |kind| matches!(kind, NoticeKind::Shortfall(_))));
 }
 
 #[test]
-fn idle_machines_that_nobody_holds_are_taken_before_any_is_rented() {
-    let mut world = World::new(&entry("fair", "m8:2", 9_000, 11_000));
-    world.machines.insert(
+fn idle_machines_are_reserved_before_machines_are_rented() {
+    let mut cluster = TestCluster::new(&entry("fair", "m8:2", 9_000, 11_000));
+    cluster.machines.insert(
         "x".into(),
-        Rented {
+        RentedMachine {
             type_index: 0,
             zone: "a".into(),
             spot: false,
@@ -529,21 +553,21 @@
             idle: true,
         },
     );
-    world.free.push("x".into());
-    world.round();
-    assert_eq!(world.held("fair"), 2);
-    assert_eq!(world.machines.len(), 2);
+    cluster.idle_names.push("x".into());
+    cluster.round();
+    assert_eq!(cluster.reserved("fair"), 2);
+    assert_eq!(cluster.machines.len(), 2);
 }
 
 #[test]
-fn amounts_are_met_by_types_that_take_the_largest_task_seen() {
+fn a_demand_for_resources_uses_types_that_fit_the_largest_observed_task() {
     let text = "reserve.x.team = floats\nreserve.x.cpus = 100\nreserve.x.from = 1970-01-01T00:00Z\n\
                 reserve.x.to = 1970-01-02T00:00Z\n";
-    let mut world = World::new(text);
-    world.types[1].price = 100.0;
-    world.rounds(2);
-    assert_eq!(world.records["x"].items[0].machine_type, "m8");
-    assert_eq!(world.held("x"), 13);
+    let mut cluster = TestCluster::new(text);
+    cluster.types[1].price = 100.0;
+    cluster.rounds(2);
+    assert_eq!(cluster.records["x"].items[0].machine_type, "m8");
+    assert_eq!(cluster.reserved("x"), 13);
     let largest = BTreeMap::from([(
         "x".to_owned(),
         Shape {
@@ -554,7 +578,7 @@
     let view = ClusterView {
         now_ms: 0,
         leader_for_s: 0.0,
-        types: &world.types,
+        types: &cluster.types,
         teams: &teams(),
         machines: &BTreeMap::new(),
         idle_machines: &BTreeMap::new(),
@@ -564,25 +588,25 @@
         settings: &SETTINGS,
     };
     let mut records = BTreeMap::new();
-    plan(&world.entries, &mut records, &view, &mut || "r".into());
+    plan(&cluster.entries, &mut records, &view, &mut || "r".into());
     assert_eq!(records["x"].items[0].machine_type, "m32");
 }
 
 #[test]
-fn boots_are_learned_with_their_tail() {
-    let mut boots = BootTimeStats::new(64, 2);
-    assert_eq!(boots.quantile_s("m8", 40.0, 0.95), 60.0);
+fn boot_time_quantiles_include_slow_boots() {
+    let mut boot_times = BootTimeStats::new(64, 2);
+    assert_eq!(boot_times.quantile_s("m8", 40.0, 0.95), 60.0);
     for i in 0..64 {
-        boots.observe("m8", 40.0, if i % 10 == 0 { 160.0 } else { 30.0 });
+        boot_times.observe("m8", 40.0, if i % 10 == 0 { 160.0 } else { 30.0 });
     }
-    assert_eq!(boots.quantile_s("m8", 40.0, 0.5), 30.0);
-    assert_eq!(boots.quantile_s("m8", 40.0, 0.95), 160.0);
-    boots.observe("m32", 40.0, f64::NAN);
-    assert_eq!(boots.quantile_s("m32", 40.0, 0.95), 60.0);
+    assert_eq!(boot_times.quantile_s("m8", 40.0, 0.5), 30.0);
+    assert_eq!(boot_times.quantile_s("m8", 40.0, 0.95), 160.0);
+    boot_times.observe("m32", 40.0, f64::NAN);
+    assert_eq!(boot_times.quantile_s("m32", 40.0, 0.95), 60.0);
 }
 
 #[test]
-fn a_held_machine_is_lent_by_the_entrys_terms_and_keeps_nobody_waiting_for_ever() {
+fn borrowing_follows_the_entrys_policy_and_the_waiting_limits() {
     let entries = parse(&format!(
         "{}reserve.fair.borrow = savable, crops\n{}reserve.ball.borrow = nobody\n",
         entry("fair", "m8:1", 0, 9),
@@ -597,23 +621,26 @@
         waited_s: 0.0,
         guaranteed: false,
     };
-    let lent = |name: &str, b: Borrower<'_>, own| may_borrow(terms(name), &b, own, &SETTINGS);
-    let savable = Borrower {
+    let borrows = |name: &str, b: Borrower<'_>, own| may_borrow(terms(name), &b, own, &SETTINGS);
+    let checkpointable = Borrower {
         checkpoint_s: Some(10.0),
         ..plain
     };
-    assert!(!lent("fair", plain, false) && lent("fair", savable, false));
-    assert!(!lent("fair", savable, true), "its own work waits");
-    let slow = Borrower {
+    assert!(!borrows("fair", plain, false) && borrows("fair", checkpointable, false));
+    assert!(
+        !borrows("fair", checkpointable, true),
+        "the reservation's own work waits"
+    );
+    let slow_checkpoint = Borrower {
         checkpoint_s: Some(31.0),
         ..plain
     };
-    let above = Borrower {
+    let higher_tier = Borrower {
         tier: Priority::Normal,
-        ..savable
+        ..checkpointable
     };
-    assert!(!lent("fair", slow, false) && !lent("fair", above, false));
-    assert!(lent(
+    assert!(!borrows("fair", slow_checkpoint, false) && !borrows("fair", higher_tier, false));
+    assert!(borrows(
         "fair",
         Borrower {
             class: "crops",
@@ -621,18 +648,18 @@
         },
         false
     ));
-    let floor = Borrower {
+    let waited_long = Borrower {
         waited_s: 200.0,
         ..plain
     };
-    assert!(lent("fair", floor, false) && !lent("ball", floor, false));
+    assert!(borrows("fair", waited_long, false) && !borrows("ball", waited_long, false));
     let guaranteed = Borrower {
         guaranteed: true,
         waited_s: 20.0,
         ..plain
     };
-    assert!(lent("ball", guaranteed, true));
-    assert!(!lent(
+    assert!(borrows("ball", guaranteed, true));
+    assert!(!borrows(
         "ball",
         Borrower {
             waited_s: 19.0,
@@ -645,27 +672,27 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 500, failure_persistence: None, ..ProptestConfig::default() })]
 
-    /// Leaders end between any two steps of renting, answers are lost, records are
-    /// written or not: the cloud never gives more than was promised, and in quiet
-    /// all is held.
+    /// Guards against machines that are rented twice. Leaders change between any two steps of
+    /// renting, answers are lost, and records are written or not. The cloud never provides
+    /// more machines than were promised, and at the end all promised machines are reserved.
     #[test]
-    fn nothing_is_rented_twice_whenever_leaders_end(steps in prop::collection::vec(0u8..6, 1..60)) {
+    fn no_machine_is_rented_twice_when_leaders_change(steps in prop::collection::vec(0u8..6, 1..60)) {
         let text = [entry("fair", "m8:70, m32:3", 9_000, 20_000), entry("ball", "m8:20", 9_000, 20_000)];
-        let mut world = World::new(&text.concat());
+        let mut cluster = TestCluster::new(&text.concat());
         for step in steps {
             match step {
-                0 | 1 => world.plan(),
-                2 => world.record(),
-                3 => world.ask(false),
-                4 => world.ask(true),
-                _ => world.take_over(),
+                0 | 1 => cluster.plan(),
+                2 => cluster.record(),
+                3 => cluster.send_requests(false),
+                4 => cluster.send_requests(true),
+                _ => cluster.change_leader(),
             }
-            world.now_s += 1.0;
-            prop_assert!(world.machines.len() <= 93, "{}", world.machines.len());
+            cluster.now_s += 1.0;
+            prop_assert!(cluster.machines.len() <= 93, "{}", cluster.machines.len());
         }
-        world.rounds(20);
-        prop_assert_eq!(world.machines.len(), 93);
-        prop_assert_eq!((world.held("fair"), world.held("ball")), (73, 20));
+        cluster.rounds(20);
+        prop_assert_eq!(cluster.machines.len(), 93);
+        prop_assert_eq!((cluster.reserved("fair"), cluster.reserved("ball")), (73, 20));
     }
 }
 
