--- a/crates/umbersail-calendar/src/entry.rs
+++ b/crates/umbersail-calendar/src/entry.rs
@@ -1,4 +1,4 @@
-//! Entries of the calendar, read from operators' properties.
+//! Reads the entries of the calendar from the operators' properties.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -10,29 +10,29 @@
 /// Prefix of the keys of all entries.
 pub const PREFIX: &str = "calendar.";
 
-// Limits on a file, so that tables and records stay small.
+// Limits on the properties, which bound the size of tables and records.
 const MAX_ENTRIES: usize = 256;
 const MAX_STEPS: usize = 16;
 const MAX_CLASSES: usize = 16;
 const MAX_NAME_BYTES: usize = 60;
 const MAX_COUNT: u32 = 100_000;
 
-/// A property that can't be used.
+/// Why a property is invalid.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 #[error("key '{key}': {reason}")]
 pub struct EntryError {
     /// Key of the property.
     pub key: String,
-    /// Why it can't be used.
+    /// What is wrong with the property.
     pub reason: String,
 }
 
-/// An entry: recurring steps in order, and when all of them are due.
+/// An entry of the calendar: a sequence of steps that recurs, and when each run is due.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Entry {
-    /// Team whose jobs belong to its runs.
+    /// Team whose jobs belong to the runs of the entry.
     pub team: String,
-    /// When its runs open.
+    /// When the runs of the entry open.
     pub openings: Openings,
     pub(crate) due: RelativeTime,
     pub(crate) steps: Vec<Step>,
@@ -40,37 +40,38 @@
     pub(crate) fingerprint: String,
 }
 
-/// Jobs of these classes, and when the step takes no more of them.
+/// A step: the classes of its jobs, and when the step closes, after which it accepts no more
+/// jobs.
 #[derive(Debug, Clone, PartialEq, Default)]
 pub(crate) struct Step {
     pub classes: Vec<String>,
     pub count: Option<u32>,
     pub quiet_s: Option<f64>,
     pub until: Option<RelativeTime>,
-    /// How long it takes, in seconds, as long as none has been seen.
+    /// Expected duration in seconds until a duration has been measured.
     pub expected_s: Option<f64>,
 }
 
 impl Entry {
-    /// The classes of each step, in their order.
+    /// The classes of each step, in the order of the steps.
     pub fn steps(&self) -> impl Iterator<Item = &[String]> {
         self.steps.iter().map(|step| step.classes.as_slice())
     }
 
-    /// When the run that opens at this moment is due.
+    /// Due time of the run that opens at this time.
     pub fn due(&self, opening: UnixMs) -> UnixMs {
         self.openings.resolve(opening, self.due)
     }
 }
 
-/// The entries of a file, by name.
+/// The configured entries.
 #[derive(Debug, Clone, PartialEq, Default)]
 pub struct Calendar {
     /// Entries by name.
     pub entries: BTreeMap<String, Entry>,
 }
 
-/// The fields of one entry with their keys.
+/// The fields of one entry that have not been read yet, as text.
 struct Fields<'a> {
     name: &'a str,
     values: BTreeMap<&'a str, &'a str>,
@@ -96,11 +97,11 @@
         match self.take(field) {
             Some(text) if !text.is_empty() && text.len() <= 200 => Ok(text.to_owned()),
             Some(_) => Err(self.error(field, "must have 1 to 200 bytes")),
-            None => Err(self.error(field, "is missing")),
+            None => Err(self.error(field, "missing")),
         }
     }
 
-    /// A field that may be left out, read by `read`.
+    /// Reads an optional field with the function `parse`.
     fn optional<T>(
         &mut self,
         field: &str,
@@ -132,19 +133,19 @@
             for class in &step.classes {
                 if !seen.insert(class.clone()) {
                     let field = format!("{prefix}classes");
-                    return Err(self.error(&field, format!("class {class} stands twice")));
+                    return Err(self.error(&field, format!("class {class} is listed twice")));
                 }
             }
             steps.push(step);
         }
         if steps.is_empty() {
-            return Err(self.error("step.1.classes", "is missing"));
+            return Err(self.error("step.1.classes", "missing"));
         }
         if let Some(field) = self.values.keys().next() {
             let reason = if field.starts_with("step.") {
-                format!("steps are numbered from 1 to {MAX_STEPS} without a gap")
+                format!("steps must be numbered from 1 to {MAX_STEPS} without a gap")
             } else {
-                "is no field of an entry".into()
+                "not a field of an entry".into()
             };
             return Err(self.error(field, reason));
         }
@@ -162,7 +163,7 @@
         let classes = self.required(&field("classes"))?;
         let classes: Vec<String> = classes.split(',').map(|c| c.trim().to_owned()).collect();
         if classes.len() > MAX_CLASSES || classes.iter().any(String::is_empty) {
-            let reason = format!("must be up to {MAX_CLASSES} classes, with commas between");
+            let reason = format!("must be 1 to {MAX_CLASSES} classes separated by commas");
             return Err(self.error(&field("classes"), reason));
         }
         let count = self.optional(&field("count"), |text| match text.parse::<u32>() {
@@ -176,13 +177,15 @@
         let until = self.optional(&field("until"), RelativeTime::parse)?;
         let expected_s = self.optional(&field("takes"), parse_duration_s)?;
         if count.is_none() && quiet_s.is_none() && until.is_none() {
-            let reason = "a step closes by count, quiet or until: one of them at least";
+            let reason =
+                "count, quiet or until must be set as well: they define when the step closes";
             return Err(self.error(&field("classes"), reason));
         }
-        // For what is left under this step's number to be told as no field.
-        let left = self.values.keys().find(|field| field.starts_with(prefix));
-        if let Some(left) = left {
-            return Err(self.error(left, "is no field of a step"));
+        // Without this check, an unknown field of this step would be reported as a gap in the
+        // numbers of the steps.
+        let unknown = self.values.keys().find(|field| field.starts_with(prefix));
+        if let Some(unknown) = unknown {
+            return Err(self.error(unknown, "not a field of a step"));
         }
         Ok(Step {
             classes,
@@ -195,14 +198,14 @@
 }
 
 impl Calendar {
-    /// Reads the entries from properties whose keys begin with [`PREFIX`]; others are
-    /// ignored.
+    /// Reads the entries from properties whose keys begin with [`PREFIX`] and ignores other
+    /// keys.
     ///
     /// # Errors
-    /// The first key that can't be used, and why.
-    pub fn parse(pairs: &BTreeMap<String, String>) -> Result<Calendar, EntryError> {
+    /// The first invalid property, with the reason.
+    pub fn parse(properties: &BTreeMap<String, String>) -> Result<Calendar, EntryError> {
         let mut by_name: BTreeMap<&str, BTreeMap<&str, &str>> = BTreeMap::new();
-        for (key, text) in pairs {
+        for (key, text) in properties {
             let Some(rest) = key.strip_prefix(PREFIX) else {
                 continue;
             };
@@ -213,10 +216,10 @@
             let (name, field) = rest
                 .split_once('.')
                 .ok_or_else(|| error("must be calendar.<name>.<field>"))?;
-            let good = |c: char| c.is_ascii_lowercase() || c.is_ascii_digit() || c == '-';
-            if name.is_empty() || name.len() > MAX_NAME_BYTES || !name.chars().all(good) {
+            let is_valid = |c: char| c.is_ascii_lowercase() || c.is_ascii_digit() || c == '-';
+            if name.is_empty() || name.len() > MAX_NAME_BYTES || !name.chars().all(is_valid) {
                 return Err(error(
-                    "an entry's name is of small letters, digits and hyphens, 60 at most",
+                    "the name must have 1 to 60 characters: lowercase letters, digits and hyphens",
                 ));
             }
             by_name.entry(name).or_default().insert(field, text);
@@ -233,8 +236,8 @@
         Ok(calendar)
     }
 
-    /// A job belongs to one run at most, so no two entries name the same class of a
-    /// team.
+    /// Checks that no two entries list the same class of the same team, because a job belongs to
+    /// at most one run.
     fn check_classes(&self) -> Result<(), EntryError> {
         let mut seen: BTreeMap<(&str, &str), &str> = BTreeMap::new();
         for (name, entry) in &self.entries {
@@ -244,7 +247,7 @@
                         return Err(EntryError {
                             key: format!("{PREFIX}{name}.step.{}.classes", index + 1),
                             reason: format!(
-                                "class {class} of team {} stands in entry {other} too",
+                                "class {class} of team {} is also listed in entry {other}",
                                 entry.team
                             ),
                         });
@@ -255,10 +258,10 @@
         Ok(())
     }
 
-    /// Checks that all teams are known: entries of others would never take jobs.
+    /// Checks that all teams are known. An entry of an unknown team would never accept a job.
     ///
     /// # Errors
-    /// Names the key of the first unknown team.
+    /// The key of the first unknown team.
     pub fn check_teams(&self, known: impl Fn(&str) -> bool) -> Result<(), EntryError> {
         let unknown = self.entries.iter().find(|(_, e)| !known(&e.team));
         match unknown {
@@ -270,7 +273,7 @@
         }
     }
 
-    /// Whether there is no entry.
+    /// Whether the calendar has no entries.
     pub fn is_empty(&self) -> bool {
         self.entries.is_empty()
     }
--- a/crates/umbersail-calendar/src/event.rs
+++ b/crates/umbersail-calendar/src/event.rs
@@ -20,24 +20,24 @@
 /// What happened to a run.
 #[derive(Debug, Clone, PartialEq)]
 pub enum RunEventKind {
-    /// It opened.
+    /// The run opened.
     Opened {
         /// Seconds after its opening time.
         late_s: f64,
     },
-    /// It was due before it could open; it is skipped.
+    /// The run was due before it could open, so it is skipped.
     Missed,
-    /// The file has another version of its entry.
+    /// The properties contain another version of the run's entry.
     Changed,
-    /// The file no longer has its entry.
+    /// The properties no longer contain the run's entry.
     Removed,
-    /// A step takes no more jobs.
+    /// A step closed: it accepts no more jobs.
     Closed {
         /// Index of the step.
         index: usize,
         /// The reason.
         reason: &'static str,
-        /// Jobs that it has taken.
+        /// Number of jobs that the step has accepted.
         accepted_jobs: u32,
     },
     /// All jobs of a step have ended.
@@ -46,12 +46,12 @@
         index: usize,
         /// Duration in seconds.
         duration_s: f64,
-        /// Jobs that it has taken.
+        /// Number of jobs that the step has accepted.
         accepted_jobs: u32,
-        /// A job that was not waited for, since it fails on every machine.
+        /// A job whose end the step did not wait for, because the job fails on every machine.
         failing_job: Option<Rc<str>>,
     },
-    /// It is expected to end late.
+    /// The run is expected to end after its due time.
     Late {
         /// Index of the current step.
         index: usize,
@@ -60,16 +60,16 @@
         /// The reason.
         reason: &'static str,
     },
-    /// It is due while jobs of later steps were held back; they are released.
+    /// The due time passed while jobs of later steps were held; these jobs are released.
     Released {
-        /// Jobs that were held back.
+        /// Number of released jobs.
         held_jobs: usize,
     },
-    /// It ended.
+    /// The run ended.
     Ended {
-        /// Seconds after its due time; negative if it was in time.
+        /// Seconds after its due time; negative if the run ended before its due time.
         late_s: f64,
-        /// Unfinished jobs.
+        /// Number of unfinished jobs.
         unfinished_jobs: usize,
     },
 }
@@ -94,13 +94,23 @@
 impl fmt::Display for RunEventKind {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            RunEventKind::Opened { late_s } => write!(f, "opened {late_s:.1} s after its time"),
-            RunEventKind::Missed => write!(f, "missed: its due time passed before it could open"),
+            RunEventKind::Opened { late_s } => {
+                write!(f, "opened {late_s:.1} s after its opening time")
+            }
+            RunEventKind::Missed => {
+                write!(f, "missed: the due time passed before the run could open")
+            }
             RunEventKind::Changed => {
-                write!(f, "goes on with its recorded steps: the entry has changed")
+                write!(
+                    f,
+                    "continues with its recorded steps: the entry has changed"
+                )
             }
             RunEventKind::Removed => {
-                write!(f, "goes on with its recorded steps: the entry is gone")
+                write!(
+                    f,
+                    "continues with its recorded steps: the entry was removed"
+                )
             }
             RunEventKind::Closed {
                 index,
@@ -109,7 +119,7 @@
             } => {
                 write!(
                     f,
-                    "step {} takes no more jobs: {reason}; {accepted_jobs} came",
+                    "closed step {}: {reason}; {accepted_jobs} jobs accepted",
                     index + 1
                 )
             }
@@ -121,11 +131,11 @@
             } => {
                 write!(
                     f,
-                    "step {} finished in {duration_s:.1} s, {accepted_jobs} jobs",
+                    "finished step {} in {duration_s:.1} s with {accepted_jobs} jobs",
                     index + 1
                 )?;
                 match failing_job {
-                    Some(id) => write!(f, "; not waiting for {id}, which fails wherever it runs"),
+                    Some(id) => write!(f, "; not waiting for {id}, which fails on every machine"),
                     None => Ok(()),
                 }
             }
@@ -141,7 +151,7 @@
                 )
             }
             RunEventKind::Released { held_jobs } => {
-                write!(f, "is due: lets go {held_jobs} jobs of later steps")
+                write!(f, "is due: releases {held_jobs} held jobs of later steps")
             }
             RunEventKind::Ended {
                 late_s,
@@ -152,10 +162,10 @@
             RunEventKind::Ended {
                 late_s,
                 unfinished_jobs: 0,
-            } => write!(f, "ended {late_s:.1} s late"),
+            } => write!(f, "ended {late_s:.1} s after its due time"),
             RunEventKind::Ended {
                 unfinished_jobs, ..
-            } => write!(f, "given up with {unfinished_jobs} jobs unfinished"),
+            } => write!(f, "was given up with {unfinished_jobs} unfinished jobs"),
         }
     }
 }
--- a/crates/umbersail-calendar/src/lib.rs
+++ b/crates/umbersail-calendar/src/lib.rs
@@ -1,7 +1,9 @@
-//! The publishing calendar: runs of steps that open at times of day and are due by
-//! one. Decisions without I/O and without a clock: the time of day and the steady time
-//! are passed in. Jobs stay the users'; this says which of them wait for an earlier
-//! step, and by when they should end. See `docs/calendar.md`.
+//! The publishing calendar: recurring runs, each of which consists of steps, opens at a
+//! configured time and is due at a configured time. This crate only makes decisions; it performs
+//! no I/O and reads no clock: the time of day and the monotonic time are passed in.
+//!
+//! Users submit the jobs. The calendar decides which jobs wait for an earlier step of their run,
+//! and by when each job should end. See `docs/calendar.md`.
 //!
 //! ```
 //! use std::collections::BTreeMap;
--- a/crates/umbersail-calendar/src/record.rs
+++ b/crates/umbersail-calendar/src/record.rs
@@ -1,4 +1,4 @@
-//! The persisted record of a run, for a successor.
+//! The stored record of a run, from which the next leader continues the run.
 
 use serde::{Deserialize, Serialize};
 use thiserror::Error;
@@ -8,27 +8,28 @@
 /// Largest number of steps in a valid record.
 const MAX_STEPS: usize = 64;
 
-/// A run as its leader records it.
+/// The stored state of a run.
 ///
-/// It contains its own steps: a controller whose file has another version of the
-/// entry, or none, continues with these. Field names are part of the stored format.
+/// The record contains the steps of the run: a controller whose properties contain another
+/// version of the entry, or no such entry, continues with the recorded steps. The serialized
+/// field names are part of the stored format.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct RunRecord {
-    /// Team whose jobs belong to it.
+    /// Team whose jobs belong to the run.
     pub team: String,
-    /// Its opening time.
+    /// Opening time of the run.
     pub opening_ms: UnixMs,
-    /// Its due time.
+    /// Due time of the run.
     pub due_ms: UnixMs,
-    /// Fingerprint of the version of the entry that opened it.
+    /// Fingerprint of the version of the entry that the run was opened with.
     #[serde(rename = "print")]
     pub fingerprint: String,
-    /// Its steps in order.
+    /// Steps of the run in order.
     pub steps: Vec<StepRecord>,
-    /// Whether its lateness has been reported.
+    /// Whether it was reported that the run is expected to end late.
     #[serde(default, rename = "told_late")]
     pub lateness_reported: bool,
-    /// When it ended.
+    /// When the run ended.
     #[serde(default)]
     pub ended_ms: Option<UnixMs>,
 }
@@ -36,33 +37,34 @@
 /// A step of a run.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize, Default)]
 pub struct StepRecord {
-    /// Classes of the jobs that belong to it.
+    /// Classes of the jobs that belong to the step.
     pub classes: Vec<String>,
-    /// It closes after this many jobs.
+    /// The step closes after this many jobs.
     #[serde(default)]
     pub count: Option<u32>,
-    /// It closes after this many seconds without a new job.
+    /// The step closes after this many seconds without a new job.
     #[serde(default)]
     pub quiet_s: Option<f64>,
-    /// It closes at this time in any case.
+    /// The step closes at this time at the latest.
     pub until_ms: UnixMs,
-    /// When it became the first unfinished step.
+    /// When the step became the first unfinished step.
     #[serde(default)]
     pub began_ms: Option<UnixMs>,
-    /// Jobs that it has taken, except those cut off `unfinished`.
+    /// Number of jobs that the step has accepted, without the unfinished jobs that `unfinished`
+    /// has no room for.
     #[serde(default, rename = "came")]
     pub accepted_jobs: u32,
-    /// Names of unfinished jobs among them, up to a limit: a successor must not count
-    /// a job twice.
+    /// Names of the unfinished jobs that are included in the number of accepted jobs, up to a
+    /// limit, so that the next leader does not count a job twice.
     #[serde(default)]
     pub unfinished: Vec<String>,
-    /// When it closed.
+    /// When the step closed.
     #[serde(default)]
     pub closed_ms: Option<UnixMs>,
-    /// When all of its jobs had ended.
+    /// When all jobs of the step had ended.
     #[serde(default)]
     pub finished_ms: Option<UnixMs>,
-    /// Mean duration in earlier runs, in seconds.
+    /// Mean duration of the step in earlier runs, in seconds.
     #[serde(default)]
     pub mean_s: f64,
     /// Mean deviation of that duration, in seconds.
@@ -73,20 +75,20 @@
     pub learned: bool,
 }
 
-/// What is wrong with the record of a run.
+/// Why the record of a run is invalid.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Error)]
 pub enum InvalidRunRecord {
-    /// It has no steps, or too many.
-    #[error("it has no steps, or more than {MAX_STEPS}")]
+    /// The record has no steps, or too many.
+    #[error("the record has no steps, or more than {MAX_STEPS}")]
     StepCount,
-    /// It is due before it opens.
-    #[error("it is due before it opens")]
+    /// The due time is before the opening time.
+    #[error("the due time is before the opening time")]
     DueBeforeOpening,
-    /// A duration is negative or no number.
-    #[error("a span is no number of seconds")]
+    /// A duration is negative or not finite.
+    #[error("a duration is negative or not finite")]
     Duration,
-    /// A step takes no jobs.
-    #[error("a step has no class")]
+    /// A step has no classes.
+    #[error("a step has no classes")]
     NoClass,
 }
 
--- a/crates/umbersail-calendar/src/run/deadlines.rs
+++ b/crates/umbersail-calendar/src/run/deadlines.rs
@@ -1,4 +1,4 @@
-//! Deadlines of steps, and when they are due to be checked.
+//! Computes the deadlines of steps, and when the deadlines must be computed again.
 
 use super::Run;
 use crate::event::RunEventKind;
@@ -6,26 +6,29 @@
 use crate::timestamp::{millis, seconds_between};
 use crate::{Settings, Timestamp};
 
-/// Deviations above the mean up to which the duration of a step is expected.
+/// A duration up to this many mean deviations above the mean is expected.
 const DEVIATIONS_ABOVE_MEAN: f64 = 2.0;
 
-/// The latest start of work that takes `seconds` and is due at `due_ms`.
+/// Latest start time of work that takes `seconds` and is due at `due_ms`.
 fn latest_start(due_ms: UnixMs, seconds: f64) -> UnixMs {
     due_ms.saturating_sub(millis(seconds))
 }
 
 impl Run {
-    /// Expected duration of a step: as learned, and no less than its longest job.
+    /// Expected duration of a step in seconds: the learned mean plus `deviations` mean
+    /// deviations, but at least the expected duration of the step's longest job.
     pub(super) fn expected_s(&self, index: usize, deviations: f64) -> f64 {
         let step = &self.record.steps[index];
         (step.mean_s + deviations * step.deviation_s).max(self.states[index].longest_s)
     }
 
-    /// Sets the deadline of each step, backward from the due time.
+    /// Sets the deadline of each step, from the last step to the current one, and reports once
+    /// if the run is expected to end late.
     ///
-    /// A deadline that cannot be met would rank its jobs behind all that can be in
-    /// time, so a step is given at least its expected duration. So is a late run, for
-    /// as long again as it had.
+    /// The scheduler ranks jobs whose deadline cannot be met behind all jobs that can meet their
+    /// deadlines. Therefore the current step gets at least its expected duration. After the due
+    /// time, each step gets its expected duration from now on, until the run is late by as much
+    /// time as there was between its opening and its due time; then the steps have no deadlines.
     pub(super) fn plan_deadlines(
         &mut self,
         at: Timestamp,
@@ -42,30 +45,30 @@
             end_ms = end_ms.max(step.until_ms);
         }
         let allowed_ms = due_ms.saturating_sub(self.record.opening_ms);
-        let given_up = at.unix_ms >= due_ms.saturating_add(allowed_ms);
-        let (mut tail_s, mut max_tail_s) = (0.0, 0.0);
+        let gives_up_deadlines = at.unix_ms >= due_ms.saturating_add(allowed_ms);
+        let (mut later_steps_s, mut max_later_steps_s) = (0.0, 0.0);
         for index in (current..steps).rev() {
-            let cautious_ms = due_ms.saturating_sub(settings.skew_ms + millis(max_tail_s));
-            let latest_ms = latest_start(due_ms, tail_s);
+            let cautious_ms = due_ms.saturating_sub(settings.skew_ms + millis(max_later_steps_s));
+            let latest_ms = latest_start(due_ms, later_steps_s);
             let deadline_ms = match () {
-                () if given_up => None,
+                () if gives_up_deadlines => None,
                 () if self.released => Some(at.unix_ms + millis(self.expected_s(index, 0.0))),
                 () if index > current || end_ms <= cautious_ms => Some(cautious_ms),
                 () => Some(latest_ms.max(end_ms)),
             };
             self.states[index].deadline_ms = deadline_ms;
             if index > current {
-                tail_s += self.expected_s(index, 0.0);
-                max_tail_s += self.expected_s(index, DEVIATIONS_ABOVE_MEAN);
+                later_steps_s += self.expected_s(index, 0.0);
+                max_later_steps_s += self.expected_s(index, DEVIATIONS_ABOVE_MEAN);
             }
         }
         self.next_check_ms = match () {
             () if self.released => UnixMs::MAX,
             () if end_ms <= at.unix_ms => at.unix_ms + 1000,
             () if self.record.lateness_reported => end_ms,
-            () => end_ms.min(latest_start(due_ms, tail_s)),
+            () => end_ms.min(latest_start(due_ms, later_steps_s)),
         };
-        let end_ms = end_ms.saturating_add(millis(tail_s));
+        let end_ms = end_ms.saturating_add(millis(later_steps_s));
         if end_ms > due_ms && !self.record.lateness_reported {
             self.record.lateness_reported = true;
             events.push(RunEventKind::Late {
@@ -77,24 +80,25 @@
         }
     }
 
+    /// Why the run is expected to end late, with the current step as the likely cause.
     fn lateness_reason(&self, index: usize, elapsed_s: f64) -> &'static str {
         let (step, state) = (&self.record.steps[index], &self.states[index]);
         let opened = self.record.steps[0].began_ms.unwrap_or(0);
         match () {
-            () if !state.failing.is_empty() => "a job of it fails wherever it runs",
-            () if step.accepted_jobs == 0 => "no job of it has come",
+            () if !state.failing.is_empty() => "one of its jobs fails on every machine",
+            () if step.accepted_jobs == 0 => "none of its jobs has arrived",
             () if step.learned
                 && elapsed_s > step.mean_s + DEVIATIONS_ABOVE_MEAN * step.deviation_s =>
             {
-                "it takes longer than before"
+                "the step takes longer than in earlier runs"
             }
-            () if step.closed_ms.is_none() => "it still takes jobs",
+            () if step.closed_ms.is_none() => "the step still accepts jobs",
             () if seconds_between(self.record.opening_ms, opened) > 60.0 => "the run opened late",
-            () => "its jobs and the steps after it need longer than is left",
+            () => "its jobs and the later steps need more time than remains",
         }
     }
 
-    /// Seconds until time alone may change something.
+    /// Seconds until the state of the run may change without an event.
     pub fn next_tick_in_s(&self, at: Timestamp, settings: &Settings) -> f64 {
         if self.is_over() {
             return f64::INFINITY;
--- a/crates/umbersail-calendar/src/run/mod.rs
+++ b/crates/umbersail-calendar/src/run/mod.rs
@@ -1,4 +1,4 @@
-//! One run of a calendar entry: its steps, the jobs in them and its record.
+//! One run of a calendar entry: its steps, their jobs, and its record.
 
 mod deadlines;
 mod progress;
@@ -11,45 +11,50 @@
 use crate::openings::UnixMs;
 use crate::record::{RunRecord, StepRecord};
 
-/// State of a step that is not recorded: a successor derives it again.
+/// State of a step that is not recorded; a new leader rebuilds this state.
 #[derive(Debug, Clone, Default)]
 pub(crate) struct StepState {
-    /// Unfinished jobs, with the expected duration of their tasks in seconds.
+    /// Unfinished jobs, each with the expected duration of its tasks in seconds.
     pub members: BTreeMap<Rc<str>, f64>,
-    /// The longest of these durations.
+    /// The longest expected duration of an unfinished job.
     pub longest_s: f64,
-    /// Jobs that fail on every machine, and since when on the steady clock.
+    /// Jobs that fail on every machine, each with the monotonic time since when.
     pub failing: BTreeMap<Rc<str>, f64>,
-    /// Jobs that the record counts already.
+    /// Jobs that the inherited record has already counted.
     pub counted_jobs: BTreeSet<String>,
-    /// When the step began, its last job came or we took over: its quiet time counts
-    /// from here.
+    /// Monotonic time at which the step began, its last job arrived, or this leader inherited the
+    /// run, whichever is latest. The step's quiet time is measured from this time.
     pub last_activity_s: f64,
-    /// When its jobs should end.
+    /// When the jobs of the step should end.
     pub deadline_ms: Option<UnixMs>,
 }
 
+/// A run with its record and the state that is not recorded.
 #[derive(Debug, Clone)]
 pub(crate) struct Run {
     pub record: RunRecord,
+    /// State of each step, in the order of the recorded steps.
     pub states: Vec<StepState>,
     /// Number of leading steps that are recorded as finished.
     pub recorded_steps: usize,
-    /// The next run of its entry has opened.
+    /// Whether the next run of the entry has opened.
     pub superseded: bool,
-    /// Its due time has passed: it holds back no jobs.
+    /// Whether the due time has passed, so that the run holds no jobs.
     pub released: bool,
-    /// Version of its record, and the newest version that is stored.
+    /// Version of the record.
     pub version: u64,
+    /// Newest version of the record that is stored.
     pub written_version: u64,
+    /// Monotonic time of the oldest change that is not stored.
     pub dirty_since: Option<f64>,
-    /// When time alone may change its outlook.
+    /// When the deadlines or the expected delay must be computed again even if nothing changes.
     pub next_check_ms: UnixMs,
+    /// Whether the record must be stored without delay.
     pub urgent: bool,
 }
 
 impl Run {
-    /// Opens a run, with the durations learned in the previous one.
+    /// Opens a run with the durations that were learned in the previous run.
     pub fn open(entry: &Entry, opening: UnixMs, previous: Option<&Run>, at: Timestamp) -> Run {
         let due_ms = entry.due(opening);
         let steps = entry.steps.iter().enumerate().map(|(index, step)| {
@@ -83,7 +88,7 @@
         run
     }
 
-    /// Takes over a run that a predecessor recorded.
+    /// Continues a run that a previous leader recorded.
     pub fn inherit(mut record: RunRecord, at: Timestamp) -> Run {
         let mut counted: Vec<BTreeSet<String>> = Vec::new();
         for step in &mut record.steps {
@@ -99,6 +104,7 @@
         run
     }
 
+    /// A run with this record and no jobs.
     fn with_record(record: RunRecord, at: Timestamp) -> Run {
         let state = StepState {
             last_activity_s: at.steady_s,
@@ -118,6 +124,7 @@
         }
     }
 
+    /// Notes that a step has become the first unfinished step.
     fn begin_step(&mut self, index: usize, at: Timestamp) {
         if let Some(step) = self.record.steps.get_mut(index) {
             step.began_ms.get_or_insert(at.unix_ms);
@@ -125,28 +132,29 @@
         }
     }
 
-    /// Notes a change that a successor should know.
+    /// Notes that the record has changed and must be stored.
     pub fn mark_changed(&mut self, at: Timestamp, urgent: bool) {
         self.version += 1;
         self.dirty_since.get_or_insert(at.steady_s);
         self.urgent |= urgent;
     }
 
-    /// Index of the first unfinished step.
+    /// Index of the first unfinished step, or the number of steps if all have finished.
     pub fn current(&self) -> usize {
         let steps = &self.record.steps;
         let open = steps.iter().position(|s| s.finished_ms.is_none());
         open.unwrap_or(steps.len())
     }
 
+    /// Whether the run has ended.
     pub fn is_over(&self) -> bool {
         self.record.ended_ms.is_some()
     }
 
-    /// The step that a job of this class, accepted at this time, belongs to.
+    /// Index of the step that a job of this class, accepted at this time, belongs to.
     ///
-    /// Clocks of nodes differ: a job that the leader saw before it closed the step may
-    /// bear a later time.
+    /// Clocks of controllers differ: a job that the leader received before the step closed may
+    /// have a later time of acceptance than the time at which the step closed.
     pub fn step_of(&self, class: &str, accepted_ms: UnixMs, skew_ms: u64) -> Option<usize> {
         let steps = &self.record.steps;
         let names_class = |s: &StepRecord| s.classes.iter().any(|c| c == class);
@@ -157,6 +165,7 @@
         (!self.is_over() && step.finished_ms.is_none() && !closed).then_some(index)
     }
 
+    /// Adds a job to the step with this index.
     pub fn job_accepted(&mut self, at: Timestamp, index: usize, id: &Rc<str>, run_s: f64) {
         let state = &mut self.states[index];
         let run_s = if run_s.is_finite() { run_s } else { 0.0 };
@@ -166,7 +175,7 @@
         state.longest_s = state.longest_s.max(run_s);
         state.last_activity_s = state.last_activity_s.max(at.steady_s);
         let step = &mut self.record.steps[index];
-        // A closed step takes no more jobs: this one was counted before.
+        // A closed step accepts no more jobs, so this job was counted before the step closed.
         if !state.counted_jobs.remove(&**id) && step.closed_ms.is_none() {
             step.accepted_jobs = step.accepted_jobs.saturating_add(1);
         }
@@ -175,6 +184,7 @@
         }
     }
 
+    /// Removes a job that has ended from the step with this index.
     pub fn job_ended(&mut self, at: Timestamp, index: usize, id: &str) {
         let state = &mut self.states[index];
         state.failing.remove(id);
@@ -189,12 +199,12 @@
         }
     }
 
-    /// Whether jobs of this step wait for an earlier step.
+    /// Whether the jobs of this step wait for an earlier step.
     pub fn is_step_held(&self, index: usize) -> bool {
         index > self.recorded_steps && !self.released && !self.is_over()
     }
 
-    /// The record to be stored, with at most `max_names` names of jobs.
+    /// The record to store, with at most `max_names` names of jobs.
     pub fn to_record(&self, max_names: usize) -> RunRecord {
         let mut record = self.record.clone();
         let mut names_left = max_names;
@@ -211,7 +221,7 @@
         record
     }
 
-    /// The record of this version has been stored.
+    /// Called when this version of the record, with `finished` finished steps, has been stored.
     pub fn mark_written(&mut self, at: Timestamp, version: u64, finished: usize) {
         self.written_version = self.written_version.max(version);
         if self.written_version >= self.version {
--- a/crates/umbersail-calendar/src/run/progress.rs
+++ b/crates/umbersail-calendar/src/run/progress.rs
@@ -1,15 +1,15 @@
-//! Progress of a run: steps close and finish, and the run ends.
+//! Progress of a run: closes and finishes steps, and ends the run.
 
 use super::Run;
 use crate::event::RunEventKind;
 use crate::timestamp::{millis, seconds_between};
 use crate::{Settings, Timestamp};
 
-/// Weight of the newest duration of a step in the moving averages.
+/// Weight of the newest duration of a step in the exponential moving averages.
 const SAMPLE_WEIGHT: f64 = 0.3;
 
 impl Run {
-    /// Advances the run. True if jobs were released because the run is due.
+    /// Advances the run. Returns whether held jobs are released because the due time has passed.
     pub fn tick(
         &mut self,
         at: Timestamp,
@@ -34,12 +34,12 @@
         }
         self.close_steps(at, settings, events);
         self.finish_step(at, settings, events);
-        let given_up = at.unix_ms
+        let is_given_up = at.unix_ms
             >= self
                 .record
                 .due_ms
                 .saturating_add(millis(settings.retention_s));
-        if self.current() == self.record.steps.len() || given_up {
+        if self.current() == self.record.steps.len() || is_given_up {
             self.end(at, events);
         } else {
             self.plan_deadlines(at, settings, events);
@@ -47,6 +47,7 @@
         releases
     }
 
+    /// Ends the run.
     pub fn end(&mut self, at: Timestamp, events: &mut Vec<RunEventKind>) {
         let unfinished_jobs = self.states.iter().map(|state| state.members.len()).sum();
         events.push(RunEventKind::Ended {
@@ -57,25 +58,26 @@
         self.mark_changed(at, true);
     }
 
-    /// Closes steps that take no more jobs.
+    /// Closes the steps whose condition for closing is met.
     fn close_steps(&mut self, at: Timestamp, settings: &Settings, events: &mut Vec<RunEventKind>) {
         let mut closed = Vec::new();
         for (index, (step, state)) in self.record.steps.iter_mut().zip(&self.states).enumerate() {
             if step.closed_ms.is_some() {
                 continue;
             }
-            // Other nodes' clocks may be behind ours, and their jobs not yet seen.
+            // The clock of another controller may be behind the leader's clock, so a job that
+            // was accepted there before the closing time may still arrive.
             let until = step.until_ms.saturating_add(settings.skew_ms);
             let is_quiet = |quiet_s: f64| {
-                // Before a step can begin, a lack of jobs does not indicate its end.
+                // Before the step begins, a lack of jobs does not mean that all have arrived.
                 index == self.recorded_steps && at.steady_s - state.last_activity_s >= quiet_s
             };
             let reason = match () {
                 () if step.count.is_some_and(|count| step.accepted_jobs >= count) => {
-                    "all have come"
+                    "all expected jobs were accepted"
                 }
-                () if at.unix_ms >= until => "its closing hour",
-                () if step.quiet_s.is_some_and(is_quiet) => "none came for its quiet time",
+                () if at.unix_ms >= until => "its closing time has passed",
+                () if step.quiet_s.is_some_and(is_quiet) => "no job arrived during its quiet time",
                 () if self.superseded => "the next run has opened",
                 () => continue,
             };
@@ -93,8 +95,8 @@
         }
     }
 
-    /// Finishes the current step if all of its jobs have ended. The next step begins
-    /// once that is recorded; otherwise a successor would hold it back again.
+    /// Finishes the current step if the step is closed and all of its jobs have ended. The next
+    /// step begins when this is recorded; otherwise a new leader would hold the next step again.
     fn finish_step(&mut self, at: Timestamp, settings: &Settings, events: &mut Vec<RunEventKind>) {
         let index = self.current();
         if index != self.recorded_steps || index >= self.record.steps.len() {
--- a/crates/umbersail-calendar/src/settings.rs
+++ b/crates/umbersail-calendar/src/settings.rs
@@ -3,21 +3,20 @@
 /// Operator settings of the calendar.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Settings {
-    /// Bound of the error of any node's time of day, in milliseconds.
+    /// Maximum error of the time of day of any controller, in milliseconds.
     pub skew_ms: u64,
-    /// Ticks may be this late, in milliseconds. Runs open as much ahead of their time,
-    /// so that no job of a later step starts before the run has opened.
+    /// Maximum delay of a tick, in milliseconds. Runs open earlier by this time, so that no job
+    /// of a later step starts before the run has opened.
     pub tick_ms: u64,
-    /// Changed counts are recorded after this many seconds.
+    /// Changed job counts are recorded after this many seconds.
     pub write_delay_s: f64,
-    /// A job that has failed on every machine for this many seconds is no longer
-    /// waited for.
+    /// A step no longer waits for a job that has failed on every machine for this many seconds.
     pub failing_grace_s: f64,
-    /// Seconds after its due time when an unfinished run is given up and an ended
-    /// one is forgotten.
+    /// Seconds after the due time of a run when the run is given up if it is unfinished, and
+    /// when the record of an ended run without an entry is removed.
     pub retention_s: f64,
-    /// Concurrent runs of one entry.
+    /// Maximum number of concurrent runs of one entry.
     pub max_active_runs: usize,
-    /// Names of jobs in a record.
+    /// Maximum number of job names in a record.
     pub max_names: usize,
 }
--- a/crates/umbersail-calendar/src/tracker/mod.rs
+++ b/crates/umbersail-calendar/src/tracker/mod.rs
@@ -1,4 +1,4 @@
-//! The active runs: which jobs belong to them, and when they advance.
+//! Tracks the active runs: which jobs belong to which run, and when each run advances.
 
 mod opening;
 mod recording;
@@ -15,18 +15,18 @@
 
 pub use recording::RecordWrite;
 
-/// A job that was accepted by a node.
+/// A job that a controller accepted.
 #[derive(Debug, Clone, Copy)]
 pub struct AcceptedJob<'a> {
     /// Name of the job.
     pub id: &'a Rc<str>,
-    /// Its team.
+    /// Team of the job.
     pub team: &'a str,
-    /// Its class.
+    /// Class of the job.
     pub class: &'a str,
-    /// By the clock of the node that accepted it.
+    /// Time of acceptance by the clock of the controller that accepted the job.
     pub accepted_ms: UnixMs,
-    /// Expected duration of its tasks in seconds.
+    /// Expected duration of the job's tasks in seconds.
     pub run_s: f64,
 }
 
@@ -35,9 +35,10 @@
 pub struct TickOutcome {
     /// Events for the log.
     pub events: Vec<RunEvent>,
-    /// Runs have opened: all jobs are to be offered again.
+    /// Whether runs have opened. If so, the caller must pass all jobs to
+    /// [`RunTracker::job_accepted`] again.
     pub opened: bool,
-    /// Jobs that were held back may start.
+    /// Whether jobs that were held may start.
     pub released: bool,
 }
 
@@ -54,18 +55,18 @@
     calendar: Rc<Calendar>,
     settings: Settings,
     runs: BTreeMap<RunKey, Run>,
-    /// Records to be removed.
+    /// Runs whose stored records must be removed.
     removed_records: BTreeSet<RunKey>,
-    /// The first tick has passed.
+    /// Whether the first tick has been processed.
     started: bool,
-    /// The next opening of each entry, once looked for.
+    /// The next opening of each entry for which it was computed.
     next: BTreeMap<Rc<str>, UnixMs>,
-    /// Unfinished jobs, with the run and the step that they belong to.
+    /// Unfinished jobs, each with its run and the index of its step.
     members: BTreeMap<Rc<str>, (RunKey, usize)>,
 }
 
 impl RunTracker {
-    /// A tracker without runs.
+    /// Creates a tracker without runs.
     pub fn new(calendar: Rc<Calendar>, settings: Settings) -> RunTracker {
         RunTracker {
             calendar,
@@ -78,10 +79,10 @@
         }
     }
 
-    /// Takes over a run that a predecessor recorded; to be called before the first tick.
+    /// Continues a run that a previous leader recorded. Must be called before the first tick.
     ///
     /// # Errors
-    /// The reason why the record can't be used.
+    /// Why the record is invalid.
     pub fn inherit(
         &mut self,
         at: Timestamp,
@@ -99,7 +100,7 @@
         self.runs.iter().map(|(key, run)| (key, &run.record))
     }
 
-    /// Whether there is neither an entry nor a run.
+    /// Whether the tracker has neither entries nor runs.
     pub fn is_empty(&self) -> bool {
         self.calendar.is_empty() && self.runs.is_empty()
     }
@@ -109,14 +110,15 @@
         self.members.keys()
     }
 
-    /// A job was accepted, or was found on taking over. Whether it belongs to a run.
+    /// Called when a job was accepted, and for each job that a new leader finds. Adds the job to
+    /// its run; returns whether the job belongs to a run.
     pub fn job_accepted(&mut self, at: Timestamp, job: AcceptedJob<'_>) -> bool {
         if self.members.contains_key(job.id) {
             return true;
         }
-        // Clocks differ: who may have come after the opening belongs to the run. Of
-        // several the one that opened last; one whose step is closed takes none, and
-        // leaves it to no earlier one.
+        // Clocks differ, so a job that may have been accepted after the opening belongs to the
+        // run. If several runs match, the job belongs to the run that opened last. If that run's
+        // step is closed, the job belongs to no run, not to an earlier run.
         let latest_opening_ms = job.accepted_ms.saturating_add(self.settings.skew_ms);
         let takes_job = |run: &Run| {
             run.record.team == job.team
@@ -142,7 +144,8 @@
         true
     }
 
-    /// A job is over: done, cancelled or dropped. Whether it belonged to a run.
+    /// Called when a job is done, cancelled or dropped. Returns whether the job belonged to a
+    /// run.
     pub fn job_ended(&mut self, at: Timestamp, id: &str) -> bool {
         let Some((key, index)) = self.members.remove(id) else {
             return false;
@@ -153,7 +156,7 @@
         true
     }
 
-    /// Tells whether a job seems to fail on every machine.
+    /// Sets whether a job appears to fail on every machine.
     pub fn set_failing(&mut self, at: Timestamp, id: &str, failing: bool) {
         let Some((key, index)) = self.members.get(id) else {
             return;
@@ -170,7 +173,7 @@
         }
     }
 
-    /// Whether a job waits for an earlier step of its run. Its running tasks continue.
+    /// Whether a job waits for an earlier step of its run. Running tasks of such a job continue.
     pub fn is_held(&self, id: &str) -> bool {
         self.members
             .get(id)
@@ -178,13 +181,13 @@
             .is_some_and(|(run, index)| run.is_step_held(index))
     }
 
-    /// When a job should end for its run to be in time.
+    /// When a job should end so that its run ends before the due time.
     pub fn deadline_ms(&self, id: &str) -> Option<UnixMs> {
         let (key, index) = self.members.get(id)?;
         self.runs.get(key)?.states[*index].deadline_ms
     }
 
-    /// Opens runs and advances all of them.
+    /// Opens the runs that are due to open, and advances all runs.
     pub fn tick(&mut self, at: Timestamp) -> TickOutcome {
         let mut outcome = TickOutcome::default();
         self.open_runs(at, &mut outcome);
@@ -199,7 +202,7 @@
         outcome
     }
 
-    /// Seconds until the next tick is due if nothing happens before.
+    /// Seconds until the next tick is due if no job arrives, ends or fails before.
     pub fn next_tick_in_s(&self, at: Timestamp) -> f64 {
         let runs = self
             .runs
--- a/crates/umbersail-calendar/src/tracker/opening.rs
+++ b/crates/umbersail-calendar/src/tracker/opening.rs
@@ -1,4 +1,4 @@
-//! Opening of runs, and forgetting them.
+//! Opens runs and removes ended runs.
 
 use std::rc::Rc;
 
@@ -11,7 +11,7 @@
 use crate::timestamp::seconds_between;
 
 impl RunTracker {
-    /// Opens the runs whose time has come.
+    /// Opens the runs that are due to open.
     pub(super) fn open_runs(&mut self, at: Timestamp, outcome: &mut TickOutcome) {
         let calendar = self.calendar.clone();
         if !std::mem::replace(&mut self.started, true) {
@@ -33,7 +33,7 @@
         }
     }
 
-    /// Reports inherited runs whose entry has changed or is gone.
+    /// Reports inherited runs whose entry was changed or removed.
     fn report_changed_entries(&self, outcome: &mut TickOutcome) {
         for (key, run) in self.runs.iter().filter(|(_, run)| !run.is_over()) {
             let kind = match self.calendar.entries.get(&*key.0) {
@@ -45,8 +45,9 @@
         }
     }
 
-    /// Whether the newest run of the entry covers this opening. With another version of
-    /// the entry, the opening may be that run's, moved a little.
+    /// Whether the newest run of the entry covers this opening. If that run was opened with
+    /// another version of the entry, an opening before the run's due time counts as the same
+    /// opening at a changed time.
     fn is_covered(&self, name: &Rc<str>, entry: &Entry, opening: UnixMs) -> bool {
         self.newest(name).is_some_and(|(_, run)| {
             let record = &run.record;
@@ -70,7 +71,8 @@
         outcome.opened = true;
     }
 
-    /// Marks earlier runs of the entry, and ends the oldest beyond the limit.
+    /// Marks earlier runs of the entry as superseded, and ends the oldest runs if the entry has
+    /// too many active runs.
     fn supersede_earlier(&mut self, at: Timestamp, key: &RunKey, outcome: &mut TickOutcome) {
         let earlier = (key.0.clone(), 0)..key.clone();
         let mut active = Vec::new();
@@ -92,8 +94,8 @@
         }
     }
 
-    /// Runs open this early: a node whose clock is ahead may already have accepted a
-    /// job for them.
+    /// The time up to which openings are due. Runs open early, because a controller whose clock is
+    /// ahead may already have accepted a job of the run.
     pub(super) fn ahead_ms(&self, at: Timestamp) -> UnixMs {
         at.unix_ms
             .saturating_add(self.settings.skew_ms + self.settings.tick_ms)
@@ -104,8 +106,9 @@
         self.runs.range(all).next_back()
     }
 
-    /// Forgets ended runs once a later one of their entry is recorded, which prevents
-    /// that they open again; runs without an entry after a while.
+    /// Removes an ended run when a later run of the same entry is recorded: without that record,
+    /// a new leader would open the ended run again. Removes an ended run without an entry after
+    /// the retention time.
     pub(super) fn remove_ended_runs(&mut self, at: Timestamp) {
         let mut ended: Vec<RunKey> = Vec::new();
         for (key, run) in &self.runs {
--- a/crates/umbersail-calendar/src/tracker/recording.rs
+++ b/crates/umbersail-calendar/src/tracker/recording.rs
@@ -1,24 +1,24 @@
-//! Records of runs that are to be stored.
+//! Determines which records of runs must be stored or removed.
 
 use super::RunTracker;
 use crate::Timestamp;
 use crate::event::RunKey;
 use crate::record::RunRecord;
 
-/// A record that is to be stored or removed.
+/// A record that must be stored or removed.
 #[derive(Debug, Clone, PartialEq)]
 pub struct RecordWrite {
     /// The run.
     pub run: RunKey,
     /// The new record; `None` to remove it.
     pub record: Option<RunRecord>,
-    /// Jobs wait for it.
+    /// Whether the write must not be delayed, because jobs may wait for its completion.
     pub urgent: bool,
     version: u64,
 }
 
 impl RunTracker {
-    /// Records that are due to be stored, those that jobs wait for first.
+    /// Records that are due to be stored, urgent ones first, and records that must be removed.
     pub fn due_writes(&self, at: Timestamp) -> Vec<RecordWrite> {
         let mut writes: Vec<RecordWrite> = Vec::new();
         for (run, state) in &self.runs {
@@ -42,7 +42,7 @@
         writes
     }
 
-    /// A write has been applied. Whether jobs that were held back may start.
+    /// Called when a write has been stored. Returns whether jobs that were held may start.
     pub fn mark_written(&mut self, at: Timestamp, write: &RecordWrite) -> bool {
         let Some(record) = &write.record else {
             self.removed_records.remove(&write.run);
--- a/crates/umbersail-reserve/src/lib.rs
+++ b/crates/umbersail-reserve/src/lib.rs
@@ -3,7 +3,7 @@
 //!
 //! [`Reservations::parse`] reads the operators' entries. For each entry one
 //! [`ReservationRecord`] states what was promised, the rental requests with their names, and
-//! the reserved machines. [`plan`] updates the records to the current state of the cluster.
+//! the reserved machines. [`plan()`] updates the records to the current state of the cluster.
 //! The caller stores the records and sends only those rental requests that are recorded.
 //! After a change of leader, the next leader therefore sends the same requests under the same
 //! names, and no machine is rented twice.
