--- a/crates/umbersail-calendar/tests/runs.rs
+++ b/crates/umbersail-calendar/tests/runs.rs
@@ -1,4 +1,4 @@
-//! Runs of the calendar under leaders that end, clocks that differ and files that change.
+//! Tests of the calendar's runs with leader changes, clocks that differ and changed properties.
 
 use std::collections::BTreeMap;
 use std::rc::Rc;
@@ -39,7 +39,7 @@
         .unwrap()
 }
 
-/// A state service with its records and jobs, and the tracker of the present leader.
+/// A simulated state service with stored records and jobs, and the tracker of the current leader.
 struct TestCluster {
     properties: String,
     records: BTreeMap<RunKey, RunRecord>,
@@ -66,7 +66,7 @@
         cluster
     }
 
-    /// The leader ends: another one reads what is recorded.
+    /// Replaces the leader; the new leader reads the stored records.
     fn change_leader(&mut self) {
         self.at.steady_s += 5000.0;
         let calendar = Calendar::parse(&pairs(&self.properties)).unwrap();
@@ -102,7 +102,7 @@
         }
     }
 
-    /// Writes what is due, if the state service answers.
+    /// Stores the records that are due to be stored.
     fn write(&mut self) {
         for write in self.tracker.due_writes(self.at) {
             match &write.record {
@@ -256,11 +256,11 @@
         let gaps: Vec<u64> = found.windows(2).map(|w| (w[1].0 - w[0].0) / 1000).collect();
         let spans: Vec<u64> = found.iter().map(|f| f.1 / 1000).collect();
         if due_s == 3600 {
-            // 01:30 is skipped: it opens at 02:30 by the moved clocks.
+            // 01:30 is skipped, so the run opens at 02:30 daylight saving time.
             assert_eq!(gaps, [86400, 86400, 82800, 86400]);
             assert_eq!(spans, [5400, 5400, 1800, 5400, 5400]);
         } else {
-            // 01:30 comes twice: the first one counts, and 03:00 is an hour further.
+            // 01:30 occurs twice; the first occurrence counts, so 03:00 is one hour later.
             assert_eq!(gaps, [86400, 86400, 90000, 86400]);
             assert_eq!(spans, [5400, 5400, 9000, 5400, 5400]);
         }
@@ -277,7 +277,7 @@
         let file = PROPERTIES.replace("FREQ=DAILY", rule);
         let calendar = Calendar::parse(&pairs(&file)).unwrap();
         let openings = &calendar.entries["dawn"].openings;
-        // Three weeks on: no change of clocks lies between.
+        // Three weeks later, without a daylight saving change in between.
         let (last, next) = openings.last_and_next(opening() + 1_814_400_000 + 1);
         assert_eq!((last.unwrap() - opening()) % (step_s * 1000), 0, "{rule}");
         assert_eq!(next.unwrap() - last.unwrap(), step_s * 1000, "{rule}");
@@ -298,15 +298,19 @@
     cluster.advance_and_write(1.0);
     cluster.end_job("a");
     cluster.advance_and_write(1.0);
-    // The last job's end is recorded, that the step is finished is not.
+    // The end of the last job is stored, but not the fact that the step has finished.
     cluster.end_job("b");
     assert_eq!(cluster.logged("finished step 1"), 1);
-    assert!(cluster.is_held("c"), "a successor would hold it back again");
+    assert!(
+        cluster.is_held("c"),
+        "a new leader would hold the job again"
+    );
     cluster.change_leader();
     assert_eq!(cluster.logged("finished step 1"), 2);
     cluster.advance_and_write(0.0);
     assert!(!cluster.is_held("c"));
-    // It stands: the next one neither waits for it nor takes jobs for it.
+    // The finished step is stored: after another leader change, jobs neither wait for this step
+    // nor are added to it.
     cluster.submit("d", "scan");
     cluster.change_leader();
     assert!(!cluster.is_held("c") && !cluster.is_held("d"));
@@ -319,10 +323,10 @@
     cluster.submit("a", "scan");
     cluster.submit("c", "print");
     cluster.advance_and_write(2.0);
-    // Counted already, it is not counted again.
+    // The new leader does not count job "a" again.
     cluster.change_leader();
     assert_eq!(cluster.logged("all expected jobs were accepted"), 0);
-    // It ends while nobody leads.
+    // Job "a" ends while there is no leader.
     cluster.jobs.remove("a");
     cluster.advance(90.0);
     cluster.change_leader();
@@ -349,7 +353,8 @@
         cluster.logged("no job arrived during its quiet time; 0 jobs accepted"),
         1
     );
-    // Quiet counts from when the step begins: its jobs may only come then.
+    // The quiet time is measured from the begin of the step, because jobs of the step may arrive
+    // only then.
     let mut cluster = TestCluster::at(opening());
     cluster.properties = PROPERTIES.replace("step.2.until = 30m", "step.2.quiet = 1m");
     cluster.change_leader();
@@ -358,7 +363,7 @@
     assert_eq!(cluster.logged("closed step 2"), 0);
     cluster.advance_and_write(1.0);
     assert_eq!(cluster.logged("closed step 2"), 1);
-    // By count alone it is held until the run is due, and let go then.
+    // A step that closes by count alone holds the next step until the run is due.
     let mut cluster = TestCluster::at(opening() - 60_000);
     cluster.properties = PROPERTIES.replace("step.1.quiet = 5m", "step.1.takes = 1m");
     cluster.change_leader();
@@ -380,7 +385,7 @@
     cluster.end_job("a");
     cluster.tracker.set_failing(cluster.at, "b", true);
     cluster.advance_and_write(30.0);
-    // A try that ran longer clears it, and it is waited for anew.
+    // An attempt that runs longer ends the suspicion, so the step waits for the job again.
     cluster.tracker.set_failing(cluster.at, "b", false);
     cluster.advance_and_write(40.0);
     assert!(cluster.is_held("c"));
@@ -410,7 +415,7 @@
             "the step of the record is not finished"
         );
         assert_eq!(cluster.logged("opened"), 1);
-        // Back and forth between two files: the record stands.
+        // Leaders with the old and the new properties alternate; both keep the recorded steps.
         cluster.properties = PROPERTIES.to_owned();
         cluster.change_leader();
         cluster.end_job("a");
@@ -421,11 +426,11 @@
         cluster.end_job("c");
         cluster.advance_and_write(1800.0);
         assert_eq!(cluster.logged("ended"), 1);
-        // The moved opening of tonight is no second run of tonight's.
+        // The changed opening time on the same evening does not open a second run.
         cluster.advance_and_write(60.0);
         assert_eq!(cluster.logged("opened"), 1);
         assert_eq!(cluster.logged("continues with its recorded steps"), 2);
-        // The next evening's run is of whoever leads then.
+        // The next evening's run is opened from the properties of the leader at that time.
         cluster.advance_and_write(86_400.0 - 1800.0);
         assert_eq!(cluster.logged("opened"), 1 + usize::from(!file.is_empty()));
     }
@@ -452,7 +457,7 @@
     assert!(cluster.is_held("c1") && !cluster.is_held("c2"));
     cluster.change_leader();
     assert!(cluster.is_held("c1") && !cluster.is_held("c2"));
-    // Not more than three at once: the oldest gives up, and holds nothing.
+    // At most three runs are active at once: the oldest run is given up and holds no jobs.
     cluster.advance_and_write(600.0);
     assert!(cluster.is_held("c1"));
     cluster.advance_and_write(600.0);
@@ -483,7 +488,8 @@
 
 #[test]
 fn no_job_is_lost_when_clocks_differ_by_the_maximum_skew() {
-    // Our clock is behind, the accepting node's ahead, by what they may be together.
+    // The leader's clock is behind and the accepting controller's clock is ahead; together they
+    // differ by the maximum.
     let mut cluster = TestCluster::at(opening() - SKEW_MS);
     assert_eq!(cluster.logged("opened"), 1);
     cluster
@@ -491,7 +497,8 @@
         .insert("c".into(), ("print", opening() - SKEW_MS));
     cluster.pass_jobs_to_tracker();
     assert!(cluster.is_held("c"));
-    // A job seen before its step closed, accepted by a clock ahead of the leader's.
+    // Jobs that the leader received before the step closed, accepted by a controller whose clock
+    // is ahead of the leader's clock.
     for id in ["a", "b"] {
         cluster
             .jobs
@@ -505,7 +512,8 @@
     cluster.advance_and_write(0.0);
     assert_eq!(cluster.logged("finished step 1"), 0);
     assert!(cluster.is_held("c"));
-    // At its closing hour jobs that clocks behind ours accepted are still of the step.
+    // At the closing time, a job may still arrive from a controller whose clock is behind the
+    // leader's clock. Such a job belongs to the step.
     cluster.at.unix_ms = opening() + 1_800_000 + SKEW_MS - 1;
     cluster.tick();
     assert_eq!(cluster.logged("closed step 2"), 0);
@@ -519,7 +527,7 @@
     cluster.submit("a", "scan");
     cluster.submit("b", "scan");
     cluster.submit("c", "print");
-    // Step 2 takes ten minutes, so until 22:50 the run may be in time.
+    // Step 2 takes ten minutes, so the run can end in time if step 1 ends by 22:50.
     let by = |cluster: &TestCluster, id| cluster.tracker.deadline_ms(id).unwrap() - opening();
     assert_eq!(by(&cluster, "a"), 3_000_000 - SKEW_MS);
     assert_eq!(by(&cluster, "c"), 3_600_000 - SKEW_MS);
@@ -532,8 +540,9 @@
     cluster.change_leader();
     cluster.advance_and_write(30.0);
     assert_eq!(cluster.logged("will be late"), 1);
-    // It is still wanted as soon as can be, late too: behind all that can be in time
-    // it would wait for ever. After as long again it is like any other.
+    // Jobs of a late run still get deadlines, because without them they could wait without limit
+    // behind jobs that can meet their deadlines. When the run is late by as much time as there was
+    // between its opening and its due time, its jobs have no deadlines.
     assert!(by(&cluster, "a") >= 3_000_000);
     cluster.advance_and_write(600.0);
     assert!(by(&cluster, "a") > 3_630_000);
@@ -549,7 +558,7 @@
         cluster.submit("b", "scan");
         cluster.submit("c", "print");
         if night == 1 {
-            // 100 s with a quarter of range twice.
+            // A mean of 100 s plus two mean deviations of a quarter of the mean.
             assert_eq!(
                 cluster.tracker.deadline_ms("a"),
                 Some(cluster.due() - SKEW_MS - 150_000)
@@ -560,7 +569,7 @@
         cluster.advance_and_write(1.0);
         cluster.advance_and_write(99.0);
         cluster.end_job("c");
-        // It takes no more at 22:30.
+        // Step 2 closes at 22:30.
         cluster.advance_and_write(1.0);
         cluster.advance_and_write(1700.0);
         if night == 0 {
@@ -573,7 +582,11 @@
             cluster.advance_and_write(86_400.0 - 1801.0);
         }
     }
-    assert_eq!(cluster.records.len(), 1, "the older one has gone");
+    assert_eq!(
+        cluster.records.len(),
+        1,
+        "the record of the older run was removed"
+    );
 }
 
 impl TestCluster {
@@ -583,9 +596,9 @@
 }
 
 proptest! {
-    /// Jobs come, end and fail, leaders end, and writes get through or not. Nothing is
-    /// held after the due time, what was let go is never held again, and a finished
-    /// step stays finished.
+    /// Jobs arrive, end and fail, leaders change, and records are stored or not, in any order. No
+    /// job is held after the due time, a released job is never held again, and a finished step
+    /// stays finished.
     #[test]
     fn no_job_is_held_again_after_its_release_or_after_the_due_time(
         steps in prop::collection::vec((0u8..7, 0usize..12, 0.0f64..240.0), 1..80)
@@ -612,7 +625,7 @@
                 let held = cluster.is_held(id);
                 prop_assert!(!held || !past, "{id} is held after the due time");
                 prop_assert!(!held || !released.contains(id), "{id} is held again");
-                // Before it belonged to a run it was not let go, only unknown.
+                // A job that does not belong to a run yet was not released.
                 if cluster.jobs.contains_key(*id) && cluster.tracker.deadline_ms(id).is_some() && !held {
                     released.insert(id);
                 }
--- a/crates/umbersail-reserve/src/record.rs
+++ b/crates/umbersail-reserve/src/record.rs
@@ -30,7 +30,7 @@
 /// Which work outside a reservation may use its machines while they are idle.
 #[derive(Debug, Clone, PartialEq, Eq, Default, Serialize, Deserialize)]
 pub struct BorrowPolicy {
-    /// Whether work of a lower priority may borrow machines if it can save a checkpoint within
+    /// Whether work of a lower priority may borrow machines if that work can save a checkpoint within
     /// [`Terms::max_checkpoint_s`] and can therefore be preempted.
     #[serde(default, rename = "savable")]
     pub checkpointable: bool,
@@ -91,7 +91,7 @@
     /// Number of machines.
     pub count: u32,
     /// Whether the entry asked for this machine type. If true, only a machine that is at least
-    /// as large can substitute one of these machines. If false, the entry asked for amounts of
+    /// as large can substitute for one of these machines. If false, the entry asked for amounts of
     /// resources, and machines of other types count in proportion to their resources.
     pub exact: bool,
 }
@@ -151,7 +151,7 @@
     /// Rental requests and reserved machines.
     pub batches: Vec<Batch>,
     /// Why fewer machines are reserved or requested than were promised; absent if nothing is
-    /// missing or the time to rent has not come.
+    /// missing or renting is not due yet.
     #[serde(default, rename = "short", skip_serializing_if = "Option::is_none")]
     pub shortfall: Option<String>,
     /// How many times the lead time before the window is doubled, because the cloud refused
--- a/crates/umbersail-reserve/src/tests.rs
+++ b/crates/umbersail-reserve/src/tests.rs
@@ -263,7 +263,11 @@
         ),
         ("reserve.x.to = soon", "to", "neither"),
         ("reserve.x.time_zone = Mars/Base", "time_zone", "unknown"),
-        ("reserve.x.length = 2h", "length", "recurrence only"),
+        (
+            "reserve.x.length = 2h",
+            "length",
+            "valid with recurrence only",
+        ),
         (
             "reserve.x.borrow = nobody, crops",
             "borrow",
@@ -382,7 +386,7 @@
         }));
     assert!(cluster.has_notice("fair", |kind| *kind == NoticeKind::Expired { machines: 70 }));
     assert!(cluster.records.is_empty());
-    assert_eq!(cluster.machines.len(), 70, "nothing was rented twice");
+    assert_eq!(cluster.machines.len(), 70, "no machine was rented twice");
 }
 
 #[test]
@@ -430,7 +434,7 @@
     assert_eq!(
         cluster.reserved("fair"),
         4,
-        "one larger machine substitutes one requested machine"
+        "one larger machine substitutes for one requested machine"
     );
     for zone in ["a", "b"] {
         refuse(&mut cluster, 1, zone, false);
