--- a/crates/umbersail-calendar/src/tracker/opening.rs
+++ b/crates/umbersail-calendar/src/tracker/opening.rs
@@ -1,4 +1,4 @@
-//! Opening of runs, and forgetting them.
+//! Opens runs and removes ended runs.
 
 use std::rc::Rc;
 
@@ -6,12 +6,12 @@
 use crate::Timestamp;
 use crate::entry::Entry;
 use crate::event::{RunEventKind, RunKey};
+use crate::openings::UnixMs;
 use crate::run::Run;
 use crate::timestamp::seconds_between;
-use crate::when::UnixMs;
 
 impl RunTracker {
-    /// Opens the runs whose time has come.
+    /// Opens the runs that are due to open.
     pub(super) fn open_runs(&mut self, at: Timestamp, outcome: &mut TickOutcome) {
         let calendar = self.calendar.clone();
         if !std::mem::replace(&mut self.started, true) {
@@ -23,7 +23,7 @@
                 continue;
             }
             let name: Rc<str> = name.as_str().into();
-            let (last, next) = entry.openings.around(ahead);
+            let (last, next) = entry.openings.last_and_next(ahead);
             self.next.insert(name.clone(), next.unwrap_or(UnixMs::MAX));
             if let Some(opening) = last
                 && !self.is_covered(&name, entry, opening)
@@ -33,24 +33,25 @@
         }
     }
 
-    /// Reports inherited runs whose entry has changed or is gone.
+    /// Reports inherited runs whose entry was changed or removed.
     fn report_changed_entries(&self, outcome: &mut TickOutcome) {
         for (key, run) in self.runs.iter().filter(|(_, run)| !run.is_over()) {
             let kind = match self.calendar.entries.get(&*key.0) {
                 None => RunEventKind::Removed,
-                Some(entry) if entry.fingerprint != run.record.print => RunEventKind::Changed,
+                Some(entry) if entry.fingerprint != run.record.fingerprint => RunEventKind::Changed,
                 Some(_) => continue,
             };
             outcome.report(key, kind);
         }
     }
 
-    /// Whether the newest run of the entry covers this opening. With another version of
-    /// the entry, the opening may be that run's, moved a little.
+    /// Whether the newest run of the entry covers this opening. If that run was opened with
+    /// another version of the entry, an opening before the run's due time counts as the same
+    /// opening at a changed time.
     fn is_covered(&self, name: &Rc<str>, entry: &Entry, opening: UnixMs) -> bool {
         self.newest(name).is_some_and(|(_, run)| {
             let record = &run.record;
-            let is_changed = record.print != entry.fingerprint;
+            let is_changed = record.fingerprint != entry.fingerprint;
             opening <= record.opening_ms || (is_changed && opening < record.due_ms)
         })
     }
@@ -70,7 +71,8 @@
         outcome.opened = true;
     }
 
-    /// Marks earlier runs of the entry, and ends the oldest beyond the limit.
+    /// Marks earlier runs of the entry as superseded, and ends the oldest runs if the entry has
+    /// too many active runs.
     fn supersede_earlier(&mut self, at: Timestamp, key: &RunKey, outcome: &mut TickOutcome) {
         let earlier = (key.0.clone(), 0)..key.clone();
         let mut active = Vec::new();
@@ -78,8 +80,8 @@
             run.superseded = true;
             active.push(key.clone());
         }
-        let kept = self.settings.max_active_runs.max(1) - 1;
-        for key in active.iter().rev().skip(kept) {
+        let max_earlier = self.settings.max_active_runs.max(1) - 1;
+        for key in active.iter().rev().skip(max_earlier) {
             let Some(run) = self.runs.get_mut(key) else {
                 continue;
             };
@@ -92,8 +94,8 @@
         }
     }
 
-    /// Runs open this early: a node whose clock is ahead may already have accepted a
-    /// job for them.
+    /// The time up to which openings are due. Runs open early, because a controller whose clock is
+    /// ahead may already have accepted a job of the run.
     pub(super) fn ahead_ms(&self, at: Timestamp) -> UnixMs {
         at.unix_ms
             .saturating_add(self.settings.skew_ms + self.settings.tick_ms)
@@ -104,27 +106,29 @@
         self.runs.range(all).next_back()
     }
 
-    /// Forgets ended runs once a later one of their entry is recorded, which prevents
-    /// that they open again; runs without an entry after a while.
-    pub(super) fn forget(&mut self, at: Timestamp) {
-        let mut over: Vec<RunKey> = Vec::new();
+    /// Removes an ended run when a later run of the same entry is recorded: without that record,
+    /// a new leader would open the ended run again. Removes an ended run without an entry after
+    /// the retention time.
+    pub(super) fn remove_ended_runs(&mut self, at: Timestamp) {
+        let mut ended: Vec<RunKey> = Vec::new();
         for (key, run) in &self.runs {
             let later = (key.0.clone(), key.1 + 1)..=(key.0.clone(), UnixMs::MAX);
-            let follows = (self.runs.range(later)).any(|(_, later)| later.written_version > 0);
-            let keep_ms = (self.settings.retention_s * 1000.0) as u64;
-            let old = !self.calendar.entries.contains_key(&*key.0)
-                && at.unix_ms >= run.record.due_ms.saturating_add(keep_ms);
-            if run.is_over() && run.written_version >= run.version && (follows || old) {
-                over.push(key.clone());
+            let later_recorded =
+                (self.runs.range(later)).any(|(_, later)| later.written_version > 0);
+            let retention_ms = (self.settings.retention_s * 1000.0) as u64;
+            let expired = !self.calendar.entries.contains_key(&*key.0)
+                && at.unix_ms >= run.record.due_ms.saturating_add(retention_ms);
+            if run.is_over() && run.written_version >= run.version && (later_recorded || expired) {
+                ended.push(key.clone());
             }
         }
-        for key in over {
+        for key in ended {
             if let Some(run) = self.runs.remove(&key) {
                 for id in run.states.iter().flat_map(|state| state.members.keys()) {
                     self.members.remove(id);
                 }
             }
-            self.gone.insert(key);
+            self.removed_records.insert(key);
         }
     }
 }
--- a/crates/umbersail-control/src/plans.rs
+++ b/crates/umbersail-control/src/plans.rs
@@ -80,7 +80,7 @@
         Reservations::parse(&tuning.plan_entries, &reservation_limits(&limits, tuning))
             .map_err(|e| plan_error(e.key, e.reason))?;
     let runs = calendar.entries.iter().map(|(name, entry)| {
-        let (last, next) = entry.openings.around(now_ms);
+        let (last, next) = entry.openings.last_and_next(now_ms);
         let open = last.filter(|opening| entry.due(*opening) > now_ms);
         PlannedEntry {
             name: format!("calendar {name}"),
@@ -93,7 +93,7 @@
         name: format!("reserve {}", entry.name),
         team: entry.terms.team.clone(),
         steps: vec![entry.terms.classes.to_vec()],
-        next_ms: (entry.when.window_at(now_ms)).map(|window| (window.from_ms, window.to_ms)),
+        next_ms: (entry.schedule.window_at(now_ms)).map(|window| (window.from_ms, window.to_ms)),
     });
     Ok(runs.chain(windows).collect())
 }
