--- a/crates/umbersail-control/src/engine/plans/images.rs
+++ b/crates/umbersail-control/src/engine/plans/images.rs
@@ -298,7 +298,7 @@
         for name in self.plans.store.names(KIND) {
             let found = self.plans.store.read::<ImageRecord>(&name, VERSION);
             let reason = match found {
-                Ok(Some(record)) => match record.check() {
+                Ok(Some(record)) => match record.validate() {
                     Ok(()) => {
                         let image = ImageKey::of(&record.image);
                         let images = &mut self.plans.images;
--- a/crates/umbersail-images/src/cache_view/recovery.rs
+++ b/crates/umbersail-images/src/cache_view/recovery.rs
@@ -24,10 +24,10 @@
             .map(|(image, rollout)| {
                 let record = ImageRecord {
                     image: image_name(image),
-                    gb: rollout.size_gb,
+                    size_gb: rollout.size_gb,
                     from_store: Vec::new(),
                     store_gb_s: self.rates.store_gb_s(),
-                    handed_gb_s: self.rates.peer_gb_s(),
+                    peer_gb_s: self.rates.peer_gb_s(),
                 };
                 (image, record)
             })
@@ -56,9 +56,9 @@
         machine: impl Fn(&str) -> M,
     ) {
         if self.rates == TransferRates::default() {
-            self.rates = TransferRates::restored(record.store_gb_s, record.handed_gb_s);
+            self.rates = TransferRates::restored(record.store_gb_s, record.peer_gb_s);
         }
-        if !self.track(now, &image, record.gb) {
+        if !self.track(now, &image, record.size_gb) {
             return;
         }
         if let Some(rollout) = self.rollouts.get_mut(&image) {
--- a/crates/umbersail-images/src/record.rs
+++ b/crates/umbersail-images/src/record.rs
@@ -15,7 +15,8 @@
     /// Name of the image.
     pub image: String,
     /// Size in GB.
-    pub gb: f64,
+    #[serde(rename = "gb")]
+    pub size_gb: f64,
     /// Machines that fetch it from the store.
     #[serde(default)]
     pub from_store: Vec<String>,
@@ -23,8 +24,8 @@
     #[serde(default)]
     pub store_gb_s: Option<f64>,
     /// Learned rate at which a machine receives from peers, in GB/s.
-    #[serde(default)]
-    pub handed_gb_s: Option<f64>,
+    #[serde(rename = "handed_gb_s", default)]
+    pub peer_gb_s: Option<f64>,
 }
 
 /// What is wrong with a record of an image.
@@ -32,10 +33,10 @@
 pub enum InvalidImageRecord {
     /// It has no name.
     #[error("it names no image")]
-    NoImage,
+    MissingName,
     /// Its size is negative or no number.
     #[error("its size is no amount")]
-    Size,
+    InvalidSize,
     /// It names more than [`ImageRecord::MAX_MACHINES`].
     #[error("it names too many machines")]
     TooManyMachines,
@@ -49,12 +50,12 @@
     ///
     /// # Errors
     /// The reason why the record is invalid, for the log.
-    pub fn check(&self) -> Result<(), InvalidImageRecord> {
+    pub fn validate(&self) -> Result<(), InvalidImageRecord> {
         if self.image.is_empty() {
-            return Err(InvalidImageRecord::NoImage);
+            return Err(InvalidImageRecord::MissingName);
         }
-        if !self.gb.is_finite() || self.gb < 0.0 {
-            return Err(InvalidImageRecord::Size);
+        if !self.size_gb.is_finite() || self.size_gb < 0.0 {
+            return Err(InvalidImageRecord::InvalidSize);
         }
         if self.from_store.len() > Self::MAX_MACHINES {
             return Err(InvalidImageRecord::TooManyMachines);
