--- a/crates/umbersail-control/src/engine/plans/images.rs
+++ b/crates/umbersail-control/src/engine/plans/images.rs
@@ -44,7 +44,7 @@
         let settings = Settings::from_tuning(tuning);
         Images {
             peer_to_peer: settings.peer_to_peer,
-            max_names: settings.max_images,
+            max_names: settings.max_tracked_images,
             cache_view: CacheView::new(settings),
             names: BTreeMap::new(),
             inherited_at: now,
@@ -202,7 +202,7 @@
             holder.is_some_and(|m| m.addr.is_some() && m.accepts_tasks(now, silent_after))
         };
         let images = &mut self.plans.images;
-        match images.cache_view.request(now, &request, usable) {
+        match images.cache_view.request_fetch(now, &request, usable) {
             Decision::Wait => {
                 debug!(
                     job = &**id,
@@ -235,7 +235,7 @@
         heartbeat: &Heartbeat,
     ) {
         if self.plans.images.peer_to_peer {
-            self.plans.images.cache_view.observe_report(name);
+            self.plans.images.cache_view.observe_heartbeat(name);
         }
         let fetching = |state| state == TaskState::Fetching;
         if !heartbeat.tasks.iter().any(|t| fetching(t.state)) {
@@ -285,7 +285,7 @@
         };
         let images = &mut self.plans.images;
         for image in evicted {
-            images.cache_view.remove(image, name);
+            images.cache_view.remove_image(image, name);
         }
         if let Some(request) = request_of(&self.machine_types, job, machine, 0, 1) {
             images.cache_view.observe_cached(now, &request);
--- a/crates/umbersail-images/src/cache_view/admission.rs
+++ b/crates/umbersail-images/src/cache_view/admission.rs
@@ -18,28 +18,28 @@
     /// [`Decision::Start`] counts as started. `is_usable` tells whether a machine
     /// can serve as a source now: reachable, not to be returned and not about to
     /// be declared lost.
-    pub fn request(
+    pub fn request_fetch(
         &mut self,
         now: f64,
         request: &FetchRequest<'_, M, I>,
         is_usable: impl Fn(&M) -> bool,
     ) -> Decision<M> {
-        let untracked = Decision::Start {
+        let start_without_sources = Decision::Start {
             sources: Vec::new(),
         };
-        if !self.is_request_large(request) || self.cached(request.image, request.machine).is_some()
+        if !self.is_large_request(request) || self.cached(request.image, request.machine).is_some()
         {
-            return untracked;
+            return start_without_sources;
         }
         if !self.track(now, request.image, request.size_gb) {
-            return untracked;
+            return start_without_sources;
         }
         // Concurrent fetches share the machine's rate: the most urgent goes alone.
         if self.settings.peer_to_peer && self.has_more_urgent_fetch(request) {
             return Decision::Wait;
         }
         let free_slots = self.free_store_slots(now, request.rate_gb_s);
-        if !self.is_next(now, request, free_slots) {
+        if !self.update_queue_and_check_turn(now, request, free_slots) {
             return Decision::Wait;
         }
         let sources = self.choose_sources(request, free_slots, is_usable);
@@ -55,15 +55,23 @@
         let Some(cache) = self.machines.get(request.machine) else {
             return false;
         };
-        cache.images.values().any(|held| match held {
-            CachedImage::Partial(fetch) => fetch.priority <= request.priority,
-            CachedImage::Complete => false,
-        })
+        cache
+            .images
+            .values()
+            .any(|cached_image| match cached_image {
+                CachedImage::Partial(fetch) => fetch.priority <= request.priority,
+                CachedImage::Complete => false,
+            })
     }
 
     /// Whether the machine is among the most urgent that can start now; queues it
     /// if slots are limited.
-    fn is_next(&mut self, now: f64, request: &FetchRequest<'_, M, I>, free_slots: usize) -> bool {
+    fn update_queue_and_check_turn(
+        &mut self,
+        now: f64,
+        request: &FetchRequest<'_, M, I>,
+        free_slots: usize,
+    ) -> bool {
         let Some(rollout) = self.rollouts.get_mut(request.image) else {
             return true;
         };
@@ -87,31 +95,31 @@
     }
 
     fn start(&mut self, now: f64, request: &FetchRequest<'_, M, I>, sources: Vec<M>) {
-        let hop_of = |machine: &M| Some(self.cached(request.image, machine)?.hop());
-        let farthest = sources.iter().filter_map(hop_of).max();
-        let hop = farthest.map_or(1, |hop| hop + 1);
+        let hops_of = |machine: &M| Some(self.cached(request.image, machine)?.hops());
+        let farthest = sources.iter().filter_map(hops_of).max();
+        let hops = farthest.map_or(1, |hops| hops + 1);
         let from_store = sources.is_empty();
         let mut fetch_sources = Vec::new();
         for machine in sources {
-            self.update_machine(&machine, |cache| cache.load += 1);
+            self.update_machine(&machine, |cache| cache.uploads += 1);
             if let Some(cache) = self.machines.get(&machine) {
-                let registration = cache.registration;
+                let generation = cache.generation;
                 fetch_sources.push(FetchSource {
                     machine,
-                    registration,
+                    generation,
                 });
             }
         }
         let fetch = ActiveFetch {
             started_at: now,
-            last_seen_at: now,
+            last_observed_at: now,
             nominal_s: request.nominal_s(),
             concurrent_fetches: request.concurrent_fetches.max(1),
             priority: request.priority,
             sources: fetch_sources,
             store_integral_at_start: from_store.then(|| self.store_fetches.integral_until(now)),
             adopted: false,
-            hop,
+            hops,
         };
         self.insert_fetch(now, request, fetch);
     }
--- a/crates/umbersail-images/src/cache_view/mod.rs
+++ b/crates/umbersail-images/src/cache_view/mod.rs
@@ -44,7 +44,7 @@
     rates: TransferRates,
     rollouts: BTreeMap<I, Rollout<M>>,
     machines: BTreeMap<M, MachineCache<M, I>>,
-    last_registration: u64,
+    last_generation: u64,
     store_fetches: StoreFetches<M, I>,
 }
 
@@ -56,7 +56,7 @@
             rates: TransferRates::default(),
             rollouts: BTreeMap::new(),
             machines: BTreeMap::new(),
-            last_registration: 0,
+            last_generation: 0,
             store_fetches: StoreFetches::new(),
         }
     }
@@ -98,9 +98,9 @@
         let Some(cache) = self.machines.get(machine) else {
             return false;
         };
-        cache.images.iter().any(|(image, held)| {
+        cache.images.iter().any(|(image, cached_image)| {
             let rollout = self.rollouts.get(image).filter(|r| r.is_active());
-            held.is_complete() && rollout.is_some_and(|r| r.copies_in(&cache.zone) == 1)
+            cached_image.is_complete() && rollout.is_some_and(|r| r.copies_in(&cache.zone) == 1)
         })
     }
 
@@ -108,7 +108,7 @@
         self.machines.get(machine)?.images.get(image)
     }
 
-    fn is_request_large(&self, request: &FetchRequest<'_, M, I>) -> bool {
+    fn is_large_request(&self, request: &FetchRequest<'_, M, I>) -> bool {
         self.is_large(request.size_gb, request.rate_gb_s)
     }
 
@@ -118,7 +118,9 @@
         if self.rollouts.contains_key(image) {
             return true;
         }
-        if self.rollouts.len() >= self.settings.max_images.max(1) && !self.forget_idle_image() {
+        if self.rollouts.len() >= self.settings.max_tracked_images.max(1)
+            && !self.untrack_idle_image()
+        {
             return false;
         }
         let rollout = Rollout::new(size_gb, now);
@@ -127,7 +129,7 @@
     }
 
     /// Stops tracking the least recently used idle image, if there is one.
-    fn forget_idle_image(&mut self) -> bool {
+    fn untrack_idle_image(&mut self) -> bool {
         let idle = self.rollouts.iter().filter(|(_, r)| !r.is_active());
         let oldest = idle.min_by(|a, b| a.1.last_used_at.total_cmp(&b.1.last_used_at));
         let Some(oldest) = oldest.map(|(image, _)| image.clone()) else {
@@ -138,7 +140,7 @@
             .map(|(machine, _)| machine.clone())
             .collect();
         for machine in holders {
-            self.remove(&oldest, &machine);
+            self.remove_image(&oldest, &machine);
         }
         self.rollouts.remove(&oldest);
         true
@@ -177,9 +179,9 @@
         }
         for source in fetch.sources {
             let cache = self.machines.get(&source.machine);
-            if cache.is_some_and(|cache| cache.registration == source.registration) {
+            if cache.is_some_and(|cache| cache.generation == source.generation) {
                 self.update_machine(&source.machine, |cache| {
-                    cache.load = cache.load.saturating_sub(1);
+                    cache.uploads = cache.uploads.saturating_sub(1);
                 });
             }
         }
@@ -187,8 +189,8 @@
 
     fn insert_cached(&mut self, image: &I, machine: &M, zone: &str, cached: CachedImage<M>) {
         if !self.machines.contains_key(machine) {
-            self.last_registration += 1;
-            let cache = MachineCache::new(zone, self.last_registration);
+            self.last_generation += 1;
+            let cache = MachineCache::new(zone, self.last_generation);
             self.machines.insert(machine.clone(), cache);
         }
         self.update_machine(machine, |cache| {
@@ -230,24 +232,27 @@
         let Some(cache) = self.machines.get(machine).filter(|c| !c.suspended) else {
             return;
         };
-        let capacity = self.settings.fetches_per_source.saturating_sub(cache.load);
-        for (image, held) in &cache.images {
+        let capacity = self
+            .settings
+            .max_uploads_per_source
+            .saturating_sub(cache.uploads);
+        for (image, cached_image) in &cache.images {
             let Some(rollout) = self.rollouts.get_mut(image) else {
                 continue;
             };
-            if held.is_complete() {
+            if cached_image.is_complete() {
                 match change {
                     IndexChange::Add => rollout.usable_copies += 1,
                     IndexChange::Remove => rollout.usable_copies -= 1,
                 }
             }
-            let serves = held.is_complete() || self.settings.serve_partial;
+            let serves = cached_image.is_complete() || self.settings.serve_partial;
             if capacity == 0 || !serves {
                 continue;
             }
             let source = SourceEntry {
-                hop: held.hop(),
-                load: cache.load,
+                hops: cached_image.hops(),
+                uploads: cache.uploads,
                 machine: machine.clone(),
             };
             match change {
--- a/crates/umbersail-images/src/cache_view/observations.rs
+++ b/crates/umbersail-images/src/cache_view/observations.rs
@@ -15,7 +15,7 @@
         let cache = self.machines.get_mut(request.machine);
         match cache.and_then(|cache| cache.images.get_mut(request.image)) {
             Some(CachedImage::Partial(fetch)) => {
-                fetch.last_seen_at = now;
+                fetch.last_observed_at = now;
                 fetch.concurrent_fetches = fetch.concurrent_fetches.max(request.concurrent_fetches);
             }
             Some(CachedImage::Complete) => {}
@@ -25,7 +25,7 @@
 
     /// Takes over a fetch that started under a predecessor.
     fn adopt_fetch(&mut self, now: f64, request: &FetchRequest<'_, M, I>) {
-        if !self.is_request_large(request) || !self.track(now, request.image, request.size_gb) {
+        if !self.is_large_request(request) || !self.track(now, request.image, request.size_gb) {
             return;
         }
         let rollout = self.rollouts.get_mut(request.image);
@@ -33,20 +33,20 @@
             rollout.is_some_and(|rollout| rollout.take_recorded_store_fetch(request.machine));
         let fetch = ActiveFetch {
             started_at: now,
-            last_seen_at: now,
+            last_observed_at: now,
             nominal_s: request.nominal_s(),
             concurrent_fetches: request.concurrent_fetches.max(1),
             priority: request.priority,
             sources: Vec::new(),
             store_integral_at_start: from_store.then(|| self.store_fetches.integral_until(now)),
             adopted: true,
-            hop: if from_store { 1 } else { 2 },
+            hops: if from_store { 1 } else { 2 },
         };
         self.insert_fetch(now, request, fetch);
         // How many fetches it serves already is unknown: assume that it is almost full.
-        let assumed_load = self.settings.fetches_per_source.saturating_sub(1);
+        let assumed_uploads = self.settings.max_uploads_per_source.saturating_sub(1);
         self.update_machine(request.machine, |cache| {
-            cache.load = cache.load.max(assumed_load);
+            cache.uploads = cache.uploads.max(assumed_uploads);
         });
     }
 
@@ -57,7 +57,9 @@
         match self.cached(image, machine).cloned() {
             Some(CachedImage::Complete) => return,
             Some(CachedImage::Partial(fetch)) => {
-                if let Some(completed) = fetch.completed(now, request.size_gb, store_integral) {
+                if let Some(completed) =
+                    fetch.measure_completion(now, request.size_gb, store_integral)
+                {
                     self.rates.record(&completed, &self.settings);
                 }
                 if fetch.is_from_store() {
@@ -68,7 +70,7 @@
             None if self.rollouts.contains_key(image) => {}
             // Sources should be known before the first request.
             None if self.settings.peer_to_peer
-                && self.is_request_large(request)
+                && self.is_large_request(request)
                 && self.track(now, image, request.size_gb) => {}
             None => return,
         }
@@ -81,14 +83,14 @@
     }
 
     /// A report came from the machine: it may serve as a source again.
-    pub fn observe_report(&mut self, machine: &M) {
+    pub fn observe_heartbeat(&mut self, machine: &M) {
         if self.machines.get(machine).is_some_and(|c| c.suspended) {
             self.update_machine(machine, |cache| cache.suspended = false);
         }
     }
 
     /// The machine evicted the image or gave up its fetch.
-    pub fn remove(&mut self, image: &I, machine: &M) {
+    pub fn remove_image(&mut self, image: &I, machine: &M) {
         if let Some(rollout) = self.rollouts.get_mut(image) {
             rollout.dequeue(machine);
         }
@@ -103,7 +105,7 @@
     /// copy stays.
     pub fn cancel_fetch(&mut self, image: &I, machine: &M) {
         match self.cached(image, machine) {
-            Some(CachedImage::Partial(_)) => self.remove(image, machine),
+            Some(CachedImage::Partial(_)) => self.remove_image(image, machine),
             Some(CachedImage::Complete) => {}
             None => {
                 if let Some(rollout) = self.rollouts.get_mut(image) {
@@ -120,7 +122,7 @@
             None => Vec::new(),
         };
         for image in images {
-            self.remove(&image, machine);
+            self.remove_image(&image, machine);
         }
         for rollout in self.rollouts.values_mut() {
             rollout.dequeue(machine);
--- a/crates/umbersail-images/src/cache_view/sources.rs
+++ b/crates/umbersail-images/src/cache_view/sources.rs
@@ -31,8 +31,8 @@
         // Complete copies relieve the store. Partial ones do not replace it: somebody
         // has to fetch the image first.
         let usable_copies = (self.rollouts.get(request.image)).map_or(0, |r| r.usable_copies);
-        let peers_suffice = usable_copies >= wanted && self.are_peers_fast(request.rate_gb_s);
-        if free_store_slots > 0 && !peers_suffice {
+        let prefer_peers = usable_copies >= wanted && self.are_peers_fast(request.rate_gb_s);
+        if free_store_slots > 0 && !prefer_peers {
             return Vec::new();
         }
         search.chosen
@@ -68,26 +68,26 @@
         };
         let zones = rollout.source_zones(request.zone);
         let has_local = zones.first().is_some_and(|zone| zone == request.zone);
-        let kept_for_remote = usize::from(has_local && zones.len() > 1 && wanted > 1);
+        let reserved_for_remote = usize::from(has_local && zones.len() > 1 && wanted > 1);
         for zone in &zones {
             let limit = match zone == request.zone {
-                true => wanted - kept_for_remote,
+                true => wanted - reserved_for_remote,
                 false => wanted,
             };
-            search.examine(rollout, zone, request.machine, limit, &is_usable);
+            search.search_zone(rollout, zone, request.machine, limit, &is_usable);
         }
         // A second round fills up from the own zone what no other zone had.
         for zone in &zones {
-            search.examine(rollout, zone, request.machine, wanted, &is_usable);
+            search.search_zone(rollout, zone, request.machine, wanted, &is_usable);
         }
         search
     }
 
-    fn examine(
+    fn search_zone(
         &mut self,
         rollout: &Rollout<M>,
         zone: &str,
-        for_machine: &M,
+        requester: &M,
         limit: usize,
         is_usable: impl Fn(&M) -> bool,
     ) {
@@ -96,7 +96,7 @@
                 return;
             }
             let machine = &source.machine;
-            if self.chosen.contains(machine) || machine == for_machine {
+            if self.chosen.contains(machine) || machine == requester {
                 continue;
             }
             self.examined += 1;
--- a/crates/umbersail-images/src/fetch.rs
+++ b/crates/umbersail-images/src/fetch.rs
@@ -8,7 +8,7 @@
     /// When it started, or when it was first seen if `adopted`.
     pub started_at: f64,
     /// When a report last showed it in progress.
-    pub last_seen_at: f64,
+    pub last_observed_at: f64,
     /// Expected duration in seconds without contention.
     pub nominal_s: f64,
     /// Largest number of concurrent fetches seen on its machine.
@@ -20,7 +20,7 @@
     /// Started under a predecessor: its start time is unknown.
     pub adopted: bool,
     /// Distance from the store, in hops.
-    pub hop: u32,
+    pub hops: u32,
 }
 
 /// A machine that serves a fetch.
@@ -29,7 +29,7 @@
     pub machine: M,
     /// Registration of the machine's cache when it was chosen: a machine that
     /// left and came back has another one.
-    pub registration: u64,
+    pub generation: u64,
 }
 
 impl<M> ActiveFetch<M> {
@@ -41,7 +41,12 @@
     /// The measurement that its completion at `now` yields, if it is usable.
     ///
     /// `store_integral` is the time integral of concurrent store fetches up to `now`.
-    pub fn completed(&self, now: f64, size_gb: f64, store_integral: f64) -> Option<CompletedFetch> {
+    pub fn measure_completion(
+        &self,
+        now: f64,
+        size_gb: f64,
+        store_integral: f64,
+    ) -> Option<CompletedFetch> {
         let duration_s = now - self.started_at;
         if self.adopted || duration_s <= 0.0 {
             return None;
@@ -50,8 +55,8 @@
         Some(CompletedFetch {
             size_gb,
             nominal_s: self.nominal_s * self.concurrent_fetches as f64,
-            min_s: self.last_seen_at - self.started_at,
-            max_s: duration_s,
+            min_duration_s: self.last_observed_at - self.started_at,
+            max_duration_s: duration_s,
             store_concurrency: self.store_integral_at_start.map(mean_since),
         })
     }
--- a/crates/umbersail-images/src/machine_cache.rs
+++ b/crates/umbersail-images/src/machine_cache.rs
@@ -15,10 +15,10 @@
 
 impl<M> CachedImage<M> {
     /// Distance in hops from a complete copy.
-    pub fn hop(&self) -> u32 {
+    pub fn hops(&self) -> u32 {
         match self {
             CachedImage::Complete => 0,
-            CachedImage::Partial(fetch) => fetch.hop,
+            CachedImage::Partial(fetch) => fetch.hops,
         }
     }
 
@@ -32,20 +32,20 @@
 pub(crate) struct MachineCache<M, I: Ord> {
     pub zone: String,
     /// Distinguishes this cache from that of an earlier machine of the same name.
-    pub registration: u64,
+    pub generation: u64,
     /// Fetches that were directed to it.
-    pub load: u32,
+    pub uploads: u32,
     /// Found unusable as a source; cleared by its next report.
     pub suspended: bool,
     pub images: BTreeMap<I, CachedImage<M>>,
 }
 
 impl<M, I: Ord> MachineCache<M, I> {
-    pub fn new(zone: &str, registration: u64) -> MachineCache<M, I> {
+    pub fn new(zone: &str, generation: u64) -> MachineCache<M, I> {
         MachineCache {
             zone: zone.to_owned(),
-            registration,
-            load: 0,
+            generation,
+            uploads: 0,
             suspended: false,
             images: BTreeMap::new(),
         }
--- a/crates/umbersail-images/src/rates.rs
+++ b/crates/umbersail-images/src/rates.rs
@@ -5,9 +5,9 @@
 use crate::Settings;
 
 /// Recent store fetches that are judged together: one slow machine proves nothing.
-const WINDOW: usize = 16;
+const SAMPLE_WINDOW: usize = 16;
 /// Smallest number of them that proves something.
-const MIN_WINDOW: usize = 6;
+const MIN_SAMPLES: usize = 6;
 /// A slow fetch with fewer concurrent ones may be the machine's own fault.
 const MIN_CONCURRENCY: f64 = 3.0;
 /// Weight of the newest sample in the moving averages.
@@ -30,9 +30,9 @@
     /// Duration in seconds without contention.
     pub nominal_s: f64,
     /// Lower bound of its duration in seconds: it ended between two reports.
-    pub min_s: f64,
+    pub min_duration_s: f64,
     /// Upper bound of its duration in seconds.
-    pub max_s: f64,
+    pub max_duration_s: f64,
     /// Mean number of concurrent store fetches, itself included; `None` if peers
     /// served it.
     pub store_concurrency: Option<f64>,
@@ -50,9 +50,9 @@
 impl CompletedFetch {
     fn slowdown(&self, settings: &Settings) -> Slowdown {
         let limit_s = self.nominal_s * settings.slowdown_factor;
-        if self.min_s > limit_s {
+        if self.min_duration_s > limit_s {
             Slowdown::Slowed
-        } else if self.max_s <= limit_s {
+        } else if self.max_duration_s <= limit_s {
             Slowdown::Unaffected
         } else {
             Slowdown::Unknown
@@ -60,7 +60,7 @@
     }
 
     fn rate_gb_s(&self) -> f64 {
-        self.size_gb / self.max_s.max(MIN_DURATION_S)
+        self.size_gb / self.max_duration_s.max(MIN_DURATION_S)
     }
 }
 
@@ -72,7 +72,7 @@
     /// Total throughput of the store, once it has slowed fetches down.
     store_gb_s: Option<f64>,
     /// Largest concurrency at which fetches did not slow each other down.
-    unaffected_concurrency: f64,
+    max_unaffected_concurrency: f64,
     /// Rate at which a machine receives from peers.
     peer_gb_s: Option<f64>,
 }
@@ -128,13 +128,13 @@
             return;
         }
         if !slowed {
-            self.unaffected_concurrency = self.unaffected_concurrency.max(concurrency);
+            self.max_unaffected_concurrency = self.max_unaffected_concurrency.max(concurrency);
         }
         if slowed && concurrency < MIN_CONCURRENCY {
             return;
         }
         self.recent_slowdowns.push_back(slowed);
-        if self.recent_slowdowns.len() > WINDOW {
+        if self.recent_slowdowns.len() > SAMPLE_WINDOW {
             self.recent_slowdowns.pop_front();
         }
         if slowed && self.is_store_saturated() {
@@ -147,7 +147,7 @@
     fn is_store_saturated(&self) -> bool {
         let total = self.recent_slowdowns.len();
         let slowed = self.recent_slowdowns.iter().filter(|s| **s).count();
-        total >= MIN_WINDOW && 4 * slowed >= 3 * total
+        total >= MIN_SAMPLES && 4 * slowed >= 3 * total
     }
 
     /// How many store fetches may be in progress at once, for machines that fetch
@@ -163,8 +163,9 @@
             let saturating = self.saturating_fetches(nominal_gb_s);
             return saturating.map_or(initial, |slots| slots.min(initial));
         };
-        let probing = (2.0 * self.unaffected_concurrency).max(initial as f64) as usize;
-        self.saturating_fetches(slow_peer_gb_s).unwrap_or(probing)
+        let probe_slots = (2.0 * self.max_unaffected_concurrency).max(initial as f64) as usize;
+        self.saturating_fetches(slow_peer_gb_s)
+            .unwrap_or(probe_slots)
     }
 
     /// Fetches at this rate that saturate the store, if its throughput is known.
--- a/crates/umbersail-images/src/rollout.rs
+++ b/crates/umbersail-images/src/rollout.rs
@@ -16,9 +16,9 @@
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct SourceEntry<M> {
     /// Distance in hops from a complete copy.
-    pub hop: u32,
+    pub hops: u32,
     /// Fetches that it serves already.
-    pub load: u32,
+    pub uploads: u32,
     pub machine: M,
 }
 
@@ -84,8 +84,8 @@
 
     /// Queues the machine, or renews its entry.
     pub fn enqueue(&mut self, now: f64, machine: &M, priority: FetchPriority) {
-        let queued_as = self.queue_entries.get(machine).map(|entry| entry.priority);
-        if queued_as != Some(priority) {
+        let queued_priority = self.queue_entries.get(machine).map(|entry| entry.priority);
+        if queued_priority != Some(priority) {
             self.dequeue(machine);
             self.queue.insert((priority, machine.clone()));
         }
@@ -142,7 +142,7 @@
         let local = self.sources_by_zone.keys().filter(|zone| *zone == nearest);
         let mut remote: Vec<_> = (self.sources_by_zone.iter())
             .filter(|(zone, _)| *zone != nearest)
-            .map(|(zone, sources)| (sources.first().map(|s| (s.hop, s.load)), zone))
+            .map(|(zone, sources)| (sources.first().map(|s| (s.hops, s.uploads)), zone))
             .collect();
         remote.sort();
         let remote = remote.into_iter().map(|(_, zone)| zone);
--- a/crates/umbersail-images/src/settings.rs
+++ b/crates/umbersail-images/src/settings.rs
@@ -12,7 +12,7 @@
     /// Sources named for one fetch.
     pub sources_per_fetch: usize,
     /// Concurrent fetches that one source serves at most.
-    pub fetches_per_source: u32,
+    pub max_uploads_per_source: u32,
     /// Concurrent store fetches while the store's throughput is unknown.
     pub initial_store_fetches: usize,
     /// Images that a machine fetches faster than this, in seconds, are not tracked.
@@ -22,7 +22,7 @@
     /// A queued machine that has not asked again for this many seconds is dropped.
     pub queue_expiry_s: f64,
     /// Images tracked at once.
-    pub max_images: usize,
+    pub max_tracked_images: usize,
 }
 
 impl Settings {
@@ -32,12 +32,12 @@
             peer_to_peer: tuning.peer_to_peer_images >= 0.5,
             serve_partial: tuning.peer_to_peer_pieces >= 0.5,
             sources_per_fetch: tuning.image_sources_per_fetch as usize,
-            fetches_per_source: tuning.image_uploads_per_machine as u32,
+            max_uploads_per_source: tuning.image_uploads_per_machine as u32,
             initial_store_fetches: tuning.initial_store_fetches as usize,
             min_fetch_s: tuning.image_min_fetch_s,
             slowdown_factor: tuning.slow_fetch_factor,
             queue_expiry_s: tuning.fetch_turn_timeout_s,
-            max_images: tuning.max_tracked_images as usize,
+            max_tracked_images: tuning.max_tracked_images as usize,
         }
     }
 }
--- a/crates/umbersail-images/src/store_fetches.rs
+++ b/crates/umbersail-images/src/store_fetches.rs
@@ -30,15 +30,15 @@
     /// The active fetches, oldest first: start time, machine and image.
     pub fn iter(&self) -> impl Iterator<Item = (f64, &M, &I)> {
         let active = self.active.iter();
-        active.map(|(started_ms, machine, image)| (from_ms(*started_ms), machine, image))
+        active.map(|(started_ms, machine, image)| (ms_to_s(*started_ms), machine, image))
     }
 
     pub fn insert(&mut self, started_at: f64, machine: M, image: I) {
-        self.active.insert((to_ms(started_at), machine, image));
+        self.active.insert((s_to_ms(started_at), machine, image));
     }
 
     pub fn remove(&mut self, started_at: f64, machine: M, image: I) {
-        self.active.remove(&(to_ms(started_at), machine, image));
+        self.active.remove(&(s_to_ms(started_at), machine, image));
     }
 
     /// The time integral of the number of active fetches up to `now`.
@@ -61,10 +61,10 @@
     }
 }
 
-fn to_ms(seconds: f64) -> u64 {
+fn s_to_ms(seconds: f64) -> u64 {
     (seconds.max(0.0) * 1000.0) as u64
 }
 
-fn from_ms(milliseconds: u64) -> f64 {
+fn ms_to_s(milliseconds: u64) -> f64 {
     milliseconds as f64 / 1000.0
 }
--- a/crates/umbersail-images/tests/rollouts/fleet.rs
+++ b/crates/umbersail-images/tests/rollouts/fleet.rs
@@ -5,19 +5,19 @@
 
 use umbersail_images::{CacheView, Decision, FetchPriority, FetchRequest, Settings};
 
-const GB: f64 = 40.0;
+const IMAGE_SIZE_GB: f64 = 40.0;
 
 pub fn settings(peer_to_peer: bool) -> Settings {
     Settings {
         peer_to_peer,
         serve_partial: true,
         sources_per_fetch: 4,
-        fetches_per_source: 5,
+        max_uploads_per_source: 5,
         initial_store_fetches: 8,
         min_fetch_s: 10.0,
         slowdown_factor: 2.5,
         queue_expiry_s: 10.0,
-        max_images: 16,
+        max_tracked_images: 16,
     }
 }
 
@@ -38,7 +38,7 @@
 ) -> FetchRequest<'a, String, &'static str> {
     FetchRequest {
         image,
-        size_gb: GB,
+        size_gb: IMAGE_SIZE_GB,
         rate_gb_s: 1.0,
         machine,
         zone: zone(n),
@@ -77,7 +77,7 @@
         let (machine, unreachable) = (machine(n), &self.unreachable);
         let request = request_of(&image, &machine, n, tier, self.concurrent_fetches);
         self.view
-            .request(now, &request, |m| !unreachable.contains(m))
+            .request_fetch(now, &request, |m| !unreachable.contains(m))
     }
 
     pub fn request(&mut self, now: f64, n: usize) -> Decision<String> {
@@ -92,17 +92,17 @@
         }
     }
 
-    pub fn report_fetching(&mut self, now: f64, n: usize) {
+    pub fn observe_fetching(&mut self, now: f64, n: usize) {
         let machine = machine(n);
         let request = request_of(&"weights", &machine, n, 1, self.concurrent_fetches);
         self.view.observe_fetching(now, &request);
     }
 
-    pub fn report_cached(&mut self, now: f64, n: usize) {
-        self.report_cached_image(now, "weights", n);
+    pub fn observe_cached(&mut self, now: f64, n: usize) {
+        self.observe_cached_image(now, "weights", n);
     }
 
-    pub fn report_cached_image(&mut self, now: f64, image: &'static str, n: usize) {
+    pub fn observe_cached_image(&mut self, now: f64, image: &'static str, n: usize) {
         let machine = machine(n);
         self.view.observe_cached(
             now,
@@ -110,26 +110,26 @@
         );
     }
 
-    /// Runs fetches from the store that start at `at` and take `took_s` each.
-    pub fn fetch(&mut self, at: f64, machines: Range<usize>, took_s: f64) {
+    /// Runs fetches from the store that start at `at` and take `duration_s` each.
+    pub fn fetch(&mut self, started_at: f64, machines: Range<usize>, duration_s: f64) {
         for n in machines.clone() {
-            assert_eq!(self.start(at, n), Some(vec![]));
+            assert_eq!(self.start(started_at, n), Some(vec![]));
         }
         for n in machines.clone() {
-            self.report_fetching(at + took_s - 1.0, n);
+            self.observe_fetching(started_at + duration_s - 1.0, n);
         }
         for n in machines {
-            self.report_cached(at + took_s, n);
+            self.observe_cached(started_at + duration_s, n);
         }
     }
 
     /// Recorded store fetches of the image.
-    pub fn store_fetches_of(&self, image: &str) -> usize {
+    pub fn recorded_store_fetches_of(&self, image: &str) -> usize {
         let records = self.view.records(|i| (*i).to_owned(), String::clone);
         records.get(image).map_or(0, |r| r.from_store.len())
     }
 
-    pub fn store_fetches(&self) -> usize {
-        self.store_fetches_of("weights")
+    pub fn recorded_store_fetches(&self) -> usize {
+        self.recorded_store_fetches_of("weights")
     }
 }
--- a/crates/umbersail-images/tests/rollouts/peers.rs
+++ b/crates/umbersail-images/tests/rollouts/peers.rs
@@ -9,19 +9,19 @@
 #[test]
 fn few_fetch_from_the_store_and_the_rest_from_nearby_peers() {
     let mut fleet = Fleet::new(settings(true));
-    let (mut store, mut near, mut far) = (0, 0, 0);
+    let (mut from_store, mut local, mut remote) = (0, 0, 0);
     for n in 0..1307 {
         let sources = fleet.start(0.0, n).unwrap();
-        store += usize::from(sources.is_empty());
+        from_store += usize::from(sources.is_empty());
         for source in &sources {
             let other: usize = source[5..].parse().unwrap();
-            let same = zone(other) == zone(n);
-            near += usize::from(same);
-            far += usize::from(!same);
+            let same_zone = zone(other) == zone(n);
+            local += usize::from(same_zone);
+            remote += usize::from(!same_zone);
         }
     }
-    assert_eq!(store, 8);
-    assert!(near > 2 * far, "{near} near, {far} far");
+    assert_eq!(from_store, 8);
+    assert!(local > 2 * remote, "{local} local, {remote} remote");
 }
 
 #[test]
@@ -30,30 +30,30 @@
         serve_partial: false,
         ..settings(true)
     });
-    let mut had = 0;
-    let mut waves = Vec::new();
-    for wave in 0..8 {
-        let at = 100.0 * f64::from(wave);
+    let mut cached = 0;
+    let mut stages = Vec::new();
+    for stage in 0..8 {
+        let at = 100.0 * f64::from(stage);
         let mut started = Vec::new();
-        for n in had..600 {
+        for n in cached..600 {
             if fleet.start(at, n).is_some() {
                 started.push(n);
             }
         }
         for n in &started {
-            fleet.report_cached(at + 50.0, *n);
+            fleet.observe_cached(at + 50.0, *n);
         }
-        had += started.len();
-        waves.push(started.len());
+        cached += started.len();
+        stages.push(started.len());
         assert!(
-            started.iter().max().is_none_or(|n| *n == had - 1),
+            started.iter().max().is_none_or(|n| *n == cached - 1),
             "in turn"
         );
     }
-    assert_eq!(waves[0], 8);
+    assert_eq!(stages[0], 8);
     assert!(
-        waves[1] >= 16 && waves.iter().sum::<usize>() == 600,
-        "{waves:?}"
+        stages[1] >= 16 && stages.iter().sum::<usize>() == 600,
+        "{stages:?}"
     );
 }
 
@@ -66,12 +66,20 @@
     for n in 0..8 {
         fleet.view.remove_machine(&machine(n));
     }
-    assert_eq!(fleet.store_fetches(), 0);
+    assert_eq!(fleet.recorded_store_fetches(), 0);
     // No copy is left: new fetches use the store, within the initial limit.
     let sources: Vec<_> = (40..140).map(|n| fleet.start(11.0, n).unwrap()).collect();
-    assert_eq!(sources.iter().filter(|h| h.is_empty()).count(), 8);
-    let dead: BTreeSet<String> = (0..8).map(machine).collect();
-    assert!(sources.iter().flatten().all(|h| !dead.contains(h)));
+    assert_eq!(
+        sources.iter().filter(|sources| sources.is_empty()).count(),
+        8
+    );
+    let removed: BTreeSet<String> = (0..8).map(machine).collect();
+    assert!(
+        sources
+            .iter()
+            .flatten()
+            .all(|source| !removed.contains(source))
+    );
 }
 
 #[test]
@@ -80,24 +88,28 @@
     // All in one zone.
     for n in (0..60).map(|n| 3 * n) {
         fleet.start(0.0, n).unwrap();
-        fleet.report_cached(50.0, n);
+        fleet.observe_cached(50.0, n);
     }
     fleet.unreachable = (0..60).map(|n| machine(3 * n)).collect();
-    let first: Vec<_> = (0..30).map(|n| fleet.start(60.0, 3 * n + 1)).collect();
+    let decisions: Vec<_> = (0..30).map(|n| fleet.start(60.0, 3 * n + 1)).collect();
     // Eight fetch from the store, the rest from those eight.
-    let store = first.iter().flatten().filter(|h| h.is_empty()).count();
-    assert_eq!((store, first.iter().flatten().count()), (8, 30));
-    let cut = |h: &String| fleet.unreachable.contains(h);
-    assert!(!first.iter().flatten().flatten().any(cut));
+    let from_store = decisions
+        .iter()
+        .flatten()
+        .filter(|sources| sources.is_empty())
+        .count();
+    assert_eq!((from_store, decisions.iter().flatten().count()), (8, 30));
+    let is_unreachable = |source: &String| fleet.unreachable.contains(source);
+    assert!(!decisions.iter().flatten().flatten().any(is_unreachable));
     fleet.unreachable.clear();
     for n in 0..60 {
-        fleet.view.observe_report(&machine(3 * n));
+        fleet.view.observe_heartbeat(&machine(3 * n));
     }
     let sources = fleet.start(70.0, 181).unwrap();
     assert!(
         sources
             .iter()
-            .any(|h| h[5..].parse::<usize>().unwrap() % 3 == 0)
+            .any(|source| source[5..].parse::<usize>().unwrap() % 3 == 0)
     );
 }
 
@@ -113,7 +125,7 @@
     assert!(fleet.view.counts(&"weights").is_empty());
     assert_eq!(fleet.start(6.0, 8), Some(vec![]));
     // A complete copy stays when its task is cancelled.
-    fleet.report_cached(50.0, 8);
+    fleet.observe_cached(50.0, 8);
     fleet.view.cancel_fetch(&"weights", &machine(8));
     let only_cached = ImageCounts {
         cached: 1,
@@ -135,9 +147,9 @@
         fleet.request_image(0.0, "urgent", 1, 0),
         Decision::Start { .. }
     ));
-    fleet.report_cached(40.0, 1);
+    fleet.observe_cached(40.0, 1);
     assert_eq!(fleet.request_image(41.0, "other", 1, 2), Decision::Wait);
-    fleet.report_cached_image(80.0, "urgent", 1);
+    fleet.observe_cached_image(80.0, "urgent", 1);
     assert!(matches!(
         fleet.request_image(81.0, "other", 1, 2),
         Decision::Start { .. }
@@ -149,7 +161,7 @@
     let mut fleet = Fleet::new(settings(true));
     for n in [0, 1, 4] {
         fleet.start(0.0, n).unwrap();
-        fleet.report_cached(40.0, n);
+        fleet.observe_cached(40.0, n);
     }
     assert!(!fleet.view.is_last_holder(&machine(0)), "nobody wants it");
     fleet.start(50.0, 7).unwrap();
@@ -157,6 +169,6 @@
     assert!(!fleet.view.is_last_holder(&machine(1)), "its zone has two");
     fleet.view.remove_machine(&machine(4));
     assert!(fleet.view.is_last_holder(&machine(1)));
-    fleet.report_cached(90.0, 7);
+    fleet.observe_cached(90.0, 7);
     assert!(!fleet.view.is_last_holder(&machine(0)));
 }
--- a/crates/umbersail-images/tests/rollouts/properties.rs
+++ b/crates/umbersail-images/tests/rollouts/properties.rs
@@ -12,7 +12,7 @@
     /// exceeds its load limit, no source is unusable or without the image, sources
     /// form no cycle, and no slot leaks.
     #[test]
-    fn source_loads_are_bounded_and_sources_form_no_cycle(
+    fn uploads_are_bounded_and_sources_form_no_cycle(
         steps in prop::collection::vec((0usize..6, 0usize..60, 0usize..2), 1..400),
         serve_partial in any::<bool>(),
     ) {
@@ -27,9 +27,9 @@
             let key = (n, i);
             match step {
                 0 | 1 => {
-                    let known = sources_of.contains_key(&key) || complete.contains(&key);
+                    let requested = sources_of.contains_key(&key) || complete.contains(&key);
                     let decision = fleet.request_image(now, images[i], n, i as u8);
-                    if let Decision::Start { sources } = decision && !known {
+                    if let Decision::Start { sources } = decision && !requested {
                         prop_assert!(sources.len() <= 4);
                         for source in &sources {
                             prop_assert!(!fleet.unreachable.contains(source));
@@ -47,14 +47,14 @@
                     }
                 }
                 2 => if sources_of.remove(&key).is_some() {
-                    fleet.report_cached_image(now, images[i], n);
+                    fleet.observe_cached_image(now, images[i], n);
                     complete.insert(key);
                 },
                 3 => {
                     // Its readers drop it as a source: its next fetch is another one.
                     fleet.view.remove_machine(&machine(n));
                     for sources in sources_of.values_mut() {
-                        sources.retain(|h| *h != machine(n));
+                        sources.retain(|source| *source != machine(n));
                     }
                     for i in 0..2 {
                         sources_of.remove(&(n, i));
@@ -66,14 +66,14 @@
                 }
                 _ => {
                     fleet.unreachable.remove(&machine(n));
-                    fleet.view.observe_report(&machine(n));
+                    fleet.view.observe_heartbeat(&machine(n));
                 }
             }
-            let mut load: BTreeMap<&String, u32> = BTreeMap::new();
+            let mut uploads: BTreeMap<&String, u32> = BTreeMap::new();
             for source in sources_of.values().flatten() {
-                *load.entry(source).or_default() += 1;
+                *uploads.entry(source).or_default() += 1;
             }
-            prop_assert!(load.values().all(|n| *n <= 5));
+            prop_assert!(uploads.values().all(|n| *n <= 5));
         }
         for n in 0..60 {
             fleet.view.remove_machine(&machine(n));
@@ -82,7 +82,7 @@
             prop_assert_eq!(fleet.view.counts(&image), ImageCounts::default());
         }
         fleet.unreachable.clear();
-        let store = (0..40).filter(|n| fleet.start(now + 100.0, *n) == Some(vec![])).count();
-        prop_assert!(store >= 8, "{}", store);
+        let from_store = (0..40).filter(|n| fleet.start(now + 100.0, *n) == Some(vec![])).count();
+        prop_assert!(from_store >= 8, "{}", from_store);
     }
 }
--- a/crates/umbersail-images/tests/rollouts/recovery.rs
+++ b/crates/umbersail-images/tests/rollouts/recovery.rs
@@ -23,14 +23,14 @@
         let decision = new_leader.start(at, 900 + round as usize);
         assert_eq!(decision, None);
         for n in 0..200 {
-            new_leader.report_fetching(at + 1.0, n);
+            new_leader.observe_fetching(at + 1.0, n);
         }
         let fetching = new_leader.view.counts(&"weights").fetching;
-        assert_eq!((fetching, new_leader.store_fetches()), (200, 8));
+        assert_eq!((fetching, new_leader.recorded_store_fetches()), (200, 8));
         assert!(!new_leader.start(at + 1.0, 500).unwrap().is_empty());
         // A launch that is sent again is decided as before.
         assert_eq!(new_leader.view.counts(&"weights").fetching, 201);
-        new_leader.view.remove(&"weights", &machine(500));
+        new_leader.view.remove_image(&"weights", &machine(500));
         fleet = new_leader;
     }
 }
--- a/crates/umbersail-images/tests/rollouts/store.rs
+++ b/crates/umbersail-images/tests/rollouts/store.rs
@@ -12,12 +12,12 @@
         assert_eq!(fleet.start(0.0, n), Some(vec![]));
     }
     for n in 0..500 {
-        let took = match n % 10 {
+        let duration_s = match n % 10 {
             0 => 190.0,
             _ => 40.0 * (0.7 + 0.08 * (n % 10) as f64),
         };
-        fleet.report_fetching(took - 1.0, n);
-        fleet.report_cached(took, n);
+        fleet.observe_fetching(duration_s - 1.0, n);
+        fleet.observe_cached(duration_s, n);
     }
     for n in 500..2000 {
         assert_eq!(fleet.start(300.0, n), Some(vec![]));
@@ -35,8 +35,8 @@
     let mut fleet = Fleet::new(settings(false));
     // 20 GB/s for 100 machines that take 1 GB/s each.
     fleet.fetch(0.0, 0..100, 200.0);
-    let store = fleet.view.rates().store_gb_s().unwrap();
-    assert!((18.0..22.0).contains(&store), "{store}");
+    let store_gb_s = fleet.view.rates().store_gb_s().unwrap();
+    assert!((18.0..22.0).contains(&store_gb_s), "{store_gb_s}");
     let mut started = Vec::new();
     for n in (100..300).rev() {
         let _ = fleet.request(210.0, n);
@@ -55,20 +55,20 @@
     }
     // Released slots go to the highest priority, whoever asks first.
     for n in 290..300 {
-        fleet.report_fetching(260.0, n);
-        fleet.report_cached(261.0, n);
+        fleet.observe_fetching(260.0, n);
+        fleet.observe_cached(261.0, n);
     }
     let started: Vec<usize> = (100..275)
         .rev()
         .filter(|n| fleet.start(261.0, *n).is_some())
         .collect();
-    let free = started.len();
-    assert!((8..=12).contains(&free), "{started:?}");
-    assert!(started.iter().all(|n| *n < 100 + free), "{started:?}");
+    let free_slots = started.len();
+    assert!((8..=12).contains(&free_slots), "{started:?}");
+    assert!(started.iter().all(|n| *n < 100 + free_slots), "{started:?}");
     // Queue entries that are not renewed expire, and a later one starts.
     for n in 285..290 {
-        fleet.report_fetching(270.0, n);
-        fleet.report_cached(271.0, n);
+        fleet.observe_fetching(270.0, n);
+        fleet.observe_cached(271.0, n);
     }
     assert_eq!(fleet.start(271.0, 270), None);
     assert_eq!(fleet.start(300.0, 270), Some(vec![]));
@@ -91,7 +91,7 @@
     let mut fleet = Fleet::new(settings(false));
     for round in 0..20 {
         fleet.fetch(1000.0 * round as f64, round..round + 1, 400.0);
-        fleet.view.remove(&"weights", &machine(round));
+        fleet.view.remove_image(&"weights", &machine(round));
     }
     assert_eq!(fleet.view.rates().store_gb_s(), None);
 }
@@ -103,7 +103,7 @@
         fleet.start(0.0, n).unwrap();
     }
     for n in 0..8 {
-        fleet.report_cached(45.0, n);
+        fleet.observe_cached(45.0, n);
     }
     for n in 8..200 {
         assert!(!fleet.start(50.0, n).unwrap().is_empty(), "sources live");
@@ -113,14 +113,14 @@
     for n in 300..340 {
         let _ = fleet.request_image(50.0, "other", n, 1);
     }
-    let started = |fleet: &mut Fleet, at| {
-        let mut store = 0;
+    let count_store_starts = |fleet: &mut Fleet, at| {
+        let mut count = 0;
         for n in 340..400 {
             let decision = fleet.request_image(at, "other", n, 1);
-            store += usize::from(decision == Decision::Start { sources: vec![] });
+            count += usize::from(decision == Decision::Start { sources: vec![] });
         }
-        store
+        count
     };
-    assert_eq!(fleet.store_fetches_of("other"), 8);
-    assert_eq!(started(&mut fleet, 500.0), 0);
+    assert_eq!(fleet.recorded_store_fetches_of("other"), 8);
+    assert_eq!(count_store_starts(&mut fleet, 500.0), 0);
 }
--- a/crates/umbersail-rehearsal/src/waves.rs
+++ b/crates/umbersail-rehearsal/src/waves.rs
@@ -195,7 +195,7 @@
         let wave = self.wave;
         let zone_number = node as u16 % wave.zones;
         self.heard[node] = now;
-        self.cache_view.observe_report(&node);
+        self.cache_view.observe_heartbeat(&node);
         let zone = zone_number.to_string();
         let ask = FetchRequest {
             image: &IMAGE,
@@ -214,7 +214,7 @@
                 let (heard, report_s) = (&self.heard, wave.report_s);
                 let usable = |m: &usize| now - heard[*m] < 3.0 * report_s;
                 if let Decision::Start { sources: holders } =
-                    self.cache_view.request(now, &ask, usable)
+                    self.cache_view.request_fetch(now, &ask, usable)
                 {
                     let before = holders.iter().map(|h| self.hop[*h]).max();
                     self.hop[node] = before.map_or(1, |hop| hop + 1);
