--- a/crates/umbersail-images/src/cache_view/admission.rs
+++ b/crates/umbersail-images/src/cache_view/admission.rs
@@ -1,4 +1,4 @@
-//! Admission of fetches: who may start now, in order of priority.
+//! Admission of fetches: decides which machines may start to fetch, by priority.
 
 use std::fmt::Debug;
 
@@ -8,16 +8,18 @@
 use crate::rollout::MAX_EXAMINED;
 use crate::{Decision, FetchRequest};
 
-/// A store fetch that exceeds its nominal duration by this factor no longer
-/// occupies a slot, as long as other store fetches complete.
+/// A store fetch that has taken more than this many times its duration without
+/// contention no longer occupies a store slot, provided that another store fetch has
+/// completed since then.
 const OVERDUE_FACTOR: f64 = 3.0;
 
 impl<M: Ord + Clone + Debug, I: Ord + Clone + Debug> CacheView<M, I> {
-    /// Decides whether a machine may start to fetch an image it does not have.
+    /// Decides whether a machine may start to fetch an image.
     ///
-    /// [`Decision::Start`] counts as started. `is_usable` tells whether a machine
-    /// can serve as a source now: reachable, not to be returned and not about to
-    /// be declared lost.
+    /// After [`Decision::Start`] for a tracked image that the machine does not have
+    /// yet, the fetch counts as in progress. `is_usable` tells whether a machine can
+    /// serve as a source now: the machine is reachable, is not being returned, and
+    /// its lease is not about to expire.
     pub fn request_fetch(
         &mut self,
         now: f64,
@@ -34,7 +36,8 @@
         if !self.track(now, request.image, request.size_gb) {
             return start_without_sources;
         }
-        // Concurrent fetches share the machine's rate: the most urgent goes alone.
+        // Concurrent fetches on a machine share its download rate, so a fetch waits
+        // while the machine runs a fetch of the same or a higher priority.
         if self.settings.peer_to_peer && self.has_more_urgent_fetch(request) {
             return Decision::Wait;
         }
@@ -50,7 +53,7 @@
         Decision::Start { sources }
     }
 
-    /// Whether the machine fetches something of the same or a higher priority.
+    /// Whether the machine runs a fetch of the same or a higher priority.
     fn has_more_urgent_fetch(&self, request: &FetchRequest<'_, M, I>) -> bool {
         let Some(cache) = self.machines.get(request.machine) else {
             return false;
@@ -64,8 +67,9 @@
             })
     }
 
-    /// Whether the machine is among the most urgent that can start now; queues it
-    /// if slots are limited.
+    /// Whether the machine is among the most urgent machines for which there is
+    /// capacity now, at the store or at peers. Queues the machine if store slots are
+    /// limited, and removes it from the queue otherwise.
     fn update_queue_and_check_turn(
         &mut self,
         now: f64,
@@ -94,6 +98,7 @@
         rollout.is_among_first(now, request.machine, limit, self.settings.queue_expiry_s)
     }
 
+    /// Records that the fetch starts now, from the store if `sources` is empty.
     fn start(&mut self, now: f64, request: &FetchRequest<'_, M, I>, sources: Vec<M>) {
         let hops_of = |machine: &M| Some(self.cached(request.image, machine)?.hops());
         let farthest = sources.iter().filter_map(hops_of).max();
@@ -124,7 +129,7 @@
         self.insert_fetch(now, request, fetch);
     }
 
-    /// Store fetches that may start now; `usize::MAX` if there is no limit.
+    /// Number of store fetches that may start now; `usize::MAX` if there is no limit.
     fn free_store_slots(&self, now: f64, rate_gb_s: f64) -> usize {
         let slots = self.rates.store_slots(rate_gb_s, &self.settings);
         if slots == usize::MAX {
@@ -136,7 +141,8 @@
         slots.saturating_sub(counted + recorded)
     }
 
-    /// The oldest store fetches that take far too long while others complete.
+    /// Number of the oldest store fetches that are overdue by [`OVERDUE_FACTOR`] while
+    /// other store fetches complete.
     fn overdue_store_fetches(&self, now: f64) -> usize {
         let last_completed_at = self.store_fetches.last_completed_at();
         let mut overdue = 0;
@@ -145,7 +151,8 @@
                 continue;
             };
             let overdue_at = started_at + OVERDUE_FACTOR * fetch.nominal_s;
-            // While none completes the store itself is slow, and more would not help.
+            // If no store fetch has completed since, the store itself is slow, and more
+            // concurrent store fetches would not help.
             if now <= overdue_at || last_completed_at <= overdue_at {
                 break;
             }
--- a/crates/umbersail-images/src/cache_view/mod.rs
+++ b/crates/umbersail-images/src/cache_view/mod.rs
@@ -1,8 +1,8 @@
-//! Which machine holds, fetches or waits for which image.
+//! Tracks which machines have, fetch or wait for each image.
 //!
-//! Split by concern: [`admission`] decides on requests, [`sources`] chooses
-//! peers, [`observations`] takes in reports, [`recovery`] writes and restores
-//! records. This module holds the state and keeps its indices consistent.
+//! This module contains the state and keeps its indices consistent. [`admission`]
+//! decides on requests to fetch, [`sources`] selects peers, [`observations`] applies
+//! the contents of heartbeats, and [`recovery`] creates and restores records.
 
 mod admission;
 mod observations;
@@ -19,37 +19,41 @@
 use crate::store_fetches::StoreFetches;
 use crate::{FetchRequest, Settings, TransferRates};
 
-/// Machines per state for one image.
+/// Number of machines per state of an image.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct ImageCounts {
-    /// Machines that fetch the image.
+    /// Number of machines that fetch the image.
     pub fetching: usize,
-    /// Machines queued to fetch it.
+    /// Number of machines that are queued to fetch the image.
     pub waiting: usize,
-    /// Machines that hold all of it.
+    /// Number of machines that have the whole image.
     pub cached: usize,
 }
 
 impl ImageCounts {
-    /// Whether no machine has anything to do with the image.
+    /// Whether no machine has, fetches or waits for the image.
     pub fn is_empty(&self) -> bool {
         *self == ImageCounts::default()
     }
 }
 
-/// The image caches of the fleet, as far as they are known from reports.
+/// The image caches of all machines, as known from heartbeats and from the decisions
+/// on requests to fetch.
+///
+/// `M` identifies a machine and `I` an image.
 #[derive(Debug, Clone)]
 pub struct CacheView<M: Ord, I: Ord> {
     settings: Settings,
     rates: TransferRates,
     rollouts: BTreeMap<I, Rollout<M>>,
+    /// Caches of the machines that have or fetch at least one tracked image.
     machines: BTreeMap<M, MachineCache<M, I>>,
     last_generation: u64,
     store_fetches: StoreFetches<M, I>,
 }
 
 impl<M: Ord + Clone + Debug, I: Ord + Clone + Debug> CacheView<M, I> {
-    /// An empty view.
+    /// Creates a view without machines and images.
     pub fn new(settings: Settings) -> CacheView<M, I> {
         CacheView {
             settings,
@@ -61,12 +65,12 @@
         }
     }
 
-    /// Throughput of the store and of peers, as learned so far.
+    /// The estimated throughput of the store and of peers.
     pub fn rates(&self) -> &TransferRates {
         &self.rates
     }
 
-    /// How many machines fetch, wait for and hold the image.
+    /// The number of machines that fetch, wait for and have the image.
     pub fn counts(&self, image: &I) -> ImageCounts {
         let Some(rollout) = self.rollouts.get(image) else {
             return ImageCounts::default();
@@ -78,19 +82,20 @@
         }
     }
 
-    /// Whether an image is large enough to be tracked for a machine of this rate.
+    /// Whether an image is large enough to be tracked on a machine that fetches at
+    /// `rate_gb_s`.
     pub fn is_large(&self, size_gb: f64, rate_gb_s: f64) -> bool {
         nominal_fetch_s(size_gb, rate_gb_s) >= self.settings.min_fetch_s
     }
 
-    /// Whether the machine is queued for the image.
+    /// Whether the machine is queued to fetch the image.
     pub fn is_queued(&self, image: &I, machine: &M) -> bool {
         let rollout = self.rollouts.get(image);
         rollout.is_some_and(|rollout| rollout.is_queued(machine))
     }
 
-    /// Whether the machine holds the only copy of an image in its zone while
-    /// others fetch or wait for that image: it should not be returned.
+    /// Whether the machine has the only complete copy of an image in its zone while any
+    /// machine fetches or waits for that image. Such a machine should not be returned.
     pub fn is_last_holder(&self, machine: &M) -> bool {
         if !self.settings.peer_to_peer {
             return false;
@@ -112,8 +117,9 @@
         self.is_large(request.size_gb, request.rate_gb_s)
     }
 
-    /// Starts to track an image; the least recently used idle one makes room.
-    /// Whether the image is tracked.
+    /// Starts to track an image, if it is not tracked yet, and returns whether the
+    /// image is tracked. If the maximum number of images is reached, the least recently
+    /// used image without an active rollout is no longer tracked.
     fn track(&mut self, now: f64, image: &I, size_gb: f64) -> bool {
         if self.rollouts.contains_key(image) {
             return true;
@@ -128,7 +134,8 @@
         true
     }
 
-    /// Stops tracking the least recently used idle image, if there is one.
+    /// Stops tracking the least recently used image without an active rollout. Returns
+    /// `false` if there is no such image.
     fn untrack_idle_image(&mut self) -> bool {
         let idle = self.rollouts.iter().filter(|(_, r)| !r.is_active());
         let oldest = idle.min_by(|a, b| a.1.last_used_at.total_cmp(&b.1.last_used_at));
@@ -146,6 +153,7 @@
         true
     }
 
+    /// Adds a fetch in progress to the indices.
     fn insert_fetch(&mut self, now: f64, request: &FetchRequest<'_, M, I>, fetch: ActiveFetch<M>) {
         let (image, machine) = (request.image, request.machine);
         if fetch.is_from_store() {
@@ -163,7 +171,7 @@
         self.insert_cached(image, machine, request.zone, CachedImage::Partial(fetch));
     }
 
-    /// Removes a fetch, however it ended, and releases its sources.
+    /// Removes a fetch, whether completed or cancelled, and releases its sources.
     fn end_fetch(&mut self, image: &I, machine: &M) {
         let Some(CachedImage::Partial(fetch)) = self.cached(image, machine) else {
             return;
@@ -218,7 +226,7 @@
         });
     }
 
-    /// Changes a machine's cache and keeps the index of sources up to date.
+    /// Updates a machine's cache and the index of sources.
     fn update_machine(&mut self, machine: &M, update: impl FnOnce(&mut MachineCache<M, I>)) {
         self.index_sources(machine, IndexChange::Remove);
         if let Some(cache) = self.machines.get_mut(machine) {
@@ -227,7 +235,7 @@
         self.index_sources(machine, IndexChange::Add);
     }
 
-    /// Adds the machine to, or removes it from, the sources of its images.
+    /// Adds the machine to the sources of its images, or removes the machine from them.
     fn index_sources(&mut self, machine: &M, change: IndexChange) {
         let Some(cache) = self.machines.get(machine).filter(|c| !c.suspended) else {
             return;
@@ -265,7 +273,7 @@
     }
 }
 
-/// A change of the index of sources.
+/// A change to the index of sources.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum IndexChange {
     Add,
--- a/crates/umbersail-images/src/cache_view/observations.rs
+++ b/crates/umbersail-images/src/cache_view/observations.rs
@@ -1,4 +1,4 @@
-//! What reports tell of the machines' caches.
+//! Applies what heartbeats show about the caches of machines.
 
 use std::fmt::Debug;
 
@@ -8,9 +8,9 @@
 use crate::machine_cache::CachedImage;
 
 impl<M: Ord + Clone + Debug, I: Ord + Clone + Debug> CacheView<M, I> {
-    /// A report shows that the machine still fetches the image.
+    /// Called when a heartbeat shows that the machine fetches the image.
     ///
-    /// A fetch that started under a predecessor is adopted as it is.
+    /// A fetch that a previous leader started is adopted without being restarted.
     pub fn observe_fetching(&mut self, now: f64, request: &FetchRequest<'_, M, I>) {
         let cache = self.machines.get_mut(request.machine);
         match cache.and_then(|cache| cache.images.get_mut(request.image)) {
@@ -23,7 +23,7 @@
         }
     }
 
-    /// Takes over a fetch that started under a predecessor.
+    /// Adopts a fetch that a previous leader started.
     fn adopt_fetch(&mut self, now: f64, request: &FetchRequest<'_, M, I>) {
         if !self.is_large_request(request) || !self.track(now, request.image, request.size_gb) {
             return;
@@ -31,6 +31,8 @@
         let rollout = self.rollouts.get_mut(request.image);
         let from_store =
             rollout.is_some_and(|rollout| rollout.take_recorded_store_fetch(request.machine));
+        // The sources of a fetch from peers are unknown: assume that they fetch from the
+        // store, which makes two hops.
         let fetch = ActiveFetch {
             started_at: now,
             last_observed_at: now,
@@ -43,14 +45,15 @@
             hops: if from_store { 1 } else { 2 },
         };
         self.insert_fetch(now, request, fetch);
-        // How many fetches it serves already is unknown: assume that it is almost full.
+        // The number of fetches that the machine serves is unknown: assume that the
+        // machine can serve only one more.
         let assumed_uploads = self.settings.max_uploads_per_source.saturating_sub(1);
         self.update_machine(request.machine, |cache| {
             cache.uploads = cache.uploads.max(assumed_uploads);
         });
     }
 
-    /// A report shows that the machine holds the image.
+    /// Called when a heartbeat shows that the machine has the whole image.
     pub fn observe_cached(&mut self, now: f64, request: &FetchRequest<'_, M, I>) {
         let (image, machine) = (request.image, request.machine);
         let store_integral = self.store_fetches.integral_until(now);
@@ -68,7 +71,7 @@
                 self.end_fetch(image, machine);
             }
             None if self.rollouts.contains_key(image) => {}
-            // Sources should be known before the first request.
+            // Track the image, so that its sources are known before the first request.
             None if self.settings.peer_to_peer
                 && self.is_large_request(request)
                 && self.track(now, image, request.size_gb) => {}
@@ -82,14 +85,15 @@
         self.insert_cached(image, machine, request.zone, CachedImage::Complete);
     }
 
-    /// A report came from the machine: it may serve as a source again.
+    /// Called for each heartbeat: a machine that was suspended as a source may serve
+    /// as a source again.
     pub fn observe_heartbeat(&mut self, machine: &M) {
         if self.machines.get(machine).is_some_and(|c| c.suspended) {
             self.update_machine(machine, |cache| cache.suspended = false);
         }
     }
 
-    /// The machine evicted the image or gave up its fetch.
+    /// Called when the machine evicted the image or cancelled its fetch.
     pub fn remove_image(&mut self, image: &I, machine: &M) {
         if let Some(rollout) = self.rollouts.get_mut(image) {
             rollout.dequeue(machine);
@@ -101,8 +105,8 @@
         }
     }
 
-    /// No task on the machine needs the image: its fetch is cancelled, a complete
-    /// copy stays.
+    /// Called when no task on the machine needs the image any more: cancels a fetch in
+    /// progress and keeps a complete copy.
     pub fn cancel_fetch(&mut self, image: &I, machine: &M) {
         match self.cached(image, machine) {
             Some(CachedImage::Partial(_)) => self.remove_image(image, machine),
@@ -115,7 +119,7 @@
         }
     }
 
-    /// The machine is gone with its cache.
+    /// Called when the machine and its cache no longer exist.
     pub fn remove_machine(&mut self, machine: &M) {
         let images: Vec<I> = match self.machines.get(machine) {
             Some(cache) => cache.images.keys().cloned().collect(),
--- a/crates/umbersail-images/src/cache_view/recovery.rs
+++ b/crates/umbersail-images/src/cache_view/recovery.rs
@@ -1,4 +1,4 @@
-//! Records for a successor, and taking over from a predecessor.
+//! Creates records for the next leader and restores the records of previous leaders.
 
 use std::collections::BTreeMap;
 use std::fmt::Debug;
@@ -7,10 +7,10 @@
 use crate::{ImageRecord, TransferRates};
 
 impl<M: Ord + Clone + Debug, I: Ord + Clone + Debug> CacheView<M, I> {
-    /// Records of the images with an active rollout, by image name.
+    /// Returns the records of the images with an active rollout, by image name.
     ///
-    /// Without peer-to-peer distribution there are none: reports tell a successor
-    /// everything it needs.
+    /// Without peer-to-peer transfer, there are no records: heartbeats show a new leader
+    /// everything that it needs.
     pub fn records(
         &self,
         image_name: impl Fn(&I) -> String,
@@ -45,9 +45,10 @@
             .collect()
     }
 
-    /// Takes over a predecessor's record of an image.
+    /// Restores a previous leader's record of an image.
     ///
-    /// Its fetches are adopted from reports as they come; none is started again.
+    /// The fetches in the record are adopted when heartbeats show them; no fetch is
+    /// restarted.
     pub fn restore(
         &mut self,
         now: f64,
--- a/crates/umbersail-images/src/cache_view/sources.rs
+++ b/crates/umbersail-images/src/cache_view/sources.rs
@@ -1,4 +1,4 @@
-//! Choice of the peers that serve a fetch.
+//! Selects the peers that serve a fetch.
 
 use std::fmt::Debug;
 
@@ -6,11 +6,13 @@
 use crate::FetchRequest;
 use crate::rollout::{MAX_EXAMINED, Rollout};
 
-/// Peers count as fast while they deliver at least this share of a machine's rate.
+/// Peers count as fast if a machine receives from them at no less than this share of
+/// its download rate.
 const FAST_PEER_SHARE: f64 = 0.5;
 
 impl<M: Ord + Clone + Debug, I: Ord + Clone + Debug> CacheView<M, I> {
-    /// Peers for a fetch; none if the store should serve it or no peer can.
+    /// Selects the peers that serve a fetch. Returns no peers if the store should serve
+    /// the fetch or if no peer can.
     pub(super) fn choose_sources(
         &mut self,
         request: &FetchRequest<'_, M, I>,
@@ -28,8 +30,8 @@
         for machine in search.unusable {
             self.update_machine(&machine, |cache| cache.suspended = true);
         }
-        // Complete copies relieve the store. Partial ones do not replace it: somebody
-        // has to fetch the image first.
+        // Enough complete copies replace the store. Partial copies do not: some machines
+        // must first fetch the image from the store.
         let usable_copies = (self.rollouts.get(request.image)).map_or(0, |r| r.usable_copies);
         let prefer_peers = usable_copies >= wanted && self.are_peers_fast(request.rate_gb_s);
         if free_store_slots > 0 && !prefer_peers {
@@ -38,14 +40,15 @@
         search.chosen
     }
 
-    /// Whether peers deliver about as fast as the machine can receive, as far as known.
+    /// Whether peers deliver at no less than [`FAST_PEER_SHARE`] of the machine's
+    /// download rate. An unknown rate of peers counts as fast.
     fn are_peers_fast(&self, rate_gb_s: f64) -> bool {
         let peer_gb_s = self.rates.peer_gb_s();
         peer_gb_s.is_none_or(|peer_gb_s| peer_gb_s >= FAST_PEER_SHARE * rate_gb_s)
     }
 }
 
-/// A bounded search for sources.
+/// A search for sources that examines at most [`MAX_EXAMINED`] machines.
 struct SourceSearch<M> {
     chosen: Vec<M>,
     unusable: Vec<M>,
@@ -53,8 +56,9 @@
 }
 
 impl<M: Ord + Clone> SourceSearch<M> {
-    /// Prefers the machine's own zone, and keeps one source for another zone so
-    /// that a zone outage does not cut off the fetch.
+    /// Prefers sources in the requesting machine's own zone. Reserves one source for
+    /// another zone, so that an outage of one zone does not leave the fetch without
+    /// sources.
     fn run<I>(
         rollout: &Rollout<M>,
         request: &FetchRequest<'_, M, I>,
@@ -76,13 +80,15 @@
             };
             search.search_zone(rollout, zone, request.machine, limit, &is_usable);
         }
-        // A second round fills up from the own zone what no other zone had.
+        // If other zones have too few sources, a second pass selects more from the own
+        // zone.
         for zone in &zones {
             search.search_zone(rollout, zone, request.machine, wanted, &is_usable);
         }
         search
     }
 
+    /// Selects usable sources in a zone until `limit` sources are chosen in total.
     fn search_zone(
         &mut self,
         rollout: &Rollout<M>,
--- a/crates/umbersail-images/src/fetch.rs
+++ b/crates/umbersail-images/src/fetch.rs
@@ -1,46 +1,53 @@
-//! A fetch in progress.
+//! Fetches in progress and the measurements taken when they complete.
 
 use crate::{CompletedFetch, FetchPriority};
 
-/// A fetch in progress on one machine.
+/// A machine's fetch of an image, from its start until it completes or is cancelled.
 #[derive(Debug, Clone)]
 pub(crate) struct ActiveFetch<M> {
-    /// When it started, or when it was first seen if `adopted`.
+    /// Time at which the fetch started, or was first observed if `adopted`.
     pub started_at: f64,
-    /// When a report last showed it in progress.
+    /// Time at which a heartbeat last showed the fetch in progress.
     pub last_observed_at: f64,
-    /// Expected duration in seconds without contention.
+    /// Expected duration without contention, in seconds.
     pub nominal_s: f64,
-    /// Largest number of concurrent fetches seen on its machine.
+    /// Largest number of concurrent fetches observed on the machine during this fetch.
     pub concurrent_fetches: usize,
     pub priority: FetchPriority,
+    /// Peers that serve the fetch; empty if the image store serves the fetch or if
+    /// the fetch is `adopted`.
     pub sources: Vec<FetchSource<M>>,
-    /// For a store fetch, the time integral of concurrent store fetches at its start.
+    /// Time integral of the number of concurrent store fetches when this fetch
+    /// started; `None` if the fetch does not read from the store.
     pub store_integral_at_start: Option<f64>,
-    /// Started under a predecessor: its start time is unknown.
+    /// Whether a previous leader started the fetch: its start time and its peers are
+    /// unknown.
     pub adopted: bool,
-    /// Distance from the store, in hops.
+    /// Distance from the nearest complete copy along the sources, in hops; 1 for a
+    /// fetch from the store.
     pub hops: u32,
 }
 
-/// A machine that serves a fetch.
+/// A peer that serves a fetch.
 #[derive(Debug, Clone)]
 pub(crate) struct FetchSource<M> {
     pub machine: M,
-    /// Registration of the machine's cache when it was chosen: a machine that
-    /// left and came back has another one.
+    /// Generation of the peer's cache when the peer was chosen. A machine that is
+    /// removed and added again gets a new generation.
     pub generation: u64,
 }
 
 impl<M> ActiveFetch<M> {
-    /// Whether it reads from the store.
+    /// Whether the image store serves the fetch.
     pub fn is_from_store(&self) -> bool {
         self.store_integral_at_start.is_some()
     }
 
-    /// The measurement that its completion at `now` yields, if it is usable.
+    /// Measurements of the fetch if it completes at `now`; `None` if its duration is
+    /// unknown (an adopted fetch) or not positive.
     ///
-    /// `store_integral` is the time integral of concurrent store fetches up to `now`.
+    /// `store_integral` is the time integral of the number of concurrent store
+    /// fetches up to `now`.
     pub fn measure_completion(
         &self,
         now: f64,
--- a/crates/umbersail-images/src/lib.rs
+++ b/crates/umbersail-images/src/lib.rs
@@ -1,14 +1,15 @@
 //! Distribution of large container images over a fleet.
 //!
-//! When many machines need the same large image at once, fetching it from the
-//! image store alone would be slow for all of them. This crate decides when
-//! each machine may start its fetch and whether it reads from the store or
-//! from machines that already hold the image.
+//! When many machines fetch the same large image from the image store at once, the
+//! store becomes saturated and every fetch is slow. This crate decides when each
+//! machine may start its fetch and whether the machine fetches from the store or
+//! from peers: machines that have the image or are fetching it.
 //!
-//! The crate does no I/O and reads no clock: callers pass reports and the time
-//! in, and decisions come out. [`CacheView`] tracks which machine holds,
-//! fetches or waits for which image; [`TransferRates`] learns the throughput of
-//! the store and of peers from the duration of completed fetches.
+//! The crate performs no I/O and reads no clock: callers pass in the contents of
+//! heartbeats and the current time. [`CacheView`] tracks which machines have, fetch
+//! or wait for each image and decides on requests to fetch. [`TransferRates`]
+//! estimates the throughput of the store and of peers from the durations of
+//! completed fetches. [`ImageRecord`] is what a leader stores for the next leader.
 #![forbid(unsafe_code)]
 #![deny(missing_docs)]
 #![warn(
--- a/crates/umbersail-images/src/machine_cache.rs
+++ b/crates/umbersail-images/src/machine_cache.rs
@@ -1,20 +1,20 @@
-//! The image cache of one machine.
+//! The image cache of a machine.
 
 use std::collections::BTreeMap;
 
 use crate::fetch::ActiveFetch;
 
-/// An image in a machine's cache.
+/// State of an image in a machine's cache.
 #[derive(Debug, Clone)]
 pub(crate) enum CachedImage<M> {
-    /// All of it.
+    /// The machine has the whole image.
     Complete,
-    /// Still being fetched.
+    /// The machine is fetching the image.
     Partial(ActiveFetch<M>),
 }
 
 impl<M> CachedImage<M> {
-    /// Distance in hops from a complete copy.
+    /// Distance from a complete copy, in hops; 0 for a complete copy.
     pub fn hops(&self) -> u32 {
         match self {
             CachedImage::Complete => 0,
@@ -27,15 +27,17 @@
     }
 }
 
-/// The images of one machine, and its load as a source.
+/// The images of a machine and its uploads to other machines.
 #[derive(Debug, Clone)]
 pub(crate) struct MachineCache<M, I: Ord> {
     pub zone: String,
-    /// Distinguishes this cache from that of an earlier machine of the same name.
+    /// Distinguishes this cache from the cache of an earlier machine with the same
+    /// name.
     pub generation: u64,
-    /// Fetches that were directed to it.
+    /// Number of fetches in progress that the machine serves.
     pub uploads: u32,
-    /// Found unusable as a source; cleared by its next report.
+    /// Whether the machine was found unusable as a source. The next heartbeat of the
+    /// machine clears this flag.
     pub suspended: bool,
     pub images: BTreeMap<I, CachedImage<M>>,
 }
--- a/crates/umbersail-images/src/rates.rs
+++ b/crates/umbersail-images/src/rates.rs
@@ -1,49 +1,55 @@
-//! Throughput of the store and of peers, learned from completed fetches.
+//! Estimates the throughput of the image store and of peers from completed fetches.
 
 use std::collections::VecDeque;
 
 use crate::Settings;
 
-/// Recent store fetches that are judged together: one slow machine proves nothing.
+/// Number of recent store fetches that are evaluated together to detect saturation:
+/// a single slow machine is no evidence of a saturated store.
 const SAMPLE_WINDOW: usize = 16;
-/// Smallest number of them that proves something.
+/// Minimum number of recent store fetches required to detect saturation.
 const MIN_SAMPLES: usize = 6;
-/// A slow fetch with fewer concurrent ones may be the machine's own fault.
+/// Minimum mean concurrency at which a slow store fetch is evidence of saturation:
+/// at a lower concurrency, the machine itself may be slow.
 const MIN_CONCURRENCY: f64 = 3.0;
-/// Weight of the newest sample in the moving averages.
+/// Weight of the newest sample in the exponential moving averages.
 const SAMPLE_WEIGHT: f64 = 0.25;
-/// Slots in excess of the estimated throughput: the store stays saturated, and
-/// shows when it can deliver more.
+/// Ratio of store slots to the number of fetches that saturate the store at its
+/// estimated throughput. The excess keeps the store saturated, so that samples show
+/// when the store can deliver more than estimated.
 const OVERSUBSCRIPTION: f64 = 1.25;
-/// Share of the saturating concurrency from which on a sample tells the throughput.
+/// Minimum concurrency, as a share of the concurrency that saturates the store, at
+/// which an unaffected fetch is a sample of the store's throughput.
 const SATURATED_SHARE: f64 = 0.75;
-/// Shortest duration assumed for a fetch, in seconds.
+/// Minimum duration assumed for a fetch, in seconds: avoids a division by zero.
 const MIN_DURATION_S: f64 = 0.1;
-/// Smallest size or rate assumed: avoids a division by zero.
+/// Minimum size (GB) or rate (GB/s) assumed: avoids a division by zero.
 const EPSILON: f64 = 1e-6;
 
-/// Measurements of a fetch that has completed.
+/// Measurements of a completed fetch.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct CompletedFetch {
     /// Size of the image in GB.
     pub size_gb: f64,
-    /// Duration in seconds without contention.
+    /// Expected duration without contention from other machines, in seconds.
     pub nominal_s: f64,
-    /// Lower bound of its duration in seconds: it ended between two reports.
+    /// Lower bound of the duration, in seconds. The exact duration is unknown because
+    /// the fetch completed between two heartbeats.
     pub min_duration_s: f64,
-    /// Upper bound of its duration in seconds.
+    /// Upper bound of the duration, in seconds.
     pub max_duration_s: f64,
-    /// Mean number of concurrent store fetches, itself included; `None` if peers
-    /// served it.
+    /// Mean number of concurrent store fetches during this fetch, including this
+    /// fetch; `None` if peers served the fetch.
     pub store_concurrency: Option<f64>,
 }
 
-/// Whether the store slowed a fetch down.
+/// Whether contention for the store slowed down a fetch.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Slowdown {
     Slowed,
     Unaffected,
-    /// It ended between two reports on both sides of the limit.
+    /// The lower bound of the duration is within the limit and the upper bound
+    /// exceeds the limit.
     Unknown,
 }
 
@@ -64,21 +70,23 @@
     }
 }
 
-/// Throughput of the store and of peers, as learned.
+/// Estimated throughput of the store and of peers.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct TransferRates {
-    /// Whether the most recent store fetches were slowed down.
+    /// Whether each of the most recent store fetches was slowed down, oldest first.
     recent_slowdowns: VecDeque<bool>,
-    /// Total throughput of the store, once it has slowed fetches down.
+    /// Estimated total throughput of the store in GB/s; `None` until the store has
+    /// been saturated.
     store_gb_s: Option<f64>,
-    /// Largest concurrency at which fetches did not slow each other down.
+    /// Largest mean concurrency at which a store fetch was not slowed down.
     max_unaffected_concurrency: f64,
-    /// Rate at which a machine receives from peers.
+    /// Estimated rate at which a machine receives an image from peers, in GB/s.
     peer_gb_s: Option<f64>,
 }
 
 impl TransferRates {
-    /// Rates that a predecessor recorded; invalid values are ignored.
+    /// Restores the rates that a previous leader recorded. Values that are not finite
+    /// and positive are ignored.
     pub fn restored(store_gb_s: Option<f64>, peer_gb_s: Option<f64>) -> TransferRates {
         let is_valid = |rate: &f64| rate.is_finite() && *rate > 0.0;
         TransferRates {
@@ -88,17 +96,19 @@
         }
     }
 
-    /// Total throughput of the store in GB/s; `None` while it slows nobody down.
+    /// Estimated total throughput of the store in GB/s; `None` until the store has
+    /// been saturated.
     pub fn store_gb_s(&self) -> Option<f64> {
         self.store_gb_s
     }
 
-    /// Rate at which a machine receives from peers, in GB/s.
+    /// Estimated rate at which a machine receives an image from peers, in GB/s;
+    /// `None` until such a fetch has completed.
     pub fn peer_gb_s(&self) -> Option<f64> {
         self.peer_gb_s
     }
 
-    /// Learns from a completed fetch.
+    /// Updates the estimates with the measurements of a completed fetch.
     pub fn record(&mut self, fetch: &CompletedFetch, settings: &Settings) {
         match fetch.store_concurrency {
             None => self.record_from_peers(fetch),
@@ -120,7 +130,7 @@
         };
         let sample = fetch.rate_gb_s() * concurrency;
         if let Some(average) = &mut self.store_gb_s {
-            // Below saturation a fetch does not show what the store can deliver.
+            // Below saturation, the rate of a fetch does not show the store's throughput.
             let saturating = *average * fetch.nominal_s / fetch.size_gb.max(EPSILON);
             if slowed || concurrency >= SATURATED_SHARE * saturating {
                 *average += (sample - *average) * SAMPLE_WEIGHT;
@@ -150,26 +160,29 @@
         total >= MIN_SAMPLES && 4 * slowed >= 3 * total
     }
 
-    /// How many store fetches may be in progress at once, for machines that fetch
-    /// at `nominal_gb_s`. Without peer-to-peer distribution there is no limit
-    /// (`usize::MAX`) until fetches have slowed each other down.
+    /// Maximum number of concurrent store fetches for machines that fetch at
+    /// `nominal_gb_s`. Without peer-to-peer transfer, there is no limit (`usize::MAX`)
+    /// until the store has been saturated.
     pub fn store_slots(&self, nominal_gb_s: f64, settings: &Settings) -> usize {
         if !settings.peer_to_peer {
-            return self.saturating_fetches(nominal_gb_s).unwrap_or(usize::MAX);
+            return self.saturating_slots(nominal_gb_s).unwrap_or(usize::MAX);
         }
         let initial = settings.initial_store_fetches;
-        // Peers as fast as the store relieve it.
+        // If peers deliver at least half of the nominal rate, or their rate is unknown,
+        // the initial limit suffices: peers serve the remaining machines.
         let Some(slow_peer_gb_s) = self.peer_gb_s.filter(|rate| 2.0 * rate < nominal_gb_s) else {
-            let saturating = self.saturating_fetches(nominal_gb_s);
+            let saturating = self.saturating_slots(nominal_gb_s);
             return saturating.map_or(initial, |slots| slots.min(initial));
         };
+        // Peers are slow and the store's throughput is unknown: doubles the largest
+        // concurrency without slowdown until the store is saturated.
         let probe_slots = (2.0 * self.max_unaffected_concurrency).max(initial as f64) as usize;
-        self.saturating_fetches(slow_peer_gb_s)
-            .unwrap_or(probe_slots)
+        self.saturating_slots(slow_peer_gb_s).unwrap_or(probe_slots)
     }
 
-    /// Fetches at this rate that saturate the store, if its throughput is known.
-    fn saturating_fetches(&self, rate_gb_s: f64) -> Option<usize> {
+    /// Number of store slots for fetches at `rate_gb_s`: slightly more than saturate
+    /// the store. `None` if the throughput of the store is unknown.
+    fn saturating_slots(&self, rate_gb_s: f64) -> Option<usize> {
         let store_gb_s = self.store_gb_s?;
         let fetches = OVERSUBSCRIPTION * store_gb_s / rate_gb_s.max(EPSILON);
         Some(fetches.ceil().clamp(1.0, 1e6) as usize)
--- a/crates/umbersail-images/src/request.rs
+++ b/crates/umbersail-images/src/request.rs
@@ -1,18 +1,18 @@
-//! A machine's request to fetch an image, and the decision on it.
+//! Requests to fetch an image on a machine, and the decisions on these requests.
 
-/// Smallest rate assumed for a machine, in GB/s: avoids a division by zero.
+/// Minimum download rate assumed for a machine, in GB/s: avoids a division by zero.
 const MIN_RATE_GB_S: f64 = 1e-6;
 
-/// Priority of a fetch; the smallest value goes first.
+/// Priority of a fetch; the smallest value is the most urgent.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub struct FetchPriority {
     /// Priority tier of the job; 0 is the highest.
     pub tier: u8,
-    /// Order within the tier.
+    /// Order within the tier; the smallest value is the most urgent.
     pub order: u64,
 }
 
-/// An image that a machine needs for a task.
+/// A request to fetch an image that a machine needs for a task.
 #[derive(Debug, Clone, Copy)]
 pub struct FetchRequest<'a, M, I> {
     /// The image.
@@ -27,30 +27,32 @@
     pub zone: &'a str,
     /// Priority of the task that needs the image.
     pub priority: FetchPriority,
-    /// Concurrent fetches on the machine, this one included; they share its rate.
+    /// Number of concurrent fetches on the machine, including this fetch. Concurrent
+    /// fetches share the download rate of the machine.
     pub concurrent_fetches: usize,
 }
 
 impl<M, I> FetchRequest<'_, M, I> {
-    /// Duration of the fetch in seconds when nothing slows it down.
+    /// Duration of the fetch without contention, in seconds.
     pub(crate) fn nominal_s(&self) -> f64 {
         nominal_fetch_s(self.size_gb, self.rate_gb_s)
     }
 }
 
-/// Duration in seconds of a fetch without contention.
+/// Duration of a fetch without contention, in seconds.
 pub(crate) fn nominal_fetch_s(size_gb: f64, rate_gb_s: f64) -> f64 {
     size_gb / rate_gb_s.max(MIN_RATE_GB_S)
 }
 
-/// The answer to a [`FetchRequest`].
+/// The decision on a [`FetchRequest`].
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Decision<M> {
-    /// Start now.
+    /// The fetch may start now.
     Start {
-        /// Peers to fetch from; the store if empty.
+        /// Peers to fetch from; if empty, the image is fetched from the store.
         sources: Vec<M>,
     },
-    /// Stay queued: starting now would only slow down more urgent fetches.
+    /// The fetch must wait: starting the fetch now would only slow down more urgent
+    /// fetches.
     Wait,
 }
--- a/crates/umbersail-images/src/rollout.rs
+++ b/crates/umbersail-images/src/rollout.rs
@@ -1,53 +1,62 @@
-//! The rollout of one image: its sources, its queue and its progress.
+//! The rollout of an image: sources, queue of waiting machines, and progress.
 
 use std::collections::{BTreeMap, BTreeSet};
 
 use crate::FetchPriority;
 
-/// Queue entries examined for one decision, so that its cost does not grow with
-/// the queue.
+/// Maximum number of queue entries or sources examined for a decision, so that the
+/// cost of a decision does not grow with the fleet.
 pub(crate) const MAX_EXAMINED: usize = 64;
 
-/// Fetches named by a predecessor's record count for this many seconds; by then
-/// every live machine has reported what it fetches.
+/// Store fetches listed in a previous leader's record occupy store slots for this
+/// many seconds. By then, every live machine has sent a heartbeat that shows its
+/// fetches.
 const RECORDED_EXPIRY_S: f64 = 30.0;
 
-/// A machine that can serve an image; the best source sorts first.
+/// A machine that can serve an image. The order of the fields matters: the best
+/// source, with the fewest hops and then the fewest uploads, sorts first.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct SourceEntry<M> {
-    /// Distance in hops from a complete copy.
+    /// Distance from a complete copy, in hops.
     pub hops: u32,
-    /// Fetches that it serves already.
+    /// Number of fetches that the machine serves already.
     pub uploads: u32,
     pub machine: M,
 }
 
+/// A machine in the queue.
 #[derive(Debug, Clone, Copy)]
 struct QueueEntry {
     priority: FetchPriority,
-    last_asked_at: f64,
+    /// Time of the machine's latest request.
+    last_requested_at: f64,
 }
 
 /// The rollout of one image to the machines that need it.
 #[derive(Debug, Clone)]
 pub(crate) struct Rollout<M: Ord> {
     pub size_gb: f64,
+    /// Time of the latest request or newly tracked fetch.
     pub last_used_at: f64,
-    /// Fetches in progress.
+    /// Number of fetches in progress.
     pub fetching: usize,
-    /// Complete copies on machines that can serve, as far as known.
+    /// Number of complete copies on machines that are not suspended as sources.
     pub usable_copies: usize,
-    /// Complete copies by zone.
+    /// Number of complete copies by zone.
     copies_by_zone: BTreeMap<String, usize>,
-    /// Machines with spare capacity to serve, by zone.
+    /// Machines that can serve at least one more fetch, by zone.
     sources_by_zone: BTreeMap<String, BTreeSet<SourceEntry<M>>>,
-    /// Fetches that all sources together can still take on.
+    /// Number of further uploads that all sources together can serve.
     spare_capacity: u64,
+    /// Waiting machines, most urgent first.
     queue: BTreeSet<(FetchPriority, M)>,
+    /// The same machines, by name.
     queue_entries: BTreeMap<M, QueueEntry>,
-    /// Store fetches named by a predecessor's record and not yet reported.
+    /// Machines that a previous leader's record lists as fetching from the store and
+    /// that have not shown the image in a heartbeat yet.
     recorded_store_fetches: BTreeSet<M>,
-    recorded_at: f64,
+    /// Time at which the record was restored.
+    restored_at: f64,
 }
 
 impl<M: Ord + Clone> Rollout<M> {
@@ -63,16 +72,16 @@
             queue: BTreeSet::new(),
             queue_entries: BTreeMap::new(),
             recorded_store_fetches: BTreeSet::new(),
-            recorded_at: now,
+            restored_at: now,
         }
     }
 
-    /// Whether machines fetch the image or wait to.
+    /// Whether any machine fetches the image or waits to fetch the image.
     pub fn is_active(&self) -> bool {
         self.fetching > 0 || !self.queue.is_empty()
     }
 
-    // The queue.
+    // Queue of waiting machines.
 
     pub fn queue_len(&self) -> usize {
         self.queue.len()
@@ -82,7 +91,7 @@
         self.queue_entries.contains_key(machine)
     }
 
-    /// Queues the machine, or renews its entry.
+    /// Adds the machine to the queue, or renews its entry.
     pub fn enqueue(&mut self, now: f64, machine: &M, priority: FetchPriority) {
         let queued_priority = self.queue_entries.get(machine).map(|entry| entry.priority);
         if queued_priority != Some(priority) {
@@ -91,7 +100,7 @@
         }
         let entry = QueueEntry {
             priority,
-            last_asked_at: now,
+            last_requested_at: now,
         };
         self.queue_entries.insert(machine.clone(), entry);
     }
@@ -104,7 +113,8 @@
 
     /// Whether fewer than `limit` live entries precede the machine in the queue.
     ///
-    /// Entries that were not renewed for `expiry_s` are dropped on the way.
+    /// Removes the preceding entries that were not renewed for `expiry_s` seconds, at
+    /// most [`MAX_EXAMINED`] per call.
     pub fn is_among_first(&mut self, now: f64, machine: &M, limit: usize, expiry_s: f64) -> bool {
         let mut expired = Vec::new();
         let mut ahead = 0;
@@ -113,7 +123,7 @@
                 break;
             }
             match self.queue_entries.get(queued) {
-                Some(entry) if now - entry.last_asked_at <= expiry_s => ahead += 1,
+                Some(entry) if now - entry.last_requested_at <= expiry_s => ahead += 1,
                 _ => expired.push(queued.clone()),
             }
             if expired.len() >= MAX_EXAMINED {
@@ -132,12 +142,13 @@
         self.spare_capacity
     }
 
-    /// Sources in the zone, best first.
+    /// The sources in the zone, best first.
     pub fn sources_in(&self, zone: &str) -> impl Iterator<Item = &SourceEntry<M>> {
         self.sources_by_zone.get(zone).into_iter().flatten()
     }
 
-    /// Zones with sources: the given one first, then those with the best source.
+    /// The zones that have sources: the zone `nearest` first if it has any, then the
+    /// other zones ordered by their best source.
     pub fn source_zones(&self, nearest: &str) -> Vec<String> {
         let local = self.sources_by_zone.keys().filter(|zone| *zone == nearest);
         let mut remote: Vec<_> = (self.sources_by_zone.iter())
@@ -190,21 +201,22 @@
         }
     }
 
-    // Store fetches that a predecessor recorded.
+    // Store fetches that a previous leader recorded.
 
     pub fn restore_store_fetches(&mut self, now: f64, machines: BTreeSet<M>) {
-        self.recorded_at = now;
+        self.restored_at = now;
         self.recorded_store_fetches = machines;
     }
 
-    /// Forgets the recorded store fetch of a machine; whether there was one.
+    /// Removes the recorded store fetch of the machine and returns whether there was
+    /// one.
     pub fn take_recorded_store_fetch(&mut self, machine: &M) -> bool {
         self.recorded_store_fetches.remove(machine)
     }
 
-    /// Recorded store fetches that still count.
+    /// Number of recorded store fetches that still occupy store slots.
     pub fn recorded_store_fetches(&self, now: f64) -> usize {
-        match now - self.recorded_at <= RECORDED_EXPIRY_S {
+        match now - self.restored_at <= RECORDED_EXPIRY_S {
             true => self.recorded_store_fetches.len(),
             false => 0,
         }
--- a/crates/umbersail-images/src/settings.rs
+++ b/crates/umbersail-images/src/settings.rs
@@ -5,28 +5,31 @@
 /// Operator settings for image distribution (`images.*` in the properties).
 #[derive(Debug, Clone, PartialEq)]
 pub struct Settings {
-    /// Machines fetch from each other where possible.
+    /// Whether machines fetch images from each other (peer-to-peer transfer).
     pub peer_to_peer: bool,
-    /// A machine serves the pieces of an image that it is still fetching.
+    /// Whether a machine serves pieces of an image that the machine is still fetching.
     pub serve_partial: bool,
-    /// Sources named for one fetch.
+    /// Number of peers assigned to a fetch as sources.
     pub sources_per_fetch: usize,
-    /// Concurrent fetches that one source serves at most.
+    /// Maximum number of concurrent fetches that a machine serves.
     pub max_uploads_per_source: u32,
-    /// Concurrent store fetches while the store's throughput is unknown.
+    /// Maximum number of concurrent store fetches while the throughput of the store is
+    /// unknown, with peer-to-peer transfer.
     pub initial_store_fetches: usize,
-    /// Images that a machine fetches faster than this, in seconds, are not tracked.
+    /// Images that a machine fetches in less than this many seconds are not tracked.
     pub min_fetch_s: f64,
-    /// A fetch that exceeds its nominal duration by this factor counts as slowed.
+    /// A fetch that takes more than this many times its duration without contention
+    /// counts as slowed down.
     pub slowdown_factor: f64,
-    /// A queued machine that has not asked again for this many seconds is dropped.
+    /// A queued machine that has not repeated its request for this many seconds is
+    /// removed from the queue.
     pub queue_expiry_s: f64,
-    /// Images tracked at once.
+    /// Maximum number of images that are tracked at the same time.
     pub max_tracked_images: usize,
 }
 
 impl Settings {
-    /// Reads the settings from the operator's tuning.
+    /// Takes the settings for image distribution from all tuning settings.
     pub fn from_tuning(tuning: &Tuning) -> Settings {
         Settings {
             peer_to_peer: tuning.peer_to_peer_images >= 0.5,
--- a/crates/umbersail-images/src/store_fetches.rs
+++ b/crates/umbersail-images/src/store_fetches.rs
@@ -1,15 +1,18 @@
-//! Fetches from the image store in progress, over all images.
+//! Fetches from the image store that are in progress, for all images.
 
 use std::collections::BTreeSet;
 
-/// Fetches from the store in progress, and their concurrency over time.
+/// Store fetches in progress and the time integral of their number, from which the
+/// mean concurrency during a fetch is computed.
 #[derive(Debug, Clone)]
 pub(crate) struct StoreFetches<M, I> {
-    /// By start time in milliseconds.
+    /// Active fetches: start time in milliseconds, machine and image.
     active: BTreeSet<(u64, M, I)>,
-    /// Time integral of the number of active fetches, up to `integrated_until`.
+    /// Time integral of the number of active fetches up to `integrated_until`, in
+    /// seconds.
     integral: f64,
     integrated_until: f64,
+    /// Time at which a store fetch last completed; negative infinity if none has.
     last_completed_at: f64,
 }
 
@@ -27,7 +30,7 @@
         self.active.len()
     }
 
-    /// The active fetches, oldest first: start time, machine and image.
+    /// The active fetches, oldest first: start time in seconds, machine and image.
     pub fn iter(&self) -> impl Iterator<Item = (f64, &M, &I)> {
         let active = self.active.iter();
         active.map(|(started_ms, machine, image)| (ms_to_s(*started_ms), machine, image))
@@ -41,10 +44,12 @@
         self.active.remove(&(s_to_ms(started_at), machine, image));
     }
 
-    /// The time integral of the number of active fetches up to `now`.
+    /// Advances the time integral of the number of active fetches to `now` and returns
+    /// the integral.
     ///
-    /// Callers bring it up to date before a fetch starts and when one completes;
-    /// a cancelled fetch counts until the next update.
+    /// Callers advance the integral before a fetch starts and when a fetch completes. A
+    /// cancelled fetch is removed without an update and therefore does not count from
+    /// the last update on.
     pub fn integral_until(&mut self, now: f64) -> f64 {
         let elapsed_s = (now - self.integrated_until).max(0.0);
         self.integral += elapsed_s * self.active.len() as f64;
--- a/crates/umbersail-images/tests/rollouts/fleet.rs
+++ b/crates/umbersail-images/tests/rollouts/fleet.rs
@@ -1,4 +1,4 @@
-//! A fleet of machines that fetch images, driven step by step.
+//! A simulated fleet that sends requests and observations to a [`CacheView`].
 
 use std::collections::BTreeSet;
 use std::ops::Range;
@@ -50,9 +50,10 @@
     }
 }
 
-/// Machines with a download rate of 1 GB/s, in three zones.
+/// A fleet of machines in three zones, each with a download rate of 1 GB/s.
 pub struct Fleet {
     pub view: CacheView<String, &'static str>,
+    /// Machines that are not usable as sources.
     pub unreachable: BTreeSet<String>,
     /// Concurrent fetches on each machine.
     pub concurrent_fetches: usize,
@@ -84,7 +85,8 @@
         self.request_image(now, "weights", n, 1)
     }
 
-    /// The sources, or `None` if it has to wait.
+    /// Requests the image "weights" and returns the sources; `None` if the machine must
+    /// wait.
     pub fn start(&mut self, now: f64, n: usize) -> Option<Vec<String>> {
         match self.request(now, n) {
             Decision::Start { sources } => Some(sources),
@@ -110,7 +112,8 @@
         );
     }
 
-    /// Runs fetches from the store that start at `at` and take `duration_s` each.
+    /// Runs concurrent fetches from the store that start at `started_at` and take
+    /// `duration_s` each.
     pub fn fetch(&mut self, started_at: f64, machines: Range<usize>, duration_s: f64) {
         for n in machines.clone() {
             assert_eq!(self.start(started_at, n), Some(vec![]));
@@ -123,7 +126,7 @@
         }
     }
 
-    /// Recorded store fetches of the image.
+    /// Number of store fetches in the record of the image.
     pub fn recorded_store_fetches_of(&self, image: &str) -> usize {
         let records = self.view.records(|i| (*i).to_owned(), String::clone);
         records.get(image).map_or(0, |r| r.from_store.len())
--- a/crates/umbersail-images/tests/rollouts/main.rs
+++ b/crates/umbersail-images/tests/rollouts/main.rs
@@ -1,4 +1,4 @@
-//! Rollouts of large images: scripted ones, and invariants under random events.
+//! Rollouts of large images: scripted scenarios and property tests.
 
 mod fleet;
 mod peers;
--- a/crates/umbersail-images/tests/rollouts/peers.rs
+++ b/crates/umbersail-images/tests/rollouts/peers.rs
@@ -1,4 +1,4 @@
-//! Choice of sources, and order of fetches on one machine.
+//! Selection of sources, and the order of fetches on a machine.
 
 use std::collections::BTreeSet;
 
@@ -7,7 +7,7 @@
 use crate::fleet::{Fleet, machine, settings, zone};
 
 #[test]
-fn few_fetch_from_the_store_and_the_rest_from_nearby_peers() {
+fn few_machines_fetch_from_the_store_and_the_others_from_nearby_peers() {
     let mut fleet = Fleet::new(settings(true));
     let (mut from_store, mut local, mut remote) = (0, 0, 0);
     for n in 0..1307 {
@@ -47,7 +47,7 @@
         stages.push(started.len());
         assert!(
             started.iter().max().is_none_or(|n| *n == cached - 1),
-            "in turn"
+            "machines start in order of priority"
         );
     }
     assert_eq!(stages[0], 8);
@@ -67,7 +67,8 @@
         fleet.view.remove_machine(&machine(n));
     }
     assert_eq!(fleet.recorded_store_fetches(), 0);
-    // No copy is left: new fetches use the store, within the initial limit.
+    // No complete copy is left and no store fetch is in progress: new fetches use the
+    // store, up to the initial limit.
     let sources: Vec<_> = (40..140).map(|n| fleet.start(11.0, n).unwrap()).collect();
     assert_eq!(
         sources.iter().filter(|sources| sources.is_empty()).count(),
@@ -83,16 +84,16 @@
 }
 
 #[test]
-fn sources_in_an_unreachable_zone_are_skipped_until_they_report() {
+fn sources_in_an_unreachable_zone_are_skipped_until_they_send_a_heartbeat() {
     let mut fleet = Fleet::new(settings(true));
-    // All in one zone.
+    // All machines are in the same zone.
     for n in (0..60).map(|n| 3 * n) {
         fleet.start(0.0, n).unwrap();
         fleet.observe_cached(50.0, n);
     }
     fleet.unreachable = (0..60).map(|n| machine(3 * n)).collect();
     let decisions: Vec<_> = (0..30).map(|n| fleet.start(60.0, 3 * n + 1)).collect();
-    // Eight fetch from the store, the rest from those eight.
+    // Eight machines fetch from the store, the others fetch from peers.
     let from_store = decisions
         .iter()
         .flatten()
@@ -124,7 +125,7 @@
     }
     assert!(fleet.view.counts(&"weights").is_empty());
     assert_eq!(fleet.start(6.0, 8), Some(vec![]));
-    // A complete copy stays when its task is cancelled.
+    // A complete copy is kept when no task needs the image any more.
     fleet.observe_cached(50.0, 8);
     fleet.view.cancel_fetch(&"weights", &machine(8));
     let only_cached = ImageCounts {
@@ -135,14 +136,14 @@
 }
 
 #[test]
-fn one_machine_fetches_its_images_in_order_of_priority() {
+fn a_machine_fetches_images_in_order_of_priority() {
     let mut fleet = Fleet::new(settings(true));
     assert!(matches!(
         fleet.request_image(0.0, "weights", 1, 1),
         Decision::Start { .. }
     ));
     assert_eq!(fleet.request_image(0.0, "other", 1, 2), Decision::Wait);
-    // A more urgent fetch does not wait for a less urgent one.
+    // A more urgent fetch does not wait for a less urgent fetch.
     assert!(matches!(
         fleet.request_image(0.0, "urgent", 1, 0),
         Decision::Start { .. }
@@ -157,16 +158,22 @@
 }
 
 #[test]
-fn the_last_holder_of_a_zone_is_kept_while_the_rollout_is_active() {
+fn the_last_holder_in_a_zone_is_kept_while_the_rollout_is_active() {
     let mut fleet = Fleet::new(settings(true));
     for n in [0, 1, 4] {
         fleet.start(0.0, n).unwrap();
         fleet.observe_cached(40.0, n);
     }
-    assert!(!fleet.view.is_last_holder(&machine(0)), "nobody wants it");
+    assert!(
+        !fleet.view.is_last_holder(&machine(0)),
+        "no machine fetches or waits for the image"
+    );
     fleet.start(50.0, 7).unwrap();
     assert!(fleet.view.is_last_holder(&machine(0)));
-    assert!(!fleet.view.is_last_holder(&machine(1)), "its zone has two");
+    assert!(
+        !fleet.view.is_last_holder(&machine(1)),
+        "the zone has two copies"
+    );
     fleet.view.remove_machine(&machine(4));
     assert!(fleet.view.is_last_holder(&machine(1)));
     fleet.observe_cached(90.0, 7);
--- a/crates/umbersail-images/tests/rollouts/properties.rs
+++ b/crates/umbersail-images/tests/rollouts/properties.rs
@@ -1,4 +1,4 @@
-//! Invariants under random sequences of events.
+//! Invariants that hold under random sequences of events.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -8,9 +8,9 @@
 use crate::fleet::{Fleet, machine, settings};
 
 proptest! {
-    /// Under any sequence of requests, completions, losses and outages: no source
-    /// exceeds its load limit, no source is unusable or without the image, sources
-    /// form no cycle, and no slot leaks.
+    /// Under any sequence of requests, completions, removed machines and unreachable
+    /// machines: no source serves more fetches than the limit, every source is usable
+    /// and has or fetches the image, sources form no cycle, and no store slot leaks.
     #[test]
     fn uploads_are_bounded_and_sources_form_no_cycle(
         steps in prop::collection::vec((0usize..6, 0usize..60, 0usize..2), 1..400),
@@ -35,7 +35,7 @@
                             prop_assert!(!fleet.unreachable.contains(source));
                             let from = (source[5..].parse().unwrap(), i);
                             prop_assert!(complete.contains(&from) || (serve_partial && sources_of.contains_key(&from)));
-                            // No upstream source depends on this fetch.
+                            // No direct or indirect source depends on this fetch.
                             let mut pending = vec![from];
                             while let Some(at) = pending.pop() {
                                 prop_assert!(at != key);
@@ -51,7 +51,7 @@
                     complete.insert(key);
                 },
                 3 => {
-                    // Its readers drop it as a source: its next fetch is another one.
+                    // The machine no longer serves fetches that were assigned to it before.
                     fleet.view.remove_machine(&machine(n));
                     for sources in sources_of.values_mut() {
                         sources.retain(|source| *source != machine(n));
--- a/crates/umbersail-images/tests/rollouts/recovery.rs
+++ b/crates/umbersail-images/tests/rollouts/recovery.rs
@@ -1,4 +1,4 @@
-//! Records, and taking over from a predecessor.
+//! Records, and takeover by a new leader.
 
 use umbersail_images::{CacheView, ImageRecord};
 
@@ -10,7 +10,7 @@
     for n in 0..200 {
         fleet.start(0.0, n).unwrap();
     }
-    // Two changes of leader during one rollout.
+    // Two leader changes during the rollout.
     for round in 1..3 {
         let at = 10.0 * f64::from(round);
         let records = fleet.view.records(|i| (*i).to_owned(), String::clone);
@@ -19,7 +19,8 @@
         new_leader
             .view
             .restore(at, "weights", record, |m| m.to_owned());
-        // A new machine asks before the others have reported.
+        // A new machine requests the image before the other machines have sent a
+        // heartbeat: the recorded store fetches occupy all slots.
         let decision = new_leader.start(at, 900 + round as usize);
         assert_eq!(decision, None);
         for n in 0..200 {
@@ -28,7 +29,7 @@
         let fetching = new_leader.view.counts(&"weights").fetching;
         assert_eq!((fetching, new_leader.recorded_store_fetches()), (200, 8));
         assert!(!new_leader.start(at + 1.0, 500).unwrap().is_empty());
-        // A launch that is sent again is decided as before.
+        // The started fetch is counted; remove it before the next leader change.
         assert_eq!(new_leader.view.counts(&"weights").fetching, 201);
         new_leader.view.remove_image(&"weights", &machine(500));
         fleet = new_leader;
@@ -36,7 +37,7 @@
 }
 
 #[test]
-fn invalid_records_are_rejected_with_a_reason() {
+fn invalid_records_are_rejected() {
     let valid = ImageRecord {
         image: "weights".into(),
         size_gb: 40.0,
--- a/crates/umbersail-images/tests/rollouts/store.rs
+++ b/crates/umbersail-images/tests/rollouts/store.rs
@@ -1,13 +1,14 @@
-//! Limits on fetches from the store, and how its throughput is learned.
+//! Limits on store fetches, and estimation of the store's throughput.
 
 use umbersail_images::Decision;
 
 use crate::fleet::{Fleet, machine, settings};
 
 #[test]
-fn all_fetches_start_at_once_while_the_store_is_not_saturated() {
+fn all_fetches_start_immediately_while_the_store_is_not_saturated() {
     let mut fleet = Fleet::new(settings(false));
-    // Durations vary by a third, and one machine in ten is stalled.
+    // Durations vary by about a third, and one machine in ten takes almost five times
+    // as long as expected.
     for n in 0..500 {
         assert_eq!(fleet.start(0.0, n), Some(vec![]));
     }
@@ -31,9 +32,9 @@
 }
 
 #[test]
-fn a_saturated_store_serves_a_limited_number_by_priority() {
+fn a_saturated_store_serves_a_limited_number_of_fetches_by_priority() {
     let mut fleet = Fleet::new(settings(false));
-    // 20 GB/s for 100 machines that take 1 GB/s each.
+    // The store delivers 20 GB/s to 100 machines that can receive 1 GB/s each.
     fleet.fetch(0.0, 0..100, 200.0);
     let store_gb_s = fleet.view.rates().store_gb_s().unwrap();
     assert!((18.0..22.0).contains(&store_gb_s), "{store_gb_s}");
@@ -46,14 +47,15 @@
             started.push(n);
         }
     }
-    // The first to ask start at once: a quarter more than saturate the store.
+    // The first machines to request start at once: 25, a quarter more than saturate
+    // the store.
     assert!(started.len() <= 25, "{started:?}");
     let counts = fleet.view.counts(&"weights");
     assert_eq!((counts.fetching, counts.waiting), (25, 175));
     for n in 100..275 {
         assert_eq!(fleet.start(255.0, n), None);
     }
-    // Released slots go to the highest priority, whoever asks first.
+    // Released slots go to the highest priority, regardless of the order of requests.
     for n in 290..300 {
         fleet.observe_fetching(260.0, n);
         fleet.observe_cached(261.0, n);
@@ -65,7 +67,7 @@
     let free_slots = started.len();
     assert!((8..=12).contains(&free_slots), "{started:?}");
     assert!(started.iter().all(|n| *n < 100 + free_slots), "{started:?}");
-    // Queue entries that are not renewed expire, and a later one starts.
+    // Queue entries that are not renewed expire, and a machine further back starts.
     for n in 285..290 {
         fleet.observe_fetching(270.0, n);
         fleet.observe_cached(271.0, n);
@@ -76,7 +78,8 @@
 
 #[test]
 fn concurrent_fetches_on_one_machine_do_not_count_as_store_saturation() {
-    // Guards against holding launches back after a start with cold caches.
+    // Guards against delayed launches after a start with cold caches, when several
+    // fetches on each machine share its download rate and take longer.
     let mut fleet = Fleet::new(settings(false));
     fleet.concurrent_fetches = 3;
     fleet.fetch(0.0, 0..100, 115.0);
@@ -106,10 +109,13 @@
         fleet.observe_cached(45.0, n);
     }
     for n in 8..200 {
-        assert!(!fleet.start(50.0, n).unwrap().is_empty(), "sources live");
+        assert!(
+            !fleet.start(50.0, n).unwrap().is_empty(),
+            "complete copies exist, so peers serve the fetch"
+        );
     }
-    // An image without copies: store fetches up to the limit, and no more however
-    // long they take.
+    // An image without copies: store fetches start up to the limit, and no more start
+    // however long the started fetches take.
     for n in 300..340 {
         let _ = fleet.request_image(50.0, "other", n, 1);
     }
