--- a/crates/umbersail-images/src/cache_view/admission.rs
+++ b/crates/umbersail-images/src/cache_view/admission.rs
@@ -1,4 +1,4 @@
-//! Admission of fetches: who may start now, in order of priority.
+//! Admission of fetches: decides which machines may start to fetch, by priority.
 
 use std::fmt::Debug;
 
@@ -8,38 +8,41 @@
 use crate::rollout::MAX_EXAMINED;
 use crate::{Decision, FetchRequest};
 
-/// A store fetch that exceeds its nominal duration by this factor no longer
-/// occupies a slot, as long as other store fetches complete.
+/// A store fetch that has taken more than this many times its duration without
+/// contention no longer occupies a store slot, provided that another store fetch has
+/// completed since then.
 const OVERDUE_FACTOR: f64 = 3.0;
 
 impl<M: Ord + Clone + Debug, I: Ord + Clone + Debug> CacheView<M, I> {
-    /// Decides whether a machine may start to fetch an image it does not have.
+    /// Decides whether a machine may start to fetch an image.
     ///
-    /// [`Decision::Start`] counts as started. `is_usable` tells whether a machine
-    /// can serve as a source now: reachable, not to be returned and not about to
-    /// be declared lost.
-    pub fn request(
+    /// After [`Decision::Start`] for a tracked image that the machine does not have
+    /// yet, the fetch counts as in progress. `is_usable` tells whether a machine can
+    /// serve as a source now: the machine is reachable, is not being returned, and
+    /// its lease is not about to expire.
+    pub fn request_fetch(
         &mut self,
         now: f64,
         request: &FetchRequest<'_, M, I>,
         is_usable: impl Fn(&M) -> bool,
     ) -> Decision<M> {
-        let untracked = Decision::Start {
+        let start_without_sources = Decision::Start {
             sources: Vec::new(),
         };
-        if !self.is_request_large(request) || self.cached(request.image, request.machine).is_some()
+        if !self.is_large_request(request) || self.cached(request.image, request.machine).is_some()
         {
-            return untracked;
+            return start_without_sources;
         }
         if !self.track(now, request.image, request.size_gb) {
-            return untracked;
+            return start_without_sources;
         }
-        // Concurrent fetches share the machine's rate: the most urgent goes alone.
+        // Concurrent fetches on a machine share its download rate, so a fetch waits
+        // while the machine runs a fetch of the same or a higher priority.
         if self.settings.peer_to_peer && self.has_more_urgent_fetch(request) {
             return Decision::Wait;
         }
         let free_slots = self.free_store_slots(now, request.rate_gb_s);
-        if !self.is_next(now, request, free_slots) {
+        if !self.update_queue_and_check_turn(now, request, free_slots) {
             return Decision::Wait;
         }
         let sources = self.choose_sources(request, free_slots, is_usable);
@@ -50,20 +53,29 @@
         Decision::Start { sources }
     }
 
-    /// Whether the machine fetches something of the same or a higher priority.
+    /// Whether the machine runs a fetch of the same or a higher priority.
     fn has_more_urgent_fetch(&self, request: &FetchRequest<'_, M, I>) -> bool {
         let Some(cache) = self.machines.get(request.machine) else {
             return false;
         };
-        cache.images.values().any(|held| match held {
-            CachedImage::Partial(fetch) => fetch.priority <= request.priority,
-            CachedImage::Complete => false,
-        })
+        cache
+            .images
+            .values()
+            .any(|cached_image| match cached_image {
+                CachedImage::Partial(fetch) => fetch.priority <= request.priority,
+                CachedImage::Complete => false,
+            })
     }
 
-    /// Whether the machine is among the most urgent that can start now; queues it
-    /// if slots are limited.
-    fn is_next(&mut self, now: f64, request: &FetchRequest<'_, M, I>, free_slots: usize) -> bool {
+    /// Whether the machine is among the most urgent machines for which there is
+    /// capacity now, at the store or at peers. Queues the machine if store slots are
+    /// limited, and removes it from the queue otherwise.
+    fn update_queue_and_check_turn(
+        &mut self,
+        now: f64,
+        request: &FetchRequest<'_, M, I>,
+        free_slots: usize,
+    ) -> bool {
         let Some(rollout) = self.rollouts.get_mut(request.image) else {
             return true;
         };
@@ -86,37 +98,38 @@
         rollout.is_among_first(now, request.machine, limit, self.settings.queue_expiry_s)
     }
 
+    /// Records that the fetch starts now, from the store if `sources` is empty.
     fn start(&mut self, now: f64, request: &FetchRequest<'_, M, I>, sources: Vec<M>) {
-        let hop_of = |machine: &M| Some(self.cached(request.image, machine)?.hop());
-        let farthest = sources.iter().filter_map(hop_of).max();
-        let hop = farthest.map_or(1, |hop| hop + 1);
+        let hops_of = |machine: &M| Some(self.cached(request.image, machine)?.hops());
+        let farthest = sources.iter().filter_map(hops_of).max();
+        let hops = farthest.map_or(1, |hops| hops + 1);
         let from_store = sources.is_empty();
         let mut fetch_sources = Vec::new();
         for machine in sources {
-            self.update_machine(&machine, |cache| cache.load += 1);
+            self.update_machine(&machine, |cache| cache.uploads += 1);
             if let Some(cache) = self.machines.get(&machine) {
-                let registration = cache.registration;
+                let generation = cache.generation;
                 fetch_sources.push(FetchSource {
                     machine,
-                    registration,
+                    generation,
                 });
             }
         }
         let fetch = ActiveFetch {
             started_at: now,
-            last_seen_at: now,
+            last_observed_at: now,
             nominal_s: request.nominal_s(),
             concurrent_fetches: request.concurrent_fetches.max(1),
             priority: request.priority,
             sources: fetch_sources,
             store_integral_at_start: from_store.then(|| self.store_fetches.integral_until(now)),
             adopted: false,
-            hop,
+            hops,
         };
         self.insert_fetch(now, request, fetch);
     }
 
-    /// Store fetches that may start now; `usize::MAX` if there is no limit.
+    /// Number of store fetches that may start now; `usize::MAX` if there is no limit.
     fn free_store_slots(&self, now: f64, rate_gb_s: f64) -> usize {
         let slots = self.rates.store_slots(rate_gb_s, &self.settings);
         if slots == usize::MAX {
@@ -128,7 +141,8 @@
         slots.saturating_sub(counted + recorded)
     }
 
-    /// The oldest store fetches that take far too long while others complete.
+    /// Number of the oldest store fetches that are overdue by [`OVERDUE_FACTOR`] while
+    /// other store fetches complete.
     fn overdue_store_fetches(&self, now: f64) -> usize {
         let last_completed_at = self.store_fetches.last_completed_at();
         let mut overdue = 0;
@@ -137,7 +151,8 @@
                 continue;
             };
             let overdue_at = started_at + OVERDUE_FACTOR * fetch.nominal_s;
-            // While none completes the store itself is slow, and more would not help.
+            // If no store fetch has completed since, the store itself is slow, and more
+            // concurrent store fetches would not help.
             if now <= overdue_at || last_completed_at <= overdue_at {
                 break;
             }
--- a/crates/umbersail-images/src/cache_view/sources.rs
+++ b/crates/umbersail-images/src/cache_view/sources.rs
@@ -1,4 +1,4 @@
-//! Choice of the peers that serve a fetch.
+//! Selects the peers that serve a fetch.
 
 use std::fmt::Debug;
 
@@ -6,11 +6,13 @@
 use crate::FetchRequest;
 use crate::rollout::{MAX_EXAMINED, Rollout};
 
-/// Peers count as fast while they deliver at least this share of a machine's rate.
+/// Peers count as fast if a machine receives from them at no less than this share of
+/// its download rate.
 const FAST_PEER_SHARE: f64 = 0.5;
 
 impl<M: Ord + Clone + Debug, I: Ord + Clone + Debug> CacheView<M, I> {
-    /// Peers for a fetch; none if the store should serve it or no peer can.
+    /// Selects the peers that serve a fetch. Returns no peers if the store should serve
+    /// the fetch or if no peer can.
     pub(super) fn choose_sources(
         &mut self,
         request: &FetchRequest<'_, M, I>,
@@ -28,24 +30,25 @@
         for machine in search.unusable {
             self.update_machine(&machine, |cache| cache.suspended = true);
         }
-        // Complete copies relieve the store. Partial ones do not replace it: somebody
-        // has to fetch the image first.
+        // Enough complete copies replace the store. Partial copies do not: some machines
+        // must first fetch the image from the store.
         let usable_copies = (self.rollouts.get(request.image)).map_or(0, |r| r.usable_copies);
-        let peers_suffice = usable_copies >= wanted && self.are_peers_fast(request.rate_gb_s);
-        if free_store_slots > 0 && !peers_suffice {
+        let prefer_peers = usable_copies >= wanted && self.are_peers_fast(request.rate_gb_s);
+        if free_store_slots > 0 && !prefer_peers {
             return Vec::new();
         }
         search.chosen
     }
 
-    /// Whether peers deliver about as fast as the machine can receive, as far as known.
+    /// Whether peers deliver at no less than [`FAST_PEER_SHARE`] of the machine's
+    /// download rate. An unknown rate of peers counts as fast.
     fn are_peers_fast(&self, rate_gb_s: f64) -> bool {
         let peer_gb_s = self.rates.peer_gb_s();
         peer_gb_s.is_none_or(|peer_gb_s| peer_gb_s >= FAST_PEER_SHARE * rate_gb_s)
     }
 }
 
-/// A bounded search for sources.
+/// A search for sources that examines at most [`MAX_EXAMINED`] machines.
 struct SourceSearch<M> {
     chosen: Vec<M>,
     unusable: Vec<M>,
@@ -53,8 +56,9 @@
 }
 
 impl<M: Ord + Clone> SourceSearch<M> {
-    /// Prefers the machine's own zone, and keeps one source for another zone so
-    /// that a zone outage does not cut off the fetch.
+    /// Prefers sources in the requesting machine's own zone. Reserves one source for
+    /// another zone, so that an outage of one zone does not leave the fetch without
+    /// sources.
     fn run<I>(
         rollout: &Rollout<M>,
         request: &FetchRequest<'_, M, I>,
@@ -68,26 +72,28 @@
         };
         let zones = rollout.source_zones(request.zone);
         let has_local = zones.first().is_some_and(|zone| zone == request.zone);
-        let kept_for_remote = usize::from(has_local && zones.len() > 1 && wanted > 1);
+        let reserved_for_remote = usize::from(has_local && zones.len() > 1 && wanted > 1);
         for zone in &zones {
             let limit = match zone == request.zone {
-                true => wanted - kept_for_remote,
+                true => wanted - reserved_for_remote,
                 false => wanted,
             };
-            search.examine(rollout, zone, request.machine, limit, &is_usable);
+            search.search_zone(rollout, zone, request.machine, limit, &is_usable);
         }
-        // A second round fills up from the own zone what no other zone had.
+        // If other zones have too few sources, a second pass selects more from the own
+        // zone.
         for zone in &zones {
-            search.examine(rollout, zone, request.machine, wanted, &is_usable);
+            search.search_zone(rollout, zone, request.machine, wanted, &is_usable);
         }
         search
     }
 
-    fn examine(
+    /// Selects usable sources in a zone until `limit` sources are chosen in total.
+    fn search_zone(
         &mut self,
         rollout: &Rollout<M>,
         zone: &str,
-        for_machine: &M,
+        requester: &M,
         limit: usize,
         is_usable: impl Fn(&M) -> bool,
     ) {
@@ -96,7 +102,7 @@
                 return;
             }
             let machine = &source.machine;
-            if self.chosen.contains(machine) || machine == for_machine {
+            if self.chosen.contains(machine) || machine == requester {
                 continue;
             }
             self.examined += 1;
