--- a/crates/umbersail-control/src/engine/tests.rs
+++ b/crates/umbersail-control/src/engine/tests.rs
@@ -2,27 +2,27 @@
 //! names the failure that it guards against.
 
 mod calendar;
-mod cancelled;
+mod cancellations;
 mod cycles;
 mod delegates;
 mod evictions;
-mod failures;
+mod failovers;
 mod faults;
 mod fixtures;
+mod heartbeats;
 mod images;
 mod late;
 mod launches;
 mod leases;
-mod limits;
 mod machines;
 mod placement;
 mod plans;
-mod reports;
-mod reserve;
+mod quotas;
+mod reservations;
 mod starvation_guard;
-mod takeovers;
-mod writes;
-mod zones;
+mod task_failures;
+mod transactions;
+mod zone_constraints;
 
 use std::rc::Rc;
 
--- a/crates/umbersail-control/src/engine/tests/calendar.rs
+++ b/crates/umbersail-control/src/engine/tests/calendar.rs
@@ -55,7 +55,7 @@
             jobs: BTreeMap::new(),
             runs: BTreeMap::new(),
             plans: BTreeMap::new(),
-            engine: engine(FILE, 0.0, empty_inheritance()),
+            engine: engine(FILE, 0.0, empty_inherited_state()),
             workers: vec![Worker::new("m1", "a"), Worker::new("m2", "b")],
             now: 0.0,
             holder: TOKEN,
@@ -100,7 +100,7 @@
                     value: value.clone(),
                 })
                 .collect(),
-            ..empty_inheritance()
+            ..empty_inherited_state()
         };
         self.engine = engine(&self.file, self.now, inheritance);
     }
@@ -157,7 +157,7 @@
         self.engine.schedule(self.now);
         self.write();
         for worker in &mut self.workers {
-            for task in starts(&worker.turn(&mut self.engine, self.now)) {
+            for task in started_tasks(&worker.send_heartbeat(&mut self.engine, self.now)) {
                 *self.started.entry(task).or_default() += 1;
             }
         }
@@ -226,7 +226,7 @@
     for _ in 0..4 {
         place.now += 0.5;
         for worker in &mut place.workers {
-            worker.turn(&mut place.engine, place.now);
+            worker.send_heartbeat(&mut place.engine, place.now);
         }
         place.engine.tick(place.now);
         place.engine.schedule(place.now);
--- a/crates/umbersail-control/src/engine/tests/cancelled.rs
+++ b/crates/umbersail-control/src/engine/tests/cancellations.rs
@@ -3,7 +3,7 @@
 use super::*;
 
 fn task(id: &str, attempt: u64) -> TaskReport {
-    running(&format!("{id}/0"), attempt)
+    running_task(&format!("{id}/0"), attempt)
 }
 
 #[test]
@@ -11,7 +11,7 @@
     // Guards against ran_cancelled: the old leader's last answer and a lease are almost
     // over, the successor's first answer renews the lease, and the stop comes with the
     // next report only.
-    let mut engine = after_crash(vec![team(0.0, 0.0)], spec("req-1", 3, 2.0));
+    let mut engine = engine_after_failover(vec![team(0.0, 0.0)], spec("req-1", 3, 2.0));
     accept(&mut engine, 0.0, spec("req-3", 1, 2.0));
     engine.job_key_removed("req-3");
     let mut old = Worker::new("m1", "a");
@@ -24,7 +24,7 @@
         });
         stops.collect()
     };
-    let first = old.turn(&mut engine, 1.0);
+    let first = old.send_heartbeat(&mut engine, 1.0);
     assert_eq!(stopped(&first), ["req-2/0", "req-3/0"], "{first:?}");
     assert_eq!(epoch(old.token), engine.revision());
 }
@@ -34,27 +34,27 @@
     // Guards against a stop with time to save that stands when its job is cancelled.
     let mut job = spec("req-1", 1, 2.0);
     (job.checkpoint_s, job.save_s) = (Some(5.0), Some(30.0));
-    let mut engine = fresh(vec![team(0.0, 0.0)]);
+    let mut engine = new_engine(vec![team(0.0, 0.0)]);
     let mut worker = ready_worker(&mut engine, "m1", "a");
     accept(&mut engine, 1.0, job);
     commit(&mut engine, 1.0);
-    worker.turn(&mut engine, 2.0);
-    worker.turn(&mut engine, 3.0);
+    worker.send_heartbeat(&mut engine, 2.0);
+    worker.send_heartbeat(&mut engine, 3.0);
     let placement = (engine.jobs.get_mut("req-1").unwrap().placements.get_mut(&0)).unwrap();
     placement.pending_stop = Some(PendingStop {
         grace_s: 30.0,
         required_eviction_count: 0,
     });
-    let told = worker.report();
-    let told = converse(&mut engine, 4.0, &told, true).unwrap();
+    let told = worker.heartbeat();
+    let told = receive_and_reply(&mut engine, 4.0, &told, true).unwrap();
     assert!(
         matches!(told[..], [Command::Stop { grace_s: 30.0, .. }]),
         "{told:?}"
     );
     worker.tasks[0].state = TaskState::Saving;
-    assert!(worker.turn(&mut engine, 5.0).is_empty());
+    assert!(worker.send_heartbeat(&mut engine, 5.0).is_empty());
     engine.job_key_removed("req-1");
-    let told = worker.turn(&mut engine, 6.0);
+    let told = worker.send_heartbeat(&mut engine, 6.0);
     assert!(
         matches!(told[..], [Command::Stop { grace_s: 0.0, .. }]),
         "{told:?}"
@@ -65,22 +65,22 @@
 fn peers_are_told_what_to_stop_for_as_long_as_it_may_be_about() {
     // Guards against a worker that peers keep, and with it the tasks of a job that was
     // cancelled: they answer without the leader, who alone knows of it.
-    let mut engine = fresh(vec![team(0.0, 0.0)]);
+    let mut engine = new_engine(vec![team(0.0, 0.0)]);
     let mut worker = ready_worker(&mut engine, "m1", "a");
     accept(&mut engine, 1.0, spec("req-1", 1, 2.0));
     commit(&mut engine, 1.0);
-    worker.turn(&mut engine, 2.0);
-    worker.turn(&mut engine, 3.0);
+    worker.send_heartbeat(&mut engine, 2.0);
+    worker.send_heartbeat(&mut engine, 3.0);
     assert_eq!(engine.finished_jobs().unwrap(), Vec::<String>::new());
     engine.job_key_removed("req-1");
     assert_eq!(engine.finished_jobs().unwrap(), ["req-1"]);
-    worker.turn(&mut engine, 4.0);
+    worker.send_heartbeat(&mut engine, 4.0);
     assert_eq!(
         engine.finished_jobs().unwrap(),
         ["req-1"],
         "told, and not seen to obey"
     );
-    worker.turn(&mut engine, 5.0);
+    worker.send_heartbeat(&mut engine, 5.0);
     assert_eq!(engine.finished_jobs().unwrap(), Vec::<String>::new());
 }
 
@@ -88,7 +88,7 @@
 fn nothing_is_delegated_while_starts_without_a_record_are_not_known() {
     // Guards against a task that no record tells of, of a job that was cancelled before
     // the election: neither we nor a peer would know what to stop.
-    let mut left = inheritance_of(spec("req-1", 3, 2.0));
+    let mut left = inherited_state_of(spec("req-1", 3, 2.0));
     left.predecessor_degraded = true;
     let mut engine = Engine::new(
         config(vec![team(0.0, 0.0)], Tuning::default()),
@@ -98,8 +98,8 @@
     );
     assert_eq!(engine.finished_jobs(), None);
     let mut old = Worker::new("m1", "a");
-    old.turn(&mut engine, 1.0);
-    old.turn(&mut engine, 2.0);
+    old.send_heartbeat(&mut engine, 1.0);
+    old.send_heartbeat(&mut engine, 2.0);
     commit(&mut engine, 3.0);
     assert!(engine.finished_jobs().is_some());
 }
@@ -108,18 +108,18 @@
 fn a_cancellation_against_a_launch_in_flight_ends_in_a_stop() {
     // Guards against ran_cancelled: the launch may arrive after the
     // cancellation was told.
-    let mut engine = fresh(vec![team(0.0, 0.0)]);
+    let mut engine = new_engine(vec![team(0.0, 0.0)]);
     let mut worker = ready_worker(&mut engine, "m1", "a");
     accept(&mut engine, 1.0, spec("req-1", 2, 8.0));
     commit(&mut engine, 1.0);
-    let report = worker.report();
-    let in_flight = converse(&mut engine, 2.0, &report, true).unwrap();
-    assert_eq!(starts(&in_flight).len(), 1);
+    let heartbeat = worker.heartbeat();
+    let in_flight = receive_and_reply(&mut engine, 2.0, &heartbeat, true).unwrap();
+    assert_eq!(started_tasks(&in_flight).len(), 1);
     engine.job_key_removed("req-1");
     assert_eq!(engine.job_count(), 1, "one task may be there");
-    worker.obey(first_token(TOKEN), &in_flight);
-    assert_eq!(stops(&worker.turn(&mut engine, 3.0)), 1);
-    worker.turn(&mut engine, 4.0);
+    worker.apply_commands(first_token(TOKEN), &in_flight);
+    assert_eq!(stop_count(&worker.send_heartbeat(&mut engine, 3.0)), 1);
+    worker.send_heartbeat(&mut engine, 4.0);
     assert_eq!(engine.job_count(), 0);
     assert!(worker.tasks.is_empty(), "reaped: {:?}", worker.tasks);
 }
@@ -128,7 +128,7 @@
 fn tasks_of_jobs_that_are_over_are_stopped_and_keep_their_machine_closed() {
     // Guards against ran_cancelled and quota after a take-over: the new
     // leader never heard of a job that was cancelled before.
-    let mut engine = fresh(vec![team(0.0, 0.0)]);
+    let mut engine = new_engine(vec![team(0.0, 0.0)]);
     let mut worker = ready_worker(&mut engine, "m1", "a");
     worker.tasks.push(TaskReport {
         task: "req-9/0".into(),
@@ -139,9 +139,9 @@
     });
     accept(&mut engine, 1.0, spec("req-1", 1, 1.0));
     commit(&mut engine, 1.0);
-    let told = worker.turn(&mut engine, 1.5);
-    assert_eq!(stops(&told), 1);
+    let told = worker.send_heartbeat(&mut engine, 1.5);
+    assert_eq!(stop_count(&told), 1);
     assert!(engine.machines["m1"].has_orphaned_tasks);
-    worker.turn(&mut engine, 2.0);
+    worker.send_heartbeat(&mut engine, 2.0);
     assert!(!engine.machines["m1"].has_orphaned_tasks);
 }
--- a/crates/umbersail-control/src/engine/tests/cycles.rs
+++ b/crates/umbersail-control/src/engine/tests/cycles.rs
@@ -446,7 +446,7 @@
             0,
             InheritedState {
                 types,
-                ..empty_inheritance()
+                ..empty_inherited_state()
             },
         )
     };
@@ -474,7 +474,7 @@
             let spec = some_job(&mut rng, jobs);
             jobs += 1;
             for e in &mut engines {
-                e.job_accepted(now, (now * 1000.0) as u64, record(spec.clone()), 70);
+                e.job_accepted(now, (now * 1000.0) as u64, job_record(spec.clone()), 70);
             }
         }
         for (worker, machine_type, spot) in &mut workers {
@@ -489,17 +489,17 @@
                     _ => {}
                 }
             }
-            let mut report = worker.report();
+            let mut report = worker.heartbeat();
             (report.machine_type, report.spot) = ((*machine_type).into(), Some(*spot));
             report.notice_s = rng.random_bool(0.03).then_some(20.0);
             let answers: Vec<_> = engines
                 .iter_mut()
-                .map(|e| converse(e, now, &report, true))
+                .map(|e| receive_and_reply(e, now, &report, true))
                 .collect();
             prop_assert_eq!(&answers[0], &answers[1], "replies at {}", now);
             prop_assert_eq!(&answers[0], &answers[2], "sliced replies at {}", now);
             let token = engines[0].token_for(&worker.name);
-            worker.obey(token, answers[0].as_deref().unwrap_or(&[]));
+            worker.apply_commands(token, answers[0].as_deref().unwrap_or(&[]));
         }
         engines[0].plain_schedule(now);
         engines[1].schedule(now);
@@ -549,13 +549,13 @@
 fn fleet(slice_steps: u64, machines: usize) -> (Engine, Vec<Worker>) {
     let mut cfg = config(vec![team(0.0, 0.0)], Tuning::default());
     Rc::get_mut(&mut cfg).unwrap().slice_steps = slice_steps;
-    let mut engine = Engine::new(cfg, 0.0, 0, empty_inheritance());
+    let mut engine = Engine::new(cfg, 0.0, 0, empty_inherited_state());
     let mut workers: Vec<Worker> = (0..machines)
         .map(|m| Worker::new(&format!("m{m:05}"), "a"))
         .collect();
     for at in [0.0, 0.5] {
         for worker in &mut workers {
-            worker.turn(&mut engine, at);
+            worker.send_heartbeat(&mut engine, at);
         }
     }
     write(&mut engine, 0.5);
@@ -574,7 +574,7 @@
 }
 
 fn come(engine: &mut Engine, now: Time, spec: JobSpec) {
-    engine.job_accepted(now, (now * 1000.0) as u64, record(spec), 70);
+    engine.job_accepted(now, (now * 1000.0) as u64, job_record(spec), 70);
 }
 
 /// Cycles until one is whole; how many slices that took.
@@ -591,10 +591,10 @@
 fn launched(engine: &mut Engine, workers: &mut [Worker], now: Time) {
     write(engine, now);
     for worker in workers.iter_mut() {
-        worker.turn(engine, now);
+        worker.send_heartbeat(engine, now);
     }
     for worker in workers {
-        worker.turn(engine, now + 0.1);
+        worker.send_heartbeat(engine, now + 0.1);
     }
     engine.take_steps();
 }
@@ -706,13 +706,13 @@
     write(&mut engine, 1.0);
     let told: usize = workers
         .iter_mut()
-        .map(|w| starts(&w.turn(&mut engine, 1.1)).len())
+        .map(|w| started_tasks(&w.send_heartbeat(&mut engine, 1.1)).len())
         .sum();
     assert_eq!((told, engine.is_mid_cycle()), (12, true));
     // A worker reports an end: the rest of this cycle uses the room.
     let ended = workers[0].tasks[0].task.clone();
     workers[0].exit(&ended, None, ExitCause::Done);
-    workers[0].turn(&mut engine, 1.15);
+    workers[0].send_heartbeat(&mut engine, 1.15);
     whole(&mut engine, 1.2);
     assert!(!engine.jobs.contains_key("req-1"));
     assert_eq!(
@@ -742,7 +742,7 @@
     engine.txn_finished(1.0, pending, TxnOutcome::Applied { revision: 2000 });
     let told: usize = workers
         .iter_mut()
-        .map(|w| starts(&w.turn(&mut engine, 1.1)).len())
+        .map(|w| started_tasks(&w.send_heartbeat(&mut engine, 1.1)).len())
         .sum();
     assert_eq!(told, 12);
     let machines = workers.iter().map(|w| GrantedMachine {
@@ -756,7 +756,7 @@
         machines: machines.collect(),
     };
     let job = |spec, run| InheritedJob {
-        record: record(spec),
+        record: job_record(spec),
         version: 70,
         run,
     };
@@ -769,7 +769,7 @@
             part,
         }],
         jobs: vec![job(first, Some((run.unwrap(), 2000))), job(second, None)],
-        ..empty_inheritance()
+        ..empty_inherited_state()
     };
     let mut successor = Engine::new(engine.cfg.clone(), 2.0, 2000, inheritance);
     assert_eq!(whole(&mut successor, 2.0), 1);
@@ -778,8 +778,11 @@
         "nobody is accounted for"
     );
     for worker in &mut workers {
-        worker.turn(&mut successor, 2.1);
-        assert_eq!(starts(&worker.turn(&mut successor, 2.7)).len(), 0);
+        worker.send_heartbeat(&mut successor, 2.1);
+        assert_eq!(
+            started_tasks(&worker.send_heartbeat(&mut successor, 2.7)).len(),
+            0
+        );
     }
     whole(&mut successor, 2.8);
     assert_eq!(successor.jobs["req-0"].placements.len(), 12, "they go on");
--- a/crates/umbersail-control/src/engine/tests/delegates.rs
+++ b/crates/umbersail-control/src/engine/tests/delegates.rs
@@ -12,12 +12,12 @@
 fn told_to_stop(turn: u32) -> (Option<u32>, u32) {
     let cfg = config(vec![team(0.0, 0.0)], Tuning::default());
     let renewal_s = cfg.renewal_s();
-    let mut engine = fresh(vec![team(0.0, 0.0)]);
+    let mut engine = new_engine(vec![team(0.0, 0.0)]);
     let mut worker = ready_worker(&mut engine, "m1", "a");
     accept(&mut engine, 1.0, spec("req-1", 1, 2.0));
     commit(&mut engine, 1.0);
-    worker.turn(&mut engine, 2.0);
-    worker.turn(&mut engine, 3.0);
+    worker.send_heartbeat(&mut engine, 2.0);
+    worker.send_heartbeat(&mut engine, 3.0);
     assert_eq!(worker.tasks.len(), 1);
     let mut delegates = [(); 2].map(|()| Delegate::new(LEASE_S, renewal_s));
     let (mut at, mut last, mut told) = (0, 0, None);
@@ -33,10 +33,10 @@
         for delegate in &mut delegates {
             delegate.on_delegation(TOKEN, now + renewal_s, &over);
         }
-        let report = worker.report();
-        if delegates[at].renew(now, &report).is_some() {
+        let heartbeat = worker.heartbeat();
+        if delegates[at].renew(now, &heartbeat).is_some() {
             last = second;
-            if stops(&delegates[at].stop_commands(&report, |_| false)) > 0 {
+            if stop_count(&delegates[at].stop_commands(&heartbeat, |_| false)) > 0 {
                 told.get_or_insert(second);
             }
         } else {
@@ -68,9 +68,9 @@
 fn a_burst_of_cancellations_on_a_fleet_of_4000_leaves_delegations_in_force() {
     // Guards against a fleet whose delegates may answer nobody while it is busiest:
     // above the bound the leader delegates nothing.
-    let mut engine = fresh(vec![team(0.0, 0.0)]);
+    let mut engine = new_engine(vec![team(0.0, 0.0)]);
     for job in 0..4000 {
-        let accepted = record(spec(&format!("req-{job:06}"), 1, 2.0));
+        let accepted = job_record(spec(&format!("req-{job:06}"), 1, 2.0));
         engine.job_accepted(1.0, 1000, accepted, 70);
     }
     ready_worker(&mut engine, "m1", "a");
--- a/crates/umbersail-control/src/engine/tests/evictions.rs
+++ b/crates/umbersail-control/src/engine/tests/evictions.rs
@@ -4,14 +4,14 @@
 
 /// One machine, full of a low job, and a high one that can't wait for a boot.
 fn full_of_low() -> (Engine, Worker, JobSpec) {
-    let mut engine = fresh(vec![team(0.0, 0.0)]);
+    let mut engine = new_engine(vec![team(0.0, 0.0)]);
     let mut worker = ready_worker(&mut engine, "m1", "a");
     let mut low = spec("req-1", 1, 8.0);
     low.priority = Priority::Low;
     accept(&mut engine, 1.0, low);
     commit(&mut engine, 1.0);
-    worker.turn(&mut engine, 2.0);
-    worker.turn(&mut engine, 3.0);
+    worker.send_heartbeat(&mut engine, 2.0);
+    worker.send_heartbeat(&mut engine, 3.0);
     assert_eq!(engine.job_progress("req-1"), Some((0, 1)));
     let mut high = spec("req-2", 1, 8.0);
     high.priority = Priority::High;
@@ -24,15 +24,22 @@
     // One state record per eviction; a successor must know of it.
     let (mut engine, mut worker, high) = full_of_low();
     accept(&mut engine, 4.0, high);
-    assert_eq!(stops(&worker.turn(&mut engine, 4.0)), 0, "not recorded yet");
+    assert_eq!(
+        stop_count(&worker.send_heartbeat(&mut engine, 4.0)),
+        0,
+        "not recorded yet"
+    );
     let changes = commit(&mut engine, 4.5);
     assert!(changes.iter().any(
         |c| matches!(c, Change::Put { value: Record::JobProgress(r), .. } if r.evictions == 1)
     ));
-    assert_eq!(stops(&worker.turn(&mut engine, 5.0)), 1);
-    worker.turn(&mut engine, 6.0);
+    assert_eq!(stop_count(&worker.send_heartbeat(&mut engine, 5.0)), 1);
+    worker.send_heartbeat(&mut engine, 6.0);
     commit(&mut engine, 6.0);
-    assert_eq!(starts(&worker.turn(&mut engine, 7.0)), ["req-2/0"]);
+    assert_eq!(
+        started_tasks(&worker.send_heartbeat(&mut engine, 7.0)),
+        ["req-2/0"]
+    );
 }
 
 #[test]
@@ -40,7 +47,7 @@
     // Guards against a task that no worker could ever be told to stop, whose place
     // stayed taken until the next leader; and against a guest's next task in the
     // room of the first one stopped, for which the winner evicted again.
-    let mut engine = fresh(vec![team(0.0, 0.0)]);
+    let mut engine = new_engine(vec![team(0.0, 0.0)]);
     let mut worker = ready_worker(&mut engine, "m1", "a");
     let low = |id: &str, cpus| JobSpec {
         priority: Priority::Low,
@@ -50,11 +57,14 @@
     };
     accept(&mut engine, 1.0, low("req-1", 4.0));
     commit(&mut engine, 1.0);
-    worker.turn(&mut engine, 2.0);
-    worker.turn(&mut engine, 3.0);
+    worker.send_heartbeat(&mut engine, 2.0);
+    worker.send_heartbeat(&mut engine, 3.0);
     // One of two is done; the third is planned and not yet told.
     worker.exit("req-1/0", None, ExitCause::Done);
-    assert_eq!(starts(&worker.turn(&mut engine, 4.0)), Vec::<String>::new());
+    assert_eq!(
+        started_tasks(&worker.send_heartbeat(&mut engine, 4.0)),
+        Vec::<String>::new()
+    );
     engine.schedule(4.0);
     let planned = &engine.jobs["req-1"].placements[&2];
     assert!(!planned.may_be_known_to_worker());
@@ -75,23 +85,26 @@
         "nothing moves in"
     );
     commit(&mut engine, 4.5);
-    assert_eq!(stops(&worker.turn(&mut engine, 5.0)), 1);
+    assert_eq!(stop_count(&worker.send_heartbeat(&mut engine, 5.0)), 1);
     engine.schedule(7.0);
     assert_eq!(
         engine.jobs["req-1"].evictions, 1,
         "none while one is saving"
     );
     worker.exit("req-1/1", None, ExitCause::Stopped);
-    worker.turn(&mut engine, 8.5);
+    worker.send_heartbeat(&mut engine, 8.5);
     commit(&mut engine, 8.5);
-    assert_eq!(starts(&worker.turn(&mut engine, 9.0)), ["req-2/0"]);
+    assert_eq!(
+        started_tasks(&worker.send_heartbeat(&mut engine, 9.0)),
+        ["req-2/0"]
+    );
 }
 
 #[test]
 fn a_job_that_fails_everywhere_may_not_evict_and_a_loser_is_spared_in_time() {
     // The design's two known weaknesses.
     let (mut engine, _worker, high) = full_of_low();
-    engine.job_accepted(4.0, 4000, record(high), 71);
+    engine.job_accepted(4.0, 4000, job_record(high), 71);
     engine.jobs.get_mut("req-2").unwrap().errors = 5;
     engine.schedule(4.0);
     assert_eq!(engine.jobs["req-1"].evictions, 0);
--- a/crates/umbersail-control/src/engine/tests/faults.rs
+++ b/crates/umbersail-control/src/engine/tests/faults.rs
@@ -224,7 +224,7 @@
             r.due.max(t) - r.sent <= REPLY_S
                 && r.token >= self.worker.token
                 && r.session == self.worker.session
-                && starts(&r.commands).iter().any(|s| s == task)
+                && started_tasks(&r.commands).iter().any(|s| s == task)
         })
     }
 
@@ -407,7 +407,7 @@
 }
 
 fn name(node: usize) -> String {
-    format!("bothy-{node}")
+    format!("controller-{node}")
 }
 
 impl Night {
@@ -570,7 +570,7 @@
     }
 
     fn submit(&mut self, step: usize) {
-        let record = record(spec(&format!("req-{step}"), 12, TASK_CPUS));
+        let record = job_record(spec(&format!("req-{step}"), 12, TASK_CPUS));
         let key = job_key(&record.spec.id);
         let txn = umbersail_wire::Txn {
             conditions: vec![],
@@ -1005,7 +1005,7 @@
         if session == host.worker.session && !unreachable {
             host.worker.token = host.worker.token.max(token);
         }
-        host.worker.report()
+        host.worker.heartbeat()
     }
 
     fn greet(&mut self, node: usize, peer: usize) {
@@ -1143,13 +1143,13 @@
         if late || reply.session != host.worker.session || reply.token < host.worker.token {
             return Ok(());
         }
-        for task in starts(&reply.commands) {
+        for task in started_tasks(&reply.commands) {
             self.check_start(index, &task)?;
         }
         let host = &mut self.hosts[index];
         host.renewed = host.clock.at(reply.sent);
         let held = host.worker.tasks.len();
-        host.worker.obey(reply.token, &reply.commands);
+        host.worker.apply_commands(reply.token, &reply.commands);
         for started in &host.worker.tasks[held.min(host.worker.tasks.len())..] {
             // Some outlast the renewal time, and what follows it.
             let long = self.rng.random_bool(0.15);
@@ -1157,7 +1157,7 @@
             host.ends
                 .insert((started.task.clone(), started.attempt), end);
         }
-        self.launches += starts(&reply.commands).len();
+        self.launches += started_tasks(&reply.commands).len();
         let leased = self.hosts.iter().filter(|h| h.leased(t));
         let running: usize = leased
             .map(|h| {
@@ -1201,7 +1201,7 @@
     fn report(&mut self, index: usize) -> Result<(), String> {
         let t = self.t;
         let node = self.hosts[index].node;
-        let report = self.hosts[index].worker.report();
+        let report = self.hosts[index].worker.heartbeat();
         let (sent, session) = (t, report.session);
         if self.is_on(Kind::ReportsCopied, |f| f.worker == index) {
             // At the node that it goes to, or any other: a packet that was
@@ -1230,7 +1230,7 @@
         }
         match self.ask(node, &report, true)? {
             Answer::Reply(token, commands) => {
-                for task in starts(&commands) {
+                for task in started_tasks(&commands) {
                     self.check_start(index, &task)?;
                 }
                 let lost = self.is_on(Kind::RepliesLost, |f| f.worker == index)
--- a/crates/umbersail-control/src/engine/tests/fixtures.rs
+++ b/crates/umbersail-control/src/engine/tests/fixtures.rs
@@ -25,7 +25,7 @@
 
 pub(super) fn config(teams: Vec<TeamLimits>, tuning: Tuning) -> Rc<EngineConfig> {
     Rc::new(EngineConfig {
-        member: "bothy-0".into(),
+        member: "controller-0".into(),
         teams,
         start_objectives: [("aimed".to_owned(), 8.0)].into(),
         guarantee_start_objective: None,
@@ -76,7 +76,7 @@
     }
 }
 
-pub(super) fn record(spec: JobSpec) -> JobRecord {
+pub(super) fn job_record(spec: JobSpec) -> JobRecord {
     JobRecord {
         spec,
         accepted_ms: 0,
@@ -105,7 +105,7 @@
         }
     }
 
-    pub(super) fn report(&mut self) -> Heartbeat {
+    pub(super) fn heartbeat(&mut self) -> Heartbeat {
         self.seq += 1;
         Heartbeat {
             machine: self.name.clone(),
@@ -121,7 +121,7 @@
         }
     }
 
-    pub(super) fn obey(&mut self, token: u64, commands: &[Command]) {
+    pub(super) fn apply_commands(&mut self, token: u64, commands: &[Command]) {
         self.token = self.token.max(token);
         for command in commands {
             match command {
@@ -152,27 +152,27 @@
     }
 
     /// Reports and obeys; returns what it was told.
-    pub(super) fn turn(&mut self, engine: &mut Engine, now: Time) -> Vec<Command> {
-        let report = self.report();
-        let commands = converse(engine, now, &report, true).unwrap_or_default();
-        self.obey(engine.token_for(&self.name), &commands);
+    pub(super) fn send_heartbeat(&mut self, engine: &mut Engine, now: Time) -> Vec<Command> {
+        let heartbeat = self.heartbeat();
+        let commands = receive_and_reply(engine, now, &heartbeat, true).unwrap_or_default();
+        self.apply_commands(engine.token_for(&self.name), &commands);
         commands
     }
 }
 
 /// A report and the reply to it, as the front door makes them.
-pub(super) fn converse(
+pub(super) fn receive_and_reply(
     engine: &mut Engine,
     now: Time,
-    report: &Heartbeat,
+    heartbeat: &Heartbeat,
     may_start: bool,
 ) -> Option<Vec<Command>> {
     engine
-        .receive_heartbeat(now, report)
-        .then(|| engine.reply(now, report, may_start))
+        .receive_heartbeat(now, heartbeat)
+        .then(|| engine.reply(now, heartbeat, may_start))
 }
 
-pub(super) fn starts(commands: &[Command]) -> Vec<String> {
+pub(super) fn started_tasks(commands: &[Command]) -> Vec<String> {
     commands
         .iter()
         .filter_map(|c| match c {
@@ -182,14 +182,14 @@
         .collect()
 }
 
-pub(super) fn stops(commands: &[Command]) -> usize {
+pub(super) fn stop_count(commands: &[Command]) -> usize {
     commands
         .iter()
         .filter(|c| matches!(c, Command::Stop { .. }))
         .count()
 }
 
-pub(super) fn empty_inheritance() -> InheritedState {
+pub(super) fn empty_inherited_state() -> InheritedState {
     InheritedState {
         revision: TOKEN,
         leader_version: TOKEN,
@@ -203,23 +203,23 @@
     }
 }
 
-pub(super) fn fresh(teams: Vec<TeamLimits>) -> Engine {
+pub(super) fn new_engine(teams: Vec<TeamLimits>) -> Engine {
     Engine::new(
         config(teams, Tuning::default()),
         0.0,
         0,
-        empty_inheritance(),
+        empty_inherited_state(),
     )
 }
 
 /// What a leader finds whose predecessor started tasks 0 and 1 of a job of
 /// three on machine m1, and may have started more there.
-pub(super) fn after_crash(teams: Vec<TeamLimits>, job: JobSpec) -> Engine {
+pub(super) fn engine_after_failover(teams: Vec<TeamLimits>, job: JobSpec) -> Engine {
     let config = config(teams, Tuning::default());
-    Engine::new(config, 0.0, 0, inheritance_of(job))
+    Engine::new(config, 0.0, 0, inherited_state_of(job))
 }
 
-pub(super) fn inheritance_of(job: JobSpec) -> InheritedState {
+pub(super) fn inherited_state_of(job: JobSpec) -> InheritedState {
     let run = JobProgressRecord {
         high_water: 2,
         hosts: vec!["m1".into()],
@@ -240,11 +240,11 @@
             },
         }],
         jobs: vec![InheritedJob {
-            record: record(job),
+            record: job_record(job),
             version: 50,
             run: Some((run, 60)),
         }],
-        ..empty_inheritance()
+        ..empty_inherited_state()
     }
 }
 
@@ -264,13 +264,13 @@
 /// A worker that is up, fenced and in the grant.
 pub(super) fn ready_worker(engine: &mut Engine, name: &str, zone: &str) -> Worker {
     let mut worker = Worker::new(name, zone);
-    worker.turn(engine, 0.0);
-    worker.turn(engine, 0.5);
+    worker.send_heartbeat(engine, 0.0);
+    worker.send_heartbeat(engine, 0.5);
     commit(engine, 0.5);
     worker
 }
 
-pub(super) fn running(task: &str, attempt: u64) -> TaskReport {
+pub(super) fn running_task(task: &str, attempt: u64) -> TaskReport {
     TaskReport {
         task: task.into(),
         attempt,
@@ -294,6 +294,6 @@
 }
 
 pub(super) fn accept(engine: &mut Engine, now: Time, spec: JobSpec) {
-    engine.job_accepted(now, (now * 1000.0) as u64, record(spec), 70);
+    engine.job_accepted(now, (now * 1000.0) as u64, job_record(spec), 70);
     engine.schedule(now);
 }
--- a/crates/umbersail-control/src/engine/tests/reports.rs
+++ b/crates/umbersail-control/src/engine/tests/heartbeats.rs
@@ -4,13 +4,13 @@
 
 /// A report that is answered, and what is answered goes nowhere.
 fn unheard(worker: &mut Worker, engine: &mut Engine, now: Time) -> Vec<String> {
-    let report = worker.report();
-    if !engine.receive_heartbeat(now, &report) {
+    let heartbeat = worker.heartbeat();
+    if !engine.receive_heartbeat(now, &heartbeat) {
         return vec![];
     }
     // The reply waits for what the cycle that this report wakes places.
     commit(engine, now);
-    starts(&engine.reply(now, &report, true))
+    started_tasks(&engine.reply(now, &heartbeat, true))
 }
 
 fn rents(engine: &mut Engine, now: Time) -> bool {
@@ -22,18 +22,22 @@
 fn a_late_copy_from_a_machine_that_is_gone_brings_no_ghost() {
     // Guards against a ghost that is given tasks until it is silent, or counts
     // as room: whether the copy shows our token or is from before that.
-    let mut engine = fresh(vec![team(0.0, 0.0)]);
+    let mut engine = new_engine(vec![team(0.0, 0.0)]);
     let mut worker = Worker::new("m1", "a");
-    let first = worker.report();
-    assert!(converse(&mut engine, 0.0, &first, true).is_some());
+    let first = worker.heartbeat();
+    assert!(receive_and_reply(&mut engine, 0.0, &first, true).is_some());
     worker.token = engine.token_for("m1");
-    let second = worker.report();
-    assert!(converse(&mut engine, 0.5, &second, true).is_some());
+    let second = worker.heartbeat();
+    assert!(receive_and_reply(&mut engine, 0.5, &second, true).is_some());
     engine.machines_deleted(&["m1".to_owned()]);
     engine.apply_machine_list(30.0, &[]);
     accept(&mut engine, 30.0, spec("req-1", 1, 2.0));
     for (at, copy) in [(31.0, &first), (31.1, &second)] {
-        assert_eq!(converse(&mut engine, at, copy, true), None, "answered");
+        assert_eq!(
+            receive_and_reply(&mut engine, at, copy, true),
+            None,
+            "answered"
+        );
         engine.receive_command_response(at, copy);
         commit(&mut engine, at);
     }
@@ -58,27 +62,33 @@
 fn a_machine_that_hears_nothing_draws_no_more_launches_after_two_signs() {
     // Guards against work that goes again and again where it never begins, and
     // against a machine that is kept, and counted on, for nothing.
-    let mut engine = fresh(vec![team(0.0, 0.0)]);
+    let mut engine = new_engine(vec![team(0.0, 0.0)]);
     let mut unreachable = ready_worker(&mut engine, "m1", "a");
     let mut other = ready_worker(&mut engine, "m2", "a");
     accept(&mut engine, 1.0, spec("req-1", 2, 8.0));
     commit(&mut engine, 1.0);
-    assert_eq!(starts(&other.turn(&mut engine, 1.5)).len(), 1);
+    assert_eq!(
+        started_tasks(&other.send_heartbeat(&mut engine, 1.5)).len(),
+        1
+    );
     let told = rounds_unheard(&mut unreachable, &mut engine, 2.0, 4);
     assert!((1..=2).contains(&told), "{told} launches");
     assert!(rents(&mut engine, 18.0), "counted as room");
     // Elsewhere its task goes on.
-    other.turn(&mut engine, 18.0);
+    other.send_heartbeat(&mut engine, 18.0);
     let [task] = &mut other.tasks[..] else {
         panic!("one task runs")
     };
     (task.state, task.cause) = (TaskState::Exited, Some(ExitCause::Done));
-    other.turn(&mut engine, 18.5);
+    other.send_heartbeat(&mut engine, 18.5);
     commit(&mut engine, 18.6);
-    assert_eq!(starts(&other.turn(&mut engine, 19.0)).len(), 1);
+    assert_eq!(
+        started_tasks(&other.send_heartbeat(&mut engine, 19.0)).len(),
+        1
+    );
 
     assert_eq!(rounds_unheard(&mut unreachable, &mut engine, 22.0, 8), 0);
-    other.turn(&mut engine, 60.0);
+    other.send_heartbeat(&mut engine, 60.0);
     let deletes = CloudAction::Delete(vec!["m1".into()]);
     assert!(engine.cloud_actions(60.0).contains(&deletes));
 }
@@ -86,7 +96,7 @@
 #[test]
 fn a_machine_that_hears_again_is_in_use_within_two_reports() {
     // Guards against a machine that is lost for good by a cut.
-    let mut engine = fresh(vec![team(0.0, 0.0)]);
+    let mut engine = new_engine(vec![team(0.0, 0.0)]);
     let mut worker = ready_worker(&mut engine, "m1", "a");
     accept(&mut engine, 1.0, spec("req-1", 1, 8.0));
     rounds_unheard(&mut worker, &mut engine, 2.0, 5);
@@ -95,11 +105,11 @@
         reports += 1;
         assert!(reports <= 2, "still out of use");
         let now = 27.0 + f64::from(reports);
-        let report = worker.report();
-        assert!(engine.receive_heartbeat(now, &report));
+        let heartbeat = worker.heartbeat();
+        assert!(engine.receive_heartbeat(now, &heartbeat));
         commit(&mut engine, now);
-        let commands = engine.reply(now, &report, true);
-        worker.obey(engine.token_for("m1"), &commands);
+        let commands = engine.reply(now, &heartbeat, true);
+        worker.apply_commands(engine.token_for("m1"), &commands);
     }
 }
 
@@ -108,7 +118,7 @@
     // Guards against a sound machine taken out of use: for one lost reply, for
     // two that have nothing to do with each other, and after a freeze of ours,
     // whose queue is answered at once and to nobody.
-    let mut engine = fresh(vec![team(0.0, 0.0)]);
+    let mut engine = new_engine(vec![team(0.0, 0.0)]);
     let mut worker = ready_worker(&mut engine, "m1", "a");
     accept(&mut engine, 1.0, spec("req-1", 1, 8.0));
     for burst in 0..4 {
@@ -116,13 +126,13 @@
     }
     assert_eq!(unheard(&mut worker, &mut engine, 8.0).len(), 1, "in use");
 
-    let mut engine = fresh(vec![team(0.0, 0.0)]);
+    let mut engine = new_engine(vec![team(0.0, 0.0)]);
     let mut worker = ready_worker(&mut engine, "m1", "a");
     for at in [2.0, 102.0] {
         accept(&mut engine, at, spec(&format!("req-{at}"), 1, 8.0));
         assert_eq!(unheard(&mut worker, &mut engine, at).len(), 1);
-        let report = worker.report();
-        engine.receive_heartbeat(at + 5.0, &report);
+        let heartbeat = worker.heartbeat();
+        engine.receive_heartbeat(at + 5.0, &heartbeat);
         engine.job_key_removed(&format!("req-{at}"));
     }
     accept(&mut engine, 108.0, spec("req-last", 1, 8.0));
@@ -132,21 +142,21 @@
 #[test]
 fn a_machine_rented_unknown_to_us_is_in_use_with_its_second_report() {
     // Guards against too much care with unknown machines.
-    let mut engine = fresh(vec![team(0.0, 0.0)]);
+    let mut engine = new_engine(vec![team(0.0, 0.0)]);
     accept(&mut engine, 1.0, spec("req-1", 1, 8.0));
     let mut worker = Worker::new("m7", "a");
-    worker.turn(&mut engine, 2.0);
+    worker.send_heartbeat(&mut engine, 2.0);
     assert!(rents(&mut engine, 2.1), "it may be a copy");
-    let report = worker.report();
-    assert!(engine.receive_heartbeat(2.5, &report));
+    let heartbeat = worker.heartbeat();
+    assert!(engine.receive_heartbeat(2.5, &heartbeat));
     commit(&mut engine, 2.5);
-    assert_eq!(starts(&engine.reply(2.6, &report, true)).len(), 1);
+    assert_eq!(started_tasks(&engine.reply(2.6, &heartbeat, true)).len(), 1);
 
     // One that a former holder deleted is never heard of again, and goes back.
     let mut ghost = Worker::new("m1", "a");
     ghost.token = first_token(TOKEN - 10);
     unheard(&mut ghost, &mut engine, 3.0);
-    worker.turn(&mut engine, 24.0);
+    worker.send_heartbeat(&mut engine, 24.0);
     let deletes = CloudAction::Delete(vec!["m1".into()]);
     assert!(engine.cloud_actions(24.0).contains(&deletes));
 }
@@ -156,7 +166,7 @@
     TaskReport {
         state: cause.map_or(TaskState::Running, |_| TaskState::Exited),
         cause,
-        ..running(task, attempt)
+        ..running_task(task, attempt)
     }
 }
 
@@ -164,8 +174,11 @@
 fn one_that_runs(engine: &mut Engine, worker: &mut Worker) -> u64 {
     accept(engine, 1.0, spec("req-1", 1, 2.0));
     commit(engine, 1.0);
-    assert_eq!(starts(&worker.turn(engine, 1.5)), ["req-1/0"]);
-    worker.turn(engine, 2.0);
+    assert_eq!(
+        started_tasks(&worker.send_heartbeat(engine, 1.5)),
+        ["req-1/0"]
+    );
+    worker.send_heartbeat(engine, 2.0);
     worker.tasks[0].attempt
 }
 
@@ -175,38 +188,41 @@
     // attempt ended, and against one that is stopped for it: whether the old report
     // is of an earlier count or of an earlier session with a higher one.
     for earlier_session in [false, true] {
-        let mut engine = fresh(vec![team(0.0, 0.0)]);
+        let mut engine = new_engine(vec![team(0.0, 0.0)]);
         let mut other = ready_worker(&mut engine, "m2", "a");
         accept(&mut engine, 0.8, spec("req-full", 1, 8.0));
         commit(&mut engine, 0.8);
-        assert_eq!(starts(&other.turn(&mut engine, 0.9)).len(), 1);
-        other.turn(&mut engine, 1.0);
+        assert_eq!(
+            started_tasks(&other.send_heartbeat(&mut engine, 0.9)).len(),
+            1
+        );
+        other.send_heartbeat(&mut engine, 1.0);
         // Only m1 has room for more.
         let mut worker = ready_worker(&mut engine, "m1", "a");
         let first = one_that_runs(&mut engine, &mut worker);
         worker.exit("req-1/0", None, ExitCause::Stopped);
-        let mut old = worker.report();
-        assert!(converse(&mut engine, 3.0, &old, true).is_some());
+        let mut old = worker.heartbeat();
+        assert!(receive_and_reply(&mut engine, 3.0, &old, true).is_some());
         worker.tasks.clear();
         if earlier_session {
             (worker.session, worker.seq, old.seq) = (2, worker.seq, old.seq + 100);
         }
         commit(&mut engine, 3.1);
-        let mut told = starts(&worker.turn(&mut engine, 3.5));
+        let mut told = started_tasks(&worker.send_heartbeat(&mut engine, 3.5));
         commit(&mut engine, 3.6);
-        told.extend(starts(&worker.turn(&mut engine, 4.0)));
+        told.extend(started_tasks(&worker.send_heartbeat(&mut engine, 4.0)));
         assert_eq!(told, ["req-1/0"], "again on the same machine");
-        worker.turn(&mut engine, 4.5);
+        worker.send_heartbeat(&mut engine, 4.5);
         let second = worker.tasks[0].attempt;
         assert!(second > first);
 
-        assert_eq!(converse(&mut engine, 5.0, &old, true), None);
+        assert_eq!(receive_and_reply(&mut engine, 5.0, &old, true), None);
         engine.receive_command_response(5.0, &old);
         engine.tick(5.1);
         commit(&mut engine, 5.1);
-        assert!(starts(&other.turn(&mut engine, 5.5)).is_empty());
-        assert_eq!(worker.turn(&mut engine, 5.5), vec![]);
-        assert_eq!(worker.tasks, [running("req-1/0", second)]);
+        assert!(started_tasks(&other.send_heartbeat(&mut engine, 5.5)).is_empty());
+        assert_eq!(worker.send_heartbeat(&mut engine, 5.5), vec![]);
+        assert_eq!(worker.tasks, [running_task("req-1/0", second)]);
     }
 }
 
@@ -214,29 +230,36 @@
 fn an_old_report_does_not_bring_back_what_has_ended_in_the_newer_one() {
     // Guards against a task that counts as present, or is taken up under its earlier
     // attempt, where the newer report shows that it is gone.
-    let mut engine = fresh(vec![team(0.0, 0.0)]);
+    let mut engine = new_engine(vec![team(0.0, 0.0)]);
     let mut worker = ready_worker(&mut engine, "m1", "a");
     let first = one_that_runs(&mut engine, &mut worker);
-    let old = worker.report();
+    let old = worker.heartbeat();
     // Its session ends: it has lost the task, which starts on another machine.
     (worker.session, worker.tasks) = (2, vec![]);
-    worker.turn(&mut engine, 3.0);
-    worker.tasks = vec![running("req-fill/0", 1)];
-    worker.turn(&mut engine, 3.2);
+    worker.send_heartbeat(&mut engine, 3.0);
+    worker.tasks = vec![running_task("req-fill/0", 1)];
+    worker.send_heartbeat(&mut engine, 3.2);
     let mut other = ready_worker(&mut engine, "m2", "a");
     commit(&mut engine, 3.5);
-    assert_eq!(starts(&other.turn(&mut engine, 4.0)), ["req-1/0"]);
-    other.turn(&mut engine, 4.5);
+    assert_eq!(
+        started_tasks(&other.send_heartbeat(&mut engine, 4.0)),
+        ["req-1/0"]
+    );
+    other.send_heartbeat(&mut engine, 4.5);
     let second = other.tasks[0].attempt;
     assert!(second > first);
 
-    assert_eq!(converse(&mut engine, 5.0, &old, true), None, "answered");
+    assert_eq!(
+        receive_and_reply(&mut engine, 5.0, &old, true),
+        None,
+        "answered"
+    );
     engine.receive_command_response(5.0, &old);
     commit(&mut engine, 5.1);
     // The second attempt goes on, and its end is the job's.
-    assert_eq!(other.turn(&mut engine, 5.5), vec![]);
+    assert_eq!(other.send_heartbeat(&mut engine, 5.5), vec![]);
     other.exit("req-1/0", None, ExitCause::Done);
-    other.turn(&mut engine, 6.0);
+    other.send_heartbeat(&mut engine, 6.0);
     commit(&mut engine, 6.1);
     assert!(
         engine.job_progress("req-1").is_none_or(|c| c.1 == 0),
@@ -250,25 +273,36 @@
     // any other and shows the earlier holder's token, an earlier attempt that ended,
     // or nothing yet of what the earlier holder started since.
     for tasks in [vec![], vec![entry("req-1/0", 4, Some(ExitCause::Stopped))]] {
-        let mut engine = after_crash(vec![team(0.0, 0.0)], spec("req-1", 2, 2.0));
+        let mut engine = engine_after_failover(vec![team(0.0, 0.0)], spec("req-1", 2, 2.0));
         let mut other = ready_worker(&mut engine, "m2", "a");
         let mut worker = Worker::new("m1", "a");
         worker.token = first_token(TOKEN - 10);
         worker.tasks = tasks;
-        let old = worker.report();
-        worker.tasks = vec![running("req-1/0", 5), running("req-1/1", 6)];
-        assert_eq!(converse(&mut engine, 0.6, &old, true), Some(vec![]));
+        let old = worker.heartbeat();
+        worker.tasks = vec![running_task("req-1/0", 5), running_task("req-1/1", 6)];
+        assert_eq!(
+            receive_and_reply(&mut engine, 0.6, &old, true),
+            Some(vec![])
+        );
         commit(&mut engine, 0.7);
-        assert!(starts(&other.turn(&mut engine, 0.8)).is_empty());
+        assert!(started_tasks(&other.send_heartbeat(&mut engine, 0.8)).is_empty());
 
         // Its own reports settle it: the first brings it our token.
-        worker.turn(&mut engine, 0.9);
-        assert_eq!(worker.turn(&mut engine, 1.4), vec![], "both go on");
+        worker.send_heartbeat(&mut engine, 0.9);
+        assert_eq!(
+            worker.send_heartbeat(&mut engine, 1.4),
+            vec![],
+            "both go on"
+        );
         commit(&mut engine, 1.5);
-        assert!(starts(&other.turn(&mut engine, 1.6)).is_empty());
-        assert_eq!(converse(&mut engine, 1.7, &old, true), None, "answered");
+        assert!(started_tasks(&other.send_heartbeat(&mut engine, 1.6)).is_empty());
+        assert_eq!(
+            receive_and_reply(&mut engine, 1.7, &old, true),
+            None,
+            "answered"
+        );
         commit(&mut engine, 1.8);
-        assert!(starts(&other.turn(&mut engine, 1.9)).is_empty());
+        assert!(started_tasks(&other.send_heartbeat(&mut engine, 1.9)).is_empty());
         assert_eq!(engine.job_progress("req-1").map(|c| c.1), Some(2));
     }
 }
@@ -278,50 +312,54 @@
     // Guards against a result that is made again, and against a task that is taken
     // for running since an old report shows it: the worker has got our token by
     // direct command, and its session has ended since that report.
-    let mut engine = after_crash(vec![team(0.0, 0.0)], spec("req-1", 2, 2.0));
+    let mut engine = engine_after_failover(vec![team(0.0, 0.0)], spec("req-1", 2, 2.0));
     let mut other = ready_worker(&mut engine, "m2", "a");
     let mut worker = Worker::new("m1", "a");
     worker.token = engine.token_for("m1");
     let done = entry("req-1/0", 5, Some(ExitCause::Done));
-    worker.tasks = vec![done, running("req-1/1", 6)];
-    let old = worker.report();
-    assert!(converse(&mut engine, 0.6, &old, true).is_some());
+    worker.tasks = vec![done, running_task("req-1/1", 6)];
+    let old = worker.heartbeat();
+    assert!(receive_and_reply(&mut engine, 0.6, &old, true).is_some());
     commit(&mut engine, 0.7);
     assert!(
-        starts(&other.turn(&mut engine, 0.8)).is_empty(),
+        started_tasks(&other.send_heartbeat(&mut engine, 0.8)).is_empty(),
         "it may run"
     );
 
     (worker.session, worker.seq, worker.tasks) = (2, 0, vec![]);
-    let mut told = starts(&worker.turn(&mut engine, 1.0));
+    let mut told = started_tasks(&worker.send_heartbeat(&mut engine, 1.0));
     commit(&mut engine, 1.1);
-    told.extend(starts(&worker.turn(&mut engine, 1.5)));
-    told.extend(starts(&other.turn(&mut engine, 1.6)));
+    told.extend(started_tasks(&worker.send_heartbeat(&mut engine, 1.5)));
+    told.extend(started_tasks(&other.send_heartbeat(&mut engine, 1.6)));
     assert_eq!(told, ["req-1/1"]);
-    assert_eq!(converse(&mut engine, 2.0, &old, true), None, "answered");
+    assert_eq!(
+        receive_and_reply(&mut engine, 2.0, &old, true),
+        None,
+        "answered"
+    );
 }
 
 #[test]
 fn what_was_planned_on_a_machine_found_unreachable_is_not_told_in_that_very_answer() {
     // Guards against a launch that goes where nothing is heard, since it was planned
     // before the report that shows it.
-    let mut engine = fresh(vec![team(0.0, 0.0)]);
+    let mut engine = new_engine(vec![team(0.0, 0.0)]);
     let mut worker = ready_worker(&mut engine, "m1", "a");
     accept(&mut engine, 1.0, spec("req-1", 1, 2.0));
     assert_eq!(unheard(&mut worker, &mut engine, 2.0).len(), 1);
     assert_eq!(unheard(&mut worker, &mut engine, 7.0).len(), 1, "one sign");
     accept(&mut engine, 8.0, spec("req-2", 1, 2.0));
     commit(&mut engine, 8.0);
-    let report = worker.report();
-    let told = converse(&mut engine, 12.0, &report, true).unwrap();
-    assert!(starts(&told).is_empty(), "{told:?}");
+    let heartbeat = worker.heartbeat();
+    let told = receive_and_reply(&mut engine, 12.0, &heartbeat, true).unwrap();
+    assert!(started_tasks(&told).is_empty(), "{told:?}");
 }
 
 #[test]
 fn what_an_earlier_holder_started_is_called_running_until_its_machine_shows_otherwise() {
     // Guards against a job that runs all along and is called waiting after a change of
     // leader, until its machines report.
-    let mut engine = after_crash(vec![team(0.0, 0.0)], spec("req-1", 3, 2.0));
+    let mut engine = engine_after_failover(vec![team(0.0, 0.0)], spec("req-1", 3, 2.0));
     assert_eq!(engine.job_progress("req-1"), Some((0, 2)));
     let lapsed_s = (engine.cfg.renewal_s() + LEASE_S) * 1.001 + 0.6;
     engine.tick(lapsed_s);
--- a/crates/umbersail-control/src/engine/tests/images.rs
+++ b/crates/umbersail-control/src/engine/tests/images.rs
@@ -58,7 +58,7 @@
     fn new(cfg: Rc<EngineConfig>, machines: usize) -> Fleet {
         let inheritance = InheritedState {
             types: types(),
-            ..empty_inheritance()
+            ..empty_inherited_state()
         };
         let mut fleet = Fleet {
             engine: Engine::new(cfg.clone(), 0.0, 0, inheritance),
@@ -98,11 +98,11 @@
         }
     }
 
-    fn report(&self, worker: usize) -> Heartbeat {
-        let mut report = self.workers[worker].report_again();
+    fn heartbeat(&self, worker: usize) -> Heartbeat {
+        let mut heartbeat = self.workers[worker].report_again();
         // Each at its own address, or holders could not be told apart.
-        report.addr = format!("127.0.0.1:{}", 9000 + worker);
-        report
+        heartbeat.addr = format!("127.0.0.1:{}", 9000 + worker);
+        heartbeat
     }
 
     /// Every worker reports and does what it is told.
@@ -116,11 +116,12 @@
 
     fn turn_of(&mut self, now: Time, worker: usize) {
         self.workers[worker].seq += 1;
-        let report = self.report(worker);
-        let commands = converse(&mut self.engine, now, &report, true).unwrap_or_default();
+        let heartbeat = self.heartbeat(worker);
+        let commands =
+            receive_and_reply(&mut self.engine, now, &heartbeat, true).unwrap_or_default();
         let token = self.engine.token_for(&self.workers[worker].name);
         let has = self.workers[worker].tasks.len();
-        self.workers[worker].obey(token, &commands);
+        self.workers[worker].apply_commands(token, &commands);
         for task in self.workers[worker].tasks.iter_mut().skip(has) {
             task.state = TaskState::Fetching;
         }
@@ -152,7 +153,7 @@
     fn accept(&mut self, now: Time, spec: JobSpec) {
         let key = job_key(&spec.id);
         self.revision += 1;
-        let record = record(spec);
+        let record = job_record(spec);
         self.keys
             .insert(key, (Record::Job(record.clone()), self.revision));
         self.engine
@@ -171,7 +172,7 @@
             revision: self.revision,
             leader_version: self.revision,
             types: types(),
-            ..empty_inheritance()
+            ..empty_inherited_state()
         };
         for (key, (record, version)) in &self.keys {
             match record {
@@ -210,7 +211,7 @@
             ..*self
         };
         copy.seq -= 1;
-        copy.report()
+        copy.heartbeat()
     }
 }
 
@@ -310,9 +311,9 @@
     for now in 101..106 {
         for worker in (0..24).filter(|w| *w != silent) {
             fleet.workers[worker].seq += 1;
-            let mut report = fleet.report(worker);
-            report.notice_s = (worker == noticed).then_some(60.0);
-            converse(&mut fleet.engine, f64::from(now), &report, true);
+            let mut heartbeat = fleet.heartbeat(worker);
+            heartbeat.notice_s = (worker == noticed).then_some(60.0);
+            receive_and_reply(&mut fleet.engine, f64::from(now), &heartbeat, true);
         }
     }
     let told = fleet.obeyed.len();
@@ -367,15 +368,15 @@
     for worker in 4..6 {
         let name = format!("m{worker:03}");
         fleet.workers.push(Worker::new(&name, "a"));
-        let mut report = fleet.workers[worker].report();
-        report.machine_type = "m8-small".into();
-        fleet.engine.receive_heartbeat(1.0, &report);
+        let mut heartbeat = fleet.workers[worker].heartbeat();
+        heartbeat.machine_type = "m8-small".into();
+        fleet.engine.receive_heartbeat(1.0, &heartbeat);
     }
     fleet.accept(1.0, weights("req-1", 9));
     let types = &fleet.engine.jobs["req-1"].spec.types;
     assert_eq!(types.as_deref(), Some(&["m8".to_owned()][..]));
     // Without handing on types are the job's alone.
-    let mut plain = fresh(vec![team(0.0, 0.0)]);
+    let mut plain = new_engine(vec![team(0.0, 0.0)]);
     plain.set_machine_types(super::images::types());
     accept(&mut plain, 1.0, weights("req-1", 9));
     assert_eq!(plain.jobs["req-1"].spec.types, None);
@@ -394,7 +395,7 @@
             version: 50,
             value: to_value(&plan).unwrap(),
         }],
-        ..empty_inheritance()
+        ..empty_inherited_state()
     };
     let mut engine = Engine::new(handing_on(1.0), 0.0, 0, inheritance);
     engine.tick(100.0);
--- a/crates/umbersail-control/src/engine/tests/late.rs
+++ b/crates/umbersail-control/src/engine/tests/late.rs
@@ -28,10 +28,10 @@
     fn new() -> Scene {
         let mut scene = Scene {
             store: KvStore::new(Limits::default()),
-            engine: fresh(vec![team(0.0, 0.0)]),
+            engine: new_engine(vec![team(0.0, 0.0)]),
             now: 1.0,
         };
-        let token = scene.elect("bothy-0").unwrap();
+        let token = scene.elect("controller-0").unwrap();
         scene.engine = Engine::new(
             config(vec![team(0.0, 0.0)], Tuning::default()),
             0.0,
@@ -39,7 +39,7 @@
             InheritedState {
                 revision: token,
                 leader_version: token,
-                ..empty_inheritance()
+                ..empty_inherited_state()
             },
         );
         scene
@@ -122,10 +122,10 @@
 
     /// A job is accepted, and the leader hears of it.
     fn accept(&mut self, id: &str) -> Sent {
-        let txn = acceptance_txn(record(spec(id, 2, 2.0)));
+        let txn = acceptance_txn(job_record(spec(id, 2, 2.0)));
         let version = self.apply(&txn).unwrap();
         self.engine
-            .job_accepted(self.now, 0, record(spec(id, 2, 2.0)), version);
+            .job_accepted(self.now, 0, job_record(spec(id, 2, 2.0)), version);
         txn
     }
 
@@ -151,7 +151,7 @@
 
     fn turn(&mut self, worker: &mut Worker) {
         self.now += 0.5;
-        worker.turn(&mut self.engine, self.now);
+        worker.send_heartbeat(&mut self.engine, self.now);
     }
 
     /// Runs all that is placed on the worker to its end; ends are not yet written.
@@ -266,7 +266,7 @@
     assert!(removal.changes.contains(&Change::Delete {
         key: progress_key("req-000001")
     }));
-    scene.elect("bothy-1").unwrap();
+    scene.elect("controller-1").unwrap();
     scene.fails_late(&removal);
 }
 
@@ -298,7 +298,7 @@
     scene.worker("m2");
     assert_eq!(late.changes.len(), 1, "{late:?}");
     scene.fails_late(&late);
-    scene.elect("bothy-1").unwrap();
+    scene.elect("controller-1").unwrap();
     scene.fails_late(&late);
 }
 
@@ -337,7 +337,7 @@
         scene.settle();
         scene.fails_late(&late);
         // A successor finds no plan, and removes what is left of it.
-        let token = scene.elect("bothy-1").unwrap();
+        let token = scene.elect("controller-1").unwrap();
         let plans = scene.store.list(crate::records::PLANS, None, 10).items;
         let inherited = plans.into_iter().map(|found| InheritedPlan {
             name: "note/a".into(),
@@ -352,7 +352,7 @@
                 revision: token,
                 leader_version: token,
                 plans: inherited.collect(),
-                ..empty_inheritance()
+                ..empty_inherited_state()
             },
         );
         assert!(scene.engine.plans.store.names("note").is_empty());
@@ -370,8 +370,8 @@
     scene.now += 20.0;
     scene.store.expire(scene.now);
     assert_eq!(scene.version(LEADER_KEY), 0, "its lease has run out");
-    let late = scene.election("bothy-1", true);
-    let newer = scene.election("bothy-2", false);
+    let late = scene.election("controller-1", true);
+    let newer = scene.election("controller-2", false);
     scene.apply(&newer).unwrap();
     scene.fails_late(&late);
     // Also once that leader has ended, while the lease of the late one still runs.
@@ -379,7 +379,7 @@
     assert_eq!(scene.version(LEADER_KEY), 0);
     scene.fails_late(&late);
     // Given up, its lease was ended: it fails whatever its conditions say.
-    let given_up = scene.election("bothy-1", false);
+    let given_up = scene.election("controller-1", false);
     scene.store.revoke(scene.now, 4).unwrap();
     scene.fails_late(&given_up);
 }
@@ -391,14 +391,14 @@
     let mut scene = Scene::new();
     scene.now += 20.0;
     scene.store.expire(scene.now);
-    let late = scene.election("bothy-1", false);
+    let late = scene.election("controller-1", false);
     let granted_at = scene.now;
     scene.now += 5.0;
     assert!(scene.apply(&late).is_some());
     scene.now = granted_at + 8.0;
     scene.store.expire(scene.now);
     assert_eq!(scene.version(LEADER_KEY), 0);
-    assert!(scene.elect("bothy-2").is_some());
+    assert!(scene.elect("controller-2").is_some());
 }
 
 #[test]
@@ -411,7 +411,7 @@
     let new = catalogue_txn(token, 0, vec![machine_type()]);
     scene.apply(&new).unwrap();
     scene.fails_late(&old);
-    let open = scene.election("bothy-1", true);
+    let open = scene.election("controller-1", true);
     let second = scene.apply(&open).unwrap();
     scene.engine = Engine::new(
         config(vec![team(0.0, 0.0)], Tuning::default()),
@@ -421,7 +421,7 @@
             revision: second,
             leader_version: second,
             predecessor_degraded: true,
-            ..empty_inheritance()
+            ..empty_inherited_state()
         },
     );
     let settled = scene.unanswered();
@@ -431,11 +431,11 @@
             key: RECOVERY_PENDING_KEY.into()
         }]
     );
-    let again = scene.election("bothy-2", true);
+    let again = scene.election("controller-2", true);
     scene.apply(&again).unwrap();
     assert!(scene.version(RECOVERY_PENDING_KEY) > 0);
     scene.fails_late(&settled);
-    scene.fails_late(&suspicion_txn("bothy-0", second));
+    scene.fails_late(&suspicion_txn("controller-0", second));
     scene.fails_late(&liveness_txn(LivenessRecord {
         token: second,
         may_have_unrecorded: false,
--- a/crates/umbersail-control/src/engine/tests/launches.rs
+++ b/crates/umbersail-control/src/engine/tests/launches.rs
@@ -6,31 +6,40 @@
 #[test]
 fn a_launch_waits_for_its_record_and_comes_in_a_reply() {
     // Guards against a successor that does not know where a task may run.
-    let mut engine = fresh(vec![team(0.0, 0.0)]);
+    let mut engine = new_engine(vec![team(0.0, 0.0)]);
     let mut worker = ready_worker(&mut engine, "m1", "a");
     accept(&mut engine, 1.0, spec("req-1", 2, 2.0));
-    assert_eq!(starts(&worker.turn(&mut engine, 1.0)).len(), 0);
+    assert_eq!(
+        started_tasks(&worker.send_heartbeat(&mut engine, 1.0)).len(),
+        0
+    );
     let changes = commit(&mut engine, 1.0);
     assert!(changes.iter().any(
         |c| matches!(c, Change::Put { key, value: Record::JobProgress(r), .. }
         if *key == progress_key("req-1") && r.high_water == 2 && r.hosts == ["m1"])
     ));
-    assert_eq!(starts(&worker.turn(&mut engine, 2.0)).len(), 2);
-    assert_eq!(starts(&worker.turn(&mut engine, 3.0)).len(), 0);
+    assert_eq!(
+        started_tasks(&worker.send_heartbeat(&mut engine, 2.0)).len(),
+        2
+    );
+    assert_eq!(
+        started_tasks(&worker.send_heartbeat(&mut engine, 3.0)).len(),
+        0
+    );
 }
 
 #[test]
 fn a_late_report_changes_nothing_and_gets_no_answer() {
     // Guards against believing an old task list that a cut held back.
-    let mut engine = fresh(vec![team(0.0, 0.0)]);
+    let mut engine = new_engine(vec![team(0.0, 0.0)]);
     let mut worker = ready_worker(&mut engine, "m1", "a");
-    let late = worker.report();
+    let late = worker.heartbeat();
     accept(&mut engine, 1.0, spec("req-1", 1, 2.0));
     commit(&mut engine, 1.0);
-    worker.turn(&mut engine, 2.0);
-    worker.turn(&mut engine, 3.0);
+    worker.send_heartbeat(&mut engine, 2.0);
+    worker.send_heartbeat(&mut engine, 3.0);
     assert_eq!(engine.job_progress("req-1"), Some((0, 1)));
-    assert_eq!(converse(&mut engine, 4.0, &late, true), None);
+    assert_eq!(receive_and_reply(&mut engine, 4.0, &late, true), None);
     assert_eq!(engine.job_progress("req-1"), Some((0, 1)));
 }
 
@@ -38,42 +47,42 @@
 fn a_lost_launch_reply_is_settled_by_the_next_report_in_turn_only() {
     // Guards against starting a second attempt while the first reply may
     // still be under way: an answer to direct commands proves nothing.
-    let mut engine = fresh(vec![team(0.0, 0.0)]);
+    let mut engine = new_engine(vec![team(0.0, 0.0)]);
     let mut worker = ready_worker(&mut engine, "m1", "a");
     accept(&mut engine, 1.0, spec("req-1", 1, 2.0));
     commit(&mut engine, 1.0);
-    let report = worker.report();
-    let lost = converse(&mut engine, 2.0, &report, true).unwrap();
-    assert_eq!(starts(&lost).len(), 1);
-    let direct = worker.report();
+    let heartbeat = worker.heartbeat();
+    let lost = receive_and_reply(&mut engine, 2.0, &heartbeat, true).unwrap();
+    assert_eq!(started_tasks(&lost).len(), 1);
+    let direct = worker.heartbeat();
     engine.receive_command_response(2.1, &direct);
     commit(&mut engine, 2.2);
     assert_eq!(engine.jobs["req-1"].pending(), 0, "still possibly there");
-    let told = worker.turn(&mut engine, 6.5);
-    assert_eq!(starts(&told).len(), 0);
+    let told = worker.send_heartbeat(&mut engine, 6.5);
+    assert_eq!(started_tasks(&told).len(), 0);
     commit(&mut engine, 6.6);
-    let again = worker.turn(&mut engine, 7.0);
-    assert_eq!(starts(&again), ["req-1/0"]);
+    let again = worker.send_heartbeat(&mut engine, 7.0);
+    assert_eq!(started_tasks(&again), ["req-1/0"]);
     assert_ne!(again[0], lost[0], "a new attempt");
 }
 
 #[test]
 fn a_completed_task_is_reaped_only_once_its_end_is_recorded() {
     // Guards against losing a result that no record holds.
-    let mut engine = fresh(vec![team(0.0, 0.0)]);
+    let mut engine = new_engine(vec![team(0.0, 0.0)]);
     let mut worker = ready_worker(&mut engine, "m1", "a");
     accept(&mut engine, 1.0, spec("req-1", 2, 2.0));
     commit(&mut engine, 1.0);
-    worker.turn(&mut engine, 2.0);
+    worker.send_heartbeat(&mut engine, 2.0);
     worker.exit("req-1/0", None, ExitCause::Done);
-    assert_eq!(worker.turn(&mut engine, 3.0), vec![]);
+    assert_eq!(worker.send_heartbeat(&mut engine, 3.0), vec![]);
     commit(&mut engine, 3.0);
     assert!(matches!(
-        worker.turn(&mut engine, 4.0)[..],
+        worker.send_heartbeat(&mut engine, 4.0)[..],
         [Command::Forget { .. }]
     ));
     worker.exit("req-1/1", None, ExitCause::Done);
-    worker.turn(&mut engine, 5.0);
+    worker.send_heartbeat(&mut engine, 5.0);
     let changes = commit(&mut engine, 5.0);
     assert!(
         changes
@@ -93,25 +102,28 @@
 #[test]
 fn during_a_state_outage_running_tasks_are_kept_and_none_is_started() {
     // Guards against starting on a lease that may be somebody else's.
-    let mut engine = fresh(vec![team(0.0, 0.0)]);
+    let mut engine = new_engine(vec![team(0.0, 0.0)]);
     let mut worker = ready_worker(&mut engine, "m1", "a");
     accept(&mut engine, 1.0, spec("req-1", 1, 2.0));
     commit(&mut engine, 1.0);
-    let report = worker.report();
-    assert_eq!(converse(&mut engine, 2.0, &report, false), Some(vec![]));
-    let report = worker.report();
+    let heartbeat = worker.heartbeat();
+    assert_eq!(
+        receive_and_reply(&mut engine, 2.0, &heartbeat, false),
+        Some(vec![])
+    );
+    let heartbeat = worker.heartbeat();
     assert_eq!(
-        starts(&converse(&mut engine, 3.0, &report, true).unwrap()).len(),
+        started_tasks(&receive_and_reply(&mut engine, 3.0, &heartbeat, true).unwrap()).len(),
         1
     );
 }
 
 #[test]
 fn the_grant_names_a_machine_before_anything_starts_there() {
-    let mut engine = fresh(vec![team(0.0, 0.0)]);
+    let mut engine = new_engine(vec![team(0.0, 0.0)]);
     let mut worker = Worker::new("m1", "a");
-    worker.turn(&mut engine, 0.0);
-    worker.turn(&mut engine, 0.5);
+    worker.send_heartbeat(&mut engine, 0.0);
+    worker.send_heartbeat(&mut engine, 0.5);
     accept(&mut engine, 1.0, spec("req-1", 1, 2.0));
     let pending = engine.next_txn(1.0, 20, 20).unwrap();
     assert!(
@@ -122,29 +134,38 @@
             .any(|c| matches!(c, Change::Put { key, .. } if key.starts_with(GRANT_PARTS)))
     );
     engine.txn_finished(1.0, pending, TxnOutcome::NotExecuted);
-    assert_eq!(starts(&worker.turn(&mut engine, 1.5)).len(), 0);
+    assert_eq!(
+        started_tasks(&worker.send_heartbeat(&mut engine, 1.5)).len(),
+        0
+    );
     commit(&mut engine, 2.0);
-    assert_eq!(starts(&worker.turn(&mut engine, 2.5)).len(), 1);
+    assert_eq!(
+        started_tasks(&worker.send_heartbeat(&mut engine, 2.5)).len(),
+        1
+    );
 }
 
 #[test]
 fn with_everybodys_agreement_tasks_start_before_they_are_recorded() {
     // Guards against a fleet that runs empty while the state service is out, and
     // against starts without a record whose place depends on one another.
-    let mut engine = fresh(vec![team(0.0, 0.0)]);
+    let mut engine = new_engine(vec![team(0.0, 0.0)]);
     let mut worker = ready_worker(&mut engine, "m1", "a");
     let mut spread = spec("req-2", 2, 2.0);
     spread.spread = Some(true);
     accept(&mut engine, 1.0, spec("req-1", 2, 2.0));
     accept(&mut engine, 1.0, spread);
     engine.schedule(1.0);
-    assert_eq!(starts(&worker.turn(&mut engine, 1.5)).len(), 0);
+    assert_eq!(
+        started_tasks(&worker.send_heartbeat(&mut engine, 1.5)).len(),
+        0
+    );
     assert!(engine.has_jobs_for_degraded_mode() || engine.unrecorded_job_count() == 0);
     engine.set_degraded_mode(true);
-    let told = starts(&worker.turn(&mut engine, 2.0));
+    let told = started_tasks(&worker.send_heartbeat(&mut engine, 2.0));
     assert_eq!(told, ["req-1/0", "req-1/1"]);
     assert_eq!(engine.unrecorded_job_count(), 1);
-    worker.turn(&mut engine, 2.5);
+    worker.send_heartbeat(&mut engine, 2.5);
     engine.set_degraded_mode(false);
     commit(&mut engine, 3.0);
     assert_eq!(engine.unrecorded_job_count(), 0);
--- a/crates/umbersail-control/src/engine/tests/leases.rs
+++ b/crates/umbersail-control/src/engine/tests/leases.rs
@@ -6,13 +6,13 @@
 #[test]
 fn silence_proves_nothing_before_the_lease_has_lapsed_with_drift() {
     // Guards against taking a hanging machine for an empty one.
-    let mut engine = fresh(vec![team(0.0, 0.0)]);
+    let mut engine = new_engine(vec![team(0.0, 0.0)]);
     let mut hanging = ready_worker(&mut engine, "m1", "a");
     accept(&mut engine, 1.0, spec("req-1", 1, 2.0));
     commit(&mut engine, 1.0);
-    hanging.turn(&mut engine, 2.0);
-    let report = hanging.report();
-    converse(&mut engine, 3.0, &report, true);
+    hanging.send_heartbeat(&mut engine, 2.0);
+    let heartbeat = hanging.heartbeat();
+    receive_and_reply(&mut engine, 3.0, &heartbeat, true);
     engine.tick(3.0 + LEASE_S);
     assert_eq!(engine.jobs["req-1"].pending(), 0);
     engine.tick(3.0 + LEASE_S * 1.001 + 0.6);
@@ -23,7 +23,7 @@
 fn an_unfenced_machine_lapses_only_after_its_old_holder_must_have_stopped() {
     // Guards against ran_twice when the old leader is cut off together with
     // the machine and keeps its tasks alive.
-    let mut engine = after_crash(vec![team(0.0, 0.0)], spec("req-1", 3, 2.0));
+    let mut engine = engine_after_failover(vec![team(0.0, 0.0)], spec("req-1", 3, 2.0));
     let keep = engine.cfg.renewal_s();
     assert!(keep + LEASE_S < 40.0, "a cancellation told elsewhere holds");
     engine.tick(keep + LEASE_S);
@@ -37,9 +37,9 @@
 fn a_token_increment_raises_only_the_machines_own_token_and_keeps_the_holder_apart() {
     // Guards against increments that overtake a successor's token, and against
     // taking a worker with an incremented token for one that saw another holder.
-    let mut engine = fresh(vec![team(0.0, 0.0)]);
+    let mut engine = new_engine(vec![team(0.0, 0.0)]);
     let mut worker = ready_worker(&mut engine, "m1", "a");
-    worker.turn(&mut engine, 1.0);
+    worker.send_heartbeat(&mut engine, 1.0);
     accept(&mut engine, 1.1, spec("req-1", 1, 2.0));
     commit(&mut engine, 1.1);
     let increment = engine.token_increments(1.1).remove(0);
@@ -50,28 +50,31 @@
         "at most once per half lease"
     );
     worker.token = increment.token;
-    assert_eq!(starts(&worker.turn(&mut engine, 1.3)), ["req-1/0"]);
+    assert_eq!(
+        started_tasks(&worker.send_heartbeat(&mut engine, 1.3)),
+        ["req-1/0"]
+    );
     assert_eq!(engine.token_for("m1"), increment.token);
-    worker.turn(&mut engine, 2.0);
+    worker.send_heartbeat(&mut engine, 2.0);
     assert_eq!(engine.job_progress("req-1"), Some((0, 1)));
     // The count never runs over into another holder's tokens.
     worker.token = first_token(TOKEN + 1) - 1;
-    worker.turn(&mut engine, 20.0);
+    worker.send_heartbeat(&mut engine, 20.0);
     accept(&mut engine, 20.1, spec("req-2", 1, 2.0));
     commit(&mut engine, 20.1);
     assert!(engine.token_increments(20.1).is_empty());
 }
 
 /// A job's one task runs on m1, which was last answered by us at 3 s and has
-/// been silent since; bothy-1 may answer in our stead until 20 s.
+/// been silent since; controller-1 may answer in our stead until 20 s.
 fn silent_with_a_delegate() -> Engine {
-    let mut engine = fresh(vec![team(0.0, 0.0)]);
+    let mut engine = new_engine(vec![team(0.0, 0.0)]);
     let mut worker = ready_worker(&mut engine, "m1", "a");
     accept(&mut engine, 1.0, spec("req-1", 1, 2.0));
     commit(&mut engine, 1.0);
-    worker.turn(&mut engine, 2.0);
-    worker.turn(&mut engine, 3.0);
-    engine.delegate_renewals_to("bothy-1", 20.0);
+    worker.send_heartbeat(&mut engine, 2.0);
+    worker.send_heartbeat(&mut engine, 3.0);
+    engine.delegate_renewals_to("controller-1", 20.0);
     engine
 }
 
@@ -89,7 +92,7 @@
     up_s: f64,
     renewed: &[umbersail_wire::RenewedMachine],
 ) -> u32 {
-    engine.record_delegated_renewals(now, "bothy-1", now - 0.1, up_s, renewed);
+    engine.record_delegated_renewals(now, "controller-1", now - 0.1, up_s, renewed);
     engine.tick(now);
     engine.jobs["req-1"].pending()
 }
@@ -102,7 +105,7 @@
     engine.tick(14.0);
     assert_eq!(engine.jobs["req-1"].pending(), 0, "silence is not proof");
     // What it told before the lease could have lapsed proves nothing either.
-    engine.record_delegated_renewals(12.0, "bothy-1", 11.9, 100.0, &[]);
+    engine.record_delegated_renewals(12.0, "controller-1", 11.9, 100.0, &[]);
     engine.tick(14.0);
     assert_eq!(engine.jobs["req-1"].pending(), 0);
     engine.tick(30.0);
@@ -133,12 +136,12 @@
     // the machine for its whole time, and another took it over after that one
     // had told us that it had kept nothing.
     let mut engine = silent_with_a_delegate();
-    engine.delegate_renewals_to("bothy-2", 60.0);
-    engine.record_delegated_renewals(15.0, "bothy-2", 14.9, 100.0, &[]);
+    engine.delegate_renewals_to("controller-2", 60.0);
+    engine.record_delegated_renewals(15.0, "controller-2", 14.9, 100.0, &[]);
     engine.tick(31.0);
     assert_eq!(engine.jobs["req-1"].pending(), 0);
     // Its word from after the first one's time and a lease settles it.
-    engine.record_delegated_renewals(31.0, "bothy-2", 30.9, 100.0, &[]);
+    engine.record_delegated_renewals(31.0, "controller-2", 30.9, 100.0, &[]);
     engine.tick(31.1);
     assert_eq!(engine.jobs["req-1"].pending(), 1);
 }
@@ -156,11 +159,11 @@
 fn an_unfenced_machine_that_we_answered_late_lapses_from_that_answer() {
     // Guards against taking a machine for lapsed that got our token, and with
     // it a new lease, just before its old holder's time was over.
-    let mut engine = after_crash(vec![team(0.0, 0.0)], spec("req-1", 3, 2.0));
+    let mut engine = engine_after_failover(vec![team(0.0, 0.0)], spec("req-1", 3, 2.0));
     let end = engine.cfg.renewal_s() + LEASE_S;
-    let report = Worker::new("m1", "a").report();
-    assert!(engine.receive_heartbeat(end - 1.0, &report));
-    engine.reply(end - 1.0, &report, true);
+    let heartbeat = Worker::new("m1", "a").heartbeat();
+    assert!(engine.receive_heartbeat(end - 1.0, &heartbeat));
+    engine.reply(end - 1.0, &heartbeat, true);
     engine.tick(end * 1.001 + 0.6);
     assert_eq!(engine.jobs["req-1"].recovery_pending.len(), 2);
     engine.tick(end - 1.0 + LEASE_S * 1.001 + 0.6);
@@ -168,17 +171,17 @@
 }
 
 /// After a take-over, m1 shows our token with its two tasks at 9.5 s, by direct
-/// command. With `stale_word` bothy-1 has told that it answered m1 at 0 s; the
+/// command. With `stale_word` controller-1 has told that it answered m1 at 0 s; the
 /// former leader did so later, which nobody tells us.
 fn fenced_directly(stale_word: bool) -> Engine {
-    let mut engine = after_crash(vec![team(0.0, 0.0)], spec("req-1", 2, 2.0));
+    let mut engine = engine_after_failover(vec![team(0.0, 0.0)], spec("req-1", 2, 2.0));
     if stale_word {
-        engine.record_delegated_renewals(1.0, "bothy-1", 0.9, 100.0, &[renewed("m1", 1000)]);
+        engine.record_delegated_renewals(1.0, "controller-1", 0.9, 100.0, &[renewed("m1", 1000)]);
     }
     let mut worker = Worker::new("m1", "a");
     worker.token = first_token(TOKEN);
-    worker.tasks = vec![running("req-1/0", 5), running("req-1/1", 5)];
-    engine.receive_command_response(9.5, &worker.report());
+    worker.tasks = vec![running_task("req-1/0", 5), running_task("req-1/1", 5)];
+    engine.receive_command_response(9.5, &worker.heartbeat());
     assert_eq!(engine.jobs["req-1"].placements.len(), 2);
     engine
 }
@@ -191,7 +194,7 @@
     let mut engine = fenced_directly(true);
     engine.tick(LEASE_S * 1.001 + 0.6);
     assert_eq!(engine.jobs["req-1"].pending(), 0, "answered until 9.5 s");
-    engine.record_delegated_renewals(18.0, "bothy-1", 17.9, 100.0, &[renewed("m1", 18_000)]);
+    engine.record_delegated_renewals(18.0, "controller-1", 17.9, 100.0, &[renewed("m1", 18_000)]);
     engine.tick(19.4);
     assert_eq!(engine.jobs["req-1"].pending(), 0);
 }
--- a/crates/umbersail-control/src/engine/tests/placement.rs
+++ b/crates/umbersail-control/src/engine/tests/placement.rs
@@ -8,22 +8,22 @@
     // Guards against wrong_place while an earlier holder's tasks are unseen.
     let mut job = spec("req-1", 4, 2.0);
     job.spread = Some(true);
-    let mut engine = after_crash(vec![team(0.0, 0.0)], job);
+    let mut engine = engine_after_failover(vec![team(0.0, 0.0)], job);
     let mut same_zone = ready_worker(&mut engine, "m2", "a");
     commit(&mut engine, 1.0);
     assert_eq!(
-        starts(&same_zone.turn(&mut engine, 2.0)).len(),
+        started_tasks(&same_zone.send_heartbeat(&mut engine, 2.0)).len(),
         0,
         "zone a may hold its half"
     );
 
     let mut job = spec("req-1", 4, 2.0);
     job.one_zone = Some(true);
-    let mut engine = after_crash(vec![team(0.0, 0.0)], job);
+    let mut engine = engine_after_failover(vec![team(0.0, 0.0)], job);
     let mut elsewhere = ready_worker(&mut engine, "m2", "b");
     commit(&mut engine, 1.0);
     assert_eq!(
-        starts(&elsewhere.turn(&mut engine, 2.0)).len(),
+        started_tasks(&elsewhere.send_heartbeat(&mut engine, 2.0)).len(),
         0,
         "bound to zone a"
     );
@@ -32,28 +32,31 @@
 #[test]
 fn in_an_overload_jobs_that_can_still_start_in_time_go_first() {
     // Guards against earliest deadline first making every job of a burst late.
-    let mut engine = fresh(vec![team(0.0, 0.0)]);
+    let mut engine = new_engine(vec![team(0.0, 0.0)]);
     let mut worker = ready_worker(&mut engine, "m1", "a");
     let mut aimed = |id: &str, at: Time| {
         let mut job = spec(id, 1, 8.0);
         job.class = "aimed".into();
         job.deadline_s = Some(60.0);
-        engine.job_accepted(at, (at * 1000.0) as u64, record(job), 70);
+        engine.job_accepted(at, (at * 1000.0) as u64, job_record(job), 70);
     };
     aimed("req-1", 0.0);
     aimed("req-2", 9.0);
     // Both can still meet their deadlines; only the second its start.
     engine.jobs.get_mut("req-1").unwrap().submitted_at = 0.0;
     engine.jobs.get_mut("req-2").unwrap().submitted_at = 9.0;
-    worker.turn(&mut engine, 9.9);
+    worker.send_heartbeat(&mut engine, 9.9);
     commit(&mut engine, 10.0);
-    assert_eq!(starts(&worker.turn(&mut engine, 10.5)), ["req-2/0"]);
+    assert_eq!(
+        started_tasks(&worker.send_heartbeat(&mut engine, 10.5)),
+        ["req-2/0"]
+    );
 }
 
 #[test]
 fn a_job_whose_image_comes_too_late_does_not_go_before_one_that_can_end_in_time() {
     // Guards against places spent on jobs that are late for certain.
-    let mut engine = fresh(vec![team(0.0, 0.0)]);
+    let mut engine = new_engine(vec![team(0.0, 0.0)]);
     ready_worker(&mut engine, "m1", "a");
     let mut doomed = spec("req-1", 1, 8.0);
     doomed.deadline_s = Some(25.0);
@@ -62,7 +65,7 @@
     other.deadline_s = Some(60.0);
     other.image = "j".into();
     for job in [doomed, other] {
-        engine.job_accepted(1.0, 1000, record(job), 70);
+        engine.job_accepted(1.0, 1000, job_record(job), 70);
     }
     engine.schedule(1.0);
     assert_eq!(engine.jobs["req-2"].placements.len(), 1);
@@ -73,7 +76,7 @@
 fn a_start_that_a_fetch_would_make_late_waits_for_a_place_with_the_image() {
     // Guards against fetching an image, late for certain, while a machine that
     // has it is about to have room.
-    let mut engine = fresh(vec![team(0.0, 0.0)]);
+    let mut engine = new_engine(vec![team(0.0, 0.0)]);
     let mut warm = ready_worker(&mut engine, "m1", "a");
     let aimed = |id: &str| JobSpec {
         class: "aimed".into(),
@@ -83,17 +86,17 @@
     };
     accept(&mut engine, 1.0, aimed("req-1"));
     commit(&mut engine, 1.0);
-    warm.turn(&mut engine, 2.0);
-    warm.turn(&mut engine, 3.0);
+    warm.send_heartbeat(&mut engine, 2.0);
+    warm.send_heartbeat(&mut engine, 3.0);
     let mut cold = ready_worker(&mut engine, "m2", "a");
-    cold.turn(&mut engine, 4.0);
+    cold.send_heartbeat(&mut engine, 4.0);
     // The aim is 8 s, the fetch takes 10 s; m1 has the image and is full.
     accept(&mut engine, 4.0, aimed("req-2"));
     assert_eq!(engine.jobs["req-2"].pending(), 1);
     accept(&mut engine, 4.0, aimed("req-3"));
     warm.exit("req-1/0", None, ExitCause::Done);
-    warm.turn(&mut engine, 5.0);
-    cold.turn(&mut engine, 5.0);
+    warm.send_heartbeat(&mut engine, 5.0);
+    cold.send_heartbeat(&mut engine, 5.0);
     engine.schedule(5.0);
     let on_m1 = |id: &str| {
         engine.jobs[id]
@@ -108,8 +111,8 @@
     // The other gives up before it would be late anyway.
     engine.tick(6.0);
     assert!(engine.needs_scheduling());
-    warm.turn(&mut engine, 7.2);
-    cold.turn(&mut engine, 7.2);
+    warm.send_heartbeat(&mut engine, 7.2);
+    cold.send_heartbeat(&mut engine, 7.2);
     engine.schedule(7.2);
     assert_eq!(
         engine.jobs["req-2"].pending() + engine.jobs["req-3"].pending(),
--- a/crates/umbersail-control/src/engine/tests/plans.rs
+++ b/crates/umbersail-control/src/engine/tests/plans.rs
@@ -40,7 +40,7 @@
 fn a_plan_gives_way_to_launches_but_not_for_ever() {
     // Guards against plans that delay starts, and against rentals that wait for a
     // record which busy hours never write.
-    let mut engine = fresh(vec![team(0.0, 0.0)]);
+    let mut engine = new_engine(vec![team(0.0, 0.0)]);
     let _worker = ready_worker(&mut engine, "m1", "a");
     accept(&mut engine, 1.0, spec("req-1", 1, 1.0));
     put(&mut engine, 1.0, "note/a", 1);
@@ -63,7 +63,7 @@
 #[test]
 fn a_plan_without_an_answer_is_read_before_it_is_written_again() {
     // Guards against a late transaction that puts an older plan in a newer one's place.
-    let mut engine = fresh(vec![team(0.0, 0.0)]);
+    let mut engine = new_engine(vec![team(0.0, 0.0)]);
     put(&mut engine, 1.0, "note/a", 1);
     let pending = engine.next_txn(1.0, 20, 20).unwrap();
     assert_eq!(pending.txn.conditions[0].key, LEADER);
@@ -115,7 +115,7 @@
                 value,
             })
             .collect(),
-        ..empty_inheritance()
+        ..empty_inherited_state()
     };
     let cfg = config(vec![team(0.0, 0.0)], Tuning::default());
     let mut engine = Engine::new(cfg, 0.0, 0, inheritance);
--- a/crates/umbersail-control/src/engine/tests/reserve.rs
+++ b/crates/umbersail-control/src/engine/tests/reservations.rs
@@ -53,7 +53,7 @@
             revision: self.revision,
             leader_version: self.revision,
             plans: plans.collect(),
-            ..empty_inheritance()
+            ..empty_inherited_state()
         };
         let unix_ms = BEGIN * 1000 + (now * 1000.0) as u64;
         Engine::new(self.cfg.clone(), now, unix_ms, inheritance)
@@ -132,7 +132,7 @@
             .collect();
         for now in [1.0, 1.5] {
             for worker in &mut workers {
-                worker.turn(&mut engine, now);
+                worker.send_heartbeat(&mut engine, now);
             }
         }
         self.step(&mut engine, 2.0);
@@ -203,7 +203,7 @@
     engine.job_key_removed("req-2");
     for now in [60.0, 120.0, 180.0] {
         for worker in &mut workers {
-            worker.turn(&mut engine, now);
+            worker.send_heartbeat(&mut engine, now);
         }
         engine.cloud_actions(now);
     }
@@ -232,15 +232,15 @@
     place.step(&mut engine, 4.0);
     assert_eq!((live(&engine, "req-1"), live(&engine, "req-2")), (3, 0));
     for worker in &mut workers {
-        worker.turn(&mut engine, 5.0);
-        worker.turn(&mut engine, 6.0);
+        worker.send_heartbeat(&mut engine, 5.0);
+        worker.send_heartbeat(&mut engine, 6.0);
     }
     accept(&mut engine, 7.0, of_class("own", "req-3", 2, 8.0));
     place.step(&mut engine, 7.0);
     let mut stopped = 0;
     for now in [8.0, 9.0, 10.0, 11.0] {
         for worker in &mut workers {
-            stopped += stops(&worker.turn(&mut engine, now));
+            stopped += stop_count(&worker.send_heartbeat(&mut engine, now));
         }
         place.step(&mut engine, now);
     }
@@ -258,7 +258,7 @@
     // It was submitted at 0.
     for now in [10.0, 100.0, floor_s - 1.0, floor_s + 1.0] {
         for worker in &mut workers {
-            worker.turn(&mut engine, now);
+            worker.send_heartbeat(&mut engine, now);
         }
         place.step(&mut engine, now);
         place.step(&mut engine, now + 0.1);
@@ -283,7 +283,7 @@
     };
     for now in [10.0, 20.0] {
         for worker in &mut workers[1..] {
-            worker.turn(&mut engine, now);
+            worker.send_heartbeat(&mut engine, now);
         }
         place.round(&mut engine, now);
     }
@@ -291,7 +291,7 @@
     workers.push(Worker::new("m003", "b"));
     for now in [30.0, 31.0] {
         for worker in &mut workers {
-            worker.turn(&mut engine, now);
+            worker.send_heartbeat(&mut engine, now);
         }
         place.round(&mut engine, now);
     }
--- a/crates/umbersail-control/src/engine/tests/starvation_guard.rs
+++ b/crates/umbersail-control/src/engine/tests/starvation_guard.rs
@@ -19,7 +19,7 @@
         if let Some(task) = small.map(|t| t.task.clone()) {
             worker.exit(&task, None, ExitCause::Done);
         }
-        for task in starts(&worker.turn(engine, now)) {
+        for task in started_tasks(&worker.send_heartbeat(engine, now)) {
             if task.starts_with(large) {
                 first = first.or(Some(second));
                 told += 1;
@@ -42,7 +42,7 @@
 fn a_large_job_begins_within_its_time_though_upper_tiers_fill_every_place_again() {
     // Guards against waiting without end for being large: eight places of one CPU
     // fall free one by one, and each is taken before the next.
-    let mut engine = fresh(vec![team(0.0, 0.0)]);
+    let mut engine = new_engine(vec![team(0.0, 0.0)]);
     let mut worker = ready_worker(&mut engine, "m1", "a");
     accept(&mut engine, 1.0, small(1000));
     accept(&mut engine, 1.0, spec("large", 2, 8.0));
@@ -66,14 +66,14 @@
     const TASK_S: u32 = 60;
     const APART_S: u32 = 15;
     const JOBS: usize = 40;
-    let mut engine = fresh(vec![team(0.0, 0.0)]);
+    let mut engine = new_engine(vec![team(0.0, 0.0)]);
     let mut worker = ready_worker(&mut engine, "m1", "a");
     for n in 0..JOBS {
         let spec = JobSpec {
             deadline_s: Some(90.0),
             ..spec(&format!("job-{n:03}"), 2, 2.0)
         };
-        engine.job_accepted(1.0, 1000, record(spec), 70);
+        engine.job_accepted(1.0, 1000, job_record(spec), 70);
     }
     let mut ends: BTreeMap<String, u32> = BTreeMap::new();
     for second in 2..600 {
@@ -82,7 +82,7 @@
         for (task, _) in over {
             worker.exit(&task, None, ExitCause::Done);
         }
-        for task in starts(&worker.turn(&mut engine, now)) {
+        for task in started_tasks(&worker.send_heartbeat(&mut engine, now)) {
             let first = second < APART_S;
             let run_s = if first {
                 APART_S * (1 + ends.len() as u32)
@@ -107,7 +107,7 @@
     let mut boosted = Vec::new();
     for running in [0, 1] {
         let inherited = |spec: JobSpec, run| InheritedJob {
-            record: record(spec),
+            record: job_record(spec),
             version: 50,
             run,
         };
@@ -125,7 +125,7 @@
                     inherited(small(1000), None),
                     inherited(spec("large", 2, 8.0), Some((run, 60))),
                 ],
-                ..empty_inheritance()
+                ..empty_inherited_state()
             },
         );
         let mut worker = ready_worker(&mut engine, "m1", "a");
@@ -144,7 +144,7 @@
             name: "u".into(),
             ..team(if guaranteed { 8.0 } else { 0.0 }, 0.0)
         };
-        let mut engine = fresh(vec![team(0.0, 0.0), other]);
+        let mut engine = new_engine(vec![team(0.0, 0.0), other]);
         let mut worker = ready_worker(&mut engine, "m1", "a");
         accept(
             &mut engine,
@@ -188,7 +188,7 @@
                 deadline_s: Some(110.0),
                 ..spec(id, tasks, 2.0)
             };
-            engine.job_accepted(1.0, 1000, record(spec), 70);
+            engine.job_accepted(1.0, 1000, job_record(spec), 70);
         };
         (0..20).for_each(|n| due(&format!("small-{n}"), 1));
         due("large", 4);
@@ -235,7 +235,7 @@
         ..Tuning::default()
     };
     let cfg = config(vec![team(0.0, 0.0)], tuning);
-    Engine::new(cfg, 0.0, 0, empty_inheritance())
+    Engine::new(cfg, 0.0, 0, empty_inherited_state())
 }
 
 #[test]
@@ -247,7 +247,7 @@
     const APART_S: u32 = 15;
     const JOBS: usize = 48;
     const STEP_S: f64 = 10.0;
-    let mut engine = fresh(vec![team(0.0, 4.0)]);
+    let mut engine = new_engine(vec![team(0.0, 4.0)]);
     let mut worker = ready_worker(&mut engine, "m1", "a");
     let due_s = |n: usize| 150.0 + STEP_S * n as f64;
     for n in 0..JOBS {
@@ -256,7 +256,7 @@
             estimate_s: f64::from(TASK_S),
             ..spec(&format!("job-{n:03}"), 2, 1.0)
         };
-        engine.job_accepted(1.0, 1000, record(spec), 70);
+        engine.job_accepted(1.0, 1000, job_record(spec), 70);
     }
     let mut ends: BTreeMap<String, u32> = BTreeMap::new();
     let mut in_time = 0;
@@ -266,7 +266,7 @@
         for (task, _) in over {
             worker.exit(&task, None, ExitCause::Done);
         }
-        for task in starts(&worker.turn(&mut engine, now)) {
+        for task in started_tasks(&worker.send_heartbeat(&mut engine, now)) {
             let run_s = match second < APART_S {
                 true => APART_S * (1 + ends.len() as u32),
                 false => TASK_S,
--- a/crates/umbersail-control/src/engine/tests/failures.rs
+++ b/crates/umbersail-control/src/engine/tests/task_failures.rs
@@ -6,20 +6,20 @@
 fn a_faulty_machine_is_returned_and_a_faulty_job_backs_off() {
     // Guards against condemning the fleet for one broken job, and against
     // feeding a machine that fails everything.
-    let mut engine = fresh(vec![team(0.0, 0.0)]);
+    let mut engine = new_engine(vec![team(0.0, 0.0)]);
     let mut bad = ready_worker(&mut engine, "m1", "a");
     for (i, id) in ["req-1", "req-2", "req-3"].iter().enumerate() {
         let now = 1.0 + 3.0 * i as f64;
         accept(&mut engine, now, spec(id, 1, 8.0));
         commit(&mut engine, now);
-        bad.turn(&mut engine, now + 1.0);
+        bad.send_heartbeat(&mut engine, now + 1.0);
         bad.exit(&format!("{id}/0"), None, ExitCause::Error);
-        bad.turn(&mut engine, now + 2.0);
+        bad.send_heartbeat(&mut engine, now + 2.0);
     }
     engine.tick(13.0);
     assert!(engine.machines["m1"].quarantined);
 
-    let mut engine = fresh(vec![team(0.0, 0.0)]);
+    let mut engine = new_engine(vec![team(0.0, 0.0)]);
     let mut workers: Vec<Worker> = (1..=4)
         .map(|i| ready_worker(&mut engine, &format!("m{i}"), "a"))
         .collect();
@@ -28,7 +28,7 @@
         let now = 2.0 + f64::from(i);
         commit(&mut engine, now);
         for worker in &mut workers {
-            worker.turn(&mut engine, now);
+            worker.send_heartbeat(&mut engine, now);
             worker.exit("req-1/0", None, ExitCause::Error);
         }
     }
@@ -56,7 +56,7 @@
             if engine.machines[&*worker.name].quarantined {
                 continue;
             }
-            for task in starts(&worker.turn(engine, now)) {
+            for task in started_tasks(&worker.send_heartbeat(engine, now)) {
                 let id = task.split('/').next().unwrap().to_owned();
                 *launches.entry(id.clone()).or_default() += 1;
                 if sick.contains(&&*worker.name) || id.contains('x') {
@@ -70,7 +70,7 @@
                     worker.exit(task, None, ExitCause::Done);
                 }
             }
-            worker.turn(engine, now + 0.5);
+            worker.send_heartbeat(engine, now + 0.5);
         }
     }
     launches
@@ -80,7 +80,7 @@
 fn ten_mistaken_jobs_condemn_no_sound_machine_and_hide_no_sick_one() {
     // Guards against healthy machines given back for jobs that fail everywhere, and
     // against a sick one that goes unseen among their failures.
-    let mut engine = fresh(vec![team(0.0, 0.0)]);
+    let mut engine = new_engine(vec![team(0.0, 0.0)]);
     let mut workers: Vec<Worker> = (0..12)
         .map(|i| ready_worker(&mut engine, &format!("m{i:02}"), "a"))
         .collect();
@@ -105,35 +105,41 @@
 
 #[test]
 fn a_successor_knows_a_mistaken_job_and_tries_one_task_of_it() {
-    let mut run = inheritance_of(spec("req-1", 20, 0.1));
+    let mut run = inherited_state_of(spec("req-1", 20, 0.1));
     let record = run.jobs[0].run.as_mut().unwrap();
     (record.0.suspect, record.0.high_water, record.0.hosts) = (true, 0, vec![]);
     let mut engine = Engine::new(config(vec![team(0.0, 0.0)], Tuning::default()), 0.0, 0, run);
     let mut worker = ready_worker(&mut engine, "m1", "a");
     commit(&mut engine, 1.0);
-    assert_eq!(starts(&worker.turn(&mut engine, 2.0)).len(), 1);
+    assert_eq!(
+        started_tasks(&worker.send_heartbeat(&mut engine, 2.0)).len(),
+        1
+    );
     // It was the machines and not the job: all go on once one runs for longer
     // than it took to fail.
-    worker.turn(&mut engine, 3.0);
+    worker.send_heartbeat(&mut engine, 3.0);
     commit(&mut engine, 3.0);
     assert_eq!(
-        starts(&worker.turn(&mut engine, 4.0)).len(),
+        started_tasks(&worker.send_heartbeat(&mut engine, 4.0)).len(),
         0,
         "still tried"
     );
-    worker.turn(&mut engine, 9.5);
+    worker.send_heartbeat(&mut engine, 9.5);
     let changes = commit(&mut engine, 9.5);
     assert!(
         (changes.iter())
             .any(|c| matches!(c, Change::Put { value: Record::JobProgress(r), .. } if !r.suspect))
     );
-    assert_eq!(starts(&worker.turn(&mut engine, 10.0)).len(), 19);
+    assert_eq!(
+        started_tasks(&worker.send_heartbeat(&mut engine, 10.0)).len(),
+        19
+    );
 }
 
 #[test]
 fn a_sound_job_whose_first_tasks_met_sick_machines_goes_on_soon() {
     // Guards against a sound job held for mistaken until its first task is done.
-    let mut engine = fresh(vec![team(0.0, 0.0)]);
+    let mut engine = new_engine(vec![team(0.0, 0.0)]);
     let mut workers: Vec<Worker> = (0..8)
         .map(|i| ready_worker(&mut engine, &format!("m{i:02}"), "a"))
         .collect();
--- a/crates/umbersail-control/src/engine/tests/writes.rs
+++ b/crates/umbersail-control/src/engine/tests/transactions.rs
@@ -6,7 +6,7 @@
 #[test]
 fn a_write_without_answer_is_read_before_anything_is_started_on_it() {
     // Guards against a late transaction: ours may be applied after our next.
-    let mut engine = fresh(vec![team(0.0, 0.0)]);
+    let mut engine = new_engine(vec![team(0.0, 0.0)]);
     let mut worker = ready_worker(&mut engine, "m1", "a");
     accept(&mut engine, 1.0, spec("req-1", 1, 2.0));
     let pending = engine.next_txn(1.0, 20, 20).unwrap();
@@ -27,7 +27,10 @@
     engine.txn_finished(1.0, pending, TxnOutcome::Unknown);
     assert_eq!(engine.unknown_versions().0, ["req-1"]);
     assert!(engine.next_txn(2.0, 20, 20).is_none(), "first the read");
-    assert_eq!(starts(&worker.turn(&mut engine, 2.0)).len(), 0);
+    assert_eq!(
+        started_tasks(&worker.send_heartbeat(&mut engine, 2.0)).len(),
+        0
+    );
     engine.version_read("req-1", true, 90);
     let pending = engine.next_txn(2.0, 20, 20).unwrap();
     assert!(
@@ -38,13 +41,16 @@
             .any(|c| c.key == progress_key("req-1") && c.version == 90)
     );
     engine.txn_finished(2.0, pending, TxnOutcome::Applied { revision: 91 });
-    assert_eq!(starts(&worker.turn(&mut engine, 3.0)).len(), 1);
+    assert_eq!(
+        started_tasks(&worker.send_heartbeat(&mut engine, 3.0)).len(),
+        1
+    );
 }
 
 #[test]
 fn a_write_refused_for_the_leaders_key_ends_leadership() {
     // Guards against two leaders: the state service has the last word.
-    let mut engine = fresh(vec![team(0.0, 0.0)]);
+    let mut engine = new_engine(vec![team(0.0, 0.0)]);
     ready_worker(&mut engine, "m1", "a");
     accept(&mut engine, 1.0, spec("req-1", 1, 2.0));
     let pending = engine.next_txn(1.0, 20, 20).unwrap();
@@ -57,28 +63,34 @@
 #[test]
 fn a_record_that_drops_a_host_is_not_relied_on_for_it_while_under_way() {
     // Guards against a launch on a machine that the record is just losing.
-    let mut engine = fresh(vec![team(0.0, 0.0)]);
+    let mut engine = new_engine(vec![team(0.0, 0.0)]);
     let mut worker = ready_worker(&mut engine, "m1", "a");
     accept(&mut engine, 1.0, spec("req-1", 3, 8.0));
     commit(&mut engine, 1.0);
-    worker.turn(&mut engine, 2.0);
+    worker.send_heartbeat(&mut engine, 2.0);
     worker.exit("req-1/0", None, ExitCause::Done);
-    worker.turn(&mut engine, 3.0);
+    worker.send_heartbeat(&mut engine, 3.0);
     // The end of task 0 is written with no host left ...
     let pending = engine.next_txn(4.0, 20, 20).unwrap();
     // ... and meanwhile task 1 is placed on the same machine.
     engine.schedule(4.0);
-    assert_eq!(starts(&worker.turn(&mut engine, 4.0)).len(), 0);
+    assert_eq!(
+        started_tasks(&worker.send_heartbeat(&mut engine, 4.0)).len(),
+        0
+    );
     engine.txn_finished(4.1, pending, TxnOutcome::Applied { revision: 2000 });
     commit(&mut engine, 4.2);
-    assert_eq!(starts(&worker.turn(&mut engine, 5.0)), ["req-1/1"]);
+    assert_eq!(
+        started_tasks(&worker.send_heartbeat(&mut engine, 5.0)),
+        ["req-1/1"]
+    );
 }
 
 #[test]
 fn records_of_what_gives_way_leave_half_of_the_bucket_to_others() {
     // Guards against launches of jobs with deadlines behind a guest's thousands of
     // single tasks: with 25 changes a second they came 12 s late.
-    let mut engine = fresh(vec![team(0.0, 0.0)]);
+    let mut engine = new_engine(vec![team(0.0, 0.0)]);
     let mut worker = ready_worker(&mut engine, "m1", "a");
     for i in 0..20 {
         let mut guest = spec(&format!("req-{i:02}"), 1, 0.1);
@@ -98,23 +110,26 @@
         "guests leave the rest"
     );
     commit(&mut engine, 3.0);
-    assert_eq!(starts(&worker.turn(&mut engine, 4.0)).len(), 21);
+    assert_eq!(
+        started_tasks(&worker.send_heartbeat(&mut engine, 4.0)).len(),
+        21
+    );
 }
 
 #[test]
 fn the_record_of_a_large_fleet_stays_within_the_bounds_of_a_value_and_a_transaction() {
     // Guards against a fleet that outgrows one value: nothing could be started
     // any more, and each new machine would cost a write of all of them.
-    let mut engine = fresh(vec![team(0.0, 0.0)]);
+    let mut engine = new_engine(vec![team(0.0, 0.0)]);
     let name = |i: usize| format!("host-{i:06}");
     for i in 0..600 {
-        Worker::new(&name(i), "a").turn(&mut engine, 0.0);
+        Worker::new(&name(i), "a").send_heartbeat(&mut engine, 0.0);
     }
     let mut workers: Vec<Worker> = (0..600).map(|i| Worker::new(&name(i), "a")).collect();
     for worker in &mut workers {
         worker.seq = 1;
         worker.token = first_token(TOKEN);
-        worker.turn(&mut engine, 0.5);
+        worker.send_heartbeat(&mut engine, 0.5);
     }
     let mut largest = 0;
     while let Some(pending) = engine.next_txn(1.0, 20, 20) {
@@ -145,15 +160,15 @@
 
 fn ready_worker_at(engine: &mut Engine, name: &str, now: Time) {
     let mut worker = Worker::new(name, "a");
-    worker.turn(engine, now);
-    worker.turn(engine, now + 0.5);
+    worker.send_heartbeat(engine, now);
+    worker.send_heartbeat(engine, now + 0.5);
 }
 
 #[test]
 fn the_largest_array_on_a_large_fleet_keeps_its_record_within_the_bound() {
     // Guards against a record that the state service refuses: it would hold up
     // every other write of the leader with it.
-    let mut engine = fresh(vec![team(0.0, 0.0)]);
+    let mut engine = new_engine(vec![team(0.0, 0.0)]);
     for i in 0..600 {
         ready_worker_at(&mut engine, &format!("host-{i:06}"), 0.0);
     }
@@ -180,13 +195,13 @@
 fn a_launch_is_written_at_once_while_progress_waits_for_budget_to_spare() {
     // Guards against launches that wait until the budget takes a large
     // transaction, behind records that nobody waits for.
-    let mut engine = fresh(vec![team(0.0, 0.0)]);
+    let mut engine = new_engine(vec![team(0.0, 0.0)]);
     let mut worker = ready_worker(&mut engine, "m1", "a");
     accept(&mut engine, 1.0, spec("req-1", 2, 2.0));
     commit(&mut engine, 1.0);
-    worker.turn(&mut engine, 2.0);
+    worker.send_heartbeat(&mut engine, 2.0);
     worker.exit("req-1/0", None, ExitCause::Done);
-    worker.turn(&mut engine, 3.0);
+    worker.send_heartbeat(&mut engine, 3.0);
     assert!(engine.next_txn(4.0, 20, 0).is_none(), "progress can wait");
     accept(&mut engine, 4.0, spec("req-2", 1, 2.0));
     let launch = engine.next_txn(4.0, 0, 0).unwrap();
@@ -197,7 +212,7 @@
 
     // An end goes without the removal of its progress, which follows later.
     worker.exit("req-1/1", None, ExitCause::Done);
-    worker.turn(&mut engine, 5.0);
+    worker.send_heartbeat(&mut engine, 5.0);
     let end = engine.next_txn(5.0, 2, 0).unwrap();
     assert_eq!(end.txn.changes.len(), 2);
     engine.txn_finished(5.0, end, TxnOutcome::Applied { revision: 2001 });
--- a/crates/umbersail-control/src/engine/tests/zones.rs
+++ b/crates/umbersail-control/src/engine/tests/zone_constraints.rs
@@ -8,7 +8,7 @@
     // completed, and another attempt of it may still be on a machine that was not heard.
     let mut job = spec("req-1", 4, 2.0);
     job.spread = Some(true);
-    let mut inheritance = inheritance_of(job);
+    let mut inheritance = inherited_state_of(job);
     let (run, _) = inheritance.jobs[0].run.as_mut().unwrap();
     let mut done = umbersail_policy::Bitmap::new(4);
     done.insert(0);
@@ -22,9 +22,9 @@
     let mut engine = Engine::new(config, 0.0, 0, inheritance);
     let mut same_zone = ready_worker(&mut engine, "m2", "a");
     commit(&mut engine, 1.0);
-    let told = same_zone.turn(&mut engine, 2.0);
+    let told = same_zone.send_heartbeat(&mut engine, 2.0);
     assert_eq!(
-        starts(&told).len(),
+        started_tasks(&told).len(),
         1,
         "half of four, less the one: {told:?}"
     );
