--- a/crates/umbersail-control/src/engine/tests.rs
+++ b/crates/umbersail-control/src/engine/tests.rs
@@ -1,5 +1,5 @@
-//! The engine against scripted workers and a hand-moved clock. Each test
-//! names the failure that it guards against.
+//! Tests of the engine with simulated workers and a clock that the test sets. Each test
+//! states the failure that it guards against.
 
 mod calendar;
 mod cancellations;
--- a/crates/umbersail-control/src/engine/tests/calendar.rs
+++ b/crates/umbersail-control/src/engine/tests/calendar.rs
@@ -1,12 +1,13 @@
-//! The calendar in the engine: several leaders, one after the other, on one state service.
+//! Calendar runs in the engine, also across failovers: several leaders, one after the other,
+//! use the same state service.
 
-use umbersail_calendar::RunRecord as Recorded;
+use umbersail_calendar::RunRecord;
 use umbersail_wire::{Value, from_value, to_value};
 
 use super::*;
 use crate::records::{PLANS, PlanRecord};
 
-const FILE: &str = "
+const PROPERTIES: &str = "
     calendar.dawn.team = t
     calendar.dawn.zone = Etc/UTC
     calendar.dawn.opens = 2027-01-04 22:00
@@ -19,55 +20,56 @@
     calendar.dawn.step.2.quiet = 1m
     calendar.dawn.step.2.takes = 5m
 ";
-/// When it opens, in milliseconds of the time of day.
-const OPENS_MS: u64 = 1_799_100_000_000;
+/// When the first run opens, in milliseconds of Unix time.
+const OPENING_MS: u64 = 1_799_100_000_000;
 
-/// What a state service holds of jobs and plans, and whoever leads.
-struct Place {
-    file: String,
+/// The jobs, job progress and plans recorded in the state service, the current leader and its
+/// workers.
+struct Cluster {
+    properties: String,
     jobs: BTreeMap<String, (JobSpec, u64)>,
     runs: BTreeMap<String, JobProgressRecord>,
     plans: BTreeMap<String, (Value, u64)>,
     engine: Engine,
     workers: Vec<Worker>,
     now: Time,
-    holder: u64,
+    leader_revision: u64,
     revision: u64,
-    /// Tasks that were started, with how often.
+    /// How often each task was started.
     started: BTreeMap<String, u32>,
 }
 
-fn engine(file: &str, now: Time, inheritance: InheritedState) -> Engine {
-    let tuning = Tuning::from_properties(file.as_bytes()).unwrap();
+fn engine(properties: &str, now: Time, inheritance: InheritedState) -> Engine {
+    let tuning = Tuning::from_properties(properties.as_bytes()).unwrap();
     let cfg = config(vec![team(0.0, 0.0)], tuning);
-    Engine::new(cfg, now, wall(now), inheritance)
+    Engine::new(cfg, now, wall_clock_ms(now), inheritance)
 }
 
-/// The run opens a second after the first leader's start.
-fn wall(now: Time) -> u64 {
-    OPENS_MS - 1000 + (now * 1000.0) as u64
+/// Unix time in milliseconds. The first run opens one second after the start of the first leader.
+fn wall_clock_ms(now: Time) -> u64 {
+    OPENING_MS - 1000 + (now * 1000.0) as u64
 }
 
-impl Place {
-    fn new() -> Place {
-        Place {
-            file: FILE.into(),
+impl Cluster {
+    fn new() -> Cluster {
+        Cluster {
+            properties: PROPERTIES.into(),
             jobs: BTreeMap::new(),
             runs: BTreeMap::new(),
             plans: BTreeMap::new(),
-            engine: engine(FILE, 0.0, empty_inherited_state()),
+            engine: engine(PROPERTIES, 0.0, empty_inherited_state()),
             workers: vec![Worker::new("m1", "a"), Worker::new("m2", "b")],
             now: 0.0,
-            holder: TOKEN,
+            leader_revision: TOKEN,
             revision: 1000,
             started: BTreeMap::new(),
         }
     }
 
-    /// Another leader reads what is recorded.
-    fn take_over(&mut self) {
-        self.holder += 1;
-        let granted = |w: &Worker| GrantedMachine {
+    /// Replaces the leader by a new one that reads the recorded state.
+    fn fail_over(&mut self) {
+        self.leader_revision += 1;
+        let granted_machine = |w: &Worker| GrantedMachine {
             name: w.name.clone(),
             machine_type: "m8".into(),
             zone: w.zone.clone(),
@@ -75,12 +77,12 @@
             addr: "127.0.0.1:9".into(),
         };
         let inheritance = InheritedState {
-            revision: self.holder,
+            revision: self.leader_revision,
             grant_parts: vec![InheritedPart {
                 index: 0,
                 version: 40,
                 part: GrantPart {
-                    machines: self.workers.iter().map(granted).collect(),
+                    machines: self.workers.iter().map(granted_machine).collect(),
                 },
             }],
             jobs: (self.jobs.iter())
@@ -102,7 +104,7 @@
                 .collect(),
             ..empty_inherited_state()
         };
-        self.engine = engine(&self.file, self.now, inheritance);
+        self.engine = engine(&self.properties, self.now, inheritance);
     }
 
     fn submit(&mut self, id: &str, class: &str) {
@@ -112,14 +114,14 @@
         };
         let record = JobRecord {
             spec: spec.clone(),
-            accepted_ms: wall(self.now),
+            accepted_ms: wall_clock_ms(self.now),
         };
-        self.jobs.insert(id.into(), (spec, wall(self.now)));
-        (self.engine).job_accepted(self.now, wall(self.now), record, 70);
+        self.jobs.insert(id.into(), (spec, wall_clock_ms(self.now)));
+        (self.engine).job_accepted(self.now, wall_clock_ms(self.now), record, 70);
     }
 
-    /// The state service takes what is due.
-    fn write(&mut self) {
+    /// Applies every transaction that is due.
+    fn apply_transactions(&mut self) {
         while let Some(pending) = self.engine.next_txn(self.now, 20, 20) {
             self.revision += 1;
             for change in &pending.txn.changes {
@@ -149,13 +151,15 @@
         }
     }
 
-    /// Half a second: a tick, a cycle, records, and reports with their answers.
+    /// Advances by half a second: a tick, a scheduling cycle, the transactions, and each
+    /// worker's heartbeat with its reply.
     fn step(&mut self) {
         self.now += 0.5;
-        self.engine.set_wall_clock(self.now, wall(self.now));
+        self.engine
+            .set_wall_clock(self.now, wall_clock_ms(self.now));
         self.engine.tick(self.now);
         self.engine.schedule(self.now);
-        self.write();
+        self.apply_transactions();
         for worker in &mut self.workers {
             for task in started_tasks(&worker.send_heartbeat(&mut self.engine, self.now)) {
                 *self.started.entry(task).or_default() += 1;
@@ -163,14 +167,14 @@
         }
     }
 
-    fn steps(&mut self, seconds: f64) {
+    fn run_for(&mut self, seconds: f64) {
         for _ in 0..(seconds * 2.0) as usize {
             self.step();
         }
     }
 
-    /// All tasks of a job end on their workers.
-    fn end(&mut self, id: &str) {
+    /// Lets all tasks of a job complete on their workers.
+    fn complete_job(&mut self, id: &str) {
         for worker in &mut self.workers {
             let of_job = |t: &&mut TaskReport| t.task.split('/').next() == Some(id);
             for task in worker.tasks.iter_mut().filter(of_job) {
@@ -180,58 +184,61 @@
         }
     }
 
-    fn begun(&self, id: &str) -> usize {
+    /// Number of the job's tasks that were started.
+    fn started_count(&self, id: &str) -> usize {
         let of_job = |task: &&String| task.split('/').next() == Some(id);
         self.started.keys().filter(of_job).count()
     }
 
-    fn recorded(&self) -> Recorded {
-        let (value, _) = &self.plans[&format!("calendar/dawn/{OPENS_MS}")];
+    fn run_record(&self) -> RunRecord {
+        let (value, _) = &self.plans[&format!("calendar/dawn/{OPENING_MS}")];
         let plan: PlanRecord = from_value(value).unwrap();
         from_value(&plan.plan).unwrap()
     }
 }
 
 #[test]
-fn a_later_step_starts_once_the_end_of_the_earlier_one_is_recorded() {
-    // Guards against work on what is not there yet, and against a successor that holds
-    // back again what has begun.
-    let mut place = Place::new();
-    place.steps(2.0);
-    assert_eq!(place.recorded().opening_ms, OPENS_MS);
+fn a_later_step_starts_once_the_end_of_the_earlier_step_is_recorded() {
+    // Guards against tasks that start before the results they depend on exist, and against a
+    // new leader that holds back a step that has already started.
+    let mut cluster = Cluster::new();
+    cluster.run_for(2.0);
+    assert_eq!(cluster.run_record().opening_ms, OPENING_MS);
     for (id, class) in [("req-1", "scan"), ("req-2", "print"), ("req-3", "scan")] {
-        place.submit(id, class);
+        cluster.submit(id, class);
     }
-    place.steps(3.0);
+    cluster.run_for(3.0);
     assert_eq!(
-        [1, 2, 3].map(|n| place.begun(&format!("req-{n}"))),
+        [1, 2, 3].map(|n| cluster.started_count(&format!("req-{n}"))),
         [2, 0, 2]
     );
     assert_eq!(
-        place.engine.jobs["req-2"].blocked_reason,
+        cluster.engine.jobs["req-2"].blocked_reason,
         BlockedReason::HeldByPlan("an earlier step of its run")
     );
-    // By when it must end for five minutes of printing, by a clock that may be wrong.
-    let due = place.engine.jobs["req-1"].planned_deadline.unwrap();
+    // The run is due at 601 s. The first step must leave the five minutes that the second step
+    // takes, and half a second for clock skew.
+    let due = cluster.engine.jobs["req-1"].planned_deadline.unwrap();
     assert!((due - (1.0 + 300.0 - 0.5)).abs() < 0.01, "{due}");
     assert_eq!(
-        place.engine.jobs["req-2"]
+        cluster.engine.jobs["req-2"]
             .planned_deadline
             .map(|at| at.round()),
         Some(601.0)
     );
-    place.end("req-1");
-    place.end("req-3");
-    // The ends are recorded and told; the step's end is not.
+    cluster.complete_job("req-1");
+    cluster.complete_job("req-3");
+    // The ends of both jobs are recorded and acknowledged, but the end of the step is not
+    // recorded.
     for _ in 0..4 {
-        place.now += 0.5;
-        for worker in &mut place.workers {
-            worker.send_heartbeat(&mut place.engine, place.now);
+        cluster.now += 0.5;
+        for worker in &mut cluster.workers {
+            worker.send_heartbeat(&mut cluster.engine, cluster.now);
         }
-        place.engine.tick(place.now);
-        place.engine.schedule(place.now);
-        assert!(place.engine.jobs["req-2"].hold_reason.is_some());
-        while let Some(pending) = place.engine.next_txn(place.now, 20, 20) {
+        cluster.engine.tick(cluster.now);
+        cluster.engine.schedule(cluster.now);
+        assert!(cluster.engine.jobs["req-2"].hold_reason.is_some());
+        while let Some(pending) = cluster.engine.next_txn(cluster.now, 20, 20) {
             let has_plan = pending.txn.changes.iter().any(|c| match c {
                 Change::Put { key, .. } | Change::Delete { key } => key.starts_with(PLANS),
             });
@@ -239,136 +246,157 @@
                 true => TxnOutcome::NotExecuted,
                 false => TxnOutcome::Applied { revision: 5000 },
             };
-            place.engine.txn_finished(place.now, pending, outcome);
+            cluster.engine.txn_finished(cluster.now, pending, outcome);
             if has_plan {
                 break;
             }
         }
     }
-    assert!(place.engine.job_count() == 1, "both ends are recorded");
-    place.steps(2.0);
-    assert!(place.recorded().steps[0].finished_ms.is_some());
-    assert_eq!(place.begun("req-2"), 2);
+    assert!(
+        cluster.engine.job_count() == 1,
+        "the ends of both jobs are recorded"
+    );
+    cluster.run_for(2.0);
+    assert!(cluster.run_record().steps[0].finished_ms.is_some());
+    assert_eq!(cluster.started_count("req-2"), 2);
 }
 
 #[test]
-fn leaders_that_end_at_any_point_of_a_run_start_nothing_twice_and_go_on_within_two_seconds() {
-    // Guards against a step that is run again, or waits for ever, after a take-over.
-    for ends_at in 0..40 {
-        let mut place = Place::new();
-        place.steps(2.0);
-        let (mut went_on, mut count) = (None, 0);
+fn a_failover_at_any_point_of_a_run_starts_no_task_twice_and_delays_the_run_by_at_most_two_seconds()
+{
+    // Guards against a step that runs again, or waits forever, after a failover.
+    for failover_at in 0..40 {
+        let mut cluster = Cluster::new();
+        cluster.run_for(2.0);
+        let (mut continued_at, mut failovers) = (None, 0);
         for step in 0..60 {
             match step {
                 2 => {
-                    place.submit("req-1", "scan");
-                    place.submit("req-2", "print");
+                    cluster.submit("req-1", "scan");
+                    cluster.submit("req-2", "print");
                 }
-                5 => place.submit("req-3", "scan"),
-                12 => place.end("req-1"),
-                18 => place.end("req-3"),
-                36 => place.end("req-2"),
+                5 => cluster.submit("req-3", "scan"),
+                12 => cluster.complete_job("req-1"),
+                18 => cluster.complete_job("req-3"),
+                36 => cluster.complete_job("req-2"),
                 _ => {}
             }
-            if step == ends_at || (ends_at % 3 == 0 && step == ends_at + 1) {
-                place.take_over();
-                count += 1;
+            if step == failover_at || (failover_at % 3 == 0 && step == failover_at + 1) {
+                cluster.fail_over();
+                failovers += 1;
             }
-            place.step();
-            let waits = place.jobs.contains_key("req-1") || place.jobs.contains_key("req-3");
-            if waits {
-                assert_eq!(place.begun("req-2"), 0, "ends at {ends_at}, step {step}");
-            } else if place.begun("req-2") == 2 {
-                went_on.get_or_insert(step);
+            cluster.step();
+            let first_step_open =
+                cluster.jobs.contains_key("req-1") || cluster.jobs.contains_key("req-3");
+            if first_step_open {
+                assert_eq!(
+                    cluster.started_count("req-2"),
+                    0,
+                    "failover at step {failover_at}, now step {step}"
+                );
+            } else if cluster.started_count("req-2") == 2 {
+                continued_at.get_or_insert(step);
             }
         }
-        assert!(count > 0);
-        // The last end comes with the report of step 18; machines must be heard anew.
-        let went_on = went_on.unwrap();
+        assert!(failovers > 0);
+        // The last completion of the first step arrives with the heartbeat of step 18; after
+        // a failover, the machines must first send new heartbeats.
+        let continued_at = continued_at.unwrap();
         assert!(
-            went_on <= 24,
-            "ends at {ends_at}: goes on at step {went_on}"
+            continued_at <= 24,
+            "failover at step {failover_at}: continued at step {continued_at}"
         );
         assert!(
-            place.started.values().all(|n| *n == 1),
+            cluster.started.values().all(|n| *n == 1),
             "{:?}",
-            place.started
+            cluster.started
+        );
+        assert!(cluster.jobs.is_empty());
+        let steps = cluster.run_record().steps;
+        assert!(
+            steps[0].finished_ms.is_some(),
+            "failover at step {failover_at}"
         );
-        assert!(place.jobs.is_empty());
-        let steps = place.recorded().steps;
-        assert!(steps[0].finished_ms.is_some(), "ends at {ends_at}");
         assert_eq!(steps[0].came, 2);
     }
 }
 
 #[test]
-fn a_successor_without_the_entry_keeps_the_recorded_steps() {
-    // Guards against a rolling restart in which a run loses its order half-way.
-    let mut place = Place::new();
-    place.steps(2.0);
-    place.submit("req-1", "scan");
-    place.submit("req-2", "print");
-    place.steps(3.0);
-    place.file.clear();
-    place.take_over();
-    place.submit("req-3", "scan");
-    place.steps(2.0);
-    assert_eq!((place.begun("req-2"), place.begun("req-3")), (0, 2));
-    place.end("req-1");
-    place.end("req-3");
-    place.steps(3.0);
-    assert_eq!(place.begun("req-2"), 2);
+fn a_new_leader_without_the_calendar_entry_keeps_the_recorded_steps() {
+    // Guards against a rolling restart that removes the entry from the settings and thereby
+    // the order of the steps of a run that has already started.
+    let mut cluster = Cluster::new();
+    cluster.run_for(2.0);
+    cluster.submit("req-1", "scan");
+    cluster.submit("req-2", "print");
+    cluster.run_for(3.0);
+    cluster.properties.clear();
+    cluster.fail_over();
+    cluster.submit("req-3", "scan");
+    cluster.run_for(2.0);
+    assert_eq!(
+        (
+            cluster.started_count("req-2"),
+            cluster.started_count("req-3")
+        ),
+        (0, 2)
+    );
+    cluster.complete_job("req-1");
+    cluster.complete_job("req-3");
+    cluster.run_for(3.0);
+    assert_eq!(cluster.started_count("req-2"), 2);
 }
 
 #[test]
-fn a_run_recorded_by_a_newer_build_or_with_nonsense_is_set_aside_and_the_leader_goes_on() {
-    // Guards against a recorded run that ends every leader, one after the other.
-    let mut place = Place::new();
-    place.steps(2.0);
-    place.submit("req-1", "scan");
-    let name = format!("calendar/dawn/{OPENS_MS}");
-    let good: PlanRecord = from_value(&place.plans[&name].0).unwrap();
-    let mut newer = good.clone();
+fn a_run_record_of_a_newer_version_or_with_invalid_content_is_ignored_and_the_leader_continues() {
+    // Guards against a recorded run that crashes every leader, one after the other.
+    let mut cluster = Cluster::new();
+    cluster.run_for(2.0);
+    cluster.submit("req-1", "scan");
+    let name = format!("calendar/dawn/{OPENING_MS}");
+    let valid: PlanRecord = from_value(&cluster.plans[&name].0).unwrap();
+    let mut newer = valid.clone();
     newer.version = 2;
-    let mut bad: Recorded = from_value(&good.plan).unwrap();
-    bad.steps.clear();
-    let empty = PlanRecord {
+    let mut without_steps: RunRecord = from_value(&valid.plan).unwrap();
+    without_steps.steps.clear();
+    let without_steps_record = PlanRecord {
         version: 1,
-        plan: to_value(&bad).unwrap(),
+        plan: to_value(&without_steps).unwrap(),
         is_tombstone: false,
     };
     for record in [
         to_value(&newer).unwrap(),
-        to_value(&empty).unwrap(),
+        to_value(&without_steps_record).unwrap(),
         "?".into(),
     ] {
-        place.plans.insert(name.clone(), (record.clone(), 77));
-        place.take_over();
+        cluster.plans.insert(name.clone(), (record.clone(), 77));
+        cluster.fail_over();
         assert_eq!(
-            place.engine.plans.store.names("calendar"),
+            cluster.engine.plans.store.names("calendar"),
             Vec::<String>::new()
         );
-        place.engine.tick(place.now);
-        assert_eq!(place.engine.job_count(), 1);
+        cluster.engine.tick(cluster.now);
+        assert_eq!(cluster.engine.job_count(), 1);
     }
 }
 
 #[test]
-fn a_cancelled_job_and_one_that_fails_everywhere_hold_no_step_back() {
-    // Guards against a run that one bad job stops until it is due.
-    let mut place = Place::new();
-    place.steps(2.0);
-    place.submit("req-1", "scan");
-    place.submit("req-2", "print");
-    place.submit("req-3", "scan");
-    place.steps(2.0);
-    place.jobs.remove("req-1");
-    place.engine.job_key_removed("req-1");
+fn a_cancelled_job_and_a_job_that_fails_on_every_machine_do_not_hold_back_the_next_step() {
+    // Guards against a run in which a single failing job blocks the later steps until the run
+    // is due.
+    let mut cluster = Cluster::new();
+    cluster.run_for(2.0);
+    cluster.submit("req-1", "scan");
+    cluster.submit("req-2", "print");
+    cluster.submit("req-3", "scan");
+    cluster.run_for(2.0);
+    cluster.jobs.remove("req-1");
+    cluster.engine.job_key_removed("req-1");
     let job: JobId = "req-3".into();
-    let failing = place.engine.jobs.get_mut(&job).unwrap();
+    let failing = cluster.engine.jobs.get_mut(&job).unwrap();
     (failing.suspected_faulty, failing.longest_failed_run_s) = (true, 1e6);
-    place.steps(58.0);
-    assert_eq!(place.begun("req-2"), 0);
-    place.steps(5.0);
-    assert_eq!(place.begun("req-2"), 2);
+    cluster.run_for(58.0);
+    assert_eq!(cluster.started_count("req-2"), 0);
+    cluster.run_for(5.0);
+    assert_eq!(cluster.started_count("req-2"), 2);
 }
--- a/crates/umbersail-control/src/engine/tests/cancellations.rs
+++ b/crates/umbersail-control/src/engine/tests/cancellations.rs
@@ -1,4 +1,5 @@
-//! Cancelled jobs: what their tasks' workers are told, and by whom.
+//! Cancelled jobs: which stop commands their workers receive, from the leader or through
+//! delegates.
 
 use super::*;
 
@@ -7,16 +8,16 @@
 }
 
 #[test]
-fn a_successors_first_answer_stops_what_is_over_since_it_renews_the_lease() {
-    // Guards against ran_cancelled: the old leader's last answer and a lease are almost
-    // over, the successor's first answer renews the lease, and the stop comes with the
-    // next report only.
+fn a_new_leaders_first_reply_stops_tasks_of_finished_jobs_because_it_renews_the_lease() {
+    // Guards against the fault ran_cancelled: the lease since the former leader's last reply
+    // has almost expired, the new leader's first reply renews the lease, and only the reply to
+    // the next heartbeat contains the stop command.
     let mut engine = engine_after_failover(vec![team(0.0, 0.0)], spec("req-1", 3, 2.0));
     accept(&mut engine, 0.0, spec("req-3", 1, 2.0));
     engine.job_key_removed("req-3");
-    let mut old = Worker::new("m1", "a");
-    old.token = first_token(50);
-    old.tasks = vec![task("req-1", 7), task("req-2", 8), task("req-3", 9)];
+    let mut worker = Worker::new("m1", "a");
+    worker.token = first_token(50);
+    worker.tasks = vec![task("req-1", 7), task("req-2", 8), task("req-3", 9)];
     let stopped = |commands: &[Command]| -> Vec<String> {
         let stops = commands.iter().map(|c| match c {
             Command::Stop { task, grace_s, .. } if *grace_s == 0.0 => task.clone(),
@@ -24,14 +25,19 @@
         });
         stops.collect()
     };
-    let first = old.send_heartbeat(&mut engine, 1.0);
-    assert_eq!(stopped(&first), ["req-2/0", "req-3/0"], "{first:?}");
-    assert_eq!(epoch(old.token), engine.revision());
+    let first_reply = worker.send_heartbeat(&mut engine, 1.0);
+    assert_eq!(
+        stopped(&first_reply),
+        ["req-2/0", "req-3/0"],
+        "{first_reply:?}"
+    );
+    assert_eq!(epoch(worker.token), engine.revision());
 }
 
 #[test]
-fn a_cancellation_ends_what_was_told_to_save() {
-    // Guards against a stop with time to save that stands when its job is cancelled.
+fn a_cancellation_stops_a_task_that_is_saving_a_checkpoint() {
+    // Guards against an earlier stop command with a grace period that stays in force after the
+    // job is cancelled.
     let mut job = spec("req-1", 1, 2.0);
     (job.checkpoint_s, job.save_s) = (Some(5.0), Some(30.0));
     let mut engine = new_engine(vec![team(0.0, 0.0)]);
@@ -45,26 +51,27 @@
         grace_s: 30.0,
         required_eviction_count: 0,
     });
-    let told = worker.heartbeat();
-    let told = receive_and_reply(&mut engine, 4.0, &told, true).unwrap();
+    let heartbeat = worker.heartbeat();
+    let commands = receive_and_reply(&mut engine, 4.0, &heartbeat, true).unwrap();
     assert!(
-        matches!(told[..], [Command::Stop { grace_s: 30.0, .. }]),
-        "{told:?}"
+        matches!(commands[..], [Command::Stop { grace_s: 30.0, .. }]),
+        "{commands:?}"
     );
     worker.tasks[0].state = TaskState::Saving;
     assert!(worker.send_heartbeat(&mut engine, 5.0).is_empty());
     engine.job_key_removed("req-1");
-    let told = worker.send_heartbeat(&mut engine, 6.0);
+    let commands = worker.send_heartbeat(&mut engine, 6.0);
     assert!(
-        matches!(told[..], [Command::Stop { grace_s: 0.0, .. }]),
-        "{told:?}"
+        matches!(commands[..], [Command::Stop { grace_s: 0.0, .. }]),
+        "{commands:?}"
     );
 }
 
 #[test]
-fn peers_are_told_what_to_stop_for_as_long_as_it_may_be_about() {
-    // Guards against a worker that peers keep, and with it the tasks of a job that was
-    // cancelled: they answer without the leader, who alone knows of it.
+fn delegates_are_told_of_a_finished_job_as_long_as_its_tasks_may_still_run() {
+    // Guards against tasks of a cancelled job that live on because peers renew their worker's
+    // lease: the peers reply in place of the leader, and only the leader knows of the
+    // cancellation.
     let mut engine = new_engine(vec![team(0.0, 0.0)]);
     let mut worker = ready_worker(&mut engine, "m1", "a");
     accept(&mut engine, 1.0, spec("req-1", 1, 2.0));
@@ -78,36 +85,36 @@
     assert_eq!(
         engine.finished_jobs().unwrap(),
         ["req-1"],
-        "told, and not seen to obey"
+        "the stop was sent, but no heartbeat has shown its effect"
     );
     worker.send_heartbeat(&mut engine, 5.0);
     assert_eq!(engine.finished_jobs().unwrap(), Vec::<String>::new());
 }
 
 #[test]
-fn nothing_is_delegated_while_starts_without_a_record_are_not_known() {
-    // Guards against a task that no record tells of, of a job that was cancelled before
-    // the election: neither we nor a peer would know what to stop.
-    let mut left = inherited_state_of(spec("req-1", 3, 2.0));
-    left.predecessor_degraded = true;
+fn no_renewals_are_delegated_while_tasks_may_run_that_were_started_without_a_record() {
+    // Guards against a task without a record whose job was cancelled before the election:
+    // neither the new leader nor a peer would know that this task must stop.
+    let mut inherited_state = inherited_state_of(spec("req-1", 3, 2.0));
+    inherited_state.predecessor_degraded = true;
     let mut engine = Engine::new(
         config(vec![team(0.0, 0.0)], Tuning::default()),
         0.0,
         0,
-        left,
+        inherited_state,
     );
     assert_eq!(engine.finished_jobs(), None);
-    let mut old = Worker::new("m1", "a");
-    old.send_heartbeat(&mut engine, 1.0);
-    old.send_heartbeat(&mut engine, 2.0);
+    let mut worker = Worker::new("m1", "a");
+    worker.send_heartbeat(&mut engine, 1.0);
+    worker.send_heartbeat(&mut engine, 2.0);
     commit(&mut engine, 3.0);
     assert!(engine.finished_jobs().is_some());
 }
 
 #[test]
-fn a_cancellation_against_a_launch_in_flight_ends_in_a_stop() {
-    // Guards against ran_cancelled: the launch may arrive after the
-    // cancellation was told.
+fn a_task_whose_launch_was_in_flight_during_the_cancellation_is_stopped() {
+    // Guards against the fault ran_cancelled: the launch command may arrive after the
+    // cancellation was acknowledged.
     let mut engine = new_engine(vec![team(0.0, 0.0)]);
     let mut worker = ready_worker(&mut engine, "m1", "a");
     accept(&mut engine, 1.0, spec("req-1", 2, 8.0));
@@ -116,18 +123,22 @@
     let in_flight = receive_and_reply(&mut engine, 2.0, &heartbeat, true).unwrap();
     assert_eq!(started_tasks(&in_flight).len(), 1);
     engine.job_key_removed("req-1");
-    assert_eq!(engine.job_count(), 1, "one task may be there");
+    assert_eq!(engine.job_count(), 1, "one task may be on the worker");
     worker.apply_commands(first_token(TOKEN), &in_flight);
     assert_eq!(stop_count(&worker.send_heartbeat(&mut engine, 3.0)), 1);
     worker.send_heartbeat(&mut engine, 4.0);
     assert_eq!(engine.job_count(), 0);
-    assert!(worker.tasks.is_empty(), "reaped: {:?}", worker.tasks);
+    assert!(
+        worker.tasks.is_empty(),
+        "tasks left on the worker: {:?}",
+        worker.tasks
+    );
 }
 
 #[test]
-fn tasks_of_jobs_that_are_over_are_stopped_and_keep_their_machine_closed() {
-    // Guards against ran_cancelled and quota after a take-over: the new
-    // leader never heard of a job that was cancelled before.
+fn tasks_of_finished_jobs_are_stopped_and_their_machine_takes_no_other_task_until_then() {
+    // Guards against the faults ran_cancelled and quota after a failover: the new leader has no
+    // record of a job that was cancelled before its election.
     let mut engine = new_engine(vec![team(0.0, 0.0)]);
     let mut worker = ready_worker(&mut engine, "m1", "a");
     worker.tasks.push(TaskReport {
@@ -139,8 +150,8 @@
     });
     accept(&mut engine, 1.0, spec("req-1", 1, 1.0));
     commit(&mut engine, 1.0);
-    let told = worker.send_heartbeat(&mut engine, 1.5);
-    assert_eq!(stop_count(&told), 1);
+    let commands = worker.send_heartbeat(&mut engine, 1.5);
+    assert_eq!(stop_count(&commands), 1);
     assert!(engine.machines["m1"].has_orphaned_tasks);
     worker.send_heartbeat(&mut engine, 2.0);
     assert!(!engine.machines["m1"].has_orphaned_tasks);
--- a/crates/umbersail-control/src/engine/tests/evictions.rs
+++ b/crates/umbersail-control/src/engine/tests/evictions.rs
@@ -1,9 +1,11 @@
-//! Evictions: when they are recorded, told and spared.
+//! Evictions: when they are recorded, when stop commands are sent, and which tasks may not be
+//! evicted.
 
 use super::*;
 
-/// One machine, full of a low job, and a high one that can't wait for a boot.
-fn full_of_low() -> (Engine, Worker, JobSpec) {
+/// One machine that a low-priority job fills, and a high-priority job that cannot start in
+/// time on a newly booted machine.
+fn machine_full_of_low_priority() -> (Engine, Worker, JobSpec) {
     let mut engine = new_engine(vec![team(0.0, 0.0)]);
     let mut worker = ready_worker(&mut engine, "m1", "a");
     let mut low = spec("req-1", 1, 8.0);
@@ -20,9 +22,9 @@
 }
 
 #[test]
-fn an_eviction_is_recorded_before_the_stop_goes_out() {
-    // One state record per eviction; a successor must know of it.
-    let (mut engine, mut worker, high) = full_of_low();
+fn an_eviction_is_recorded_before_the_stop_command_is_sent() {
+    // Each eviction is recorded in the state service, because a new leader must know of it.
+    let (mut engine, mut worker, high) = machine_full_of_low_priority();
     accept(&mut engine, 4.0, high);
     assert_eq!(
         stop_count(&worker.send_heartbeat(&mut engine, 4.0)),
@@ -43,10 +45,10 @@
 }
 
 #[test]
-fn an_evicted_task_that_nobody_was_told_of_waits_again_and_its_place_is_the_winners() {
-    // Guards against a task that no worker could ever be told to stop, whose place
-    // stayed taken until the next leader; and against a guest's next task in the
-    // room of the first one stopped, for which the winner evicted again.
+fn an_evicted_task_whose_launch_was_never_sent_waits_again_and_frees_its_slot_for_the_preemptor() {
+    // Guards against two faults. A task whose launch was never sent could not be stopped by
+    // any worker, and its slot stayed occupied until the next leader. A further low-priority
+    // task took the room of the first evicted task, so that the preemptor evicted again.
     let mut engine = new_engine(vec![team(0.0, 0.0)]);
     let mut worker = ready_worker(&mut engine, "m1", "a");
     let low = |id: &str, cpus| JobSpec {
@@ -59,7 +61,8 @@
     commit(&mut engine, 1.0);
     worker.send_heartbeat(&mut engine, 2.0);
     worker.send_heartbeat(&mut engine, 3.0);
-    // One of two is done; the third is planned and not yet told.
+    // One of the two running tasks is complete; the third task is placed, but its launch has
+    // not been sent yet.
     worker.exit("req-1/0", None, ExitCause::Done);
     assert_eq!(
         started_tasks(&worker.send_heartbeat(&mut engine, 4.0)),
@@ -73,23 +76,23 @@
     accept(&mut engine, 4.0, high);
     assert!(
         !engine.jobs["req-1"].placements.contains_key(&2),
-        "it waits again"
+        "the task waits again"
     );
     assert_eq!(
         engine.jobs["req-1"].evictions, 1,
-        "only one task loses anything"
+        "only the running task counts as evicted"
     );
     engine.schedule(4.1);
     assert!(
         !engine.jobs["req-1"].placements.contains_key(&2),
-        "nothing moves in"
+        "no low-priority task takes the freed room"
     );
     commit(&mut engine, 4.5);
     assert_eq!(stop_count(&worker.send_heartbeat(&mut engine, 5.0)), 1);
     engine.schedule(7.0);
     assert_eq!(
         engine.jobs["req-1"].evictions, 1,
-        "none while one is saving"
+        "no further eviction while a task is saving"
     );
     worker.exit("req-1/1", None, ExitCause::Stopped);
     worker.send_heartbeat(&mut engine, 8.5);
@@ -101,9 +104,10 @@
 }
 
 #[test]
-fn a_job_that_fails_everywhere_may_not_evict_and_a_loser_is_spared_in_time() {
-    // The design's two known weaknesses.
-    let (mut engine, _worker, high) = full_of_low();
+fn a_job_that_fails_on_every_machine_may_not_evict_and_a_job_is_not_evicted_without_limit() {
+    // Guards against two known weaknesses of the design: a failing job that evicts others
+    // again and again, and a job that is evicted again and again.
+    let (mut engine, _worker, high) = machine_full_of_low_priority();
     engine.job_accepted(4.0, 4000, job_record(high), 71);
     engine.jobs.get_mut("req-2").unwrap().errors = 5;
     engine.schedule(4.0);
--- a/crates/umbersail-control/src/engine/tests/faults.rs
+++ b/crates/umbersail-control/src/engine/tests/faults.rs
@@ -407,7 +407,7 @@
 }
 
 fn name(node: usize) -> String {
-    format!("controller-{node}")
+    format!("bothy-{node}")
 }
 
 impl Night {
--- a/crates/umbersail-control/src/engine/tests/fixtures.rs
+++ b/crates/umbersail-control/src/engine/tests/fixtures.rs
@@ -1,9 +1,11 @@
-//! What the tests of the engine share: a configuration, jobs, scripted workers and
-//! state services, and what a successor finds.
+//! Fixtures shared by the engine tests: a configuration, jobs, simulated workers, a simulated
+//! state service, and the state that a new leader inherits.
 
 use super::*;
 
+/// Revision of the leader record under which the engine under test was elected.
 pub(super) const TOKEN: u64 = 100;
+/// Length of a worker's lease.
 pub(super) const LEASE_S: f64 = 10.0;
 
 pub(super) const LEADER: &str = crate::records::LEADER_KEY;
@@ -83,7 +85,8 @@
     }
 }
 
-/// A worker as the protocol describes it, driven by hand.
+/// A simulated worker that follows the worker protocol. The test decides when it sends a
+/// heartbeat and when its tasks exit.
 pub(super) struct Worker {
     pub(super) name: String,
     pub(super) zone: String,
@@ -105,6 +108,7 @@
         }
     }
 
+    /// The worker's next heartbeat, with a new sequence number.
     pub(super) fn heartbeat(&mut self) -> Heartbeat {
         self.seq += 1;
         Heartbeat {
@@ -121,6 +125,8 @@
         }
     }
 
+    /// Adopts the token of a reply if it is higher than the worker's own, and carries out the
+    /// commands. A stopped task exits at once.
     pub(super) fn apply_commands(&mut self, token: u64, commands: &[Command]) {
         self.token = self.token.max(token);
         for command in commands {
@@ -142,6 +148,7 @@
         }
     }
 
+    /// Marks a task as exited: the given attempt, or every attempt if none is given.
     pub(super) fn exit(&mut self, task: &str, attempt: Option<u64>, cause: ExitCause) {
         for t in &mut self.tasks {
             if t.task == task && attempt.is_none_or(|a| a == t.attempt) {
@@ -151,7 +158,7 @@
         }
     }
 
-    /// Reports and obeys; returns what it was told.
+    /// Sends a heartbeat and carries out the commands of the reply; returns these commands.
     pub(super) fn send_heartbeat(&mut self, engine: &mut Engine, now: Time) -> Vec<Command> {
         let heartbeat = self.heartbeat();
         let commands = receive_and_reply(engine, now, &heartbeat, true).unwrap_or_default();
@@ -160,7 +167,8 @@
     }
 }
 
-/// A report and the reply to it, as the front door makes them.
+/// Passes a heartbeat to the engine and returns the commands of its reply, as the HTTP front
+/// end does. `None`: the engine rejected the heartbeat and sends no reply.
 pub(super) fn receive_and_reply(
     engine: &mut Engine,
     now: Time,
@@ -172,6 +180,7 @@
         .then(|| engine.reply(now, heartbeat, may_start))
 }
 
+/// Names of the tasks that the commands start.
 pub(super) fn started_tasks(commands: &[Command]) -> Vec<String> {
     commands
         .iter()
@@ -182,6 +191,7 @@
         .collect()
 }
 
+/// Number of stop commands.
 pub(super) fn stop_count(commands: &[Command]) -> usize {
     commands
         .iter()
@@ -189,6 +199,7 @@
         .count()
 }
 
+/// The state that the first leader of a new cluster finds: no jobs and no machines.
 pub(super) fn empty_inherited_state() -> InheritedState {
     InheritedState {
         revision: TOKEN,
@@ -203,6 +214,7 @@
     }
 }
 
+/// The first leader of a new cluster.
 pub(super) fn new_engine(teams: Vec<TeamLimits>) -> Engine {
     Engine::new(
         config(teams, Tuning::default()),
@@ -212,13 +224,14 @@
     )
 }
 
-/// What a leader finds whose predecessor started tasks 0 and 1 of a job of
-/// three on machine m1, and may have started more there.
+/// A new leader after a failover, with the state of `inherited_state_of`.
 pub(super) fn engine_after_failover(teams: Vec<TeamLimits>, job: JobSpec) -> Engine {
     let config = config(teams, Tuning::default());
     Engine::new(config, 0.0, 0, inherited_state_of(job))
 }
 
+/// The state that a new leader finds after its predecessor has started tasks 0 and 1 of the
+/// job on machine m1.
 pub(super) fn inherited_state_of(job: JobSpec) -> InheritedState {
     let run = JobProgressRecord {
         high_water: 2,
@@ -248,7 +261,8 @@
     }
 }
 
-/// Writes all that is due, as a state service that answers would.
+/// Runs a scheduling cycle and applies every transaction that is due, as a state service that
+/// answers at once does. Returns the applied changes.
 pub(super) fn commit(engine: &mut Engine, now: Time) -> Vec<Change<Record>> {
     let mut all = Vec::new();
     let mut revision = 1000 + (now * 100.0) as u64;
@@ -261,7 +275,7 @@
     all
 }
 
-/// A worker that is up, fenced and in the grant.
+/// A worker that has shown the leader's token and whose machine is in the recorded grant.
 pub(super) fn ready_worker(engine: &mut Engine, name: &str, zone: &str) -> Worker {
     let mut worker = Worker::new(name, zone);
     worker.send_heartbeat(engine, 0.0);
@@ -270,6 +284,7 @@
     worker
 }
 
+/// The entry of a running task in a heartbeat.
 pub(super) fn running_task(task: &str, attempt: u64) -> TaskReport {
     TaskReport {
         task: task.into(),
@@ -280,8 +295,8 @@
     }
 }
 
-/// A machine as the cloud lists it.
-pub(super) fn listed(id: &str) -> ListedMachine {
+/// The entry of a running machine in the cloud's machine list.
+pub(super) fn listed_machine(id: &str) -> ListedMachine {
     ListedMachine {
         id: id.into(),
         addr: None,
@@ -293,6 +308,7 @@
     }
 }
 
+/// Accepts a job and runs a scheduling cycle.
 pub(super) fn accept(engine: &mut Engine, now: Time, spec: JobSpec) {
     engine.job_accepted(now, (now * 1000.0) as u64, job_record(spec), 70);
     engine.schedule(now);
--- a/crates/umbersail-control/src/engine/tests/machines.rs
+++ b/crates/umbersail-control/src/engine/tests/machines.rs
@@ -8,7 +8,7 @@
     engine.machines_deleted(&["m1".into()]);
     assert_eq!(engine.jobs["req-1"].pending(), 3);
     let mut engine = engine_after_failover(vec![team(0.0, 0.0)], spec("req-1", 3, 2.0));
-    let mut listed = listed("m1");
+    let mut listed = listed_machine("m1");
     engine.apply_machine_list(1.0, std::slice::from_ref(&listed));
     engine.apply_machine_list(1.0, &[]);
     assert_eq!(engine.jobs["req-1"].pending(), 1, "absence is not proof");
@@ -46,7 +46,7 @@
     // Guards against counting, and deleting again, what is gone: the list
     // lags by seconds.
     let mut engine = new_engine(vec![team(0.0, 0.0)]);
-    let listed = listed("m1");
+    let listed = listed_machine("m1");
     engine.apply_machine_list(1.0, std::slice::from_ref(&listed));
     engine.machines_deleted(&["m1".into()]);
     engine.apply_machine_list(6.0, std::slice::from_ref(&listed));
@@ -83,11 +83,11 @@
         actions.iter().any(deletes)
     };
     // An older list proves nothing, nor does one that shows it.
-    engine.apply_machine_list(1.0, &[listed("m0")]);
+    engine.apply_machine_list(1.0, &[listed_machine("m0")]);
     assert!(!deletes(&mut engine, 1.0));
-    engine.apply_machine_list(2.0, &[listed("m1"), listed("m2")]);
+    engine.apply_machine_list(2.0, &[listed_machine("m1"), listed_machine("m2")]);
     assert!(!deletes(&mut engine, 2.0));
-    engine.apply_machine_list(3.0, &[listed("m2")]);
+    engine.apply_machine_list(3.0, &[listed_machine("m2")]);
     assert!(deletes(&mut engine, 3.0));
     assert_eq!(
         engine.jobs["req-1"].recovery_pending.len(),
