--- a/crates/umbersail-control/src/engine/tests/heartbeats.rs
+++ b/crates/umbersail-control/src/engine/tests/heartbeats.rs
@@ -1,27 +1,29 @@
-//! Reports that come a second time, late, and machines that hear nothing.
+//! Heartbeats that arrive twice or late, and machines that receive no replies.
 
 use super::*;
 
-/// A report that is answered, and what is answered goes nowhere.
-fn unheard(worker: &mut Worker, engine: &mut Engine, now: Time) -> Vec<String> {
+/// The worker sends a heartbeat, but the reply is lost. Returns the tasks that the lost reply
+/// starts.
+fn heartbeat_with_lost_reply(worker: &mut Worker, engine: &mut Engine, now: Time) -> Vec<String> {
     let heartbeat = worker.heartbeat();
     if !engine.receive_heartbeat(now, &heartbeat) {
         return vec![];
     }
-    // The reply waits for what the cycle that this report wakes places.
+    // The reply is sent after the scheduling cycle that this heartbeat triggers.
     commit(engine, now);
     started_tasks(&engine.reply(now, &heartbeat, true))
 }
 
-fn rents(engine: &mut Engine, now: Time) -> bool {
+fn rents_machines(engine: &mut Engine, now: Time) -> bool {
     let actions = engine.cloud_actions(now);
     actions.iter().any(|a| matches!(a, CloudAction::Rent(_)))
 }
 
 #[test]
-fn a_late_copy_from_a_machine_that_is_gone_brings_no_ghost() {
-    // Guards against a ghost that is given tasks until it is silent, or counts
-    // as room: whether the copy shows our token or is from before that.
+fn a_late_copy_of_a_heartbeat_does_not_bring_back_a_deleted_machine() {
+    // Guards against a deleted machine that is given tasks until it counts as silent, or that
+    // counts as free room. The copy may show the leader's token or date from before the
+    // machine received that token.
     let mut engine = new_engine(vec![team(0.0, 0.0)]);
     let mut worker = Worker::new("m1", "a");
     let first = worker.heartbeat();
@@ -36,32 +38,41 @@
         assert_eq!(
             receive_and_reply(&mut engine, at, copy, true),
             None,
-            "answered"
+            "the old heartbeat got a reply"
         );
         engine.receive_command_response(at, copy);
         commit(&mut engine, at);
     }
     assert_eq!(engine.machine_count(), 0);
-    assert!(rents(&mut engine, 31.2), "counted as room");
+    assert!(
+        rents_machines(&mut engine, 31.2),
+        "the deleted machine counts as room"
+    );
 }
 
-/// Lives through rounds of a worker that hears nothing: it waits 4 s for an
-/// answer and one more, and its lease runs out. How many launches it was told.
-fn rounds_unheard(worker: &mut Worker, engine: &mut Engine, from: Time, rounds: u32) -> usize {
-    let mut told = 0;
+/// Simulates a worker that receives no replies: in each round, it waits 4 s for a reply and one
+/// second more. Every second round its lease expires and a new session begins. Returns the
+/// number of launches in the lost replies.
+fn rounds_with_lost_replies(
+    worker: &mut Worker,
+    engine: &mut Engine,
+    from: Time,
+    rounds: u32,
+) -> usize {
+    let mut started = 0;
     for round in 0..rounds {
         let now = from + 5.0 * f64::from(round);
         worker.session += u64::from(round % 2 == 1);
         engine.tick(now);
-        told += unheard(worker, engine, now).len();
+        started += heartbeat_with_lost_reply(worker, engine, now).len();
     }
-    told
+    started
 }
 
 #[test]
-fn a_machine_that_hears_nothing_draws_no_more_launches_after_two_signs() {
-    // Guards against work that goes again and again where it never begins, and
-    // against a machine that is kept, and counted on, for nothing.
+fn an_unreachable_machine_gets_no_more_launches_after_two_missed_replies() {
+    // Guards against tasks that are launched again and again on a machine where they never
+    // start, and against a useless machine that is kept and counted as capacity.
     let mut engine = new_engine(vec![team(0.0, 0.0)]);
     let mut unreachable = ready_worker(&mut engine, "m1", "a");
     let mut other = ready_worker(&mut engine, "m2", "a");
@@ -71,10 +82,13 @@
         started_tasks(&other.send_heartbeat(&mut engine, 1.5)).len(),
         1
     );
-    let told = rounds_unheard(&mut unreachable, &mut engine, 2.0, 4);
-    assert!((1..=2).contains(&told), "{told} launches");
-    assert!(rents(&mut engine, 18.0), "counted as room");
-    // Elsewhere its task goes on.
+    let started = rounds_with_lost_replies(&mut unreachable, &mut engine, 2.0, 4);
+    assert!((1..=2).contains(&started), "{started} launches");
+    assert!(
+        rents_machines(&mut engine, 18.0),
+        "the unreachable machine counts as room"
+    );
+    // Once m2 has room, the task of the unreachable machine starts there.
     other.send_heartbeat(&mut engine, 18.0);
     let [task] = &mut other.tasks[..] else {
         panic!("one task runs")
@@ -87,24 +101,27 @@
         1
     );
 
-    assert_eq!(rounds_unheard(&mut unreachable, &mut engine, 22.0, 8), 0);
+    assert_eq!(
+        rounds_with_lost_replies(&mut unreachable, &mut engine, 22.0, 8),
+        0
+    );
     other.send_heartbeat(&mut engine, 60.0);
     let deletes = CloudAction::Delete(vec!["m1".into()]);
     assert!(engine.cloud_actions(60.0).contains(&deletes));
 }
 
 #[test]
-fn a_machine_that_hears_again_is_in_use_within_two_reports() {
-    // Guards against a machine that is lost for good by a cut.
+fn a_machine_that_receives_replies_again_takes_tasks_within_two_heartbeats() {
+    // Guards against a machine that stays unused forever after a network partition.
     let mut engine = new_engine(vec![team(0.0, 0.0)]);
     let mut worker = ready_worker(&mut engine, "m1", "a");
     accept(&mut engine, 1.0, spec("req-1", 1, 8.0));
-    rounds_unheard(&mut worker, &mut engine, 2.0, 5);
-    let mut reports = 0;
+    rounds_with_lost_replies(&mut worker, &mut engine, 2.0, 5);
+    let mut heartbeats = 0;
     while worker.tasks.is_empty() {
-        reports += 1;
-        assert!(reports <= 2, "still out of use");
-        let now = 27.0 + f64::from(reports);
+        heartbeats += 1;
+        assert!(heartbeats <= 2, "the machine takes no tasks yet");
+        let now = 27.0 + f64::from(heartbeats);
         let heartbeat = worker.heartbeat();
         assert!(engine.receive_heartbeat(now, &heartbeat));
         commit(&mut engine, now);
@@ -115,54 +132,68 @@
 
 #[test]
 fn replies_lost_far_apart_or_in_one_burst_make_no_machine_unreachable() {
-    // Guards against a sound machine taken out of use: for one lost reply, for
-    // two that have nothing to do with each other, and after a freeze of ours,
-    // whose queue is answered at once and to nobody.
+    // Guards against a healthy machine that gets no tasks because of one lost reply, of two
+    // unrelated lost replies, or of a pause of the leader process, after which the leader
+    // replies to all queued heartbeats at once and no worker waits for these replies any more.
     let mut engine = new_engine(vec![team(0.0, 0.0)]);
     let mut worker = ready_worker(&mut engine, "m1", "a");
     accept(&mut engine, 1.0, spec("req-1", 1, 8.0));
     for burst in 0..4 {
-        unheard(&mut worker, &mut engine, 2.0 + 0.01 * f64::from(burst));
+        heartbeat_with_lost_reply(&mut worker, &mut engine, 2.0 + 0.01 * f64::from(burst));
     }
-    assert_eq!(unheard(&mut worker, &mut engine, 8.0).len(), 1, "in use");
+    assert_eq!(
+        heartbeat_with_lost_reply(&mut worker, &mut engine, 8.0).len(),
+        1,
+        "the machine takes tasks"
+    );
 
     let mut engine = new_engine(vec![team(0.0, 0.0)]);
     let mut worker = ready_worker(&mut engine, "m1", "a");
     for at in [2.0, 102.0] {
         accept(&mut engine, at, spec(&format!("req-{at}"), 1, 8.0));
-        assert_eq!(unheard(&mut worker, &mut engine, at).len(), 1);
+        assert_eq!(
+            heartbeat_with_lost_reply(&mut worker, &mut engine, at).len(),
+            1
+        );
         let heartbeat = worker.heartbeat();
         engine.receive_heartbeat(at + 5.0, &heartbeat);
         engine.job_key_removed(&format!("req-{at}"));
     }
     accept(&mut engine, 108.0, spec("req-last", 1, 8.0));
-    assert_eq!(unheard(&mut worker, &mut engine, 109.0).len(), 1, "in use");
+    assert_eq!(
+        heartbeat_with_lost_reply(&mut worker, &mut engine, 109.0).len(),
+        1,
+        "the machine takes tasks"
+    );
 }
 
 #[test]
-fn a_machine_rented_unknown_to_us_is_in_use_with_its_second_report() {
-    // Guards against too much care with unknown machines.
+fn a_machine_unknown_to_the_leader_takes_tasks_from_its_second_heartbeat_on() {
+    // Guards against excessive caution with unknown machines.
     let mut engine = new_engine(vec![team(0.0, 0.0)]);
     accept(&mut engine, 1.0, spec("req-1", 1, 8.0));
     let mut worker = Worker::new("m7", "a");
     worker.send_heartbeat(&mut engine, 2.0);
-    assert!(rents(&mut engine, 2.1), "it may be a copy");
+    assert!(
+        rents_machines(&mut engine, 2.1),
+        "the heartbeat may be a late copy"
+    );
     let heartbeat = worker.heartbeat();
     assert!(engine.receive_heartbeat(2.5, &heartbeat));
     commit(&mut engine, 2.5);
     assert_eq!(started_tasks(&engine.reply(2.6, &heartbeat, true)).len(), 1);
 
-    // One that a former holder deleted is never heard of again, and goes back.
-    let mut ghost = Worker::new("m1", "a");
-    ghost.token = first_token(TOKEN - 10);
-    unheard(&mut ghost, &mut engine, 3.0);
+    // A machine that a former leader deleted sends no further heartbeat, and is deleted again.
+    let mut deleted = Worker::new("m1", "a");
+    deleted.token = first_token(TOKEN - 10);
+    heartbeat_with_lost_reply(&mut deleted, &mut engine, 3.0);
     worker.send_heartbeat(&mut engine, 24.0);
     let deletes = CloudAction::Delete(vec!["m1".into()]);
     assert!(engine.cloud_actions(24.0).contains(&deletes));
 }
 
-/// The task's only entry in a report.
-fn entry(task: &str, attempt: u64, cause: Option<ExitCause>) -> TaskReport {
+/// The entry of a task in a heartbeat: exited with the given cause, or running without one.
+fn exited_or_running(task: &str, attempt: u64, cause: Option<ExitCause>) -> TaskReport {
     TaskReport {
         state: cause.map_or(TaskState::Running, |_| TaskState::Exited),
         cause,
@@ -170,8 +201,8 @@
     }
 }
 
-/// A job of one task that runs on m1 at 2 s, and its attempt there.
-fn one_that_runs(engine: &mut Engine, worker: &mut Worker) -> u64 {
+/// Starts the single task of a job on m1, where it runs at 2 s. Returns its attempt number.
+fn start_one_task(engine: &mut Engine, worker: &mut Worker) -> u64 {
     accept(engine, 1.0, spec("req-1", 1, 2.0));
     commit(engine, 1.0);
     assert_eq!(
@@ -183,10 +214,11 @@
 }
 
 #[test]
-fn an_old_report_of_an_end_does_not_end_what_runs_in_the_newer_one() {
-    // Guards against a second start beside a task that runs again where its earlier
-    // attempt ended, and against one that is stopped for it: whether the old report
-    // is of an earlier count or of an earlier session with a higher one.
+fn an_old_heartbeat_with_an_exited_attempt_does_not_end_the_newer_attempt() {
+    // Guards against two faults after a task was restarted on the machine where its earlier
+    // attempt exited: a further attempt is started beside the running one, or the running one
+    // is stopped. The old heartbeat has a lower sequence number, or a higher one of an earlier
+    // session.
     for earlier_session in [false, true] {
         let mut engine = new_engine(vec![team(0.0, 0.0)]);
         let mut other = ready_worker(&mut engine, "m2", "a");
@@ -199,25 +231,33 @@
         other.send_heartbeat(&mut engine, 1.0);
         // Only m1 has room for more.
         let mut worker = ready_worker(&mut engine, "m1", "a");
-        let first = one_that_runs(&mut engine, &mut worker);
+        let first = start_one_task(&mut engine, &mut worker);
         worker.exit("req-1/0", None, ExitCause::Stopped);
-        let mut old = worker.heartbeat();
-        assert!(receive_and_reply(&mut engine, 3.0, &old, true).is_some());
+        let mut old_heartbeat = worker.heartbeat();
+        assert!(receive_and_reply(&mut engine, 3.0, &old_heartbeat, true).is_some());
         worker.tasks.clear();
         if earlier_session {
-            (worker.session, worker.seq, old.seq) = (2, worker.seq, old.seq + 100);
+            (worker.session, worker.seq, old_heartbeat.seq) =
+                (2, worker.seq, old_heartbeat.seq + 100);
         }
         commit(&mut engine, 3.1);
-        let mut told = started_tasks(&worker.send_heartbeat(&mut engine, 3.5));
+        let mut started = started_tasks(&worker.send_heartbeat(&mut engine, 3.5));
         commit(&mut engine, 3.6);
-        told.extend(started_tasks(&worker.send_heartbeat(&mut engine, 4.0)));
-        assert_eq!(told, ["req-1/0"], "again on the same machine");
+        started.extend(started_tasks(&worker.send_heartbeat(&mut engine, 4.0)));
+        assert_eq!(
+            started,
+            ["req-1/0"],
+            "the task restarts on the same machine"
+        );
         worker.send_heartbeat(&mut engine, 4.5);
         let second = worker.tasks[0].attempt;
         assert!(second > first);
 
-        assert_eq!(receive_and_reply(&mut engine, 5.0, &old, true), None);
-        engine.receive_command_response(5.0, &old);
+        assert_eq!(
+            receive_and_reply(&mut engine, 5.0, &old_heartbeat, true),
+            None
+        );
+        engine.receive_command_response(5.0, &old_heartbeat);
         engine.tick(5.1);
         commit(&mut engine, 5.1);
         assert!(started_tasks(&other.send_heartbeat(&mut engine, 5.5)).is_empty());
@@ -227,14 +267,14 @@
 }
 
 #[test]
-fn an_old_report_does_not_bring_back_what_has_ended_in_the_newer_one() {
-    // Guards against a task that counts as present, or is taken up under its earlier
-    // attempt, where the newer report shows that it is gone.
+fn an_old_heartbeat_does_not_bring_back_an_attempt_that_a_newer_heartbeat_no_longer_lists() {
+    // Guards against a task that counts as running on a machine, or is adopted under its
+    // earlier attempt number, although a newer heartbeat shows that the attempt is gone.
     let mut engine = new_engine(vec![team(0.0, 0.0)]);
     let mut worker = ready_worker(&mut engine, "m1", "a");
-    let first = one_that_runs(&mut engine, &mut worker);
-    let old = worker.heartbeat();
-    // Its session ends: it has lost the task, which starts on another machine.
+    let first = start_one_task(&mut engine, &mut worker);
+    let old_heartbeat = worker.heartbeat();
+    // The session of m1 ends: the task is lost there and starts on another machine.
     (worker.session, worker.tasks) = (2, vec![]);
     worker.send_heartbeat(&mut engine, 3.0);
     worker.tasks = vec![running_task("req-fill/0", 1)];
@@ -250,56 +290,60 @@
     assert!(second > first);
 
     assert_eq!(
-        receive_and_reply(&mut engine, 5.0, &old, true),
+        receive_and_reply(&mut engine, 5.0, &old_heartbeat, true),
         None,
-        "answered"
+        "the old heartbeat got a reply"
     );
-    engine.receive_command_response(5.0, &old);
+    engine.receive_command_response(5.0, &old_heartbeat);
     commit(&mut engine, 5.1);
-    // The second attempt goes on, and its end is the job's.
+    // The second attempt continues, and its completion completes the job.
     assert_eq!(other.send_heartbeat(&mut engine, 5.5), vec![]);
     other.exit("req-1/0", None, ExitCause::Done);
     other.send_heartbeat(&mut engine, 6.0);
     commit(&mut engine, 6.1);
     assert!(
         engine.job_progress("req-1").is_none_or(|c| c.1 == 0),
-        "counts as active"
+        "a task still counts as active"
     );
 }
 
 #[test]
-fn a_successor_settles_nothing_on_an_old_report_in_its_first_second() {
-    // Guards against a second start of what runs on m1: the old report comes before
-    // any other and shows the earlier holder's token, an earlier attempt that ended,
-    // or nothing yet of what the earlier holder started since.
-    for tasks in [vec![], vec![entry("req-1/0", 4, Some(ExitCause::Stopped))]] {
+fn a_new_leader_concludes_nothing_from_an_old_heartbeat_in_its_first_second() {
+    // Guards against a second attempt of a task that runs on m1. The old heartbeat arrives
+    // before all others. It shows the former leader's token and either an earlier attempt that
+    // has exited or none of the tasks that the former leader started since.
+    for tasks in [
+        vec![],
+        vec![exited_or_running("req-1/0", 4, Some(ExitCause::Stopped))],
+    ] {
         let mut engine = engine_after_failover(vec![team(0.0, 0.0)], spec("req-1", 2, 2.0));
         let mut other = ready_worker(&mut engine, "m2", "a");
         let mut worker = Worker::new("m1", "a");
         worker.token = first_token(TOKEN - 10);
         worker.tasks = tasks;
-        let old = worker.heartbeat();
+        let old_heartbeat = worker.heartbeat();
         worker.tasks = vec![running_task("req-1/0", 5), running_task("req-1/1", 6)];
         assert_eq!(
-            receive_and_reply(&mut engine, 0.6, &old, true),
+            receive_and_reply(&mut engine, 0.6, &old_heartbeat, true),
             Some(vec![])
         );
         commit(&mut engine, 0.7);
         assert!(started_tasks(&other.send_heartbeat(&mut engine, 0.8)).is_empty());
 
-        // Its own reports settle it: the first brings it our token.
+        // New heartbeats of m1 show its tasks; the reply to the first one carries the new
+        // leader's token.
         worker.send_heartbeat(&mut engine, 0.9);
         assert_eq!(
             worker.send_heartbeat(&mut engine, 1.4),
             vec![],
-            "both go on"
+            "both tasks continue"
         );
         commit(&mut engine, 1.5);
         assert!(started_tasks(&other.send_heartbeat(&mut engine, 1.6)).is_empty());
         assert_eq!(
-            receive_and_reply(&mut engine, 1.7, &old, true),
+            receive_and_reply(&mut engine, 1.7, &old_heartbeat, true),
             None,
-            "answered"
+            "the old heartbeat got a reply"
         );
         commit(&mut engine, 1.8);
         assert!(started_tasks(&other.send_heartbeat(&mut engine, 1.9)).is_empty());
@@ -308,60 +352,67 @@
 }
 
 #[test]
-fn a_successor_believes_an_old_report_that_a_task_has_completed_and_no_more() {
-    // Guards against a result that is made again, and against a task that is taken
-    // for running since an old report shows it: the worker has got our token by
-    // direct command, and its session has ended since that report.
+fn a_new_leader_accepts_from_an_old_heartbeat_only_that_a_task_has_completed() {
+    // Guards against computing a result a second time, and against treating a task as running
+    // because an old heartbeat lists it: the worker received the leader's token through a
+    // direct command, and its session has ended since that heartbeat.
     let mut engine = engine_after_failover(vec![team(0.0, 0.0)], spec("req-1", 2, 2.0));
     let mut other = ready_worker(&mut engine, "m2", "a");
     let mut worker = Worker::new("m1", "a");
     worker.token = engine.token_for("m1");
-    let done = entry("req-1/0", 5, Some(ExitCause::Done));
+    let done = exited_or_running("req-1/0", 5, Some(ExitCause::Done));
     worker.tasks = vec![done, running_task("req-1/1", 6)];
-    let old = worker.heartbeat();
-    assert!(receive_and_reply(&mut engine, 0.6, &old, true).is_some());
+    let old_heartbeat = worker.heartbeat();
+    assert!(receive_and_reply(&mut engine, 0.6, &old_heartbeat, true).is_some());
     commit(&mut engine, 0.7);
     assert!(
         started_tasks(&other.send_heartbeat(&mut engine, 0.8)).is_empty(),
-        "it may run"
+        "the task may run on m1"
     );
 
     (worker.session, worker.seq, worker.tasks) = (2, 0, vec![]);
-    let mut told = started_tasks(&worker.send_heartbeat(&mut engine, 1.0));
+    let mut started = started_tasks(&worker.send_heartbeat(&mut engine, 1.0));
     commit(&mut engine, 1.1);
-    told.extend(started_tasks(&worker.send_heartbeat(&mut engine, 1.5)));
-    told.extend(started_tasks(&other.send_heartbeat(&mut engine, 1.6)));
-    assert_eq!(told, ["req-1/1"]);
+    started.extend(started_tasks(&worker.send_heartbeat(&mut engine, 1.5)));
+    started.extend(started_tasks(&other.send_heartbeat(&mut engine, 1.6)));
+    assert_eq!(started, ["req-1/1"]);
     assert_eq!(
-        receive_and_reply(&mut engine, 2.0, &old, true),
+        receive_and_reply(&mut engine, 2.0, &old_heartbeat, true),
         None,
-        "answered"
+        "the old heartbeat got a reply"
     );
 }
 
 #[test]
-fn what_was_planned_on_a_machine_found_unreachable_is_not_told_in_that_very_answer() {
-    // Guards against a launch that goes where nothing is heard, since it was planned
-    // before the report that shows it.
+fn a_reply_to_a_machine_just_found_unreachable_contains_no_launch() {
+    // Guards against a launch on an unreachable machine that was placed before the heartbeat
+    // that shows that the machine is unreachable.
     let mut engine = new_engine(vec![team(0.0, 0.0)]);
     let mut worker = ready_worker(&mut engine, "m1", "a");
     accept(&mut engine, 1.0, spec("req-1", 1, 2.0));
-    assert_eq!(unheard(&mut worker, &mut engine, 2.0).len(), 1);
-    assert_eq!(unheard(&mut worker, &mut engine, 7.0).len(), 1, "one sign");
+    assert_eq!(
+        heartbeat_with_lost_reply(&mut worker, &mut engine, 2.0).len(),
+        1
+    );
+    assert_eq!(
+        heartbeat_with_lost_reply(&mut worker, &mut engine, 7.0).len(),
+        1,
+        "one missed reply is not enough"
+    );
     accept(&mut engine, 8.0, spec("req-2", 1, 2.0));
     commit(&mut engine, 8.0);
     let heartbeat = worker.heartbeat();
-    let told = receive_and_reply(&mut engine, 12.0, &heartbeat, true).unwrap();
-    assert!(started_tasks(&told).is_empty(), "{told:?}");
+    let commands = receive_and_reply(&mut engine, 12.0, &heartbeat, true).unwrap();
+    assert!(started_tasks(&commands).is_empty(), "{commands:?}");
 }
 
 #[test]
-fn what_an_earlier_holder_started_is_called_running_until_its_machine_shows_otherwise() {
-    // Guards against a job that runs all along and is called waiting after a change of
-    // leader, until its machines report.
+fn tasks_started_by_a_former_leader_count_as_running_until_their_machine_shows_otherwise() {
+    // Guards against a job that runs without interruption and is shown as waiting after a
+    // failover until its machines send heartbeats.
     let mut engine = engine_after_failover(vec![team(0.0, 0.0)], spec("req-1", 3, 2.0));
     assert_eq!(engine.job_progress("req-1"), Some((0, 2)));
-    let lapsed_s = (engine.cfg.renewal_s() + LEASE_S) * 1.001 + 0.6;
-    engine.tick(lapsed_s);
+    let lease_expired_at = (engine.cfg.renewal_s() + LEASE_S) * 1.001 + 0.6;
+    engine.tick(lease_expired_at);
     assert_eq!(engine.job_progress("req-1"), Some((0, 0)));
 }
--- a/crates/umbersail-control/src/engine/tests/images.rs
+++ b/crates/umbersail-control/src/engine/tests/images.rs
@@ -1,12 +1,12 @@
-//! Large images: launches that wait for their fetch's turn, and take-overs in the
-//! middle of a wave.
+//! Large images: launches that wait until their fetch may start, and failovers while many
+//! machines fetch the same image.
 
 use umbersail_wire::{Value, to_value};
 
 use super::*;
 use crate::records::PLANS;
 
-/// A type whose cache holds the image, and one whose does not.
+/// A machine type whose cache is large enough for the image, and one whose cache is too small.
 fn types() -> Vec<MachineType> {
     let large = MachineType {
         cache_gb: 400.0,
@@ -21,7 +21,8 @@
     vec![large, small]
 }
 
-fn weights(id: &str, tasks: u32) -> JobSpec {
+/// A service of 140 GB image size.
+fn large_image_job(id: &str, tasks: u32) -> JobSpec {
     JobSpec {
         kind: JobKind::Service,
         cpus: 8.0,
@@ -31,7 +32,9 @@
     }
 }
 
-fn handing_on(pieces: f64) -> Rc<EngineConfig> {
+/// A configuration with peer-to-peer transfer of images: of single pieces if `pieces` is 1, of
+/// complete images only if it is 0.
+fn peer_to_peer_config(pieces: f64) -> Rc<EngineConfig> {
     config(
         vec![team(0.0, 0.0)],
         Tuning {
@@ -43,15 +46,15 @@
     )
 }
 
-/// Workers that fetch, an engine, and what the state service holds.
+/// Workers that fetch images, the engine, and the keys of the state service.
 struct Fleet {
     cfg: Rc<EngineConfig>,
     engine: Engine,
     workers: Vec<Worker>,
     keys: BTreeMap<String, (Record, u64)>,
     revision: u64,
-    /// Launches obeyed, by worker, each with the holders that it named.
-    obeyed: Vec<(String, Vec<String>)>,
+    /// Every launch received, as the worker's name and the image sources of the command.
+    launches: Vec<(String, Vec<String>)>,
 }
 
 impl Fleet {
@@ -66,14 +69,14 @@
             workers: Vec::new(),
             keys: BTreeMap::new(),
             revision: TOKEN,
-            obeyed: Vec::new(),
+            launches: Vec::new(),
         };
         for n in 0..machines {
             let name = format!("m{n:03}");
             fleet.workers.push(Worker::new(&name, ["a", "b"][n % 2]));
         }
-        fleet.turn(0.0);
-        fleet.turn(0.5);
+        fleet.send_heartbeats(0.0);
+        fleet.send_heartbeats(0.5);
         fleet
     }
 
@@ -99,45 +102,46 @@
     }
 
     fn heartbeat(&self, worker: usize) -> Heartbeat {
-        let mut heartbeat = self.workers[worker].report_again();
-        // Each at its own address, or holders could not be told apart.
+        let mut heartbeat = self.workers[worker].repeat_heartbeat();
+        // Each worker has its own address, so that image sources can be told apart.
         heartbeat.addr = format!("127.0.0.1:{}", 9000 + worker);
         heartbeat
     }
 
-    /// Every worker reports and does what it is told.
-    fn turn(&mut self, now: Time) {
+    /// Every worker sends a heartbeat and carries out the commands of the reply. After that, the
+    /// engine runs a tick and a scheduling cycle, and the transactions are applied.
+    fn send_heartbeats(&mut self, now: Time) {
         for worker in 0..self.workers.len() {
-            self.turn_of(now, worker);
+            self.send_heartbeat(now, worker);
         }
         self.engine.tick(now);
         self.commit(now);
     }
 
-    fn turn_of(&mut self, now: Time, worker: usize) {
+    fn send_heartbeat(&mut self, now: Time, worker: usize) {
         self.workers[worker].seq += 1;
         let heartbeat = self.heartbeat(worker);
         let commands =
             receive_and_reply(&mut self.engine, now, &heartbeat, true).unwrap_or_default();
         let token = self.engine.token_for(&self.workers[worker].name);
-        let has = self.workers[worker].tasks.len();
+        let known = self.workers[worker].tasks.len();
         self.workers[worker].apply_commands(token, &commands);
-        for task in self.workers[worker].tasks.iter_mut().skip(has) {
+        for task in self.workers[worker].tasks.iter_mut().skip(known) {
             task.state = TaskState::Fetching;
         }
         for command in commands {
             if let Command::Start {
-                image_sources: holders,
-                ..
+                image_sources, ..
             } = command
             {
                 let name = self.workers[worker].name.clone();
-                self.obeyed.push((name, holders));
+                self.launches.push((name, image_sources));
             }
         }
     }
 
-    fn fetched(&mut self, worker: usize) {
+    /// The worker's fetches complete, and its tasks run.
+    fn complete_fetch(&mut self, worker: usize) {
         for task in &mut self.workers[worker].tasks {
             if task.state == TaskState::Fetching {
                 task.state = TaskState::Running;
@@ -145,6 +149,7 @@
         }
     }
 
+    /// Number of workers that fetch an image.
     fn fetching(&self) -> usize {
         let fetches = |w: &&Worker| w.tasks.iter().any(|t| t.state == TaskState::Fetching);
         self.workers.iter().filter(fetches).count()
@@ -161,12 +166,13 @@
         self.commit(now);
     }
 
-    fn at_the_store(&self) -> usize {
-        self.obeyed.iter().filter(|(_, h)| h.is_empty()).count()
+    /// Number of launches that fetch from the image store.
+    fn store_fetches(&self) -> usize {
+        self.launches.iter().filter(|(_, sources)| sources.is_empty()).count()
     }
 
-    /// The leader ends, and another is elected with what stands in the state service.
-    fn take_over(&mut self, now: Time) {
+    /// The leader ends, and a new one is elected that reads the state service.
+    fn fail_over(&mut self, now: Time) {
         self.revision += 1;
         let mut inheritance = InheritedState {
             revision: self.revision,
@@ -202,8 +208,8 @@
 }
 
 impl Worker {
-    /// The report of now, without a new number.
-    fn report_again(&self) -> Heartbeat {
+    /// The worker's current heartbeat, with the sequence number of the last one.
+    fn repeat_heartbeat(&self) -> Heartbeat {
         let mut copy = Worker {
             name: self.name.clone(),
             zone: self.zone.clone(),
@@ -216,155 +222,157 @@
 }
 
 #[test]
-fn a_wave_goes_on_through_two_leaders_ends_without_a_fetch_begun_anew() {
-    let mut fleet = Fleet::new(handing_on(1.0), 60);
-    fleet.accept(1.0, weights("req-1", 60));
-    // The first thirty are told; then the leader ends, before it has told the rest.
+fn fetches_on_many_machines_continue_through_two_failovers_and_none_is_started_again() {
+    let mut fleet = Fleet::new(peer_to_peer_config(1.0), 60);
+    fleet.accept(1.0, large_image_job("req-1", 60));
+    // The first thirty workers receive their launch; then the leader ends before the others do.
     for worker in 0..30 {
-        fleet.turn_of(2.0, worker);
+        fleet.send_heartbeat(2.0, worker);
     }
     fleet.engine.tick(2.0);
     fleet.commit(2.0);
-    assert_eq!((fleet.fetching(), fleet.at_the_store()), (30, 8));
-    fleet.take_over(3.0);
+    assert_eq!((fleet.fetching(), fleet.store_fetches()), (30, 8));
+    fleet.fail_over(3.0);
     for now in 4..8 {
-        fleet.turn(f64::from(now));
+        fleet.send_heartbeats(f64::from(now));
     }
     assert!(fleet.fetching() > 30);
-    fleet.take_over(8.0);
+    fleet.fail_over(8.0);
     for now in 9..24 {
-        fleet.turn(f64::from(now));
+        fleet.send_heartbeats(f64::from(now));
     }
     assert_eq!(fleet.fetching(), 60);
     let plans = |f: &Fleet| f.keys.keys().filter(|k| k.starts_with(PLANS)).count();
     assert_eq!(plans(&fleet), 1);
     for worker in 0..60 {
-        fleet.fetched(worker);
+        fleet.complete_fetch(worker);
     }
     for now in 150..155 {
-        fleet.turn(f64::from(now));
+        fleet.send_heartbeats(f64::from(now));
     }
     assert_eq!(fleet.engine.job_progress("req-1"), Some((0, 60)));
-    let mut begun: Vec<&String> = fleet.obeyed.iter().map(|(name, _)| name).collect();
-    begun.sort();
-    begun.dedup();
-    assert_eq!((begun.len(), fleet.obeyed.len()), (60, 60), "each once");
+    let mut launched: Vec<&String> = fleet.launches.iter().map(|(name, _)| name).collect();
+    launched.sort();
+    launched.dedup();
     assert_eq!(
-        fleet.at_the_store(),
-        8,
-        "as many as if there had been one leader"
+        (launched.len(), fleet.launches.len()),
+        (60, 60),
+        "each once"
     );
-    fleet.turn(200.0);
-    assert_eq!(plans(&fleet), 0, "nothing is under way");
+    assert_eq!(fleet.store_fetches(), 8, "as many as without a failover");
+    fleet.send_heartbeats(200.0);
+    assert_eq!(plans(&fleet), 0, "no fetch is under way");
 }
 
 #[test]
-fn a_launch_that_waits_for_its_fetch_is_told_later_or_not_at_all() {
-    // Whole images only: eight begin, and the rest when those can hand on.
-    let mut fleet = Fleet::new(handing_on(0.0), 40);
-    fleet.accept(1.0, weights("req-1", 40));
+fn a_launch_waits_until_its_fetch_may_start_and_is_never_sent_if_its_job_is_cancelled() {
+    // Only complete images are transferred between machines: eight fetches start, the others
+    // when these eight are complete.
+    let mut fleet = Fleet::new(peer_to_peer_config(0.0), 40);
+    fleet.accept(1.0, large_image_job("req-1", 40));
     for now in 2..6 {
-        fleet.turn(f64::from(now));
+        fleet.send_heartbeats(f64::from(now));
     }
-    assert_eq!((fleet.fetching(), fleet.obeyed.len()), (8, 8));
+    assert_eq!((fleet.fetching(), fleet.launches.len()), (8, 8));
     let first: Vec<usize> = (0..40)
         .filter(|w| !fleet.workers[*w].tasks.is_empty())
         .collect();
     for worker in first {
-        fleet.fetched(worker);
+        fleet.complete_fetch(worker);
     }
-    fleet.turn(150.0);
-    fleet.turn(151.0);
+    fleet.send_heartbeats(150.0);
+    fleet.send_heartbeats(151.0);
     assert!(fleet.fetching() >= 16);
-    // Holders serve them, but for those that asked before four were known to have it.
-    assert!(fleet.at_the_store() <= 16);
-    let told = fleet.obeyed.len();
-    // Cancelled: nothing that waits is told any more, and all that fetch are stopped.
+    // Other machines serve the image, except for launches sent before four machines were known
+    // to have it.
+    assert!(fleet.store_fetches() <= 16);
+    let launches = fleet.launches.len();
+    // After the cancellation, waiting launches are not sent, and all fetching tasks are stopped.
     fleet.engine.job_key_removed("req-1");
     for now in 152..156 {
-        fleet.turn(f64::from(now));
+        fleet.send_heartbeats(f64::from(now));
     }
-    assert_eq!((fleet.fetching(), fleet.obeyed.len()), (0, told));
+    assert_eq!((fleet.fetching(), fleet.launches.len()), (0, launches));
     assert_eq!(fleet.engine.job_count(), 0);
-    // What comes then has its turn at once.
-    fleet.accept(156.0, weights("req-2", 4));
-    fleet.turn(157.0);
-    assert_eq!(fleet.obeyed.len(), told + 4);
+    // Fetches of a later job start at once.
+    fleet.accept(156.0, large_image_job("req-2", 4));
+    fleet.send_heartbeats(157.0);
+    assert_eq!(fleet.launches.len(), launches + 4);
 }
 
 #[test]
-fn a_machine_that_is_to_be_taken_back_or_silent_is_not_named() {
-    let mut fleet = Fleet::new(handing_on(1.0), 24);
-    fleet.accept(1.0, weights("req-1", 12));
+fn a_machine_with_a_reclaim_notice_or_without_heartbeats_is_not_named_as_an_image_source() {
+    let mut fleet = Fleet::new(peer_to_peer_config(1.0), 24);
+    fleet.accept(1.0, large_image_job("req-1", 12));
     for now in 2..4 {
-        fleet.turn(f64::from(now));
+        fleet.send_heartbeats(f64::from(now));
     }
     let holders: Vec<usize> = (0..24)
         .filter(|w| !fleet.workers[*w].tasks.is_empty())
         .collect();
     for worker in &holders {
-        fleet.fetched(*worker);
+        fleet.complete_fetch(*worker);
     }
-    fleet.turn(100.0);
-    // One is silent from here on, and one has a notice.
-    let (silent, noticed) = (holders[0], holders[1]);
+    fleet.send_heartbeats(100.0);
+    // From here on, one machine sends no heartbeats, and another has a reclaim notice.
+    let (silent, to_be_reclaimed) = (holders[0], holders[1]);
     for now in 101..106 {
         for worker in (0..24).filter(|w| *w != silent) {
             fleet.workers[worker].seq += 1;
             let mut heartbeat = fleet.heartbeat(worker);
-            heartbeat.notice_s = (worker == noticed).then_some(60.0);
+            heartbeat.notice_s = (worker == to_be_reclaimed).then_some(60.0);
             receive_and_reply(&mut fleet.engine, f64::from(now), &heartbeat, true);
         }
     }
-    let told = fleet.obeyed.len();
-    fleet.accept(106.0, weights("req-2", 12));
+    let launches = fleet.launches.len();
+    fleet.accept(106.0, large_image_job("req-2", 12));
     for worker in (0..24).filter(|w| !holders.contains(w)) {
-        fleet.turn_of(106.5, worker);
+        fleet.send_heartbeat(106.5, worker);
     }
-    let named: BTreeSet<String> = (fleet.obeyed[told..].iter())
-        .flat_map(|(_, holders)| holders.clone())
+    let named: BTreeSet<String> = (fleet.launches[launches..].iter())
+        .flat_map(|(_, sources)| sources.clone())
         .collect();
     assert!(named.len() > 6, "{named:?}");
-    for worker in [silent, noticed] {
+    for worker in [silent, to_be_reclaimed] {
         assert!(!named.contains(&format!("127.0.0.1:{}", 9000 + worker)));
     }
 }
 
 #[test]
-fn the_last_holder_of_a_zone_is_not_returned_while_others_wait() {
-    let mut fleet = Fleet::new(handing_on(1.0), 6);
-    fleet.accept(1.0, weights("req-1", 6));
-    fleet.turn(2.0);
+fn the_last_machine_of_a_zone_with_an_image_is_not_deleted_while_others_wait_for_the_image() {
+    let mut fleet = Fleet::new(peer_to_peer_config(1.0), 6);
+    fleet.accept(1.0, large_image_job("req-1", 6));
+    fleet.send_heartbeats(2.0);
     for worker in 0..6 {
-        // All of zone b, and one of zone a.
+        // All machines of zone b and one machine of zone a.
         if worker % 2 == 1 || worker == 0 {
-            fleet.fetched(worker);
+            fleet.complete_fetch(worker);
         }
     }
-    fleet.turn(100.0);
-    // The task on the last holder of zone a ends: the machine is idle for long.
-    let last = fleet.workers[0].tasks[0].clone();
-    fleet.workers[0].exit(&last.task, Some(last.attempt), ExitCause::Error);
-    fleet.engine.jobs.get_mut("req-1").unwrap().hold_reason = Some("it is done with in this test");
-    let returned = |fleet: &mut Fleet, now: f64| {
+    fleet.send_heartbeats(100.0);
+    // The task on the only machine of zone a with the image ends, and the machine is idle.
+    let task = fleet.workers[0].tasks[0].clone();
+    fleet.workers[0].exit(&task.task, Some(task.attempt), ExitCause::Error);
+    fleet.engine.jobs.get_mut("req-1").unwrap().hold_reason = Some("no further tasks in this test");
+    let is_deleted = |fleet: &mut Fleet, now: f64| {
         let actions = fleet.engine.cloud_actions(now);
-        let delete = |a: &CloudAction| matches!(a, CloudAction::Delete(names) if names.iter().any(|n| n == "m000"));
-        actions.iter().any(delete)
+        let deletes = |a: &CloudAction| matches!(a, CloudAction::Delete(names) if names.iter().any(|n| n == "m000"));
+        actions.iter().any(deletes)
     };
     for now in [101.0, 400.0, 401.0] {
-        fleet.turn(now);
+        fleet.send_heartbeats(now);
     }
-    assert!(!returned(&mut fleet, 402.0));
-    // Nobody waits for it any more.
-    fleet.fetched(2);
-    fleet.fetched(4);
-    fleet.turn(403.0);
-    assert!(returned(&mut fleet, 800.0));
+    assert!(!is_deleted(&mut fleet, 402.0));
+    // No machine waits for the image any more.
+    fleet.complete_fetch(2);
+    fleet.complete_fetch(4);
+    fleet.send_heartbeats(403.0);
+    assert!(is_deleted(&mut fleet, 800.0));
 }
 
 #[test]
-fn images_go_only_where_the_cache_holds_them() {
-    let mut fleet = Fleet::new(handing_on(1.0), 4);
+fn a_job_with_a_large_image_may_only_use_machine_types_whose_cache_is_large_enough() {
+    let mut fleet = Fleet::new(peer_to_peer_config(1.0), 4);
     for worker in 4..6 {
         let name = format!("m{worker:03}");
         fleet.workers.push(Worker::new(&name, "a"));
@@ -372,21 +380,21 @@
         heartbeat.machine_type = "m8-small".into();
         fleet.engine.receive_heartbeat(1.0, &heartbeat);
     }
-    fleet.accept(1.0, weights("req-1", 9));
+    fleet.accept(1.0, large_image_job("req-1", 9));
     let types = &fleet.engine.jobs["req-1"].spec.types;
     assert_eq!(types.as_deref(), Some(&["m8".to_owned()][..]));
-    // Without handing on types are the job's alone.
-    let mut plain = new_engine(vec![team(0.0, 0.0)]);
-    plain.set_machine_types(super::images::types());
-    accept(&mut plain, 1.0, weights("req-1", 9));
-    assert_eq!(plain.jobs["req-1"].spec.types, None);
+    // Without peer-to-peer transfer, the job's own list of types is not restricted.
+    let mut without_peer_to_peer = new_engine(vec![team(0.0, 0.0)]);
+    without_peer_to_peer.set_machine_types(super::images::types());
+    accept(&mut without_peer_to_peer, 1.0, large_image_job("req-1", 9));
+    assert_eq!(without_peer_to_peer.jobs["req-1"].spec.types, None);
 }
 
 #[test]
-fn a_recorded_image_that_makes_no_sense_is_set_aside() {
+fn an_invalid_image_record_is_ignored_and_not_overwritten() {
     let plan = crate::records::PlanRecord {
         version: 1,
-        plan: Value::from("nonsense"),
+        plan: Value::from("invalid"),
         is_tombstone: false,
     };
     let inheritance = InheritedState {
@@ -397,10 +405,10 @@
         }],
         ..empty_inherited_state()
     };
-    let mut engine = Engine::new(handing_on(1.0), 0.0, 0, inheritance);
+    let mut engine = Engine::new(peer_to_peer_config(1.0), 0.0, 0, inheritance);
     engine.tick(100.0);
     assert!(
         engine.next_txn(100.0, 20, 20).is_none(),
-        "left as it stands"
+        "the record stays unchanged"
     );
 }
--- a/crates/umbersail-control/src/engine/tests/launches.rs
+++ b/crates/umbersail-control/src/engine/tests/launches.rs
@@ -1,11 +1,10 @@
-//! Launches: their records, replies that are lost or come late, and ends that are
-//! recorded.
+//! Launches: their records, replies that are lost or late, and the recording of task ends.
 
 use super::*;
 
 #[test]
-fn a_launch_waits_for_its_record_and_comes_in_a_reply() {
-    // Guards against a successor that does not know where a task may run.
+fn a_launch_is_sent_in_a_reply_after_it_has_been_recorded() {
+    // Guards against a new leader that does not know on which machine a task may run.
     let mut engine = new_engine(vec![team(0.0, 0.0)]);
     let mut worker = ready_worker(&mut engine, "m1", "a");
     accept(&mut engine, 1.0, spec("req-1", 2, 2.0));
@@ -29,24 +28,27 @@
 }
 
 #[test]
-fn a_late_report_changes_nothing_and_gets_no_answer() {
-    // Guards against believing an old task list that a cut held back.
+fn a_late_heartbeat_changes_nothing_and_gets_no_reply() {
+    // Guards against accepting an outdated task list that a network partition delayed.
     let mut engine = new_engine(vec![team(0.0, 0.0)]);
     let mut worker = ready_worker(&mut engine, "m1", "a");
-    let late = worker.heartbeat();
+    let late_heartbeat = worker.heartbeat();
     accept(&mut engine, 1.0, spec("req-1", 1, 2.0));
     commit(&mut engine, 1.0);
     worker.send_heartbeat(&mut engine, 2.0);
     worker.send_heartbeat(&mut engine, 3.0);
     assert_eq!(engine.job_progress("req-1"), Some((0, 1)));
-    assert_eq!(receive_and_reply(&mut engine, 4.0, &late, true), None);
+    assert_eq!(
+        receive_and_reply(&mut engine, 4.0, &late_heartbeat, true),
+        None
+    );
     assert_eq!(engine.job_progress("req-1"), Some((0, 1)));
 }
 
 #[test]
-fn a_lost_launch_reply_is_settled_by_the_next_report_in_turn_only() {
-    // Guards against starting a second attempt while the first reply may
-    // still be under way: an answer to direct commands proves nothing.
+fn only_the_next_periodic_heartbeat_proves_that_a_launch_was_lost() {
+    // Guards against starting a second attempt while the reply with the first launch may still
+    // be in flight: the response to a direct command does not prove that the launch was lost.
     let mut engine = new_engine(vec![team(0.0, 0.0)]);
     let mut worker = ready_worker(&mut engine, "m1", "a");
     accept(&mut engine, 1.0, spec("req-1", 1, 2.0));
@@ -54,12 +56,16 @@
     let heartbeat = worker.heartbeat();
     let lost = receive_and_reply(&mut engine, 2.0, &heartbeat, true).unwrap();
     assert_eq!(started_tasks(&lost).len(), 1);
-    let direct = worker.heartbeat();
-    engine.receive_command_response(2.1, &direct);
+    let response = worker.heartbeat();
+    engine.receive_command_response(2.1, &response);
     commit(&mut engine, 2.2);
-    assert_eq!(engine.jobs["req-1"].pending(), 0, "still possibly there");
-    let told = worker.send_heartbeat(&mut engine, 6.5);
-    assert_eq!(started_tasks(&told).len(), 0);
+    assert_eq!(
+        engine.jobs["req-1"].pending(),
+        0,
+        "the first attempt may still start"
+    );
+    let commands = worker.send_heartbeat(&mut engine, 6.5);
+    assert_eq!(started_tasks(&commands).len(), 0);
     commit(&mut engine, 6.6);
     let again = worker.send_heartbeat(&mut engine, 7.0);
     assert_eq!(started_tasks(&again), ["req-1/0"]);
@@ -67,8 +73,8 @@
 }
 
 #[test]
-fn a_completed_task_is_reaped_only_once_its_end_is_recorded() {
-    // Guards against losing a result that no record holds.
+fn a_worker_forgets_a_completed_task_only_after_its_completion_is_recorded() {
+    // Guards against losing a completion that neither a worker nor a record holds any more.
     let mut engine = new_engine(vec![team(0.0, 0.0)]);
     let mut worker = ready_worker(&mut engine, "m1", "a");
     accept(&mut engine, 1.0, spec("req-1", 2, 2.0));
@@ -100,8 +106,8 @@
 }
 
 #[test]
-fn during_a_state_outage_running_tasks_are_kept_and_none_is_started() {
-    // Guards against starting on a lease that may be somebody else's.
+fn during_an_outage_of_the_state_service_tasks_keep_running_and_none_is_started() {
+    // Guards against starting tasks under a leadership that another controller may hold by now.
     let mut engine = new_engine(vec![team(0.0, 0.0)]);
     let mut worker = ready_worker(&mut engine, "m1", "a");
     accept(&mut engine, 1.0, spec("req-1", 1, 2.0));
@@ -119,7 +125,7 @@
 }
 
 #[test]
-fn the_grant_names_a_machine_before_anything_starts_there() {
+fn a_machine_is_in_the_recorded_grant_before_a_task_starts_on_it() {
     let mut engine = new_engine(vec![team(0.0, 0.0)]);
     let mut worker = Worker::new("m1", "a");
     worker.send_heartbeat(&mut engine, 0.0);
@@ -146,9 +152,9 @@
 }
 
 #[test]
-fn with_everybodys_agreement_tasks_start_before_they_are_recorded() {
-    // Guards against a fleet that runs empty while the state service is out, and
-    // against starts without a record whose place depends on one another.
+fn in_degraded_mode_tasks_start_before_they_are_recorded() {
+    // Guards against a fleet that becomes idle while the state service is unreachable, and
+    // against starts without a record of jobs whose tasks constrain each other's placement.
     let mut engine = new_engine(vec![team(0.0, 0.0)]);
     let mut worker = ready_worker(&mut engine, "m1", "a");
     let mut spread = spec("req-2", 2, 2.0);
@@ -162,8 +168,8 @@
     );
     assert!(engine.has_jobs_for_degraded_mode() || engine.unrecorded_job_count() == 0);
     engine.set_degraded_mode(true);
-    let told = started_tasks(&worker.send_heartbeat(&mut engine, 2.0));
-    assert_eq!(told, ["req-1/0", "req-1/1"]);
+    let started = started_tasks(&worker.send_heartbeat(&mut engine, 2.0));
+    assert_eq!(started, ["req-1/0", "req-1/1"]);
     assert_eq!(engine.unrecorded_job_count(), 1);
     worker.send_heartbeat(&mut engine, 2.5);
     engine.set_degraded_mode(false);
