--- a/crates/umbersail-control/src/engine/tests/images.rs
+++ b/crates/umbersail-control/src/engine/tests/images.rs
@@ -130,10 +130,7 @@
             task.state = TaskState::Fetching;
         }
         for command in commands {
-            if let Command::Start {
-                image_sources, ..
-            } = command
-            {
+            if let Command::Start { image_sources, .. } = command {
                 let name = self.workers[worker].name.clone();
                 self.launches.push((name, image_sources));
             }
@@ -168,7 +165,10 @@
 
     /// Number of launches that fetch from the image store.
     fn store_fetches(&self) -> usize {
-        self.launches.iter().filter(|(_, sources)| sources.is_empty()).count()
+        self.launches
+            .iter()
+            .filter(|(_, sources)| sources.is_empty())
+            .count()
     }
 
     /// The leader ends, and a new one is elected that reads the state service.
@@ -307,15 +307,15 @@
     for now in 2..4 {
         fleet.send_heartbeats(f64::from(now));
     }
-    let holders: Vec<usize> = (0..24)
+    let fetched: Vec<usize> = (0..24)
         .filter(|w| !fleet.workers[*w].tasks.is_empty())
         .collect();
-    for worker in &holders {
+    for worker in &fetched {
         fleet.complete_fetch(*worker);
     }
     fleet.send_heartbeats(100.0);
     // From here on, one machine sends no heartbeats, and another has a reclaim notice.
-    let (silent, to_be_reclaimed) = (holders[0], holders[1]);
+    let (silent, to_be_reclaimed) = (fetched[0], fetched[1]);
     for now in 101..106 {
         for worker in (0..24).filter(|w| *w != silent) {
             fleet.workers[worker].seq += 1;
@@ -326,7 +326,7 @@
     }
     let launches = fleet.launches.len();
     fleet.accept(106.0, large_image_job("req-2", 12));
-    for worker in (0..24).filter(|w| !holders.contains(w)) {
+    for worker in (0..24).filter(|w| !fetched.contains(w)) {
         fleet.send_heartbeat(106.5, worker);
     }
     let named: BTreeSet<String> = (fleet.launches[launches..].iter())
--- a/crates/umbersail-control/src/engine/tests/leases.rs
+++ b/crates/umbersail-control/src/engine/tests/leases.rs
@@ -1,11 +1,12 @@
-//! Leases of machines: when silence proves that nothing runs, with delegates that may
-//! have renewed them and after a take-over; increments of the token.
+//! Leases of machines: when the expiry of a lease proves that no task runs on a silent
+//! machine, with delegates that may have renewed the lease and after a failover; and token
+//! increments.
 
 use super::*;
 
 #[test]
-fn silence_proves_nothing_before_the_lease_has_lapsed_with_drift() {
-    // Guards against taking a hanging machine for an empty one.
+fn a_silent_machine_keeps_its_tasks_until_its_lease_has_expired_allowing_for_clock_drift() {
+    // Guards against treating a hanging machine as empty.
     let mut engine = new_engine(vec![team(0.0, 0.0)]);
     let mut hanging = ready_worker(&mut engine, "m1", "a");
     accept(&mut engine, 1.0, spec("req-1", 1, 2.0));
@@ -20,23 +21,27 @@
 }
 
 #[test]
-fn an_unfenced_machine_lapses_only_after_its_old_holder_must_have_stopped() {
-    // Guards against ran_twice when the old leader is cut off together with
-    // the machine and keeps its tasks alive.
+fn the_lease_of_an_unfenced_machine_expires_only_after_the_former_leader_must_have_stopped_renewing()
+ {
+    // Guards against the fault ran_twice when the former leader is in the same network
+    // partition as the machine and continues to renew its lease.
     let mut engine = engine_after_failover(vec![team(0.0, 0.0)], spec("req-1", 3, 2.0));
-    let keep = engine.cfg.renewal_s();
-    assert!(keep + LEASE_S < 40.0, "a cancellation told elsewhere holds");
-    engine.tick(keep + LEASE_S);
+    let renewal_s = engine.cfg.renewal_s();
+    assert!(
+        renewal_s + LEASE_S < 40.0,
+        "the former leader's renewals must end within the time that a cancellation may take"
+    );
+    engine.tick(renewal_s + LEASE_S);
     assert_eq!(engine.jobs["req-1"].recovery_pending.len(), 2);
-    engine.tick((keep + LEASE_S) * 1.001 + 0.6);
+    engine.tick((renewal_s + LEASE_S) * 1.001 + 0.6);
     assert_eq!(engine.jobs["req-1"].recovery_pending.len(), 0);
     assert_eq!(engine.jobs["req-1"].pending(), 3);
 }
 
 #[test]
-fn a_token_increment_raises_only_the_machines_own_token_and_keeps_the_holder_apart() {
-    // Guards against increments that overtake a successor's token, and against
-    // taking a worker with an incremented token for one that saw another holder.
+fn a_token_increment_raises_the_token_of_one_machine_and_stays_within_the_leaders_epoch() {
+    // Guards against increments that exceed a later leader's token, and against mistaking a
+    // worker with an incremented token for a worker that has seen another leader.
     let mut engine = new_engine(vec![team(0.0, 0.0)]);
     let mut worker = ready_worker(&mut engine, "m1", "a");
     worker.send_heartbeat(&mut engine, 1.0);
@@ -57,7 +62,7 @@
     assert_eq!(engine.token_for("m1"), increment.token);
     worker.send_heartbeat(&mut engine, 2.0);
     assert_eq!(engine.job_progress("req-1"), Some((0, 1)));
-    // The count never runs over into another holder's tokens.
+    // The increment never overflows into another leader's tokens.
     worker.token = first_token(TOKEN + 1) - 1;
     worker.send_heartbeat(&mut engine, 20.0);
     accept(&mut engine, 20.1, spec("req-2", 1, 2.0));
@@ -65,8 +70,8 @@
     assert!(engine.token_increments(20.1).is_empty());
 }
 
-/// A job's one task runs on m1, which was last answered by us at 3 s and has
-/// been silent since; controller-1 may answer in our stead until 20 s.
+/// The single task of a job runs on m1. The leader sent its last reply to m1 at 3 s, and m1 has
+/// been silent since then. The delegate controller-1 may renew leases until 20 s.
 fn silent_with_a_delegate() -> Engine {
     let mut engine = new_engine(vec![team(0.0, 0.0)]);
     let mut worker = ready_worker(&mut engine, "m1", "a");
@@ -85,8 +90,8 @@
     }
 }
 
-/// Tasks of the job that wait once the peer has told whom it kept.
-fn waiting_once_told(
+/// Number of the job's tasks that wait after the delegate has reported its renewals.
+fn pending_after_renewal_report(
     engine: &mut Engine,
     now: Time,
     up_s: f64,
@@ -98,67 +103,81 @@
 }
 
 #[test]
-fn a_machine_that_a_delegate_may_have_renewed_has_not_lapsed() {
-    // Guards against ran_twice when the zones are apart: the worker's lease is
-    // renewed by a peer of its zone, and we hear of neither.
+fn a_lease_that_a_delegate_may_have_renewed_has_not_expired() {
+    // Guards against the fault ran_twice during a partition between zones: a peer in the
+    // worker's zone renews its lease, and the leader receives messages from neither.
     let mut engine = silent_with_a_delegate();
     engine.tick(14.0);
-    assert_eq!(engine.jobs["req-1"].pending(), 0, "silence is not proof");
-    // What it told before the lease could have lapsed proves nothing either.
+    assert_eq!(
+        engine.jobs["req-1"].pending(),
+        0,
+        "silence alone proves nothing"
+    );
+    // A renewal report from before the lease could have expired proves nothing either.
     engine.record_delegated_renewals(12.0, "controller-1", 11.9, 100.0, &[]);
     engine.tick(14.0);
     assert_eq!(engine.jobs["req-1"].pending(), 0);
     engine.tick(30.0);
     assert_eq!(engine.jobs["req-1"].pending(), 0);
-    // Its time is over and the lease with it.
+    // The delegation has ended, and the last possible lease has expired.
     engine.tick(20.0 + LEASE_S * 1.001 + 0.6);
     assert_eq!(engine.jobs["req-1"].pending(), 1);
 }
 
 #[test]
-fn a_delegates_report_of_no_renewal_settles_a_silent_machine() {
-    // Guards against every hung machine holding up its tasks for as long as
-    // a peer might renew their leases.
+fn a_delegates_report_of_no_renewal_proves_that_the_lease_of_a_silent_machine_has_expired() {
+    // Guards against hung machines whose tasks cannot be restarted for as long as a peer may
+    // renew leases.
     let mut engine = silent_with_a_delegate();
-    assert_eq!(waiting_once_told(&mut engine, 14.1, 100.0, &[]), 1);
+    assert_eq!(
+        pending_after_renewal_report(&mut engine, 14.1, 100.0, &[]),
+        1
+    );
 
     let mut engine = silent_with_a_delegate();
-    // Answered at 10 s.
-    for (now, ago_ms, waiting) in [(14.1, 4100, 0), (20.3, 10_300, 0), (21.0, 11_000, 1)] {
-        let kept = [renewed("m1", ago_ms)];
-        assert_eq!(waiting_once_told(&mut engine, now, 100.0, &kept), waiting);
+    // The delegate renewed the lease at 10 s.
+    for (now, ago_ms, pending) in [(14.1, 4100, 0), (20.3, 10_300, 0), (21.0, 11_000, 1)] {
+        let renewals = [renewed("m1", ago_ms)];
+        assert_eq!(
+            pending_after_renewal_report(&mut engine, now, 100.0, &renewals),
+            pending
+        );
     }
 }
 
 #[test]
-fn a_machine_renewed_by_one_delegate_and_then_another_has_not_lapsed() {
-    // Guards against ran_twice where the leader hears of neither: one peer kept
-    // the machine for its whole time, and another took it over after that one
-    // had told us that it had kept nothing.
+fn a_lease_that_one_delegate_and_then_another_may_have_renewed_has_not_expired() {
+    // Guards against the fault ran_twice when the leader is not told of renewals by two peers:
+    // one peer renewed the lease until its delegation ended, and the second peer continued
+    // after it had reported to the leader that it had renewed nothing.
     let mut engine = silent_with_a_delegate();
     engine.delegate_renewals_to("controller-2", 60.0);
     engine.record_delegated_renewals(15.0, "controller-2", 14.9, 100.0, &[]);
     engine.tick(31.0);
     assert_eq!(engine.jobs["req-1"].pending(), 0);
-    // Its word from after the first one's time and a lease settles it.
+    // A report of the second peer counts if it was made at least one lease after the first
+    // peer's delegation ended.
     engine.record_delegated_renewals(31.0, "controller-2", 30.9, 100.0, &[]);
     engine.tick(31.1);
     assert_eq!(engine.jobs["req-1"].pending(), 1);
 }
 
 #[test]
-fn a_delegate_that_has_restarted_does_not_know_what_it_renewed_before() {
-    // Guards against the word of a fresh process that its predecessor kept
-    // nothing: that one may have answered until it ended.
+fn a_restarted_delegates_report_does_not_cover_renewals_before_the_restart() {
+    // Guards against trusting a restarted process that reports no renewals: the process before
+    // it may have renewed leases until it ended.
     let mut engine = silent_with_a_delegate();
-    assert_eq!(waiting_once_told(&mut engine, 14.1, 4.1, &[]), 0);
-    assert_eq!(waiting_once_told(&mut engine, 20.9, 10.9, &[]), 1);
+    assert_eq!(pending_after_renewal_report(&mut engine, 14.1, 4.1, &[]), 0);
+    assert_eq!(
+        pending_after_renewal_report(&mut engine, 20.9, 10.9, &[]),
+        1
+    );
 }
 
 #[test]
-fn an_unfenced_machine_that_we_answered_late_lapses_from_that_answer() {
-    // Guards against taking a machine for lapsed that got our token, and with
-    // it a new lease, just before its old holder's time was over.
+fn the_lease_of_an_unfenced_machine_runs_from_the_new_leaders_late_reply() {
+    // Guards against treating a lease as expired although the machine received the new leader's
+    // token, and with it a new lease, just before the former leader's renewals had to end.
     let mut engine = engine_after_failover(vec![team(0.0, 0.0)], spec("req-1", 3, 2.0));
     let end = engine.cfg.renewal_s() + LEASE_S;
     let heartbeat = Worker::new("m1", "a").heartbeat();
@@ -170,12 +189,12 @@
     assert_eq!(engine.jobs["req-1"].recovery_pending.len(), 0);
 }
 
-/// After a take-over, m1 shows our token with its two tasks at 9.5 s, by direct
-/// command. With `stale_word` controller-1 has told that it answered m1 at 0 s; the
-/// former leader did so later, which nobody tells us.
-fn fenced_directly(stale_word: bool) -> Engine {
+/// After a failover, m1 responds to a direct command at 9.5 s and shows the new leader's token
+/// and its two tasks. With `with_stale_renewal`, controller-1 has reported that it renewed the
+/// lease of m1 at 0 s. The former leader renewed the lease later, but no peer reports this.
+fn fenced_by_direct_command(with_stale_renewal: bool) -> Engine {
     let mut engine = engine_after_failover(vec![team(0.0, 0.0)], spec("req-1", 2, 2.0));
-    if stale_word {
+    if with_stale_renewal {
         engine.record_delegated_renewals(1.0, "controller-1", 0.9, 100.0, &[renewed("m1", 1000)]);
     }
     let mut worker = Worker::new("m1", "a");
@@ -187,24 +206,28 @@
 }
 
 #[test]
-fn a_peers_word_on_its_own_answers_says_nothing_of_the_former_leaders() {
-    // Guards against ran_twice after a take-over: the newest answer that we
-    // know of was a peer's, before the former leader's last one, and the
-    // machine was taken for lapsed half a second after it showed its tasks.
-    let mut engine = fenced_directly(true);
+fn a_delegates_renewal_report_does_not_cover_the_former_leaders_replies() {
+    // Guards against the fault ran_twice after a failover: the newest reply known to the new
+    // leader was a peer's, sent before the former leader's last reply, and the lease counted as
+    // expired half a second after the machine had shown its tasks.
+    let mut engine = fenced_by_direct_command(true);
     engine.tick(LEASE_S * 1.001 + 0.6);
-    assert_eq!(engine.jobs["req-1"].pending(), 0, "answered until 9.5 s");
+    assert_eq!(
+        engine.jobs["req-1"].pending(),
+        0,
+        "the former leader may have replied until 9.5 s"
+    );
     engine.record_delegated_renewals(18.0, "controller-1", 17.9, 100.0, &[renewed("m1", 18_000)]);
     engine.tick(19.4);
     assert_eq!(engine.jobs["req-1"].pending(), 0);
 }
 
 #[test]
-fn a_machine_fenced_directly_and_never_answered_by_us_lapses_in_the_end() {
-    // Guards against tasks that wait for ever on a machine that showed our
-    // token and then fell silent before any report of its own came.
-    for stale_word in [true, false] {
-        let mut engine = fenced_directly(stale_word);
+fn the_lease_of_a_machine_fenced_by_a_direct_command_expires_without_any_reply_to_the_machine() {
+    // Guards against tasks that stay assigned forever to a machine that showed the leader's
+    // token and then became silent before it sent a periodic heartbeat.
+    for with_stale_renewal in [true, false] {
+        let mut engine = fenced_by_direct_command(with_stale_renewal);
         engine.tick(9.5 + LEASE_S);
         assert_eq!(engine.jobs["req-1"].placements.len(), 2);
         engine.tick(9.5 + LEASE_S * 1.001 + 0.6);
--- a/crates/umbersail-control/src/engine/tests/quotas.rs
+++ b/crates/umbersail-control/src/engine/tests/quotas.rs
@@ -1,29 +1,33 @@
-//! Limits of teams: whatever may still run counts.
+//! Quotas of teams: every attempt that may still run counts.
 
 use super::*;
 
 #[test]
-fn a_limit_counts_what_may_still_run_after_a_take_over() {
-    // Guards against quota: tasks whose recovery is pending use room, and just they.
+fn tasks_whose_recovery_is_pending_after_a_failover_count_toward_the_quota() {
+    // Guards against the fault quota: exactly the tasks whose recovery is pending count.
     let mut engine = engine_after_failover(vec![team(0.0, 10.0)], spec("req-1", 3, 2.0));
     let mut other = ready_worker(&mut engine, "m2", "a");
     accept(&mut engine, 1.0, spec("req-2", 4, 2.0));
     commit(&mut engine, 1.0);
-    let told = started_tasks(&other.send_heartbeat(&mut engine, 2.0)).len();
-    assert_eq!(told, 3, "10 CPUs by 2, less two whose recovery is pending");
-    let mut old = Worker::new("m1", "a");
-    old.send_heartbeat(&mut engine, 2.0);
-    old.send_heartbeat(&mut engine, 2.5);
+    let started = started_tasks(&other.send_heartbeat(&mut engine, 2.0)).len();
+    assert_eq!(
+        started, 3,
+        "10 CPUs by 2, less two whose recovery is pending"
+    );
+    let mut m1 = Worker::new("m1", "a");
+    m1.send_heartbeat(&mut engine, 2.0);
+    m1.send_heartbeat(&mut engine, 2.5);
     commit(&mut engine, 2.6);
-    let told = started_tasks(&other.send_heartbeat(&mut engine, 3.0)).len()
-        + started_tasks(&old.send_heartbeat(&mut engine, 3.0)).len();
-    assert_eq!(told, 2, "m1 held nothing");
+    let started = started_tasks(&other.send_heartbeat(&mut engine, 3.0)).len()
+        + started_tasks(&m1.send_heartbeat(&mut engine, 3.0)).len();
+    assert_eq!(started, 2, "m1 runs no task");
 }
 
-/// What a new leader finds of a job of four that was cancelled or has ended: two
-/// of its tasks were done, the rest may run on m1.
-fn with_orphaned_attempts(
-    limit: f64,
+/// A new leader that finds the progress record of a cancelled or ended job of four tasks: two
+/// tasks are complete, and three attempts may still run on m1: one of a completed task, and
+/// those of the two other tasks.
+fn engine_with_orphaned_attempts(
+    quota_cpus: f64,
     whole_machines: bool,
     size: Option<(f64, f64, f64)>,
 ) -> Engine {
@@ -36,78 +40,82 @@
         size,
         ..JobProgressRecord::default()
     };
-    let mut found = inherited_state_of(spec("req-1", 3, 2.0));
-    found.jobs.clear();
-    found.finished_jobs = vec![("req-9".into(), run)];
-    found.count_whole_machines = whole_machines;
-    let config = config(vec![team(0.0, limit)], Tuning::default());
-    Engine::new(config, 0.0, 0, found)
+    let mut inherited_state = inherited_state_of(spec("req-1", 3, 2.0));
+    inherited_state.jobs.clear();
+    inherited_state.finished_jobs = vec![("req-9".into(), run)];
+    inherited_state.count_whole_machines = whole_machines;
+    let config = config(vec![team(0.0, quota_cpus)], Tuning::default());
+    Engine::new(config, 0.0, 0, inherited_state)
 }
 
 #[test]
-fn what_may_still_run_of_jobs_that_are_over_counts_by_its_size_until_it_is_gone() {
-    // Guards against quota, and against limited teams that start nothing after
-    // a take-over until most machines have shown the token.
+fn attempts_of_finished_jobs_count_by_their_size_until_they_are_gone() {
+    // Guards against the fault quota, and against teams with a quota that start no task after
+    // a failover until most machines have shown the token.
     let size = Some((2.0, 0.0, 1.0));
-    for (whole, size, first) in [(false, size, 1), (true, size, 0), (false, None, 0)] {
-        let mut engine = with_orphaned_attempts(8.0, whole, size);
+    for (whole_machines, size, first) in [(false, size, 1), (true, size, 0), (false, None, 0)] {
+        let mut engine = engine_with_orphaned_attempts(8.0, whole_machines, size);
         let mut other = ready_worker(&mut engine, "m2", "a");
         accept(&mut engine, 1.0, spec("req-2", 4, 2.0));
         commit(&mut engine, 1.0);
-        let told = started_tasks(&other.send_heartbeat(&mut engine, 2.0)).len();
-        assert_eq!(told, first, "8 CPUs by 2, less three attempts of req-9");
+        let started = started_tasks(&other.send_heartbeat(&mut engine, 2.0)).len();
+        assert_eq!(started, first, "8 CPUs by 2, less three attempts of req-9");
         let removes = |changes: &[Change<Record>]| {
-            let of_it = |c: &Change<Record>| matches!(c, Change::Delete { key } if *key == progress_key("req-9"));
-            changes.iter().any(of_it)
+            let deletes_record = |c: &Change<Record>| matches!(c, Change::Delete { key } if *key == progress_key("req-9"));
+            changes.iter().any(deletes_record)
         };
-        // m1 still runs one: it counts, is stopped, and its record stays.
-        let mut old = Worker::new("m1", "a");
-        old.tasks = vec![running_task("req-9/3", 4)];
-        // Fenced by a direct command: an answer of ours would have stopped it.
-        old.token = first_token(TOKEN);
-        let heartbeat = old.heartbeat();
+        // m1 still runs one attempt, which counts and is stopped; the progress record stays.
+        let mut m1 = Worker::new("m1", "a");
+        m1.tasks = vec![running_task("req-9/3", 4)];
+        // The machine was fenced by a direct command: a reply to a heartbeat would already have
+        // stopped the task.
+        m1.token = first_token(TOKEN);
+        let heartbeat = m1.heartbeat();
         assert!(engine.receive_heartbeat(2.5, &heartbeat));
         assert!(!removes(&commit(&mut engine, 2.6)));
-        let told = engine.reply(2.6, &heartbeat, true);
-        assert_eq!(stop_count(&told), 1);
-        old.apply_commands(first_token(TOKEN), &told);
-        old.send_heartbeat(&mut engine, 3.0);
-        assert!(removes(&commit(&mut engine, 3.1)), "nothing of it is left");
-        let told = [
+        let commands = engine.reply(2.6, &heartbeat, true);
+        assert_eq!(stop_count(&commands), 1);
+        m1.apply_commands(first_token(TOKEN), &commands);
+        m1.send_heartbeat(&mut engine, 3.0);
+        assert!(
+            removes(&commit(&mut engine, 3.1)),
+            "no attempt of req-9 is left"
+        );
+        let replies = [
             other.send_heartbeat(&mut engine, 3.5),
-            old.send_heartbeat(&mut engine, 3.5),
+            m1.send_heartbeat(&mut engine, 3.5),
         ];
-        let told: usize = told.iter().map(|c| started_tasks(c).len()).sum();
-        assert_eq!(first + told, 4);
+        let started: usize = replies.iter().map(|c| started_tasks(c).len()).sum();
+        assert_eq!(first + started, 4);
     }
 }
 
 #[test]
-fn a_cancelled_jobs_progress_stands_until_nothing_of_it_can_run() {
-    // Guards against quota: the leader that heard of the cancellation ends, and
-    // its successor finds no trace of tasks that are still being stopped.
+fn the_progress_record_of_a_cancelled_job_stays_until_none_of_its_tasks_can_run() {
+    // Guards against the fault quota: the leader that received the cancellation ends, and the
+    // next leader finds no record of tasks that are still being stopped.
     let mut engine = engine_after_failover(vec![team(0.0, 4.0)], spec("req-1", 3, 2.0));
     let mut other = ready_worker(&mut engine, "m2", "a");
     engine.job_key_removed("req-1");
     accept(&mut engine, 1.0, spec("req-2", 2, 2.0));
-    let kept = commit(&mut engine, 5.0);
+    let changes = commit(&mut engine, 5.0);
     let removes =
         |c: &Change<Record>| matches!(c, Change::Delete { key } if *key == progress_key("req-1"));
-    assert!(!kept.iter().any(removes));
+    assert!(!changes.iter().any(removes));
     assert_eq!(
         started_tasks(&other.send_heartbeat(&mut engine, 5.0)).len(),
         0
     );
-    let mut old = Worker::new("m1", "a");
-    old.send_heartbeat(&mut engine, 5.5);
-    old.send_heartbeat(&mut engine, 6.0);
+    let mut m1 = Worker::new("m1", "a");
+    m1.send_heartbeat(&mut engine, 5.5);
+    m1.send_heartbeat(&mut engine, 6.0);
     assert!(commit(&mut engine, 7.0).iter().any(removes));
 }
 
 #[test]
-fn an_attempt_of_a_completed_task_counts_until_it_is_gone() {
-    // Guards against a team's limit that is broken after a take-over: a result
-    // came late, and the attempt in its stead still runs.
+fn an_attempt_of_a_completed_task_counts_until_the_attempt_is_gone() {
+    // Guards against exceeding a team's quota after a failover: a completion arrived late, and
+    // the attempt that was started as a replacement still runs.
     let mut engine = engine_after_failover(vec![team(0.0, 4.0)], spec("req-1", 3, 2.0));
     let mut other = ready_worker(&mut engine, "m2", "a");
     other.tasks = vec![running_task("req-1/0", 4)];
@@ -123,18 +131,23 @@
         started_tasks(&other.send_heartbeat(&mut engine, 1.7)).len(),
         0
     );
-    let told = engine.reply(1.8, &heartbeat, true);
-    assert_eq!(stop_count(&told), 1, "it is of no use to anybody");
-    assert_eq!(started_tasks(&told).len(), 0);
-    worker.apply_commands(first_token(TOKEN), &told);
+    let commands = engine.reply(1.8, &heartbeat, true);
+    assert_eq!(
+        stop_count(&commands),
+        1,
+        "the attempt of the completed task is stopped"
+    );
+    assert_eq!(started_tasks(&commands).len(), 0);
+    worker.apply_commands(first_token(TOKEN), &commands);
     worker.send_heartbeat(&mut engine, 2.0);
     commit(&mut engine, 2.1);
-    let told = [
+    let replies = [
         other.send_heartbeat(&mut engine, 2.7),
         worker.send_heartbeat(&mut engine, 2.7),
     ];
     assert_eq!(
-        told.iter()
+        replies
+            .iter()
             .flat_map(|c| started_tasks(c))
             .collect::<Vec<_>>(),
         ["req-1/2"]
@@ -142,9 +155,9 @@
 }
 
 #[test]
-fn what_still_runs_of_a_job_that_is_done_counts_at_once() {
-    // Guards against a limit that is broken between a job's end and the next
-    // report of the machine on which an attempt of it still runs.
+fn an_attempt_that_outlives_its_completed_job_counts_at_once() {
+    // Guards against exceeding a quota between the completion of a job and the next heartbeat
+    // of the machine on which an attempt of that job still runs.
     let mut engine = new_engine(vec![team(0.0, 2.0)]);
     let mut worker = ready_worker(&mut engine, "m1", "a");
     let mut other = ready_worker(&mut engine, "m2", "a");
@@ -175,12 +188,15 @@
     runs.send_heartbeat(&mut engine, 3.5);
     runs.send_heartbeat(&mut engine, 4.0);
     commit(&mut engine, 4.1);
-    let told = [
+    let replies = [
         idle.send_heartbeat(&mut engine, 5.0),
         runs.send_heartbeat(&mut engine, 5.0),
     ];
     assert_eq!(
-        told.iter().map(|c| started_tasks(c).len()).sum::<usize>(),
+        replies
+            .iter()
+            .map(|c| started_tasks(c).len())
+            .sum::<usize>(),
         1
     );
 }
