--- a/crates/umbersail-control/src/engine/tests/machines.rs
+++ b/crates/umbersail-control/src/engine/tests/machines.rs
@@ -1,24 +1,28 @@
-//! Machines of the cloud: rented, listed, given notice and deleted.
+//! Cloud machines: rental, machine lists, reclaim notices and deletion.
 
 use super::*;
 
 #[test]
-fn a_deleted_or_failed_machine_is_accounted_for_at_once() {
+fn tasks_of_a_deleted_or_failed_machine_wait_again_at_once() {
     let mut engine = engine_after_failover(vec![team(0.0, 0.0)], spec("req-1", 3, 2.0));
     engine.machines_deleted(&["m1".into()]);
     assert_eq!(engine.jobs["req-1"].pending(), 3);
     let mut engine = engine_after_failover(vec![team(0.0, 0.0)], spec("req-1", 3, 2.0));
-    let mut listed = listed_machine("m1");
-    engine.apply_machine_list(1.0, std::slice::from_ref(&listed));
+    let mut entry = listed_machine("m1");
+    engine.apply_machine_list(1.0, std::slice::from_ref(&entry));
     engine.apply_machine_list(1.0, &[]);
-    assert_eq!(engine.jobs["req-1"].pending(), 1, "absence is not proof");
-    listed.state = MachineState::Failed;
-    engine.apply_machine_list(2.0, &[listed]);
+    assert_eq!(
+        engine.jobs["req-1"].pending(),
+        1,
+        "absence from a list proves nothing"
+    );
+    entry.state = MachineState::Failed;
+    engine.apply_machine_list(2.0, &[entry]);
     assert_eq!(engine.jobs["req-1"].pending(), 3);
 }
 
 #[test]
-fn a_machine_with_a_notice_gets_nothing_new_and_moves_what_cannot_finish() {
+fn a_machine_with_a_reclaim_notice_gets_no_new_tasks_and_tasks_that_cannot_finish_are_stopped() {
     let mut engine = new_engine(vec![team(0.0, 0.0)]);
     let mut worker = ready_worker(&mut engine, "m1", "a");
     let mut long = spec("req-1", 1, 2.0);
@@ -36,31 +40,31 @@
     commit(&mut engine, 4.0);
     let mut heartbeat = worker.heartbeat();
     heartbeat.notice_s = Some(24.0);
-    let told = receive_and_reply(&mut engine, 5.0, &heartbeat, true).unwrap();
-    assert_eq!(stop_count(&told), 1, "{told:?}");
-    assert_eq!(started_tasks(&told).len(), 0);
+    let commands = receive_and_reply(&mut engine, 5.0, &heartbeat, true).unwrap();
+    assert_eq!(stop_count(&commands), 1, "{commands:?}");
+    assert_eq!(started_tasks(&commands).len(), 0);
 }
 
 #[test]
-fn a_deleted_machine_does_not_come_back_by_an_old_list() {
-    // Guards against counting, and deleting again, what is gone: the list
-    // lags by seconds.
+fn an_outdated_machine_list_does_not_bring_back_a_deleted_machine() {
+    // Guards against counting a deleted machine, and deleting it again: the cloud's list lags
+    // by seconds.
     let mut engine = new_engine(vec![team(0.0, 0.0)]);
-    let listed = listed_machine("m1");
-    engine.apply_machine_list(1.0, std::slice::from_ref(&listed));
+    let entry = listed_machine("m1");
+    engine.apply_machine_list(1.0, std::slice::from_ref(&entry));
     engine.machines_deleted(&["m1".into()]);
-    engine.apply_machine_list(6.0, std::slice::from_ref(&listed));
+    engine.apply_machine_list(6.0, std::slice::from_ref(&entry));
     assert!(engine.machines.is_empty());
 }
 
 #[test]
-fn a_rental_without_answer_is_asked_again_by_its_name_and_none_other_meanwhile() {
-    // Guards against renting without bound while the cloud does not answer.
+fn an_unanswered_rental_is_repeated_under_its_request_name_and_no_other_is_sent_meanwhile() {
+    // Guards against renting without limit while the cloud does not respond.
     let mut engine = new_engine(vec![team(0.0, 0.0)]);
     accept(&mut engine, 0.0, spec("req-1", 40, 2.0));
     let mut first = engine.cloud_actions(1.0);
     let Some(CloudAction::Rent(request)) = first.pop() else {
-        panic!("nothing rented");
+        panic!("no rental request");
     };
     for other in first {
         if let CloudAction::Rent(other) = other {
@@ -68,21 +72,22 @@
         }
     }
     engine.rental_unanswered(request.clone());
-    let again = engine.cloud_actions(2.0);
-    assert_eq!(again, vec![CloudAction::Rent(request)]);
+    let repeated = engine.cloud_actions(2.0);
+    assert_eq!(repeated, vec![CloudAction::Rent(request)]);
 }
 
 #[test]
-fn a_silent_machine_that_a_list_leaves_out_among_newer_ones_is_deleted_at_once() {
-    // Guards against waiting, after a take-over, for the old holder's time and
-    // the lease of spot machines that were taken without notice.
+fn a_silent_machine_missing_from_a_list_that_shows_newer_machines_is_deleted_at_once() {
+    // Guards against a wait after a failover for spot machines that were reclaimed without
+    // notice: the wait would last until the former leader's renewals must have ended and the
+    // lease has expired.
     let mut engine = engine_after_failover(vec![team(0.0, 0.0)], spec("req-1", 3, 2.0));
     let deletes = |engine: &mut Engine, now| {
         let actions = engine.cloud_actions(now);
         let deletes = |a: &CloudAction| matches!(a, CloudAction::Delete(n) if n == &["m1"]);
         actions.iter().any(deletes)
     };
-    // An older list proves nothing, nor does one that shows it.
+    // A list that shows only older machines proves nothing, nor does a list that shows m1.
     engine.apply_machine_list(1.0, &[listed_machine("m0")]);
     assert!(!deletes(&mut engine, 1.0));
     engine.apply_machine_list(2.0, &[listed_machine("m1"), listed_machine("m2")]);
@@ -92,7 +97,7 @@
     assert_eq!(
         engine.jobs["req-1"].recovery_pending.len(),
         2,
-        "only the answer proves it"
+        "only the response to the deletion proves that the machine is gone"
     );
     engine.machines_deleted(&["m1".into()]);
     assert_eq!(engine.jobs["req-1"].pending(), 3);
--- a/crates/umbersail-control/src/engine/tests/placement.rs
+++ b/crates/umbersail-control/src/engine/tests/placement.rs
@@ -1,11 +1,12 @@
-//! Placement: zones that may be taken, jobs that can still be in time, and images that
-//! must be fetched.
+//! Placement: zone constraints, jobs that can still meet their deadlines, and images that must
+//! be fetched.
 
 use super::*;
 
 #[test]
-fn spread_and_together_count_tasks_that_may_still_run() {
-    // Guards against wrong_place while an earlier holder's tasks are unseen.
+fn zone_spread_and_single_zone_placement_count_tasks_that_may_still_run() {
+    // Guards against the fault wrong_place before the heartbeats show the tasks that a former
+    // leader started.
     let mut job = spec("req-1", 4, 2.0);
     job.spread = Some(true);
     let mut engine = engine_after_failover(vec![team(0.0, 0.0)], job);
@@ -14,7 +15,7 @@
     assert_eq!(
         started_tasks(&same_zone.send_heartbeat(&mut engine, 2.0)).len(),
         0,
-        "zone a may hold its half"
+        "zone a may already hold its half of the tasks"
     );
 
     let mut job = spec("req-1", 4, 2.0);
@@ -25,24 +26,24 @@
     assert_eq!(
         started_tasks(&elsewhere.send_heartbeat(&mut engine, 2.0)).len(),
         0,
-        "bound to zone a"
+        "all tasks must run in zone a"
     );
 }
 
 #[test]
-fn in_an_overload_jobs_that_can_still_start_in_time_go_first() {
-    // Guards against earliest deadline first making every job of a burst late.
+fn in_an_overload_jobs_that_can_still_start_in_time_are_placed_first() {
+    // Guards against earliest-deadline-first order, which makes every job of a burst late.
     let mut engine = new_engine(vec![team(0.0, 0.0)]);
     let mut worker = ready_worker(&mut engine, "m1", "a");
-    let mut aimed = |id: &str, at: Time| {
+    let mut submit = |id: &str, at: Time| {
         let mut job = spec(id, 1, 8.0);
         job.class = "aimed".into();
         job.deadline_s = Some(60.0);
         engine.job_accepted(at, (at * 1000.0) as u64, job_record(job), 70);
     };
-    aimed("req-1", 0.0);
-    aimed("req-2", 9.0);
-    // Both can still meet their deadlines; only the second its start.
+    submit("req-1", 0.0);
+    submit("req-2", 9.0);
+    // Both jobs can still meet their deadlines; only the second can meet its start objective.
     engine.jobs.get_mut("req-1").unwrap().submitted_at = 0.0;
     engine.jobs.get_mut("req-2").unwrap().submitted_at = 9.0;
     worker.send_heartbeat(&mut engine, 9.9);
@@ -54,17 +55,17 @@
 }
 
 #[test]
-fn a_job_whose_image_comes_too_late_does_not_go_before_one_that_can_end_in_time() {
-    // Guards against places spent on jobs that are late for certain.
+fn a_job_whose_image_fetch_takes_too_long_is_placed_after_a_job_that_can_end_in_time() {
+    // Guards against slots used by jobs that are certain to be late.
     let mut engine = new_engine(vec![team(0.0, 0.0)]);
     ready_worker(&mut engine, "m1", "a");
-    let mut doomed = spec("req-1", 1, 8.0);
-    doomed.deadline_s = Some(25.0);
-    doomed.image_gb = 5.0;
+    let mut late_job = spec("req-1", 1, 8.0);
+    late_job.deadline_s = Some(25.0);
+    late_job.image_gb = 5.0;
     let mut other = spec("req-2", 1, 8.0);
     other.deadline_s = Some(60.0);
     other.image = "j".into();
-    for job in [doomed, other] {
+    for job in [late_job, other] {
         engine.job_accepted(1.0, 1000, job_record(job), 70);
     }
     engine.schedule(1.0);
@@ -73,27 +74,27 @@
 }
 
 #[test]
-fn a_start_that_a_fetch_would_make_late_waits_for_a_place_with_the_image() {
-    // Guards against fetching an image, late for certain, while a machine that
-    // has it is about to have room.
+fn a_task_that_an_image_fetch_would_make_late_waits_for_a_machine_with_the_image() {
+    // Guards against an image fetch that is certain to make the start late while a machine that
+    // has the image is about to have room.
     let mut engine = new_engine(vec![team(0.0, 0.0)]);
     let mut warm = ready_worker(&mut engine, "m1", "a");
-    let aimed = |id: &str| JobSpec {
+    let job_with_start_objective = |id: &str| JobSpec {
         class: "aimed".into(),
         image: "large".into(),
         image_gb: 5.0,
         ..spec(id, 1, 8.0)
     };
-    accept(&mut engine, 1.0, aimed("req-1"));
+    accept(&mut engine, 1.0, job_with_start_objective("req-1"));
     commit(&mut engine, 1.0);
     warm.send_heartbeat(&mut engine, 2.0);
     warm.send_heartbeat(&mut engine, 3.0);
     let mut cold = ready_worker(&mut engine, "m2", "a");
     cold.send_heartbeat(&mut engine, 4.0);
-    // The aim is 8 s, the fetch takes 10 s; m1 has the image and is full.
-    accept(&mut engine, 4.0, aimed("req-2"));
+    // The start objective is 8 s and the fetch takes 10 s; m1 has the image and is full.
+    accept(&mut engine, 4.0, job_with_start_objective("req-2"));
     assert_eq!(engine.jobs["req-2"].pending(), 1);
-    accept(&mut engine, 4.0, aimed("req-3"));
+    accept(&mut engine, 4.0, job_with_start_objective("req-3"));
     warm.exit("req-1/0", None, ExitCause::Done);
     warm.send_heartbeat(&mut engine, 5.0);
     cold.send_heartbeat(&mut engine, 5.0);
@@ -106,9 +107,9 @@
     };
     assert!(
         on_m1("req-2") ^ on_m1("req-3"),
-        "the first place is for one"
+        "exactly one of the two jobs gets the slot on m1"
     );
-    // The other gives up before it would be late anyway.
+    // The other job stops waiting for m1 before it would be late in any case.
     engine.tick(6.0);
     assert!(engine.needs_scheduling());
     warm.send_heartbeat(&mut engine, 7.2);
--- a/crates/umbersail-control/src/engine/tests/plans.rs
+++ b/crates/umbersail-control/src/engine/tests/plans.rs
@@ -1,4 +1,4 @@
-//! Recorded plans: when they are written, and what a successor makes of them.
+//! Recorded plans: when they are written, and how a new leader reads them.
 
 use serde::{Deserialize, Serialize};
 use umbersail_wire::{Value, to_value};
@@ -37,9 +37,9 @@
 }
 
 #[test]
-fn a_plan_gives_way_to_launches_but_not_for_ever() {
-    // Guards against plans that delay starts, and against rentals that wait for a
-    // record which busy hours never write.
+fn launches_are_recorded_before_a_plan_but_the_plan_does_not_wait_forever() {
+    // Guards against plans that delay task starts, and against rentals that wait for a plan
+    // record that is never written under high load.
     let mut engine = new_engine(vec![team(0.0, 0.0)]);
     let _worker = ready_worker(&mut engine, "m1", "a");
     accept(&mut engine, 1.0, spec("req-1", 1, 1.0));
@@ -50,33 +50,39 @@
     assert!(!engine.plans.store.is_recorded("note/a"));
     let pending = engine.next_txn(4.0, 2, 2).unwrap();
     assert_eq!(plans_in(&pending.txn.changes), [plan_key("note/a")]);
-    assert!(pending.txn.changes.len() > 1, "the launch goes with it");
+    assert!(
+        pending.txn.changes.len() > 1,
+        "the launch is in the same transaction"
+    );
     engine.txn_finished(4.0, pending, TxnOutcome::Applied { revision: 110 });
     assert!(engine.plans.store.is_recorded("note/a"));
     put(&mut engine, 5.0, "note/a", 1);
     assert!(
         engine.next_txn(5.0, 20, 20).is_none(),
-        "what stands already is not written again"
+        "an unchanged plan is not written again"
     );
 }
 
 #[test]
-fn a_plan_without_an_answer_is_read_before_it_is_written_again() {
-    // Guards against a late transaction that puts an older plan in a newer one's place.
+fn a_plan_whose_write_was_not_acknowledged_is_read_before_it_is_written_again() {
+    // Guards against a late transaction that replaces a newer plan by an older one.
     let mut engine = new_engine(vec![team(0.0, 0.0)]);
     put(&mut engine, 1.0, "note/a", 1);
     let pending = engine.next_txn(1.0, 20, 20).unwrap();
     assert_eq!(pending.txn.conditions[0].key, LEADER);
     engine.txn_finished(1.0, pending, TxnOutcome::Unknown);
     put(&mut engine, 2.0, "note/a", 2);
-    assert!(engine.next_txn(2.0, 20, 20).is_none(), "first the read");
+    assert!(
+        engine.next_txn(2.0, 20, 20).is_none(),
+        "the plan is read first"
+    );
     assert_eq!(engine.unread_plans(), ["note/a"]);
-    let stood = PlanRecord {
+    let recorded = PlanRecord {
         version: 1,
         plan: to_value(&Note { steps: 1 }).unwrap(),
         is_tombstone: false,
     };
-    engine.plan_read(2.0, "note/a", Some((to_value(&stood).unwrap(), 77)));
+    engine.plan_read(2.0, "note/a", Some((to_value(&recorded).unwrap(), 77)));
     let pending = engine.next_txn(2.0, 20, 20).unwrap();
     let condition = pending
         .txn
@@ -89,25 +95,25 @@
 }
 
 #[test]
-fn a_successor_reads_plans_and_sets_nonsense_aside() {
-    // Guards against a recorded plan that ends every leader, one after the other.
-    let good = PlanRecord {
+fn a_new_leader_reads_valid_plans_and_ignores_invalid_ones() {
+    // Guards against a recorded plan that crashes every leader, one after the other.
+    let valid = PlanRecord {
         version: 1,
         plan: to_value(&Note { steps: 3 }).unwrap(),
         is_tombstone: false,
     };
     let newer = PlanRecord {
         version: 9,
-        ..good.clone()
+        ..valid.clone()
     };
-    let found = [
-        ("note/good", to_value(&good).unwrap()),
+    let records = [
+        ("note/valid", to_value(&valid).unwrap()),
         ("note/newer", to_value(&newer).unwrap()),
-        ("note/text", Value::from("nonsense")),
+        ("note/text", Value::from("invalid")),
         ("note/other", to_value(&Note { steps: 1 }).unwrap()),
     ];
     let inheritance = InheritedState {
-        plans: found
+        plans: records
             .into_iter()
             .map(|(name, value)| InheritedPlan {
                 name: name.into(),
@@ -119,17 +125,17 @@
     };
     let cfg = config(vec![team(0.0, 0.0)], Tuning::default());
     let mut engine = Engine::new(cfg, 0.0, 0, inheritance);
-    let book = &mut engine.plans.store;
-    assert_eq!(book.read("note/good", 1), Ok(Some(Note { steps: 3 })));
-    assert!(book.read::<Note>("note/newer", 1).is_err());
-    book.ignore("note/newer");
-    assert_eq!(book.names("note"), ["note/good"]);
+    let store = &mut engine.plans.store;
+    assert_eq!(store.read("note/valid", 1), Ok(Some(Note { steps: 3 })));
+    assert!(store.read::<Note>("note/newer", 1).is_err());
+    store.ignore("note/newer");
+    assert_eq!(store.names("note"), ["note/valid"]);
     assert!(
         engine.next_txn(5.0, 20, 20).is_none(),
-        "what was set aside is left as it stands"
+        "ignored plans stay unchanged"
     );
-    engine.plans.store.remove(6.0, "note/good");
+    engine.plans.store.remove(6.0, "note/valid");
     let changes = commit(&mut engine, 6.0);
-    assert!(matches!(&changes[..], [Change::Delete { key }] if *key == plan_key("note/good")));
+    assert!(matches!(&changes[..], [Change::Delete { key }] if *key == plan_key("note/valid")));
     assert_eq!(engine.plans.store.names("note"), Vec::<String>::new());
 }
