--- a/crates/umbersail-control/src/engine/tests/cycles.rs
+++ b/crates/umbersail-control/src/engine/tests/cycles.rs
@@ -400,7 +400,7 @@
     let cpus = [0.5, 1.0, 2.0, 3.0, 4.0, 8.0, 12.0][rng.random_range(0..7)];
     let checkpoint_s = rng.random_bool(0.3).then_some(15.0);
     JobSpec {
-        class: ["c", "aimed"][rng.random_range(0..2)].into(),
+        class: ["c", "bounded-start"][rng.random_range(0..2)].into(),
         team: ["t", "u"][rng.random_range(0..2)].into(),
         priority: [Priority::Low, Priority::Normal, Priority::High][rng.random_range(0..3)],
         memory_gb: [0.5, 1.0, 6.0][rng.random_range(0..3)],
--- a/crates/umbersail-control/src/engine/tests/fixtures.rs
+++ b/crates/umbersail-control/src/engine/tests/fixtures.rs
@@ -29,7 +29,7 @@
     Rc::new(EngineConfig {
         member: "controller-0".into(),
         teams,
-        start_objectives: [("aimed".to_owned(), 8.0)].into(),
+        start_objectives: [("bounded-start".to_owned(), 8.0)].into(),
         guarantee_start_objective: None,
         deadline_factors: [("c".to_owned(), 1.5)].into(),
         heartbeat_interval_s: 1.0,
--- a/crates/umbersail-control/src/engine/tests/placement.rs
+++ b/crates/umbersail-control/src/engine/tests/placement.rs
@@ -37,7 +37,7 @@
     let mut worker = ready_worker(&mut engine, "m1", "a");
     let mut submit = |id: &str, at: Time| {
         let mut job = spec(id, 1, 8.0);
-        job.class = "aimed".into();
+        job.class = "bounded-start".into();
         job.deadline_s = Some(60.0);
         engine.job_accepted(at, (at * 1000.0) as u64, job_record(job), 70);
     };
@@ -80,7 +80,7 @@
     let mut engine = new_engine(vec![team(0.0, 0.0)]);
     let mut warm = ready_worker(&mut engine, "m1", "a");
     let job_with_start_objective = |id: &str| JobSpec {
-        class: "aimed".into(),
+        class: "bounded-start".into(),
         image: "large".into(),
         image_gb: 5.0,
         ..spec(id, 1, 8.0)
