--- a/crates/umbersail-control/src/engine/tests/failovers.rs
+++ b/crates/umbersail-control/src/engine/tests/failovers.rs
@@ -1,20 +1,20 @@
-//! Take-overs: what a successor may start, and what it knows of earlier holders.
+//! Failovers: which tasks a new leader may start, and what it knows of former leaders.
 
 use super::*;
 
 #[test]
-fn a_successor_starts_nothing_that_may_run_until_the_machine_shows_its_token() {
-    // Guards against ran_twice after a take-over: a report from before our
-    // token proves nothing.
+fn a_new_leader_starts_no_task_that_may_run_on_a_machine_until_the_machine_shows_its_token() {
+    // Guards against the fault ran_twice after a failover: a heartbeat from before the machine
+    // received the new leader's token proves nothing.
     let mut engine = engine_after_failover(vec![team(0.0, 0.0)], spec("req-1", 3, 2.0));
     let mut other = ready_worker(&mut engine, "m2", "a");
     commit(&mut engine, 1.0);
-    let told = started_tasks(&other.send_heartbeat(&mut engine, 1.0));
-    assert_eq!(told, ["req-1/2"], "only the task never started before");
+    let started = started_tasks(&other.send_heartbeat(&mut engine, 1.0));
+    assert_eq!(started, ["req-1/2"], "only the task that was never started");
 
-    let mut old = Worker::new("m1", "a");
-    old.token = first_token(TOKEN - 10);
-    old.tasks = vec![TaskReport {
+    let mut m1 = Worker::new("m1", "a");
+    m1.token = first_token(TOKEN - 10);
+    m1.tasks = vec![TaskReport {
         task: "req-1/0".into(),
         attempt: 5,
         state: TaskState::Running,
@@ -22,7 +22,7 @@
         saved: None,
     }];
     assert_eq!(
-        old.send_heartbeat(&mut engine, 1.5),
+        m1.send_heartbeat(&mut engine, 1.5),
         vec![],
         "not fenced yet"
     );
@@ -32,35 +32,36 @@
         0
     );
 
-    // Fenced: task 0 goes on, task 1 is on no machine and may start.
-    old.send_heartbeat(&mut engine, 2.1);
+    // The machine is fenced now: task 0 continues, and task 1 is on no machine and may start.
+    m1.send_heartbeat(&mut engine, 2.1);
     commit(&mut engine, 2.2);
-    let told: Vec<String> = [
-        started_tasks(&old.send_heartbeat(&mut engine, 3.0)),
+    let started: Vec<String> = [
+        started_tasks(&m1.send_heartbeat(&mut engine, 3.0)),
         started_tasks(&other.send_heartbeat(&mut engine, 3.0)),
     ]
     .concat();
-    assert_eq!(told, ["req-1/1"]);
-    old.send_heartbeat(&mut engine, 4.0);
+    assert_eq!(started, ["req-1/1"]);
+    m1.send_heartbeat(&mut engine, 4.0);
     other.send_heartbeat(&mut engine, 4.0);
     assert_eq!(engine.job_progress("req-1").map(|c| c.1), Some(3));
 }
 
 #[test]
-fn all_controllers_ending_at_once_leaves_attempts_that_never_repeat() {
-    // Guards against a launch that a worker ignores, or runs again after reap,
-    // because a successor gave the same number.
+fn attempt_numbers_do_not_repeat_after_all_controllers_restart_at_once() {
+    // Guards against a new leader that uses an attempt number again: the worker would ignore the
+    // launch, or run the same attempt a second time after it has forgotten the first.
     let mut first = new_engine(vec![team(0.0, 0.0)]);
     let mut worker = ready_worker(&mut first, "m1", "a");
     accept(&mut first, 1.0, spec("req-1", 1, 2.0));
     commit(&mut first, 1.0);
     let heartbeat = worker.heartbeat();
-    let told = receive_and_reply(&mut first, 2.0, &heartbeat, true).unwrap();
+    let commands = receive_and_reply(&mut first, 2.0, &heartbeat, true).unwrap();
     let Command::Start {
-        attempt: before, ..
-    } = told[0]
+        attempt: first_attempt,
+        ..
+    } = commands[0]
     else {
-        panic!("{told:?}");
+        panic!("{commands:?}");
     };
     let mut second = Engine::new(
         config(vec![team(0.0, 0.0)], Tuning::default()),
@@ -79,21 +80,26 @@
     worker.send_heartbeat(&mut second, 0.5);
     worker.send_heartbeat(&mut second, 1.0);
     commit(&mut second, 1.0);
-    let told = worker.send_heartbeat(&mut second, 2.0);
-    let Command::Start { attempt: after, .. } = told[0] else {
-        panic!("{told:?}");
+    let commands = worker.send_heartbeat(&mut second, 2.0);
+    let Command::Start {
+        attempt: second_attempt,
+        ..
+    } = commands[0]
+    else {
+        panic!("{commands:?}");
     };
-    assert!(after > before);
+    assert!(second_attempt > first_attempt);
 }
 
 #[test]
-fn what_a_former_holder_started_without_a_record_is_found_by_the_next_but_one() {
-    // Guards against ran_twice: a leader saw in a report what its predecessor had
-    // started without a record, wrote nothing of it, and ended.
-    let mut found = inherited_state_of(spec("req-1", 4, 2.0));
-    found.predecessor_degraded = true;
+fn a_task_started_without_a_record_is_recorded_before_recovery_counts_as_complete() {
+    // Guards against the fault ran_twice under the leader after next: a new leader learned from
+    // a heartbeat of a task that its predecessor had started without a record, did not record
+    // the task, and ended.
+    let mut inherited_state = inherited_state_of(spec("req-1", 4, 2.0));
+    inherited_state.predecessor_degraded = true;
     let config = config(vec![team(0.0, 0.0)], Tuning::default());
-    let mut engine = Engine::new(config, 0.0, 0, found);
+    let mut engine = Engine::new(config, 0.0, 0, inherited_state);
     let mut other = ready_worker(&mut engine, "m2", "a");
     commit(&mut engine, 1.0);
     assert_eq!(
@@ -101,21 +107,24 @@
         0,
         "any task may run on m1"
     );
-    let mut old = Worker::new("m1", "a");
-    old.tasks = vec![running_task("req-1/3", 7)];
-    old.send_heartbeat(&mut engine, 2.0);
-    let heartbeat = old.heartbeat();
+    let mut m1 = Worker::new("m1", "a");
+    m1.tasks = vec![running_task("req-1/3", 7)];
+    m1.send_heartbeat(&mut engine, 2.0);
+    let heartbeat = m1.heartbeat();
     assert!(engine.receive_heartbeat(2.5, &heartbeat));
     let written = commit(&mut engine, 2.6);
-    let at = |found: &dyn Fn(&Change<Record>) -> bool| written.iter().position(found);
-    let names_it = |c: &Change<Record>| {
+    let position = |found: &dyn Fn(&Change<Record>) -> bool| written.iter().position(found);
+    let records_task = |c: &Change<Record>| {
         matches!(c, Change::Put { value: Record::JobProgress(run), .. }
             if run.high_water == 4 && run.hosts.iter().any(|h| h == "m1"))
     };
-    let settles =
+    let completes_recovery =
         |c: &Change<Record>| matches!(c, Change::Delete { key } if key == RECOVERY_PENDING_KEY);
-    assert!(at(&names_it).is_some() && at(&names_it) < at(&settles));
-    let told = started_tasks(&other.send_heartbeat(&mut engine, 2.7)).len()
-        + started_tasks(&old.send_heartbeat(&mut engine, 3.1)).len();
-    assert_eq!(told, 3);
+    assert!(
+        position(&records_task).is_some()
+            && position(&records_task) < position(&completes_recovery)
+    );
+    let started = started_tasks(&other.send_heartbeat(&mut engine, 2.7)).len()
+        + started_tasks(&m1.send_heartbeat(&mut engine, 3.1)).len();
+    assert_eq!(started, 3);
 }
--- a/crates/umbersail-control/src/engine/tests/transactions.rs
+++ b/crates/umbersail-control/src/engine/tests/transactions.rs
@@ -1,11 +1,11 @@
-//! Transactions on the state service: their conditions, answers that are missing, sizes
-//! and the budget of changes.
+//! Transactions on the state service: their conditions, unacknowledged writes, sizes, and the
+//! budget of changes.
 
 use super::*;
 
 #[test]
-fn a_write_without_answer_is_read_before_anything_is_started_on_it() {
-    // Guards against a late transaction: ours may be applied after our next.
+fn after_an_unacknowledged_write_the_record_is_read_before_a_task_is_started() {
+    // Guards against a late transaction, which may be applied after the leader's next one.
     let mut engine = new_engine(vec![team(0.0, 0.0)]);
     let mut worker = ready_worker(&mut engine, "m1", "a");
     accept(&mut engine, 1.0, spec("req-1", 1, 2.0));
@@ -26,7 +26,10 @@
     );
     engine.txn_finished(1.0, pending, TxnOutcome::Unknown);
     assert_eq!(engine.unknown_versions().0, ["req-1"]);
-    assert!(engine.next_txn(2.0, 20, 20).is_none(), "first the read");
+    assert!(
+        engine.next_txn(2.0, 20, 20).is_none(),
+        "the record is read first"
+    );
     assert_eq!(
         started_tasks(&worker.send_heartbeat(&mut engine, 2.0)).len(),
         0
@@ -48,8 +51,8 @@
 }
 
 #[test]
-fn a_write_refused_for_the_leaders_key_ends_leadership() {
-    // Guards against two leaders: the state service has the last word.
+fn a_transaction_that_fails_on_the_leader_key_ends_the_leadership() {
+    // Guards against two leaders: the state service decides who the leader is.
     let mut engine = new_engine(vec![team(0.0, 0.0)]);
     ready_worker(&mut engine, "m1", "a");
     accept(&mut engine, 1.0, spec("req-1", 1, 2.0));
@@ -61,8 +64,8 @@
 }
 
 #[test]
-fn a_record_that_drops_a_host_is_not_relied_on_for_it_while_under_way() {
-    // Guards against a launch on a machine that the record is just losing.
+fn a_task_is_not_launched_on_a_machine_that_a_write_in_flight_removes_from_the_record() {
+    // Guards against a launch on a machine that the job's record is about to lose.
     let mut engine = new_engine(vec![team(0.0, 0.0)]);
     let mut worker = ready_worker(&mut engine, "m1", "a");
     accept(&mut engine, 1.0, spec("req-1", 3, 8.0));
@@ -70,9 +73,9 @@
     worker.send_heartbeat(&mut engine, 2.0);
     worker.exit("req-1/0", None, ExitCause::Done);
     worker.send_heartbeat(&mut engine, 3.0);
-    // The end of task 0 is written with no host left ...
+    // The completion of task 0 is written, which leaves no host in the record.
     let pending = engine.next_txn(4.0, 20, 20).unwrap();
-    // ... and meanwhile task 1 is placed on the same machine.
+    // Meanwhile, task 1 is placed on the same machine.
     engine.schedule(4.0);
     assert_eq!(
         started_tasks(&worker.send_heartbeat(&mut engine, 4.0)).len(),
@@ -87,27 +90,27 @@
 }
 
 #[test]
-fn records_of_what_gives_way_leave_half_of_the_bucket_to_others() {
-    // Guards against launches of jobs with deadlines behind a guest's thousands of
-    // single tasks: with 25 changes a second they came 12 s late.
+fn records_of_best_effort_jobs_leave_half_of_the_change_budget_to_other_jobs() {
+    // Guards against launches of jobs with deadlines that wait behind thousands of best-effort
+    // jobs of one task each: with 25 changes per second, these launches were 12 s late.
     let mut engine = new_engine(vec![team(0.0, 0.0)]);
     let mut worker = ready_worker(&mut engine, "m1", "a");
     for i in 0..20 {
-        let mut guest = spec(&format!("req-{i:02}"), 1, 0.1);
-        guest.priority = Priority::Low;
-        accept(&mut engine, 1.0, guest);
+        let mut best_effort = spec(&format!("req-{i:02}"), 1, 0.1);
+        best_effort.priority = Priority::Low;
+        accept(&mut engine, 1.0, best_effort);
     }
     accept(&mut engine, 1.5, spec("req-99", 1, 2.0));
     let pending = engine.next_txn(2.0, 12, 6).unwrap();
     let first = match &pending.txn.changes[0] {
         Change::Put { key, .. } | Change::Delete { key } => key.clone(),
     };
-    assert_eq!(first, "runs/req-99", "younger, and first");
+    assert_eq!(first, "runs/req-99", "accepted last, and written first");
     assert!(pending.txn.changes.len() <= 6);
     engine.txn_finished(2.0, pending, TxnOutcome::Applied { revision: 2000 });
     assert!(
         engine.next_txn(2.1, 6, 0).is_none(),
-        "guests leave the rest"
+        "best-effort jobs leave the rest of the budget"
     );
     commit(&mut engine, 3.0);
     assert_eq!(
@@ -117,9 +120,9 @@
 }
 
 #[test]
-fn the_record_of_a_large_fleet_stays_within_the_bounds_of_a_value_and_a_transaction() {
-    // Guards against a fleet that outgrows one value: nothing could be started
-    // any more, and each new machine would cost a write of all of them.
+fn the_grant_of_a_large_fleet_stays_within_the_size_limits_of_values_and_transactions() {
+    // Guards against a fleet that exceeds the size of one value: no task could be started any
+    // more, and each new machine would require a write of all machines.
     let mut engine = new_engine(vec![team(0.0, 0.0)]);
     let name = |i: usize| format!("host-{i:06}");
     for i in 0..600 {
@@ -146,31 +149,36 @@
     assert!(largest > 0 && largest < 16 * 1024, "{largest}");
     assert!(engine.machines.values().all(|m| m.grant_recorded));
 
-    // One more machine: one part is written, and no other.
-    ready_worker_at(&mut engine, "host-000600", 2.0);
+    // One more machine: exactly one part of the grant is written.
+    fenced_worker_at(&mut engine, "host-000600", 2.0);
     let pending = engine.next_txn(2.5, 20, 20).unwrap();
     assert_eq!(pending.txn.changes.len(), 1);
     engine.txn_finished(2.5, pending, TxnOutcome::Unknown);
     assert!(!engine.machines["host-000600"].grant_recorded);
-    assert!(engine.next_txn(2.5, 20, 20).is_none(), "to be read before");
+    assert!(
+        engine.next_txn(2.5, 20, 20).is_none(),
+        "the part is read first"
+    );
     let (_, parts) = engine.unknown_versions();
     engine.part_read(parts[0], 1001);
     assert!(engine.next_txn(2.6, 20, 20).is_some());
 }
 
-fn ready_worker_at(engine: &mut Engine, name: &str, now: Time) {
+/// A worker that has shown the leader's token and whose machine is not yet in the recorded
+/// grant.
+fn fenced_worker_at(engine: &mut Engine, name: &str, now: Time) {
     let mut worker = Worker::new(name, "a");
     worker.send_heartbeat(engine, now);
     worker.send_heartbeat(engine, now + 0.5);
 }
 
 #[test]
-fn the_largest_array_on_a_large_fleet_keeps_its_record_within_the_bound() {
-    // Guards against a record that the state service refuses: it would hold up
-    // every other write of the leader with it.
+fn the_progress_record_of_the_largest_job_array_on_a_large_fleet_stays_within_the_size_limit() {
+    // Guards against a record that the state service rejects: the record would block every
+    // other write of the leader.
     let mut engine = new_engine(vec![team(0.0, 0.0)]);
     for i in 0..600 {
-        ready_worker_at(&mut engine, &format!("host-{i:06}"), 0.0);
+        fenced_worker_at(&mut engine, &format!("host-{i:06}"), 0.0);
     }
     commit(&mut engine, 0.6);
     accept(&mut engine, 1.0, spec("req-1", 100_000, 8.0));
@@ -192,9 +200,9 @@
 }
 
 #[test]
-fn a_launch_is_written_at_once_while_progress_waits_for_budget_to_spare() {
-    // Guards against launches that wait until the budget takes a large
-    // transaction, behind records that nobody waits for.
+fn a_launch_is_written_at_once_while_progress_waits_for_spare_budget() {
+    // Guards against launches that wait, behind progress records that are not urgent, until the
+    // budget suffices for a large transaction.
     let mut engine = new_engine(vec![team(0.0, 0.0)]);
     let mut worker = ready_worker(&mut engine, "m1", "a");
     accept(&mut engine, 1.0, spec("req-1", 2, 2.0));
@@ -210,16 +218,18 @@
     );
     engine.txn_finished(4.0, launch, TxnOutcome::Applied { revision: 2000 });
 
-    // An end goes without the removal of its progress, which follows later.
+    // The end of a job is written without the deletion of its progress record, which follows
+    // later.
     worker.exit("req-1/1", None, ExitCause::Done);
     worker.send_heartbeat(&mut engine, 5.0);
-    let end = engine.next_txn(5.0, 2, 0).unwrap();
-    assert_eq!(end.txn.changes.len(), 2);
-    engine.txn_finished(5.0, end, TxnOutcome::Applied { revision: 2001 });
+    let job_end = engine.next_txn(5.0, 2, 0).unwrap();
+    assert_eq!(job_end.txn.changes.len(), 2);
+    engine.txn_finished(5.0, job_end, TxnOutcome::Applied { revision: 2001 });
     assert!(engine.next_txn(5.0, 20, 0).is_none());
-    let rest = engine.next_txn(5.0, 20, 5).unwrap();
+    let deletion = engine.next_txn(5.0, 20, 5).unwrap();
     assert!(
-        rest.txn
+        deletion
+            .txn
             .changes
             .iter()
             .any(|c| matches!(c, Change::Delete { key } if *key == progress_key("req-1")))
--- a/crates/umbersail-control/src/engine/tests/zone_constraints.rs
+++ b/crates/umbersail-control/src/engine/tests/zone_constraints.rs
@@ -1,11 +1,12 @@
-//! Jobs whose tasks depend on each other's zones: what may still run counts.
+//! Jobs whose tasks constrain each other's zones: every attempt that may still run counts.
 
 use super::*;
 
 #[test]
 fn an_attempt_of_a_completed_task_that_may_still_run_counts_for_its_zone() {
-    // Guards against wrong_place after a take-over: of a job whose tasks spread, one has
-    // completed, and another attempt of it may still be on a machine that was not heard.
+    // Guards against the fault wrong_place after a failover: one task of a job that spreads
+    // over zones is complete, and another attempt of this task may still run on a machine that
+    // has sent no heartbeat yet.
     let mut job = spec("req-1", 4, 2.0);
     job.spread = Some(true);
     let mut inheritance = inherited_state_of(job);
@@ -22,10 +23,10 @@
     let mut engine = Engine::new(config, 0.0, 0, inheritance);
     let mut same_zone = ready_worker(&mut engine, "m2", "a");
     commit(&mut engine, 1.0);
-    let told = same_zone.send_heartbeat(&mut engine, 2.0);
+    let commands = same_zone.send_heartbeat(&mut engine, 2.0);
     assert_eq!(
-        started_tasks(&told).len(),
+        started_tasks(&commands).len(),
         1,
-        "half of four, less the one: {told:?}"
+        "half of the four tasks, minus the attempt that may run: {commands:?}"
     );
 }
