--- a/crates/umbersail-control/src/engine/tests/calendar.rs
+++ b/crates/umbersail-control/src/engine/tests/calendar.rs
@@ -39,10 +39,10 @@
     started: BTreeMap<String, u32>,
 }
 
-fn engine(properties: &str, now: Time, inheritance: InheritedState) -> Engine {
+fn engine(properties: &str, now: Time, inherited_state: InheritedState) -> Engine {
     let tuning = Tuning::from_properties(properties.as_bytes()).unwrap();
     let cfg = config(vec![team(0.0, 0.0)], tuning);
-    Engine::new(cfg, now, wall_clock_ms(now), inheritance)
+    Engine::new(cfg, now, wall_clock_ms(now), inherited_state)
 }
 
 /// Unix time in milliseconds. The first run opens one second after the start of the first leader.
@@ -60,7 +60,7 @@
             engine: engine(PROPERTIES, 0.0, empty_inherited_state()),
             workers: vec![Worker::new("m1", "a"), Worker::new("m2", "b")],
             now: 0.0,
-            leader_revision: TOKEN,
+            leader_revision: LEADER_REVISION,
             revision: 1000,
             started: BTreeMap::new(),
         }
@@ -76,7 +76,7 @@
             spot: false,
             addr: "127.0.0.1:9".into(),
         };
-        let inheritance = InheritedState {
+        let inherited_state = InheritedState {
             revision: self.leader_revision,
             grant_parts: vec![InheritedPart {
                 index: 0,
@@ -104,7 +104,7 @@
                 .collect(),
             ..empty_inherited_state()
         };
-        self.engine = engine(&self.properties, self.now, inheritance);
+        self.engine = engine(&self.properties, self.now, inherited_state);
     }
 
     fn submit(&mut self, id: &str, class: &str) {
--- a/crates/umbersail-control/src/engine/tests/cancellations.rs
+++ b/crates/umbersail-control/src/engine/tests/cancellations.rs
@@ -124,7 +124,7 @@
     assert_eq!(started_tasks(&in_flight).len(), 1);
     engine.job_key_removed("req-1");
     assert_eq!(engine.job_count(), 1, "one task may be on the worker");
-    worker.apply_commands(first_token(TOKEN), &in_flight);
+    worker.apply_commands(first_token(LEADER_REVISION), &in_flight);
     assert_eq!(stop_count(&worker.send_heartbeat(&mut engine, 3.0)), 1);
     worker.send_heartbeat(&mut engine, 4.0);
     assert_eq!(engine.job_count(), 0);
--- a/crates/umbersail-control/src/engine/tests/cycles.rs
+++ b/crates/umbersail-control/src/engine/tests/cycles.rs
@@ -761,8 +761,8 @@
         run,
     };
     let inheritance = InheritedState {
-        revision: TOKEN + 1,
-        leader_version: TOKEN + 1,
+        revision: LEADER_REVISION + 1,
+        leader_version: LEADER_REVISION + 1,
         grant_parts: vec![InheritedPart {
             index: 0,
             version: 40,
--- a/crates/umbersail-control/src/engine/tests/delegates.rs
+++ b/crates/umbersail-control/src/engine/tests/delegates.rs
@@ -34,7 +34,7 @@
         }
         let finished_jobs = engine.finished_jobs().unwrap();
         for delegate in &mut delegates {
-            delegate.on_delegation(TOKEN, now + renewal_s, &finished_jobs);
+            delegate.on_delegation(LEADER_REVISION, now + renewal_s, &finished_jobs);
         }
         let heartbeat = worker.heartbeat();
         if delegates[current].renew(now, &heartbeat).is_some() {
--- a/crates/umbersail-control/src/engine/tests/failovers.rs
+++ b/crates/umbersail-control/src/engine/tests/failovers.rs
@@ -13,7 +13,7 @@
     assert_eq!(started, ["req-1/2"], "only the task that was never started");
 
     let mut m1 = Worker::new("m1", "a");
-    m1.token = first_token(TOKEN - 10);
+    m1.token = first_token(LEADER_REVISION - 10);
     m1.tasks = vec![TaskReport {
         task: "req-1/0".into(),
         attempt: 5,
@@ -68,7 +68,7 @@
         0.0,
         0,
         InheritedState {
-            revision: TOKEN + 1,
+            revision: LEADER_REVISION + 1,
             jobs: vec![InheritedJob {
                 record: job_record(spec("req-1", 1, 2.0)),
                 version: 70,
--- a/crates/umbersail-control/src/engine/tests/fixtures.rs
+++ b/crates/umbersail-control/src/engine/tests/fixtures.rs
@@ -4,7 +4,7 @@
 use super::*;
 
 /// Revision of the leader record under which the engine under test was elected.
-pub(super) const TOKEN: u64 = 100;
+pub(super) const LEADER_REVISION: u64 = 100;
 /// Length of a worker's lease.
 pub(super) const LEASE_S: f64 = 10.0;
 
@@ -202,8 +202,8 @@
 /// The state that the first leader of a new cluster finds: no jobs and no machines.
 pub(super) fn empty_inherited_state() -> InheritedState {
     InheritedState {
-        revision: TOKEN,
-        leader_version: TOKEN,
+        revision: LEADER_REVISION,
+        leader_version: LEADER_REVISION,
         grant_parts: vec![],
         finished_jobs: vec![],
         count_whole_machines: false,
--- a/crates/umbersail-control/src/engine/tests/heartbeats.rs
+++ b/crates/umbersail-control/src/engine/tests/heartbeats.rs
@@ -185,7 +185,7 @@
 
     // A machine that a former leader deleted sends no further heartbeat, and is deleted again.
     let mut deleted = Worker::new("m1", "a");
-    deleted.token = first_token(TOKEN - 10);
+    deleted.token = first_token(LEADER_REVISION - 10);
     heartbeat_with_lost_reply(&mut deleted, &mut engine, 3.0);
     worker.send_heartbeat(&mut engine, 24.0);
     let deletes = CloudAction::Delete(vec!["m1".into()]);
@@ -193,7 +193,7 @@
 }
 
 /// The entry of a task in a heartbeat: exited with the given cause, or running without one.
-fn exited_or_running(task: &str, attempt: u64, cause: Option<ExitCause>) -> TaskReport {
+fn task_report(task: &str, attempt: u64, cause: Option<ExitCause>) -> TaskReport {
     TaskReport {
         state: cause.map_or(TaskState::Running, |_| TaskState::Exited),
         cause,
@@ -314,12 +314,12 @@
     // has exited or none of the tasks that the former leader started since.
     for tasks in [
         vec![],
-        vec![exited_or_running("req-1/0", 4, Some(ExitCause::Stopped))],
+        vec![task_report("req-1/0", 4, Some(ExitCause::Stopped))],
     ] {
         let mut engine = engine_after_failover(vec![team(0.0, 0.0)], spec("req-1", 2, 2.0));
         let mut other = ready_worker(&mut engine, "m2", "a");
         let mut worker = Worker::new("m1", "a");
-        worker.token = first_token(TOKEN - 10);
+        worker.token = first_token(LEADER_REVISION - 10);
         worker.tasks = tasks;
         let old_heartbeat = worker.heartbeat();
         worker.tasks = vec![running_task("req-1/0", 5), running_task("req-1/1", 6)];
@@ -360,7 +360,7 @@
     let mut other = ready_worker(&mut engine, "m2", "a");
     let mut worker = Worker::new("m1", "a");
     worker.token = engine.token_for("m1");
-    let done = exited_or_running("req-1/0", 5, Some(ExitCause::Done));
+    let done = task_report("req-1/0", 5, Some(ExitCause::Done));
     worker.tasks = vec![done, running_task("req-1/1", 6)];
     let old_heartbeat = worker.heartbeat();
     assert!(receive_and_reply(&mut engine, 0.6, &old_heartbeat, true).is_some());
--- a/crates/umbersail-control/src/engine/tests/images.rs
+++ b/crates/umbersail-control/src/engine/tests/images.rs
@@ -7,7 +7,7 @@
 use crate::records::PLANS;
 
 /// A machine type whose cache is large enough for the image, and one whose cache is too small.
-fn types() -> Vec<MachineType> {
+fn machine_types() -> Vec<MachineType> {
     let large = MachineType {
         cache_gb: 400.0,
         fetch_gb_per_s: 1.0,
@@ -59,16 +59,16 @@
 
 impl Fleet {
     fn new(cfg: Rc<EngineConfig>, machines: usize) -> Fleet {
-        let inheritance = InheritedState {
-            types: types(),
+        let inherited_state = InheritedState {
+            types: machine_types(),
             ..empty_inherited_state()
         };
         let mut fleet = Fleet {
-            engine: Engine::new(cfg.clone(), 0.0, 0, inheritance),
+            engine: Engine::new(cfg.clone(), 0.0, 0, inherited_state),
             cfg,
             workers: Vec::new(),
             keys: BTreeMap::new(),
-            revision: TOKEN,
+            revision: LEADER_REVISION,
             launches: Vec::new(),
         };
         for n in 0..machines {
@@ -174,20 +174,20 @@
     /// The leader ends, and a new one is elected that reads the state service.
     fn fail_over(&mut self, now: Time) {
         self.revision += 1;
-        let mut inheritance = InheritedState {
+        let mut inherited_state = InheritedState {
             revision: self.revision,
             leader_version: self.revision,
-            types: types(),
+            types: machine_types(),
             ..empty_inherited_state()
         };
         for (key, (record, version)) in &self.keys {
             match record {
-                Record::GrantPart(part) => inheritance.grant_parts.push(InheritedPart {
+                Record::GrantPart(part) => inherited_state.grant_parts.push(InheritedPart {
                     index: key[GRANT_PARTS.len()..].parse().unwrap(),
                     version: *version,
                     part: part.clone(),
                 }),
-                Record::Job(job) => inheritance.jobs.push(InheritedJob {
+                Record::Job(job) => inherited_state.jobs.push(InheritedJob {
                     record: job.clone(),
                     version: *version,
                     run: match self.keys.get(&progress_key(&job.spec.id)) {
@@ -195,7 +195,7 @@
                         _ => None,
                     },
                 }),
-                Record::Plan(plan) => inheritance.plans.push(InheritedPlan {
+                Record::Plan(plan) => inherited_state.plans.push(InheritedPlan {
                     name: key[PLANS.len()..].into(),
                     version: *version,
                     value: to_value(plan).unwrap(),
@@ -203,7 +203,7 @@
                 _ => {}
             }
         }
-        self.engine = Engine::new(self.cfg.clone(), now, 0, inheritance);
+        self.engine = Engine::new(self.cfg.clone(), now, 0, inherited_state);
     }
 }
 
@@ -307,15 +307,15 @@
     for now in 2..4 {
         fleet.send_heartbeats(f64::from(now));
     }
-    let fetched: Vec<usize> = (0..24)
+    let with_image: Vec<usize> = (0..24)
         .filter(|w| !fleet.workers[*w].tasks.is_empty())
         .collect();
-    for worker in &fetched {
+    for worker in &with_image {
         fleet.complete_fetch(*worker);
     }
     fleet.send_heartbeats(100.0);
     // From here on, one machine sends no heartbeats, and another has a reclaim notice.
-    let (silent, to_be_reclaimed) = (fetched[0], fetched[1]);
+    let (silent, to_be_reclaimed) = (with_image[0], with_image[1]);
     for now in 101..106 {
         for worker in (0..24).filter(|w| *w != silent) {
             fleet.workers[worker].seq += 1;
@@ -326,7 +326,7 @@
     }
     let launches = fleet.launches.len();
     fleet.accept(106.0, large_image_job("req-2", 12));
-    for worker in (0..24).filter(|w| !fetched.contains(w)) {
+    for worker in (0..24).filter(|w| !with_image.contains(w)) {
         fleet.send_heartbeat(106.5, worker);
     }
     let named: BTreeSet<String> = (fleet.launches[launches..].iter())
@@ -385,7 +385,7 @@
     assert_eq!(types.as_deref(), Some(&["m8".to_owned()][..]));
     // Without peer-to-peer transfer, the job's own list of types is not restricted.
     let mut without_peer_to_peer = new_engine(vec![team(0.0, 0.0)]);
-    without_peer_to_peer.set_machine_types(super::images::types());
+    without_peer_to_peer.set_machine_types(super::images::machine_types());
     accept(&mut without_peer_to_peer, 1.0, large_image_job("req-1", 9));
     assert_eq!(without_peer_to_peer.jobs["req-1"].spec.types, None);
 }
@@ -397,7 +397,7 @@
         plan: Value::from("invalid"),
         is_tombstone: false,
     };
-    let inheritance = InheritedState {
+    let inherited_state = InheritedState {
         plans: vec![InheritedPlan {
             name: "images/weights-70b".into(),
             version: 50,
@@ -405,7 +405,7 @@
         }],
         ..empty_inherited_state()
     };
-    let mut engine = Engine::new(peer_to_peer_config(1.0), 0.0, 0, inheritance);
+    let mut engine = Engine::new(peer_to_peer_config(1.0), 0.0, 0, inherited_state);
     engine.tick(100.0);
     assert!(
         engine.next_txn(100.0, 20, 20).is_none(),
--- a/crates/umbersail-control/src/engine/tests/leases.rs
+++ b/crates/umbersail-control/src/engine/tests/leases.rs
@@ -48,8 +48,8 @@
     accept(&mut engine, 1.1, spec("req-1", 1, 2.0));
     commit(&mut engine, 1.1);
     let increment = engine.token_increments(1.1).remove(0);
-    assert_eq!(epoch(increment.token), TOKEN);
-    assert!(increment.token < first_token(TOKEN + 1));
+    assert_eq!(epoch(increment.token), LEADER_REVISION);
+    assert!(increment.token < first_token(LEADER_REVISION + 1));
     assert!(
         engine.token_increments(1.2).is_empty(),
         "at most once per half lease"
@@ -63,7 +63,7 @@
     worker.send_heartbeat(&mut engine, 2.0);
     assert_eq!(engine.job_progress("req-1"), Some((0, 1)));
     // The increment never overflows into another leader's tokens.
-    worker.token = first_token(TOKEN + 1) - 1;
+    worker.token = first_token(LEADER_REVISION + 1) - 1;
     worker.send_heartbeat(&mut engine, 20.0);
     accept(&mut engine, 20.1, spec("req-2", 1, 2.0));
     commit(&mut engine, 20.1);
@@ -72,7 +72,7 @@
 
 /// The single task of a job runs on m1. The leader sent its last reply to m1 at 3 s, and m1 has
 /// been silent since then. The delegate controller-1 may renew leases until 20 s.
-fn silent_with_a_delegate() -> Engine {
+fn engine_with_silent_machine_and_delegate() -> Engine {
     let mut engine = new_engine(vec![team(0.0, 0.0)]);
     let mut worker = ready_worker(&mut engine, "m1", "a");
     accept(&mut engine, 1.0, spec("req-1", 1, 2.0));
@@ -106,7 +106,7 @@
 fn a_lease_that_a_delegate_may_have_renewed_has_not_expired() {
     // Guards against the fault ran_twice during a partition between zones: a peer in the
     // worker's zone renews its lease, and the leader receives messages from neither.
-    let mut engine = silent_with_a_delegate();
+    let mut engine = engine_with_silent_machine_and_delegate();
     engine.tick(14.0);
     assert_eq!(
         engine.jobs["req-1"].pending(),
@@ -128,13 +128,13 @@
 fn a_delegates_report_of_no_renewal_proves_that_the_lease_of_a_silent_machine_has_expired() {
     // Guards against hung machines whose tasks cannot be restarted for as long as a peer may
     // renew leases.
-    let mut engine = silent_with_a_delegate();
+    let mut engine = engine_with_silent_machine_and_delegate();
     assert_eq!(
         pending_after_renewal_report(&mut engine, 14.1, 100.0, &[]),
         1
     );
 
-    let mut engine = silent_with_a_delegate();
+    let mut engine = engine_with_silent_machine_and_delegate();
     // The delegate renewed the lease at 10 s.
     for (now, ago_ms, pending) in [(14.1, 4100, 0), (20.3, 10_300, 0), (21.0, 11_000, 1)] {
         let renewals = [renewed("m1", ago_ms)];
@@ -150,7 +150,7 @@
     // Guards against the fault ran_twice when the leader is not told of renewals by two peers:
     // one peer renewed the lease until its delegation ended, and the second peer continued
     // after it had reported to the leader that it had renewed nothing.
-    let mut engine = silent_with_a_delegate();
+    let mut engine = engine_with_silent_machine_and_delegate();
     engine.delegate_renewals_to("controller-2", 60.0);
     engine.record_delegated_renewals(15.0, "controller-2", 14.9, 100.0, &[]);
     engine.tick(31.0);
@@ -166,7 +166,7 @@
 fn a_restarted_delegates_report_does_not_cover_renewals_before_the_restart() {
     // Guards against trusting a restarted process that reports no renewals: the process before
     // it may have renewed leases until it ended.
-    let mut engine = silent_with_a_delegate();
+    let mut engine = engine_with_silent_machine_and_delegate();
     assert_eq!(pending_after_renewal_report(&mut engine, 14.1, 4.1, &[]), 0);
     assert_eq!(
         pending_after_renewal_report(&mut engine, 20.9, 10.9, &[]),
@@ -198,7 +198,7 @@
         engine.record_delegated_renewals(1.0, "controller-1", 0.9, 100.0, &[renewed("m1", 1000)]);
     }
     let mut worker = Worker::new("m1", "a");
-    worker.token = first_token(TOKEN);
+    worker.token = first_token(LEADER_REVISION);
     worker.tasks = vec![running_task("req-1/0", 5), running_task("req-1/1", 5)];
     engine.receive_command_response(9.5, &worker.heartbeat());
     assert_eq!(engine.jobs["req-1"].placements.len(), 2);
--- a/crates/umbersail-control/src/engine/tests/plans.rs
+++ b/crates/umbersail-control/src/engine/tests/plans.rs
@@ -112,7 +112,7 @@
         ("note/text", Value::from("invalid")),
         ("note/other", to_value(&Note { steps: 1 }).unwrap()),
     ];
-    let inheritance = InheritedState {
+    let inherited_state = InheritedState {
         plans: records
             .into_iter()
             .map(|(name, value)| InheritedPlan {
@@ -124,7 +124,7 @@
         ..empty_inherited_state()
     };
     let cfg = config(vec![team(0.0, 0.0)], Tuning::default());
-    let mut engine = Engine::new(cfg, 0.0, 0, inheritance);
+    let mut engine = Engine::new(cfg, 0.0, 0, inherited_state);
     let store = &mut engine.plans.store;
     assert_eq!(store.read("note/valid", 1), Ok(Some(Note { steps: 3 })));
     assert!(store.read::<Note>("note/newer", 1).is_err());
--- a/crates/umbersail-control/src/engine/tests/quotas.rs
+++ b/crates/umbersail-control/src/engine/tests/quotas.rs
@@ -69,13 +69,13 @@
         m1.tasks = vec![running_task("req-9/3", 4)];
         // The machine was fenced by a direct command: a reply to a heartbeat would already have
         // stopped the task.
-        m1.token = first_token(TOKEN);
+        m1.token = first_token(LEADER_REVISION);
         let heartbeat = m1.heartbeat();
         assert!(engine.receive_heartbeat(2.5, &heartbeat));
         assert!(!removes(&commit(&mut engine, 2.6)));
         let commands = engine.reply(2.6, &heartbeat, true);
         assert_eq!(stop_count(&commands), 1);
-        m1.apply_commands(first_token(TOKEN), &commands);
+        m1.apply_commands(first_token(LEADER_REVISION), &commands);
         m1.send_heartbeat(&mut engine, 3.0);
         assert!(
             removes(&commit(&mut engine, 3.1)),
@@ -122,7 +122,7 @@
     other.exit("req-1/0", None, ExitCause::Done);
     other.send_heartbeat(&mut engine, 1.0);
     let mut worker = Worker::new("m1", "a");
-    worker.token = first_token(TOKEN);
+    worker.token = first_token(LEADER_REVISION);
     worker.tasks = vec![running_task("req-1/0", 5), running_task("req-1/1", 5)];
     let heartbeat = worker.heartbeat();
     assert!(engine.receive_heartbeat(1.5, &heartbeat));
@@ -138,7 +138,7 @@
         "the attempt of the completed task is stopped"
     );
     assert_eq!(started_tasks(&commands).len(), 0);
-    worker.apply_commands(first_token(TOKEN), &commands);
+    worker.apply_commands(first_token(LEADER_REVISION), &commands);
     worker.send_heartbeat(&mut engine, 2.0);
     commit(&mut engine, 2.1);
     let replies = [
--- a/crates/umbersail-control/src/engine/tests/reservations.rs
+++ b/crates/umbersail-control/src/engine/tests/reservations.rs
@@ -35,7 +35,7 @@
         Environment {
             cfg: config(vec![team(0.0, 0.0)], tuning),
             plans: BTreeMap::new(),
-            revision: TOKEN,
+            revision: LEADER_REVISION,
             rented: BTreeMap::new(),
             machines: 0,
         }
@@ -51,14 +51,14 @@
                 version: *version,
                 value: to_value(record).unwrap(),
             });
-        let inheritance = InheritedState {
+        let inherited_state = InheritedState {
             revision: self.revision,
             leader_version: self.revision,
             plans: plans.collect(),
             ..empty_inherited_state()
         };
         let unix_ms = START_UNIX_S * 1000 + (now * 1000.0) as u64;
-        Engine::new(self.cfg.clone(), now, unix_ms, inheritance)
+        Engine::new(self.cfg.clone(), now, unix_ms, inherited_state)
     }
 
     fn apply_transactions(&mut self, engine: &mut Engine, now: Time) {
--- a/crates/umbersail-control/src/engine/tests/starvation_guard.rs
+++ b/crates/umbersail-control/src/engine/tests/starvation_guard.rs
@@ -109,8 +109,8 @@
 
 #[test]
 fn a_new_leader_boosts_a_job_that_has_waited_too_long_unless_it_has_started() {
-    // Guards against a failover after which a starved job has to wait anew, or a job that has
-    // already started is boosted a second time.
+    // Guards against a failover after which a starved job has to wait all over again, or after
+    // which a job that has already started is boosted a second time.
     let mut boosted = Vec::new();
     for running in [0, 1] {
         let inherited = |spec: JobSpec, run| InheritedJob {
--- a/crates/umbersail-control/src/engine/tests/task_failures.rs
+++ b/crates/umbersail-control/src/engine/tests/task_failures.rs
@@ -152,5 +152,8 @@
     let faulty = ["m00", "m01", "m02", "m03", "m04"];
     accept(&mut engine, 1.0, spec("req-1", 5, 8.0));
     simulate_failures(&mut engine, &mut workers, &faulty, 2.0, 30);
-    assert!(!engine.jobs.contains_key("req-1"), "done within 30 s");
+    assert!(
+        !engine.jobs.contains_key("req-1"),
+        "the job completes within 30 s"
+    );
 }
--- a/crates/umbersail-control/src/engine/tests/transactions.rs
+++ b/crates/umbersail-control/src/engine/tests/transactions.rs
@@ -15,7 +15,7 @@
             .txn
             .conditions
             .iter()
-            .any(|c| c.key == LEADER && c.version == TOKEN)
+            .any(|c| c.key == LEADER && c.version == LEADER_REVISION)
     );
     assert!(
         pending
@@ -131,7 +131,7 @@
     let mut workers: Vec<Worker> = (0..600).map(|i| Worker::new(&name(i), "a")).collect();
     for worker in &mut workers {
         worker.seq = 1;
-        worker.token = first_token(TOKEN);
+        worker.token = first_token(LEADER_REVISION);
         worker.send_heartbeat(&mut engine, 0.5);
     }
     let mut largest = 0;
@@ -150,7 +150,7 @@
     assert!(engine.machines.values().all(|m| m.grant_recorded));
 
     // One more machine: exactly one part of the grant is written.
-    fenced_worker_at(&mut engine, "host-000600", 2.0);
+    add_fenced_worker(&mut engine, "host-000600", 2.0);
     let pending = engine.next_txn(2.5, 20, 20).unwrap();
     assert_eq!(pending.txn.changes.len(), 1);
     engine.txn_finished(2.5, pending, TxnOutcome::Unknown);
@@ -164,9 +164,9 @@
     assert!(engine.next_txn(2.6, 20, 20).is_some());
 }
 
-/// A worker that has shown the leader's token and whose machine is not yet in the recorded
-/// grant.
-fn fenced_worker_at(engine: &mut Engine, name: &str, now: Time) {
+/// Adds a machine whose worker has shown the leader's token, and which is not yet in the
+/// recorded grant.
+fn add_fenced_worker(engine: &mut Engine, name: &str, now: Time) {
     let mut worker = Worker::new(name, "a");
     worker.send_heartbeat(engine, now);
     worker.send_heartbeat(engine, now + 0.5);
@@ -178,7 +178,7 @@
     // other write of the leader.
     let mut engine = new_engine(vec![team(0.0, 0.0)]);
     for i in 0..600 {
-        fenced_worker_at(&mut engine, &format!("host-{i:06}"), 0.0);
+        add_fenced_worker(&mut engine, &format!("host-{i:06}"), 0.0);
     }
     commit(&mut engine, 0.6);
     accept(&mut engine, 1.0, spec("req-1", 100_000, 8.0));
