--- a/crates/umbersail-control/src/engine/tests/images.rs
+++ b/crates/umbersail-control/src/engine/tests/images.rs
@@ -21,7 +21,7 @@
     vec![large, small]
 }
 
-/// A service of 140 GB image size.
+/// A service with an image of 140 GB.
 fn large_image_job(id: &str, tasks: u32) -> JobSpec {
     JobSpec {
         kind: JobKind::Service,
@@ -208,7 +208,7 @@
 }
 
 impl Worker {
-    /// The worker's current heartbeat, with the sequence number of the last one.
+    /// The worker's heartbeat without a new sequence number.
     fn repeat_heartbeat(&self) -> Heartbeat {
         let mut copy = Worker {
             name: self.name.clone(),
@@ -225,7 +225,8 @@
 fn fetches_on_many_machines_continue_through_two_failovers_and_none_is_started_again() {
     let mut fleet = Fleet::new(peer_to_peer_config(1.0), 60);
     fleet.accept(1.0, large_image_job("req-1", 60));
-    // The first thirty workers receive their launch; then the leader ends before the others do.
+    // The first thirty workers receive their launch; then the leader ends before it sends the
+    // other launches.
     for worker in 0..30 {
         fleet.send_heartbeat(2.0, worker);
     }
--- a/crates/umbersail-control/src/engine/tests/launches.rs
+++ b/crates/umbersail-control/src/engine/tests/launches.rs
@@ -67,9 +67,9 @@
     let commands = worker.send_heartbeat(&mut engine, 6.5);
     assert_eq!(started_tasks(&commands).len(), 0);
     commit(&mut engine, 6.6);
-    let again = worker.send_heartbeat(&mut engine, 7.0);
-    assert_eq!(started_tasks(&again), ["req-1/0"]);
-    assert_ne!(again[0], lost[0], "a new attempt");
+    let relaunch = worker.send_heartbeat(&mut engine, 7.0);
+    assert_eq!(started_tasks(&relaunch), ["req-1/0"]);
+    assert_ne!(relaunch[0], lost[0], "a new attempt");
 }
 
 #[test]
