--- a/crates/umbersail-control/src/engine/tests.rs
+++ b/crates/umbersail-control/src/engine/tests.rs
@@ -1,5 +1,6 @@
 //! Tests of the engine with simulated workers and a clock that the test sets. Each test
-//! states the failure that it guards against.
+//! states the failure that it guards against. Names in backquotes such as `ran_twice` are the
+//! rule breaches that the rehearsal reports.
 
 mod calendar;
 mod cancellations;
--- a/crates/umbersail-control/src/engine/tests/placement.rs
+++ b/crates/umbersail-control/src/engine/tests/placement.rs
@@ -5,8 +5,8 @@
 
 #[test]
 fn zone_spread_and_single_zone_placement_count_tasks_that_may_still_run() {
-    // Guards against the fault wrong_place before the heartbeats show the tasks that a former
-    // leader started.
+    // Guards against tasks in a wrong zone (`wrong_place`) before the heartbeats show the tasks
+    // that a former leader started.
     let mut job = spec("req-1", 4, 2.0);
     job.spread = Some(true);
     let mut engine = engine_after_failover(vec![team(0.0, 0.0)], job);
