--- a/crates/umbersail-images/src/cache_view/admission.rs
+++ b/crates/umbersail-images/src/cache_view/admission.rs
@@ -10,7 +10,7 @@
 
 /// A store fetch that has taken more than this many times its duration without
 /// contention no longer occupies a store slot, provided that another store fetch has
-/// completed since then.
+/// completed after that time.
 const OVERDUE_FACTOR: f64 = 3.0;
 
 impl<M: Ord + Clone + Debug, I: Ord + Clone + Debug> CacheView<M, I> {
@@ -38,7 +38,7 @@
         }
         // Concurrent fetches on a machine share its download rate, so a fetch waits
         // while the machine runs a fetch of the same or a higher priority.
-        if self.settings.peer_to_peer && self.has_more_urgent_fetch(request) {
+        if self.settings.peer_to_peer && self.has_fetch_at_least_as_urgent(request) {
             return Decision::Wait;
         }
         let free_slots = self.free_store_slots(now, request.rate_gb_s);
@@ -54,7 +54,7 @@
     }
 
     /// Whether the machine runs a fetch of the same or a higher priority.
-    fn has_more_urgent_fetch(&self, request: &FetchRequest<'_, M, I>) -> bool {
+    fn has_fetch_at_least_as_urgent(&self, request: &FetchRequest<'_, M, I>) -> bool {
         let Some(cache) = self.machines.get(request.machine) else {
             return false;
         };
@@ -151,8 +151,8 @@
                 continue;
             };
             let overdue_at = started_at + OVERDUE_FACTOR * fetch.nominal_s;
-            // If no store fetch has completed since, the store itself is slow, and more
-            // concurrent store fetches would not help.
+            // If no store fetch has completed since `overdue_at`, the store itself is slow,
+            // and more concurrent store fetches would not help.
             if now <= overdue_at || last_completed_at <= overdue_at {
                 break;
             }
--- a/crates/umbersail-images/src/cache_view/mod.rs
+++ b/crates/umbersail-images/src/cache_view/mod.rs
@@ -48,6 +48,7 @@
     rollouts: BTreeMap<I, Rollout<M>>,
     /// Caches of the machines that have or fetch at least one tracked image.
     machines: BTreeMap<M, MachineCache<M, I>>,
+    /// Generation of the most recently added machine cache.
     last_generation: u64,
     store_fetches: StoreFetches<M, I>,
 }
--- a/crates/umbersail-images/src/cache_view/observations.rs
+++ b/crates/umbersail-images/src/cache_view/observations.rs
@@ -31,8 +31,7 @@
         let rollout = self.rollouts.get_mut(request.image);
         let from_store =
             rollout.is_some_and(|rollout| rollout.take_recorded_store_fetch(request.machine));
-        // The sources of a fetch from peers are unknown: assume that they fetch from the
-        // store, which makes two hops.
+        // The sources of an adopted fetch from peers are unknown: assume two hops.
         let fetch = ActiveFetch {
             started_at: now,
             last_observed_at: now,
--- a/crates/umbersail-images/src/fetch.rs
+++ b/crates/umbersail-images/src/fetch.rs
@@ -23,8 +23,8 @@
     /// Whether a previous leader started the fetch: its start time and its peers are
     /// unknown.
     pub adopted: bool,
-    /// Distance from the nearest complete copy along the sources, in hops; 1 for a
-    /// fetch from the store.
+    /// Distance from a complete copy through the farthest source, in hops; 1 for a fetch
+    /// from the store.
     pub hops: u32,
 }
 
--- a/crates/umbersail-images/src/rates.rs
+++ b/crates/umbersail-images/src/rates.rs
@@ -174,8 +174,9 @@
             let saturating = self.saturating_slots(nominal_gb_s);
             return saturating.map_or(initial, |slots| slots.min(initial));
         };
-        // Peers are slow and the store's throughput is unknown: doubles the largest
-        // concurrency without slowdown until the store is saturated.
+        // If peers are slow and the store's throughput is unknown, the limit is twice the
+        // largest concurrency without slowdown. The limit therefore grows until the store
+        // is saturated.
         let probe_slots = (2.0 * self.max_unaffected_concurrency).max(initial as f64) as usize;
         self.saturating_slots(slow_peer_gb_s).unwrap_or(probe_slots)
     }
--- a/crates/umbersail-images/src/rollout.rs
+++ b/crates/umbersail-images/src/rollout.rs
@@ -32,7 +32,7 @@
     last_requested_at: f64,
 }
 
-/// The rollout of one image to the machines that need it.
+/// The rollout of an image to the machines that need the image.
 #[derive(Debug, Clone)]
 pub(crate) struct Rollout<M: Ord> {
     pub size_gb: f64,
@@ -50,7 +50,7 @@
     spare_capacity: u64,
     /// Waiting machines, most urgent first.
     queue: BTreeSet<(FetchPriority, M)>,
-    /// The same machines, by name.
+    /// Queue entries of the waiting machines, by machine.
     queue_entries: BTreeMap<M, QueueEntry>,
     /// Machines that a previous leader's record lists as fetching from the store and
     /// that have not shown the image in a heartbeat yet.
