--- a/crates/umbersail-control/benches/scheduling_cycle.rs
+++ b/crates/umbersail-control/benches/scheduling_cycle.rs
@@ -1,5 +1,5 @@
-//! What a cycle, a search for victims, a report and a take-over cost, by waiting
-//! tasks and machines.
+//! The cost of a scheduling cycle, of a search for tasks to evict, of a heartbeat and of a
+//! failover, by the numbers of waiting tasks and machines.
 
 use std::collections::BTreeMap;
 use std::rc::Rc;
@@ -92,27 +92,27 @@
     }
 }
 
-fn record(spec: JobSpec) -> JobRecord {
+fn job_record(spec: JobSpec) -> JobRecord {
     JobRecord {
         spec,
         accepted_ms: 0,
     }
 }
 
-fn name(machine: usize) -> String {
+fn machine_name(machine: usize) -> String {
     format!("host-{machine:06}")
 }
 
 struct Bench {
     engine: Engine,
-    reports: Vec<Heartbeat>,
+    heartbeats: Vec<Heartbeat>,
     now: f64,
 }
 
 impl Bench {
-    /// So many machines, up, in the grant and empty.
-    fn machines(count: usize) -> Bench {
-        let inheritance = InheritedState {
+    /// An engine with `count` running machines that are in the grant and have no tasks.
+    fn with_machines(count: usize) -> Bench {
+        let inherited = InheritedState {
             revision: 100,
             leader_version: 100,
             grant_parts: vec![],
@@ -123,8 +123,8 @@
             types: vec![machine_type()],
             plans: Vec::new(),
         };
-        let report = |machine| Heartbeat {
-            machine: name(machine),
+        let heartbeat = |machine| Heartbeat {
+            machine: machine_name(machine),
             addr: "127.0.0.1:9".into(),
             machine_type: "m8".into(),
             zone: ["a", "b"][machine % 2].into(),
@@ -136,27 +136,29 @@
             tasks: vec![],
         };
         let mut bench = Bench {
-            engine: Engine::new(config(), 0.0, 0, inheritance),
-            reports: (0..count).map(report).collect(),
+            engine: Engine::new(config(), 0.0, 0, inherited),
+            heartbeats: (0..count).map(heartbeat).collect(),
             now: 0.0,
         };
-        bench.everybody_reports();
-        bench.everybody_reports();
-        bench.write();
+        bench.send_all_heartbeats();
+        bench.send_all_heartbeats();
+        bench.write_records();
         bench
     }
 
-    fn report(&mut self, machine: usize) {
-        let report = &mut self.reports[machine];
-        report.seq += 1;
-        if !self.engine.receive_heartbeat(self.now, report) {
+    fn send_heartbeat(&mut self, machine: usize) {
+        let heartbeat = &mut self.heartbeats[machine];
+        heartbeat.seq += 1;
+        if !self.engine.receive_heartbeat(self.now, heartbeat) {
             return;
         }
-        let commands = self.engine.reply(self.now, report, true);
-        report.token = report.token.max(self.engine.token_for(&report.machine));
+        let commands = self.engine.reply(self.now, heartbeat, true);
+        heartbeat.token = heartbeat
+            .token
+            .max(self.engine.token_for(&heartbeat.machine));
         for command in commands {
             match command {
-                Command::Start { task, attempt, .. } => report.tasks.push(TaskReport {
+                Command::Start { task, attempt, .. } => heartbeat.tasks.push(TaskReport {
                     task,
                     attempt,
                     state: TaskState::Running,
@@ -164,30 +166,31 @@
                     saved: None,
                 }),
                 Command::Stop { task, .. } | Command::Forget { task, .. } => {
-                    report.tasks.retain(|t| t.task != task);
+                    heartbeat.tasks.retain(|t| t.task != task);
                 }
             }
         }
     }
 
-    fn everybody_reports(&mut self) {
-        let count = self.reports.len();
+    fn send_all_heartbeats(&mut self) {
+        let count = self.heartbeats.len();
         for machine in 0..count {
             self.now += 0.6 / count as f64;
-            self.report(machine);
+            self.send_heartbeat(machine);
         }
     }
 
-    /// A tenth of them, in turn: nobody is silent.
-    fn some_report(&mut self) {
-        let count = self.reports.len();
+    /// Sends heartbeats from a tenth of the machines. Successive calls take the tenths in
+    /// turn, so that no machine counts as silent.
+    fn send_tenth_of_heartbeats(&mut self) {
+        let count = self.heartbeats.len();
         let first = (self.now * 4.0) as usize * count / 10;
         for machine in first..first + count / 10 {
-            self.report(machine % count);
+            self.send_heartbeat(machine % count);
         }
     }
 
-    fn write(&mut self) {
+    fn write_records(&mut self) {
         let mut revision = 1000 + (self.now * 1000.0) as u64;
         while let Some(pending) = self.engine.next_txn(self.now + 2.0, 20, 20) {
             revision += 1;
@@ -196,8 +199,8 @@
         }
     }
 
-    /// Evictions in the next record.
-    fn evicted(&mut self) -> u32 {
+    /// The number of evictions in the next transaction.
+    fn count_evictions(&mut self) -> u32 {
         let pending = self.engine.next_txn(self.now, 20, 20);
         let changes = pending.map(|p| p.txn.changes).unwrap_or_default();
         let evictions = changes.iter().map(|change| match change {
@@ -210,184 +213,200 @@
         evictions.sum()
     }
 
-    fn come(&mut self, spec: JobSpec) {
+    fn submit_job(&mut self, spec: JobSpec) {
         let at_ms = (self.now * 1000.0) as u64;
-        self.engine.job_accepted(self.now, at_ms, record(spec), 70);
+        self.engine
+            .job_accepted(self.now, at_ms, job_record(spec), 70);
     }
 
-    /// Jobs that wait for so many tasks, each of a shape of its own.
-    fn wait(&mut self, tasks: usize) {
+    /// Submits jobs with `tasks` waiting tasks in total. The CPUs per task differ between
+    /// jobs.
+    fn add_waiting_jobs(&mut self, tasks: usize) {
         for job in 0..tasks / TASKS_PER_JOB as usize {
             let cpus = 2.0 + (job * 37 % 100) as f64 / 128.0;
             let id = format!("req-{job:06}");
-            self.come(spec(&id, Priority::High, TASKS_PER_JOB, cpus));
+            self.submit_job(spec(&id, Priority::High, TASKS_PER_JOB, cpus));
         }
     }
 
-    /// Fills all machines; every `low`-th one with tasks that may be evicted.
-    fn fill(&mut self, low: usize) {
-        let machines = self.reports.len();
-        let of_low = machines.checked_div(low).unwrap_or(0);
-        let jobs = [(Priority::Low, of_low), (Priority::High, machines - of_low)];
+    /// Fills all machines with tasks: one in `low_priority_every` machines with tasks that
+    /// may be evicted, or none if `low_priority_every` is 0.
+    fn fill_machines(&mut self, low_priority_every: usize) {
+        let machines = self.heartbeats.len();
+        let low_priority_machines = machines.checked_div(low_priority_every).unwrap_or(0);
+        let jobs = [
+            (Priority::Low, low_priority_machines),
+            (Priority::High, machines - low_priority_machines),
+        ];
         for (priority, machines) in jobs {
             for job in 0..machines.div_ceil(10) {
                 let id = format!("run-{}-{job:06}", i32::from(priority == Priority::Low));
                 let tasks = 4 * (machines - 10 * job).min(10) as u32;
-                self.come(spec(&id, priority, tasks, 2.0));
+                self.submit_job(spec(&id, priority, tasks, 2.0));
             }
             self.engine.schedule(self.now);
         }
-        self.write();
-        self.everybody_reports();
-        self.everybody_reports();
+        self.write_records();
+        self.send_all_heartbeats();
+        self.send_all_heartbeats();
     }
 }
 
-/// Each once per sample, after `before`, which is not counted.
-fn timed(
+/// Times `run` once per iteration on a new `Bench`; `set_up` is not timed.
+fn measure_each(
     iterations: u64,
-    mut before: impl FnMut() -> Bench,
+    mut set_up: impl FnMut() -> Bench,
     mut run: impl FnMut(&mut Bench),
 ) -> Duration {
-    let mut took = Duration::ZERO;
+    let mut elapsed = Duration::ZERO;
     for _ in 0..iterations {
-        let mut bench = before();
-        let begun = Instant::now();
+        let mut bench = set_up();
+        let started = Instant::now();
         run(&mut bench);
-        took += begun.elapsed();
+        elapsed += started.elapsed();
     }
-    took
+    elapsed
 }
 
-fn cycles(c: &mut Criterion) {
+fn scheduling_cycles(c: &mut Criterion) {
     let mut group = c.benchmark_group("cycle");
     group.sample_size(10);
     group.warm_up_time(Duration::from_millis(200));
     group.measurement_time(Duration::from_millis(800));
     for (waiting, machines) in SIZES {
         let size = format!("{waiting}-{machines}");
-        // Nothing has room: the cycle of a backlog.
-        let mut full = Bench::machines(machines);
-        full.fill(0);
-        full.wait(waiting);
+        // Every machine is full, so that no waiting task can be placed.
+        let mut full_cluster = Bench::with_machines(machines);
+        full_cluster.fill_machines(0);
+        full_cluster.add_waiting_jobs(waiting);
         group.bench_function(BenchmarkId::new("blocked", &size), |b| {
             b.iter_custom(|iterations| {
-                let mut took = Duration::ZERO;
+                let mut elapsed = Duration::ZERO;
                 for _ in 0..iterations {
-                    // Far enough apart that no order is kept from the last one.
-                    full.now += 0.25;
-                    full.some_report();
-                    let begun = Instant::now();
-                    full.engine.schedule(full.now);
-                    took += begun.elapsed();
+                    // Far enough apart that the job order of the previous cycle is not
+                    // reused.
+                    full_cluster.now += 0.25;
+                    full_cluster.send_tenth_of_heartbeats();
+                    let started = Instant::now();
+                    full_cluster.engine.schedule(full_cluster.now);
+                    elapsed += started.elapsed();
                 }
-                took
+                elapsed
             });
         });
-        // One machine reports an end: room for one task.
+        // One machine reports the end of a task, which makes room for one task.
         let mut machine = 0;
         group.bench_function(BenchmarkId::new("after-a-report", &size), |b| {
             b.iter_custom(|iterations| {
-                let mut took = Duration::ZERO;
+                let mut elapsed = Duration::ZERO;
                 for _ in 0..iterations {
                     machine = (machine + 1) % machines;
-                    full.now += 0.002;
-                    if let Some(task) = full.reports[machine].tasks.first_mut() {
+                    full_cluster.now += 0.002;
+                    if let Some(task) = full_cluster.heartbeats[machine].tasks.first_mut() {
                         task.state = TaskState::Exited;
                         task.cause = Some(ExitCause::Done);
                     }
-                    full.report(machine);
-                    let begun = Instant::now();
-                    full.engine.schedule(full.now);
-                    took += begun.elapsed();
+                    full_cluster.send_heartbeat(machine);
+                    let started = Instant::now();
+                    full_cluster.engine.schedule(full_cluster.now);
+                    elapsed += started.elapsed();
                 }
-                took
+                elapsed
             });
         });
-        // A tenth of the machines runs what may be evicted, and some of it is.
-        let candidates = || {
-            let mut bench = Bench::machines(machines);
-            bench.fill(10);
+        // A tenth of the machines run tasks that may be evicted, and some are evicted.
+        let with_preemptible_tasks = || {
+            let mut bench = Bench::with_machines(machines);
+            bench.fill_machines(10);
             bench.now += 60.0;
-            bench.everybody_reports();
-            bench.wait(waiting);
+            bench.send_all_heartbeats();
+            bench.add_waiting_jobs(waiting);
             bench
         };
         group.bench_function(BenchmarkId::new("eviction", &size), |b| {
-            b.iter_custom(|n| timed(n, candidates, |bench| bench.engine.schedule(bench.now)));
+            b.iter_custom(|n| {
+                measure_each(n, with_preemptible_tasks, |bench| {
+                    bench.engine.schedule(bench.now)
+                })
+            });
         });
-        let mut bench = candidates();
+        let mut bench = with_preemptible_tasks();
         bench.engine.schedule(bench.now);
-        assert!(bench.evicted() > 0);
-        // All is free at once and all that waits is placed.
-        let empty = || {
-            let mut bench = Bench::machines(machines);
-            bench.wait(waiting);
+        assert!(bench.count_evictions() > 0);
+        // All machines are free, and every waiting task is placed.
+        let with_free_machines = || {
+            let mut bench = Bench::with_machines(machines);
+            bench.add_waiting_jobs(waiting);
             bench
         };
         group.bench_function(BenchmarkId::new("freed-at-once", &size), |b| {
-            b.iter_custom(|n| timed(n, empty, |bench| bench.engine.schedule(bench.now)));
+            b.iter_custom(|n| {
+                measure_each(n, with_free_machines, |bench| {
+                    bench.engine.schedule(bench.now)
+                })
+            });
         });
     }
     group.finish();
 }
 
-fn reports(c: &mut Criterion) {
+fn heartbeats(c: &mut Criterion) {
     let mut group = c.benchmark_group("report");
     group.sample_size(10);
     for machines in [600, 1_300, 4_000] {
-        let mut bench = Bench::machines(machines);
-        bench.fill(0);
+        let mut bench = Bench::with_machines(machines);
+        bench.fill_machines(0);
         let mut machine = 0;
         group.bench_function(BenchmarkId::from_parameter(machines), |b| {
             b.iter(|| {
                 machine = (machine + 1) % machines;
                 bench.now += 0.0005;
-                bench.report(machine);
+                bench.send_heartbeat(machine);
             });
         });
     }
     group.finish();
 }
 
-/// A successor's picture, and the first report of each of its machines.
-fn take_over(c: &mut Criterion) {
+/// A successor builds its engine from the inherited records and receives the first
+/// heartbeat of every machine.
+fn failover(c: &mut Criterion) {
     let mut group = c.benchmark_group("take-over");
     group.sample_size(10);
     for (waiting, machines) in [(3_000, 600), (10_000, 1_300), (20_000, 4_000)] {
-        let granted = |machine| GrantedMachine {
-            name: name(machine),
+        let granted_machine = |machine| GrantedMachine {
+            name: machine_name(machine),
             machine_type: "m8".into(),
             zone: ["a", "b"][machine % 2].into(),
             spot: true,
             addr: "127.0.0.1:9".into(),
         };
-        let inherit = || {
+        let inherited_state = || {
             let parts = (0..machines).step_by(64).zip(0..).map(|(first, index)| {
-                let last = (first + 64).min(machines);
+                let end = (first + 64).min(machines);
                 InheritedPart {
                     index,
                     version: 40,
                     part: GrantPart {
-                        machines: (first..last).map(granted).collect(),
+                        machines: (first..end).map(granted_machine).collect(),
                     },
                 }
             });
-            // Ten machines each, all of whose tasks have begun.
+            // Each job occupies ten machines, and all its tasks have started.
             let running = (0..machines / 10).map(|job| InheritedJob {
-                record: record(spec(&format!("run-{job}"), Priority::High, 40, 2.0)),
+                record: job_record(spec(&format!("run-{job}"), Priority::High, 40, 2.0)),
                 version: 70,
                 run: Some((
                     JobProgressRecord {
                         high_water: 40,
-                        hosts: (10 * job..10 * job + 10).map(name).collect(),
+                        hosts: (10 * job..10 * job + 10).map(machine_name).collect(),
                         ..JobProgressRecord::default()
                     },
                     60,
                 )),
             });
             let idle = (0..waiting / TASKS_PER_JOB as usize).map(|job| InheritedJob {
-                record: record(spec(
+                record: job_record(spec(
                     &format!("req-{job}"),
                     Priority::High,
                     TASKS_PER_JOB,
@@ -408,22 +427,22 @@
                 plans: Vec::new(),
             }
         };
-        let reports: BTreeMap<usize, Heartbeat> = Bench::machines(machines)
-            .reports
+        let heartbeats: BTreeMap<usize, Heartbeat> = Bench::with_machines(machines)
+            .heartbeats
             .into_iter()
-            .map(|mut report| {
-                (report.seq, report.token) = (report.seq + 1, 101 << 16);
-                report
+            .map(|mut heartbeat| {
+                (heartbeat.seq, heartbeat.token) = (heartbeat.seq + 1, 101 << 16);
+                heartbeat
             })
             .enumerate()
             .collect();
         group.bench_function(BenchmarkId::from_parameter(machines), |b| {
             b.iter_batched(
-                inherit,
-                |inheritance| {
-                    let mut engine = Engine::new(config(), 1.0, 1000, inheritance);
-                    for report in reports.values() {
-                        engine.receive_heartbeat(1.5, report);
+                inherited_state,
+                |inherited| {
+                    let mut engine = Engine::new(config(), 1.0, 1000, inherited);
+                    for heartbeat in heartbeats.values() {
+                        engine.receive_heartbeat(1.5, heartbeat);
                     }
                     engine
                 },
@@ -434,5 +453,5 @@
     group.finish();
 }
 
-criterion_group!(benches, cycles, reports, take_over);
+criterion_group!(benches, scheduling_cycles, heartbeats, failover);
 criterion_main!(benches);
--- a/crates/umbersail-control/tests/standin/mod.rs
+++ b/crates/umbersail-control/tests/fake_services/mod.rs
@@ -1,5 +1,5 @@
-//! Stand-ins for the state service and the cloud, by the published protocol,
-//! as far as the tests need them.
+//! Fakes of the state service and of the cloud. They implement the part of the published
+//! protocol that the tests need.
 
 use std::cell::{Cell, RefCell};
 use std::net::SocketAddr;
@@ -11,7 +11,7 @@
 use umbersail_runtime::{TcpListener, sleep, spawn};
 use umbersail_wire::{Catalogue, Change, MachineList, MachineType, Txn, Value, encode};
 
-pub fn limits() -> ServerLimits {
+pub fn server_limits() -> ServerLimits {
     ServerLimits {
         max_body_bytes: 1 << 20,
         max_connections: 100,
@@ -28,28 +28,29 @@
     Response::new(status, encode(body))
 }
 
-/// The state service: the store on the tests' own time, which stands still in
-/// an outage.
+/// A fake state service: the key-value store with a clock of its own. The clock stops
+/// during an outage, so that no lease expires then.
 pub struct StateService {
     store: RefCell<KvStore>,
     now: Cell<f64>,
+    /// Whether the service rejects every request, as during an outage.
     pub down: Cell<bool>,
-    /// The answer to the next transaction that changes such a key is held up.
-    pub held_answer: RefCell<Option<HeldAnswer>>,
+    /// The reply to delay next; cleared once a matching transaction has been executed.
+    pub delayed_reply: RefCell<Option<DelayedReply>>,
 }
 
-/// An answer that comes late, or too late for whoever waits for it.
-pub struct HeldAnswer {
-    /// The transaction changes a key with this prefix.
-    pub prefix: &'static str,
-    pub for_s: f64,
+/// A reply that the service delays, possibly beyond the timeout of the client.
+pub struct DelayedReply {
+    /// Delays the reply to the next transaction that changes a key with this prefix.
+    pub key_prefix: &'static str,
+    pub delay_s: f64,
 }
 
-fn changes_key(txn: &Txn<Value>, prefix: &str) -> bool {
+fn changes_key(txn: &Txn<Value>, key_prefix: &str) -> bool {
     let keys = txn.changes.iter().map(|change| match change {
         Change::Put { key, .. } | Change::Delete { key } => key,
     });
-    keys.into_iter().any(|key| key.starts_with(prefix))
+    keys.into_iter().any(|key| key.starts_with(key_prefix))
 }
 
 impl StateService {
@@ -58,46 +59,50 @@
             store: RefCell::new(KvStore::new(Limits::default())),
             now: Cell::new(0.0),
             down: Cell::new(false),
-            held_answer: RefCell::default(),
+            delayed_reply: RefCell::default(),
         });
-        let inner = service.clone();
+        let ticking_service = service.clone();
         spawn(async move {
             loop {
                 sleep(0.02).await;
-                if !inner.down.get() {
-                    inner.now.set(inner.now.get() + 0.02);
-                    inner.store.borrow_mut().expire(inner.now.get());
+                if !ticking_service.down.get() {
+                    ticking_service.now.set(ticking_service.now.get() + 0.02);
+                    ticking_service
+                        .store
+                        .borrow_mut()
+                        .expire(ticking_service.now.get());
                 }
             }
         });
         service
     }
 
-    /// An address of its own for one node, and a switch that refuses only it.
-    pub fn door(self: &Rc<Self>, addr: SocketAddr) -> (SocketAddr, Rc<Cell<bool>>) {
+    /// Opens a separate listener for one node. Returns its address and a switch that makes
+    /// the service reject the requests of this node alone.
+    pub fn listen_for_node(self: &Rc<Self>, addr: SocketAddr) -> (SocketAddr, Rc<Cell<bool>>) {
         let listener = TcpListener::bind(addr).unwrap();
         let addr = listener.local_addr().unwrap();
-        let refuses: Rc<Cell<bool>> = Rc::default();
-        let (inner, refused) = (self.clone(), refuses.clone());
+        let rejects_requests: Rc<Cell<bool>> = Rc::default();
+        let (service, rejects_node) = (self.clone(), rejects_requests.clone());
         let handler: Handler = Rc::new(move |request| {
-            let (inner, refused) = (inner.clone(), refused.clone());
+            let (service, rejects_node) = (service.clone(), rejects_node.clone());
             Box::pin(async move {
-                if refused.get() {
+                if rejects_node.get() {
                     return Response::empty(503);
                 }
-                inner.handle(request).await
+                service.handle(request).await
             })
         });
-        spawn(serve(listener, limits(), handler));
-        (addr, refuses)
+        spawn(serve(listener, server_limits(), handler));
+        (addr, rejects_requests)
     }
 
     pub fn has(&self, key: &str) -> bool {
         self.store.borrow().get(key).is_some()
     }
 
-    /// The member that the leader's key names.
-    pub fn leader(&self) -> Option<String> {
+    /// The member named in the record of the leader key.
+    pub fn leader_member(&self) -> Option<String> {
         let found = self.store.borrow().get("leader")?;
         let fields = found.value.as_map()?;
         let member = fields.iter().find(|(k, _)| k.as_str() == Some("member"))?;
@@ -111,14 +116,14 @@
         let (status, body) = match KvRequest::parse(&request.method, &request.target, &request.body)
         {
             Ok(KvRequest::Watch {
-                prefix: under,
+                prefix,
                 from,
-                wait_s: hold_s,
-            }) => self.watch(&under, from, hold_s).await,
+                wait_s,
+            }) => self.watch(&prefix, from, wait_s).await,
             Ok(call) => {
                 let reply = call.execute(&mut self.store.borrow_mut(), self.now.get());
                 if let KvRequest::Txn(txn) = &call {
-                    self.hold_answer(txn).await;
+                    self.delay_reply(txn).await;
                 }
                 reply
             }
@@ -127,23 +132,23 @@
         Response::new(status, body)
     }
 
-    /// Waits before an answer if it is the one to be held up; the transaction is carried
-    /// out already.
-    async fn hold_answer(&self, txn: &Txn<Value>) {
-        let held = self
-            .held_answer
+    /// Delays the reply to a transaction that matches `delayed_reply`. The transaction has
+    /// already been executed.
+    async fn delay_reply(&self, txn: &Txn<Value>) {
+        let delayed = self
+            .delayed_reply
             .borrow_mut()
-            .take_if(|held| changes_key(txn, held.prefix));
-        if let Some(held) = held {
-            sleep(held.for_s).await;
+            .take_if(|delayed| changes_key(txn, delayed.key_prefix));
+        if let Some(delayed) = delayed {
+            sleep(delayed.delay_s).await;
         }
     }
 
-    async fn watch(&self, under: &str, from: u64, hold_s: f64) -> (u16, Vec<u8>) {
+    async fn watch(&self, prefix: &str, from: u64, wait_s: f64) -> (u16, Vec<u8>) {
         let mut waited = 0.0;
         loop {
-            let due = watch_reply(&self.store.borrow(), under, from, waited >= hold_s);
-            if let Some(reply) = due {
+            let reply = watch_reply(&self.store.borrow(), prefix, from, waited >= wait_s);
+            if let Some(reply) = reply {
                 return reply;
             }
             sleep(0.01).await;
@@ -152,7 +157,7 @@
     }
 }
 
-/// A cloud that has one machine type and no machines to give.
+/// A fake cloud with one machine type that has no machines to rent.
 pub fn start_cloud(addr: SocketAddr) -> SocketAddr {
     let listener = TcpListener::bind(addr).unwrap();
     let addr = listener.local_addr().unwrap();
@@ -188,6 +193,6 @@
             }
         })
     });
-    spawn(serve(listener, limits(), handler));
+    spawn(serve(listener, server_limits(), handler));
     addr
 }
--- a/crates/umbersail-control/tests/golden_records.rs
+++ b/crates/umbersail-control/tests/golden_records.rs
@@ -1,8 +1,9 @@
-//! Every record keeps its bytes and its key: what this build stores is what the build in
-//! production stores, and what that one stored is read as what it was.
+//! Every record keeps its key and its bytes: this build stores the same bytes as the build
+//! in production and decodes the bytes of that build to the same records.
 //!
-//! `golden/records.txt` holds the bytes as the build in production wrote them, a line for
-//! each record. A line changes only together with a plan for mixed builds.
+//! `golden/records.txt` holds the key and the bytes of each record, one record per line, as
+//! the build in production wrote them. A line may change only together with a plan for
+//! clusters in which both builds run.
 
 use std::collections::BTreeMap;
 use std::fmt::Debug;
@@ -16,7 +17,7 @@
 };
 use umbersail_wire::{JobKind, JobSpec, MachineType, Priority, Value, decode, encode};
 
-const GOLDEN: &str = include_str!("golden/records.txt");
+const GOLDEN_RECORDS: &str = include_str!("golden/records.txt");
 
 fn job() -> JobSpec {
     JobSpec {
@@ -43,7 +44,7 @@
     }
 }
 
-fn run() -> JobProgressRecord {
+fn job_progress() -> JobProgressRecord {
     JobProgressRecord {
         high_water: 7,
         done: "b:0f".into(),
@@ -73,9 +74,9 @@
     }
 }
 
-/// Each record with its name in the golden file and its key.
+/// The records, each with its name in the golden file and its key.
 fn records() -> Vec<(&'static str, String, Record)> {
-    let over = |outcome| Record::EndedJob(EndedJobRecord { outcome, done: 16 });
+    let ended_job = |outcome| Record::EndedJob(EndedJobRecord { outcome, done: 16 });
     let member = || "bothy-1".to_owned();
     vec![
         (
@@ -127,7 +128,7 @@
         (
             "run",
             progress_key("req-000412"),
-            Record::JobProgress(run()),
+            Record::JobProgress(job_progress()),
         ),
         (
             "run_of_nothing",
@@ -137,12 +138,12 @@
         (
             "over_done",
             ended_job_key("req-000412"),
-            over(Outcome::Done),
+            ended_job(Outcome::Done),
         ),
         (
             "over_cancelled",
             ended_job_key("req-000412"),
-            over(Outcome::Cancelled),
+            ended_job(Outcome::Cancelled),
         ),
         (
             "catalogue",
@@ -189,27 +190,33 @@
 
 #[test]
 fn records_keep_their_keys_and_bytes() {
-    let mut lines: BTreeMap<&str, &str> =
-        GOLDEN.lines().filter_map(|l| l.split_once(' ')).collect();
-    let mut differing = Vec::new();
+    let mut golden_records: BTreeMap<&str, &str> = GOLDEN_RECORDS
+        .lines()
+        .filter_map(|l| l.split_once(' '))
+        .collect();
+    let mut mismatches = Vec::new();
     for (name, key, record) in records() {
         let bytes: String = encode(&record).iter().map(|b| format!("{b:02x}")).collect();
         let written = format!("{key} {bytes}");
-        if lines.remove(name) != Some(&*written) {
-            differing.push(format!("{name} {written}"));
+        if golden_records.remove(name) != Some(&*written) {
+            mismatches.push(format!("{name} {written}"));
         }
     }
-    assert!(differing.is_empty(), "\n{}", differing.join("\n"));
-    assert!(lines.is_empty(), "not compared: {:?}", lines.keys());
+    assert!(mismatches.is_empty(), "\n{}", mismatches.join("\n"));
+    assert!(
+        golden_records.is_empty(),
+        "lines without a record: {:?}",
+        golden_records.keys()
+    );
 }
 
-/// Reads back what was stored as the type that its readers expect.
+/// Decodes the stored bytes as the type that the readers of the record expect.
 fn assert_reads<T: DeserializeOwned + PartialEq + Debug>(record: &Record, expected: &T) {
     assert_eq!(&decode::<T>(&encode(record)).unwrap(), expected);
 }
 
 #[test]
-fn records_are_read_as_they_were_written() {
+fn stored_records_decode_to_the_original_records() {
     for (_, _, record) in records() {
         match &record {
             Record::Leader(expected) => assert_reads(&record, expected),
