--- a/crates/umbersail-control/src/engine/tests.rs
+++ b/crates/umbersail-control/src/engine/tests.rs
@@ -3,22 +3,22 @@
 
 mod calendar;
 mod cancelled;
-mod cycles;
 mod delegates;
 mod evictions;
 mod failures;
-mod faults;
 mod fixtures;
 mod images;
-mod late;
+mod late_transactions;
 mod launches;
 mod leases;
 mod limits;
 mod machines;
 mod placement;
 mod plans;
+mod random_faults;
 mod reports;
 mod reserve;
+mod scheduling_cycles;
 mod starvation_guard;
 mod takeovers;
 mod writes;
--- a/crates/umbersail-control/src/engine/tests/cycles.rs
+++ b/crates/umbersail-control/src/engine/tests/scheduling_cycles.rs
@@ -1,4 +1,4 @@
-//! A cycle against its plain definition, and cycles that are cut short.
+//! Scheduling cycles compared with a reference scheduler, and cycles that are interrupted.
 
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngAlgorithm, TestRng, TestRunner};
@@ -13,10 +13,10 @@
 use crate::engine::machine::Claim;
 use crate::engine::schedule::MAX_EVICTIONS_PER_CYCLE;
 
-/// The plain definition of a cycle: every job looks at every machine, and every
-/// blocked one at every task.
+/// A reference scheduler without indexes: every job is checked against every machine, and
+/// every blocked job against every task.
 impl Engine {
-    fn plain_schedule(&mut self, now: Time) {
+    fn reference_schedule(&mut self, now: Time) {
         let mut unaccounted = Shape::default();
         for m in self.machines.values().filter(|m| self.is_unsized(m)) {
             unaccounted.add(
@@ -25,22 +25,24 @@
             );
         }
         let mut usage = self.team_usage(&unaccounted);
-        let order = self.plain_order(now, &usage);
+        let order = self.reference_order(now, &usage);
         let mut blocked = Vec::new();
         for id in &order {
-            if self.plain_place(now, id, &mut usage, &order) {
+            if self.reference_place(now, id, &mut usage, &order) {
                 blocked.push(id.clone());
             }
         }
-        let mut worth = 0;
+        let mut preempting_jobs = 0;
         for id in blocked {
-            if worth < MAX_EVICTIONS_PER_CYCLE && self.plain_evict(now, &id, &mut usage) {
-                worth += 1;
+            if preempting_jobs < MAX_EVICTIONS_PER_CYCLE
+                && self.reference_evict(now, &id, &mut usage)
+            {
+                preempting_jobs += 1;
             }
         }
     }
 
-    fn plain_order(&self, now: Time, usage: &[Usage]) -> Vec<JobId> {
+    fn reference_order(&self, now: Time, usage: &[Usage]) -> Vec<JobId> {
         let ids: Vec<&JobId> = self
             .jobs
             .iter()
@@ -49,8 +51,8 @@
             .collect();
         let pool = |j: &Job| {
             let fits = |t: &MachineType| {
-                let named = j.spec.types.as_ref().is_none_or(|n| n.contains(&t.name));
-                named && j.shape.fits_in(&Shape::of_type(t))
+                let allowed = j.spec.types.as_ref().is_none_or(|n| n.contains(&t.name));
+                allowed && j.shape.fits_in(&Shape::of_type(t))
             };
             (
                 j.spec.priority,
@@ -58,12 +60,12 @@
                 j.spec.spot(),
             )
         };
-        let mut standing: BTreeMap<&JobId, u8> = ids.iter().map(|id| (*id, 2)).collect();
+        let mut on_time_rank: BTreeMap<&JobId, u8> = ids.iter().map(|id| (*id, 2)).collect();
         let mut pools: Vec<_> = ids.iter().map(|id| pool(&self.jobs[*id])).collect();
         pools.sort();
         pools.dedup();
         for (tier, types, spot) in pools {
-            let (mut inside, mut outside) = (0.0, 0.0);
+            let (mut usable_cpus, mut other_cpus) = (0.0, 0.0);
             for m in self.machines.values() {
                 if m.delete_reason.is_some() || m.reclaim_at.is_some() {
                     continue;
@@ -71,59 +73,65 @@
                 let index = m.type_index.unwrap();
                 let cpus = self.machine_types[index].cpus;
                 if types[index] && (spot || !m.spot) {
-                    inside += cpus;
+                    usable_cpus += cpus;
                 } else {
-                    outside += cpus;
+                    other_cpus += cpus;
                 }
             }
-            let upper = self.jobs.values().filter(|j| j.spec.priority > tier);
-            let above: f64 = upper
+            let higher_tier_jobs = self.jobs.values().filter(|j| j.spec.priority > tier);
+            let higher_tier_cpus: f64 = higher_tier_jobs
                 .map(|j| j.occupied_tasks() as f64 * j.shape.cpus)
                 .sum();
-            let of_machines =
-                (inside - (above - outside).max(0.0)) * self.cfg.tuning.usable_cpu_share;
+            let machine_cpus = (usable_cpus - (higher_tier_cpus - other_cpus).max(0.0))
+                * self.cfg.tuning.usable_cpu_share;
             let key = (tier, types, spot);
-            let members: Vec<&JobId> = ids
+            let pool_jobs: Vec<&JobId> = ids
                 .iter()
                 .copied()
                 .filter(|id| {
                     let j = &self.jobs[*id];
-                    let last = j.is_scheduled_last(self.cfg.tuning.job_backoff_s);
-                    pool(j) == key && j.spec.deadline_s.is_some() && !last
+                    let scheduled_last = j.is_scheduled_last(self.cfg.tuning.job_backoff_s);
+                    pool(j) == key && j.spec.deadline_s.is_some() && !scheduled_last
                 })
                 .collect();
-            let cpus = of_machines.min(self.plain_allowed_cpus(tier, &members));
+            let cpus = machine_cpus.min(self.reference_allowed_cpus(tier, &pool_jobs));
             if cpus <= 0.0 {
                 continue;
             }
-            let due = |id: &JobId, times: f64| {
+            let demand = |id: &JobId, factor: f64| {
                 let j = &self.jobs[id];
-                let later = (times - 1.0) * j.spec.deadline_s.unwrap();
+                let extension_s = (factor - 1.0) * j.spec.deadline_s.unwrap();
                 let work = f64::from(j.pending()) * j.shape.cpus * self.expected_run_s(j);
                 DeadlineDemand {
-                    slack_s: self.slack_s(now, j).unwrap() + later,
+                    slack_s: self.slack_s(now, j).unwrap() + extension_s,
                     work_s: work / cpus,
                     underserved: false,
                 }
             };
-            let first: Vec<DeadlineDemand> = members.iter().map(|id| due(id, 1.0)).collect();
-            let (kept, busy_s) = max_on_time(&first, 0.0, 0.0);
-            let late: Vec<&JobId> = members
+            let demands: Vec<DeadlineDemand> = pool_jobs.iter().map(|id| demand(id, 1.0)).collect();
+            let (on_time, busy_until_s) = max_on_time(&demands, 0.0, 0.0);
+            let late_jobs: Vec<&JobId> = pool_jobs
                 .iter()
-                .zip(kept)
+                .zip(on_time)
                 .filter(|(_, k)| !k)
                 .map(|(id, _)| *id)
                 .collect();
-            let times = |id: &JobId| {
+            let deadline_factor = |id: &JobId| {
                 self.cfg
                     .deadline_factors
                     .get(&self.jobs[id].spec.class)
                     .copied()
                     .unwrap_or(1.0)
             };
-            let second: Vec<DeadlineDemand> = late.iter().map(|id| due(id, times(id))).collect();
-            for (id, soon) in late.into_iter().zip(max_on_time(&second, busy_s, 0.0).0) {
-                standing.insert(id, u8::from(soon));
+            let late_demands: Vec<DeadlineDemand> = late_jobs
+                .iter()
+                .map(|id| demand(id, deadline_factor(id)))
+                .collect();
+            for (id, within_factor) in late_jobs
+                .into_iter()
+                .zip(max_on_time(&late_demands, busy_until_s, 0.0).0)
+            {
+                on_time_rank.insert(id, u8::from(within_factor));
             }
         }
         let mut order: Vec<_> = ids
@@ -136,7 +144,7 @@
                     j.spec.priority,
                     guaranteed,
                     self.can_meet_start_objective(now, j, guaranteed),
-                    standing[id],
+                    on_time_rank[id],
                 );
                 (
                     rank,
@@ -149,26 +157,34 @@
         order.into_iter().map(|(.., id)| id).collect()
     }
 
-    /// What the limits of the members' teams leave beside those teams' upper tiers.
-    fn plain_allowed_cpus(&self, tier: Priority, members: &[&JobId]) -> f64 {
+    /// The CPUs that the limits of the jobs' teams leave after those teams' jobs of higher
+    /// tiers.
+    fn reference_allowed_cpus(&self, tier: Priority, pool_jobs: &[&JobId]) -> f64 {
         let mut allowed = 0.0;
         for (index, team) in self.cfg.teams.iter().enumerate() {
-            let is_its = |id: &&&JobId| self.jobs[**id].team == Some(index);
-            if !members.iter().any(|id| is_its(&id)) {
+            let is_of_team = |id: &&&JobId| self.jobs[**id].team == Some(index);
+            if !pool_jobs.iter().any(|id| is_of_team(&id)) {
                 continue;
             }
             if team.max_cpus == 0.0 {
                 return f64::INFINITY;
             }
-            let upper = |j: &&Job| j.team == Some(index) && j.spec.priority > tier;
-            let jobs = self.jobs.values().filter(upper);
-            let above: f64 = jobs.map(|j| j.occupied_tasks() as f64 * j.shape.cpus).sum();
-            allowed += (team.max_cpus - above).max(0.0);
+            let is_higher_tier = |j: &&Job| j.team == Some(index) && j.spec.priority > tier;
+            let jobs = self.jobs.values().filter(is_higher_tier);
+            let higher_tier_cpus: f64 =
+                jobs.map(|j| j.occupied_tasks() as f64 * j.shape.cpus).sum();
+            allowed += (team.max_cpus - higher_tier_cpus).max(0.0);
         }
         allowed
     }
 
-    fn plain_place(&mut self, now: Time, id: &JobId, usage: &mut [Usage], order: &[JobId]) -> bool {
+    fn reference_place(
+        &mut self,
+        now: Time,
+        id: &JobId,
+        usage: &mut [Usage],
+        order: &[JobId],
+    ) -> bool {
         let job = &self.jobs[id];
         let mut quota = job.team.map_or(0, |t| {
             remaining_quota(&self.cfg.teams[t], &usage[t], &job.shape)
@@ -177,17 +193,17 @@
             self.set_blocked_reason(id, BlockedReason::TeamLimit);
             return false;
         }
-        let closed = |t: &MachineType| {
-            let room = Shape::of_type(t);
-            let most = order
+        let is_kept_for_larger = |t: &MachineType| {
+            let capacity = Shape::of_type(t);
+            let largest_cpus = order
                 .iter()
                 .map(|id| &self.jobs[id])
                 .filter(|j| !j.is_scheduled_last(self.cfg.tuning.job_backoff_s))
-                .filter(|j| j.spec.priority >= job.spec.priority && j.shape.fits_in(&room))
+                .filter(|j| j.spec.priority >= job.spec.priority && j.shape.fits_in(&capacity))
                 .filter(|j| j.spec.types.as_ref().is_none_or(|n| n.contains(&t.name)))
                 .map(|j| j.smallest_cpus)
                 .fold(0.0, f64::max);
-            t.cpus > job.smallest_cpus + 1e-6 && most > job.smallest_cpus + 1e-6
+            t.cpus > job.smallest_cpus + 1e-6 && largest_cpus > job.smallest_cpus + 1e-6
         };
         let silent_after = self.silence_limit_s();
         let mut views = Vec::new();
@@ -198,17 +214,17 @@
                 || !m.accepts_tasks(now, silent_after)
                 || !allows_machine(&job.spec, &t.name, &m.zone, m.spot)
                 || job.avoided_machines.contains(&m.name)
-                || closed(t)
+                || is_kept_for_larger(t)
                 || m.claim.as_ref().is_some_and(|c| {
-                    let winner = self.jobs.get(&c.claimant);
-                    let waits = winner.is_some_and(Job::is_schedulable);
-                    now < c.until && job.spec.priority < c.tier && waits
+                    let claimant = self.jobs.get(&c.claimant);
+                    let is_waiting = claimant.is_some_and(Job::is_schedulable);
+                    now < c.until && job.spec.priority < c.tier && is_waiting
                 })
             {
                 continue;
             }
             let has_image = m.images.contains(&job.image);
-            let same = |(other, _): &(JobId, u32)| {
+            let has_same_image = |(other, _): &(JobId, u32)| {
                 self.jobs.get(other).is_some_and(|o| o.image == job.image)
             };
             views.push(MachineView {
@@ -219,35 +235,36 @@
                 free,
                 has_image,
                 heartbeat_due_in_s: (self.cfg.heartbeat_interval_s - m.silent_for(now)).max(0.0),
-                fetching_image: !has_image && m.tasks.iter().any(same),
+                fetching_image: !has_image && m.tasks.iter().any(has_same_image),
             });
         }
         let tuning = &self.cfg.tuning;
-        let awaits = views.iter().any(|v| !v.has_image)
+        let waits_for_image = views.iter().any(|v| !v.has_image)
             && self
                 .start_objective_s(job, self.is_guaranteed(job, usage))
-                .is_some_and(|within| {
-                    let left = within - (now - job.submitted_at);
-                    let places = self.machines.values().filter(|m| {
+                .is_some_and(|objective_s| {
+                    let remaining_s = objective_s - (now - job.submitted_at);
+                    let hosts_with_image = self.machines.values().filter(|m| {
                         m.images.contains(&job.image)
                             && m.accepts_tasks(now, silent_after)
                             && job.shape.fits_in(&Shape::of_type(
                                 &self.machine_types[m.type_index.unwrap()],
                             ))
                     });
-                    let least = (tuning.image_places * f64::from(job.pending())).ceil() as usize;
-                    left >= tuning.image_wait_s
-                        && self.image_fetch_s(job) > left
-                        && places.count() >= least
+                    let min_hosts =
+                        (tuning.image_places * f64::from(job.pending())).ceil() as usize;
+                    remaining_s >= tuning.image_wait_s
+                        && self.image_fetch_s(job) > remaining_s
+                        && hosts_with_image.count() >= min_hosts
                 });
-        views.retain(|v| !awaits || v.has_image);
+        views.retain(|v| !waits_for_image || v.has_image);
         let (mut only_zone, mut zones) = self.zones_of(job);
         if only_zone.is_none() && job.spec.one_zone() {
-            let mut room: BTreeMap<&str, u32> = BTreeMap::new();
+            let mut slots_by_zone: BTreeMap<&str, u32> = BTreeMap::new();
             for v in &views {
-                *room.entry(v.zone).or_default() += job.shape.slots_in(&v.free);
+                *slots_by_zone.entry(v.zone).or_default() += job.shape.slots_in(&v.free);
             }
-            only_zone = room
+            only_zone = slots_by_zone
                 .into_iter()
                 .max_by_key(|(_, n)| *n)
                 .map(|(z, _)| z.to_owned());
@@ -285,10 +302,10 @@
         for (machine, n) in chosen {
             (0..n).for_each(|_| self.place_task(now, id, &machine, usage));
         }
-        wanted > 0 && quota > 0 && !awaits
+        wanted > 0 && quota > 0 && !waits_for_image
     }
 
-    fn plain_evict(&mut self, now: Time, id: &JobId, usage: &mut [Usage]) -> bool {
+    fn reference_evict(&mut self, now: Time, id: &JobId, usage: &mut [Usage]) -> bool {
         let tuning = self.cfg.tuning.clone();
         let job = &self.jobs[id];
         let reclaim = self.is_guaranteed(job, usage);
@@ -362,9 +379,9 @@
             });
         }
         let until = now + 2.0 * self.cfg.heartbeat_interval_s + 1.0 + saving_s;
-        let (winner, tier) = (id.clone(), self.jobs[id].spec.priority);
+        let (claimant, tier) = (id.clone(), self.jobs[id].spec.priority);
         self.machines.get_mut(&choice.machine).unwrap().claim = Some(Claim {
-            claimant: winner,
+            claimant,
             tier,
             until,
         });
@@ -373,10 +390,11 @@
     }
 }
 
-/// Who is where, who is to stop, and why the rest waits.
-type Picture = Vec<(JobId, Vec<(u32, MachineId, bool)>, u32, Time)>;
+/// For each job: its placed tasks with their machines and whether a stop is pending, its
+/// evictions, and when it may next evict.
+type Snapshot = Vec<(JobId, Vec<(u32, MachineId, bool)>, u32, Time)>;
 
-fn picture(engine: &Engine) -> Picture {
+fn snapshot(engine: &Engine) -> Snapshot {
     let job = |(id, j): (&JobId, &Job)| {
         let live = j
             .placements
@@ -387,8 +405,8 @@
     engine.jobs.iter().map(job).collect()
 }
 
-/// Writes all that is due, without a cycle.
-fn write(engine: &mut Engine, now: Time) {
+/// Writes all records that are due, without a scheduling cycle.
+fn write_records(engine: &mut Engine, now: Time) {
     let mut revision = 1000 + (now * 100.0) as u64;
     while let Some(pending) = engine.next_txn(now + 2.0, 20, 20) {
         revision += 1;
@@ -396,7 +414,7 @@
     }
 }
 
-fn some_job(rng: &mut StdRng, id: usize) -> JobSpec {
+fn random_job(rng: &mut StdRng, id: usize) -> JobSpec {
     let cpus = [0.5, 1.0, 2.0, 3.0, 4.0, 8.0, 12.0][rng.random_range(0..7)];
     let checkpoint_s = rng.random_bool(0.3).then_some(15.0);
     JobSpec {
@@ -418,12 +436,18 @@
     }
 }
 
-/// Plays a random cluster three ways at once: plainly, in whole cycles, and in
-/// cycles cut into slices of one step. How much was placed and evicted.
-fn play(seed: u64) -> Result<(usize, usize), TestCaseError> {
+/// Runs a random cluster with three engines at once: with the reference scheduler, with
+/// whole cycles, and with cycles cut into slices of one step. Returns the largest number of
+/// placed tasks and the sum of evictions.
+fn compare_schedulers(seed: u64) -> Result<(usize, usize), TestCaseError> {
     let mut rng = StdRng::seed_from_u64(seed);
-    let mut large = machine_type();
-    (large.name, large.cpus, large.memory_gb, large.boot_s) = ("m32".into(), 32.0, 64.0, 60.0);
+    let mut large_type = machine_type();
+    (
+        large_type.name,
+        large_type.cpus,
+        large_type.memory_gb,
+        large_type.boot_s,
+    ) = ("m32".into(), 32.0, 64.0, 60.0);
     let flag = |rng: &mut StdRng| f64::from(u8::from(rng.random_bool(0.5)));
     let tuning = Tuning {
         evict_deadline_work: flag(&mut rng),
@@ -439,7 +463,7 @@
     let engine = |slice_steps, tuning: &Tuning| {
         let mut cfg = config(teams.clone(), tuning.clone());
         Rc::get_mut(&mut cfg).unwrap().slice_steps = slice_steps;
-        let types = vec![machine_type(), large.clone()];
+        let types = vec![machine_type(), large_type.clone()];
         Engine::new(
             cfg,
             0.0,
@@ -471,7 +495,7 @@
     for round in 0..8 {
         let now = f64::from(round) * 1.25;
         for _ in 0..rng.random_range(0..6) {
-            let spec = some_job(&mut rng, jobs);
+            let spec = random_job(&mut rng, jobs);
             jobs += 1;
             for e in &mut engines {
                 e.job_accepted(now, (now * 1000.0) as u64, record(spec.clone()), 70);
@@ -492,38 +516,43 @@
             let mut report = worker.report();
             (report.machine_type, report.spot) = ((*machine_type).into(), Some(*spot));
             report.notice_s = rng.random_bool(0.03).then_some(20.0);
-            let answers: Vec<_> = engines
+            let replies: Vec<_> = engines
                 .iter_mut()
                 .map(|e| converse(e, now, &report, true))
                 .collect();
-            prop_assert_eq!(&answers[0], &answers[1], "replies at {}", now);
-            prop_assert_eq!(&answers[0], &answers[2], "sliced replies at {}", now);
+            prop_assert_eq!(&replies[0], &replies[1], "replies at {}", now);
+            prop_assert_eq!(&replies[0], &replies[2], "sliced replies at {}", now);
             let token = engines[0].token_for(&worker.name);
-            worker.obey(token, answers[0].as_deref().unwrap_or(&[]));
+            worker.obey(token, replies[0].as_deref().unwrap_or(&[]));
         }
-        engines[0].plain_schedule(now);
+        engines[0].reference_schedule(now);
         engines[1].schedule(now);
         engines[2].schedule(now);
         while engines[2].is_mid_cycle() {
             engines[2].schedule(now);
         }
-        let plain = picture(&engines[0]);
-        prop_assert_eq!(&plain, &picture(&engines[1]), "whole cycle at {}", now);
-        prop_assert_eq!(&plain, &picture(&engines[2]), "sliced cycle at {}", now);
-        placed = placed.max(plain.iter().map(|(_, live, ..)| live.len()).sum());
-        evicted += plain
+        let reference = snapshot(&engines[0]);
+        prop_assert_eq!(&reference, &snapshot(&engines[1]), "whole cycle at {}", now);
+        prop_assert_eq!(
+            &reference,
+            &snapshot(&engines[2]),
+            "sliced cycle at {}",
+            now
+        );
+        placed = placed.max(reference.iter().map(|(_, live, ..)| live.len()).sum());
+        evicted += reference
             .iter()
             .map(|(.., evictions, _)| *evictions as usize)
             .sum::<usize>();
-        engines.iter_mut().for_each(|e| write(e, now));
+        engines.iter_mut().for_each(|e| write_records(e, now));
     }
     Ok((placed, evicted))
 }
 
 #[test]
-fn a_cycle_chooses_the_places_and_victims_of_its_plain_definition() {
-    // Guards against an index that forgets somebody: a job that never gets its
-    // place, or a victim that the design's rule would not have chosen.
+fn a_cycle_places_and_evicts_the_same_tasks_as_the_reference_scheduler() {
+    // Guards against an index with missing entries: a job that is never placed, or the
+    // eviction of a task that the eviction rule of the design would not have chosen.
     let cases = std::env::var("UMBERSAIL_CASES").ok();
     let config = Config {
         cases: cases.and_then(|c| c.parse().ok()).unwrap_or(400),
@@ -533,7 +562,7 @@
     let rng = TestRng::from_seed(RngAlgorithm::ChaCha, &[22; 32]);
     let sums = std::cell::Cell::new((0, 0));
     let result = TestRunner::new_with_rng(config, rng).run(&any::<u64>(), |seed| {
-        let (placed, evicted) = play(seed)?;
+        let (placed, evicted) = compare_schedulers(seed)?;
         sums.set((sums.get().0 + placed, sums.get().1 + evicted));
         Ok(())
     });
@@ -541,12 +570,12 @@
     let (placed, evicted) = sums.get();
     assert!(
         placed > 2000 && evicted > 200,
-        "{placed} placed, {evicted} evicted: too quiet"
+        "only {placed} placed and {evicted} evicted"
     );
 }
 
-/// So many machines of 8 CPUs, up and in the grant.
-fn fleet(slice_steps: u64, machines: usize) -> (Engine, Vec<Worker>) {
+/// An engine and its workers: `machines` running machines of 8 CPUs that are in the grant.
+fn engine_with_workers(slice_steps: u64, machines: usize) -> (Engine, Vec<Worker>) {
     let mut cfg = config(vec![team(0.0, 0.0)], Tuning::default());
     Rc::get_mut(&mut cfg).unwrap().slice_steps = slice_steps;
     let mut engine = Engine::new(cfg, 0.0, 0, empty_inheritance());
@@ -558,13 +587,13 @@
             worker.turn(&mut engine, at);
         }
     }
-    write(&mut engine, 0.5);
+    write_records(&mut engine, 0.5);
     engine.take_steps();
     (engine, workers)
 }
 
-fn tier(id: &str, priority: Priority, tasks: u32, cpus: f64) -> JobSpec {
-    // Nothing can be rented in time, so that it may evict.
+fn job_of_priority(id: &str, priority: Priority, tasks: u32, cpus: f64) -> JobSpec {
+    // With this deadline, no machine can be rented in time, so that the job may evict.
     let deadline_s = (priority == Priority::High).then_some(25.0);
     JobSpec {
         priority,
@@ -573,12 +602,12 @@
     }
 }
 
-fn come(engine: &mut Engine, now: Time, spec: JobSpec) {
+fn submit(engine: &mut Engine, now: Time, spec: JobSpec) {
     engine.job_accepted(now, (now * 1000.0) as u64, record(spec), 70);
 }
 
-/// Cycles until one is whole; how many slices that took.
-fn whole(engine: &mut Engine, now: Time) -> usize {
+/// Schedules until the cycle is complete. Returns the number of slices.
+fn run_full_cycle(engine: &mut Engine, now: Time) -> usize {
     engine.schedule(now);
     let mut slices = 1;
     while engine.is_mid_cycle() {
@@ -588,8 +617,8 @@
     slices
 }
 
-fn launched(engine: &mut Engine, workers: &mut [Worker], now: Time) {
-    write(engine, now);
+fn record_and_launch(engine: &mut Engine, workers: &mut [Worker], now: Time) {
+    write_records(engine, now);
     for worker in workers.iter_mut() {
         worker.turn(engine, now);
     }
@@ -600,18 +629,22 @@
 }
 
 #[test]
-fn blocked_jobs_without_a_candidate_cost_a_look_each() {
-    // Guards against what the fleets showed: blocked jobs times running tasks,
-    // in each cycle, to find that nobody may be evicted.
-    let (mut engine, mut workers) = fleet(u64::MAX, 500);
-    come(&mut engine, 1.0, tier("req-run", Priority::High, 2000, 2.0));
+fn blocked_jobs_without_a_preemptible_task_cost_a_constant_number_of_steps_each() {
+    // Guards against a cost seen in simulated fleets: blocked jobs times running tasks in
+    // each cycle, only to find that no task may be evicted.
+    let (mut engine, mut workers) = engine_with_workers(u64::MAX, 500);
+    submit(
+        &mut engine,
+        1.0,
+        job_of_priority("req-run", Priority::High, 2000, 2.0),
+    );
     engine.schedule(1.0);
-    launched(&mut engine, &mut workers, 1.1);
+    record_and_launch(&mut engine, &mut workers, 1.1);
     for n in 0..200 {
-        come(
+        submit(
             &mut engine,
             1.5,
-            tier(
+            job_of_priority(
                 &format!("req-{n}"),
                 Priority::High,
                 20,
@@ -630,26 +663,34 @@
 }
 
 #[test]
-fn one_candidate_in_a_large_fleet_is_found_without_a_walk_for_each_job() {
-    let (mut engine, mut workers) = fleet(u64::MAX, 4000);
-    come(&mut engine, 1.0, tier("req-low", Priority::Low, 1, 8.0));
+fn one_preemptible_task_in_a_large_cluster_is_found_without_a_scan_for_each_job() {
+    let (mut engine, mut workers) = engine_with_workers(u64::MAX, 4000);
+    submit(
+        &mut engine,
+        1.0,
+        job_of_priority("req-low", Priority::Low, 1, 8.0),
+    );
     engine.schedule(1.0);
-    // A job's record names some 1,300 machines at the most.
+    // The record of one job can name about 1,300 machines at most.
     for (job, tasks) in [
         ("req-a", 1000),
         ("req-b", 1000),
         ("req-c", 1000),
         ("req-d", 999),
     ] {
-        come(&mut engine, 1.0, tier(job, Priority::High, tasks, 8.0));
+        submit(
+            &mut engine,
+            1.0,
+            job_of_priority(job, Priority::High, tasks, 8.0),
+        );
     }
     engine.schedule(1.0);
-    launched(&mut engine, &mut workers, 1.1);
+    record_and_launch(&mut engine, &mut workers, 1.1);
     for n in 0..200 {
-        come(
+        submit(
             &mut engine,
             1.5,
-            tier(&format!("req-{n:03}"), Priority::High, 1, 8.0),
+            job_of_priority(&format!("req-{n:03}"), Priority::High, 1, 8.0),
         );
     }
     engine.schedule(1.5);
@@ -659,92 +700,111 @@
 }
 
 #[test]
-fn a_candidate_that_turns_unpreemptable_between_two_cycles_is_spared() {
-    // Guards against an index that is right when it is made and not when used.
-    type Turn = fn(&mut Engine);
-    let turns: [(&str, u32, Turn); 4] = [
-        ("nothing", 1, |_| {}),
-        ("saving", 0, |e| {
+fn a_task_that_becomes_non_preemptible_between_two_cycles_is_not_evicted() {
+    // Guards against an index of preemptible tasks that is correct when it is built but
+    // outdated when it is used.
+    type StateChange = fn(&mut Engine);
+    let state_changes: [(&str, u32, StateChange); 4] = [
+        ("no change", 1, |_| {}),
+        ("the task saves its state", 0, |e| {
             let low = e.jobs.get_mut("req-low").unwrap();
             low.placements.get_mut(&0).unwrap().observed_state = Some(TaskState::Saving);
         }),
-        ("evicted too often", 3, |e| {
+        ("the job was evicted too often", 3, |e| {
             e.jobs.get_mut("req-low").unwrap().evictions = 3
         }),
-        ("its team down to its guarantee", 0, |e| {
+        ("the team uses no more than its guarantee", 0, |e| {
             Rc::get_mut(&mut e.cfg).unwrap().teams[0].guaranteed_cpus = 8.0;
         }),
     ];
-    for (what, evictions, turn) in turns {
-        let (mut engine, mut workers) = fleet(u64::MAX, 1);
-        come(&mut engine, 1.0, tier("req-low", Priority::Low, 1, 8.0));
+    for (case, evictions, change_state) in state_changes {
+        let (mut engine, mut workers) = engine_with_workers(u64::MAX, 1);
+        submit(
+            &mut engine,
+            1.0,
+            job_of_priority("req-low", Priority::Low, 1, 8.0),
+        );
         engine.schedule(1.0);
-        launched(&mut engine, &mut workers, 1.1);
-        turn(&mut engine);
-        come(&mut engine, 1.5, tier("req-high", Priority::High, 1, 8.0));
+        record_and_launch(&mut engine, &mut workers, 1.1);
+        change_state(&mut engine);
+        submit(
+            &mut engine,
+            1.5,
+            job_of_priority("req-high", Priority::High, 1, 8.0),
+        );
         engine.schedule(1.5);
-        assert_eq!(engine.jobs["req-low"].evictions, evictions, "{what}");
+        assert_eq!(engine.jobs["req-low"].evictions, evictions, "{case}");
     }
 }
 
 #[test]
-fn a_cycle_cut_short_takes_in_what_happens_meanwhile() {
-    // Guards against a cycle that goes on by an old picture: a job cancelled in
-    // the middle would start (ran_cancelled), a report would wait for all of it.
-    let (mut engine, mut workers) = fleet(300, 4);
-    come(&mut engine, 1.0, tier("req-0", Priority::High, 12, 2.0));
-    come(&mut engine, 1.0, tier("req-1", Priority::Normal, 2, 2.0));
-    come(&mut engine, 1.0, tier("req-2", Priority::Low, 40, 2.0));
-    engine.schedule(1.0);
-    assert!(
-        engine.is_mid_cycle(),
-        "the slice was over after the first job"
+fn an_interrupted_cycle_takes_account_of_changes_between_its_slices() {
+    // Guards against a cycle that continues with outdated state: a job cancelled during the
+    // cycle would start (property `ran_cancelled`), and a heartbeat would wait for the
+    // whole cycle.
+    let (mut engine, mut workers) = engine_with_workers(300, 4);
+    submit(
+        &mut engine,
+        1.0,
+        job_of_priority("req-0", Priority::High, 12, 2.0),
+    );
+    submit(
+        &mut engine,
+        1.0,
+        job_of_priority("req-1", Priority::Normal, 2, 2.0),
     );
+    submit(
+        &mut engine,
+        1.0,
+        job_of_priority("req-2", Priority::Low, 40, 2.0),
+    );
+    engine.schedule(1.0);
+    assert!(engine.is_mid_cycle(), "the slice ended after the first job");
     assert_eq!(engine.jobs["req-0"].placements.len(), 12);
     engine.job_key_removed("req-1");
-    // What the slice placed is recorded and launched before the cycle goes on.
-    write(&mut engine, 1.0);
-    let told: usize = workers
+    // The tasks placed by the slice are recorded and launched before the cycle continues.
+    write_records(&mut engine, 1.0);
+    let starts_sent: usize = workers
         .iter_mut()
         .map(|w| starts(&w.turn(&mut engine, 1.1)).len())
         .sum();
-    assert_eq!((told, engine.is_mid_cycle()), (12, true));
-    // A worker reports an end: the rest of this cycle uses the room.
-    let ended = workers[0].tasks[0].task.clone();
-    workers[0].exit(&ended, None, ExitCause::Done);
+    assert_eq!((starts_sent, engine.is_mid_cycle()), (12, true));
+    // A worker reports the end of a task: the rest of the cycle uses the freed capacity.
+    let ended_task = workers[0].tasks[0].task.clone();
+    workers[0].exit(&ended_task, None, ExitCause::Done);
     workers[0].turn(&mut engine, 1.15);
-    whole(&mut engine, 1.2);
+    run_full_cycle(&mut engine, 1.2);
     assert!(!engine.jobs.contains_key("req-1"));
     assert_eq!(
         engine.jobs["req-2"].placements.len(),
         5,
-        "four places left, one fell free"
+        "four slots were left, and one task ended"
     );
 }
 
 #[test]
-fn a_take_over_in_the_middle_of_a_cycle_starts_nothing_twice_and_forgets_nothing() {
-    let (mut engine, mut workers) = fleet(300, 4);
-    let first = tier("req-0", Priority::High, 12, 2.0);
-    let second = tier("req-1", Priority::Low, 4, 2.0);
-    come(&mut engine, 1.0, first.clone());
-    come(&mut engine, 1.0, second.clone());
+fn a_failover_in_the_middle_of_a_cycle_starts_no_task_twice_and_loses_none() {
+    let (mut engine, mut workers) = engine_with_workers(300, 4);
+    let first_job = job_of_priority("req-0", Priority::High, 12, 2.0);
+    let second_job = job_of_priority("req-1", Priority::Low, 4, 2.0);
+    submit(&mut engine, 1.0, first_job.clone());
+    submit(&mut engine, 1.0, second_job.clone());
     engine.schedule(1.0);
     assert!(engine.is_mid_cycle());
     let pending = engine.next_txn(1.0, 20, 20).unwrap();
-    let run = pending.txn.changes.iter().find_map(|c| match c {
+    let progress = pending.txn.changes.iter().find_map(|c| match c {
         Change::Put {
-            value: Record::JobProgress(run),
+            value: Record::JobProgress(progress),
             ..
-        } => Some(run.clone()),
+        } => Some(progress.clone()),
         _ => None,
     });
     engine.txn_finished(1.0, pending, TxnOutcome::Applied { revision: 2000 });
-    let told: usize = workers
+    let starts_sent: usize = workers
         .iter_mut()
         .map(|w| starts(&w.turn(&mut engine, 1.1)).len())
         .sum();
-    assert_eq!(told, 12);
+    assert_eq!(starts_sent, 12);
     let machines = workers.iter().map(|w| GrantedMachine {
         name: w.name.clone(),
         machine_type: "m8".into(),
@@ -755,10 +815,10 @@
     let part = GrantPart {
         machines: machines.collect(),
     };
-    let job = |spec, run| InheritedJob {
+    let job = |spec, progress| InheritedJob {
         record: record(spec),
         version: 70,
-        run,
+        run: progress,
     };
     let inheritance = InheritedState {
         revision: TOKEN + 1,
@@ -768,46 +828,53 @@
             version: 40,
             part,
         }],
-        jobs: vec![job(first, Some((run.unwrap(), 2000))), job(second, None)],
+        jobs: vec![
+            job(first_job, Some((progress.unwrap(), 2000))),
+            job(second_job, None),
+        ],
         ..empty_inheritance()
     };
     let mut successor = Engine::new(engine.cfg.clone(), 2.0, 2000, inheritance);
-    assert_eq!(whole(&mut successor, 2.0), 1);
+    assert_eq!(run_full_cycle(&mut successor, 2.0), 1);
     assert!(
         successor.jobs.values().all(|j| j.placements.is_empty()),
-        "nobody is accounted for"
+        "the successor knows of no running task before the heartbeats"
     );
     for worker in &mut workers {
         worker.turn(&mut successor, 2.1);
         assert_eq!(starts(&worker.turn(&mut successor, 2.7)).len(), 0);
     }
-    whole(&mut successor, 2.8);
-    assert_eq!(successor.jobs["req-0"].placements.len(), 12, "they go on");
+    run_full_cycle(&mut successor, 2.8);
+    assert_eq!(
+        successor.jobs["req-0"].placements.len(),
+        12,
+        "the running tasks are kept"
+    );
     assert_eq!(
         successor.jobs["req-1"].placements.len(),
         4,
-        "what the cycle had not reached"
+        "the successor places the tasks that the interrupted cycle had not reached"
     );
 }
 
 #[test]
-fn twenty_thousand_tasks_freed_at_once_are_placed_in_slices_that_end() {
-    // Guards against a leader that computes for seconds after a power cut while
-    // its lease and its machines' leases run out.
-    const SLICE: u64 = 50_000;
-    let (mut engine, _) = fleet(SLICE, 4000);
+fn twenty_thousand_waiting_tasks_are_placed_in_slices_of_bounded_length() {
+    // Guards against a leader that computes for seconds after a power cut, while its lease
+    // and the leases of its machines expire.
+    const SLICE_STEPS: u64 = 50_000;
+    let (mut engine, _) = engine_with_workers(SLICE_STEPS, 4000);
     for n in 0..1000 {
-        come(
+        submit(
             &mut engine,
             1.0,
-            tier(&format!("req-{n:04}"), Priority::Normal, 20, 1.5),
+            job_of_priority(&format!("req-{n:04}"), Priority::Normal, 20, 1.5),
         );
     }
-    let (mut slices, mut most) = (0, 0);
+    let (mut slices, mut max_steps) = (0, 0);
     while slices == 0 || engine.is_mid_cycle() {
         engine.schedule(1.0);
         slices += 1;
-        most = most.max(engine.take_steps());
+        max_steps = max_steps.max(engine.take_steps());
     }
     assert_eq!(
         engine
@@ -817,7 +884,11 @@
             .sum::<usize>(),
         20_000
     );
-    // One more job than fits into a slice, and a walk over the fleet.
-    assert!(most < SLICE + 4000 + 8000, "{most} steps in a slice");
+    // A slice may exceed its limit by the steps for one more job and for one scan of all
+    // machines.
+    assert!(
+        max_steps < SLICE_STEPS + 4000 + 8000,
+        "{max_steps} steps in a slice"
+    );
     assert!((10..60).contains(&slices), "{slices} slices");
 }
--- a/crates/umbersail-control/tests/two_controllers.rs
+++ b/crates/umbersail-control/tests/two_controllers.rs
@@ -103,7 +103,7 @@
                 leader_ttl_s: 0.6,
                 leader_renew_s: 0.1,
                 task_end_write_delay_s: 0.05,
-                delegation_margin_s: delegation_margin_s,
+                delegation_margin_s,
                 ..Tuning::default()
             };
             routines.push(Some(spawn(async move {
