--- a/crates/umbersail-control/benches/scheduling_cycle.rs
+++ b/crates/umbersail-control/benches/scheduling_cycle.rs
@@ -229,14 +229,14 @@
         }
     }
 
-    /// Fills all machines with tasks: one in `low_priority_every` machines with tasks that
-    /// may be evicted, or none if `low_priority_every` is 0.
-    fn fill_machines(&mut self, low_priority_every: usize) {
+    /// Fills all machines with tasks: one in `best_effort_every` machines with tasks that
+    /// may be evicted, or none if `best_effort_every` is 0.
+    fn fill_machines(&mut self, best_effort_every: usize) {
         let machines = self.heartbeats.len();
-        let low_priority_machines = machines.checked_div(low_priority_every).unwrap_or(0);
+        let best_effort_machines = machines.checked_div(best_effort_every).unwrap_or(0);
         let jobs = [
-            (Priority::Low, low_priority_machines),
-            (Priority::High, machines - low_priority_machines),
+            (Priority::Low, best_effort_machines),
+            (Priority::High, machines - best_effort_machines),
         ];
         for (priority, machines) in jobs {
             for job in 0..machines.div_ceil(10) {
--- a/crates/umbersail-control/src/engine/tests/random_faults.rs
+++ b/crates/umbersail-control/src/engine/tests/random_faults.rs
@@ -37,7 +37,8 @@
 /// Length of a run: enough for two failovers with the renewal times of both leaders.
 const RUN_S: f64 = 75.0;
 const STEP_S: f64 = 0.1;
-/// A worker abandons a heartbeat, and ignores its reply, after this time (PROTOCOL).
+/// The protocol requires a worker to abandon a heartbeat, and to ignore its reply, after this
+/// time, in seconds.
 const REPLY_TIMEOUT_S: f64 = 4.0;
 const TEAM_LIMIT_CPUS: f64 = 22.0;
 const TASK_CPUS: f64 = 2.0;
@@ -50,11 +51,11 @@
     StateRejectsNode,
     StateOutage,
     ZonesPartitioned,
-    WorkerCutFromNode,
+    WorkerPartitionedFromNode,
     WorkerHangs,
     RepliesLost,
     DirectCommandsDelayed,
-    PeersCut,
+    PeersPartitioned,
     /// The node reaches neither the state service nor its peers, but its workers. In a long
     /// isolation, the node reaches only one worker, and this worker reaches no other node.
     Isolated,
@@ -127,12 +128,12 @@
         FaultKind::StateOutage,
         FaultKind::StateOutage,
         FaultKind::ZonesPartitioned,
-        FaultKind::WorkerCutFromNode,
-        FaultKind::WorkerCutFromNode,
+        FaultKind::WorkerPartitionedFromNode,
+        FaultKind::WorkerPartitionedFromNode,
         FaultKind::WorkerHangs,
         FaultKind::RepliesLost,
         FaultKind::DirectCommandsDelayed,
-        FaultKind::PeersCut,
+        FaultKind::PeersPartitioned,
         FaultKind::Isolated,
         FaultKind::Isolated,
         FaultKind::WorkerUnreachable,
@@ -213,6 +214,7 @@
 #[derive(Clone)]
 struct Reply {
     arrives_at: f64,
+    /// When the heartbeat was sent, in true time.
     sent_at: f64,
     session: u64,
     token: u64,
@@ -248,9 +250,12 @@
     }
 }
 
+/// The state of a node that leads.
 struct Leadership {
     engine: Engine,
+    /// Until when the leader may send start commands, on the node's own clock.
     start_until: Time,
+    /// Until when the leader may answer heartbeats, on the node's own clock.
     renew_until: Time,
     superseded: bool,
     degraded_mode: DegradedMode,
@@ -263,11 +268,13 @@
     watch_delivers_at: Option<f64>,
 }
 
+/// A controller node.
 struct Member {
     clock: DriftingClock,
     up: bool,
     started_at: Time,
     delegate: Delegate,
+    /// The newest leader that the node knows of, and that leader's token.
     leader: Option<(usize, u64)>,
     degraded_mode_memory: DegradedModeMemory,
     leadership: Option<Leadership>,
@@ -393,7 +400,9 @@
     },
 }
 
+/// One run of the nodes, the workers and the state service under a list of faults.
 struct FaultRun {
+    /// The true time, in seconds.
     t: f64,
     rng: StdRng,
     faults: Vec<Fault>,
@@ -401,13 +410,14 @@
     store: Store,
     members: Vec<Member>,
     hosts: Vec<Host>,
+    /// Delayed messages and transactions, with the time of their delivery.
     delayed: Vec<(f64, Delayed)>,
     /// Ids of cancelled jobs and when the user got the confirmation.
     cancelled: Vec<(String, f64)>,
     launches: usize,
     elections: usize,
     /// How often a leader entered degraded mode.
-    degraded_modes: usize,
+    degraded_mode_entries: usize,
     /// Cancellations confirmed while the state service rejects the leader.
     cancelled_while_rejected: usize,
     /// Delayed elections that were applied.
@@ -474,7 +484,7 @@
             cancelled: Vec::new(),
             launches: 0,
             elections: 0,
-            degraded_modes: 0,
+            degraded_mode_entries: 0,
             cancelled_while_rejected: 0,
             delayed_elections: 0,
             rejected_leader: None,
@@ -564,11 +574,11 @@
     }
 
     /// Until when this worker and this node cannot reach each other, if they cannot.
-    fn cut_until(&self, host: usize, node: usize) -> Option<f64> {
+    fn partitioned_until(&self, host: usize, node: usize) -> Option<f64> {
         let zones_differ = zone_of(host) != zone_of(node);
         self.active_fault(FaultKind::ZonesPartitioned, |_| zones_differ)
             .or_else(|| {
-                self.active_fault(FaultKind::WorkerCutFromNode, |f| {
+                self.active_fault(FaultKind::WorkerPartitionedFromNode, |f| {
                     f.node == node && f.worker == host
                 })
             })
@@ -585,10 +595,10 @@
         self.is_active(FaultKind::WorkerUnreachable, |f| f.worker == host)
     }
 
-    fn peers_are_cut(&self, a: usize, b: usize) -> bool {
+    fn peers_are_partitioned(&self, a: usize, b: usize) -> bool {
         let zones_differ = zone_of(a) != zone_of(b);
         self.is_active(FaultKind::ZonesPartitioned, |_| zones_differ)
-            || self.is_active(FaultKind::PeersCut, |f| f.node == a || f.node == b)
+            || self.is_active(FaultKind::PeersPartitioned, |f| f.node == a || f.node == b)
             || self.is_active(FaultKind::Isolated, |f| f.node == a || f.node == b)
             || self.is_active(FaultKind::Freeze, |f| f.node == a || f.node == b)
     }
@@ -763,7 +773,7 @@
                     let suspects = self.is_active(FaultKind::Suspicions, |f| f.node == node);
                     if suspects && !is_own_record && self.rng.random_bool(0.1) {
                         // The leader may be alive; it continues until it learns of this
-                        // election or compares the key (rule 2).
+                        // election or compares the key (rule 2 of `docs/design.md`).
                         self.try_election(node, now);
                     } else if leader == node && !is_own_record {
                         // The record is of this node's former process, which has ended, so
@@ -926,7 +936,7 @@
         }
         for peer in (0..NODES).filter(|p| *p != node) {
             let state_unreachable = !self.reaches_state(peer);
-            let peer_reachable = self.members[peer].up && !self.peers_are_cut(node, peer);
+            let peer_reachable = self.members[peer].up && !self.peers_are_partitioned(node, peer);
             let reply_received = self.rng.random_bool(0.9);
             let member = &mut self.members[peer];
             let peer_now = member.clock.read(t);
@@ -952,7 +962,7 @@
         if let Some(leadership) = &mut self.members[node].leadership {
             if leadership.degraded_mode.allows_unrecorded_starts() {
                 leadership.engine.set_degraded_mode(true);
-                self.degraded_modes += 1;
+                self.degraded_mode_entries += 1;
             } else {
                 leadership.degraded_mode = DegradedMode::Off;
             }
@@ -1038,7 +1048,7 @@
         }
         let (token, session) = (command.token, command.session.max(1));
         let delayed_until = self
-            .cut_until(host, node)
+            .partitioned_until(host, node)
             .or_else(|| {
                 self.active_fault(FaultKind::WorkerHangs, |f| f.worker == host)
                     .map(Fault::ends_at)
@@ -1071,8 +1081,8 @@
         }
     }
 
-    /// A worker executes a direct command without orders if the session is current, and
-    /// returns its response.
+    /// A worker executes a direct command that carries no task commands, if the command's
+    /// session is current. Returns the worker's response.
     fn execute_direct_command(&mut self, host: usize, token: u64, session: u64) -> Heartbeat {
         let t = self.t;
         let unreachable = self.is_unreachable(host);
@@ -1085,7 +1095,7 @@
     }
 
     fn greet(&mut self, node: usize, peer: usize) {
-        if !self.members[peer].up || self.peers_are_cut(node, peer) {
+        if !self.members[peer].up || self.peers_are_partitioned(node, peer) {
             return;
         }
         let asked_at = self.members[node].clock.read(self.t);
@@ -1307,7 +1317,9 @@
                 node: if to < NODES { to } else { node },
                 heartbeat: heartbeat.clone(),
             };
-            let earliest = self.cut_until(index, node).map_or(t, |end| end.max(t));
+            let earliest = self
+                .partitioned_until(index, node)
+                .map_or(t, |end| end.max(t));
             // Half of the duplicates arrive while the reply to the original still matters.
             let within_second = self.rng.random_bool(0.5);
             let delay_s = self
@@ -1315,7 +1327,7 @@
                 .random_range(0.1..if within_second { 1.0 } else { 3.0 * LEASE_S });
             self.delayed.push((earliest + delay_s, copy));
         }
-        if let Some(end) = self.cut_until(index, node) {
+        if let Some(end) = self.partitioned_until(index, node) {
             self.delayed
                 .push((end, Delayed::Heartbeat { node, heartbeat }));
             self.retry_on_next_node(index, REPLY_TIMEOUT_S + 1.0);
@@ -1453,15 +1465,15 @@
         let Some((leader, _)) = self.members[node].leader.filter(|(l, _)| *l != node) else {
             return Ok(Answer::Rejected);
         };
-        let peers_cut = self.peers_are_cut(node, leader);
+        let peers_partitioned = self.peers_are_partitioned(node, leader);
         if may_redirect
-            && !peers_cut
+            && !peers_partitioned
             && zone_of(node) != heartbeat.zone
             && self.rng.random_bool(0.7)
         {
             return Ok(Answer::Redirected(leader));
         }
-        if !peers_cut && self.members[leader].up && !self.rng.random_bool(0.03) {
+        if !peers_partitioned && self.members[leader].up && !self.rng.random_bool(0.03) {
             let answer = self.answer_as_leader(leader, heartbeat)?;
             if matches!(answer, Answer::Reply(..)) {
                 // Otherwise the leader's reply is lost, and the delegate renews the lease.
@@ -1545,12 +1557,12 @@
     let result = runner.run(&strategy, |(faults, seed)| {
         let mut run = FaultRun::new(&faults, seed);
         let outcome = run.run();
-        let (cases_run, launches, elections, degraded_modes) = totals.get();
+        let (cases_run, launches, elections, degraded_mode_entries) = totals.get();
         totals.set((
             cases_run + 1,
             launches + run.launches,
             elections + run.elections,
-            degraded_modes + run.degraded_modes,
+            degraded_mode_entries + run.degraded_mode_entries,
         ));
         let (cancelled_while_rejected, delayed_elections) = rare_events.get();
         rare_events.set((
@@ -1566,9 +1578,13 @@
     if let Err(failure) = result {
         panic!("case {:?}: {failure}", first_failing_case.get());
     }
-    let (cases_run, launches, elections, degraded_modes) = totals.get();
+    let (cases_run, launches, elections, degraded_mode_entries) = totals.get();
     // Guards against runs in which nothing happens.
-    assert!(launches > 20 * cases_run && elections > cases_run && degraded_modes > cases_run / 20);
+    assert!(
+        launches > 20 * cases_run
+            && elections > cases_run
+            && degraded_mode_entries > cases_run / 20
+    );
     let (cancelled_while_rejected, delayed_elections) = rare_events.get();
     assert!(
         cancelled_while_rejected > cases_run / 20 && delayed_elections > 0,
--- a/crates/umbersail-control/tests/isolated_controllers.rs
+++ b/crates/umbersail-control/tests/isolated_controllers.rs
@@ -90,6 +90,7 @@
 struct TestCluster {
     world: WorldHandle,
     state: Rc<StateService>,
+    /// Per node, whether the state service rejects the requests of this node.
     rejects_node: Vec<Rc<Cell<bool>>>,
     state_host: HostId,
     worker_host: HostId,
@@ -119,10 +120,13 @@
         method: &str,
         target: &str,
         body: &[u8],
-        wait_s: f64,
+        timeout_s: f64,
     ) -> Option<Answer> {
         let to = user_address(node);
-        self.http.ask(to, method, target, body, wait_s).await.ok()
+        self.http
+            .ask(to, method, target, body, timeout_s)
+            .await
+            .ok()
     }
 
     async fn status(&self, node: usize, method: &str, target: &str, body: &[u8]) -> u16 {
@@ -161,13 +165,13 @@
             ("POST", "/v2/runs/req-1/abort", vec![]),
         ];
         for (method, target, body) in requests {
-            let at = self.world.now();
+            let sent_at = self.world.now();
             let answer = self.request(node, method, target, &body).await.unwrap();
-            let elapsed_s = self.world.now() - at;
+            let elapsed_s = self.world.now() - sent_at;
             assert_eq!(
                 (answer.status, elapsed_s < 0.2),
                 (503, true),
-                "{target}: {elapsed_s}"
+                "{target} answered after {elapsed_s} s"
             );
             assert!(answer.retry_after_s.is_some());
         }
@@ -176,9 +180,9 @@
     /// Repeats the cancellation of a job at a node until the node confirms it. Returns the
     /// time of the confirmation.
     async fn cancel(&self, node: usize, id: &str) -> f64 {
-        let abort = format!("/v2/runs/{id}/abort");
+        let abort_path = format!("/v2/runs/{id}/abort");
         for _ in 0..40 {
-            if self.status(node, "POST", &abort, b"").await == 200 {
+            if self.status(node, "POST", &abort_path, b"").await == 200 {
                 return self.world.now();
             }
             sleep(0.5).await;
@@ -186,7 +190,7 @@
         panic!("{id} was not cancelled");
     }
 
-    /// Cuts a node off from the state service and from its peers.
+    /// Partitions a node from the state service and from its peers.
     fn isolate(&self, node: usize) -> CutId {
         let mut others = self.nodes.clone();
         others.remove(node);
@@ -368,7 +372,7 @@
 
     async fn exchange_heartbeat(&mut self) -> Option<HeartbeatReply> {
         self.heartbeat.seq += 1;
-        let sent = self.cluster.world.now();
+        let sent_at = self.cluster.world.now();
         let to = user_address(self.node);
         let body = encode(&self.heartbeat);
         let answer = self.http.ask(to, "POST", "/v1/report", &body, 4.0).await;
@@ -377,8 +381,9 @@
             Ok(a) if a.status == 200 => {
                 let reply = decode::<HeartbeatReply>(&a.body).unwrap();
                 if reply.token >= self.heartbeat.token {
-                    self.longest_gap_s = self.longest_gap_s.max(sent - self.last_acknowledged_at);
-                    self.last_acknowledged_at = sent;
+                    self.longest_gap_s =
+                        self.longest_gap_s.max(sent_at - self.last_acknowledged_at);
+                    self.last_acknowledged_at = sent_at;
                 }
                 return Some(reply);
             }
@@ -485,10 +490,10 @@
         let body = encode(&job("req-1", 2.0));
         assert_eq!(cluster.status(leader, "POST", "/v2/runs", &body).await, 201);
         let follower = (leader + 1) % NODES;
-        let cut = cluster.isolate(follower);
+        let partition = cluster.isolate(follower);
         sleep(4.0).await;
         cluster.assert_rejects_users_promptly(follower).await;
-        cluster.world.heal(cut);
+        cluster.world.heal(partition);
         sleep(3.0).await;
         assert_eq!(cluster.status(follower, "GET", "/ready", b"").await, 200);
         assert_eq!(
@@ -500,7 +505,7 @@
 
 #[test]
 fn an_isolated_leader_rejects_users_promptly_while_its_successor_cancels_a_job() {
-    // Guards against a leader that answers users from its state before the cut, and
+    // Guards against a leader that answers users from its state before the partition, and
     // against a worker that never learns of the cancellation.
     run_with_cluster(|cluster| async move {
         let leader = cluster.wait_for_leader().await;
@@ -515,25 +520,25 @@
         worker
             .heartbeat_until(|w| w.last_acknowledged_at > 12.0, 20.0)
             .await;
-        let cut = cluster.isolate(leader);
-        let cut_at = cluster.world.now();
+        let partition = cluster.isolate(leader);
+        let partitioned_at = cluster.world.now();
         let cancelled_at = cluster.cancel((leader + 1) % NODES, "req-1").await;
         assert!(
             worker.starts_and_running("req-1/0").1,
             "the task still runs when the cancellation is confirmed"
         );
-        let task_cluster = cluster.clone();
+        let cluster_clone = cluster.clone();
         spawn(async move {
-            let job_stage = task_cluster.job_stage(leader, "req-1").await;
+            let job_stage = cluster_clone.job_stage(leader, "req-1").await;
             assert!(matches!(job_stage, None | Some(JobStage::Cancelled)));
         });
         worker
             .heartbeat_until(|w| !w.starts_and_running("req-1/0").1, CANCEL_S)
             .await;
         assert!(cluster.world.now() < cancelled_at + CANCEL_S);
-        sleep((cut_at + 4.0 - cluster.world.now()).max(0.0)).await;
+        sleep((partitioned_at + 4.0 - cluster.world.now()).max(0.0)).await;
         cluster.assert_rejects_users_promptly(leader).await;
-        cluster.world.heal(cut);
+        cluster.world.heal(partition);
         sleep(3.0).await;
         let job_stage = cluster.job_stage(leader, "req-1").await;
         assert_eq!(job_stage, Some(JobStage::Cancelled));
@@ -549,24 +554,25 @@
 fn a_launch_in_flight_while_its_leader_is_isolated_starts_at_most_once_and_ends_with_its_job() {
     // Guards against a task that is started both by the isolated leader and by its
     // successor, and against a task that outlives a cancellation confirmed by the successor.
-    let started_during_cut: Rc<Cell<usize>> = Rc::default();
+    let started_in_partition: Rc<Cell<usize>> = Rc::default();
     let not_started: Rc<Cell<usize>> = Rc::default();
-    for cut_delay_ms in (0..=40).chain([50, 100, 200]) {
-        let (started_during_cut, not_started) = (started_during_cut.clone(), not_started.clone());
+    for partition_delay_ms in (0..=40).chain([50, 100, 200]) {
+        let (started_in_partition, not_started) =
+            (started_in_partition.clone(), not_started.clone());
         run_with_cluster(move |cluster| async move {
             let leader = cluster.wait_for_leader().await;
-            let first = encode(&job("req-1", 2.0));
+            let first_job = encode(&job("req-1", 2.0));
             assert_eq!(
-                cluster.status(leader, "POST", "/v2/runs", &first).await,
+                cluster.status(leader, "POST", "/v2/runs", &first_job).await,
                 201
             );
             let mut worker = Worker::new(&cluster, "host-000001", leader);
             worker
                 .heartbeat_until(|w| !w.heartbeat.tasks.is_empty(), 20.0)
                 .await;
-            let large = encode(&job("req-2", 8.0));
+            let large_job = encode(&job("req-2", 8.0));
             assert_eq!(
-                cluster.status(leader, "POST", "/v2/runs", &large).await,
+                cluster.status(leader, "POST", "/v2/runs", &large_job).await,
                 201
             );
             worker
@@ -574,17 +580,18 @@
                 .await;
             worker.heartbeat.tasks[0].state = TaskState::Exited;
             worker.heartbeat.tasks[0].cause = Some(ExitCause::Done);
-            let cut_at: Rc<Cell<f64>> = Rc::default();
-            let (task_cluster, cut_at_in_task) = (cluster.clone(), cut_at.clone());
+            let partitioned_at: Rc<Cell<f64>> = Rc::default();
+            let (cluster_clone, partitioned_at_slot) = (cluster.clone(), partitioned_at.clone());
             spawn(async move {
-                sleep(f64::from(cut_delay_ms) / 1000.0).await;
-                task_cluster.isolate(leader);
-                cut_at_in_task.set(task_cluster.world.now());
+                sleep(f64::from(partition_delay_ms) / 1000.0).await;
+                cluster_clone.isolate(leader);
+                partitioned_at_slot.set(cluster_clone.world.now());
             });
             worker.send_heartbeat().await;
             let started = worker.starts_and_running("req-2/0").0;
-            let started_late = started == 1 && cut_at.get() > 0.0;
-            started_during_cut.set(started_during_cut.get() + usize::from(started_late));
+            let started_in_this_partition = started == 1 && partitioned_at.get() > 0.0;
+            started_in_partition
+                .set(started_in_partition.get() + usize::from(started_in_this_partition));
             not_started.set(not_started.get() + usize::from(started == 0));
             // The successor answers users a little before it answers the worker.
             let cancelled_at = cluster.cancel((leader + 1) % NODES, "req-2").await;
@@ -593,27 +600,34 @@
                 .heartbeat_until(|w| w.last_acknowledged_at > cancelled_at + 10.0, 30.0)
                 .await;
             let (starts, running) = worker.starts_and_running("req-2/0");
-            assert!(starts <= 1, "after {cut_delay_ms} ms: {starts} starts");
+            assert!(
+                starts <= 1,
+                "after {partition_delay_ms} ms: {starts} starts"
+            );
             assert_eq!(
                 starts, starts_before,
-                "after {cut_delay_ms} ms: started after the cancellation"
+                "after {partition_delay_ms} ms: started after the cancellation"
+            );
+            assert!(
+                !running,
+                "after {partition_delay_ms} ms: the task still runs"
             );
-            assert!(!running, "after {cut_delay_ms} ms: the task still runs");
             assert!(worker.longest_gap_s < LEASE_S, "{} s", worker.longest_gap_s);
         });
     }
-    let (started_late, not_started) = (started_during_cut.get(), not_started.get());
+    let (started, withheld) = (started_in_partition.get(), not_started.get());
     assert!(
-        started_late > 0 && not_started > 0,
-        "{started_late} runs started the task during the cut, {not_started} never did"
+        started > 0 && withheld > 0,
+        "the task was started during the partition in {started} runs and withheld in {withheld}"
     );
 }
 
 #[test]
 fn a_leader_whose_key_was_replaced_does_not_keep_answering_under_its_lease() {
     // Guards against a lease renewal that counts although the leader key belongs to another
-    // controller (rule 2): the lease of a leader that the state service briefly rejected
-    // outlives the leader's key, and no peer can report the successor to this leader.
+    // controller (rule 2 of `docs/design.md`): the lease of a leader that the state service
+    // briefly rejected outlives the leader key, and no peer can report the successor to this
+    // leader.
     run_with_cluster(|cluster| async move {
         let leader = cluster.wait_for_leader().await;
         let body = encode(&job("req-1", 2.0));
@@ -659,31 +673,33 @@
 fn an_isolated_leader_keeps_workers_that_reach_no_other_node() {
     // Guards against a leader that sends its workers away although they reach no other
     // node, so that their tasks are lost: when all other controllers have ended, and when
-    // a network cut of the zone separates the workers from all other controllers.
-    for zone_is_cut in [false, true] {
+    // a partition of the zone separates the workers from all other controllers.
+    for zone_is_partitioned in [false, true] {
         run_with_cluster(move |cluster| async move {
             let leader = cluster.wait_for_leader().await;
             let done = Rc::new(Cell::new(false));
-            let (task_cluster, done_in_task) = (cluster.clone(), done.clone());
+            let (cluster_clone, done_flag) = (cluster.clone(), done.clone());
             cluster.world.start(cluster.worker_host, async move {
-                let mut worker = Worker::new(&task_cluster, "host-000001", leader);
+                let mut worker = Worker::new(&cluster_clone, "host-000001", leader);
                 worker
                     .heartbeat_until(|w| w.last_acknowledged_at > 10.0, 20.0)
                     .await;
-                let mut others = task_cluster.nodes.clone();
+                let mut others = cluster_clone.nodes.clone();
                 others.remove(leader);
-                if !zone_is_cut {
-                    others.iter().for_each(|node| task_cluster.world.end(*node));
+                if !zone_is_partitioned {
+                    others
+                        .iter()
+                        .for_each(|node| cluster_clone.world.end(*node));
                 }
-                task_cluster.isolate(leader);
-                let cut_at = task_cluster.world.now();
+                cluster_clone.isolate(leader);
+                let partitioned_at = cluster_clone.world.now();
                 worker
-                    .heartbeat_until(|w| w.last_acknowledged_at > cut_at + 20.0, 30.0)
+                    .heartbeat_until(|w| w.last_acknowledged_at > partitioned_at + 20.0, 30.0)
                     .await;
                 assert!(worker.longest_gap_s < LEASE_S, "{} s", worker.longest_gap_s);
-                done_in_task.set(true);
+                done_flag.set(true);
             });
-            if zone_is_cut {
+            if zone_is_partitioned {
                 sleep(5.0).await;
                 let mut outside = cluster.nodes.clone();
                 outside.remove(leader);
@@ -722,8 +738,8 @@
             cluster.status(follower, "GET", "/v2/runs/req-9", b"").await,
             404
         );
-        let abort = "/v2/runs/req-1/abort";
-        assert_eq!(cluster.status(follower, "POST", abort, b"").await, 200);
+        let abort_path = "/v2/runs/req-1/abort";
+        assert_eq!(cluster.status(follower, "POST", abort_path, b"").await, 200);
         let stage = cluster.job_stage(follower, "req-1").await;
         assert_eq!(stage, Some(JobStage::Cancelled));
     });
@@ -732,22 +748,22 @@
 #[test]
 fn a_leader_frozen_between_its_lease_check_and_a_launch_starts_nothing() {
     // Guards against a start command that relies on a lease check from before the freeze
-    // (rule 2): the reply waits for the record of the start, and the lease may expire
-    // during this wait.
+    // (rule 2 of `docs/design.md`): the reply waits for the record of the start, and the
+    // lease may expire during this wait.
     run_with_cluster(|cluster| async move {
         let leader = cluster.wait_for_leader().await;
-        let first = encode(&job("req-1", 2.0));
+        let first_job = encode(&job("req-1", 2.0));
         assert_eq!(
-            cluster.status(leader, "POST", "/v2/runs", &first).await,
+            cluster.status(leader, "POST", "/v2/runs", &first_job).await,
             201
         );
         let mut worker = Worker::new(&cluster, "host-000001", leader);
         worker
             .heartbeat_until(|w| !w.heartbeat.tasks.is_empty(), 20.0)
             .await;
-        let large = encode(&job("req-2", 8.0));
+        let large_job = encode(&job("req-2", 8.0));
         assert_eq!(
-            cluster.status(leader, "POST", "/v2/runs", &large).await,
+            cluster.status(leader, "POST", "/v2/runs", &large_job).await,
             201
         );
         worker
@@ -757,20 +773,20 @@
         worker.heartbeat.tasks[0].state = TaskState::Exited;
         worker.heartbeat.tasks[0].cause = Some(ExitCause::Done);
         worker.heartbeat.seq += 1;
-        let state = [cluster.state_host];
-        let cut = (cluster.world).cut(&[cluster.nodes[leader]], &state, CutMode::Hold);
-        let (task_cluster, body) = (cluster.clone(), encode(&worker.heartbeat));
+        let state_host = [cluster.state_host];
+        let partition = (cluster.world).cut(&[cluster.nodes[leader]], &state_host, CutMode::Hold);
+        let (cluster_clone, body) = (cluster.clone(), encode(&worker.heartbeat));
         let held_answer: Rc<RefCell<Option<Answer>>> = Rc::default();
-        let answer_in_task = held_answer.clone();
+        let answer_slot = held_answer.clone();
         spawn(async move {
-            let answer = task_cluster.request_within(leader, "POST", "/v1/report", &body, 30.0);
-            *answer_in_task.borrow_mut() = answer.await;
+            let answer = cluster_clone.request_within(leader, "POST", "/v1/report", &body, 30.0);
+            *answer_slot.borrow_mut() = answer.await;
         });
         // The leader freezes while the reply waits for the record of the start.
         sleep(0.05).await;
         cluster.world.freeze(cluster.nodes[leader]);
         sleep(0.05).await;
-        cluster.world.heal(cut);
+        cluster.world.heal(partition);
         sleep(0.2).await;
         assert!(
             cluster.state.has("runs/req-2"),
@@ -811,19 +827,19 @@
     run_with_cluster(|cluster| async move {
         let leader = cluster.wait_for_leader().await;
         let follower = (leader + 1) % NODES;
-        let state = [cluster.state_host];
-        let cut = (cluster.world).cut(&[cluster.nodes[follower]], &state, CutMode::Hold);
+        let state_host = [cluster.state_host];
+        let partition = (cluster.world).cut(&[cluster.nodes[follower]], &state_host, CutMode::Hold);
         let body = encode(&job("req-1", 2.0));
-        let (task_cluster, delayed_body) = (cluster.clone(), body.clone());
+        let (cluster_clone, delayed_body) = (cluster.clone(), body.clone());
         spawn(async move {
-            (task_cluster.request_within(follower, "POST", "/v2/runs", &delayed_body, 30.0)).await;
+            (cluster_clone.request_within(follower, "POST", "/v2/runs", &delayed_body, 30.0)).await;
         });
         sleep(0.05).await;
         cluster.world.freeze(cluster.nodes[follower]);
         assert_eq!(cluster.status(leader, "POST", "/v2/runs", &body).await, 201);
-        let abort = "/v2/runs/req-1/abort";
-        assert_eq!(cluster.status(leader, "POST", abort, b"").await, 200);
-        cluster.world.heal(cut);
+        let abort_path = "/v2/runs/req-1/abort";
+        assert_eq!(cluster.status(leader, "POST", abort_path, b"").await, 200);
+        cluster.world.heal(partition);
         sleep(1.0).await;
         cluster.world.thaw(cluster.nodes[follower]);
         sleep(2.0).await;
@@ -840,7 +856,7 @@
     // Guards against two controllers that both lead, and against a restarted process that
     // relies on state it has lost, when the controller that is about to lead ends and
     // restarts 0.2 s later.
-    for restart_delay_s in [0.0, 0.2, 0.45, 0.6, 0.9, 2.0] {
+    for crash_delay_s in [0.0, 0.2, 0.45, 0.6, 0.9, 2.0] {
         run_with_cluster(move |cluster| async move {
             let leader = cluster.wait_for_leader().await;
             let body = encode(&job("req-1", 2.0));
@@ -853,15 +869,15 @@
                 .heartbeat_until(|w| w.last_acknowledged_at > 12.0, 20.0)
                 .await;
             let crash_and_restart = |node: usize| {
-                let task_cluster = cluster.clone();
+                let cluster_clone = cluster.clone();
                 spawn(async move {
-                    task_cluster.world.end(task_cluster.nodes[node]);
+                    cluster_clone.world.end(cluster_clone.nodes[node]);
                     sleep(0.2).await;
-                    task_cluster.start(node);
+                    cluster_clone.start(node);
                 })
             };
             crash_and_restart(leader);
-            sleep(restart_delay_s).await;
+            sleep(crash_delay_s).await;
             let candidate = (leader + 1) % NODES;
             crash_and_restart(candidate);
             sleep(0.3).await;
@@ -872,7 +888,7 @@
                 .await;
             let body = encode(&job("req-2", 2.0));
             let accepted = cluster.status(leader, "POST", "/v2/runs", &body).await;
-            assert!(accepted == 201, "after {restart_delay_s} s: {accepted}");
+            assert!(accepted == 201, "after {crash_delay_s} s: {accepted}");
             worker
                 .heartbeat_until(|w| w.heartbeat.tasks.len() == 2, 20.0)
                 .await;
@@ -880,7 +896,7 @@
             worker
                 .heartbeat_until(|w| w.last_acknowledged_at > end, 30.0)
                 .await;
-            assert_eq!(worker.commands.len(), 2, "after {restart_delay_s} s");
+            assert_eq!(worker.commands.len(), 2, "after {crash_delay_s} s");
             assert!(worker.longest_gap_s < LEASE_S, "{} s", worker.longest_gap_s);
         });
     }
@@ -888,19 +904,19 @@
 
 #[test]
 fn an_evicted_task_runs_nowhere_else_until_it_has_saved_and_exited() {
-    // Guards against a successor that starts a low-priority task on another machine while
+    // Guards against a successor that starts a best-effort task on another machine while
     // the task still saves its state on the first machine, where the predecessor had
     // ordered the task to stop.
     run_with_cluster(|cluster| async move {
         let leader = cluster.wait_for_leader().await;
-        let low_priority_job = JobSpec {
+        let best_effort_job = JobSpec {
             priority: Priority::Low,
             checkpoint_s: Some(5.0),
             save_s: Some(6.0),
             ..job("req-1", 8.0)
         };
         assert_eq!(
-            (cluster.status(leader, "POST", "/v2/runs", &encode(&low_priority_job))).await,
+            (cluster.status(leader, "POST", "/v2/runs", &encode(&best_effort_job))).await,
             201
         );
         let mut first = Worker::new(&cluster, "host-000001", leader);
@@ -937,8 +953,8 @@
         entry.saved = Some(true);
         let end = cluster.world.now() + 60.0;
         let runs = |w: &Worker, task: &str| {
-            let shown = |t: &&TaskReport| t.task == task && t.state == TaskState::Running;
-            w.heartbeat.tasks.iter().filter(shown).count()
+            let is_running = |t: &&TaskReport| t.task == task && t.state == TaskState::Running;
+            w.heartbeat.tasks.iter().filter(is_running).count()
         };
         loop {
             first.send_heartbeat().await;
@@ -948,7 +964,10 @@
             if running_copies("req-1/0") == 1 && running_copies("req-2/0") == 1 {
                 break;
             }
-            assert!(cluster.world.now() < end, "both tasks run eventually");
+            assert!(
+                cluster.world.now() < end,
+                "the tasks do not both run after 60 s"
+            );
             sleep(0.5).await;
         }
     });
@@ -974,9 +993,11 @@
                 Some(JobStage::Queued)
             );
         }
-        let abort = "/v2/runs/req-2/abort";
+        let abort_path = "/v2/runs/req-2/abort";
         assert_eq!(
-            cluster.status(second_follower, "POST", abort, b"").await,
+            cluster
+                .status(second_follower, "POST", abort_path, b"")
+                .await,
             200
         );
         cluster.state.down.set(true);
--- a/crates/umbersail-control/tests/isolated_controllers/lost_replies.rs
+++ b/crates/umbersail-control/tests/isolated_controllers/lost_replies.rs
@@ -31,10 +31,10 @@
     ) -> Rc<Cell<Option<u16>>> {
         self.lose_next_reply(key_prefix);
         let status: Rc<Cell<Option<u16>>> = Rc::default();
-        let (cluster, status_in_task) = (self.clone(), status.clone());
+        let (cluster, status_slot) = (self.clone(), status.clone());
         spawn(async move {
             let answer = cluster.status(node, "POST", &target, &body).await;
-            status_in_task.set(Some(answer));
+            status_slot.set(Some(answer));
         });
         while self.state.delayed_reply.borrow().is_some() {
             sleep(0.001).await;
@@ -95,9 +95,9 @@
                     Some(JobStage::Queued)
                 );
             }
-            let abort = "/v2/runs/req-1/abort";
+            let abort_path = "/v2/runs/req-1/abort";
             let first_status = cluster
-                .send_with_lost_reply(node, "over/", abort.into(), vec![])
+                .send_with_lost_reply(node, "over/", abort_path.into(), vec![])
                 .await;
             for target_node in (0..NODES).cycle().take(2 * NODES) {
                 let job_stage = cluster.job_stage(target_node, "req-1").await;
@@ -118,7 +118,10 @@
             );
             for target_node in 0..NODES {
                 let target_node = (node + target_node) % NODES;
-                assert_eq!(cluster.status(target_node, "POST", abort, b"").await, 200);
+                assert_eq!(
+                    cluster.status(target_node, "POST", abort_path, b"").await,
+                    200
+                );
                 assert_eq!(
                     cluster.status(target_node, "POST", "/v2/runs", &body).await,
                     200
--- a/crates/umbersail-control/tests/isolated_controllers/superseded_leaders.rs
+++ b/crates/umbersail-control/tests/isolated_controllers/superseded_leaders.rs
@@ -56,9 +56,9 @@
     for reply_delay_s in [0.7, 0.9, 1.1] {
         run_with_cluster(move |cluster| async move {
             let leader = cluster.wait_for_leader().await;
-            let first = encode(&job("req-1", 8.0));
+            let first_job = encode(&job("req-1", 8.0));
             assert_eq!(
-                cluster.status(leader, "POST", "/v2/runs", &first).await,
+                cluster.status(leader, "POST", "/v2/runs", &first_job).await,
                 201
             );
             let mut worker = Worker::new(&cluster, "host-000001", leader);
@@ -174,10 +174,10 @@
         });
         sleep(0.2).await;
         let received: Rc<RefCell<Option<Vec<Option<u64>>>>> = Rc::default();
-        let (received_in_task, responses) = (received.clone(), send_heartbeats(4, token));
+        let (received_slot, responses) = (received.clone(), send_heartbeats(4, token));
         spawn(async move {
             let answers = responses.await;
-            *received_in_task.borrow_mut() = Some(answers);
+            *received_slot.borrow_mut() = Some(answers);
         });
         sleep(0.2).await;
         cluster.world.thaw(cluster.nodes[leader]);
--- a/crates/umbersail-control/tests/two_controllers.rs
+++ b/crates/umbersail-control/tests/two_controllers.rs
@@ -23,9 +23,9 @@
 /// a free port and binding the port later would be a race.
 fn unique_address() -> SocketAddr {
     static NEXT: AtomicU8 = AtomicU8::new(1);
-    let run = std::process::id().to_le_bytes();
+    let process_id = std::process::id().to_le_bytes();
     let host = NEXT.fetch_add(1, Ordering::Relaxed);
-    SocketAddr::from(([127, run[0], run[1], host], 18_080))
+    SocketAddr::from(([127, process_id[0], process_id[1], host], 18_080))
 }
 
 /// Two controllers with a fake state service and a fake cloud.
@@ -55,9 +55,12 @@
         delegation_margin_s: f64,
     ) -> ControllerPair {
         let state = StateService::start();
-        let any = SocketAddr::from(([127, 0, 0, 1], 0));
-        let state_listeners = [state.listen_for_node(any), state.listen_for_node(any)];
-        let cloud = start_cloud(any);
+        let any_port = SocketAddr::from(([127, 0, 0, 1], 0));
+        let state_listeners = [
+            state.listen_for_node(any_port),
+            state.listen_for_node(any_port),
+        ];
+        let cloud = start_cloud(any_port);
         let user_addresses = [unique_address(), unique_address()];
         let peer_addresses = [unique_address(), unique_address()];
         let mut routines = Vec::new();
@@ -172,7 +175,7 @@
         for _ in 0..400 {
             if let Some(name) = self.state.leader_member() {
                 let node = usize::from(name == "n1");
-                let mut probe = new_heartbeat("host-scout");
+                let mut probe = new_heartbeat("host-probe");
                 probe.seq = 1;
                 if self
                     .request(node, "POST", "/v1/report", &encode(&probe))
@@ -191,7 +194,7 @@
     /// Waits until the follower knows which node leads, and returns the follower.
     async fn informed_follower(&self) -> usize {
         let follower = 1 - self.wait_for_leader().await;
-        let probe = encode(&new_heartbeat("host-scout"));
+        let probe = encode(&new_heartbeat("host-probe"));
         self.request_until(follower, "POST", "/v1/report", &probe, |s, _| s == 421)
             .await;
         follower
@@ -205,6 +208,7 @@
     }
 }
 
+/// Runs a test with two controllers in one zone.
 fn run_with_pair<F: std::future::Future<Output = ()> + 'static>(
     test: impl FnOnce(ControllerPair) -> F + 'static,
 ) {
@@ -524,9 +528,11 @@
         let leader = pair.wait_for_leader().await;
         let follower = 1 - leader;
         // The follower answers 503 until it knows which node leads.
-        let start = encode(&worker);
-        pair.request_until(follower, "POST", "/v1/report", &start, |s, _| s == 421)
-            .await;
+        let first_heartbeat = encode(&worker);
+        pair.request_until(follower, "POST", "/v1/report", &first_heartbeat, |s, _| {
+            s == 421
+        })
+        .await;
         for _ in 0..2 {
             worker.seq += 1;
             let body = encode(&worker);
@@ -656,8 +662,8 @@
 }
 
 #[test]
-fn a_flood_of_low_priority_submissions_leaves_write_budget_for_others() {
-    // Guards against thousands of low-priority single-task jobs that use up the write
+fn a_flood_of_best_effort_submissions_leaves_write_budget_for_others() {
+    // Guards against thousands of best-effort single-task jobs that use up the write
     // budget of a node: jobs with deadlines were accepted ten seconds late.
     run_with_pair_from(
         ControllerPair::start_with_write_rate(20.0),
@@ -665,12 +671,12 @@
             let follower = pair.informed_follower().await;
             let (mut accepted, mut rejected) = (0, 0);
             for i in 0..60 {
-                let low_priority_job = JobSpec {
+                let best_effort_job = JobSpec {
                     priority: Priority::Low,
                     ..job(&format!("req-{i:06}"))
                 };
                 match pair
-                    .request(follower, "POST", "/v2/runs", &encode(&low_priority_job))
+                    .request(follower, "POST", "/v2/runs", &encode(&best_effort_job))
                     .await
                 {
                     (201, _) => accepted += 1,
@@ -678,10 +684,10 @@
                     (status, _) => panic!("status {status}"),
                 }
             }
-            assert!(accepted >= 1, "{accepted} low-priority jobs are accepted");
+            assert!(accepted >= 1, "{accepted} best-effort jobs are accepted");
             assert!(
                 rejected >= 20,
-                "{rejected} low-priority jobs are rejected at once"
+                "{rejected} best-effort jobs are rejected at once"
             );
             let body = encode(&job("req-900001"));
             let (status, _) = pair.request(follower, "POST", "/v2/runs", &body).await;
@@ -703,8 +709,8 @@
             let (status, _) = pair.request(follower, "POST", "/v2/runs", &body).await;
             assert_eq!(status, 201);
         }
-        let ended = format!("/v2/runs/{}/abort", ids[1]);
-        let (status, _) = pair.request(leader, "POST", &ended, b"").await;
+        let abort_path = format!("/v2/runs/{}/abort", ids[1]);
+        let (status, _) = pair.request(leader, "POST", &abort_path, b"").await;
         assert_eq!(status, 200);
         let polls = ids.map(|id| pair.job_stage(follower, id));
         let stages = join_all(polls).await;
