--- a/crates/umbersail-control/src/engine/tests.rs
+++ b/crates/umbersail-control/src/engine/tests.rs
@@ -4,22 +4,22 @@
 
 mod calendar;
 mod cancellations;
-mod cycles;
 mod delegates;
 mod evictions;
 mod failovers;
-mod faults;
 mod fixtures;
 mod heartbeats;
 mod images;
-mod late;
+mod late_transactions;
 mod launches;
 mod leases;
 mod machines;
 mod placement;
 mod plans;
 mod quotas;
+mod random_faults;
 mod reservations;
+mod scheduling_cycles;
 mod starvation_guard;
 mod task_failures;
 mod transactions;
