--- a/crates/umbersail-runtime/src/clock.rs
+++ b/crates/umbersail-runtime/src/clock.rs
@@ -6,8 +6,8 @@
 /// Seconds on the steady clock of a process, counted from the start of the process.
 pub type Time = f64;
 
-/// A source of time for routines. Code that makes decisions takes the time as an argument
-/// instead, which keeps it deterministic.
+/// A source of time for routines. Functions that make decisions take the time as an argument
+/// instead, so that the same inputs always give the same decision.
 pub trait Clock {
     /// Returns the steady time, which never goes back but may drift.
     fn now(&self) -> Time;
