--- a/crates/umbersail-calendar/src/lib.rs
+++ b/crates/umbersail-calendar/src/lib.rs
@@ -9,7 +9,7 @@
 //! use std::collections::BTreeMap;
 //! use umbersail_calendar::Calendar;
 //!
-//! let mut file = BTreeMap::new();
+//! let mut properties = BTreeMap::new();
 //! for (key, value) in [
 //!     ("calendar.evening.team", "press"),
 //!     ("calendar.evening.zone", "Europe/Lisbon"),
@@ -19,9 +19,9 @@
 //!     ("calendar.evening.step.1.classes", "scan"),
 //!     ("calendar.evening.step.1.quiet", "5m"),
 //! ] {
-//!     file.insert(key.to_owned(), value.to_owned());
+//!     properties.insert(key.to_owned(), value.to_owned());
 //! }
-//! let calendar = Calendar::parse(&file).unwrap();
+//! let calendar = Calendar::parse(&properties).unwrap();
 //! let evening = &calendar.entries["evening"];
 //! let (_, next) = evening.openings.last_and_next(1_800_000_000_000);
 //! assert_eq!(evening.due(next.unwrap()) - next.unwrap(), (4 * 60 + 30) * 60_000);
--- a/crates/umbersail-calendar/tests/runs.rs
+++ b/crates/umbersail-calendar/tests/runs.rs
@@ -24,7 +24,7 @@
     calendar.dawn.step.2.takes = 10m
 ";
 
-fn pairs(text: &str) -> BTreeMap<String, String> {
+fn parse_properties(text: &str) -> BTreeMap<String, String> {
     let lines = text.lines().filter_map(|line| line.split_once('='));
     lines
         .map(|(key, value)| (key.trim().to_owned(), value.trim().to_owned()))
@@ -32,7 +32,9 @@
 }
 
 fn opening() -> UnixMs {
-    Calendar::parse(&pairs(PROPERTIES)).unwrap().entries["dawn"]
+    Calendar::parse(&parse_properties(PROPERTIES))
+        .unwrap()
+        .entries["dawn"]
         .openings
         .last_and_next(0)
         .1
@@ -69,7 +71,7 @@
     /// Replaces the leader; the new leader reads the stored records.
     fn change_leader(&mut self) {
         self.at.steady_s += 5000.0;
-        let calendar = Calendar::parse(&pairs(&self.properties)).unwrap();
+        let calendar = Calendar::parse(&parse_properties(&self.properties)).unwrap();
         self.tracker = RunTracker::new(Rc::new(calendar), SETTINGS);
         for (key, record) in &self.records {
             (self.tracker.inherit(self.at, &key.0, record.clone())).unwrap();
@@ -220,21 +222,21 @@
         ),
     ];
     for (line, key, reason) in cases {
-        let mut file = pairs(PROPERTIES);
-        file.extend(pairs(&format!("calendar.dawn.{line}")));
-        let error = Calendar::parse(&file).unwrap_err();
+        let mut properties = parse_properties(PROPERTIES);
+        properties.extend(parse_properties(&format!("calendar.dawn.{line}")));
+        let error = Calendar::parse(&properties).unwrap_err();
         assert_eq!(error.key, key);
         assert!(error.reason.contains(reason), "{line}: {error}");
     }
     let other = PROPERTIES.replace(".dawn.", ".noon.");
-    let mut file = pairs(PROPERTIES);
-    file.extend(pairs(&other));
-    let error = Calendar::parse(&file).unwrap_err();
+    let mut properties = parse_properties(PROPERTIES);
+    properties.extend(parse_properties(&other));
+    let error = Calendar::parse(&properties).unwrap_err();
     assert!(
         error.reason.contains("is also listed in entry dawn"),
         "{error}"
     );
-    let calendar = Calendar::parse(&pairs(PROPERTIES)).unwrap();
+    let calendar = Calendar::parse(&parse_properties(PROPERTIES)).unwrap();
     let error = calendar.check_teams(|team| team == "post").unwrap_err();
     assert_eq!(error.key, "calendar.dawn.team");
 }
@@ -243,10 +245,10 @@
 fn a_local_time_that_is_skipped_or_repeated_opens_one_run() {
     // Lisbon: 01:00 to 02:00 is skipped on 28 March 2027 and repeated on 31 October.
     for (first, due_s) in [("2027-03-26 01:30", 3600), ("2027-10-29 01:30", 5400)] {
-        let file = PROPERTIES
+        let properties = PROPERTIES
             .replace("2027-01-04 22:00", first)
             .replace("due = 23:00", "due = 03:00");
-        let calendar = Calendar::parse(&pairs(&file)).unwrap();
+        let calendar = Calendar::parse(&parse_properties(&properties)).unwrap();
         let dawn = &calendar.entries["dawn"];
         let (mut at, mut found) = (0, Vec::new());
         while found.len() < 5 {
@@ -274,8 +276,8 @@
         ("FREQ=HOURLY;INTERVAL=5", 18_000),
         ("FREQ=WEEKLY;BYDAY=MO", 604_800),
     ] {
-        let file = PROPERTIES.replace("FREQ=DAILY", rule);
-        let calendar = Calendar::parse(&pairs(&file)).unwrap();
+        let properties = PROPERTIES.replace("FREQ=DAILY", rule);
+        let calendar = Calendar::parse(&parse_properties(&properties)).unwrap();
         let openings = &calendar.entries["dawn"].openings;
         // Three weeks later, without a daylight saving change in between.
         let (last, next) = openings.last_and_next(opening() + 1_814_400_000 + 1);
@@ -399,7 +401,7 @@
 
 #[test]
 fn a_run_keeps_its_recorded_steps_when_its_entry_is_changed_or_removed() {
-    for file in [
+    for properties in [
         String::new(),
         PROPERTIES.replace("22:00", "22:05").replace("scan", "mend"),
     ] {
@@ -407,7 +409,7 @@
         cluster.submit("a", "scan");
         cluster.submit("c", "print");
         cluster.advance_and_write(1.0);
-        cluster.properties = file.clone();
+        cluster.properties = properties.clone();
         cluster.change_leader();
         cluster.advance_and_write(310.0);
         assert!(
@@ -421,7 +423,7 @@
         cluster.end_job("a");
         cluster.advance_and_write(1.0);
         assert!(!cluster.is_held("c"));
-        cluster.properties = file.clone();
+        cluster.properties = properties.clone();
         cluster.change_leader();
         cluster.end_job("c");
         cluster.advance_and_write(1800.0);
@@ -432,7 +434,10 @@
         assert_eq!(cluster.logged("continues with its recorded steps"), 2);
         // The next evening's run is opened from the properties of the leader at that time.
         cluster.advance_and_write(86_400.0 - 1800.0);
-        assert_eq!(cluster.logged("opened"), 1 + usize::from(!file.is_empty()));
+        assert_eq!(
+            cluster.logged("opened"),
+            1 + usize::from(!properties.is_empty())
+        );
     }
 }
 
@@ -528,9 +533,10 @@
     cluster.submit("b", "scan");
     cluster.submit("c", "print");
     // Step 2 takes ten minutes, so the run can end in time if step 1 ends by 22:50.
-    let by = |cluster: &TestCluster, id| cluster.tracker.deadline_ms(id).unwrap() - opening();
-    assert_eq!(by(&cluster, "a"), 3_000_000 - SKEW_MS);
-    assert_eq!(by(&cluster, "c"), 3_600_000 - SKEW_MS);
+    let deadline_after_opening =
+        |cluster: &TestCluster, id| cluster.tracker.deadline_ms(id).unwrap() - opening();
+    assert_eq!(deadline_after_opening(&cluster, "a"), 3_000_000 - SKEW_MS);
+    assert_eq!(deadline_after_opening(&cluster, "c"), 3_600_000 - SKEW_MS);
     cluster.advance_and_write(2_999.0);
     assert_eq!(cluster.logged("late"), 0);
     let next_tick_in_s = cluster.tracker.next_tick_in_s(cluster.at);
@@ -543,9 +549,9 @@
     // Jobs of a late run still get deadlines, because without them they could wait without limit
     // behind jobs that can meet their deadlines. When the run is late by as much time as there was
     // between its opening and its due time, its jobs have no deadlines.
-    assert!(by(&cluster, "a") >= 3_000_000);
+    assert!(deadline_after_opening(&cluster, "a") >= 3_000_000);
     cluster.advance_and_write(600.0);
-    assert!(by(&cluster, "a") > 3_630_000);
+    assert!(deadline_after_opening(&cluster, "a") > 3_630_000);
     cluster.advance_and_write(3_600.0);
     assert_eq!(cluster.tracker.deadline_ms("a"), None);
 }
--- a/crates/umbersail-reserve/src/plan.rs
+++ b/crates/umbersail-reserve/src/plan.rs
@@ -53,10 +53,10 @@
     /// The machine is running and can be used.
     Available,
     /// The machine sends no heartbeats, is unreachable or faulty, or will be reclaimed by the
-    /// cloud. The reservation does not count it.
+    /// cloud. The reservation does not count the machine.
     Unavailable,
-    /// The machine runs other work that cannot be preempted for the reservation. The
-    /// reservation does not count it.
+    /// The machine runs other work that cannot be preempted for the reservation and whose class
+    /// the entry does not list. The reservation does not count the machine.
     Borrowed,
 }
 
