--- a/crates/umbersail-reserve/src/plan.rs
+++ b/crates/umbersail-reserve/src/plan.rs
@@ -218,8 +218,8 @@
 
 /// Runs one round. `new_request` must return a name that was never used for a request.
 ///
-/// After the round, exactly the machines named in the records are reserved. The caller must
-/// send each request without an answer ([`ReservationRecord::pending_requests`]) after the record is
+/// After the round, exactly the machines named in the records are reserved. The caller must send
+/// each request without an answer ([`ReservationRecord::pending_requests`]) after the record is
 /// stored, and must repeat the request until the cloud answers.
 pub fn plan(
     reservations: &Reservations,
@@ -483,8 +483,8 @@
         }
     }
 
-    /// For each item, the number of machines that are not available, booting or requested,
-    /// counted in machines of the item's type; and the names of machines that are not needed and can be
+    /// For each item, the number of machines that are not available, booting or requested, counted
+    /// in machines of the item's type; and the names of machines that are not needed and can be
     /// released.
     fn missing(&self) -> (Vec<f64>, BTreeSet<String>) {
         let view = self.view;
@@ -492,7 +492,8 @@
         let mut missing: Vec<f64> = items.iter().map(|i| f64::from(i.count)).collect();
         let mut cover_items = |t: &MachineType, count: f64| {
             let mut remaining = count;
-            // The item of the machine's own type first, then the items that the machine can substitute for.
+            // The item of the machine's own type first, then the items that the machine can
+            // substitute for.
             for same_type in [true, false] {
                 for (item, missing) in items.iter().zip(&mut missing) {
                     let coverage = coverage(self.name, item, t, view);
@@ -631,7 +632,8 @@
     }
 
     /// Adds rental requests for the missing machines: the requested type first, then types that
-    /// can substitute for this type, spread over zones. Returns a reason if no offer is left for a part.
+    /// can substitute for this type, spread over zones. Returns a reason if no offer is left for
+    /// a part.
     fn request_missing(
         &mut self,
         missing: &mut [f64],
--- a/crates/umbersail-reserve/src/record.rs
+++ b/crates/umbersail-reserve/src/record.rs
@@ -30,8 +30,8 @@
 /// Which work outside a reservation may use its machines while they are idle.
 #[derive(Debug, Clone, PartialEq, Eq, Default, Serialize, Deserialize)]
 pub struct BorrowPolicy {
-    /// Whether work of a lower priority may borrow machines if that work can save a checkpoint within
-    /// [`Terms::max_checkpoint_s`] and can therefore be preempted.
+    /// Whether work of a lower priority may borrow machines if that work can save a checkpoint
+    /// within [`Terms::max_checkpoint_s`] and can therefore be preempted.
     #[serde(default, rename = "savable")]
     pub checkpointable: bool,
     /// Classes that may borrow machines regardless of priority and checkpoints. Their tasks
