--- a/crates/umbersail-reserve/src/admit.rs
+++ b/crates/umbersail-reserve/src/admit.rs
@@ -1,5 +1,6 @@
 //! Admission: decides how many machines an entry is promised. The limits are the catalogue of
-//! machine types, and the team's limit less what was promised to the team earlier.
+//! machine types, and the team's limit less what was promised to the team earlier. The texts of
+//! the reasons are part of the stored format and must not change.
 
 use umbersail_policy::{Shape, TeamLimits};
 use umbersail_wire::MachineType;
@@ -32,14 +33,10 @@
                 };
                 let found = view.types.iter().find(|t| t.name == *machine_type);
                 match found {
-                    None => reasons.push(format!(
-                        "the catalogue has no machine type '{machine_type}'"
-                    )),
+                    None => reasons.push(format!("the catalogue has no type '{machine_type}'")),
                     Some(t) if !is_offered(t, terms) => {
                         let zone = terms.zone.as_deref().unwrap_or_default();
-                        reasons.push(format!(
-                            "machine type '{machine_type}' is not offered in zone '{zone}'"
-                        ));
+                        reasons.push(format!("type '{machine_type}' is not in zone '{zone}'"));
                     }
                     Some(_) => return Some(item),
                 }
@@ -50,9 +47,7 @@
             match cheapest_type(name, terms, *cpus, *memory_gb, view) {
                 Some(item) => vec![item],
                 None => {
-                    reasons.push(
-                        "no machine type that the zone offers fits the entry's tasks".to_owned(),
-                    );
+                    reasons.push("no type of the catalogue takes its tasks there".to_owned());
                     Vec::new()
                 }
             }
@@ -62,17 +57,14 @@
     for item in &mut items {
         if item.count > left {
             item.count = left;
-            reasons.push(format!(
-                "exceeds the maximum of {} machines",
-                view.settings.max_machines
-            ));
+            reasons.push(format!("more than {} machines", view.settings.max_machines));
         }
         left -= item.count;
     }
     let limits = view.teams.iter().find(|t| t.name == terms.team);
     match limits {
         None => {
-            reasons.push(format!("team '{}' is unknown", terms.team));
+            reasons.push(format!("there is no team '{}'", terms.team));
             items.clear();
         }
         Some(limits) => trim_to_team_limit(limits, &mut items, earlier, view, &mut reasons),
@@ -139,7 +131,7 @@
             let earlier_note = match names.as_slice() {
                 [] => String::new(),
                 names => format!(
-                    ", of which {:.0} are promised to {}",
+                    ", {:.0} of them promised to {}",
                     amount(&promised),
                     names.join(", ")
                 ),
--- a/crates/umbersail-reserve/src/plan.rs
+++ b/crates/umbersail-reserve/src/plan.rs
@@ -359,10 +359,12 @@
     }
 }
 
-/// Marks a new record until `admit_pending` evaluates the record in the same round.
-const NOT_EVALUATED: &str = "not yet evaluated";
-/// Marks a changed record until `admit_pending` evaluates the record in the same round.
-const CHANGED_NOT_EVALUATED: &str = "changed, not yet evaluated";
+/// Marks a new record until `admit_pending` evaluates the record in the same round. The text is
+/// part of the stored format and must not change.
+const NOT_EVALUATED: &str = "not yet looked at";
+/// Marks a changed record until `admit_pending` evaluates the record in the same round. The text
+/// is part of the stored format and must not change.
+const CHANGED_NOT_EVALUATED: &str = "changed, not yet looked at";
 
 /// Evaluates new and changed entries, and those whose demand was not promised in full, because
 /// more may be possible now. What was promised stays promised.
@@ -644,9 +646,10 @@
         let mut reason = None;
         for (index, item) in self.record.items.iter().enumerate() {
             while missing[index] > ROUNDING_TOLERANCE {
+                // The text is part of the stored format and must not change.
                 let Some((offer, coverage)) = self.cheapest_offer(item, &counts) else {
                     reason = Some(format!(
-                        "the cloud refuses machine type {} and its substitutes",
+                        "the cloud refuses {} and what could stand for it",
                         item.machine_type
                     ));
                     break;
--- a/crates/umbersail-reserve/src/tests.rs
+++ b/crates/umbersail-reserve/src/tests.rs
@@ -6,6 +6,7 @@
 use umbersail_policy::{Shape, TeamLimits};
 use umbersail_wire::{MachineType, Priority};
 
+use crate::admit::{EarlierPromise, admit};
 use crate::*;
 
 const SETTINGS: Settings = Settings {
@@ -759,3 +760,185 @@
     record.admission = Admission::Rejected("no team".into());
     assert!(text(&record).contains(r#""verdict": {"refused": "no team"}"#));
 }
+
+/// The stored form of the admission of an entry. The team `tickets` has
+/// limits of 40.5 CPUs and 3 GPUs, and the entries in `earlier` were promised the given machines.
+fn stored_admission(
+    team: &str,
+    demand: Demand,
+    zone: Option<&str>,
+    earlier: &[(&str, &str, u32)],
+) -> String {
+    let terms = Terms {
+        team: team.into(),
+        classes: Vec::new(),
+        demand,
+        zone: zone.map(str::to_owned),
+        spot: false,
+        borrow: BorrowPolicy::default(),
+        priority: Priority::Normal,
+        max_checkpoint_s: 30.0,
+    };
+    let mut teams = teams();
+    (teams[1].max_cpus, teams[1].max_gpus) = (40.5, 3.0);
+    let mut types = types();
+    types.push(machine_type("m4", 4.3, &["a"]));
+    types.push(machine_type("nowhere", 8.0, &[]));
+    types.push(MachineType {
+        gpus: 2.0,
+        ..machine_type("g1", 1.0, &["a"])
+    });
+    let promised: Vec<(&str, [PromisedMachines; 1])> = earlier
+        .iter()
+        .map(|(name, machine_type, count)| {
+            let item = PromisedMachines {
+                machine_type: (*machine_type).to_owned(),
+                count: *count,
+                exact: true,
+            };
+            (*name, [item])
+        })
+        .collect();
+    let earlier: Vec<EarlierPromise<'_>> = promised
+        .iter()
+        .map(|(name, items)| EarlierPromise { name, items })
+        .collect();
+    let view = ClusterView {
+        now_ms: 0,
+        leader_for_s: 0.0,
+        types: &types,
+        teams: &teams,
+        machines: &BTreeMap::new(),
+        idle_machines: &BTreeMap::new(),
+        is_refused: &|_, _, _| false,
+        largest_tasks: &BTreeMap::new(),
+        boot_times: &BootTimeStats::new(8, 8),
+        settings: &SETTINGS,
+    };
+    let (admission, _) = admit("x", &terms, &earlier, &view);
+    umbersail_wire::to_value(&admission).unwrap().to_string()
+}
+
+/// Team, machines, zone and earlier promises of an entry, and the stored form of its admission.
+type AdmissionCase = (
+    &'static str,
+    &'static [(&'static str, u32)],
+    Option<&'static str>,
+    &'static [(&'static str, &'static str, u32)],
+    &'static str,
+);
+
+const ADMISSIONS: [AdmissionCase; 10] = [
+    (
+        "floats",
+        &[("m99", 1)],
+        None,
+        &[],
+        r#"{"refused": "the catalogue has no type 'm99'"}"#,
+    ),
+    (
+        "floats",
+        &[("m8", 1)],
+        Some("c"),
+        &[],
+        r#"{"refused": "type 'm8' is not in zone 'c'"}"#,
+    ),
+    (
+        "floats",
+        &[("m8", 1), ("nowhere", 1)],
+        None,
+        &[],
+        r#"{"part": "type 'nowhere' is not in zone ''"}"#,
+    ),
+    (
+        "floats",
+        &[("m8", 1001)],
+        None,
+        &[],
+        r#"{"part": "more than 1000 machines"}"#,
+    ),
+    (
+        "clouds",
+        &[("m8", 1)],
+        None,
+        &[],
+        r#"{"refused": "there is no team 'clouds'"}"#,
+    ),
+    (
+        "tickets",
+        &[("m8", 6)],
+        None,
+        &[],
+        r#"{"part": "the team's limit of 40.5 CPUs"}"#,
+    ),
+    (
+        "tickets",
+        &[("g1", 2)],
+        None,
+        &[],
+        r#"{"part": "the team's limit of 3 GPUs"}"#,
+    ),
+    (
+        "tickets",
+        &[("g1", 1), ("m32", 1)],
+        None,
+        &[("a", "m4", 2), ("b", "g1", 1)],
+        r#"{"refused": "the team's limit of 40.5 CPUs, 10 of them promised to a, b; the team's limit of 3 GPUs, 2 of them promised to a, b"}"#,
+    ),
+    (
+        "clouds",
+        &[("m8", 1001), ("m99", 1)],
+        None,
+        &[],
+        r#"{"refused": "the catalogue has no type 'm99'; more than 1000 machines; there is no team 'clouds'"}"#,
+    ),
+    ("floats", &[("m8", 1000)], None, &[], r#""promised""#),
+];
+
+/// Records that other versions wrote contain these texts, and other versions read them.
+#[test]
+fn reasons_keep_the_texts_of_the_stored_format() {
+    for (team, machines, zone, earlier, stored) in ADMISSIONS {
+        let machines = machines.iter().map(|(t, count)| ((*t).to_owned(), *count));
+        let demand = Demand::Machines(machines.collect());
+        assert_eq!(stored_admission(team, demand, zone, earlier), stored);
+    }
+    let resources = Demand::Resources {
+        cpus: 8.0,
+        memory_gb: 0.0,
+    };
+    assert_eq!(
+        stored_admission("floats", resources, Some("c"), &[]),
+        r#"{"refused": "no type of the catalogue takes its tasks there"}"#
+    );
+    // The reason of a shortfall.
+    let mut cluster = TestCluster::new(&entry("fair", "m8:4", 9_000, 11_000));
+    for index in [0, 1] {
+        for zone in ["a", "b"] {
+            let offer = (index, zone.to_owned(), false);
+            cluster.refused_offers.insert(offer);
+        }
+    }
+    cluster.round();
+    let record = umbersail_wire::to_value(&cluster.records["fair"]).unwrap();
+    let stored = r#""short": "the cloud refuses m8 and what could stand for it""#;
+    assert!(record.to_string().contains(stored), "{record}");
+    // Records with these texts are evaluated like new and changed entries, so that fewer machines
+    // than before may be promised.
+    for (reason, changed) in [
+        ("not yet looked at", false),
+        ("changed, not yet looked at", true),
+    ] {
+        let record = cluster.records.get_mut("fair").unwrap();
+        record.admission = Admission::Rejected(reason.into());
+        record.items[0].count = 9;
+        cluster.notices.clear();
+        cluster.round();
+        assert_eq!(cluster.records["fair"].items[0].count, 4, "{reason}");
+        let kind = match changed {
+            true => NoticeKind::Changed(Admission::Full),
+            false => NoticeKind::Admitted(Admission::Full),
+        };
+        assert!(cluster.has_notice("fair", |k| *k == kind), "{reason}");
+    }
+}
