--- a/crates/umbersail-control/src/engine/tests.rs
+++ b/crates/umbersail-control/src/engine/tests.rs
@@ -1,28 +1,29 @@
-//! The engine against scripted workers and a hand-moved clock. Each test
-//! names the failure that it guards against.
+//! Tests of the engine with simulated workers and a clock that the test sets. Each test
+//! states the failure that it guards against. Names in backquotes such as `ran_twice` are the
+//! rule breaches that the rehearsal reports.
 
 mod calendar;
-mod cancelled;
+mod cancellations;
 mod delegates;
 mod evictions;
-mod failures;
+mod failovers;
 mod fixtures;
+mod heartbeats;
 mod images;
 mod late_transactions;
 mod launches;
 mod leases;
-mod limits;
 mod machines;
 mod placement;
 mod plans;
+mod quotas;
 mod random_faults;
-mod reports;
-mod reserve;
+mod reservations;
 mod scheduling_cycles;
 mod starvation_guard;
-mod takeovers;
-mod writes;
-mod zones;
+mod task_failures;
+mod transactions;
+mod zone_constraints;
 
 use std::rc::Rc;
 
--- a/crates/umbersail-control/src/engine/tests/fixtures.rs
+++ b/crates/umbersail-control/src/engine/tests/fixtures.rs
@@ -1,9 +1,11 @@
-//! What the tests of the engine share: a configuration, jobs, scripted workers and
-//! state services, and what a successor finds.
+//! Fixtures shared by the engine tests: a configuration, jobs, simulated workers, a simulated
+//! state service, and the state that a new leader inherits.
 
 use super::*;
 
-pub(super) const TOKEN: u64 = 100;
+/// Revision of the leader record under which the engine under test was elected.
+pub(super) const LEADER_REVISION: u64 = 100;
+/// Length of a worker's lease.
 pub(super) const LEASE_S: f64 = 10.0;
 
 pub(super) const LEADER: &str = crate::records::LEADER_KEY;
@@ -25,9 +27,9 @@
 
 pub(super) fn config(teams: Vec<TeamLimits>, tuning: Tuning) -> Rc<EngineConfig> {
     Rc::new(EngineConfig {
-        member: "bothy-0".into(),
+        member: "controller-0".into(),
         teams,
-        start_objectives: [("aimed".to_owned(), 8.0)].into(),
+        start_objectives: [("bounded-start".to_owned(), 8.0)].into(),
         guarantee_start_objective: None,
         deadline_factors: [("c".to_owned(), 1.5)].into(),
         heartbeat_interval_s: 1.0,
@@ -76,14 +78,15 @@
     }
 }
 
-pub(super) fn record(spec: JobSpec) -> JobRecord {
+pub(super) fn job_record(spec: JobSpec) -> JobRecord {
     JobRecord {
         spec,
         accepted_ms: 0,
     }
 }
 
-/// A worker as the protocol describes it, driven by hand.
+/// A simulated worker that follows the worker protocol. The test decides when it sends a
+/// heartbeat and when its tasks exit.
 pub(super) struct Worker {
     pub(super) name: String,
     pub(super) zone: String,
@@ -105,7 +108,8 @@
         }
     }
 
-    pub(super) fn report(&mut self) -> Heartbeat {
+    /// The worker's next heartbeat, with a new sequence number.
+    pub(super) fn heartbeat(&mut self) -> Heartbeat {
         self.seq += 1;
         Heartbeat {
             machine: self.name.clone(),
@@ -121,7 +125,9 @@
         }
     }
 
-    pub(super) fn obey(&mut self, token: u64, commands: &[Command]) {
+    /// Adopts the token of a reply if it is higher than the worker's own, and carries out the
+    /// commands. A stopped task exits at once.
+    pub(super) fn apply_commands(&mut self, token: u64, commands: &[Command]) {
         self.token = self.token.max(token);
         for command in commands {
             match command {
@@ -142,6 +148,7 @@
         }
     }
 
+    /// Marks a task as exited: the given attempt, or every attempt if none is given.
     pub(super) fn exit(&mut self, task: &str, attempt: Option<u64>, cause: ExitCause) {
         for t in &mut self.tasks {
             if t.task == task && attempt.is_none_or(|a| a == t.attempt) {
@@ -151,28 +158,30 @@
         }
     }
 
-    /// Reports and obeys; returns what it was told.
-    pub(super) fn turn(&mut self, engine: &mut Engine, now: Time) -> Vec<Command> {
-        let report = self.report();
-        let commands = converse(engine, now, &report, true).unwrap_or_default();
-        self.obey(engine.token_for(&self.name), &commands);
+    /// Sends a heartbeat and carries out the commands of the reply; returns these commands.
+    pub(super) fn send_heartbeat(&mut self, engine: &mut Engine, now: Time) -> Vec<Command> {
+        let heartbeat = self.heartbeat();
+        let commands = receive_and_reply(engine, now, &heartbeat, true).unwrap_or_default();
+        self.apply_commands(engine.token_for(&self.name), &commands);
         commands
     }
 }
 
-/// A report and the reply to it, as the front door makes them.
-pub(super) fn converse(
+/// Passes a heartbeat to the engine and returns the commands of its reply, as the HTTP front
+/// end does. `None`: the engine rejected the heartbeat and sends no reply.
+pub(super) fn receive_and_reply(
     engine: &mut Engine,
     now: Time,
-    report: &Heartbeat,
+    heartbeat: &Heartbeat,
     may_start: bool,
 ) -> Option<Vec<Command>> {
     engine
-        .receive_heartbeat(now, report)
-        .then(|| engine.reply(now, report, may_start))
+        .receive_heartbeat(now, heartbeat)
+        .then(|| engine.reply(now, heartbeat, may_start))
 }
 
-pub(super) fn starts(commands: &[Command]) -> Vec<String> {
+/// Names of the tasks that the commands start.
+pub(super) fn started_tasks(commands: &[Command]) -> Vec<String> {
     commands
         .iter()
         .filter_map(|c| match c {
@@ -182,17 +191,19 @@
         .collect()
 }
 
-pub(super) fn stops(commands: &[Command]) -> usize {
+/// Number of stop commands.
+pub(super) fn stop_count(commands: &[Command]) -> usize {
     commands
         .iter()
         .filter(|c| matches!(c, Command::Stop { .. }))
         .count()
 }
 
-pub(super) fn empty_inheritance() -> InheritedState {
+/// The state that the first leader of a new cluster finds: no jobs and no machines.
+pub(super) fn empty_inherited_state() -> InheritedState {
     InheritedState {
-        revision: TOKEN,
-        leader_version: TOKEN,
+        revision: LEADER_REVISION,
+        leader_version: LEADER_REVISION,
         grant_parts: vec![],
         finished_jobs: vec![],
         count_whole_machines: false,
@@ -203,23 +214,25 @@
     }
 }
 
-pub(super) fn fresh(teams: Vec<TeamLimits>) -> Engine {
+/// The first leader of a new cluster.
+pub(super) fn new_engine(teams: Vec<TeamLimits>) -> Engine {
     Engine::new(
         config(teams, Tuning::default()),
         0.0,
         0,
-        empty_inheritance(),
+        empty_inherited_state(),
     )
 }
 
-/// What a leader finds whose predecessor started tasks 0 and 1 of a job of
-/// three on machine m1, and may have started more there.
-pub(super) fn after_crash(teams: Vec<TeamLimits>, job: JobSpec) -> Engine {
+/// A new leader after a failover, with the state of `inherited_state_of`.
+pub(super) fn engine_after_failover(teams: Vec<TeamLimits>, job: JobSpec) -> Engine {
     let config = config(teams, Tuning::default());
-    Engine::new(config, 0.0, 0, inheritance_of(job))
+    Engine::new(config, 0.0, 0, inherited_state_of(job))
 }
 
-pub(super) fn inheritance_of(job: JobSpec) -> InheritedState {
+/// The state that a new leader finds after its predecessor has started tasks 0 and 1 of the
+/// job on machine m1.
+pub(super) fn inherited_state_of(job: JobSpec) -> InheritedState {
     let run = JobProgressRecord {
         high_water: 2,
         hosts: vec!["m1".into()],
@@ -240,15 +253,16 @@
             },
         }],
         jobs: vec![InheritedJob {
-            record: record(job),
+            record: job_record(job),
             version: 50,
             run: Some((run, 60)),
         }],
-        ..empty_inheritance()
+        ..empty_inherited_state()
     }
 }
 
-/// Writes all that is due, as a state service that answers would.
+/// Runs a scheduling cycle and applies every transaction that is due, as a state service that
+/// answers at once does. Returns the applied changes.
 pub(super) fn commit(engine: &mut Engine, now: Time) -> Vec<Change<Record>> {
     let mut all = Vec::new();
     let mut revision = 1000 + (now * 100.0) as u64;
@@ -261,16 +275,17 @@
     all
 }
 
-/// A worker that is up, fenced and in the grant.
+/// A worker that has shown the leader's token and whose machine is in the recorded grant.
 pub(super) fn ready_worker(engine: &mut Engine, name: &str, zone: &str) -> Worker {
     let mut worker = Worker::new(name, zone);
-    worker.turn(engine, 0.0);
-    worker.turn(engine, 0.5);
+    worker.send_heartbeat(engine, 0.0);
+    worker.send_heartbeat(engine, 0.5);
     commit(engine, 0.5);
     worker
 }
 
-pub(super) fn running(task: &str, attempt: u64) -> TaskReport {
+/// The entry of a running task in a heartbeat.
+pub(super) fn running_task(task: &str, attempt: u64) -> TaskReport {
     TaskReport {
         task: task.into(),
         attempt,
@@ -280,8 +295,8 @@
     }
 }
 
-/// A machine as the cloud lists it.
-pub(super) fn listed(id: &str) -> ListedMachine {
+/// The entry of a running machine in the cloud's machine list.
+pub(super) fn listed_machine(id: &str) -> ListedMachine {
     ListedMachine {
         id: id.into(),
         addr: None,
@@ -293,7 +308,8 @@
     }
 }
 
+/// Accepts a job and runs a scheduling cycle.
 pub(super) fn accept(engine: &mut Engine, now: Time, spec: JobSpec) {
-    engine.job_accepted(now, (now * 1000.0) as u64, record(spec), 70);
+    engine.job_accepted(now, (now * 1000.0) as u64, job_record(spec), 70);
     engine.schedule(now);
 }
--- a/crates/umbersail-control/src/engine/tests/late_transactions.rs
+++ b/crates/umbersail-control/src/engine/tests/late_transactions.rs
@@ -29,7 +29,7 @@
     fn new() -> LeaderWithStore {
         let mut setup = LeaderWithStore {
             store: KvStore::new(Limits::default()),
-            engine: fresh(vec![team(0.0, 0.0)]),
+            engine: new_engine(vec![team(0.0, 0.0)]),
             now: 1.0,
         };
         let token = setup.elect("controller-0").unwrap();
@@ -40,7 +40,7 @@
             InheritedState {
                 revision: token,
                 leader_version: token,
-                ..empty_inheritance()
+                ..empty_inherited_state()
             },
         );
         setup
@@ -130,10 +130,10 @@
 
     /// Accepts a job and announces it to the leader.
     fn accept_job(&mut self, id: &str) -> RecordTxn {
-        let txn = acceptance_txn(record(spec(id, 2, 2.0)));
+        let txn = acceptance_txn(job_record(spec(id, 2, 2.0)));
         let version = self.apply(&txn).unwrap();
         self.engine
-            .job_accepted(self.now, 0, record(spec(id, 2, 2.0)), version);
+            .job_accepted(self.now, 0, job_record(spec(id, 2, 2.0)), version);
         txn
     }
 
@@ -159,7 +159,7 @@
 
     fn exchange_heartbeat(&mut self, worker: &mut Worker) {
         self.now += 0.5;
-        worker.turn(&mut self.engine, self.now);
+        worker.send_heartbeat(&mut self.engine, self.now);
     }
 
     /// Ends all tasks placed on the worker; the ends are not yet written.
@@ -360,7 +360,7 @@
                 revision: token,
                 leader_version: token,
                 plans: inherited.collect(),
-                ..empty_inheritance()
+                ..empty_inherited_state()
             },
         );
         assert!(setup.engine.plans.store.names("note").is_empty());
@@ -436,7 +436,7 @@
             revision: second_token,
             leader_version: second_token,
             predecessor_degraded: true,
-            ..empty_inheritance()
+            ..empty_inherited_state()
         },
     );
     let late_recovery_end = setup.next_txn_unanswered();
--- a/crates/umbersail-control/src/engine/tests/random_faults.rs
+++ b/crates/umbersail-control/src/engine/tests/random_faults.rs
@@ -237,7 +237,7 @@
             r.arrives_at.max(t) - r.sent_at <= REPLY_TIMEOUT_S
                 && r.token >= self.worker.token
                 && r.session == self.worker.session
-                && starts(&r.commands).iter().any(|s| s == task)
+                && started_tasks(&r.commands).iter().any(|s| s == task)
         })
     }
 
@@ -620,7 +620,7 @@
     }
 
     fn submit_job(&mut self, step: usize) {
-        let record = record(spec(&format!("req-{step}"), 12, TASK_CPUS));
+        let record = job_record(spec(&format!("req-{step}"), 12, TASK_CPUS));
         let key = job_key(&record.spec.id);
         let txn = umbersail_wire::Txn {
             conditions: vec![],
@@ -1091,7 +1091,7 @@
         if session == host.worker.session && !unreachable {
             host.worker.token = host.worker.token.max(token);
         }
-        host.worker.report()
+        host.worker.heartbeat()
     }
 
     fn greet(&mut self, node: usize, peer: usize) {
@@ -1246,13 +1246,13 @@
         if timed_out || reply.session != host.worker.session || reply.token < host.worker.token {
             return Ok(());
         }
-        for task in starts(&reply.commands) {
+        for task in started_tasks(&reply.commands) {
             self.check_start(index, &task)?;
         }
         let host = &mut self.hosts[index];
         host.lease_renewed_at = host.clock.read(reply.sent_at);
         let task_count_before = host.worker.tasks.len();
-        host.worker.obey(reply.token, &reply.commands);
+        host.worker.apply_commands(reply.token, &reply.commands);
         for started_task in &host.worker.tasks[task_count_before.min(host.worker.tasks.len())..] {
             // Some tasks outlast the renewal time and the time after it.
             let long_running = self.rng.random_bool(0.15);
@@ -1262,7 +1262,7 @@
             host.task_ends
                 .insert((started_task.task.clone(), started_task.attempt), end);
         }
-        self.launches += starts(&reply.commands).len();
+        self.launches += started_tasks(&reply.commands).len();
         let hosts_with_lease = self.hosts.iter().filter(|h| h.has_lease(t));
         let running: usize = hosts_with_lease
             .map(|h| {
@@ -1307,7 +1307,7 @@
     fn send_heartbeat(&mut self, index: usize) -> Result<(), String> {
         let t = self.t;
         let node = self.hosts[index].node;
-        let heartbeat = self.hosts[index].worker.report();
+        let heartbeat = self.hosts[index].worker.heartbeat();
         let (sent_at, session) = (t, heartbeat.session);
         if self.is_active(FaultKind::HeartbeatsDuplicated, |f| f.worker == index) {
             // The duplicate arrives at the same node or at any other, like a packet that was
@@ -1339,7 +1339,7 @@
         }
         match self.deliver_heartbeat(node, &heartbeat, true)? {
             Answer::Reply(token, commands) => {
-                for task in starts(&commands) {
+                for task in started_tasks(&commands) {
                     self.check_start(index, &task)?;
                 }
                 let lost = self.is_active(FaultKind::RepliesLost, |f| f.worker == index)
--- a/crates/umbersail-control/src/engine/tests/scheduling_cycles.rs
+++ b/crates/umbersail-control/src/engine/tests/scheduling_cycles.rs
@@ -418,7 +418,7 @@
     let cpus = [0.5, 1.0, 2.0, 3.0, 4.0, 8.0, 12.0][rng.random_range(0..7)];
     let checkpoint_s = rng.random_bool(0.3).then_some(15.0);
     JobSpec {
-        class: ["c", "aimed"][rng.random_range(0..2)].into(),
+        class: ["c", "bounded-start"][rng.random_range(0..2)].into(),
         team: ["t", "u"][rng.random_range(0..2)].into(),
         priority: [Priority::Low, Priority::Normal, Priority::High][rng.random_range(0..3)],
         memory_gb: [0.5, 1.0, 6.0][rng.random_range(0..3)],
@@ -470,7 +470,7 @@
             0,
             InheritedState {
                 types,
-                ..empty_inheritance()
+                ..empty_inherited_state()
             },
         )
     };
@@ -498,7 +498,7 @@
             let spec = random_job(&mut rng, jobs);
             jobs += 1;
             for e in &mut engines {
-                e.job_accepted(now, (now * 1000.0) as u64, record(spec.clone()), 70);
+                e.job_accepted(now, (now * 1000.0) as u64, job_record(spec.clone()), 70);
             }
         }
         for (worker, machine_type, spot) in &mut workers {
@@ -513,17 +513,17 @@
                     _ => {}
                 }
             }
-            let mut report = worker.report();
+            let mut report = worker.heartbeat();
             (report.machine_type, report.spot) = ((*machine_type).into(), Some(*spot));
             report.notice_s = rng.random_bool(0.03).then_some(20.0);
             let replies: Vec<_> = engines
                 .iter_mut()
-                .map(|e| converse(e, now, &report, true))
+                .map(|e| receive_and_reply(e, now, &report, true))
                 .collect();
             prop_assert_eq!(&replies[0], &replies[1], "replies at {}", now);
             prop_assert_eq!(&replies[0], &replies[2], "sliced replies at {}", now);
             let token = engines[0].token_for(&worker.name);
-            worker.obey(token, replies[0].as_deref().unwrap_or(&[]));
+            worker.apply_commands(token, replies[0].as_deref().unwrap_or(&[]));
         }
         engines[0].reference_schedule(now);
         engines[1].schedule(now);
@@ -578,13 +578,13 @@
 fn engine_with_workers(slice_steps: u64, machines: usize) -> (Engine, Vec<Worker>) {
     let mut cfg = config(vec![team(0.0, 0.0)], Tuning::default());
     Rc::get_mut(&mut cfg).unwrap().slice_steps = slice_steps;
-    let mut engine = Engine::new(cfg, 0.0, 0, empty_inheritance());
+    let mut engine = Engine::new(cfg, 0.0, 0, empty_inherited_state());
     let mut workers: Vec<Worker> = (0..machines)
         .map(|m| Worker::new(&format!("m{m:05}"), "a"))
         .collect();
     for at in [0.0, 0.5] {
         for worker in &mut workers {
-            worker.turn(&mut engine, at);
+            worker.send_heartbeat(&mut engine, at);
         }
     }
     write_records(&mut engine, 0.5);
@@ -603,7 +603,7 @@
 }
 
 fn submit(engine: &mut Engine, now: Time, spec: JobSpec) {
-    engine.job_accepted(now, (now * 1000.0) as u64, record(spec), 70);
+    engine.job_accepted(now, (now * 1000.0) as u64, job_record(spec), 70);
 }
 
 /// Schedules until the cycle is complete. Returns the number of slices.
@@ -620,10 +620,10 @@
 fn record_and_launch(engine: &mut Engine, workers: &mut [Worker], now: Time) {
     write_records(engine, now);
     for worker in workers.iter_mut() {
-        worker.turn(engine, now);
+        worker.send_heartbeat(engine, now);
     }
     for worker in workers {
-        worker.turn(engine, now + 0.1);
+        worker.send_heartbeat(engine, now + 0.1);
     }
     engine.take_steps();
 }
@@ -766,13 +766,13 @@
     write_records(&mut engine, 1.0);
     let starts_sent: usize = workers
         .iter_mut()
-        .map(|w| starts(&w.turn(&mut engine, 1.1)).len())
+        .map(|w| started_tasks(&w.send_heartbeat(&mut engine, 1.1)).len())
         .sum();
     assert_eq!((starts_sent, engine.is_mid_cycle()), (12, true));
     // A worker reports the end of a task: the rest of the cycle uses the freed capacity.
     let ended_task = workers[0].tasks[0].task.clone();
     workers[0].exit(&ended_task, None, ExitCause::Done);
-    workers[0].turn(&mut engine, 1.15);
+    workers[0].send_heartbeat(&mut engine, 1.15);
     run_full_cycle(&mut engine, 1.2);
     assert!(!engine.jobs.contains_key("req-1"));
     assert_eq!(
@@ -802,7 +802,7 @@
     engine.txn_finished(1.0, pending, TxnOutcome::Applied { revision: 2000 });
     let starts_sent: usize = workers
         .iter_mut()
-        .map(|w| starts(&w.turn(&mut engine, 1.1)).len())
+        .map(|w| started_tasks(&w.send_heartbeat(&mut engine, 1.1)).len())
         .sum();
     assert_eq!(starts_sent, 12);
     let machines = workers.iter().map(|w| GrantedMachine {
@@ -816,13 +816,13 @@
         machines: machines.collect(),
     };
     let job = |spec, progress| InheritedJob {
-        record: record(spec),
+        record: job_record(spec),
         version: 70,
         run: progress,
     };
     let inheritance = InheritedState {
-        revision: TOKEN + 1,
-        leader_version: TOKEN + 1,
+        revision: LEADER_REVISION + 1,
+        leader_version: LEADER_REVISION + 1,
         grant_parts: vec![InheritedPart {
             index: 0,
             version: 40,
@@ -832,7 +832,7 @@
             job(first_job, Some((progress.unwrap(), 2000))),
             job(second_job, None),
         ],
-        ..empty_inheritance()
+        ..empty_inherited_state()
     };
     let mut successor = Engine::new(engine.cfg.clone(), 2.0, 2000, inheritance);
     assert_eq!(run_full_cycle(&mut successor, 2.0), 1);
@@ -841,8 +841,11 @@
         "the successor knows of no running task before the heartbeats"
     );
     for worker in &mut workers {
-        worker.turn(&mut successor, 2.1);
-        assert_eq!(starts(&worker.turn(&mut successor, 2.7)).len(), 0);
+        worker.send_heartbeat(&mut successor, 2.1);
+        assert_eq!(
+            started_tasks(&worker.send_heartbeat(&mut successor, 2.7)).len(),
+            0
+        );
     }
     run_full_cycle(&mut successor, 2.8);
     assert_eq!(
