--- a/crates/umbersail-control/src/engine/tests/scheduling_cycles.rs
+++ b/crates/umbersail-control/src/engine/tests/scheduling_cycles.rs
@@ -513,12 +513,12 @@
                     _ => {}
                 }
             }
-            let mut report = worker.heartbeat();
-            (report.machine_type, report.spot) = ((*machine_type).into(), Some(*spot));
-            report.notice_s = rng.random_bool(0.03).then_some(20.0);
+            let mut heartbeat = worker.heartbeat();
+            (heartbeat.machine_type, heartbeat.spot) = ((*machine_type).into(), Some(*spot));
+            heartbeat.notice_s = rng.random_bool(0.03).then_some(20.0);
             let replies: Vec<_> = engines
                 .iter_mut()
-                .map(|e| receive_and_reply(e, now, &report, true))
+                .map(|e| receive_and_reply(e, now, &heartbeat, true))
                 .collect();
             prop_assert_eq!(&replies[0], &replies[1], "replies at {}", now);
             prop_assert_eq!(&replies[0], &replies[2], "sliced replies at {}", now);
--- a/crates/umbersail-control/tests/isolated_controllers.rs
+++ b/crates/umbersail-control/tests/isolated_controllers.rs
@@ -453,9 +453,9 @@
 
 #[test]
 fn workers_of_an_isolated_leader_move_to_its_successor_within_seconds() {
-    // Guards against an isolated leader that keeps its workers although it can start
-    // nothing for them: it could do so for `cancel_s - lease_s - 4 s`, and no other node
-    // can bring these workers a newer token.
+    // Guards against an isolated leader that keeps its workers although the leader can start
+    // nothing for them. Such a leader may keep its workers for `cancel_s - lease_s - 4 s`,
+    // and no other node can bring these workers a newer token.
     run_with_cluster(|cluster| async move {
         let leader = cluster.wait_for_leader().await;
         let body = encode(&job("req-1", 2.0));
