--- a/crates/umbersail-calendar/src/entry.rs
+++ b/crates/umbersail-calendar/src/entry.rs
@@ -97,7 +97,7 @@
         match self.take(field) {
             Some(text) if !text.is_empty() && text.len() <= 200 => Ok(text.to_owned()),
             Some(_) => Err(self.error(field, "must have 1 to 200 bytes")),
-            None => Err(self.error(field, "missing")),
+            None => Err(self.error(field, "is missing")),
         }
     }
 
@@ -139,7 +139,7 @@
             steps.push(step);
         }
         if steps.is_empty() {
-            return Err(self.error("step.1.classes", "missing"));
+            return Err(self.error("step.1.classes", "is missing"));
         }
         if let Some(field) = self.values.keys().next() {
             let reason = if field.starts_with("step.") {
--- a/crates/umbersail-reserve/src/entry.rs
+++ b/crates/umbersail-reserve/src/entry.rs
@@ -203,7 +203,7 @@
     fn entry(self, limits: &EntryLimits<'_>) -> Result<Entry, EntryError> {
         let team = self
             .get("team")
-            .ok_or_else(|| self.error("team", "missing"))?;
+            .ok_or_else(|| self.error("team", "is missing"))?;
         let team_limits = limits.teams.iter().find(|t| t.name == team);
         let team_limits =
             team_limits.ok_or_else(|| self.error("team", format!("team '{team}' is unknown")))?;
@@ -256,7 +256,7 @@
         if self.get("machines").is_none() {
             let (cpus, memory_gb) = (cpus.unwrap_or(0.0), memory_gb.unwrap_or(0.0));
             if cpus + memory_gb <= 0.0 {
-                return Err(self.error("cpus", "missing: set cpus, memory_gb or machines"));
+                return Err(self.error("cpus", "is missing: set cpus, memory_gb or machines"));
             }
             if team.max_cpus > 0.0 && cpus > team.max_cpus {
                 let reason = format!(
@@ -339,15 +339,15 @@
             if self.get("length").is_some() {
                 return Err(self.error("length", "valid with recurrence only; set to instead"));
             }
-            let from = from.ok_or_else(|| self.error("from", "missing"))?;
-            let to = to.ok_or_else(|| self.error("to", "missing"))?;
+            let from = from.ok_or_else(|| self.error("from", "is missing"))?;
+            let to = to.ok_or_else(|| self.error("to", "is missing"))?;
             return Schedule::once(from, to).map_err(|e| self.error("to", e));
         };
-        let zone =
-            zone.ok_or_else(|| self.error("time_zone", "missing: a recurrence is in local time"))?;
+        let zone = zone
+            .ok_or_else(|| self.error("time_zone", "is missing: a recurrence is in local time"))?;
         let length = self
             .get("length")
-            .ok_or_else(|| self.error("length", "missing: the duration of each window"))?;
+            .ok_or_else(|| self.error("length", "is missing: the duration of each window"))?;
         let length_ms = parse_length(length).map_err(|e| self.error("length", e))?;
         Schedule::recurring(pattern, &zone, length_ms, from, to).map_err(|e| {
             let field = match e {
--- a/crates/umbersail-reserve/src/tests.rs
+++ b/crates/umbersail-reserve/src/tests.rs
@@ -277,7 +277,7 @@
         ("reserve.x.spot = maybe", "spot", "true or false"),
         ("reserve.x.cpu = 3", "cpu", "no such field"),
         ("reserve.x.cpus = NaN", "cpus", "must be a number"),
-        ("reserve.x.recurrence = 0 9 * * FRI", "length", "missing"),
+        ("reserve.x.recurrence = 0 9 * * FRI", "length", "is missing"),
         (
             "reserve.x.recurrence = at noon\nreserve.x.length = 2h",
             "recurrence",
