--- a/crates/umbersail-rehearsal/src/bound.rs
+++ b/crates/umbersail-rehearsal/src/bound.rs
@@ -10,7 +10,7 @@
 use microlp::{ComparisonOp, OptimizationDirection, Problem, Variable};
 use umbersail_wire::JobSpec;
 
-use crate::history::{End, Event, What};
+use crate::history::{EndReason, Event, EventKind};
 use crate::night::{MachineKind, Night, Trouble};
 use crate::served::Served;
 
@@ -80,7 +80,7 @@
     let mut seen: BTreeMap<&str, JobTrace<'_>> = BTreeMap::new();
     for event in events {
         match &event.what {
-            What::Asked { spec } => {
+            EventKind::Submitted { spec } => {
                 let job = JobTrace {
                     spec,
                     asked_at: event.t,
@@ -91,12 +91,12 @@
                 };
                 seen.insert(&spec.id, job);
             }
-            What::CancelAsked { job } => {
+            EventKind::CancelRequested { job } => {
                 if let Some(job) = seen.get_mut(job.as_str()) {
                     job.cancelled = true;
                 }
             }
-            What::Ended {
+            EventKind::Ended {
                 job,
                 task,
                 how,
@@ -105,7 +105,7 @@
             } => {
                 if let Some(job) = seen.get_mut(job.as_str()) {
                     job.work_s += useful_s;
-                    let last = *how == End::Done
+                    let last = *how == EndReason::Done
                         && job.done.insert(*task)
                         && job.done.len() == job.spec.tasks as usize;
                     if last {
@@ -334,23 +334,23 @@
                 deadline_s: Some(60.0),
             };
             let id = spec.id.clone();
-            let what = What::Asked {
+            let what = EventKind::Submitted {
                 spec: Box::new(spec),
             };
             events.push(Event { t: 0.0, what });
             for task in (0..*tasks).filter(|_| *done) {
-                let what = What::Ended {
+                let what = EventKind::Ended {
                     machine: "m".into(),
                     job: id.clone(),
                     task,
                     attempt: 1,
-                    how: End::Done,
+                    how: EndReason::Done,
                     useful_s: 15.0,
                 };
                 events.push(Event { t: 20.0, what });
             }
         }
-        let what = What::Up {
+        let what = EventKind::Up {
             machine: "m".into(),
         };
         events.push(Event { t: 120.0, what });
@@ -395,7 +395,7 @@
         // Nor does anybody run a task in less time than it takes.
         let mut long = asked(&labels);
         for event in &mut long {
-            if let What::Asked { spec } = &mut event.what {
+            if let EventKind::Submitted { spec } = &mut event.what {
                 spec.estimate_s = 61.0;
             }
         }
--- a/crates/umbersail-rehearsal/src/cancel_now.rs
+++ b/crates/umbersail-rehearsal/src/cancel_now.rs
@@ -7,7 +7,7 @@
 use umbersail_runtime::sleep;
 
 use crate::fleet::Machine;
-use crate::history::What;
+use crate::history::EventKind;
 use crate::night::Failure;
 use crate::trouble::{Stage, name_of};
 use crate::user_troubles::Order;
@@ -70,9 +70,9 @@
         let machines: BTreeMap<String, Rc<Machine>> = by_name.collect();
         let machines: Vec<Rc<Machine>> = machines.into_values().take(HANG_MOST).collect();
         for machine in &machines {
-            self.fleet.history.add(What::Struck {
+            self.fleet.history.add(EventKind::MachineFaulted {
                 machine: machine.name.clone(),
-                trouble: name_of(failure.what),
+                fault: name_of(failure.what),
                 for_s: hang_s,
             });
             self.world.freeze(machine.host);
--- a/crates/umbersail-rehearsal/src/close_looks.rs
+++ b/crates/umbersail-rehearsal/src/close_looks.rs
@@ -9,7 +9,7 @@
 use umbersail_runtime::sleep;
 use umbersail_wire::{JobSpec, encode, paths};
 
-use crate::history::What;
+use crate::history::EventKind;
 use crate::users::{Users, stage};
 
 /// Every controller is asked so many times.
@@ -56,7 +56,7 @@
         let told = self.ask_at(node, "GET", &target, b"", POLL_S).await;
         // That one controller does not answer is no silence: its user asks elsewhere.
         if let Some(told) = told.filter(|told| matches!(told.answer.status, 200 | 404)) {
-            self.note(What::Polled {
+            self.note(EventKind::Polled {
                 job: job.into(),
                 status: told.answer.status,
                 stage: stage(&told.answer),
--- a/crates/umbersail-rehearsal/src/fleet.rs
+++ b/crates/umbersail-rehearsal/src/fleet.rs
@@ -18,7 +18,7 @@
     RentRequest, decode, paths,
 };
 
-use crate::history::{End, History, What};
+use crate::history::{EndReason, EventKind, History};
 use crate::kv_store_host::{answer, wide_limits};
 use crate::late::{Late, LateReports};
 use crate::night::{MachineKind, Night};
@@ -263,7 +263,7 @@
             gone_at: Cell::new(None),
             worker,
         });
-        self.history.add(What::Rented {
+        self.history.add(EventKind::Rented {
             machine: name.clone(),
             kind: kind_spec.name.clone(),
             zone,
@@ -276,7 +276,7 @@
     /// The machine is up, and its worker starts.
     pub fn boot(self: Rc<Self>, machine: Rc<Machine>) {
         machine.up_at.set(Some(self.world.now()));
-        self.history.add(What::Up {
+        self.history.add(EventKind::Up {
             machine: machine.name.clone(),
         });
         let first = self.rng.borrow_mut().random_range(0..self.fronts.len());
@@ -331,12 +331,12 @@
     }
 
     fn halt(&self, machine: &Machine, why: &str) {
-        machine.worker.lose_all(self, End::Gone);
+        machine.worker.lose_all(self, EndReason::Gone);
         if let Some(store) = &self.store {
             store.remove(self.world.now(), machine.addr);
         }
         self.world.power_off(machine.host);
-        self.history.add(What::MachineGone {
+        self.history.add(EventKind::MachineGone {
             machine: machine.name.clone(),
             why: why.into(),
         });
@@ -415,7 +415,7 @@
             sleep(held_s).await;
         }
         let machines = names.machines;
-        self.history.add(What::RentalAnswered { machines });
+        self.history.add(EventKind::RentalAnswered { machines });
     }
 
     fn handle(self: &Rc<Self>, request: &Request) -> Response {
@@ -544,7 +544,7 @@
         for machine in &list {
             if self.listed.borrow_mut().insert(machine.id.clone()) {
                 let machine = machine.id.clone();
-                self.history.add(What::Listed { machine });
+                self.history.add(EventKind::Listed { machine });
             }
         }
         MachineList {
--- a/crates/umbersail-rehearsal/src/grants.rs
+++ b/crates/umbersail-rehearsal/src/grants.rs
@@ -5,7 +5,7 @@
 
 use umbersail_wire::{Change, Txn, Value};
 
-use crate::history::{History, What};
+use crate::history::{EventKind, History};
 
 /// Parts of the grant stand under this prefix, as the controllers write them.
 const GRANT_PARTS: &str = "grants/fleet/";
@@ -28,7 +28,7 @@
             }
             for machine in machines(value) {
                 if self.named.borrow_mut().insert(machine.clone()) {
-                    history.add(What::Granted { machine });
+                    history.add(EventKind::Granted { machine });
                 }
             }
         }
--- a/crates/umbersail-rehearsal/src/history.rs
+++ b/crates/umbersail-rehearsal/src/history.rs
@@ -1,5 +1,8 @@
-//! What happened in a night: the events that the judge reads and the archive
-//! keeps, in order of true time.
+//! The history of a run: the events that the checks evaluate and the archive keeps, in
+//! order of simulated true time.
+//!
+//! The outcome hash is computed over the serialized events, so the serialized names and the
+//! order of fields must not change; renamed identifiers carry a serde attribute.
 
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -9,66 +12,75 @@
 use umbersail_runtime::WorldHandle;
 use umbersail_wire::{JobSpec, JobStage};
 
-/// Why a task is on its machine no more.
+/// Why an attempt of a task no longer occupies its machine.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
-pub enum End {
+pub enum EndReason {
+    /// The task completed.
     Done,
+    /// A controller stopped the task.
     Stopped,
+    /// The task failed.
     Error,
-    /// Killed by its worker's lease.
+    /// The worker killed the task because its lease had expired.
     Lapsed,
-    /// Its machine stopped, was taken or deleted.
+    /// The machine stopped, was reclaimed by the cloud, or was deleted.
     Gone,
 }
 
-/// How a command that comes late stands to what its machine has seen since.
+/// How the fencing token and session of a delayed command compare with those that its
+/// machine has seen by the time the command arrives.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Late {
-    /// Its token is higher than all before: obeyed.
+pub enum CommandFreshness {
+    /// The token is higher than any the machine has seen: the command is obeyed.
     HigherToken,
-    /// The machine has its token: obeyed.
+    /// The token equals the highest that the machine has seen: the command is obeyed.
     SameToken,
-    /// The machine has seen a higher token.
+    /// The machine has seen a higher token: the command is refused.
     StaleToken,
-    /// It was meant for an earlier session.
+    /// The command was addressed to an earlier session of the machine's agent.
     StaleSession,
 }
 
-/// Which controller answered a question, and when the question was sent. Its answer came
-/// at the time of the event that tells it.
+/// Which controller answered a user's request, and when the request was sent. The answer
+/// arrived at the time of the event that holds this.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
 pub struct Question {
+    /// Index of the controller.
     pub node: usize,
+    /// When the request was sent, in seconds of the run.
     pub sent_s: f64,
 }
 
-/// One event; seconds and names as the night has them.
+/// What an event records. Times and durations are in seconds; names are those of the
+/// scenario.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(tag = "what", rename_all = "snake_case")]
-pub enum What {
-    Asked {
-        spec: Box<JobSpec>,
-    },
+pub enum EventKind {
+    /// A user is about to submit a job for the first time.
+    #[serde(rename = "asked")]
+    Submitted { spec: Box<JobSpec> },
+    /// A submission was accepted, `after_s` after the user first tried.
     Accepted {
         job: String,
         after_s: f64,
         #[serde(default, skip_serializing_if = "Option::is_none")]
         question: Option<Question>,
     },
-    /// Not taken, for good: the status, or 0 after the last try.
-    Refused {
-        job: String,
-        status: u16,
-    },
-    /// The job, about to be submitted, is of a step of the run that opened then.
-    OfRun {
+    /// A submission failed permanently: the status of the refusal, or 0 if the last retry got
+    /// no answer.
+    Refused { job: String, status: u16 },
+    /// A job about to be submitted belongs to this step of the calendar run that opened at
+    /// `opens_s`.
+    #[serde(rename = "of_run")]
+    RunJob {
         run: String,
         opens_s: f64,
         step: usize,
         job: String,
     },
+    /// The result of a user's status request.
     Polled {
         job: String,
         status: u16,
@@ -84,24 +96,26 @@
         #[serde(default, skip_serializing_if = "Option::is_none")]
         question: Option<Question>,
     },
-    CancelAsked {
-        job: String,
-    },
-    CancelTold {
+    /// A user requests the cancellation of a job.
+    #[serde(rename = "cancel_asked")]
+    CancelRequested { job: String },
+    /// A controller acknowledged a cancellation with the stage of the job.
+    #[serde(rename = "cancel_told")]
+    CancelAcknowledged {
         job: String,
         stage: JobStage,
         #[serde(default, skip_serializing_if = "Option::is_none")]
         question: Option<Question>,
     },
-    /// The answer to a cancellation was one of those that say that it can't be.
+    /// A controller rejected a cancellation as impossible.
     CancelRefused {
         job: String,
         status: u16,
         #[serde(default, skip_serializing_if = "Option::is_none")]
         question: Option<Question>,
     },
-    /// A submission that must not be accepted: what is wrong with it, the status that it
-    /// should get, the one that it got (0: no answer), and whether a reason came with it.
+    /// A submission that must not be accepted: its defect, the expected status (`wanted`),
+    /// the received status (0: no answer), and whether the answer contained a reason.
     InvalidSubmission {
         job: String,
         defect: String,
@@ -111,71 +125,67 @@
         node: usize,
         sent_s: f64,
     },
+    /// The cloud started a rental of a machine.
     Rented {
         machine: String,
         kind: String,
         zone: String,
         spot: bool,
     },
-    /// The cloud's answer to a rental, which may come long after the machines.
-    RentalAnswered {
-        machines: Vec<String>,
-    },
-    /// A list of the cloud names the machine for the first time.
-    Listed {
-        machine: String,
-    },
-    /// A part of the grant that was written names the machine for the first time.
-    Granted {
-        machine: String,
-    },
-    Up {
-        machine: String,
-    },
-    MachineGone {
-        machine: String,
-        why: String,
-    },
-    /// A worker obeyed a launch: the task holds room on its machine from now on, and
-    /// starts once it has its image.
+    /// The cloud answered a rental request, possibly long after the machines existed.
+    RentalAnswered { machines: Vec<String> },
+    /// A machine list of the cloud contains the machine for the first time.
+    Listed { machine: String },
+    /// A written part of the grant contains the machine for the first time.
+    Granted { machine: String },
+    /// The machine has booted.
+    Up { machine: String },
+    /// The machine stopped, was reclaimed or was deleted.
+    MachineGone { machine: String, why: String },
+    /// A worker obeyed a launch command: the task occupies its machine from now on, and
+    /// starts once the machine has fetched its image.
     Launched {
         machine: String,
         job: String,
         task: u32,
         attempt: u64,
     },
-    /// A task that was launched left its machine before it had its image.
+    /// A launched task left its machine before the machine had fetched its image.
     Withdrawn {
         machine: String,
         job: String,
         task: u32,
         attempt: u64,
     },
+    /// A task started to run.
     Started {
         machine: String,
         job: String,
         task: u32,
         attempt: u64,
     },
+    /// An attempt of a task ended. `useful_s` is its run time that need not be repeated.
     Ended {
         machine: String,
         job: String,
         task: u32,
         attempt: u64,
-        how: End,
+        how: EndReason,
         useful_s: f64,
     },
-    /// The leader's key was put anew.
-    Elected {
-        member: String,
-    },
-    Trouble {
-        trouble: String,
+    /// The leader key was written with a new leader.
+    Elected { member: String },
+    /// A scripted fault begins or ends.
+    #[serde(rename = "trouble")]
+    Fault {
+        #[serde(rename = "trouble")]
+        fault: String,
         begins: bool,
     },
-    /// A transaction without an answer was carried out now: what it changes, whether it
-    /// was applied or its conditions failed, and which of the keys had been changed since
-    /// it was sent, and whether the leader's key had.
+    /// The state service executed a transaction now whose sender had got no answer: the keys
+    /// that the transaction changes, whether it was applied or its conditions failed, which
+    /// of the keys had been changed since it was sent (`overtaken`), and whether the leader
+    /// key had.
     LateWrite {
         controller: usize,
         keys: Vec<String>,
@@ -183,9 +193,9 @@
         overtaken: Vec<String>,
         leader_changed: bool,
     },
-    /// A transaction was carried out and its answer lost: the keys that it asks about and
-    /// those that it puts and deletes, and whether it was applied or its conditions
-    /// failed.
+    /// The state service executed a transaction and its answer was lost: the keys of its
+    /// conditions, the keys that it puts and deletes, and whether it was applied or its
+    /// conditions failed.
     LostAnswer {
         controller: usize,
         conditions: Vec<String>,
@@ -193,84 +203,90 @@
         deletes: Vec<String>,
         applied: bool,
     },
-    /// While answers are lost: a transaction failed, since these keys did not have the
-    /// version that its sender took them to have.
+    /// While answers are lost: a transaction failed because these keys did not have the
+    /// version that its sender expected.
     Conflict {
         controller: usize,
         failed: Vec<String>,
     },
-    /// The trouble took this machine, for so many seconds.
-    Struck {
+    /// A fault affects this machine for `for_s`.
+    #[serde(rename = "struck")]
+    MachineFaulted {
         machine: String,
-        trouble: String,
+        #[serde(rename = "trouble")]
+        fault: String,
         for_s: f64,
     },
-    /// A direct command was carried out, or refused, after it had been held up for
-    /// so long.
+    /// A direct command was executed or refused after a delay of `held_s`.
     LateCommand {
         machine: String,
         held_s: f64,
         status: u16,
-        how: Late,
-        /// The machine has seen a token of a later leader's.
-        from_former: bool,
+        how: CommandFreshness,
+        /// Whether the machine had seen a token of a later leader than the sender.
+        #[serde(rename = "from_former")]
+        sees_newer_leader: bool,
     },
-    /// The answer to a direct command was held up for so long after the command had
-    /// been carried out, or refused.
+    /// The answer to a direct command arrived `held_s` after the command had been executed
+    /// or refused.
     LateAnswer {
         machine: String,
         held_s: f64,
         status: u16,
     },
-    /// A copy of a report arrived at a controller, which answered with this status
-    /// (0: with none) after `took_s`. Orders are (session, count): of the copy, and of the newest
-    /// report of the machine that had been answered by then.
-    LateReport {
+    /// A copy of a heartbeat arrived at a controller, which answered with this status (0: no
+    /// answer) after `took_s`. `order` is the (session, count) pair of the copy, `newest` that
+    /// of the machine's newest heartbeat that had been acknowledged by then.
+    #[serde(rename = "late_report")]
+    LateHeartbeat {
         machine: String,
         node: usize,
         status: u16,
         took_s: f64,
         order: (u64, u64),
         newest: (u64, u64),
-        /// Tasks that are active in the copy and not in the newest report.
+        /// Tasks that are active in the copy but not in the newest heartbeat.
         ended: u32,
-        /// Tasks that have exited in the copy and are active in the newest report.
+        /// Tasks that have exited in the copy but are active in the newest heartbeat.
         begun: u32,
     },
-    /// Once a second: CPUs in use, tasks that wait, machines ordinary and spot,
-    /// money so far.
-    Level {
+    /// Recorded every second: CPUs in use, waiting tasks, ordinary and spot machines that are
+    /// up, and the money spent so far.
+    #[serde(rename = "level")]
+    UsageSample {
         cpus: f64,
         waiting: u32,
         ordinary: u32,
         spot: u32,
         spent: f64,
     },
-    /// Every ten seconds: what the state service has taken and holds.
-    State {
-        /// Puts and deletes so far that were applied, by the first part of their keys.
+    /// Recorded every ten seconds: load and contents of the state service.
+    #[serde(rename = "state")]
+    StateSample {
+        /// Applied puts and deletes so far, by the first segment of their keys.
         changes: BTreeMap<String, u64>,
-        /// Keys that stand, likewise.
-        standing: BTreeMap<String, u64>,
-        /// Requests so far, and those refused since they were too many.
+        /// Keys that currently exist, by their first segment.
+        #[serde(rename = "standing")]
+        live_keys: BTreeMap<String, u64>,
+        /// Requests so far, and how many of them the rate limit refused.
         requests: u64,
         refused: u64,
     },
-    /// What the store of images has sent so far.
-    StoreSent {
-        gb: f64,
-    },
+    /// The total that the image store has sent so far.
+    StoreSent { gb: f64 },
 }
 
-/// An event and when, in seconds of true time.
+/// An event and when it happened, in seconds of true time.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Event {
+    /// When it happened.
     pub t: f64,
+    /// What happened.
     #[serde(flatten)]
-    pub what: What,
+    pub what: EventKind,
 }
 
-/// The events so far, shared by all who add to them.
+/// The events recorded so far. Clones share the same list.
 #[derive(Clone)]
 pub struct History {
     world: WorldHandle,
@@ -278,6 +294,7 @@
 }
 
 impl History {
+    /// Creates an empty history that reads the time from `world`.
     pub fn new(world: WorldHandle) -> History {
         History {
             world,
@@ -285,26 +302,29 @@
         }
     }
 
-    pub fn add(&self, what: What) {
+    /// Appends an event with the current time.
+    pub fn add(&self, what: EventKind) {
         let t = self.now_s();
         self.events.borrow_mut().push(Event { t, what });
     }
 
-    /// True time to the microsecond, so that text and number are the same.
+    /// Returns the true time, rounded to the microsecond so that it is the same after a round
+    /// trip through JSON.
     pub fn now_s(&self) -> f64 {
         (self.world.now() * 1e6).round() / 1e6
     }
 
+    /// Removes and returns all events.
     pub fn take(&self) -> Vec<Event> {
         self.events.take()
     }
 }
 
-/// The events as lines of JSON, and the hash (BLAKE3, hex) over them.
+/// Serializes the events as JSON lines; returns the text and its BLAKE3 hash in hex.
 pub fn lines(events: &[Event]) -> (Vec<u8>, String) {
     let mut out = Vec::new();
     for event in events {
-        // Text keys and finite numbers only: it can't fail.
+        // Serialization cannot fail: all keys are strings and all numbers finite.
         let _ = serde_json::to_writer(&mut out, event);
         out.push(b'\n');
     }
--- a/crates/umbersail-rehearsal/src/judge/mod.rs
+++ b/crates/umbersail-rehearsal/src/judge/mod.rs
@@ -7,7 +7,7 @@
 use umbersail_wire::{JobSpec, JobStage};
 
 use crate::answers::{Answers, Questions};
-use crate::history::{Event, Question, What};
+use crate::history::{Event, EventKind, Question};
 use crate::night::Night;
 use crate::runs::{self, RunFigures};
 use crate::served::Served;
@@ -232,24 +232,24 @@
     fn see(&mut self, index: usize, event: &Event) {
         let t = event.t;
         match &event.what {
-            What::Asked { spec } => {
+            EventKind::Submitted { spec } => {
                 let job = self.jobs.entry(spec.id.clone()).or_default();
                 job.asked_at = t;
                 job.spec = Some((**spec).clone());
             }
-            What::Accepted { job, .. } => {
+            EventKind::Accepted { job, .. } => {
                 self.job(job).accepted = Some(t);
                 self.job(job).answers.knows(t);
                 self.answered_at = t;
                 self.questions.heard(t, job);
             }
-            What::Refused { job, status } => {
+            EventKind::Refused { job, status } => {
                 if *status != 0 && self.job(job).accepted.is_some() {
                     let detail = format!("{job}: accepted, then refused with {status}");
                     self.breach(Rule::Forgotten, t, index, detail);
                 }
             }
-            What::Polled {
+            EventKind::Polled {
                 job,
                 status,
                 stage,
@@ -259,7 +259,7 @@
                 self.asked(index, t, job, *status == 404 || stage.is_some());
                 self.polled(given, job, *status, *stage);
             }
-            What::Repeated {
+            EventKind::Repeated {
                 job,
                 status,
                 stage,
@@ -277,20 +277,20 @@
                     self.told(given, job, *stage);
                 }
             }
-            What::CancelAsked { job } => {
+            EventKind::CancelRequested { job } => {
                 self.job(job).cancel_asked.get_or_insert(t);
             }
-            What::CancelTold {
+            EventKind::CancelAcknowledged {
                 job,
                 stage,
                 question,
             } => self.told(Given::new(index, t, *question), job, *stage),
-            What::CancelRefused {
+            EventKind::CancelRefused {
                 job,
                 status,
                 question,
             } => self.refused_cancel(Given::new(index, t, *question), job, *status),
-            What::InvalidSubmission {
+            EventKind::InvalidSubmission {
                 job,
                 defect,
                 status: status @ (200 | 201),
@@ -299,7 +299,7 @@
                 let detail = format!("{job}: {defect}, and answered {status}");
                 self.breach(Rule::AcceptedInvalid, t, index, detail);
             }
-            What::Rented {
+            EventKind::Rented {
                 machine,
                 kind,
                 zone,
@@ -315,13 +315,13 @@
                 self.machines.insert(machine.clone(), seen);
                 self.figures.machines += 1;
             }
-            What::Started {
+            EventKind::Started {
                 machine,
                 job,
                 task,
                 attempt,
             } => self.started(index, t, machine, job, *task, *attempt),
-            What::Ended {
+            EventKind::Ended {
                 machine,
                 job,
                 task,
@@ -340,35 +340,35 @@
                 self.ran_all_along(machine, (job, *task, *attempt), *how);
                 self.job(job).answers.ended(t);
             }
-            What::Level { spent, .. } => {
+            EventKind::UsageSample { spent, .. } => {
                 if t <= self.night.warm_up_s {
                     self.spent_before = *spent;
                 }
                 self.figures.spent = *spent - self.spent_before;
                 self.look_for_cancelled(index, t);
             }
-            What::Struck { machine, .. } => {
+            EventKind::MachineFaulted { machine, .. } => {
                 self.struck.insert(machine.clone(), t);
             }
-            What::InvalidSubmission { .. }
-            | What::Up { .. }
-            | What::MachineGone { .. }
-            | What::Elected { .. }
-            | What::Trouble { .. }
-            | What::OfRun { .. }
-            | What::LateWrite { .. }
-            | What::LostAnswer { .. }
-            | What::RentalAnswered { .. }
-            | What::Listed { .. }
-            | What::Granted { .. }
-            | What::State { .. }
-            | What::Launched { .. }
-            | What::Withdrawn { .. }
-            | What::Conflict { .. }
-            | What::LateCommand { .. }
-            | What::LateAnswer { .. }
-            | What::LateReport { .. }
-            | What::StoreSent { .. } => {}
+            EventKind::InvalidSubmission { .. }
+            | EventKind::Up { .. }
+            | EventKind::MachineGone { .. }
+            | EventKind::Elected { .. }
+            | EventKind::Fault { .. }
+            | EventKind::RunJob { .. }
+            | EventKind::LateWrite { .. }
+            | EventKind::LostAnswer { .. }
+            | EventKind::RentalAnswered { .. }
+            | EventKind::Listed { .. }
+            | EventKind::Granted { .. }
+            | EventKind::StateSample { .. }
+            | EventKind::Launched { .. }
+            | EventKind::Withdrawn { .. }
+            | EventKind::Conflict { .. }
+            | EventKind::LateCommand { .. }
+            | EventKind::LateAnswer { .. }
+            | EventKind::LateHeartbeat { .. }
+            | EventKind::StoreSent { .. } => {}
         }
     }
 
--- a/crates/umbersail-rehearsal/src/judge/monotonic.rs
+++ b/crates/umbersail-rehearsal/src/judge/monotonic.rs
@@ -4,7 +4,7 @@
 use umbersail_wire::JobStage;
 
 use super::{Given, Judge, Rule};
-use crate::history::End;
+use crate::history::EndReason;
 
 /// Counts of tasks, and with them whether one runs, may lag by this much (PROTOCOL).
 const LAG_S: f64 = 3.0;
@@ -122,7 +122,7 @@
         &mut self,
         machine: &str,
         (job, task, attempt): (&str, u32, u64),
-        how: End,
+        how: EndReason,
     ) {
         let its = |d: &Doubted| {
             (d.machine.as_str(), d.job.as_str(), d.task, d.attempt) == (machine, job, task, attempt)
@@ -130,7 +130,7 @@
         let (mine, others) = self.doubted.drain(..).partition(its);
         self.doubted = others;
         let mine: Vec<Doubted> = mine;
-        for older in mine.into_iter().filter(|_| how == End::Done) {
+        for older in mine.into_iter().filter(|_| how == EndReason::Done) {
             let Doubted {
                 event, t, ran_s, ..
             } = older;
--- a/crates/umbersail-rehearsal/src/judge/tasks.rs
+++ b/crates/umbersail-rehearsal/src/judge/tasks.rs
@@ -4,7 +4,7 @@
 use umbersail_wire::JobSpec;
 
 use super::{HOLDS_S, Judge, Rule};
-use crate::history::End;
+use crate::history::EndReason;
 
 impl Judge<'_> {
     pub(super) fn started(
@@ -94,14 +94,14 @@
         machine: &str,
         id: &str,
         task: u32,
-        how: End,
+        how: EndReason,
         useful_s: f64,
     ) {
         let job = self.job(id);
         let Some(spec) = job.spec.clone() else {
             return;
         };
-        if how == End::Done
+        if how == EndReason::Done
             && job.done_tasks.insert(task)
             && job.done_tasks.len() == spec.tasks as usize
         {
@@ -112,7 +112,7 @@
             *most = most.max(t - told);
         }
         let job = self.job(id);
-        if how == End::Stopped && job.started.get(&task).is_some_and(|at| t - at < HOLDS_S) {
+        if how == EndReason::Stopped && job.started.get(&task).is_some_and(|at| t - at < HOLDS_S) {
             job.started.remove(&task);
         }
         *self.used.entry(spec.team).or_default() -= spec.cpus;
@@ -129,8 +129,8 @@
             self.useful_money += useful_s * share * hourly / 3600.0;
         }
         match how {
-            End::Lapsed => self.figures.lapsed += 1,
-            End::Gone => self.figures.lost += 1,
+            EndReason::Lapsed => self.figures.lapsed += 1,
+            EndReason::Gone => self.figures.lost += 1,
             _ => {}
         }
     }
--- a/crates/umbersail-rehearsal/src/judge/tests.rs
+++ b/crates/umbersail-rehearsal/src/judge/tests.rs
@@ -2,7 +2,7 @@
 
 use super::*;
 use crate::bundled::bundled;
-use crate::history::End;
+use crate::history::EndReason;
 use umbersail_wire::{JobKind, Priority};
 
 fn spec(tasks: u32) -> JobSpec {
@@ -30,8 +30,8 @@
     }
 }
 
-fn rented(machine: &str, zone: &str, spot: bool) -> What {
-    What::Rented {
+fn rented(machine: &str, zone: &str, spot: bool) -> EventKind {
+    EventKind::Rented {
         machine: machine.into(),
         kind: "box".into(),
         zone: zone.into(),
@@ -39,8 +39,8 @@
     }
 }
 
-fn started(machine: &str, task: u32) -> What {
-    What::Started {
+fn started(machine: &str, task: u32) -> EventKind {
+    EventKind::Started {
         machine: machine.into(),
         job: "req-1".into(),
         task,
@@ -48,8 +48,8 @@
     }
 }
 
-fn ended(machine: &str, task: u32, how: End) -> What {
-    What::Ended {
+fn ended(machine: &str, task: u32, how: EndReason) -> EventKind {
+    EventKind::Ended {
         machine: machine.into(),
         job: "req-1".into(),
         task,
@@ -59,8 +59,8 @@
     }
 }
 
-fn polled(status: u16, stage: Option<JobStage>) -> What {
-    What::Polled {
+fn polled(status: u16, stage: Option<JobStage>) -> EventKind {
+    EventKind::Polled {
         job: "req-1".into(),
         status,
         stage,
@@ -68,8 +68,8 @@
     }
 }
 
-fn told(stage: JobStage) -> What {
-    What::CancelTold {
+fn told(stage: JobStage) -> EventKind {
+    EventKind::CancelAcknowledged {
         job: "req-1".into(),
         stage,
         question: None,
@@ -87,14 +87,14 @@
 
 /// Rules broken by a job that is accepted on two machines and then these
 /// events, ten seconds apart.
-fn broken(job: JobSpec, limit: f64, then: Vec<What>) -> Vec<Rule> {
+fn broken(job: JobSpec, limit: f64, then: Vec<EventKind>) -> Vec<Rule> {
     let night = night(limit);
-    let accepted = What::Accepted {
+    let accepted = EventKind::Accepted {
         job: "req-1".into(),
         after_s: 0.1,
         question: None,
     };
-    let asked = What::Asked {
+    let asked = EventKind::Submitted {
         spec: Box::new(job),
     };
     let all = vec![
@@ -124,12 +124,12 @@
     // Guards against a judge that can't say no, or says it for nothing.
     use Rule::*;
     let (done, cancelled) = (JobStage::Done, JobStage::Cancelled);
-    let asked = || What::CancelAsked {
+    let asked = || EventKind::CancelRequested {
         job: "req-1".into(),
     };
     let start = || started("m1", 0);
-    let finish = || ended("m1", 0, End::Done);
-    let level = || What::Level {
+    let finish = || ended("m1", 0, EndReason::Done);
+    let level = || EventKind::UsageSample {
         cpus: 0.0,
         waiting: 0,
         ordinary: 0,
@@ -149,7 +149,7 @@
         f(&mut job);
         job
     };
-    let cases: Vec<(JobSpec, f64, Vec<What>, Vec<Rule>)> = vec![
+    let cases: Vec<(JobSpec, f64, Vec<EventKind>, Vec<Rule>)> = vec![
         (
             free.clone(),
             0.0,
@@ -165,7 +165,7 @@
         (
             free.clone(),
             0.0,
-            vec![start(), ended("m1", 0, End::Lapsed), started("m2", 0)],
+            vec![start(), ended("m1", 0, EndReason::Lapsed), started("m2", 0)],
             vec![],
         ),
         (two.clone(), 4.0, vec![start(), started("m1", 1)], vec![]),
@@ -213,7 +213,7 @@
                 asked(),
                 told(cancelled),
                 start(),
-                ended("m1", 0, End::Stopped),
+                ended("m1", 0, EndReason::Stopped),
             ],
             vec![],
         ),
@@ -239,7 +239,7 @@
             0.0,
             vec![
                 start(),
-                What::Repeated {
+                EventKind::Repeated {
                     job: "req-1".into(),
                     status: 422,
                     stage: None,
@@ -253,7 +253,7 @@
             0.0,
             vec![
                 start(),
-                What::Polled {
+                EventKind::Polled {
                     job: "req-9".into(),
                     status: 200,
                     stage: Some(done),
@@ -316,8 +316,8 @@
 }
 
 /// A poll sent to a node then.
-fn poll(node: usize, sent_s: f64, status: u16, stage: Option<JobStage>) -> What {
-    What::Polled {
+fn poll(node: usize, sent_s: f64, status: u16, stage: Option<JobStage>) -> EventKind {
+    EventKind::Polled {
         job: "req-1".into(),
         status,
         stage,
@@ -325,8 +325,8 @@
     }
 }
 
-fn repeat(node: usize, sent_s: f64, status: u16, stage: Option<JobStage>) -> What {
-    What::Repeated {
+fn repeat(node: usize, sent_s: f64, status: u16, stage: Option<JobStage>) -> EventKind {
+    EventKind::Repeated {
         job: "req-1".into(),
         status,
         stage,
@@ -334,14 +334,14 @@
     }
 }
 
-fn cancel_asked() -> What {
-    What::CancelAsked {
+fn cancel_asked() -> EventKind {
+    EventKind::CancelRequested {
         job: "req-1".into(),
     }
 }
 
-fn cancel_told(node: usize, sent_s: f64, stage: JobStage) -> What {
-    What::CancelTold {
+fn cancel_told(node: usize, sent_s: f64, stage: JobStage) -> EventKind {
+    EventKind::CancelAcknowledged {
         job: "req-1".into(),
         stage,
         question: sent(node, sent_s),
@@ -349,17 +349,17 @@
 }
 
 /// What is told of a job and when, under a name, and the rules that this breaks.
-type Case = (&'static str, Vec<(f64, What)>, Vec<Rule>);
+type Case = (&'static str, Vec<(f64, EventKind)>, Vec<Rule>);
 
 /// Rules broken by a job of one task that is accepted at 10 s, runs on m1 from 15 s on,
 /// and these events at their times.
-fn broken_at(then: &[(f64, What)]) -> Vec<Rule> {
-    let accepted = What::Accepted {
+fn broken_at(then: &[(f64, EventKind)]) -> Vec<Rule> {
+    let accepted = EventKind::Accepted {
         job: "req-1".into(),
         after_s: 0.1,
         question: sent(0, 9.9),
     };
-    let asked = What::Asked {
+    let asked = EventKind::Submitted {
         spec: Box::new(spec(1)),
     };
     let before = [
@@ -385,7 +385,7 @@
     // one older whose question was under way when the other was given.
     use JobStage::*;
     use Rule::*;
-    let finish = || (30.0, ended("m1", 0, End::Done));
+    let finish = || (30.0, ended("m1", 0, EndReason::Done));
     let done = || (31.0, poll(1, 30.9, 200, Some(Done)));
     let call_off = || (19.5, cancel_asked());
     let cancelled = || (20.0, cancel_told(1, 19.6, Cancelled));
@@ -431,7 +431,7 @@
                 call_off(),
                 (
                     19.9,
-                    What::CancelRefused {
+                    EventKind::CancelRefused {
                         job: "req-1".into(),
                         status: 404,
                         question: sent(2, 19.6),
@@ -533,9 +533,9 @@
     let waits_at = |sent_s: f64| (sent_s + 0.1, poll(1, sent_s, 200, Some(Queued)));
     let ends = |how| (40.0, ended("m1", 0, how));
     let struck = |t| {
-        let what = What::Struck {
+        let what = EventKind::MachineFaulted {
             machine: "m1".into(),
-            trouble: "machines-cut".into(),
+            fault: "machines-cut".into(),
             for_s: 5.0,
         };
         (t, what)
@@ -543,53 +543,53 @@
     let cases: Vec<Case> = vec![
         (
             "it ran all along",
-            vec![runs(), waits_at(19.1), ends(End::Done)],
+            vec![runs(), waits_at(19.1), ends(EndReason::Done)],
             vec![OlderAnswer],
         ),
         (
             "within the lag",
-            vec![runs(), waits_at(18.9), ends(End::Done)],
+            vec![runs(), waits_at(18.9), ends(EndReason::Done)],
             vec![],
         ),
         (
             "nobody had called it running",
-            vec![waits_at(19.1), ends(End::Done)],
+            vec![waits_at(19.1), ends(EndReason::Done)],
             vec![],
         ),
         (
             "it was stopped then",
-            vec![runs(), waits_at(19.1), ends(End::Stopped)],
+            vec![runs(), waits_at(19.1), ends(EndReason::Stopped)],
             vec![],
         ),
         (
             "its lease ended",
-            vec![runs(), waits_at(19.1), ends(End::Lapsed)],
+            vec![runs(), waits_at(19.1), ends(EndReason::Lapsed)],
             vec![],
         ),
         (
             "its machine was gone",
-            vec![runs(), waits_at(19.1), ends(End::Gone)],
+            vec![runs(), waits_at(19.1), ends(EndReason::Gone)],
             vec![],
         ),
         (
             "another attempt runs now",
             vec![
                 runs(),
-                (17.0, ended("m1", 0, End::Error)),
+                (17.0, ended("m1", 0, EndReason::Error)),
                 (18.0, started("m1", 0)),
                 waits_at(25.0),
-                ends(End::Done),
+                ends(EndReason::Done),
             ],
             vec![],
         ),
         (
             "its machine could not be reached",
-            vec![runs(), struck(17.0), waits_at(25.0), ends(End::Done)],
+            vec![runs(), struck(17.0), waits_at(25.0), ends(EndReason::Done)],
             vec![],
         ),
         (
             "its machine had been struck before it began",
-            vec![struck(14.0), runs(), waits_at(25.0), ends(End::Done)],
+            vec![struck(14.0), runs(), waits_at(25.0), ends(EndReason::Done)],
             vec![OlderAnswer],
         ),
     ];
--- a/crates/umbersail-rehearsal/src/judge/waiting.rs
+++ b/crates/umbersail-rehearsal/src/judge/waiting.rs
@@ -5,7 +5,7 @@
 
 use umbersail_wire::JobSpec;
 
-use crate::history::{End, Event, What};
+use crate::history::{EndReason, Event, EventKind};
 use crate::night::Night;
 
 /// So many seconds a job may wait beside a machine with room for it.
@@ -92,7 +92,7 @@
     let over_s = night.troubles_over_s();
     for (index, event) in events.iter().enumerate() {
         tracker.see(event);
-        if event.t >= over_s && matches!(event.what, What::Level { .. }) {
+        if event.t >= over_s && matches!(event.what, EventKind::UsageSample { .. }) {
             tracker.look(index, event.t);
         }
     }
@@ -115,7 +115,7 @@
 impl Tracker<'_> {
     fn see(&mut self, event: &Event) {
         match &event.what {
-            What::OfRun {
+            EventKind::RunJob {
                 run,
                 opens_s,
                 step,
@@ -124,37 +124,37 @@
                 let step = (run.clone(), opens_s.to_bits(), *step);
                 self.steps.insert(job.clone(), step);
             }
-            What::Asked { spec } => self.asked(spec),
-            What::Accepted { job, .. } => self.with(job, |j| j.accepted = true),
-            What::Refused { job, .. } | What::CancelAsked { job } => {
+            EventKind::Submitted { spec } => self.asked(spec),
+            EventKind::Accepted { job, .. } => self.with(job, |j| j.accepted = true),
+            EventKind::Refused { job, .. } | EventKind::CancelRequested { job } => {
                 self.with(job, |j| j.cancelled = true);
             }
-            What::Rented {
+            EventKind::Rented {
                 machine,
                 kind,
                 zone,
                 spot,
             } => self.rented(machine, kind, zone, *spot),
-            What::Up { machine } => self.set_up(machine, true),
-            What::MachineGone { machine, .. } => self.set_up(machine, false),
-            What::Struck { machine, for_s, .. } => {
+            EventKind::Up { machine } => self.set_up(machine, true),
+            EventKind::MachineGone { machine, .. } => self.set_up(machine, false),
+            EventKind::MachineFaulted { machine, for_s, .. } => {
                 if let Some(here) = self.machines.get_mut(machine) {
                     here.struck_until = here.struck_until.max(event.t + for_s);
                 }
             }
-            What::Launched {
+            EventKind::Launched {
                 machine,
                 job,
                 task,
                 attempt,
             } => self.hold((job.clone(), *task, machine.clone(), *attempt), false),
-            What::Started {
+            EventKind::Started {
                 machine,
                 job,
                 task,
                 attempt,
             } => self.hold((job.clone(), *task, machine.clone(), *attempt), true),
-            What::Withdrawn {
+            EventKind::Withdrawn {
                 machine,
                 job,
                 task,
@@ -165,7 +165,7 @@
                     self.take_room(&place, -1.0);
                 }
             }
-            What::Ended {
+            EventKind::Ended {
                 machine,
                 job,
                 task,
@@ -178,8 +178,8 @@
                     self.refilled.push_back((event.t + REFILL_S, place));
                 }
                 self.with(job, |j| match how {
-                    End::Done => drop(j.done.insert(*task)),
-                    End::Error => j.failed = true,
+                    EndReason::Done => drop(j.done.insert(*task)),
+                    EndReason::Error => j.failed = true,
                     _ => {}
                 });
             }
--- a/crates/umbersail-rehearsal/src/judge/waiting/tests.rs
+++ b/crates/umbersail-rehearsal/src/judge/waiting/tests.rs
@@ -10,11 +10,11 @@
     cpus_max: f64,
     /// What happens, and when; the machine "m1", in the north, and not a spot
     /// machine, is up from the start.
-    then: Vec<(f64, What)>,
+    then: Vec<(f64, EventKind)>,
     until_s: f64,
 }
 
-fn case(then: Vec<(f64, What)>) -> Case {
+fn case(then: Vec<(f64, EventKind)>) -> Case {
     Case {
         spec: spec(),
         cpus_max: 0.0,
@@ -49,17 +49,17 @@
 }
 
 /// A job of the same team that is neither accepted nor counted.
-fn other() -> What {
+fn other() -> EventKind {
     let spec = Box::new(JobSpec {
         id: "req-2".into(),
         cpus: 8.0,
         ..spec()
     });
-    What::Asked { spec }
+    EventKind::Submitted { spec }
 }
 
-fn rented(machine: &str, zone: &str, spot: bool) -> What {
-    What::Rented {
+fn rented(machine: &str, zone: &str, spot: bool) -> EventKind {
+    EventKind::Rented {
         machine: machine.into(),
         kind: "box".into(),
         zone: zone.into(),
@@ -67,8 +67,8 @@
     }
 }
 
-fn launched(job: &str) -> What {
-    What::Launched {
+fn launched(job: &str) -> EventKind {
+    EventKind::Launched {
         machine: "m1".into(),
         job: job.into(),
         task: 0,
@@ -76,8 +76,8 @@
     }
 }
 
-fn started(job: &str) -> What {
-    What::Started {
+fn started(job: &str) -> EventKind {
+    EventKind::Started {
         machine: "m1".into(),
         job: job.into(),
         task: 0,
@@ -85,8 +85,8 @@
     }
 }
 
-fn withdrawn() -> What {
-    What::Withdrawn {
+fn withdrawn() -> EventKind {
+    EventKind::Withdrawn {
         machine: "m1".into(),
         job: "req-1".into(),
         task: 0,
@@ -94,12 +94,12 @@
     }
 }
 
-fn ended(how: End) -> What {
+fn ended(how: EndReason) -> EventKind {
     ended_of("req-1", how)
 }
 
-fn ended_of(job: &str, how: End) -> What {
-    What::Ended {
+fn ended_of(job: &str, how: EndReason) -> EventKind {
+    EventKind::Ended {
         machine: "m1".into(),
         job: job.into(),
         task: 0,
@@ -117,7 +117,7 @@
     night.failures.truncate(1);
     (night.failures[0].at_s, night.failures[0].back_s) = (20.0, None);
     assert!((night.troubles_over_s() - 20.0).abs() < 1e-9);
-    let up = |machine: &str| What::Up {
+    let up = |machine: &str| EventKind::Up {
         machine: machine.into(),
     };
     let mut all = vec![
@@ -125,13 +125,13 @@
         (0.0, up("m1")),
         (
             0.0,
-            What::Asked {
+            EventKind::Submitted {
                 spec: Box::new(case.spec),
             },
         ),
         (
             0.0,
-            What::Accepted {
+            EventKind::Accepted {
                 job: "req-1".into(),
                 after_s: 0.1,
                 question: None,
@@ -141,7 +141,7 @@
     ];
     all.extend(case.then);
     for second in 1..=case.until_s as u32 {
-        let level = What::Level {
+        let level = EventKind::UsageSample {
             cpus: 0.0,
             waiting: 0,
             ordinary: 0,
@@ -171,7 +171,7 @@
     let lost = vec![
         (1.0, launched("req-1")),
         (2.0, started("req-1")),
-        (25.5, ended(End::Gone)),
+        (25.5, ended(EndReason::Gone)),
     ];
     // Its own place counts as free 10 s later.
     let until = |then| Case {
@@ -182,7 +182,7 @@
     let half_done = vec![
         (1.0, launched("req-1")),
         (2.0, started("req-1")),
-        (25.5, ended(End::Done)),
+        (25.5, ended(EndReason::Done)),
     ];
     assert_eq!(left_at(until(half_done)), [126.0]);
     let runs = lost[..2].to_vec();
@@ -196,7 +196,7 @@
     for n in 0..20 {
         let at = 1.0 + 8.0 * f64::from(n);
         then.push((at, launched("req-2")));
-        then.push((at + 5.0, ended_of("req-2", End::Done)));
+        then.push((at + 5.0, ended_of("req-2", EndReason::Done)));
     }
     let busy = Case {
         until_s: 150.0,
@@ -219,11 +219,11 @@
 
 #[test]
 fn who_is_cancelled_refused_or_never_accepted_is_not_left_waiting() {
-    let asked = What::CancelAsked {
+    let asked = EventKind::CancelRequested {
         job: "req-1".into(),
     };
     assert!(left_at(case(vec![(50.0, asked)])).is_empty());
-    let refused = What::Refused {
+    let refused = EventKind::Refused {
         job: "req-1".into(),
         status: 0,
     };
@@ -238,14 +238,14 @@
     assert!(left_at(case(used)).is_empty());
     let fetched_for = vec![(1.0, launched("req-2"))];
     assert!(left_at(case(fetched_for)).is_empty());
-    let gone = What::MachineGone {
+    let gone = EventKind::MachineGone {
         machine: "m1".into(),
         why: "deleted".into(),
     };
     assert!(left_at(case(vec![(50.0, gone)])).is_empty());
-    let struck = What::Struck {
+    let struck = EventKind::MachineFaulted {
         machine: "m1".into(),
-        trouble: "machines-hang".into(),
+        fault: "machines-hang".into(),
         for_s: 60.0,
     };
     assert!(left_at(case(vec![(10.0, struck)])).is_empty());
@@ -266,7 +266,7 @@
 fn spot_machines_have_room_for_jobs_that_may_use_them() {
     let spot = |allowed| {
         let mut spot = case(vec![(0.5, rented("m1", "north", true))]);
-        let up = What::Up {
+        let up = EventKind::Up {
             machine: "m1".into(),
         };
         spot.then.push((0.6, up));
@@ -302,7 +302,7 @@
     for (id, step) in [("req-1", 1), ("req-2", 0)] {
         tracker.see(&Event {
             t: 0.0,
-            what: What::OfRun {
+            what: EventKind::RunJob {
                 run: name.clone(),
                 opens_s: 10.0,
                 step,
@@ -319,12 +319,12 @@
     assert!(!tracker.is_held("req-1", 10.0 + due_s + 2.0));
     tracker.see(&Event {
         t: 60.0,
-        what: What::Ended {
+        what: EventKind::Ended {
             machine: "m1".into(),
             job: "req-2".into(),
             task: 0,
             attempt: 1,
-            how: End::Done,
+            how: EndReason::Done,
             useful_s: 1.0,
         },
     });
--- a/crates/umbersail-rehearsal/src/kv_store_host.rs
+++ b/crates/umbersail-rehearsal/src/kv_store_host.rs
@@ -17,7 +17,7 @@
 use umbersail_wire::{Change, Txn, TxnResult, Value, decode, encode};
 
 use crate::grants::GrantWatch;
-use crate::history::{History, What};
+use crate::history::{EventKind, History};
 use crate::night::{LATE_FROM_S, LATE_TO_S, State};
 use crate::state_figures::StateFigures;
 
@@ -161,7 +161,7 @@
             && let Some(member) = self.leader()
         {
             self.elected.set(version);
-            self.history.add(What::Elected { member });
+            self.history.add(EventKind::Elected { member });
             for hook in self.on_election.borrow().iter() {
                 hook();
             }
@@ -205,7 +205,7 @@
             self.figures.applied(&txn);
             self.granted.applied(&self.history, &txn);
         }
-        self.history.add(What::LateWrite {
+        self.history.add(EventKind::LateWrite {
             controller,
             keys,
             applied,
@@ -229,7 +229,7 @@
                 Change::Delete { key } => deletes.push(key.clone()),
             }
         }
-        self.history.add(What::LostAnswer {
+        self.history.add(EventKind::LostAnswer {
             controller,
             conditions: txn.conditions.iter().map(|c| c.key.clone()).collect(),
             puts,
@@ -242,7 +242,7 @@
     fn tell_conflict(&self, controller: usize, body: &[u8]) {
         if let Ok(result) = decode::<TxnResult>(body) {
             let failed = result.failed;
-            self.history.add(What::Conflict { controller, failed });
+            self.history.add(EventKind::Conflict { controller, failed });
         }
     }
 
--- a/crates/umbersail-rehearsal/src/late.rs
+++ b/crates/umbersail-rehearsal/src/late.rs
@@ -13,7 +13,7 @@
 use umbersail_runtime::{HostId, HostSpec, Notify, WorldHandle, sleep, spawn};
 use umbersail_wire::{Heartbeat, TaskState, encode, paths};
 
-use crate::history::{History, What};
+use crate::history::{EventKind, History};
 use crate::night::Failure;
 use crate::places::Addresses;
 
@@ -238,7 +238,7 @@
 fn compare(
     copied: &Copied,
     newest: &BTreeMap<String, Heartbeat>,
-) -> Option<impl FnOnce(u16, f64) -> What + use<>> {
+) -> Option<impl FnOnce(u16, f64) -> EventKind + use<>> {
     let (copy, newest) = (&copied.report, newest.get(&copied.report.machine)?);
     let count = |of: &Heartbeat, is: &dyn Fn(&str) -> bool, exited: bool| {
         let tasks = of.tasks.iter();
@@ -253,7 +253,7 @@
     let (order, newest_order) = (copy.ordering_key(), newest.ordering_key());
     let ended = count(copy, &|task| !is_active(task), false);
     let begun = count(copy, &is_active, true);
-    Some(move |status, took_s| What::LateReport {
+    Some(move |status, took_s| EventKind::LateHeartbeat {
         machine,
         node,
         status,
@@ -352,7 +352,7 @@
         assert_eq!(told.len(), 60);
         assert!(told.iter().all(|e| matches!(
             &e.what,
-            What::LateReport {
+            EventKind::LateHeartbeat {
                 status: 200,
                 order: (1, 3),
                 newest: (1, 9),
@@ -395,13 +395,13 @@
         let told = told.unwrap();
         assert_eq!(told.len(), KEPT * 3);
         for event in &told {
-            let What::LateReport { took_s, .. } = &event.what else {
+            let EventKind::LateHeartbeat { took_s, .. } = &event.what else {
                 panic!("{event:?}");
             };
             assert!((20.0..=22.0).contains(&(event.t - took_s)), "{event:?}");
         }
         for node in 0..3 {
-            let here = |e: &&crate::history::Event| matches!(e.what, What::LateReport { node: n, .. } if n == node);
+            let here = |e: &&crate::history::Event| matches!(e.what, EventKind::LateHeartbeat { node: n, .. } if n == node);
             assert_eq!(told.iter().filter(here).count(), KEPT);
         }
     }
--- a/crates/umbersail-rehearsal/src/odd_requests.rs
+++ b/crates/umbersail-rehearsal/src/odd_requests.rs
@@ -8,7 +8,7 @@
 use umbersail_runtime::sleep;
 use umbersail_wire::{JobSpec, Value, decode, encode, paths};
 
-use crate::history::What;
+use crate::history::EventKind;
 use crate::users::Users;
 
 /// From one request to the next, in seconds.
@@ -205,7 +205,7 @@
         let told = self
             .ask_at(node, "POST", paths::JOBS, &invalid.body, WAIT_S)
             .await;
-        self.note(What::InvalidSubmission {
+        self.note(EventKind::InvalidSubmission {
             job: spec.id,
             defect: invalid.defect,
             wanted: invalid.wanted,
--- a/crates/umbersail-rehearsal/src/play.rs
+++ b/crates/umbersail-rehearsal/src/play.rs
@@ -16,7 +16,7 @@
 use umbersail_tuning::Tuning;
 
 use crate::fleet::Fleet;
-use crate::history::{Event, History, What};
+use crate::history::{Event, EventKind, History};
 use crate::judge::{Figures, judge};
 use crate::kv_store_host::KvStoreHost;
 use crate::night::{Aim, Night};
@@ -355,7 +355,7 @@
     let cpus = up.iter().map(|m| m.worker.cpus_in_use()).sum::<f64>();
     let spot = up.iter().filter(|m| m.spot).count();
     let waiting = fleet.waiting();
-    fleet.history.add(What::Level {
+    fleet.history.add(EventKind::UsageSample {
         cpus: (cpus * 1000.0).round() / 1000.0,
         waiting,
         ordinary: (up.len() - spot) as u32,
--- a/crates/umbersail-rehearsal/src/report.rs
+++ b/crates/umbersail-rehearsal/src/report.rs
@@ -11,7 +11,7 @@
 use serde::Serialize;
 
 use crate::bound;
-use crate::history::{Event, What, lines};
+use crate::history::{Event, EventKind, lines};
 use crate::judge::{Breach, Figures};
 use crate::night::Night;
 use crate::play::Outcome;
@@ -152,8 +152,8 @@
     let job = breach.detail.split(['/', ':', ' ']).next().unwrap_or("");
     let upto = &events[..=breach.event.min(events.len().saturating_sub(1))];
     let about = |e: &&Event| match &e.what {
-        What::Trouble { .. } => breach.t - e.t < 60.0,
-        What::Level { .. } | What::Polled { .. } => false,
+        EventKind::Fault { .. } => breach.t - e.t < 60.0,
+        EventKind::UsageSample { .. } | EventKind::Polled { .. } => false,
         _ => serde_json::to_string(e).is_ok_and(|text| text.contains(job)),
     };
     let mut shown: Vec<&Event> = upto
@@ -288,7 +288,7 @@
     let mut count = 0.0;
     for event in &outcome.events {
         match &event.what {
-            What::Level {
+            EventKind::UsageSample {
                 cpus: c,
                 waiting: w,
                 ordinary: o,
@@ -301,18 +301,18 @@
                 spot.push((event.t, f64::from(*s)));
                 done.push((event.t, count));
             }
-            What::Ended {
-                how: crate::history::End::Done,
+            EventKind::Ended {
+                how: crate::history::EndReason::Done,
                 ..
             } => count += 1.0,
-            What::Trouble {
-                trouble,
+            EventKind::Fault {
+                fault: trouble,
                 begins: true,
             } => {
                 troubles.push((event.t, event.t, trouble.clone()));
             }
-            What::Trouble {
-                trouble,
+            EventKind::Fault {
+                fault: trouble,
                 begins: false,
             } => {
                 let open = troubles
--- a/crates/umbersail-rehearsal/src/runs.rs
+++ b/crates/umbersail-rehearsal/src/runs.rs
@@ -10,7 +10,7 @@
 use serde::{Deserialize, Serialize};
 use umbersail_runtime::{sleep, spawn};
 
-use crate::history::{End, Event, What};
+use crate::history::{EndReason, Event, EventKind};
 use crate::night::Night;
 use crate::users::Users;
 
@@ -158,7 +158,7 @@
             for _ in 0..*jobs {
                 let truth = self.draw(class);
                 let id = truth.spec.id.clone();
-                self.note(What::OfRun {
+                self.note(EventKind::RunJob {
                     run: run.name.clone(),
                     opens_s,
                     step,
@@ -206,7 +206,7 @@
     let mut jobs: BTreeMap<&str, JobTrace> = BTreeMap::new();
     for event in events {
         match &event.what {
-            What::OfRun {
+            EventKind::RunJob {
                 run,
                 opens_s,
                 step,
@@ -223,31 +223,31 @@
                 let seen = jobs.entry(job).or_default();
                 (seen.run, seen.step) = (index, *step);
             }
-            What::Asked { spec } => {
+            EventKind::Submitted { spec } => {
                 if let Some(seen) = jobs.get_mut(spec.id.as_str()) {
                     seen.tasks = spec.tasks;
                 }
             }
-            What::Accepted { job, .. } => {
+            EventKind::Accepted { job, .. } => {
                 if let Some(seen) = jobs.get_mut(job.as_str()) {
                     seen.accepted_at.get_or_insert(event.t);
                 }
             }
-            What::Refused { job, .. } | What::CancelAsked { job } => {
+            EventKind::Refused { job, .. } | EventKind::CancelRequested { job } => {
                 if let Some(seen) = jobs.get_mut(job.as_str()) {
                     seen.left = true;
                 }
             }
-            What::Started { job, .. } => {
+            EventKind::Started { job, .. } => {
                 if let Some(seen) = jobs.get_mut(job.as_str()) {
                     seen.began_at.get_or_insert(event.t);
                 }
             }
-            What::Ended { job, task, how, .. } => {
+            EventKind::Ended { job, task, how, .. } => {
                 if let Some(seen) = jobs.get_mut(job.as_str()) {
                     match how {
-                        End::Done => drop(seen.done.insert(*task)),
-                        End::Error => seen.left = true,
+                        EndReason::Done => drop(seen.done.insert(*task)),
+                        EndReason::Error => seen.left = true,
                         _ => {}
                     }
                     if seen.done.len() as u32 == seen.tasks {
--- a/crates/umbersail-rehearsal/src/state_figures.rs
+++ b/crates/umbersail-rehearsal/src/state_figures.rs
@@ -5,7 +5,7 @@
 
 use umbersail_wire::{Change, Txn, Value};
 
-use crate::history::What;
+use crate::history::EventKind;
 
 /// Counts of one night so far.
 #[derive(Default)]
@@ -39,13 +39,13 @@
     }
 
     /// The figures so far, as the history has them.
-    pub fn told(&self) -> What {
+    pub fn told(&self) -> EventKind {
         let standing = self.standing.borrow();
         let count =
             |(first, keys): (&String, &BTreeSet<String>)| (first.clone(), keys.len() as u64);
-        What::State {
+        EventKind::StateSample {
             changes: self.changes.borrow().clone(),
-            standing: standing.iter().map(count).collect(),
+            live_keys: standing.iter().map(count).collect(),
             requests: self.requests.get(),
             refused: self.refused.get(),
         }
--- a/crates/umbersail-rehearsal/src/store.rs
+++ b/crates/umbersail-rehearsal/src/store.rs
@@ -15,7 +15,7 @@
 use futures::future::select;
 use umbersail_runtime::{Broadcast, WorldHandle, sleep};
 
-use crate::history::{Event, History, What};
+use crate::history::{Event, EventKind, History};
 use crate::night::Store;
 use crate::worker::Worker;
 
@@ -578,7 +578,7 @@
             if now >= told_at + TOLD_S {
                 told_at = now;
                 let gb = self.swarm.borrow().store_gb();
-                history.add(What::StoreSent { gb });
+                history.add(EventKind::StoreSent { gb });
             }
             let mut next = self.swarm.borrow().next_at().unwrap_or(now + TOLD_S);
             for edge in [out.start, out.end] {
@@ -610,16 +610,16 @@
     let (mut begun, mut sent) = (BTreeSet::new(), 0.0);
     for event in events {
         match &event.what {
-            What::Asked { spec } => {
+            EventKind::Submitted { spec } => {
                 let first = (event.t, spec.class.as_str(), spec.tasks);
                 asked.entry(spec.id.as_str()).or_insert(first);
             }
-            What::Started { job, task, .. } if begun.insert((job, task)) => {
+            EventKind::Started { job, task, .. } if begun.insert((job, task)) => {
                 if let Some((at, class, _)) = asked.get(job.as_str()) {
                     waits.entry(class).or_default().push(event.t - at);
                 }
             }
-            What::StoreSent { gb } => sent = *gb,
+            EventKind::StoreSent { gb } => sent = *gb,
             _ => {}
         }
     }
--- a/crates/umbersail-rehearsal/src/trouble.rs
+++ b/crates/umbersail-rehearsal/src/trouble.rs
@@ -11,7 +11,7 @@
 use umbersail_runtime::{HostId, NetworkConfig, PartitionMode, WorldHandle, sleep};
 
 use crate::fleet::{Fleet, Machine};
-use crate::history::What;
+use crate::history::EventKind;
 use crate::kv_store_host::KvStoreHost;
 use crate::late::Late;
 use crate::night::{Failure, ROLL_S, Trouble};
@@ -67,12 +67,15 @@
         let trouble = name_of(failure.what);
         let tell = |begins| {
             let trouble = trouble.clone();
-            self.fleet.history.add(What::Trouble { trouble, begins });
+            self.fleet.history.add(EventKind::Fault {
+                fault: trouble,
+                begins,
+            });
         };
         if !self.world.is_simulated() && !failure.what.is_playable_on_loopback() {
             let trouble = format!("{trouble} (left out: not on loopback)");
-            self.fleet.history.add(What::Trouble {
-                trouble,
+            self.fleet.history.add(EventKind::Fault {
+                fault: trouble,
                 begins: true,
             });
             return;
@@ -150,9 +153,9 @@
             let until = self.world.now() + failure.for_s;
             let struck = (machine.name.clone(), until);
             self.struck.borrow_mut().push(struck);
-            self.fleet.history.add(What::Struck {
+            self.fleet.history.add(EventKind::MachineFaulted {
                 machine: machine.name.clone(),
-                trouble: name_of(failure.what),
+                fault: name_of(failure.what),
                 for_s: failure.for_s,
             });
         }
@@ -206,7 +209,7 @@
             };
             machine
                 .worker
-                .lose_all(&self.fleet, crate::history::End::Gone);
+                .lose_all(&self.fleet, crate::history::EndReason::Gone);
             self.world.power_off(machine.host);
             let fleet = self.fleet.clone();
             self.world.spawn(async move {
@@ -561,7 +564,7 @@
         for machine in &machines {
             machine
                 .worker
-                .lose_all(&self.fleet, crate::history::End::Gone);
+                .lose_all(&self.fleet, crate::history::EndReason::Gone);
             self.world.power_off(machine.host);
         }
         let dark = self
--- a/crates/umbersail-rehearsal/src/user_troubles.rs
+++ b/crates/umbersail-rehearsal/src/user_troubles.rs
@@ -13,7 +13,7 @@
 use umbersail_runtime::{Notify, sleep, spawn};
 use umbersail_wire::{JobStage, paths};
 
-use crate::history::{Question, What};
+use crate::history::{EventKind, Question};
 use crate::late::Late;
 use crate::users::{Told, Users};
 
@@ -239,6 +239,6 @@
 
     fn note_cancel(&self, job: &str) {
         (self.fleet().cancelled.borrow_mut()).insert(job.to_owned());
-        self.note(What::CancelAsked { job: job.into() });
+        self.note(EventKind::CancelRequested { job: job.into() });
     }
 }
--- a/crates/umbersail-rehearsal/src/users.rs
+++ b/crates/umbersail-rehearsal/src/users.rs
@@ -14,7 +14,7 @@
 
 use crate::cancellations::Cancellations;
 use crate::fleet::{Fleet, Truth};
-use crate::history::{Question, What};
+use crate::history::{EventKind, Question};
 use crate::night::{self, Class};
 use crate::user_troubles::UserTroubles;
 
@@ -456,7 +456,7 @@
         if told.answer.status < RETRIED_FROM {
             let stage = stage(&told.answer);
             self.note_stage(job, stage);
-            self.note(What::Repeated {
+            self.note(EventKind::Repeated {
                 job: job.into(),
                 status: told.answer.status,
                 stage,
@@ -513,7 +513,7 @@
         self.fleet.world.now()
     }
 
-    pub(crate) fn note(&self, what: What) {
+    pub(crate) fn note(&self, what: EventKind) {
         self.fleet.history.add(what);
     }
 
@@ -528,7 +528,7 @@
     /// True once it is accepted; it is repeated by the protocol's rules.
     async fn submit(&self, line: &Line, spec: &JobSpec, body: &[u8]) -> bool {
         let began = self.fleet.world.now();
-        self.fleet.history.add(What::Asked {
+        self.fleet.history.add(EventKind::Submitted {
             spec: Box::new(spec.clone()),
         });
         loop {
@@ -537,7 +537,7 @@
             let job = spec.id.clone();
             match &answer {
                 Some(told) if matches!(told.answer.status, 200 | 201) => {
-                    self.fleet.history.add(What::Accepted {
+                    self.fleet.history.add(EventKind::Accepted {
                         job,
                         after_s: now - began,
                         question: Some(told.question),
@@ -547,7 +547,7 @@
                 }
                 Some(told) if matches!(told.answer.status, 400 | 422) => {
                     let status = told.answer.status;
-                    self.fleet.history.add(What::Refused { job, status });
+                    self.fleet.history.add(EventKind::Refused { job, status });
                     return false;
                 }
                 _ => {}
@@ -558,7 +558,9 @@
                 .min(30);
             let pause = f64::from(told).max(self.around(1.1));
             if now + pause - began > GIVE_UP_S {
-                self.fleet.history.add(What::Refused { job, status: 0 });
+                self.fleet
+                    .history
+                    .add(EventKind::Refused { job, status: 0 });
                 return false;
             }
             sleep(pause).await;
@@ -570,7 +572,7 @@
         let answer = line.ask("GET", &target, b"", POLL_S).await;
         let stage = answer.as_ref().and_then(|told| stage(&told.answer));
         self.note_stage(job, stage);
-        self.fleet.history.add(What::Polled {
+        self.fleet.history.add(EventKind::Polled {
             job: job.into(),
             status: answer.as_ref().map_or(0, |told| told.answer.status),
             stage,
@@ -583,7 +585,7 @@
         self.fleet.cancelled.borrow_mut().insert(job.to_owned());
         self.fleet
             .history
-            .add(What::CancelAsked { job: job.into() });
+            .add(EventKind::CancelRequested { job: job.into() });
         self.repeat_cancel(line, job).await
     }
 
@@ -621,7 +623,7 @@
         let job = job.to_owned();
         match stage {
             Some(stage @ (JobStage::Cancelled | JobStage::Done)) => {
-                self.note(What::CancelTold {
+                self.note(EventKind::CancelAcknowledged {
                     job,
                     stage,
                     question,
@@ -630,7 +632,7 @@
             }
             _ => {
                 if (400..RETRIED_FROM).contains(&status) {
-                    self.note(What::CancelRefused {
+                    self.note(EventKind::CancelRefused {
                         job,
                         status,
                         question,
--- a/crates/umbersail-rehearsal/src/worker.rs
+++ b/crates/umbersail-rehearsal/src/worker.rs
@@ -18,7 +18,7 @@
 };
 
 use crate::fleet::Fleet;
-use crate::history::{self, End, What};
+use crate::history::{self, EndReason, EventKind};
 use crate::kv_store_host::{answer, wide_limits};
 use crate::night::MachineKind;
 
@@ -218,7 +218,7 @@
     }
 
     /// Every task ends here; what was saved stays.
-    pub fn lose_all(&self, fleet: &Fleet, how: End) {
+    pub fn lose_all(&self, fleet: &Fleet, how: EndReason) {
         let keys: Vec<(String, u32, u64)> = {
             let state = self.state.borrow();
             let active = state
@@ -262,7 +262,7 @@
             (now - state.renewed) * self.clock_rate > fleet.night.workers.lease_s
         };
         if over {
-            self.lose_all(fleet, End::Lapsed);
+            self.lose_all(fleet, EndReason::Lapsed);
             let mut state = self.state.borrow_mut();
             state.session += 1;
             state.renewed = now;
@@ -300,11 +300,13 @@
         };
         for (key, state) in due {
             match state {
-                TaskState::Saving => self.exit(fleet, &key, ExitCause::Stopped, End::Stopped, true),
+                TaskState::Saving => {
+                    self.exit(fleet, &key, ExitCause::Stopped, EndReason::Stopped, true)
+                }
                 _ if self.faulty.get() || fleet.is_mistaken(&key.0) => {
-                    self.exit(fleet, &key, ExitCause::Error, End::Error, false)
+                    self.exit(fleet, &key, ExitCause::Error, EndReason::Error, false)
                 }
-                _ => self.exit(fleet, &key, ExitCause::Done, End::Done, false),
+                _ => self.exit(fleet, &key, ExitCause::Done, EndReason::Done, false),
             }
         }
     }
@@ -361,7 +363,7 @@
         }
         state.changed = true;
         drop(state);
-        fleet.history.add(What::Started {
+        fleet.history.add(EventKind::Started {
             machine: self.name.clone(),
             job: job.clone(),
             task: *number,
@@ -375,7 +377,7 @@
         fleet: &Fleet,
         key: &(String, u32, u64),
         cause: ExitCause,
-        how: End,
+        how: EndReason,
         kept: bool,
     ) {
         let now = fleet.world.now();
@@ -402,7 +404,7 @@
         drop(state);
         self.wake.notify_all();
         if !ran {
-            fleet.history.add(What::Withdrawn {
+            fleet.history.add(EventKind::Withdrawn {
                 machine: self.name.clone(),
                 job: key.0.clone(),
                 task: key.1,
@@ -414,7 +416,7 @@
         let spec = fleet.jobs.borrow().get(&key.0).map(|j| j.spec.clone());
         let step = spec.as_ref().map_or(0.0, |s| s.checkpoint_s());
         let useful_s = match how {
-            End::Done => {
+            EndReason::Done => {
                 fleet.saved.borrow_mut().remove(&id);
                 let is_new = fleet.results.borrow_mut().insert(id);
                 if is_new {
@@ -422,7 +424,7 @@
                 }
                 if is_new { made } else { 0.0 }
             }
-            End::Error => 0.0,
+            EndReason::Error => 0.0,
             _ if spec
                 .as_ref()
                 .is_some_and(|s| s.kind == umbersail_wire::JobKind::Service) =>
@@ -442,7 +444,7 @@
             }
             _ => 0.0,
         };
-        fleet.history.add(What::Ended {
+        fleet.history.add(EventKind::Ended {
             machine: self.name.clone(),
             job: key.0.clone(),
             task: key.1,
@@ -511,7 +513,7 @@
         let response = self.direct(fleet, request);
         if let Some(held_s) = held.and_then(|late| random(|rng| late.draw(rng))) {
             sleep(held_s).await;
-            fleet.history.add(What::LateAnswer {
+            fleet.history.add(EventKind::LateAnswer {
                 machine: self.name.clone(),
                 held_s: (held_s * 1e6).round() / 1e6,
                 status: response.status,
@@ -527,21 +529,21 @@
         let how = decode::<DirectCommands>(&request.body).ok().map(|order| {
             let state = self.state.borrow();
             let how = match order.token.cmp(&state.token) {
-                Ordering::Less => history::Late::StaleToken,
-                _ if order.session != state.session => history::Late::StaleSession,
-                Ordering::Equal => history::Late::SameToken,
-                Ordering::Greater => history::Late::HigherToken,
+                Ordering::Less => history::CommandFreshness::StaleToken,
+                _ if order.session != state.session => history::CommandFreshness::StaleSession,
+                Ordering::Equal => history::CommandFreshness::SameToken,
+                Ordering::Greater => history::CommandFreshness::HigherToken,
             };
             (how, order.token >> GRANT_SHIFT < state.token >> GRANT_SHIFT)
         });
         let response = self.direct(fleet, request);
         if let Some((how, from_former)) = how {
-            fleet.history.add(What::LateCommand {
+            fleet.history.add(EventKind::LateCommand {
                 machine: self.name.clone(),
                 held_s: (held_s * 1e6).round() / 1e6,
                 status: response.status,
                 how,
-                from_former,
+                sees_newer_leader: from_former,
             });
         }
         response
@@ -634,7 +636,7 @@
         if refused.is_some() {
             return;
         }
-        fleet.history.add(What::Launched {
+        fleet.history.add(EventKind::Launched {
             machine: self.name.clone(),
             job: key.0.clone(),
             task: key.1,
@@ -681,7 +683,7 @@
         }
         let image = task.image.clone();
         drop(state);
-        self.exit(fleet, key, ExitCause::Stopped, End::Stopped, false);
+        self.exit(fleet, key, ExitCause::Stopped, EndReason::Stopped, false);
         // A fetch that nobody waits for is given up.
         let mut state = self.state.borrow_mut();
         let wanted = state
--- a/crates/umbersail-rehearsal/tests/nights/all_away.rs
+++ b/crates/umbersail-rehearsal/tests/nights/all_away.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeSet;
 
-use umbersail_rehearsal::history::{End, Event, What};
+use umbersail_rehearsal::history::{EndReason, Event, EventKind};
 use umbersail_rehearsal::{Night, Outcome};
 
 use crate::harness::{Attempt, attempts, elections, failure, holds, seeds, shop};
@@ -35,8 +35,8 @@
     let lapsed = |e: &&Event| {
         matches!(
             &e.what,
-            What::Ended {
-                how: End::Lapsed,
+            EventKind::Ended {
+                how: EndReason::Lapsed,
                 ..
             }
         )
@@ -48,7 +48,7 @@
         lost >= 5,
         "seed {seed}: {lost} tasks lost with their leases"
     );
-    let is_start = |e: &&Event| matches!(&e.what, What::Started { .. });
+    let is_start = |e: &&Event| matches!(&e.what, EventKind::Started { .. });
     let starts = |from: f64, to: f64| {
         let starts = events.iter().filter(is_start);
         starts.filter(|e| (from..to).contains(&e.t)).count()
@@ -67,7 +67,7 @@
 fn done_twice(events: &[Event]) -> Vec<(String, u32)> {
     let attempts = attempts(events);
     let before = AWAY_AT_S - RECORDED_S;
-    let done = |a: &&Attempt| a.how == Some(End::Done) && a.to < before;
+    let done = |a: &&Attempt| a.how == Some(EndReason::Done) && a.to < before;
     let done: BTreeSet<(String, u32)> = (attempts.iter().filter(done))
         .map(|a| (a.job.clone(), a.task))
         .collect();
--- a/crates/umbersail-rehearsal/tests/nights/bad_submissions.rs
+++ b/crates/umbersail-rehearsal/tests/nights/bad_submissions.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeSet;
 
 use umbersail_rehearsal::Night;
-use umbersail_rehearsal::history::{Event, What};
+use umbersail_rehearsal::history::{Event, EventKind};
 
 use crate::harness::{each, failure, keeps_the_rules, seeds, shop};
 
@@ -84,7 +84,7 @@
 
 fn answers<'a>(events: &'a [Event]) -> Vec<Answer<'a>> {
     let answer = |event: &'a Event| match &event.what {
-        What::InvalidSubmission {
+        EventKind::InvalidSubmission {
             defect,
             wanted,
             status,
--- a/crates/umbersail-rehearsal/tests/nights/cancel_now.rs
+++ b/crates/umbersail-rehearsal/tests/nights/cancel_now.rs
@@ -2,7 +2,7 @@
 //! hang just then.
 
 use umbersail_rehearsal::Night;
-use umbersail_rehearsal::history::{Event, What};
+use umbersail_rehearsal::history::{Event, EventKind};
 
 use crate::harness::{cancelled_while_running, failure, keeps_the_rules, seeds, shop, struck};
 
@@ -28,7 +28,7 @@
 }
 
 fn asked_at(events: &[Event]) -> Vec<f64> {
-    let asked = |e: &&Event| matches!(e.what, What::CancelAsked { .. });
+    let asked = |e: &&Event| matches!(e.what, EventKind::CancelRequested { .. });
     events.iter().filter(asked).map(|e| e.t).collect()
 }
 
--- a/crates/umbersail-rehearsal/tests/nights/cancellations_during_elections.rs
+++ b/crates/umbersail-rehearsal/tests/nights/cancellations_during_elections.rs
@@ -6,7 +6,7 @@
 
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
-use umbersail_rehearsal::history::{Event, What};
+use umbersail_rehearsal::history::{Event, EventKind};
 use umbersail_rehearsal::{Night, Outcome};
 use umbersail_wire::JobStage;
 
@@ -67,7 +67,7 @@
         }
         let starts = first_start(&all, elected);
         for event in events {
-            let What::CancelTold {
+            let EventKind::CancelAcknowledged {
                 stage: JobStage::Cancelled,
                 question: Some(question),
                 ..
@@ -111,7 +111,7 @@
 fn starts_after(events: &[Event]) -> Vec<f64> {
     let told: BTreeMap<&str, f64> = (events.iter())
         .filter_map(|e| match &e.what {
-            What::CancelTold {
+            EventKind::CancelAcknowledged {
                 job,
                 stage: JobStage::Cancelled,
                 ..
--- a/crates/umbersail-rehearsal/tests/nights/close_looks.rs
+++ b/crates/umbersail-rehearsal/tests/nights/close_looks.rs
@@ -1,7 +1,7 @@
 //! Users ask at all controllers within milliseconds, and repeat the submission, right
 //! after a job was accepted, ended or was cancelled.
 
-use umbersail_rehearsal::history::{Event, Question, What};
+use umbersail_rehearsal::history::{Event, EventKind, Question};
 use umbersail_rehearsal::{Failure, Night, Trouble};
 use umbersail_wire::JobStage;
 
@@ -40,24 +40,24 @@
 
 fn answers<'a>(events: &'a [Event]) -> Vec<Answered<'a>> {
     let answer = |event: &'a Event| match &event.what {
-        What::Polled {
+        EventKind::Polled {
             job,
             status,
             stage,
             question: Some(question),
         }
-        | What::Repeated {
+        | EventKind::Repeated {
             job,
             status,
             stage,
             question: Some(question),
         } => Some((job.as_str(), *status, *stage, *question)),
-        What::Accepted {
+        EventKind::Accepted {
             job,
             question: Some(question),
             ..
         } => Some((job.as_str(), 200, None, *question)),
-        What::CancelTold {
+        EventKind::CancelAcknowledged {
             job,
             stage,
             question: Some(question),
--- a/crates/umbersail-rehearsal/tests/nights/gap.rs
+++ b/crates/umbersail-rehearsal/tests/nights/gap.rs
@@ -4,7 +4,7 @@
 
 use std::sync::atomic::{AtomicUsize, Ordering};
 
-use umbersail_rehearsal::history::{Event, What};
+use umbersail_rehearsal::history::{Event, EventKind};
 use umbersail_rehearsal::{Night, Outcome};
 
 use crate::harness::{
@@ -176,7 +176,7 @@
     // Guards against what is confirmed while the leader's next watch is still on its way
     // to a service that is out when it arrives; users ask all the while.
     for outcome in slow_then_out("", &seeds(1)) {
-        let answered = |e: &&Event| matches!(&e.what, What::Polled { status: 200, .. });
+        let answered = |e: &&Event| matches!(&e.what, EventKind::Polled { status: 200, .. });
         let polls = outcome.events.iter().filter(answered);
         let in_outage = polls.filter(|e| e.t > OUT_AT_S + 5.0 && e.t < OUT_AT_S + 60.0);
         assert!(in_outage.count() > 0, "seed {}", outcome.seed);
--- a/crates/umbersail-rehearsal/tests/nights/harness.rs
+++ b/crates/umbersail-rehearsal/tests/nights/harness.rs
@@ -2,7 +2,7 @@
 
 use std::sync::atomic::{AtomicUsize, Ordering};
 
-use umbersail_rehearsal::history::{End, Event, What};
+use umbersail_rehearsal::history::{EndReason, Event, EventKind};
 use umbersail_rehearsal::{Night, Outcome, bundled, play, play_many};
 use umbersail_wire::JobStage;
 
@@ -15,8 +15,7 @@
 
 /// The moments at which a trouble begins, in seconds.
 pub fn begins_at(events: &[Event], name: &str) -> Vec<f64> {
-    let begins =
-        |e: &&Event| matches!(&e.what, What::Trouble { trouble, begins: true } if trouble == name);
+    let begins = |e: &&Event| matches!(&e.what, EventKind::Fault { fault: trouble, begins: true } if trouble == name);
     events.iter().filter(begins).map(|e| e.t).collect()
 }
 
@@ -76,7 +75,7 @@
     pub from: f64,
     /// Infinite if it did not end.
     pub to: f64,
-    pub how: Option<End>,
+    pub how: Option<EndReason>,
 }
 
 impl Attempt {
@@ -95,7 +94,7 @@
     let mut all: Vec<Attempt> = Vec::new();
     for event in events {
         match &event.what {
-            What::Started {
+            EventKind::Started {
                 machine,
                 job,
                 task,
@@ -109,7 +108,7 @@
                 to: f64::INFINITY,
                 how: None,
             }),
-            What::Ended {
+            EventKind::Ended {
                 machine,
                 job,
                 task,
@@ -135,9 +134,9 @@
 /// Machines that the trouble took: from when, until when, and which.
 pub fn struck<'a>(events: &'a [Event], name: &str) -> Vec<(f64, f64, &'a str)> {
     let took = |e: &'a Event| match &e.what {
-        What::Struck {
+        EventKind::MachineFaulted {
             machine,
-            trouble,
+            fault: trouble,
             for_s,
         } if trouble == name => Some((e.t, e.t + for_s, machine.as_str())),
         _ => None,
@@ -175,7 +174,7 @@
 pub fn elections(events: &[Event]) -> Vec<(f64, &str)> {
     let mut all = Vec::new();
     for event in events {
-        if let What::Elected { member } = &event.what {
+        if let EventKind::Elected { member } = &event.what {
             all.push((event.t, member.as_str()));
         }
     }
@@ -214,7 +213,7 @@
     let runs =
         |job: &str, t: f64| (attempts.iter()).any(|a| a.job == job && a.from < t && t < a.to);
     let told = events.iter().filter_map(|e| match &e.what {
-        What::CancelTold {
+        EventKind::CancelAcknowledged {
             job,
             stage: JobStage::Cancelled,
             ..
--- a/crates/umbersail-rehearsal/tests/nights/held_commands.rs
+++ b/crates/umbersail-rehearsal/tests/nights/held_commands.rs
@@ -3,7 +3,7 @@
 
 use std::collections::BTreeMap;
 
-use umbersail_rehearsal::history::{Event, Late, What};
+use umbersail_rehearsal::history::{CommandFreshness, Event, EventKind};
 
 use crate::harness::{holds, seeds, shop, struck};
 
@@ -24,9 +24,9 @@
 
 /// Commands that came late: when, to which machine, held for how long, the status
 /// of the answer, and how they stood.
-fn late_commands<'a>(events: &'a [Event]) -> Vec<(f64, &'a str, f64, u16, Late)> {
+fn late_commands<'a>(events: &'a [Event]) -> Vec<(f64, &'a str, f64, u16, CommandFreshness)> {
     let late = |e: &'a Event| match &e.what {
-        What::LateCommand {
+        EventKind::LateCommand {
             machine,
             held_s,
             status,
@@ -43,8 +43,8 @@
     let is_one = |e: &&Event| {
         matches!(
             &e.what,
-            What::LateCommand {
-                from_former: true,
+            EventKind::LateCommand {
+                sees_newer_leader: true,
                 ..
             }
         )
@@ -77,14 +77,17 @@
             "[[failures]]\nwhat = \"controller-crash\"\nat_s = {at}\nwho = \"leader\"\nback_s = {back}\n"
         );
     }
-    let mut met: BTreeMap<(Late, When), usize> = BTreeMap::new();
+    let mut met: BTreeMap<(CommandFreshness, When), usize> = BTreeMap::new();
     let mut of_former = 0;
     for outcome in holds(&shop(150.0, &failures), &seeds(4)) {
         of_former += of_former_leaders(&outcome.events);
         let hung = struck(&outcome.events, "machines-hang");
         for (t, machine, held_s, status, how) in late_commands(&outcome.events) {
             assert!((LEAST_S..=MOST_S).contains(&held_s));
-            let obeyed = matches!(how, Late::HigherToken | Late::SameToken);
+            let obeyed = matches!(
+                how,
+                CommandFreshness::HigherToken | CommandFreshness::SameToken
+            );
             assert_eq!(status, if obeyed { 200 } else { 409 }, "{how:?}");
             // It came before the hang or during it, and was carried out as the machine
             // went on or after that.
@@ -101,7 +104,11 @@
     }
     println!("{met:?}; {of_former} of leaders before");
     assert!(of_former > 10, "{of_former}");
-    for how in [Late::SameToken, Late::StaleToken, Late::StaleSession] {
+    for how in [
+        CommandFreshness::SameToken,
+        CommandFreshness::StaleToken,
+        CommandFreshness::StaleSession,
+    ] {
         for when in [When::GivenUp, When::AfterAHang] {
             assert!(
                 met.contains_key(&(how, when)),
@@ -110,7 +117,8 @@
         }
     }
     assert!(
-        met.keys().any(|(how, _)| *how == Late::HigherToken),
+        met.keys()
+            .any(|(how, _)| *how == CommandFreshness::HigherToken),
         "{met:?}"
     );
 }
--- a/crates/umbersail-rehearsal/tests/nights/last_task.rs
+++ b/crates/umbersail-rehearsal/tests/nights/last_task.rs
@@ -3,7 +3,7 @@
 
 use std::collections::BTreeMap;
 
-use umbersail_rehearsal::history::{Event, What};
+use umbersail_rehearsal::history::{Event, EventKind};
 use umbersail_rehearsal::{Failure, Outcome, Trouble};
 use umbersail_wire::JobStage;
 
@@ -24,8 +24,8 @@
     let (mut done, mut cancelled) = (0, 0);
     for event in events {
         match &event.what {
-            What::CancelAsked { job } => drop(asked.insert(job, event.t)),
-            What::CancelTold { job, stage, .. } => {
+            EventKind::CancelRequested { job } => drop(asked.insert(job, event.t)),
+            EventKind::CancelAcknowledged { job, stage, .. } => {
                 let (Some(end), Some(asked)) = (ends.get(job), asked.get(job.as_str())) else {
                     continue;
                 };
@@ -108,7 +108,9 @@
         outcome.figures.breaches
     );
     let told = outcome.events.iter().find_map(|e| match &e.what {
-        What::CancelTold { job, stage, .. } if Some(job) == of.as_ref() => Some(*stage),
+        EventKind::CancelAcknowledged { job, stage, .. } if Some(job) == of.as_ref() => {
+            Some(*stage)
+        }
         _ => None,
     });
     told.expect("the cancellation was answered")
--- a/crates/umbersail-rehearsal/tests/nights/late_writes.rs
+++ b/crates/umbersail-rehearsal/tests/nights/late_writes.rs
@@ -2,7 +2,7 @@
 //! later, after newer ones: by themselves, and with other troubles.
 
 use umbersail_rehearsal::Outcome;
-use umbersail_rehearsal::history::What;
+use umbersail_rehearsal::history::EventKind;
 
 use crate::harness::{begins_at, holds, seeds, shop};
 
@@ -20,7 +20,7 @@
     let mut met = vec![0; prefixes.len()];
     for outcome in outcomes {
         for event in &outcome.events {
-            let What::LateWrite {
+            let EventKind::LateWrite {
                 keys,
                 applied,
                 overtaken,
@@ -104,7 +104,7 @@
             .map(|at| at + 9.0)
             .collect();
         let late = o.events.iter();
-        late.filter(|e| matches!(e.what, What::LateWrite { .. }))
+        late.filter(|e| matches!(e.what, EventKind::LateWrite { .. }))
             .filter(|e| ends.iter().any(|end| (0.0..0.2).contains(&(e.t - end))))
             .count()
     };
--- a/crates/umbersail-rehearsal/tests/nights/lost_answers.rs
+++ b/crates/umbersail-rehearsal/tests/nights/lost_answers.rs
@@ -4,7 +4,7 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use umbersail_rehearsal::history::{Event, What};
+use umbersail_rehearsal::history::{Event, EventKind};
 
 use umbersail_rehearsal::{Night, Outcome, Run};
 
@@ -67,7 +67,7 @@
 fn lost(events: &[Event], kind: Kind) -> Vec<(f64, String)> {
     let mut jobs = Vec::new();
     for event in events {
-        let What::LostAnswer {
+        let EventKind::LostAnswer {
             conditions,
             puts,
             deletes,
@@ -94,7 +94,7 @@
 fn meets(outcomes: &[Outcome], least: &[(Kind, usize)]) {
     let mut met: BTreeMap<Kind, usize> = BTreeMap::new();
     for event in outcomes.iter().flat_map(|o| &o.events) {
-        if let What::LostAnswer {
+        if let EventKind::LostAnswer {
             conditions,
             puts,
             deletes,
@@ -123,20 +123,20 @@
         let refused = events.iter().find(|e| {
             matches!(
                 &e.what,
-                What::Refused { .. } | What::Repeated { status: 201.., .. }
+                EventKind::Refused { .. } | EventKind::Repeated { status: 201.., .. }
             )
         });
         assert!(refused.is_none(), "seed {seed}: {refused:?}");
-        let told = |id: &str, since: f64, is: &dyn Fn(&What) -> Option<String>| {
+        let told = |id: &str, since: f64, is: &dyn Fn(&EventKind) -> Option<String>| {
             let mut later = events.iter().filter(|e| e.t >= since);
             later.any(|e| is(&e.what).as_deref() == Some(id))
         };
-        let accepts = |what: &What| match what {
-            What::Accepted { job, .. } => Some(job.clone()),
+        let accepts = |what: &EventKind| match what {
+            EventKind::Accepted { job, .. } => Some(job.clone()),
             _ => None,
         };
-        let cancels = |what: &What| match what {
-            What::CancelTold { job, .. } => Some(job.clone()),
+        let cancels = |what: &EventKind| match what {
+            EventKind::CancelAcknowledged { job, .. } => Some(job.clone()),
             _ => None,
         };
         for (t, job) in lost(events, Kind::Acceptance) {
@@ -159,7 +159,7 @@
 fn no_conflict_with_oneself(outcomes: &[Outcome]) {
     for outcome in outcomes {
         let by_itself = |event: &&Event| match &event.what {
-            What::Conflict { failed, .. } => {
+            EventKind::Conflict { failed, .. } => {
                 let is_leaders = |key: &String| LEADERS.iter().any(|p| key.starts_with(p));
                 failed.iter().any(is_leaders) && !failed.iter().any(|key| key == "leader")
             }
@@ -175,7 +175,7 @@
     let of_one = |outcome: &Outcome| {
         let lost = lost(&outcome.events, Kind::Progress);
         let starts = |e: &&Event| match &e.what {
-            What::Started { job, .. } => lost
+            EventKind::Started { job, .. } => lost
                 .iter()
                 .any(|(t, id)| id == job && (0.0..5.0).contains(&(e.t - t))),
             _ => false,
--- a/crates/umbersail-rehearsal/tests/nights/mute_machines.rs
+++ b/crates/umbersail-rehearsal/tests/nights/mute_machines.rs
@@ -2,7 +2,7 @@
 //! them and are answered: what runs on them lives for a lease, and is accounted for
 //! before it is started again, also under a new leader.
 
-use umbersail_rehearsal::history::{End, Event, What};
+use umbersail_rehearsal::history::{EndReason, Event, EventKind};
 use umbersail_rehearsal::{Night, Outcome};
 
 use crate::harness::{
@@ -61,7 +61,7 @@
                 .iter()
                 .any(|a| (&a.job, a.task) == (&attempt.job, attempt.task) && a.from >= attempt.to);
             met.went_on += usize::from(attempt.to > until);
-            if attempt.how == Some(End::Lapsed) {
+            if attempt.how == Some(EndReason::Lapsed) {
                 met.lapsed += 1;
                 met.again += usize::from(again);
             }
@@ -116,7 +116,7 @@
 /// For how many seconds answers were held.
 fn late_answers(events: &[Event]) -> Vec<f64> {
     let late = |e: &Event| match &e.what {
-        What::LateAnswer { held_s, .. } => Some(*held_s),
+        EventKind::LateAnswer { held_s, .. } => Some(*held_s),
         _ => None,
     };
     events.iter().filter_map(late).collect()
--- a/crates/umbersail-rehearsal/tests/nights/old_reports.rs
+++ b/crates/umbersail-rehearsal/tests/nights/old_reports.rs
@@ -4,7 +4,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 use umbersail_rehearsal::Outcome;
-use umbersail_rehearsal::history::{Event, What};
+use umbersail_rehearsal::history::{Event, EventKind};
 
 use crate::harness::{begins_at, holds, seeds, shop};
 
@@ -16,8 +16,8 @@
         let ended: Vec<f64> = begins_at(&outcome.events, "controller-crash");
         for Event { t, what } in &outcome.events {
             match what {
-                What::MachineGone { machine, .. } => drop(gone.insert(machine)),
-                What::LateReport {
+                EventKind::MachineGone { machine, .. } => drop(gone.insert(machine)),
+                EventKind::LateHeartbeat {
                     machine,
                     node,
                     status,
--- a/crates/umbersail-rehearsal/tests/nights/one_task_jobs.rs
+++ b/crates/umbersail-rehearsal/tests/nights/one_task_jobs.rs
@@ -3,7 +3,7 @@
 
 use std::collections::BTreeMap;
 
-use umbersail_rehearsal::history::{Event, What};
+use umbersail_rehearsal::history::{Event, EventKind};
 use umbersail_rehearsal::{Figures, Night};
 
 use crate::harness::{holds, seeds, shop};
@@ -41,9 +41,9 @@
 
 fn state(events: &[Event]) -> State<'_> {
     let told = events.iter().rev().find_map(|e| match &e.what {
-        What::State {
+        EventKind::StateSample {
             changes,
-            standing,
+            live_keys: standing,
             requests,
             refused,
         } => Some(State {
@@ -63,8 +63,8 @@
     let mut soon = 0;
     for event in events {
         match &event.what {
-            What::Accepted { job, .. } => drop(accepted.insert(job.as_str(), event.t)),
-            What::CancelAsked { job } => {
+            EventKind::Accepted { job, .. } => drop(accepted.insert(job.as_str(), event.t)),
+            EventKind::CancelRequested { job } => {
                 soon += usize::from(
                     accepted
                         .get(job.as_str())
--- a/crates/umbersail-rehearsal/tests/nights/overload.rs
+++ b/crates/umbersail-rehearsal/tests/nights/overload.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use umbersail_rehearsal::history::{Event, What};
+use umbersail_rehearsal::history::{Event, EventKind};
 use umbersail_rehearsal::{Night, Priority};
 
 use crate::harness::{failure, keeps_the_rules, seeds, shop};
@@ -42,14 +42,15 @@
 
 /// Seconds in which more tasks waited than could be on their way.
 fn overload_s(events: &[Event]) -> usize {
-    let waits = |e: &&Event| matches!(e.what, What::Level { waiting, .. } if waiting > WAITING);
+    let waits =
+        |e: &&Event| matches!(e.what, EventKind::UsageSample { waiting, .. } if waiting > WAITING);
     events.iter().filter(waits).count()
 }
 
 /// How long acceptances took at the median: two ways over slow links, at the least.
 fn accepted_after_s(events: &[Event]) -> f64 {
     let after = events.iter().filter_map(|e| match &e.what {
-        What::Accepted { after_s, .. } => Some(*after_s),
+        EventKind::Accepted { after_s, .. } => Some(*after_s),
         _ => None,
     });
     median(after.collect())
@@ -66,8 +67,8 @@
     let mut began: BTreeMap<&str, f64> = BTreeMap::new();
     for event in events {
         match &event.what {
-            What::Asked { spec } => drop(asked.insert(&spec.id, (event.t, &spec.class))),
-            What::Started { job, .. } => drop(began.entry(job).or_insert(event.t)),
+            EventKind::Submitted { spec } => drop(asked.insert(&spec.id, (event.t, &spec.class))),
+            EventKind::Started { job, .. } => drop(began.entry(job).or_insert(event.t)),
             _ => {}
         }
     }
--- a/crates/umbersail-rehearsal/tests/nights/quick_machines.rs
+++ b/crates/umbersail-rehearsal/tests/nights/quick_machines.rs
@@ -6,7 +6,7 @@
 use std::ops::Range;
 use std::sync::atomic::{AtomicUsize, Ordering};
 
-use umbersail_rehearsal::history::{Event, What};
+use umbersail_rehearsal::history::{Event, EventKind};
 use umbersail_rehearsal::{Night, Outcome};
 
 use crate::harness::{begins_at, each, failure, holds, keeps_the_rules, played, seeds, shop};
@@ -44,7 +44,7 @@
 /// The first moments of each machine that was rented in the night.
 fn courses(events: &[Event]) -> BTreeMap<&str, Course> {
     let rented = events.iter().filter_map(|e| match &e.what {
-        What::Rented { machine, .. } => Some(machine.as_str()),
+        EventKind::Rented { machine, .. } => Some(machine.as_str()),
         _ => None,
     });
     let names: Vec<&str> = rented.skip(AT_START).collect();
@@ -58,11 +58,11 @@
             }
         };
         match &event.what {
-            What::Up { machine } => set(machine, |c| &mut c.up),
-            What::Listed { machine } => set(machine, |c| &mut c.listed),
-            What::Granted { machine } => set(machine, |c| &mut c.granted),
-            What::Launched { machine, .. } => set(machine, |c| &mut c.launched),
-            What::RentalAnswered { machines } => {
+            EventKind::Up { machine } => set(machine, |c| &mut c.up),
+            EventKind::Listed { machine } => set(machine, |c| &mut c.listed),
+            EventKind::Granted { machine } => set(machine, |c| &mut c.granted),
+            EventKind::Launched { machine, .. } => set(machine, |c| &mut c.launched),
+            EventKind::RentalAnswered { machines } => {
                 for machine in machines {
                     set(machine, |c| &mut c.answered);
                 }
@@ -86,7 +86,7 @@
 fn later_launch(events: &[Event]) -> f64 {
     let courses = courses(events);
     let later = events.iter().find(|e| match &e.what {
-        What::Launched { machine, .. } => {
+        EventKind::Launched { machine, .. } => {
             let first = courses.get(machine.as_str()).and_then(|c| c.launched);
             first.is_some_and(|first| e.t > first + 1.0)
         }
--- a/crates/umbersail-rehearsal/tests/nights/reports_for_successors.rs
+++ b/crates/umbersail-rehearsal/tests/nights/reports_for_successors.rs
@@ -4,7 +4,7 @@
 use std::collections::BTreeMap;
 
 use umbersail_rehearsal::Night;
-use umbersail_rehearsal::history::{Event, What};
+use umbersail_rehearsal::history::{Event, EventKind};
 
 use crate::harness::{attempts, elections, failure, first_start, holds, seeds, shop};
 
@@ -35,7 +35,7 @@
     let elections = elections(events);
     let all = attempts(events);
     for Event { t, what } in events {
-        let What::LateReport {
+        let EventKind::LateHeartbeat {
             node,
             status,
             took_s,
--- a/crates/umbersail-rehearsal/tests/nights/small_arrays.rs
+++ b/crates/umbersail-rehearsal/tests/nights/small_arrays.rs
@@ -6,7 +6,7 @@
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use umbersail_rehearsal::Night;
-use umbersail_rehearsal::history::{End, Event, What};
+use umbersail_rehearsal::history::{EndReason, Event, EventKind};
 use umbersail_wire::JobStage;
 
 use crate::harness::{Attempt, attempts, begins_at, each, elections, failure, holds, seeds, shop};
@@ -33,7 +33,7 @@
     let mut ends: BTreeMap<String, Vec<f64>> = BTreeMap::new();
     let all = attempts(events);
     let lapsed = |machine: &str, from: f64, to: f64| {
-        let lapses = |a: &Attempt| a.how == Some(End::Lapsed) && from < a.to && a.to < to;
+        let lapses = |a: &Attempt| a.how == Some(EndReason::Lapsed) && from < a.to && a.to < to;
         all.iter().any(|a| a.machine == machine && lapses(a))
     };
     for attempt in all.clone() {
@@ -50,7 +50,7 @@
                 "{job}/{task} was done at {t} s on {machine} and began again at {from} s"
             );
         }
-        if attempt.how == Some(End::Done) {
+        if attempt.how == Some(EndReason::Done) {
             done.insert((job.clone(), task), (attempt.to, attempt.machine));
             ends.entry(job).or_default().push(attempt.to);
         }
@@ -62,7 +62,7 @@
 /// When somebody was first told that the job is done.
 fn told_done(events: &[Event], of: &str) -> Option<f64> {
     let told = events.iter().find(|e| match &e.what {
-        What::Polled { job, stage, .. } | What::Repeated { job, stage, .. } => {
+        EventKind::Polled { job, stage, .. } | EventKind::Repeated { job, stage, .. } => {
             job == of && *stage == Some(JobStage::Done)
         }
         _ => false,
@@ -71,7 +71,8 @@
 }
 
 fn gone_at(events: &[Event], of: &str) -> Option<f64> {
-    let gone = |e: &&Event| matches!(&e.what, What::MachineGone { machine, .. } if machine == of);
+    let gone =
+        |e: &&Event| matches!(&e.what, EventKind::MachineGone { machine, .. } if machine == of);
     events.iter().find(gone).map(|e| e.t)
 }
 
--- a/crates/umbersail-rehearsal/tests/nights/sweep.rs
+++ b/crates/umbersail-rehearsal/tests/nights/sweep.rs
@@ -8,7 +8,7 @@
 //! let outcomes = sweep.around(moment, &offsets(0.3, 0.05), |at_s| vec![failure_at(at_s)]);
 //! ```
 
-use umbersail_rehearsal::history::{End, Event, What};
+use umbersail_rehearsal::history::{EndReason, Event, EventKind};
 use umbersail_rehearsal::{Failure, Night, Outcome, Trouble, play_many};
 use umbersail_wire::JobStage;
 
@@ -94,16 +94,16 @@
         }
         let moment = |event: &Event| {
             let job = match (&event.what, anchor) {
-                (What::Accepted { job, .. }, Anchor::Acceptance) => Some(job.clone()),
+                (EventKind::Accepted { job, .. }, Anchor::Acceptance) => Some(job.clone()),
                 (
-                    What::CancelTold {
+                    EventKind::CancelAcknowledged {
                         job,
                         stage: JobStage::Cancelled,
                         ..
                     },
                     Anchor::Cancellation,
                 ) => Some(job.clone()),
-                (What::Elected { .. }, Anchor::Election) => None,
+                (EventKind::Elected { .. }, Anchor::Election) => None,
                 _ => return None,
             };
             Some(Moment { t: event.t, job })
@@ -161,12 +161,12 @@
     let mut all: Vec<(f64, String)> = Vec::new();
     let attempts = attempts(events);
     for event in events {
-        let What::Asked { spec } = &event.what else {
+        let EventKind::Submitted { spec } = &event.what else {
             continue;
         };
         let its = attempts
             .iter()
-            .filter(|a| a.job == spec.id && a.how == Some(End::Done));
+            .filter(|a| a.job == spec.id && a.how == Some(EndReason::Done));
         let mut ends: Vec<(u32, f64)> = its.map(|a| (a.task, a.to)).collect();
         ends.sort_by(|a, b| a.1.total_cmp(&b.1));
         let mut tasks = std::collections::BTreeSet::new();
--- a/crates/umbersail-rehearsal/tests/nights/teams_at_limits.rs
+++ b/crates/umbersail-rehearsal/tests/nights/teams_at_limits.rs
@@ -4,7 +4,7 @@
 
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
-use umbersail_rehearsal::history::{Event, What};
+use umbersail_rehearsal::history::{Event, EventKind};
 use umbersail_rehearsal::{Night, Outcome, Team};
 
 use crate::harness::{
@@ -73,9 +73,9 @@
     let mut its_jobs = std::collections::BTreeSet::new();
     for event in events {
         match &event.what {
-            What::Asked { spec } if spec.team == team => drop(its_jobs.insert(&*spec.id)),
-            What::Started { job, .. } if its_jobs.contains(&**job) => used += TASK_CPUS,
-            What::Ended { job, .. } if its_jobs.contains(&**job) => used -= TASK_CPUS,
+            EventKind::Submitted { spec } if spec.team == team => drop(its_jobs.insert(&*spec.id)),
+            EventKind::Started { job, .. } if its_jobs.contains(&**job) => used += TASK_CPUS,
+            EventKind::Ended { job, .. } if its_jobs.contains(&**job) => used -= TASK_CPUS,
             _ => continue,
         }
         steps.push((event.t, used));
@@ -86,7 +86,7 @@
 /// The team that a job was submitted for.
 fn team_of<'a>(events: &'a [Event], job: &str) -> Option<&'a str> {
     events.iter().find_map(|e| match &e.what {
-        What::Asked { spec } if spec.id == job => Some(&*spec.team),
+        EventKind::Submitted { spec } if spec.id == job => Some(&*spec.team),
         _ => None,
     })
 }
@@ -122,8 +122,8 @@
     let mut count = 0;
     for event in events {
         match &event.what {
-            What::Asked { spec } if spec.team == team => drop(its_jobs.insert(&*spec.id)),
-            What::Started { job, .. } if its_jobs.contains(&**job) => {
+            EventKind::Submitted { spec } if spec.team == team => drop(its_jobs.insert(&*spec.id)),
+            EventKind::Started { job, .. } if its_jobs.contains(&**job) => {
                 count += usize::from(event.t >= from && event.t <= to);
             }
             _ => {}
@@ -177,7 +177,7 @@
     let lapsed = all.iter().filter(|a| {
         let told = told.iter().find(|(_, job)| *job == a.job);
         told.is_some_and(|(t, _)| a.from < *t && *t < a.to)
-            && a.how == Some(umbersail_rehearsal::history::End::Lapsed)
+            && a.how == Some(umbersail_rehearsal::history::EndReason::Lapsed)
     });
     Met {
         at_limit_s: (LIMITS.iter())
--- a/crates/umbersail-rehearsal/tests/nights/unreachable.rs
+++ b/crates/umbersail-rehearsal/tests/nights/unreachable.rs
@@ -3,7 +3,7 @@
 //! for, whether the machine comes back before its lease ends, at that moment, or
 //! after.
 
-use umbersail_rehearsal::history::End;
+use umbersail_rehearsal::history::EndReason;
 use umbersail_rehearsal::{Night, Outcome};
 
 use crate::harness::{Attempt, attempts, begins_at, holds, seeds, shop, struck};
@@ -54,7 +54,7 @@
             let elsewhere = |a: &&Attempt| a.from >= attempt.to && a.machine != machine;
             if attempt.to > until {
                 met.went_on += 1;
-            } else if attempt.how == Some(End::Lapsed) {
+            } else if attempt.how == Some(EndReason::Lapsed) {
                 met.lapsed += 1;
                 met.again += usize::from(all.iter().filter(same).any(|a| elsewhere(&a)));
             }
--- a/crates/umbersail-rehearsal/tests/nights/whole.rs
+++ b/crates/umbersail-rehearsal/tests/nights/whole.rs
@@ -1,6 +1,6 @@
 //! Whole nights. Each test names the failure that it guards against.
 
-use umbersail_rehearsal::history::What;
+use umbersail_rehearsal::history::EventKind;
 use umbersail_rehearsal::{Night, Rule, bundled};
 
 use crate::harness::{holds, night, played, shop};
@@ -92,7 +92,7 @@
             .events
             .iter()
             .filter_map(|e| match &e.what {
-                What::Up { machine } => Some((e.t, machine.as_str())),
+                EventKind::Up { machine } => Some((e.t, machine.as_str())),
                 _ => None,
             })
             .collect();
--- a/crates/umbersail-rehearsal/tests/nights/zones.rs
+++ b/crates/umbersail-rehearsal/tests/nights/zones.rs
@@ -3,7 +3,7 @@
 
 use std::collections::BTreeMap;
 
-use umbersail_rehearsal::history::{End, Event, What};
+use umbersail_rehearsal::history::{EndReason, Event, EventKind};
 use umbersail_rehearsal::{Night, Outcome};
 
 use crate::harness::{attempts, each, elections, failure, holds, seeds, shop};
@@ -44,14 +44,16 @@
     let events = &outcome.events;
     let class_of: BTreeMap<&str, &str> = (events.iter())
         .filter_map(|e| match &e.what {
-            What::Asked { spec } => Some((&*spec.id, &*spec.class)),
+            EventKind::Submitted { spec } => Some((&*spec.id, &*spec.class)),
             _ => None,
         })
         .collect();
     let all = attempts(events);
     let mut lost: BTreeMap<&str, (usize, usize)> = BTreeMap::new();
     for attempt in &all {
-        if !matches!(attempt.how, Some(End::Lapsed | End::Gone)) || attempt.to < TROUBLE_AT_S {
+        if !matches!(attempt.how, Some(EndReason::Lapsed | EndReason::Gone))
+            || attempt.to < TROUBLE_AT_S
+        {
             continue;
         }
         let Some(class) = class_of.get(&*attempt.job) else {
