--- a/crates/umbersail-rehearsal/src/answers.rs
+++ b/crates/umbersail-rehearsal/src/answers.rs
@@ -9,83 +9,86 @@
 
 /// Once troubles are over, a job about which no question is answered for so many
 /// seconds is forgotten.
-pub const SILENT_S: f64 = 75.0;
+pub const MAX_SILENCE_S: f64 = 75.0;
 
 /// Figures of users' questions.
 #[derive(Debug, Clone, PartialEq, Default, Serialize, Deserialize)]
-pub struct Answers {
+pub struct QueryFigures {
     /// Questions, and those that nobody answered: neither 200 nor 404.
     pub polls: usize,
-    pub in_vain: usize,
+    #[serde(rename = "in_vain")]
+    pub unanswered: usize,
     /// Longest time without an answer, in seconds, while somebody asked: of each
     /// job the longest, of these the largest and the 99th percentile.
-    pub gap_most_s: f64,
-    pub gap_p99_s: f64,
+    #[serde(rename = "gap_most_s")]
+    pub longest_gap_s: f64,
+    #[serde(rename = "gap_p99_s")]
+    pub p99_gap_s: f64,
 }
 
 #[derive(Default)]
-struct Asked {
-    answered_at: f64,
-    longest_s: f64,
+struct JobQueries {
+    last_answer_s: f64,
+    longest_gap_s: f64,
     /// Since when nobody answers, after the troubles.
-    silent: bool,
+    is_silent: bool,
 }
 
 /// Follows the questions of one night.
-pub struct Questions {
+pub struct QueryTracker {
     /// From when on nothing goes wrong any more.
-    over_s: f64,
-    jobs: BTreeMap<String, Asked>,
-    answers: Answers,
+    faults_end_s: f64,
+    jobs: BTreeMap<String, JobQueries>,
+    answers: QueryFigures,
 }
 
-impl Questions {
-    pub fn new(over_s: f64) -> Questions {
-        Questions {
-            over_s,
+impl QueryTracker {
+    pub fn new(faults_end_s: f64) -> QueryTracker {
+        QueryTracker {
+            faults_end_s,
             jobs: BTreeMap::new(),
-            answers: Answers::default(),
+            answers: QueryFigures::default(),
         }
     }
 
     /// The job was accepted, or somebody was told of it.
-    pub fn heard(&mut self, t: f64, job: &str) {
-        let asked = self.jobs.entry(job.to_owned()).or_default();
-        asked.answered_at = t;
-        asked.silent = false;
+    pub fn record_answer(&mut self, t: f64, job: &str) {
+        let job_queries = self.jobs.entry(job.to_owned()).or_default();
+        job_queries.last_answer_s = t;
+        job_queries.is_silent = false;
     }
 
     /// A question about a job that its user waits for, and whether it was answered.
     /// True if the job is forgotten by this: it is said once for each silence.
-    pub fn asked(&mut self, t: f64, job: &str, answered: bool) -> bool {
-        let over_s = self.over_s;
-        let Some(asked) = self.jobs.get_mut(job) else {
+    pub fn record_query(&mut self, t: f64, job: &str, answered: bool) -> bool {
+        let faults_end_s = self.faults_end_s;
+        let Some(job_queries) = self.jobs.get_mut(job) else {
             return false;
         };
-        asked.longest_s = asked.longest_s.max(t - asked.answered_at);
+        job_queries.longest_gap_s = job_queries.longest_gap_s.max(t - job_queries.last_answer_s);
         if answered {
-            self.heard(t, job);
+            self.record_answer(t, job);
             return false;
         }
-        let forgotten = t - asked.answered_at.max(over_s) > SILENT_S;
-        !std::mem::replace(&mut asked.silent, forgotten) && forgotten
+        let forgotten = t - job_queries.last_answer_s.max(faults_end_s) > MAX_SILENCE_S;
+        !std::mem::replace(&mut job_queries.is_silent, forgotten) && forgotten
     }
 
     /// Any question, also about jobs of nobody.
     pub fn count(&mut self, answered: bool) {
         self.answers.polls += 1;
-        self.answers.in_vain += usize::from(!answered);
+        self.answers.unanswered += usize::from(!answered);
     }
 
-    pub fn finish(self) -> Answers {
-        let gaps: Vec<f64> = self.jobs.values().map(|a| a.longest_s).collect();
+    pub fn finish(self) -> QueryFigures {
+        let gaps: Vec<f64> = self.jobs.values().map(|a| a.longest_gap_s).collect();
         if gaps.is_empty() {
             return self.answers;
         }
         let mut gaps = Data::new(gaps);
-        Answers {
-            gap_most_s: gaps.quantile(1.0),
-            gap_p99_s: gaps.quantile(0.99),
+        QueryFigures {
+            longest_gap_s: gaps.quantile(1.0),
+            p99_gap_s: gaps.quantile(0.99),
             ..self.answers
         }
     }
@@ -98,21 +101,21 @@
     #[test]
     fn a_job_unheard_of_for_75_s_after_the_troubles_is_forgotten_however_others_fare() {
         // Guards against a night in which nobody is answered and nobody fails it.
-        let mut questions = Questions::new(100.0);
-        questions.heard(10.0, "a");
-        questions.heard(10.0, "b");
-        let ask = |questions: &mut Questions, from: u32, to: u32| -> Vec<u32> {
-            let asked = (from..to).filter(|t| t % 5 == 0);
-            asked
-                .filter(|t| questions.asked(f64::from(*t), "a", false))
+        let mut queries = QueryTracker::new(100.0);
+        queries.record_answer(10.0, "a");
+        queries.record_answer(10.0, "b");
+        let ask = |queries: &mut QueryTracker, from: u32, to: u32| -> Vec<u32> {
+            let times = (from..to).filter(|t| t % 5 == 0);
+            times
+                .filter(|t| queries.record_query(f64::from(*t), "a", false))
                 .collect()
         };
         // Not while troubles last, and not before 75 s are over; then once.
-        assert_eq!(ask(&mut questions, 15, 300), [180]);
-        assert!(!questions.asked(300.0, "a", true));
-        assert_eq!(ask(&mut questions, 305, 400), [380]);
-        assert!(!questions.asked(14.0, "b", true));
-        let answers = questions.finish();
-        assert!((answers.gap_most_s - 290.0).abs() < 1e-9, "{answers:?}");
+        assert_eq!(ask(&mut queries, 15, 300), [180]);
+        assert!(!queries.record_query(300.0, "a", true));
+        assert_eq!(ask(&mut queries, 305, 400), [380]);
+        assert!(!queries.record_query(14.0, "b", true));
+        let answers = queries.finish();
+        assert!((answers.longest_gap_s - 290.0).abs() < 1e-9, "{answers:?}");
     }
 }
--- a/crates/umbersail-rehearsal/src/bound.rs
+++ b/crates/umbersail-rehearsal/src/bound.rs
@@ -12,35 +12,35 @@
 
 use crate::history::{EndReason, Event, EventKind};
 use crate::night::{MachineKind, Night, Trouble};
-use crate::served::Served;
+use crate::served::ServedFigures;
 
 /// Time goes on in steps of so many seconds.
 const STEP_S: f64 = 15.0;
 /// Larger programs are left out: they would take minutes.
-const MOST_AMOUNTS: usize = 40_000;
+const MAX_VARIABLES: usize = 40_000;
 /// The earliest that a machine is up, as a share of its usual boot time.
-const SOONEST: f64 = 0.6;
+const MIN_BOOT_SHARE: f64 = 0.6;
 /// What was served is worth so many times as much as the jobs that are looked at:
 /// it is kept wherever that is possible.
-const KEPT: f64 = 50.0;
+const SERVED_WEIGHT: f64 = 50.0;
 
 /// The largest shares of the jobs of a row that could have been in time.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Bound {
     /// With all others that were in time served as well.
-    pub beside: f64,
+    pub with_others: f64,
     /// With everything for these jobs.
-    pub alone: f64,
+    pub without_others: f64,
 }
 
 /// A job as far as it matters here; `work_s` is the run time of one task.
 struct Job {
     spec: JobSpec,
-    asked_at: f64,
+    submitted_at: f64,
     due: f64,
     work_s: f64,
     in_time: bool,
-    looked_at: bool,
+    is_target: bool,
 }
 
 /// Jobs of one class that come and are due within the same steps.
@@ -59,19 +59,19 @@
 }
 
 /// The bound of a row, or `None` if the program is too large or can't be solved.
-pub fn bound(night: &Night, events: &[Event], row: &Served) -> Option<Bound> {
+pub fn bound(night: &Night, events: &[Event], row: &ServedFigures) -> Option<Bound> {
     let end = events.last()?.t;
     let jobs = jobs(night, events, row, end);
     Some(Bound {
-        beside: solve(night, &jobs, end, true)?,
-        alone: solve(night, &jobs, end, false)?,
+        with_others: solve(night, &jobs, end, true)?,
+        without_others: solve(night, &jobs, end, false)?,
     })
 }
 
-fn jobs(night: &Night, events: &[Event], row: &Served, end: f64) -> Vec<Job> {
+fn jobs(night: &Night, events: &[Event], row: &ServedFigures, end: f64) -> Vec<Job> {
     struct JobTrace<'a> {
         spec: &'a JobSpec,
-        asked_at: f64,
+        submitted_at: f64,
         work_s: f64,
         done: BTreeSet<u32>,
         complete_at: Option<f64>,
@@ -83,7 +83,7 @@
             EventKind::Submitted { spec } => {
                 let job = JobTrace {
                     spec,
-                    asked_at: event.t,
+                    submitted_at: event.t,
                     work_s: 0.0,
                     done: BTreeSet::new(),
                     complete_at: None,
@@ -118,17 +118,17 @@
     }
     let counted = seen.into_values().filter(|j| !j.cancelled);
     let known = |j: JobTrace<'_>| {
-        let due = j.spec.deadline_s.map_or(end, |d| j.asked_at + d);
-        let of = match row.of.is_of_team() {
+        let due = j.spec.deadline_s.map_or(end, |d| j.submitted_at + d);
+        let of = match row.group.is_team() {
             true => j.spec.team == row.name,
             false => {
                 let size = f64::from(j.spec.tasks) * j.spec.cpus;
-                j.spec.class == row.name && size >= row.least_size
+                j.spec.class == row.name && size >= row.min_size
             }
         };
         let is_due = j.spec.deadline_s.is_none() || due < end;
         Job {
-            asked_at: j.asked_at,
+            submitted_at: j.submitted_at,
             due,
             // What nobody finished is as long as its owner thought.
             work_s: match j.done.len() {
@@ -136,7 +136,7 @@
                 n => j.work_s / n as f64,
             },
             in_time: j.complete_at.is_some_and(|at| at <= due),
-            looked_at: of && is_due && j.asked_at >= night.warm_up_s,
+            is_target: of && is_due && j.submitted_at >= night.warm_up_s,
             spec: j.spec.clone(),
         }
     };
@@ -144,12 +144,12 @@
 }
 
 /// Machine seconds of one kind that there are in one step, ordinary or all.
-fn machines(night: &Night, kind: &MachineKind, spot: bool, from: f64, to: f64) -> f64 {
+fn machine_seconds(night: &Night, kind: &MachineKind, spot: bool, from: f64, to: f64) -> f64 {
     let per_zone = (kind.ordinary + if spot { kind.spot } else { 0 }) as f64;
     let lasts = |a: f64, b: f64| (to.min(b) - from.max(a)).max(0.0);
     let all = per_zone * kind.zones.len() as f64;
     let up = kind.at_start as f64;
-    let late = lasts(0.0, kind.boot_s * SOONEST) * (all - up).max(0.0);
+    let late = lasts(0.0, kind.boot_s * MIN_BOOT_SHARE) * (all - up).max(0.0);
     let dark = |f: &&crate::night::Failure| {
         let here = f.zone.as_ref().is_some_and(|z| kind.zones.contains(z));
         f.what == Trouble::PowerCut && here
@@ -167,28 +167,32 @@
 
 /// Jobs that are alike are one flow; the key's first says whether they are those
 /// that are looked at.
-fn flows(night: &Night, jobs: &[Job], others: bool) -> BTreeMap<(bool, String, i64, i64), Flow> {
+fn flows(
+    night: &Night,
+    jobs: &[Job],
+    with_others: bool,
+) -> BTreeMap<(bool, String, i64, i64), Flow> {
     let mut flows: BTreeMap<(bool, String, i64, i64), Flow> = BTreeMap::new();
     for job in jobs {
-        let wanted = job.looked_at || (others && job.in_time);
+        let wanted = job.is_target || (with_others && job.in_time);
         // Nobody runs a task in less time than it takes.
-        let possible = job.in_time || job.asked_at + job.work_s <= job.due;
+        let possible = job.in_time || job.submitted_at + job.work_s <= job.due;
         if !wanted || !possible {
             continue;
         }
         let step = |t: f64| (t / STEP_S).floor() as i64;
         let key = (
-            job.looked_at,
+            job.is_target,
             job.spec.class.clone(),
-            step(job.asked_at),
+            step(job.submitted_at),
             step(job.due),
         );
         let class = night.classes.iter().find(|c| c.name == job.spec.class);
         let tasks = f64::from(job.spec.tasks);
         let flow = flows.entry(key).or_default();
         flow.from = match flow.jobs > 0.0 {
-            true => flow.from.min(job.asked_at),
-            false => job.asked_at,
+            true => flow.from.min(job.submitted_at),
+            false => job.submitted_at,
         };
         flow.to = flow.to.max(job.due);
         flow.jobs += 1.0;
@@ -203,12 +207,12 @@
 }
 
 /// The largest share of the jobs that are looked at.
-fn solve(night: &Night, jobs: &[Job], end: f64, others: bool) -> Option<f64> {
-    let of = jobs.iter().filter(|j| j.looked_at).count();
+fn solve(night: &Night, jobs: &[Job], end: f64, with_others: bool) -> Option<f64> {
+    let of = jobs.iter().filter(|j| j.is_target).count();
     if of == 0 {
         return None;
     }
-    let flows = flows(night, jobs, others);
+    let flows = flows(night, jobs, with_others);
     let steps = (end / STEP_S).ceil() as usize;
     let mut program = Problem::new(OptimizationDirection::Maximize);
     // By kind and step: CPUs, memory, and what may not use spot machines.
@@ -217,11 +221,11 @@
     let mut ordinary: BTreeMap<(usize, usize), Vec<(Variable, f64)>> = BTreeMap::new();
     let mut teams: BTreeMap<(&str, usize), Vec<(Variable, f64)>> = BTreeMap::new();
     let mut shares: Vec<(Variable, f64)> = Vec::new();
-    let mut amounts = 0;
-    for ((looked_at, ..), flow) in &flows {
-        let worth = if *looked_at { 1.0 } else { KEPT };
+    let mut variables = 0;
+    for ((is_target, ..), flow) in &flows {
+        let worth = if *is_target { 1.0 } else { SERVED_WEIGHT };
         let share = program.add_var(worth * flow.jobs, (0.0, 1.0));
-        if *looked_at {
+        if *is_target {
             shares.push((share, flow.jobs));
         }
         let mut served = vec![(share, -flow.work)];
@@ -233,7 +237,7 @@
             for (index, _) in kinds.filter(|(_, k)| fits(k, flow)) {
                 // In units of 1,000 task seconds, to keep amounts alike.
                 let amount = program.add_var(0.0, (0.0, (flow.tasks * lasts / 1e3).max(0.0)));
-                amounts += 1;
+                variables += 1;
                 served.push((amount, 1e3));
                 at_once.push((amount, 1.0));
                 let place = (index, step);
@@ -255,7 +259,7 @@
         }
         program.add_constraint(served, ComparisonOp::Ge, 0.0);
     }
-    if amounts > MOST_AMOUNTS {
+    if variables > MAX_VARIABLES {
         return None;
     }
     let mut bounded = |table: BTreeMap<(usize, usize), Vec<(Variable, f64)>>,
@@ -264,7 +268,7 @@
         for ((index, step), terms) in table {
             let kind = &night.machines[index];
             let from = step as f64 * STEP_S;
-            let there = machines(night, kind, spot, from, from + STEP_S) * of(kind);
+            let there = machine_seconds(night, kind, spot, from, from + STEP_S) * of(kind);
             program.add_constraint(terms, ComparisonOp::Le, there / 1e3);
         }
     };
@@ -289,7 +293,7 @@
 mod tests {
     use super::*;
     use crate::bundled::bundled;
-    use crate::served::Of;
+    use crate::served::JobGroup;
     use umbersail_wire::{JobKind, Priority};
 
     /// A night of one kind of machine with eight CPUs, four of them up from the
@@ -308,7 +312,7 @@
 
     /// Jobs of so many tasks with four CPUs each that run for 15 s and are due
     /// after 60 s, all asked for at 0, and done at once if it says so.
-    fn asked(jobs: &[(&str, u32, bool)]) -> Vec<Event> {
+    fn events_of(jobs: &[(&str, u32, bool)]) -> Vec<Event> {
         let mut events = Vec::new();
         for (n, (class, tasks, done)) in jobs.iter().enumerate() {
             let spec = JobSpec {
@@ -357,19 +361,19 @@
         events
     }
 
-    fn reckoned(night: &Night, events: &[Event]) -> Bound {
-        let row = Served {
-            of: Of::Class,
+    fn bound_of(night: &Night, events: &[Event]) -> Bound {
+        let row = ServedFigures {
+            group: JobGroup::Class,
             name: "labels".into(),
-            whole: 8,
-            least_size: 0.0,
+            total_jobs: 8,
+            min_size: 0.0,
             jobs: 8,
             in_time: 0.0,
-            late: 0.0,
+            in_extended_time: 0.0,
             done: 0.0,
-            begin_s: 0.0,
-            begun_late: 0,
-            beside_s: 0.0,
+            longest_start_s: 0.0,
+            started_late: 0,
+            longest_all_started_s: 0.0,
         };
         bound(night, events, &row).unwrap()
     }
@@ -379,31 +383,37 @@
         // Four machines of eight CPUs run eight tasks at once, 32 in 60 s.
         let near = |found: f64, wanted: f64| (found - wanted).abs() < 1e-6;
         let labels = vec![("labels", 8, false); 8];
-        let free = reckoned(&night(0.0), &asked(&labels));
-        assert!(near(free.alone, 0.5) && near(free.beside, 0.5), "{free:?}");
+        let free = bound_of(&night(0.0), &events_of(&labels));
+        assert!(
+            near(free.without_others, 0.5) && near(free.with_others, 0.5),
+            "{free:?}"
+        );
         // Others that were served take their part, unless they are left out.
         let mut shared = labels.clone();
         shared.extend([("pages", 8, true); 2]);
-        let shared = reckoned(&night(0.0), &asked(&shared));
+        let shared = bound_of(&night(0.0), &events_of(&shared));
         assert!(
-            near(shared.alone, 0.5) && near(shared.beside, 0.25),
+            near(shared.without_others, 0.5) && near(shared.with_others, 0.25),
             "{shared:?}"
         );
         // A limit binds as machines do.
-        let limited = reckoned(&night(8.0), &asked(&labels));
-        assert!(near(limited.alone, 0.125), "{limited:?}");
+        let limited = bound_of(&night(8.0), &events_of(&labels));
+        assert!(near(limited.without_others, 0.125), "{limited:?}");
         // Nor does anybody run a task in less time than it takes.
-        let mut long = asked(&labels);
+        let mut long = events_of(&labels);
         for event in &mut long {
             if let EventKind::Submitted { spec } = &mut event.what {
                 spec.estimate_s = 61.0;
             }
         }
-        assert!(near(reckoned(&night(0.0), &long).alone, 0.0));
+        assert!(near(bound_of(&night(0.0), &long).without_others, 0.0));
         // And machines without power run nothing.
         let mut dark = night(0.0);
         let cut = "what = \"power-cut\"\nzone = \"south\"\nat_s = 0\nfor_s = 60\n";
         dark.failures.push(toml::from_str(cut).unwrap());
-        assert!(near(reckoned(&dark, &asked(&labels)).alone, 0.25));
+        assert!(near(
+            bound_of(&dark, &events_of(&labels)).without_others,
+            0.25
+        ));
     }
 }
--- a/crates/umbersail-rehearsal/src/experiment.rs
+++ b/crates/umbersail-rehearsal/src/experiment.rs
@@ -131,7 +131,11 @@
 /// Figures by which variants are compared: name and value.
 fn figures(outcome: &Outcome) -> Vec<(String, f64)> {
     let f = &outcome.figures;
-    let mut all: Vec<(String, f64)> = f.aims.iter().map(|a| (a.aim.clone(), a.value)).collect();
+    let mut all: Vec<(String, f64)> = f
+        .objectives
+        .iter()
+        .map(|a| (a.objective.clone(), a.value))
+        .collect();
     let more = [
         ("rules broken", f.breaches.len() as f64),
         ("spent", f.spent),
--- a/crates/umbersail-rehearsal/src/judge/mod.rs
+++ b/crates/umbersail-rehearsal/src/judge/mod.rs
@@ -6,14 +6,14 @@
 use serde::{Deserialize, Serialize};
 use umbersail_wire::{JobSpec, JobStage};
 
-use crate::answers::{Answers, Questions};
+use crate::answers::{QueryFigures, QueryTracker};
 use crate::history::{Event, EventKind, Question};
 use crate::night::Night;
-use crate::runs::{self, RunFigures};
-use crate::served::Served;
+use crate::runs::{self, CalendarRunFigures};
+use crate::served::ServedFigures;
 
-mod aims;
 mod monotonic;
+mod objectives;
 mod tasks;
 #[cfg(test)]
 mod tests;
@@ -58,11 +58,14 @@
 
 /// An aim, what was reached, and of how many.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct Reached {
-    pub aim: String,
+pub struct ObjectiveResult {
+    #[serde(rename = "aim")]
+    pub objective: String,
     pub value: f64,
-    pub wanted: f64,
-    pub of: usize,
+    #[serde(rename = "wanted")]
+    pub target: f64,
+    #[serde(rename = "of")]
+    pub count: usize,
     pub met: bool,
 }
 
@@ -70,7 +73,8 @@
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize, Default)]
 pub struct Figures {
     pub breaches: Vec<Breach>,
-    pub aims: Vec<Reached>,
+    #[serde(rename = "aims")]
+    pub objectives: Vec<ObjectiveResult>,
     pub jobs: usize,
     pub accepted: usize,
     pub done: usize,
@@ -95,11 +99,11 @@
     pub processor_s: f64,
     pub overrun: bool,
     /// By class, by team, and of the largest jobs of each class.
-    pub served: Vec<Served>,
+    pub served: Vec<ServedFigures>,
     /// Work in steps.
     #[serde(default)]
-    pub runs: RunFigures,
-    pub answers: Answers,
+    pub runs: CalendarRunFigures,
+    pub answers: QueryFigures,
 }
 
 impl Figures {
@@ -107,29 +111,29 @@
     /// time, less than half of a class, of a team or of a class's largest jobs was
     /// served, or one of the largest began too late.
     pub fn failed(&self) -> bool {
-        let fails = |s: &Served| s.is_under() || s.is_begun_late();
+        let fails = |s: &ServedFigures| s.is_underserved() || s.has_late_start();
         !self.breaches.is_empty() || self.overrun || self.served.iter().any(fails)
     }
 }
 
 #[derive(Default)]
-struct JobSeen {
+struct JobState {
     spec: Option<JobSpec>,
-    asked_at: f64,
+    submitted_at: f64,
     accepted: Option<f64>,
-    cancel_asked: Option<f64>,
-    cancel_told: Option<f64>,
+    cancel_requested_at: Option<f64>,
+    cancel_acknowledged_at: Option<f64>,
     told: Option<JobStage>,
-    answers: monotonic::Answered,
+    answers: monotonic::AnswerHistory,
     done_tasks: BTreeSet<u32>,
     /// When its last task had completed, and when its user was told.
     complete_at: Option<f64>,
-    done_told: Option<f64>,
+    done_reported_at: Option<f64>,
     started: BTreeMap<u32, f64>,
     unanswered_since: Option<f64>,
 }
 
-struct MachineSeen {
+struct MachineState {
     kind: usize,
     zone: String,
     spot: bool,
@@ -138,46 +142,46 @@
 /// A poll that fails for this long means forgotten.
 const FORGOTTEN_S: f64 = 90.0;
 /// A start counts if it is not stopped by command within this.
-const HOLDS_S: f64 = 30.0;
+const MIN_START_S: f64 = 30.0;
 
 /// A machine, an attempt, and since when it is there.
 type Place = (String, u64, f64);
 
-struct Judge<'a> {
+struct Checker<'a> {
     night: &'a Night,
-    jobs: BTreeMap<String, JobSeen>,
-    machines: BTreeMap<String, MachineSeen>,
+    jobs: BTreeMap<String, JobState>,
+    machines: BTreeMap<String, MachineState>,
     /// Where each task is now.
-    on: BTreeMap<(String, u32), Vec<Place>>,
-    used: BTreeMap<String, f64>,
-    answered_at: f64,
-    questions: Questions,
+    placements: BTreeMap<(String, u32), Vec<Place>>,
+    team_cpus: BTreeMap<String, f64>,
+    last_answer_at: f64,
+    queries: QueryTracker,
     /// Answers that are older than others if a task turns out to have run all along.
-    doubted: Vec<monotonic::Doubted>,
+    unresolved: Vec<monotonic::UnresolvedAnswer>,
     /// When a trouble last took a machine.
     struck: BTreeMap<String, f64>,
     useful_cpu_s: f64,
     /// What useful work cost at nominal prices, for its share of the machines.
     useful_money: f64,
     /// Spent while it only warmed up.
-    spent_before: f64,
+    warm_up_spent: f64,
     figures: Figures,
 }
 
 /// An answer in the history: its event, when it was given, and to which question.
 #[derive(Clone, Copy)]
-struct Given {
+struct AnswerContext {
     event: usize,
     t: f64,
     sent_s: f64,
 }
 
-impl Given {
+impl AnswerContext {
     /// An older history does not say when questions were sent: each then follows all
     /// answers before it.
-    fn new(event: usize, t: f64, question: Option<Question>) -> Given {
+    fn new(event: usize, t: f64, question: Option<Question>) -> AnswerContext {
         let sent_s = question.map_or(t, |q| q.sent_s);
-        Given { event, t, sent_s }
+        AnswerContext { event, t, sent_s }
     }
 
     /// Whether the question was sent when an answer of that time had been given.
@@ -187,39 +191,39 @@
 }
 
 /// Judges a night by its history.
-pub fn judge(night: &Night, events: &[Event]) -> Figures {
-    let mut judge = Judge {
+pub fn evaluate(night: &Night, events: &[Event]) -> Figures {
+    let mut checker = Checker {
         night,
         jobs: BTreeMap::new(),
         machines: BTreeMap::new(),
-        on: BTreeMap::new(),
-        used: BTreeMap::new(),
-        answered_at: 0.0,
-        questions: Questions::new(night.troubles_over_s()),
-        doubted: Vec::new(),
+        placements: BTreeMap::new(),
+        team_cpus: BTreeMap::new(),
+        last_answer_at: 0.0,
+        queries: QueryTracker::new(night.troubles_over_s()),
+        unresolved: Vec::new(),
         struck: BTreeMap::new(),
         useful_cpu_s: 0.0,
         useful_money: 0.0,
-        spent_before: 0.0,
+        warm_up_spent: 0.0,
         figures: Figures::default(),
     };
     for (index, event) in events.iter().enumerate() {
-        judge.see(index, event);
+        checker.apply(index, event);
     }
     let end = events.last().map_or(0.0, |e| e.t);
-    judge.figures.runs = runs::judged(night, events);
-    for (job, t) in judge.figures.runs.out_of_order.clone() {
+    checker.figures.runs = runs::run_figures(night, events);
+    for (job, t) in checker.figures.runs.out_of_order.clone() {
         let detail = format!("{job}: began before the step before its own had ended");
-        judge.breach(Rule::OutOfOrder, t, events.len().saturating_sub(1), detail);
+        checker.breach(Rule::OutOfOrder, t, events.len().saturating_sub(1), detail);
     }
-    for left in waiting::judged(night, events) {
+    for left in waiting::find_left_waiting(night, events) {
         let detail = format!("{}: waits although {} has room", left.job, left.machine);
-        judge.breach(Rule::LeftWaiting, left.t, left.event, detail);
+        checker.breach(Rule::LeftWaiting, left.t, left.event, detail);
     }
-    judge.finish(end, events.len().saturating_sub(1))
+    checker.finish(end, events.len().saturating_sub(1))
 }
 
-impl Judge<'_> {
+impl Checker<'_> {
     fn breach(&mut self, rule: Rule, t: f64, event: usize, detail: String) {
         self.figures.breaches.push(Breach {
             rule,
@@ -229,19 +233,19 @@
         });
     }
 
-    fn see(&mut self, index: usize, event: &Event) {
+    fn apply(&mut self, index: usize, event: &Event) {
         let t = event.t;
         match &event.what {
             EventKind::Submitted { spec } => {
                 let job = self.jobs.entry(spec.id.clone()).or_default();
-                job.asked_at = t;
+                job.submitted_at = t;
                 job.spec = Some((**spec).clone());
             }
             EventKind::Accepted { job, .. } => {
                 self.job(job).accepted = Some(t);
-                self.job(job).answers.knows(t);
-                self.answered_at = t;
-                self.questions.heard(t, job);
+                self.job(job).answers.known(t);
+                self.last_answer_at = t;
+                self.queries.record_answer(t, job);
             }
             EventKind::Refused { job, status } => {
                 if *status != 0 && self.job(job).accepted.is_some() {
@@ -255,8 +259,8 @@
                 stage,
                 question,
             } => {
-                let given = Given::new(index, t, *question);
-                self.asked(index, t, job, *status == 404 || stage.is_some());
+                let given = AnswerContext::new(index, t, *question);
+                self.status_requested(index, t, job, *status == 404 || stage.is_some());
                 self.polled(given, job, *status, *stage);
             }
             EventKind::Repeated {
@@ -265,31 +269,31 @@
                 stage,
                 question,
             } => {
-                let given = Given::new(index, t, *question);
+                let given = AnswerContext::new(index, t, *question);
                 if matches!(status, 400 | 422) {
                     let detail = format!("{job}: repeated submission answered {status}");
                     self.breach(Rule::Forgotten, t, index, detail);
                 }
                 if *status == 201 {
-                    self.accepted_anew(given, job);
+                    self.check_accepted_again(given, job);
                 }
                 if let Some(stage) = stage {
-                    self.told(given, job, *stage);
+                    self.stage_reported(given, job, *stage);
                 }
             }
             EventKind::CancelRequested { job } => {
-                self.job(job).cancel_asked.get_or_insert(t);
+                self.job(job).cancel_requested_at.get_or_insert(t);
             }
             EventKind::CancelAcknowledged {
                 job,
                 stage,
                 question,
-            } => self.told(Given::new(index, t, *question), job, *stage),
+            } => self.stage_reported(AnswerContext::new(index, t, *question), job, *stage),
             EventKind::CancelRefused {
                 job,
                 status,
                 question,
-            } => self.refused_cancel(Given::new(index, t, *question), job, *status),
+            } => self.check_refused_cancel(AnswerContext::new(index, t, *question), job, *status),
             EventKind::InvalidSubmission {
                 job,
                 defect,
@@ -307,7 +311,7 @@
             } => {
                 let kinds = &self.night.machines;
                 let kind = kinds.iter().position(|k| k.name == *kind).unwrap_or(0);
-                let seen = MachineSeen {
+                let seen = MachineState {
                     kind,
                     zone: zone.clone(),
                     spot: *spot,
@@ -330,22 +334,22 @@
                 useful_s,
             } => {
                 let key = (job.clone(), *task);
-                if let Some(places) = self.on.get_mut(&key) {
+                if let Some(places) = self.placements.get_mut(&key) {
                     places.retain(|(m, a, _)| !(m == machine && a == attempt));
                     if places.is_empty() {
-                        self.on.remove(&key);
+                        self.placements.remove(&key);
                     }
                 }
                 self.ended(t, machine, job, *task, *how, *useful_s);
-                self.ran_all_along(machine, (job, *task, *attempt), *how);
+                self.resolve_answers(machine, (job, *task, *attempt), *how);
                 self.job(job).answers.ended(t);
             }
             EventKind::UsageSample { spent, .. } => {
                 if t <= self.night.warm_up_s {
-                    self.spent_before = *spent;
+                    self.warm_up_spent = *spent;
                 }
-                self.figures.spent = *spent - self.spent_before;
-                self.look_for_cancelled(index, t);
+                self.figures.spent = *spent - self.warm_up_spent;
+                self.check_cancelled_tasks(index, t);
             }
             EventKind::MachineFaulted { machine, .. } => {
                 self.struck.insert(machine.clone(), t);
@@ -372,7 +376,7 @@
         }
     }
 
-    fn job(&mut self, id: &str) -> &mut JobSeen {
+    fn job(&mut self, id: &str) -> &mut JobState {
         self.jobs.entry(id.to_owned()).or_default()
     }
 }
--- a/crates/umbersail-rehearsal/src/judge/monotonic.rs
+++ b/crates/umbersail-rehearsal/src/judge/monotonic.rs
@@ -3,35 +3,35 @@
 
 use umbersail_wire::JobStage;
 
-use super::{Given, Judge, Rule};
+use super::{AnswerContext, Checker, Rule};
 use crate::history::EndReason;
 
 /// Counts of tasks, and with them whether one runs, may lag by this much (PROTOCOL).
-const LAG_S: f64 = 3.0;
+const MAX_LAG_S: f64 = 3.0;
 
 /// What the users of a job have been told, and when.
 #[derive(Debug, Default)]
-pub(super) struct Answered {
+pub(super) struct AnswerHistory {
     /// That it is known, first.
     known_s: Option<f64>,
     /// That it is done or cancelled, first.
-    over_s: Option<f64>,
+    final_s: Option<f64>,
     /// That a task of it runs.
     running_s: Vec<f64>,
     /// When a task of it last ended on a machine, whichever way.
     ended_s: Option<f64>,
 }
 
-impl Answered {
+impl AnswerHistory {
     /// An answer that showed the job known.
-    pub fn knows(&mut self, t: f64) {
+    pub fn known(&mut self, t: f64) {
         self.known_s.get_or_insert(t);
     }
 
-    pub fn told(&mut self, t: f64, stage: JobStage) {
-        self.knows(t);
+    pub fn stage_reported(&mut self, t: f64, stage: JobStage) {
+        self.known(t);
         match stage {
-            JobStage::Done | JobStage::Cancelled => drop(self.over_s.get_or_insert(t)),
+            JobStage::Done | JobStage::Cancelled => drop(self.final_s.get_or_insert(t)),
             JobStage::Running => self.running_s.push(t),
             JobStage::Queued => {}
         }
@@ -42,20 +42,20 @@
     }
 
     /// Whether the question was sent when the job had been shown known.
-    pub fn is_known_to(&self, given: Given) -> bool {
+    pub fn was_known_before(&self, given: AnswerContext) -> bool {
         self.known_s.is_some_and(|t| given.follows(t))
     }
 
     /// Whether the question was sent when the job's end had been told.
-    pub fn is_over_to(&self, given: Given) -> bool {
-        self.over_s.is_some_and(|t| given.follows(t))
+    pub fn was_final_before(&self, given: AnswerContext) -> bool {
+        self.final_s.is_some_and(|t| given.follows(t))
     }
 
     /// When an answer that the question need not lag behind last said that a task runs,
     /// if no task has ended since.
-    fn ran_at(&self, given: Given) -> Option<f64> {
+    fn running_before(&self, given: AnswerContext) -> Option<f64> {
         let told = self.running_s.iter().rev().copied();
-        let ran_s = told.into_iter().find(|t| given.follows(t + LAG_S))?;
+        let ran_s = told.into_iter().find(|t| given.follows(t + MAX_LAG_S))?;
         self.ended_s.is_none_or(|t| t < ran_s).then_some(ran_s)
     }
 }
@@ -63,7 +63,7 @@
 /// An answer that no task runs, after another that one does, and an attempt that has
 /// been on its machine since before that one. The answer is older if the attempt goes on
 /// to its end there; otherwise the controllers had stopped it or given it up.
-pub(super) struct Doubted {
+pub(super) struct UnresolvedAnswer {
     event: usize,
     t: f64,
     ran_s: f64,
@@ -73,37 +73,42 @@
     attempt: u64,
 }
 
-impl Judge<'_> {
+impl Checker<'_> {
     /// A repeated submission was answered as if it were the first.
-    pub(super) fn accepted_anew(&mut self, given: Given, id: &str) {
-        if self.job(id).answers.is_known_to(given) {
+    pub(super) fn check_accepted_again(&mut self, given: AnswerContext, id: &str) {
+        if self.job(id).answers.was_known_before(given) {
             let detail = format!("{id}: accepted, and its repeated submission accepted anew");
             self.breach(Rule::OlderAnswer, given.t, given.event, detail);
         }
     }
 
     /// A cancellation was answered as if there were no such job.
-    pub(super) fn refused_cancel(&mut self, given: Given, id: &str, status: u16) {
-        if self.job(id).answers.is_known_to(given) {
+    pub(super) fn check_refused_cancel(&mut self, given: AnswerContext, id: &str, status: u16) {
+        if self.job(id).answers.was_known_before(given) {
             let detail = format!("{id}: accepted, its cancellation answered {status}");
             self.breach(Rule::Forgotten, given.t, given.event, detail);
         }
     }
 
     /// Before an answer is counted: whether it takes back that a task runs.
-    pub(super) fn runs_no_more(&mut self, given: Given, id: &str, stage: JobStage) {
+    pub(super) fn check_no_longer_running(
+        &mut self,
+        given: AnswerContext,
+        id: &str,
+        stage: JobStage,
+    ) {
         if stage != JobStage::Queued {
             return;
         }
-        let Some(ran_s) = self.job(id).answers.ran_at(given) else {
+        let Some(ran_s) = self.job(id).answers.running_before(given) else {
             return;
         };
         let range = (id.to_owned(), 0)..=(id.to_owned(), u32::MAX);
-        for ((_, task), places) in self.on.range(range) {
+        for ((_, task), places) in self.placements.range(range) {
             for (machine, attempt, since) in places {
                 let is_struck = self.struck.get(machine).is_some_and(|t| *t > *since);
                 if *since < ran_s && !is_struck {
-                    self.doubted.push(Doubted {
+                    self.unresolved.push(UnresolvedAnswer {
                         event: given.event,
                         t: given.t,
                         ran_s,
@@ -118,20 +123,20 @@
     }
 
     /// An attempt ended: what was answered while it ran can be judged.
-    pub(super) fn ran_all_along(
+    pub(super) fn resolve_answers(
         &mut self,
         machine: &str,
         (job, task, attempt): (&str, u32, u64),
         how: EndReason,
     ) {
-        let its = |d: &Doubted| {
+        let its = |d: &UnresolvedAnswer| {
             (d.machine.as_str(), d.job.as_str(), d.task, d.attempt) == (machine, job, task, attempt)
         };
-        let (mine, others) = self.doubted.drain(..).partition(its);
-        self.doubted = others;
-        let mine: Vec<Doubted> = mine;
+        let (mine, others) = self.unresolved.drain(..).partition(its);
+        self.unresolved = others;
+        let mine: Vec<UnresolvedAnswer> = mine;
         for older in mine.into_iter().filter(|_| how == EndReason::Done) {
-            let Doubted {
+            let UnresolvedAnswer {
                 event, t, ran_s, ..
             } = older;
             let detail = format!(
--- a/crates/umbersail-rehearsal/src/judge/aims.rs
+++ b/crates/umbersail-rehearsal/src/judge/objectives.rs
@@ -1,12 +1,12 @@
 //! What a night comes to: aims as the protocol counts them, money, and how much
 //! was served.
 
-use super::{Figures, JobSeen, Judge, Reached, Rule};
-use crate::answers::Questions;
+use super::{Checker, Figures, JobState, ObjectiveResult, Rule};
+use crate::answers::QueryTracker;
 use crate::night::Aim;
 use crate::served;
 
-impl Judge<'_> {
+impl Checker<'_> {
     pub(super) fn finish(mut self, end: f64, last: usize) -> Figures {
         if self.figures.starts == 0 {
             self.breach(Rule::NothingRan, end, last, "no task was started".into());
@@ -33,27 +33,30 @@
         figures.cancelled = self
             .jobs
             .values()
-            .filter(|j| j.cancel_told.is_some())
+            .filter(|j| j.cancel_acknowledged_at.is_some())
             .count();
         figures.done = self
             .jobs
             .values()
             .filter(|j| j.complete_at.is_some())
             .count();
-        let done = self.jobs.values().filter(|j| j.cancel_asked.is_none());
+        let done = self
+            .jobs
+            .values()
+            .filter(|j| j.cancel_requested_at.is_none());
         figures.finished_s = done.filter_map(|j| j.complete_at).reduce(f64::max);
         let from = self.night.warm_up_s;
         let counted = self.jobs.values().filter_map(|j| {
             let spec = j.spec.as_ref()?;
-            (j.asked_at >= from && j.cancel_asked.is_none()).then_some(served::Job {
+            (j.submitted_at >= from && j.cancel_requested_at.is_none()).then_some(served::Job {
                 class: &spec.class,
                 team: &spec.team,
                 size: f64::from(spec.tasks) * spec.cpus,
-                asked_at: j.asked_at,
+                submitted_at: j.submitted_at,
                 accepted: j.accepted.is_some(),
                 deadline_s: spec.deadline_s,
-                began_at: j.started.values().copied().reduce(f64::min),
-                beside_at: j
+                first_started_at: j.started.values().copied().reduce(f64::min),
+                all_started_at: j
                     .started
                     .values()
                     .copied()
@@ -62,18 +65,18 @@
                 complete_at: j.complete_at,
             })
         });
-        self.figures.served = served::served(counted, end);
-        let questions = std::mem::replace(&mut self.questions, Questions::new(0.0));
-        self.figures.answers = questions.finish();
+        self.figures.served = served::served_figures(counted, end);
+        let queries = std::mem::replace(&mut self.queries, QueryTracker::new(0.0));
+        self.figures.answers = queries.finish();
         let aims = self.night.aims.clone();
         for aim in &aims {
-            let reached = self.reached(aim, end);
-            self.figures.aims.push(reached);
+            let objective_result = self.objective_result(aim, end);
+            self.figures.objectives.push(objective_result);
         }
         self.figures
     }
 
-    fn reached(&self, aim: &Aim, end: f64) -> Reached {
+    fn objective_result(&self, aim: &Aim, end: f64) -> ObjectiveResult {
         let share = |hits: usize, of: usize| {
             if of == 0 {
                 1.0
@@ -84,9 +87,9 @@
         let of_class = |class: &str| {
             let class = class.to_owned();
             let from = self.night.warm_up_s;
-            let here = move |j: &&JobSeen| {
-                j.asked_at >= from
-                    && j.cancel_asked.is_none()
+            let here = move |j: &&JobState| {
+                j.submitted_at >= from
+                    && j.cancel_requested_at.is_none()
                     && j.spec.as_ref().is_some_and(|s| s.class == class)
             };
             self.jobs.values().filter(here)
@@ -97,23 +100,23 @@
                 times,
                 share: wanted,
             } => {
-                let due = |j: &&JobSeen| {
+                let due = |j: &&JobState| {
                     let deadline = j
                         .spec
                         .as_ref()
                         .and_then(|s| s.deadline_s)
                         .unwrap_or(f64::MAX);
-                    j.asked_at + deadline * times
+                    j.submitted_at + deadline * times
                 };
-                let counted: Vec<&JobSeen> = of_class(class).filter(|j| due(j) < end).collect();
+                let counted: Vec<&JobState> = of_class(class).filter(|j| due(j) < end).collect();
                 // Complete, and its user would be told so 3 s later.
-                let kept = |j: &&&JobSeen| j.complete_at.is_some_and(|at| at <= due(j));
+                let kept = |j: &&&JobState| j.complete_at.is_some_and(|at| at <= due(j));
                 let value = share(counted.iter().filter(kept).count(), counted.len());
-                Reached {
-                    aim: format!("deadline {class} {times}x"),
+                ObjectiveResult {
+                    objective: format!("deadline {class} {times}x"),
                     value,
-                    wanted: *wanted,
-                    of: counted.len(),
+                    target: *wanted,
+                    count: counted.len(),
                     met: value >= *wanted,
                 }
             }
@@ -125,19 +128,19 @@
                 let (mut hits, mut of) = (0, 0);
                 for job in of_class(class) {
                     let tasks = job.spec.as_ref().map_or(0, |s| s.tasks) as usize;
-                    if job.asked_at + within_s > end {
+                    if job.submitted_at + within_s > end {
                         continue;
                     }
                     of += tasks;
-                    let in_time = |at: &&f64| **at - job.asked_at <= *within_s;
+                    let in_time = |at: &&f64| **at - job.submitted_at <= *within_s;
                     hits += job.started.values().filter(in_time).count();
                 }
                 let value = share(hits, of);
-                Reached {
-                    aim: format!("wait {class} {within_s} s"),
+                ObjectiveResult {
+                    objective: format!("wait {class} {within_s} s"),
                     value,
-                    wanted: *wanted,
-                    of,
+                    target: *wanted,
+                    count: of,
                     met: value >= *wanted,
                 }
             }
@@ -145,36 +148,36 @@
                 within_ms,
                 share: wanted,
             } => {
-                let asked: Vec<&JobSeen> = {
+                let asked: Vec<&JobState> = {
                     let from = self.night.warm_up_s;
-                    let counts = |j: &&JobSeen| j.spec.is_some() && j.asked_at >= from;
+                    let counts = |j: &&JobState| j.spec.is_some() && j.submitted_at >= from;
                     self.jobs.values().filter(counts).collect()
                 };
-                let quick = |j: &&&JobSeen| {
+                let quick = |j: &&&JobState| {
                     j.accepted
-                        .is_some_and(|at| (at - j.asked_at) * 1000.0 <= *within_ms)
+                        .is_some_and(|at| (at - j.submitted_at) * 1000.0 <= *within_ms)
                 };
                 let value = share(asked.iter().filter(quick).count(), asked.len());
-                Reached {
-                    aim: format!("submit {within_ms} ms"),
+                ObjectiveResult {
+                    objective: format!("submit {within_ms} ms"),
                     value,
-                    wanted: *wanted,
-                    of: asked.len(),
+                    target: *wanted,
+                    count: asked.len(),
                     met: value >= *wanted,
                 }
             }
-            Aim::Useful { share: wanted } => Reached {
-                aim: "useful".into(),
+            Aim::Useful { share: wanted } => ObjectiveResult {
+                objective: "useful".into(),
                 value: self.figures.useful,
-                wanted: *wanted,
-                of: self.figures.machines,
+                target: *wanted,
+                count: self.figures.machines,
                 met: self.figures.useful >= *wanted,
             },
-            Aim::Price { most } => Reached {
-                aim: "price".into(),
+            Aim::Price { most } => ObjectiveResult {
+                objective: "price".into(),
                 value: self.figures.price,
-                wanted: *most,
-                of: self.figures.machines,
+                target: *most,
+                count: self.figures.machines,
                 met: self.figures.price <= *most,
             },
         }
--- a/crates/umbersail-rehearsal/src/judge/tasks.rs
+++ b/crates/umbersail-rehearsal/src/judge/tasks.rs
@@ -3,10 +3,10 @@
 
 use umbersail_wire::JobSpec;
 
-use super::{HOLDS_S, Judge, Rule};
+use super::{Checker, MIN_START_S, Rule};
 use crate::history::EndReason;
 
-impl Judge<'_> {
+impl Checker<'_> {
     pub(super) fn started(
         &mut self,
         index: usize,
@@ -23,21 +23,24 @@
             return;
         };
         job.started.entry(task).or_insert(t);
-        let cancelled = job.cancel_told.is_some_and(|at| t > at + cancel_s);
+        let cancelled = job
+            .cancel_acknowledged_at
+            .is_some_and(|at| t > at + cancel_s);
         if cancelled {
             let detail = format!("{id}/{task} starts on {machine} although it is cancelled");
             self.breach(Rule::RanCancelled, t, index, detail);
         }
         let key = (id.to_owned(), task);
-        if let Some((other, _, since)) = self.on.get(&key).and_then(|p| p.first()).cloned() {
+        if let Some((other, _, since)) = self.placements.get(&key).and_then(|p| p.first()).cloned()
+        {
             let detail =
                 format!("{id}/{task} is on {other} since {since:.3} s and starts on {machine}");
             self.breach(Rule::RanTwice, t, index, detail);
         }
         self.check_place(index, t, machine, &spec, task);
         let place = (machine.to_owned(), attempt, t);
-        self.on.entry(key).or_default().push(place);
-        let used = self.used.entry(spec.team.clone()).or_default();
+        self.placements.entry(key).or_default().push(place);
+        let used = self.team_cpus.entry(spec.team.clone()).or_default();
         *used += spec.cpus;
         let (used, team) = (*used, self.night.teams.iter().find(|x| x.name == spec.team));
         let most = team.map_or(0.0, |x| x.cpus_max);
@@ -69,7 +72,7 @@
         if spec.one_zone() || spec.spread() {
             let range = (spec.id.clone(), 0)..=(spec.id.clone(), u32::MAX);
             let zones: Vec<&str> = self
-                .on
+                .placements
                 .range(range)
                 .flat_map(|(_, places)| places)
                 .filter_map(|(m, ..)| self.machines.get(m).map(|s| s.zone.as_str()))
@@ -107,15 +110,20 @@
         {
             job.complete_at = Some(t);
         }
-        if let Some(told) = job.cancel_told {
+        if let Some(told) = job.cancel_acknowledged_at {
             let most = &mut self.figures.cancelled_gone_s;
             *most = most.max(t - told);
         }
         let job = self.job(id);
-        if how == EndReason::Stopped && job.started.get(&task).is_some_and(|at| t - at < HOLDS_S) {
+        if how == EndReason::Stopped
+            && job
+                .started
+                .get(&task)
+                .is_some_and(|at| t - at < MIN_START_S)
+        {
             job.started.remove(&task);
         }
-        *self.used.entry(spec.team).or_default() -= spec.cpus;
+        *self.team_cpus.entry(spec.team).or_default() -= spec.cpus;
         let useful_s = useful_s.min(t - self.night.warm_up_s).max(0.0);
         self.useful_cpu_s += useful_s * spec.cpus;
         if let Some(here) = self.machines.get(machine) {
@@ -135,7 +143,7 @@
         }
     }
 
-    pub(super) fn look_for_cancelled(&mut self, index: usize, t: f64) {
+    pub(super) fn check_cancelled_tasks(&mut self, index: usize, t: f64) {
         let late = |at: f64| {
             t > at + self.night.workers.cancel_s + 0.5
                 && t <= at + self.night.workers.cancel_s + 1.6
@@ -143,12 +151,12 @@
         let jobs = self
             .jobs
             .iter()
-            .filter(|(_, j)| j.cancel_told.is_some_and(late));
+            .filter(|(_, j)| j.cancel_acknowledged_at.is_some_and(late));
         let ids: Vec<String> = jobs.map(|(id, _)| id.clone()).collect();
         for id in ids {
             let range = (id.clone(), 0)..=(id.clone(), u32::MAX);
             let there = self
-                .on
+                .placements
                 .range(range)
                 .next()
                 .map(|(k, p)| (k.1, p[0].0.clone()));
--- a/crates/umbersail-rehearsal/src/judge/tests.rs
+++ b/crates/umbersail-rehearsal/src/judge/tests.rs
@@ -112,7 +112,7 @@
             what,
         })
         .collect();
-    judge(&night, &events)
+    evaluate(&night, &events)
         .breaches
         .iter()
         .map(|b| b.rule)
@@ -375,7 +375,7 @@
         })
         .collect();
     events.sort_by(|a, b| a.t.total_cmp(&b.t));
-    let figures = judge(&night(0.0), &events);
+    let figures = evaluate(&night(0.0), &events);
     figures.breaches.iter().map(|b| b.rule).collect()
 }
 
--- a/crates/umbersail-rehearsal/src/judge/waiting.rs
+++ b/crates/umbersail-rehearsal/src/judge/waiting.rs
@@ -9,15 +9,15 @@
 use crate::night::Night;
 
 /// So many seconds a job may wait beside a machine with room for it.
-const LEFT_S: f64 = 90.0;
+const MAX_WAIT_S: f64 = 90.0;
 /// A place counts as free once its task has been gone for so many seconds: under a
 /// backlog some place or other is empty at any moment, for as long as it takes to be
 /// reported, recorded and filled again.
-const REFILL_S: f64 = 10.0;
+const REFILL_ALLOWANCE_S: f64 = 10.0;
 /// Seconds that the sum of a night's ticks may be short of that by rounding.
-const ROUNDING_S: f64 = 1e-3;
+const TIME_TOLERANCE_S: f64 = 1e-3;
 /// CPUs and gigabytes that may be missing by rounding.
-const ROUNDING: f64 = 1e-6;
+const RESOURCE_TOLERANCE: f64 = 1e-6;
 
 /// A job that was left waiting.
 #[derive(Debug, PartialEq)]
@@ -39,14 +39,14 @@
     spot: bool,
     is_up: bool,
     /// A failure holds it out of use until then.
-    struck_until: f64,
+    unavailable_until: f64,
     cpus: f64,
     gpus: f64,
     memory_gb: f64,
 }
 
 /// The run of the calendar, and the step of it, that a job belongs to.
-type StepOf = (String, u64, usize);
+type StepKey = (String, u64, usize);
 
 struct Job {
     spec: JobSpec,
@@ -59,7 +59,7 @@
     running: usize,
     fetching: usize,
     /// Since when it waits beside room.
-    since: Option<f64>,
+    waiting_since: Option<f64>,
 }
 
 impl Job {
@@ -67,7 +67,7 @@
         self.done.len() >= self.spec.tasks as usize
     }
 
-    fn waits(&self) -> bool {
+    fn is_waiting(&self) -> bool {
         self.accepted && !self.cancelled && !self.is_complete() && self.running == 0
     }
 }
@@ -77,23 +77,23 @@
     night: &'a Night,
     machines: BTreeMap<String, Machine>,
     jobs: BTreeMap<String, Job>,
-    steps: BTreeMap<String, StepOf>,
+    steps: BTreeMap<String, StepKey>,
     /// Where tasks hold room, and whether they run already.
     places: BTreeMap<Place, bool>,
-    used: BTreeMap<String, f64>,
+    team_cpus: BTreeMap<String, f64>,
     /// Places that will count as free, and when.
-    refilled: VecDeque<(f64, Place)>,
+    pending_releases: VecDeque<(f64, Place)>,
     found: Vec<LeftWaiting>,
 }
 
-/// Jobs that were left waiting for [`LEFT_S`] after all troubles, from the history.
-pub(super) fn judged(night: &Night, events: &[Event]) -> Vec<LeftWaiting> {
+/// Jobs that were left waiting for [`MAX_WAIT_S`] after all troubles, from the history.
+pub(super) fn find_left_waiting(night: &Night, events: &[Event]) -> Vec<LeftWaiting> {
     let mut tracker = tracker(night);
-    let over_s = night.troubles_over_s();
+    let faults_end_s = night.troubles_over_s();
     for (index, event) in events.iter().enumerate() {
-        tracker.see(event);
-        if event.t >= over_s && matches!(event.what, EventKind::UsageSample { .. }) {
-            tracker.look(index, event.t);
+        tracker.apply(event);
+        if event.t >= faults_end_s && matches!(event.what, EventKind::UsageSample { .. }) {
+            tracker.check_waits(index, event.t);
         }
     }
     tracker.found
@@ -106,14 +106,14 @@
         jobs: BTreeMap::new(),
         steps: BTreeMap::new(),
         places: BTreeMap::new(),
-        used: BTreeMap::new(),
-        refilled: VecDeque::new(),
+        team_cpus: BTreeMap::new(),
+        pending_releases: VecDeque::new(),
         found: Vec::new(),
     }
 }
 
 impl Tracker<'_> {
-    fn see(&mut self, event: &Event) {
+    fn apply(&mut self, event: &Event) {
         match &event.what {
             EventKind::RunJob {
                 run,
@@ -124,10 +124,10 @@
                 let step = (run.clone(), opens_s.to_bits(), *step);
                 self.steps.insert(job.clone(), step);
             }
-            EventKind::Submitted { spec } => self.asked(spec),
-            EventKind::Accepted { job, .. } => self.with(job, |j| j.accepted = true),
+            EventKind::Submitted { spec } => self.submitted(spec),
+            EventKind::Accepted { job, .. } => self.update_job(job, |j| j.accepted = true),
             EventKind::Refused { job, .. } | EventKind::CancelRequested { job } => {
-                self.with(job, |j| j.cancelled = true);
+                self.update_job(job, |j| j.cancelled = true);
             }
             EventKind::Rented {
                 machine,
@@ -135,11 +135,11 @@
                 zone,
                 spot,
             } => self.rented(machine, kind, zone, *spot),
-            EventKind::Up { machine } => self.set_up(machine, true),
-            EventKind::MachineGone { machine, .. } => self.set_up(machine, false),
+            EventKind::Up { machine } => self.set_available(machine, true),
+            EventKind::MachineGone { machine, .. } => self.set_available(machine, false),
             EventKind::MachineFaulted { machine, for_s, .. } => {
                 if let Some(here) = self.machines.get_mut(machine) {
-                    here.struck_until = here.struck_until.max(event.t + for_s);
+                    here.unavailable_until = here.unavailable_until.max(event.t + for_s);
                 }
             }
             EventKind::Launched {
@@ -147,13 +147,13 @@
                 job,
                 task,
                 attempt,
-            } => self.hold((job.clone(), *task, machine.clone(), *attempt), false),
+            } => self.occupy((job.clone(), *task, machine.clone(), *attempt), false),
             EventKind::Started {
                 machine,
                 job,
                 task,
                 attempt,
-            } => self.hold((job.clone(), *task, machine.clone(), *attempt), true),
+            } => self.occupy((job.clone(), *task, machine.clone(), *attempt), true),
             EventKind::Withdrawn {
                 machine,
                 job,
@@ -161,8 +161,8 @@
                 attempt,
             } => {
                 let place = (job.clone(), *task, machine.clone(), *attempt);
-                if self.leave(&place) {
-                    self.take_room(&place, -1.0);
+                if self.release(&place) {
+                    self.add_usage(&place, -1.0);
                 }
             }
             EventKind::Ended {
@@ -174,10 +174,11 @@
                 ..
             } => {
                 let place = (job.clone(), *task, machine.clone(), *attempt);
-                if self.leave(&place) {
-                    self.refilled.push_back((event.t + REFILL_S, place));
+                if self.release(&place) {
+                    self.pending_releases
+                        .push_back((event.t + REFILL_ALLOWANCE_S, place));
                 }
-                self.with(job, |j| match how {
+                self.update_job(job, |j| match how {
                     EndReason::Done => drop(j.done.insert(*task)),
                     EndReason::Error => j.failed = true,
                     _ => {}
@@ -187,13 +188,13 @@
         }
     }
 
-    fn with(&mut self, job: &str, change: impl FnOnce(&mut Job)) {
+    fn update_job(&mut self, job: &str, change: impl FnOnce(&mut Job)) {
         if let Some(job) = self.jobs.get_mut(job) {
             change(job);
         }
     }
 
-    fn asked(&mut self, spec: &JobSpec) {
+    fn submitted(&mut self, spec: &JobSpec) {
         let job = Job {
             spec: spec.clone(),
             accepted: false,
@@ -202,7 +203,7 @@
             done: BTreeSet::new(),
             running: 0,
             fetching: 0,
-            since: None,
+            waiting_since: None,
         };
         self.jobs.entry(spec.id.clone()).or_insert(job);
     }
@@ -217,7 +218,7 @@
             zone: zone.to_owned(),
             spot,
             is_up: false,
-            struck_until: 0.0,
+            unavailable_until: 0.0,
             cpus: 0.0,
             gpus: 0.0,
             memory_gb: 0.0,
@@ -225,20 +226,20 @@
         self.machines.insert(name.to_owned(), machine);
     }
 
-    fn set_up(&mut self, machine: &str, is_up: bool) {
+    fn set_available(&mut self, machine: &str, is_up: bool) {
         if let Some(machine) = self.machines.get_mut(machine) {
             machine.is_up = is_up;
         }
     }
 
     /// The task holds room on its machine from now on, and runs there or not yet.
-    fn hold(&mut self, place: Place, runs: bool) {
+    fn occupy(&mut self, place: Place, runs: bool) {
         let is_new = !self.places.contains_key(&place);
         if is_new {
-            self.take_room(&place, 1.0);
+            self.add_usage(&place, 1.0);
         }
         let ran = self.places.insert(place.clone(), runs);
-        self.with(&place.0, |job| {
+        self.update_job(&place.0, |job| {
             match ran {
                 Some(true) => job.running -= 1,
                 Some(false) => job.fetching -= 1,
@@ -252,11 +253,11 @@
     }
 
     /// The task has left its place; false if it was not there.
-    fn leave(&mut self, place: &Place) -> bool {
+    fn release(&mut self, place: &Place) -> bool {
         let Some(ran) = self.places.remove(place) else {
             return false;
         };
-        self.with(&place.0, |job| match ran {
+        self.update_job(&place.0, |job| match ran {
             true => job.running -= 1,
             false => job.fetching -= 1,
         });
@@ -264,20 +265,24 @@
     }
 
     /// Places whose time to be filled again is over count as free.
-    fn free_places(&mut self, t: f64) {
+    fn release_due_places(&mut self, t: f64) {
         let is_due = |(at, _): &&(f64, Place)| *at <= t;
-        let due = self.refilled.iter().take_while(is_due).count();
-        let places: Vec<Place> = self.refilled.drain(..due).map(|(_, place)| place).collect();
+        let due = self.pending_releases.iter().take_while(is_due).count();
+        let places: Vec<Place> = self
+            .pending_releases
+            .drain(..due)
+            .map(|(_, place)| place)
+            .collect();
         for place in places {
-            self.take_room(&place, -1.0);
+            self.add_usage(&place, -1.0);
         }
     }
 
-    fn take_room(&mut self, (job, _, machine, _): &Place, times: f64) {
+    fn add_usage(&mut self, (job, _, machine, _): &Place, times: f64) {
         let Some(spec) = self.jobs.get(job).map(|j| &j.spec) else {
             return;
         };
-        *self.used.entry(spec.team.clone()).or_default() += times * spec.cpus;
+        *self.team_cpus.entry(spec.team.clone()).or_default() += times * spec.cpus;
         if let Some(machine) = self.machines.get_mut(machine) {
             machine.cpus += times * spec.cpus;
             machine.gpus += times * spec.gpus();
@@ -287,29 +292,29 @@
 
     /// Follows how long each job has waited beside room, and notes those that have for
     /// too long: once for each wait.
-    fn look(&mut self, index: usize, t: f64) {
-        self.free_places(t);
+    fn check_waits(&mut self, index: usize, t: f64) {
+        self.release_due_places(t);
         let mut rooms: BTreeMap<String, Option<String>> = BTreeMap::new();
         let mut waits: Vec<(String, Option<f64>)> = Vec::new();
         for (id, job) in &self.jobs {
-            let waits_beside = match job.waits() {
+            let waits_beside = match job.is_waiting() {
                 false => None,
                 // Its machine fetches the image: that is no wait for room, nor its end.
                 true if job.fetching > 0 => continue,
-                true if self.is_held(id, t) => None,
+                true if self.is_held_by_calendar(id, t) => None,
                 true => rooms
-                    .entry(wanted(&job.spec))
-                    .or_insert_with(|| self.room(&job.spec, t))
+                    .entry(requirements_key(&job.spec))
+                    .or_insert_with(|| self.find_room(&job.spec, t))
                     .clone(),
             };
             let Some(machine) = waits_beside else {
-                if job.since.is_some() {
+                if job.waiting_since.is_some() {
                     waits.push((id.clone(), None));
                 }
                 continue;
             };
-            let since = job.since.unwrap_or(t);
-            if t - since < LEFT_S - ROUNDING_S {
+            let since = job.waiting_since.unwrap_or(t);
+            if t - since < MAX_WAIT_S - TIME_TOLERANCE_S {
                 waits.push((id.clone(), Some(since)));
                 continue;
             }
@@ -322,13 +327,13 @@
             waits.push((id.clone(), None));
         }
         for (id, since) in waits {
-            self.with(&id, |job| job.since = since);
+            self.update_job(&id, |job| job.waiting_since = since);
         }
     }
 
     /// Whether the calendar holds the job back: a step before its own has not ended,
     /// and its run is not due yet.
-    fn is_held(&self, id: &str, t: f64) -> bool {
+    fn is_held_by_calendar(&self, id: &str, t: f64) -> bool {
         let Some((run, opens, step)) = self.steps.get(id) else {
             return false;
         };
@@ -345,11 +350,11 @@
     }
 
     /// A machine with room for a task of the job, if its team's limit has room too.
-    fn room(&self, spec: &JobSpec, t: f64) -> Option<String> {
-        let used = self.used.get(&spec.team).copied().unwrap_or(0.0);
+    fn find_room(&self, spec: &JobSpec, t: f64) -> Option<String> {
+        let used = self.team_cpus.get(&spec.team).copied().unwrap_or(0.0);
         let team = self.night.teams.iter().find(|x| x.name == spec.team);
         let most = team.map(|x| x.cpus_max).filter(|most| *most > 0.0);
-        if most.is_some_and(|most| used + spec.cpus > most + ROUNDING) {
+        if most.is_some_and(|most| used + spec.cpus > most + RESOURCE_TOLERANCE) {
             return None;
         }
         let mut machines = self.machines.iter();
@@ -364,17 +369,17 @@
             && spec.zone.as_ref().is_none_or(|zone| *zone == machine.zone)
             && (!machine.spot || spec.spot());
         machine.is_up
-            && machine.struck_until <= t
+            && machine.unavailable_until <= t
             && is_allowed
-            && machine.cpus + spec.cpus <= kind.cpus + ROUNDING
-            && machine.gpus + spec.gpus() <= kind.gpus + ROUNDING
-            && machine.memory_gb + spec.memory_gb <= kind.memory_gb + ROUNDING
+            && machine.cpus + spec.cpus <= kind.cpus + RESOURCE_TOLERANCE
+            && machine.gpus + spec.gpus() <= kind.gpus + RESOURCE_TOLERANCE
+            && machine.memory_gb + spec.memory_gb <= kind.memory_gb + RESOURCE_TOLERANCE
     }
 }
 
 /// What the job wants of machines and of its team, as a key: jobs with the same find
 /// room in the same places.
-fn wanted(spec: &JobSpec) -> String {
+fn requirements_key(spec: &JobSpec) -> String {
     format!(
         "{} {} {} {} {:?} {:?} {}",
         spec.team,
--- a/crates/umbersail-rehearsal/src/judge/waiting/tests.rs
+++ b/crates/umbersail-rehearsal/src/judge/waiting/tests.rs
@@ -153,7 +153,10 @@
     all.sort_by(|a, b| a.0.total_cmp(&b.0));
     let events = all.into_iter().map(|(t, what)| Event { t, what });
     let events: Vec<Event> = events.collect();
-    judged(&night, &events).iter().map(|l| l.t).collect()
+    find_left_waiting(&night, &events)
+        .iter()
+        .map(|l| l.t)
+        .collect()
 }
 
 #[test]
@@ -300,7 +303,7 @@
     let (name, due_s) = (run.name.clone(), run.due_s);
     let mut tracker = tracker(&night);
     for (id, step) in [("req-1", 1), ("req-2", 0)] {
-        tracker.see(&Event {
+        tracker.apply(&Event {
             t: 0.0,
             what: EventKind::RunJob {
                 run: name.clone(),
@@ -309,15 +312,17 @@
                 job: id.into(),
             },
         });
-        tracker.asked(&JobSpec {
+        tracker.submitted(&JobSpec {
             id: id.into(),
             tasks: 1,
             ..spec()
         });
     }
-    assert!(tracker.is_held("req-1", 50.0) && !tracker.is_held("req-2", 50.0));
-    assert!(!tracker.is_held("req-1", 10.0 + due_s + 2.0));
-    tracker.see(&Event {
+    assert!(
+        tracker.is_held_by_calendar("req-1", 50.0) && !tracker.is_held_by_calendar("req-2", 50.0)
+    );
+    assert!(!tracker.is_held_by_calendar("req-1", 10.0 + due_s + 2.0));
+    tracker.apply(&Event {
         t: 60.0,
         what: EventKind::Ended {
             machine: "m1".into(),
@@ -328,5 +333,5 @@
             useful_s: 1.0,
         },
     });
-    assert!(!tracker.is_held("req-1", 60.0));
+    assert!(!tracker.is_held_by_calendar("req-1", 60.0));
 }
--- a/crates/umbersail-rehearsal/src/kv_store_host.rs
+++ b/crates/umbersail-rehearsal/src/kv_store_host.rs
@@ -202,7 +202,7 @@
         self.changed.notify_all();
         let applied = matches!(done, Ok(Outcome::Applied { .. }));
         if applied {
-            self.figures.applied(&txn);
+            self.figures.record_transaction(&txn);
             self.granted.applied(&self.history, &txn);
         }
         self.history.add(EventKind::LateWrite {
@@ -255,7 +255,7 @@
         }
         let now = self.world.now();
         let taken = self.requests.borrow_mut().take(now, 1.0);
-        self.figures.asked(!taken);
+        self.figures.record_request(!taken);
         if !taken {
             return Response::empty(429);
         }
@@ -290,7 +290,7 @@
             self.changed.notify_all();
             self.tell_election();
             if let KvRequest::Txn(txn) = &call {
-                self.figures.applied(txn);
+                self.figures.record_transaction(txn);
                 self.granted.applied(&self.history, txn);
             }
         }
--- a/crates/umbersail-rehearsal/src/lib.rs
+++ b/crates/umbersail-rehearsal/src/lib.rs
@@ -46,12 +46,12 @@
 pub mod waves;
 mod worker;
 
-pub use answers::{Answers, SILENT_S};
+pub use answers::{MAX_SILENCE_S, QueryFigures};
 pub use bundled::{BUNDLED, Bundled, bundled};
-pub use judge::{Breach, Figures, Reached, Rule, judge};
+pub use judge::{Breach, Figures, ObjectiveResult, Rule, evaluate};
 pub use night::{Failure, Night, NightError, Priority, Team, Trouble};
 pub use odd_requests::{Invalid, REQUIRED_FIELDS, invalid_submissions};
 pub use play::{Outcome, PlayError, play, play_many, settings};
 pub use real::play_real;
-pub use runs::{Run, RunFigures, Step};
-pub use served::{BEGIN_S, Of, SERVED_FEW, SERVED_LEAST, Served};
+pub use runs::{CalendarRun, CalendarRunFigures, RunStep};
+pub use served::{JobGroup, MAX_START_S, MIN_JOBS_FOR_SHARE, MIN_SERVED_SHARE, ServedFigures};
--- a/crates/umbersail-rehearsal/src/night.rs
+++ b/crates/umbersail-rehearsal/src/night.rs
@@ -7,7 +7,7 @@
 use serde::{Deserialize, Serialize};
 use thiserror::Error;
 
-use crate::runs::{self, Run};
+use crate::runs::{self, CalendarRun};
 
 /// A night file that can't be played.
 #[derive(Debug, Error, PartialEq, Eq)]
@@ -55,7 +55,7 @@
     pub failures: Vec<Failure>,
     /// Work in steps that follow one another.
     #[serde(default)]
-    pub runs: Vec<Run>,
+    pub runs: Vec<CalendarRun>,
     /// The operators' calendar keeps the steps apart; else their users do.
     #[serde(default = "Night::calendar")]
     pub calendar: bool,
--- a/crates/umbersail-rehearsal/src/play.rs
+++ b/crates/umbersail-rehearsal/src/play.rs
@@ -17,7 +17,7 @@
 
 use crate::fleet::Fleet;
 use crate::history::{Event, EventKind, History};
-use crate::judge::{Figures, judge};
+use crate::judge::{Figures, evaluate};
 use crate::kv_store_host::KvStoreHost;
 use crate::night::{Aim, Night};
 use crate::places::{Addresses, member, zone};
@@ -222,7 +222,7 @@
             figures: Figures {
                 processor_s,
                 overrun: most_s.is_some_and(|most_s| processor_s > most_s),
-                ..judge(night, &events)
+                ..evaluate(night, &events)
             },
             events,
             hash,
@@ -295,7 +295,7 @@
         level(&fleet);
         if now >= state_told_s + STATE_TOLD_S {
             state_told_s = now;
-            history.add(state.figures.told());
+            history.add(state.figures.sample());
         }
         // Nobody listens if no progress is shown.
         let _ = told.send(now);
--- a/crates/umbersail-rehearsal/src/report.rs
+++ b/crates/umbersail-rehearsal/src/report.rs
@@ -75,48 +75,48 @@
             "  FAILED: not played in its time, which is {most_s} s of a core"
         );
     }
-    for aim in &f.aims {
-        let met = if aim.met { "met   " } else { "missed" };
+    for objective in &f.objectives {
+        let met = if objective.met { "met   " } else { "missed" };
         let _ = writeln!(
             out,
             "  {met} {}: {:.3} (aim {}, of {})",
-            aim.aim, aim.value, aim.wanted, aim.of
+            objective.objective, objective.value, objective.target, objective.count
         );
     }
     for s in &f.served {
         let failed = match () {
-            () if s.is_under() => "FAILED served",
-            () if s.is_begun_late() => "FAILED begun",
+            () if s.is_underserved() => "FAILED served",
+            () if s.has_late_start() => "FAILED begun",
             () => "served",
         };
         let _ = writeln!(
             out,
             "  {failed} {} {}: {:.2} in time, {:.2} by 1.5 times, {:.2} done (of {}); \
              begun after {:.0} s at most, {} late; all tasks beside the first after {:.0} s",
-            s.of.words(),
+            s.group.words(),
             s.name,
             s.in_time,
-            s.late,
+            s.in_extended_time,
             s.done,
             s.jobs,
-            s.begin_s,
-            s.begun_late,
-            s.beside_s
+            s.longest_start_s,
+            s.started_late,
+            s.longest_all_started_s
         );
-        if s.is_under()
+        if s.is_underserved()
             && let Some(bound) = bound::bound(night, &outcome.events, s)
         {
             let _ = writeln!(
                 out,
                 "    nobody could have served more than {:.2} beside the others as they were served, {:.2} alone",
-                bound.beside, bound.alone
+                bound.with_others, bound.without_others
             );
         }
     }
     let _ = writeln!(
         out,
         "  answers: {} of {} questions in vain; longest without one by job {:.1} s, 99th percentile {:.1} s",
-        f.answers.in_vain, f.answers.polls, f.answers.gap_most_s, f.answers.gap_p99_s
+        f.answers.unanswered, f.answers.polls, f.answers.longest_gap_s, f.answers.p99_gap_s
     );
     if f.runs.runs > 0 {
         let late: f64 = f.runs.late_s.iter().map(|s| s.max(0.0)).sum();
@@ -342,15 +342,15 @@
     ];
     let f: &Figures = &outcome.figures;
     let mut rows = String::new();
-    for aim in &f.aims {
-        let class = if aim.met { "met" } else { "missed" };
+    for objective in &f.objectives {
+        let class = if objective.met { "met" } else { "missed" };
         let _ = write!(
             rows,
             "<tr class=\"{class}\"><td>{}</td><td>{:.3}</td><td>{}</td><td>{}</td><td>{class}</td></tr>",
-            escape(&aim.aim),
-            aim.value,
-            aim.wanted,
-            aim.of
+            escape(&objective.objective),
+            objective.value,
+            objective.target,
+            objective.count
         );
     }
     let mut list = String::new();
--- a/crates/umbersail-rehearsal/src/runs.rs
+++ b/crates/umbersail-rehearsal/src/runs.rs
@@ -17,37 +17,39 @@
 /// A team's jobs in steps, each to begin when the one before has ended.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
-pub struct Run {
+#[schemars(rename = "Run")]
+pub struct CalendarRun {
     pub name: String,
     #[schemars(range(min = 5.0, max = 86400.0))]
     pub opens_s: f64,
     /// So many times, so many minutes apart.
-    #[serde(default = "Run::once")]
+    #[serde(default = "CalendarRun::once")]
     #[schemars(range(min = 1, max = 1000))]
     pub times: u32,
-    #[serde(default = "Run::once")]
+    #[serde(default = "CalendarRun::once")]
     #[schemars(range(min = 1, max = 1440))]
     pub every_min: u32,
     /// All must be over so many seconds after the opening.
     #[schemars(range(min = 1.0, max = 86400.0))]
     pub due_s: f64,
     /// A step closes once none has come for so long, should one never come.
-    #[serde(default = "Run::quiet")]
+    #[serde(default = "CalendarRun::quiet")]
     #[schemars(range(min = 1.0, max = 86400.0))]
     pub quiet_s: f64,
     #[schemars(length(min = 1, max = 16))]
-    pub steps: Vec<Step>,
+    pub steps: Vec<RunStep>,
 }
 
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
-pub struct Step {
+#[schemars(rename = "Step")]
+pub struct RunStep {
     pub class: String,
     #[schemars(range(min = 1, max = 10000))]
     pub jobs: u32,
 }
 
-impl Run {
+impl CalendarRun {
     fn once() -> u32 {
         1
     }
@@ -63,7 +65,7 @@
 
 /// How the runs of a night went.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize, Default)]
-pub struct RunFigures {
+pub struct CalendarRunFigures {
     pub runs: usize,
     pub in_time: usize,
     /// Seconds by which they ended before (less than 0) or after they were due, sorted;
@@ -110,7 +112,7 @@
     out
 }
 
-fn team<'a>(night: &'a Night, run: &Run) -> &'a str {
+fn team<'a>(night: &'a Night, run: &CalendarRun) -> &'a str {
     let class = run.steps.first().map(|s| &s.class);
     let found = night.classes.iter().find(|c| Some(&c.name) == class);
     found.map_or("", |c| &c.team)
@@ -150,7 +152,7 @@
     async fn submit_run(self: Rc<Self>, night: Rc<Night>, index: usize, opens_s: f64) {
         sleep(opens_s - self.now()).await;
         let run = &night.runs[index];
-        for (step, Step { class, jobs }) in run.steps.iter().enumerate() {
+        for (step, RunStep { class, jobs }) in run.steps.iter().enumerate() {
             let Some(class) = night.classes.iter().find(|c| c.name == *class) else {
                 continue;
             };
@@ -188,15 +190,15 @@
     tasks: u32,
     done: BTreeSet<u32>,
     accepted_at: Option<f64>,
-    began_at: Option<f64>,
+    started_at: Option<f64>,
     ended_at: Option<f64>,
     /// Refused, cancelled or failing everywhere: the step does not wait for it.
-    left: bool,
+    excluded: bool,
 }
 
 /// How the runs went, from the history.
-pub(crate) fn judged(night: &Night, events: &[Event]) -> RunFigures {
-    let mut figures = RunFigures::default();
+pub(crate) fn run_figures(night: &Night, events: &[Event]) -> CalendarRunFigures {
+    let mut figures = CalendarRunFigures::default();
     if night.runs.is_empty() {
         return figures;
     }
@@ -220,38 +222,38 @@
                         times.push((*opens_s, opens_s + due_s, opens_s + quiet_s));
                         times.len() - 1
                     });
-                let seen = jobs.entry(job).or_default();
-                (seen.run, seen.step) = (index, *step);
+                let trace = jobs.entry(job).or_default();
+                (trace.run, trace.step) = (index, *step);
             }
             EventKind::Submitted { spec } => {
-                if let Some(seen) = jobs.get_mut(spec.id.as_str()) {
-                    seen.tasks = spec.tasks;
+                if let Some(trace) = jobs.get_mut(spec.id.as_str()) {
+                    trace.tasks = spec.tasks;
                 }
             }
             EventKind::Accepted { job, .. } => {
-                if let Some(seen) = jobs.get_mut(job.as_str()) {
-                    seen.accepted_at.get_or_insert(event.t);
+                if let Some(trace) = jobs.get_mut(job.as_str()) {
+                    trace.accepted_at.get_or_insert(event.t);
                 }
             }
             EventKind::Refused { job, .. } | EventKind::CancelRequested { job } => {
-                if let Some(seen) = jobs.get_mut(job.as_str()) {
-                    seen.left = true;
+                if let Some(trace) = jobs.get_mut(job.as_str()) {
+                    trace.excluded = true;
                 }
             }
             EventKind::Started { job, .. } => {
-                if let Some(seen) = jobs.get_mut(job.as_str()) {
-                    seen.began_at.get_or_insert(event.t);
+                if let Some(trace) = jobs.get_mut(job.as_str()) {
+                    trace.started_at.get_or_insert(event.t);
                 }
             }
             EventKind::Ended { job, task, how, .. } => {
-                if let Some(seen) = jobs.get_mut(job.as_str()) {
+                if let Some(trace) = jobs.get_mut(job.as_str()) {
                     match how {
-                        EndReason::Done => drop(seen.done.insert(*task)),
-                        EndReason::Error => seen.left = true,
+                        EndReason::Done => drop(trace.done.insert(*task)),
+                        EndReason::Error => trace.excluded = true,
                         _ => {}
                     }
-                    if seen.done.len() as u32 == seen.tasks {
-                        seen.ended_at.get_or_insert(event.t);
+                    if trace.done.len() as u32 == trace.tasks {
+                        trace.ended_at.get_or_insert(event.t);
                     }
                 }
             }
@@ -262,7 +264,7 @@
         let of_run = || jobs.iter().filter(move |(_, j)| j.run == index);
         figures.runs += 1;
         let ends: Option<Vec<f64>> = of_run()
-            .filter(|(_, j)| !j.left)
+            .filter(|(_, j)| !j.excluded)
             .map(|(_, j)| j.ended_at)
             .collect();
         if let Some(end) = ends.map(|e| e.into_iter().fold(0.0, f64::max)) {
@@ -275,12 +277,12 @@
         for (id, job) in of_run() {
             // All is let go at the due time, by a clock that may be ahead.
             let certain_due = due - night.controllers.skew_ms / 1000.0;
-            let Some(began) = job.began_at.filter(|at| *at < certain_due) else {
+            let Some(began) = job.started_at.filter(|at| *at < certain_due) else {
                 continue;
             };
             let waits_for = |(_, j): &(&&str, &JobTrace)| {
                 j.step < job.step
-                    && !j.left
+                    && !j.excluded
                     && j.accepted_at.is_some_and(|at| at < *certain)
                     && j.ended_at.is_none_or(|at| at > began)
             };
--- a/crates/umbersail-rehearsal/src/served.rs
+++ b/crates/umbersail-rehearsal/src/served.rs
@@ -8,18 +8,18 @@
 
 /// Below this share of its jobs in time a class, a team or a class's largest jobs
 /// were not served.
-pub const SERVED_LEAST: f64 = 0.5;
+pub const MIN_SERVED_SHARE: f64 = 0.5;
 /// A class or team with fewer jobs than this says nothing about a share.
-pub const SERVED_FEW: usize = 8;
+pub const MIN_JOBS_FOR_SHARE: usize = 8;
 /// The largest jobs of a class begin within so many seconds of their first
 /// submission.
-pub const BEGIN_S: f64 = 240.0;
+pub const MAX_START_S: f64 = 240.0;
 
 /// Whose jobs they are: a team's, a class's, or the largest of a class, by tasks
 /// times CPUs. Of jobs that are equally large, all count.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Of {
+pub enum JobGroup {
     Class,
     LargestQuarter,
     LargestTenth,
@@ -27,63 +27,73 @@
     Team,
 }
 
-impl Of {
+impl JobGroup {
     /// In words, before the name of a class or team.
     pub fn words(self) -> &'static str {
         match self {
-            Of::Class => "class",
-            Of::LargestQuarter => "largest quarter of",
-            Of::LargestTenth => "largest tenth of",
-            Of::Largest => "largest of",
-            Of::Team => "team",
+            JobGroup::Class => "class",
+            JobGroup::LargestQuarter => "largest quarter of",
+            JobGroup::LargestTenth => "largest tenth of",
+            JobGroup::Largest => "largest of",
+            JobGroup::Team => "team",
         }
     }
 
-    pub(crate) fn is_of_team(self) -> bool {
-        self == Of::Team
+    pub(crate) fn is_team(self) -> bool {
+        self == JobGroup::Team
     }
 
     fn is_largest(self) -> bool {
-        matches!(self, Of::LargestQuarter | Of::LargestTenth | Of::Largest)
+        matches!(
+            self,
+            JobGroup::LargestQuarter | JobGroup::LargestTenth | JobGroup::Largest
+        )
     }
 }
 
 /// What became of the jobs of one class or team, or of the largest of a class;
 /// cancelled ones left out.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct Served {
-    pub of: Of,
+pub struct ServedFigures {
+    #[serde(rename = "of")]
+    pub group: JobGroup,
     pub name: String,
     /// Jobs of the class or team in all, and the least tasks times CPUs of those
     /// that count here.
-    pub whole: usize,
-    pub least_size: f64,
+    #[serde(rename = "whole")]
+    pub total_jobs: usize,
+    #[serde(rename = "least_size")]
+    pub min_size: f64,
     /// Jobs that were due before the end, counted from their first attempt to
     /// submit.
     pub jobs: usize,
     /// Shares of these: done by the deadline, by 1.5 times it, and at all.
     pub in_time: f64,
-    pub late: f64,
+    #[serde(rename = "late")]
+    pub in_extended_time: f64,
     pub done: f64,
     /// Longest wait in seconds from the first attempt to submit until the first
     /// task ran, of all that were accepted, or until the end if none did.
-    pub begin_s: f64,
-    /// Accepted jobs that did not begin within [`BEGIN_S`].
-    pub begun_late: usize,
+    #[serde(rename = "begin_s")]
+    pub longest_start_s: f64,
+    /// Accepted jobs that did not begin within [`MAX_START_S`].
+    #[serde(rename = "begun_late")]
+    pub started_late: usize,
     /// Longest time in seconds from a job's first task's run until each of its
     /// tasks ran.
-    pub beside_s: f64,
+    #[serde(rename = "beside_s")]
+    pub longest_all_started_s: f64,
 }
 
-impl Served {
+impl ServedFigures {
     /// Whether it shows a night that failed, since under half was served.
-    pub fn is_under(&self) -> bool {
-        self.whole >= SERVED_FEW && self.jobs > 0 && self.in_time < SERVED_LEAST
+    pub fn is_underserved(&self) -> bool {
+        self.total_jobs >= MIN_JOBS_FOR_SHARE && self.jobs > 0 && self.in_time < MIN_SERVED_SHARE
     }
 
     /// Whether it shows a night that failed, since a largest job began too late.
-    pub fn is_begun_late(&self) -> bool {
-        self.of.is_largest() && self.begun_late > 0
+    pub fn has_late_start(&self) -> bool {
+        self.group.is_largest() && self.started_late > 0
     }
 }
 
@@ -94,13 +104,13 @@
     pub team: &'a str,
     /// Tasks times CPUs.
     pub size: f64,
-    pub asked_at: f64,
+    pub submitted_at: f64,
     pub accepted: bool,
     /// Seconds from then on; jobs without one are in time when they are done.
     pub deadline_s: Option<f64>,
     /// When its first task ran, and when each of them had run.
-    pub began_at: Option<f64>,
-    pub beside_at: Option<f64>,
+    pub first_started_at: Option<f64>,
+    pub all_started_at: Option<f64>,
     pub complete_at: Option<f64>,
 }
 
@@ -108,50 +118,56 @@
     fn within(&self, times: f64) -> bool {
         let due = self
             .deadline_s
-            .map_or(f64::MAX, |d| self.asked_at + d * times);
+            .map_or(f64::MAX, |d| self.submitted_at + d * times);
         self.complete_at.is_some_and(|at| at <= due)
     }
 
     /// Without a deadline a job is due when the night ends.
     fn is_due(&self, end: f64) -> bool {
-        self.deadline_s.is_none_or(|d| self.asked_at + d < end)
+        self.deadline_s.is_none_or(|d| self.submitted_at + d < end)
     }
 }
 
 /// The table, classes first.
-pub fn served<'a>(jobs: impl Iterator<Item = Job<'a>>, end: f64) -> Vec<Served> {
+pub fn served_figures<'a>(jobs: impl Iterator<Item = Job<'a>>, end: f64) -> Vec<ServedFigures> {
     let mut classes: BTreeMap<&str, Vec<Job<'a>>> = BTreeMap::new();
     let mut teams: BTreeMap<&str, Vec<Job<'a>>> = BTreeMap::new();
     for job in jobs {
         classes.entry(job.class).or_default().push(job);
         teams.entry(job.team).or_default().push(job);
     }
-    let mut rows: Vec<Served> = Vec::new();
+    let mut rows: Vec<ServedFigures> = Vec::new();
     for (name, jobs) in &classes {
-        rows.extend(row(Of::Class, name, jobs.len(), jobs, end));
+        rows.extend(row(JobGroup::Class, name, jobs.len(), jobs, end));
     }
     for (name, jobs) in &mut classes {
         jobs.sort_by(|a, b| b.size.total_cmp(&a.size));
-        let whole = jobs.len();
+        let total_jobs = jobs.len();
         let parts = [
-            (Of::LargestQuarter, whole.div_ceil(4)),
-            (Of::LargestTenth, whole.div_ceil(10)),
-            (Of::Largest, 1),
+            (JobGroup::LargestQuarter, total_jobs.div_ceil(4)),
+            (JobGroup::LargestTenth, total_jobs.div_ceil(10)),
+            (JobGroup::Largest, 1),
         ];
         for (of, most) in parts {
             let least = jobs[most - 1].size;
             let upto = jobs.partition_point(|j| j.size >= least);
-            rows.extend(row(of, name, whole, &jobs[..upto], end));
+            rows.extend(row(of, name, total_jobs, &jobs[..upto], end));
         }
     }
     for (name, jobs) in &teams {
-        rows.extend(row(Of::Team, name, jobs.len(), jobs, end));
+        rows.extend(row(JobGroup::Team, name, jobs.len(), jobs, end));
     }
     rows
 }
 
 /// One row, or none if there is nothing to say.
-fn row(of: Of, name: &str, whole: usize, jobs: &[Job<'_>], end: f64) -> Option<Served> {
+fn row(
+    group: JobGroup,
+    name: &str,
+    total_jobs: usize,
+    jobs: &[Job<'_>],
+    end: f64,
+) -> Option<ServedFigures> {
     let due: Vec<&Job<'_>> = jobs.iter().filter(|j| j.is_due(end)).collect();
     let share = |hits: usize| match due.len() {
         0 => 1.0,
@@ -159,22 +175,24 @@
     };
     let count = |hit: &dyn Fn(&Job<'_>) -> bool| due.iter().filter(|j| hit(j)).count();
     let accepted = || jobs.iter().filter(|j| j.accepted);
-    let waits = accepted().map(|j| j.began_at.unwrap_or(end) - j.asked_at);
-    let beside = jobs.iter().filter_map(|j| Some(j.beside_at? - j.began_at?));
-    let row = Served {
-        of,
+    let waits = accepted().map(|j| j.first_started_at.unwrap_or(end) - j.submitted_at);
+    let beside = jobs
+        .iter()
+        .filter_map(|j| Some(j.all_started_at? - j.first_started_at?));
+    let row = ServedFigures {
+        group,
         name: name.to_owned(),
-        whole,
-        least_size: jobs.iter().map(|j| j.size).fold(f64::MAX, f64::min),
+        total_jobs,
+        min_size: jobs.iter().map(|j| j.size).fold(f64::MAX, f64::min),
         jobs: due.len(),
         in_time: share(count(&|j| j.within(1.0))),
-        late: share(count(&|j| j.within(1.5))),
+        in_extended_time: share(count(&|j| j.within(1.5))),
         done: share(count(&|j| j.complete_at.is_some())),
-        begin_s: waits.clone().fold(0.0, f64::max),
-        begun_late: waits.filter(|wait| *wait > BEGIN_S).count(),
-        beside_s: beside.fold(0.0, f64::max),
+        longest_start_s: waits.clone().fold(0.0, f64::max),
+        started_late: waits.filter(|wait| *wait > MAX_START_S).count(),
+        longest_all_started_s: beside.fold(0.0, f64::max),
     };
-    (!due.is_empty() || row.begun_late > 0).then_some(row)
+    (!due.is_empty() || row.started_late > 0).then_some(row)
 }
 
 #[cfg(test)]
@@ -186,17 +204,20 @@
             class,
             team,
             size: 1.0,
-            asked_at: 10.0,
+            submitted_at: 10.0,
             accepted: true,
             deadline_s: Some(20.0),
-            began_at: Some(12.0),
-            beside_at: Some(14.0),
+            first_started_at: Some(12.0),
+            all_started_at: Some(14.0),
             complete_at,
         }
     }
 
-    fn find<'a>(table: &'a [Served], of: Of, name: &str) -> &'a Served {
-        table.iter().find(|s| s.of == of && s.name == name).unwrap()
+    fn find<'a>(table: &'a [ServedFigures], group: JobGroup, name: &str) -> &'a ServedFigures {
+        table
+            .iter()
+            .find(|s| s.group == group && s.name == name)
+            .unwrap()
     }
 
     #[test]
@@ -206,14 +227,14 @@
         jobs.extend([job("photos", "kitchen", Some(39.0)); 5]);
         jobs.extend([job("photos", "kitchen", Some(30.0)); 3]);
         jobs.push(job("photos", "kitchen", None));
-        let table = served(jobs.iter().copied(), 100.0);
-        let photos = find(&table, Of::Class, "photos");
-        assert!(photos.is_under());
+        let table = served_figures(jobs.iter().copied(), 100.0);
+        let photos = find(&table, JobGroup::Class, "photos");
+        assert!(photos.is_underserved());
         assert_eq!(photos.jobs, 9);
         assert!((photos.in_time - 3.0 / 9.0).abs() < 1e-9);
-        assert!((photos.late - 8.0 / 9.0).abs() < 1e-9);
-        assert!(!find(&table, Of::Class, "pages").is_under());
-        assert!(!find(&table, Of::Team, "kitchen").is_under());
+        assert!((photos.in_extended_time - 8.0 / 9.0).abs() < 1e-9);
+        assert!(!find(&table, JobGroup::Class, "pages").is_underserved());
+        assert!(!find(&table, JobGroup::Team, "kitchen").is_underserved());
         // A guest without a deadline is served once it is done.
         let guest = |complete_at| Job {
             deadline_s: None,
@@ -221,12 +242,12 @@
         };
         let mut guests = vec![guest(None); 5];
         guests.extend([guest(Some(99.0)); 4]);
-        let table = served(guests.iter().copied(), 100.0);
-        assert!(table.iter().all(|s| s.jobs == 9 && s.is_under()));
+        let table = served_figures(guests.iter().copied(), 100.0);
+        assert!(table.iter().all(|s| s.jobs == 9 && s.is_underserved()));
         // What was due after the end, or a handful of jobs, says nothing.
-        assert!(served(jobs.iter().copied(), 30.0).is_empty());
-        let few = served(jobs[90..95].iter().copied(), 100.0);
-        assert!(few.iter().all(|s| !s.is_under()));
+        assert!(served_figures(jobs.iter().copied(), 30.0).is_empty());
+        let few = served_figures(jobs[90..95].iter().copied(), 100.0);
+        assert!(few.iter().all(|s| !s.is_underserved()));
     }
 
     #[test]
@@ -245,48 +266,58 @@
             of_size(80.0, Some(25.0)),
         ]);
         jobs.push(of_size(70.0, Some(25.0)));
-        let table = served(jobs.iter().copied(), 300.0);
+        let table = served_figures(jobs.iter().copied(), 300.0);
         let of = |of| find(&table, of, "photos");
-        assert!(!of(Of::Class).is_under());
+        assert!(!of(JobGroup::Class).is_underserved());
         assert_eq!(
-            (of(Of::LargestQuarter).jobs, of(Of::LargestTenth).jobs),
+            (
+                of(JobGroup::LargestQuarter).jobs,
+                of(JobGroup::LargestTenth).jobs
+            ),
             (10, 4)
         );
-        assert!(!of(Of::LargestQuarter).is_under() && !of(Of::LargestTenth).is_under());
-        assert!(of(Of::Largest).is_under());
+        assert!(
+            !of(JobGroup::LargestQuarter).is_underserved()
+                && !of(JobGroup::LargestTenth).is_underserved()
+        );
+        assert!(of(JobGroup::Largest).is_underserved());
         // All that are as large as the smallest of them count with them.
         jobs.push(of_size(90.0, Some(25.0)));
-        let table = served(jobs.iter().copied(), 300.0);
-        assert_eq!(find(&table, Of::Largest, "photos").jobs, 2);
-        assert!(!find(&table, Of::Largest, "photos").is_under());
+        let table = served_figures(jobs.iter().copied(), 300.0);
+        assert_eq!(find(&table, JobGroup::Largest, "photos").jobs, 2);
+        assert!(!find(&table, JobGroup::Largest, "photos").is_underserved());
     }
 
     #[test]
     fn a_largest_job_that_begins_late_or_never_fails_a_night_and_a_small_one_does_not() {
         // Guards against jobs that wait without end for being large.
-        let waits = |size, began_at| Job {
+        let waits = |size, first_started_at| Job {
             size,
             deadline_s: Some(900.0),
-            began_at,
-            beside_at: None,
+            first_started_at,
+            all_started_at: None,
             ..job("photos", "kitchen", None)
         };
         let mut jobs: Vec<Job<'_>> = (0..7)
             .map(|n| waits(1.0 + f64::from(n), Some(20.0)))
             .collect();
-        jobs[0].began_at = Some(400.0);
+        jobs[0].first_started_at = Some(400.0);
         jobs.push(waits(9.0, Some(249.0)));
-        let late = |jobs: &[Job<'_>], end| -> Vec<Of> {
-            let table = served(jobs.iter().copied(), end);
-            let late = table.iter().filter(|s| s.is_begun_late());
-            late.map(|s| s.of).collect()
+        let late = |jobs: &[Job<'_>], end| -> Vec<JobGroup> {
+            let table = served_figures(jobs.iter().copied(), end);
+            let late = table.iter().filter(|s| s.has_late_start());
+            late.map(|s| s.group).collect()
         };
         assert!(late(&jobs, 1000.0).is_empty());
-        let largest = [Of::LargestQuarter, Of::LargestTenth, Of::Largest];
-        jobs[7].began_at = Some(251.0);
+        let largest = [
+            JobGroup::LargestQuarter,
+            JobGroup::LargestTenth,
+            JobGroup::Largest,
+        ];
+        jobs[7].first_started_at = Some(251.0);
         assert_eq!(late(&jobs, 1000.0), largest);
         // Before its deadline, too; but not before the four minutes.
-        jobs[7].began_at = None;
+        jobs[7].first_started_at = None;
         assert_eq!(late(&jobs, 251.0), largest);
         assert!(late(&jobs, 249.0).is_empty());
     }
--- a/crates/umbersail-rehearsal/src/state_figures.rs
+++ b/crates/umbersail-rehearsal/src/state_figures.rs
@@ -11,26 +11,26 @@
 #[derive(Default)]
 pub struct StateFigures {
     changes: RefCell<BTreeMap<String, u64>>,
-    standing: RefCell<BTreeMap<String, BTreeSet<String>>>,
+    live_keys: RefCell<BTreeMap<String, BTreeSet<String>>>,
     requests: Cell<u64>,
     refused: Cell<u64>,
 }
 
 impl StateFigures {
     /// A request came, and whether it was refused for being one too many.
-    pub fn asked(&self, refused: bool) {
+    pub fn record_request(&self, refused: bool) {
         self.requests.set(self.requests.get() + 1);
         self.refused.set(self.refused.get() + u64::from(refused));
     }
 
     /// A transaction was applied.
-    pub fn applied(&self, txn: &Txn<Value>) {
+    pub fn record_transaction(&self, txn: &Txn<Value>) {
         for change in &txn.changes {
             let (Change::Put { key, .. } | Change::Delete { key }) = change;
             let first = key.split('/').next().unwrap_or(key).to_owned();
             *self.changes.borrow_mut().entry(first.clone()).or_default() += 1;
-            let mut standing = self.standing.borrow_mut();
-            let keys = standing.entry(first).or_default();
+            let mut live_keys = self.live_keys.borrow_mut();
+            let keys = live_keys.entry(first).or_default();
             match change {
                 Change::Put { .. } => drop(keys.insert(key.clone())),
                 Change::Delete { .. } => drop(keys.remove(key)),
@@ -39,13 +39,13 @@
     }
 
     /// The figures so far, as the history has them.
-    pub fn told(&self) -> EventKind {
-        let standing = self.standing.borrow();
+    pub fn sample(&self) -> EventKind {
+        let live_keys = self.live_keys.borrow();
         let count =
             |(first, keys): (&String, &BTreeSet<String>)| (first.clone(), keys.len() as u64);
         EventKind::StateSample {
             changes: self.changes.borrow().clone(),
-            live_keys: standing.iter().map(count).collect(),
+            live_keys: live_keys.iter().map(count).collect(),
             requests: self.requests.get(),
             refused: self.refused.get(),
         }
--- a/crates/umbersail-rehearsal/tests/nights/lost_answers.rs
+++ b/crates/umbersail-rehearsal/tests/nights/lost_answers.rs
@@ -6,7 +6,7 @@
 
 use umbersail_rehearsal::history::{Event, EventKind};
 
-use umbersail_rehearsal::{Night, Outcome, Run};
+use umbersail_rehearsal::{CalendarRun, Night, Outcome};
 
 use crate::harness::{elections, failure, holds, night, seeds, shop};
 
@@ -199,7 +199,7 @@
 }
 
 /// A run of two steps with jobs of these classes, three times, a minute apart.
-fn calendar_run(classes: [&str; 2]) -> Run {
+fn calendar_run(classes: [&str; 2]) -> CalendarRun {
     let mut run = night("calendar-runs-leader-changes").runs.remove(0);
     (run.opens_s, run.times, run.every_min, run.due_s) = (20.0, 3, 1, 55.0);
     for (step, class) in run.steps.iter_mut().zip(classes) {
--- a/crates/umbersail-rehearsal/tests/nights/one_task_jobs.rs
+++ b/crates/umbersail-rehearsal/tests/nights/one_task_jobs.rs
@@ -121,6 +121,6 @@
         // All that a job leaves for ever is how it ended.
         assert_eq!(state.standing["over"], figures.accepted as u64);
         assert_eq!(state.standing["jobs"], 0);
-        assert!(figures.served.iter().all(|s| s.begin_s < 90.0));
+        assert!(figures.served.iter().all(|s| s.longest_start_s < 90.0));
     }
 }
--- a/crates/umbersail-rehearsal/tests/nights/whole.rs
+++ b/crates/umbersail-rehearsal/tests/nights/whole.rs
@@ -121,8 +121,12 @@
     assert!((night.ends_s() - 180.0).abs() < 1e-9);
     let figures = played(&night, 1).figures;
     assert!(figures.breaches.is_empty(), "{:?}", figures.breaches[0]);
-    assert!(figures.answers.gap_most_s > 60.0, "{:?}", figures.answers);
-    assert!(figures.answers.in_vain > 0 && figures.answers.in_vain < figures.answers.polls);
+    assert!(
+        figures.answers.longest_gap_s > 60.0,
+        "{:?}",
+        figures.answers
+    );
+    assert!(figures.answers.unanswered > 0 && figures.answers.unanswered < figures.answers.polls);
 }
 
 #[test]
--- a/crates/umbersail/src/rehearse.rs
+++ b/crates/umbersail/src/rehearse.rs
@@ -157,12 +157,12 @@
         let mut failed = 0;
         for outcome in &outcomes {
             let figures = &outcome.figures;
-            let met = figures.aims.iter().filter(|a| a.met).count();
+            let met = figures.objectives.iter().filter(|a| a.met).count();
             println!(
                 "seed {}: {} of {} aims met, {} rules broken, {:.1} s of a core, outcome {}",
                 outcome.seed,
                 met,
-                figures.aims.len(),
+                figures.objectives.len(),
                 figures.breaches.len(),
                 figures.processor_s,
                 outcome.hash
