--- a/crates/umbersail-rehearsal/src/bound.rs
+++ b/crates/umbersail-rehearsal/src/bound.rs
@@ -74,7 +74,7 @@
         submitted_at: f64,
         work_s: f64,
         done: BTreeSet<u32>,
-        complete_at: Option<f64>,
+        completed_at: Option<f64>,
         cancelled: bool,
     }
     let mut seen: BTreeMap<&str, JobTrace<'_>> = BTreeMap::new();
@@ -86,7 +86,7 @@
                     submitted_at: event.t,
                     work_s: 0.0,
                     done: BTreeSet::new(),
-                    complete_at: None,
+                    completed_at: None,
                     cancelled: false,
                 };
                 seen.insert(&spec.id, job);
@@ -109,7 +109,7 @@
                         && job.done.insert(*task)
                         && job.done.len() == job.spec.tasks as usize;
                     if last {
-                        job.complete_at = Some(event.t);
+                        job.completed_at = Some(event.t);
                     }
                 }
             }
@@ -135,7 +135,7 @@
                 0 => j.spec.estimate_s,
                 n => j.work_s / n as f64,
             },
-            in_time: j.complete_at.is_some_and(|at| at <= due),
+            in_time: j.completed_at.is_some_and(|at| at <= due),
             is_target: of && is_due && j.submitted_at >= night.warm_up_s,
             spec: j.spec.clone(),
         }
--- a/crates/umbersail-rehearsal/src/judge/mod.rs
+++ b/crates/umbersail-rehearsal/src/judge/mod.rs
@@ -123,11 +123,11 @@
     accepted: Option<f64>,
     cancel_requested_at: Option<f64>,
     cancel_acknowledged_at: Option<f64>,
-    told: Option<JobStage>,
+    final_stage: Option<JobStage>,
     answers: monotonic::AnswerHistory,
     done_tasks: BTreeSet<u32>,
     /// When its last task had completed, and when its user was told.
-    complete_at: Option<f64>,
+    completed_at: Option<f64>,
     done_reported_at: Option<f64>,
     started: BTreeMap<u32, f64>,
     unanswered_since: Option<f64>,
@@ -159,7 +159,7 @@
     /// Answers that are older than others if a task turns out to have run all along.
     unresolved: Vec<monotonic::UnresolvedAnswer>,
     /// When a trouble last took a machine.
-    struck: BTreeMap<String, f64>,
+    machine_faulted_at: BTreeMap<String, f64>,
     useful_cpu_s: f64,
     /// What useful work cost at nominal prices, for its share of the machines.
     useful_money: f64,
@@ -168,7 +168,7 @@
     figures: Figures,
 }
 
-/// An answer in the history: its event, when it was given, and to which question.
+/// An answer in the history: its event, when it was answer, and to which question.
 #[derive(Clone, Copy)]
 struct AnswerContext {
     event: usize,
@@ -184,9 +184,9 @@
         AnswerContext { event, t, sent_s }
     }
 
-    /// Whether the question was sent when an answer of that time had been given.
-    fn follows(&self, given_s: f64) -> bool {
-        self.sent_s >= given_s
+    /// Whether the question was sent when an answer of that time had been answer.
+    fn follows(&self, answered_s: f64) -> bool {
+        self.sent_s >= answered_s
     }
 }
 
@@ -201,7 +201,7 @@
         last_answer_at: 0.0,
         queries: QueryTracker::new(night.troubles_over_s()),
         unresolved: Vec::new(),
-        struck: BTreeMap::new(),
+        machine_faulted_at: BTreeMap::new(),
         useful_cpu_s: 0.0,
         useful_money: 0.0,
         warm_up_spent: 0.0,
@@ -259,9 +259,9 @@
                 stage,
                 question,
             } => {
-                let given = AnswerContext::new(index, t, *question);
+                let answer = AnswerContext::new(index, t, *question);
                 self.status_requested(index, t, job, *status == 404 || stage.is_some());
-                self.polled(given, job, *status, *stage);
+                self.polled(answer, job, *status, *stage);
             }
             EventKind::Repeated {
                 job,
@@ -269,16 +269,16 @@
                 stage,
                 question,
             } => {
-                let given = AnswerContext::new(index, t, *question);
+                let answer = AnswerContext::new(index, t, *question);
                 if matches!(status, 400 | 422) {
                     let detail = format!("{job}: repeated submission answered {status}");
                     self.breach(Rule::Forgotten, t, index, detail);
                 }
                 if *status == 201 {
-                    self.check_accepted_again(given, job);
+                    self.check_accepted_again(answer, job);
                 }
                 if let Some(stage) = stage {
-                    self.stage_reported(given, job, *stage);
+                    self.stage_reported(answer, job, *stage);
                 }
             }
             EventKind::CancelRequested { job } => {
@@ -352,7 +352,7 @@
                 self.check_cancelled_tasks(index, t);
             }
             EventKind::MachineFaulted { machine, .. } => {
-                self.struck.insert(machine.clone(), t);
+                self.machine_faulted_at.insert(machine.clone(), t);
             }
             EventKind::InvalidSubmission { .. }
             | EventKind::Up { .. }
--- a/crates/umbersail-rehearsal/src/judge/monotonic.rs
+++ b/crates/umbersail-rehearsal/src/judge/monotonic.rs
@@ -42,20 +42,20 @@
     }
 
     /// Whether the question was sent when the job had been shown known.
-    pub fn was_known_before(&self, given: AnswerContext) -> bool {
-        self.known_s.is_some_and(|t| given.follows(t))
+    pub fn was_known_before(&self, answer: AnswerContext) -> bool {
+        self.known_s.is_some_and(|t| answer.follows(t))
     }
 
     /// Whether the question was sent when the job's end had been told.
-    pub fn was_final_before(&self, given: AnswerContext) -> bool {
-        self.final_s.is_some_and(|t| given.follows(t))
+    pub fn was_final_before(&self, answer: AnswerContext) -> bool {
+        self.final_s.is_some_and(|t| answer.follows(t))
     }
 
     /// When an answer that the question need not lag behind last said that a task runs,
     /// if no task has ended since.
-    fn running_before(&self, given: AnswerContext) -> Option<f64> {
+    fn running_before(&self, answer: AnswerContext) -> Option<f64> {
         let told = self.running_s.iter().rev().copied();
-        let ran_s = told.into_iter().find(|t| given.follows(t + MAX_LAG_S))?;
+        let ran_s = told.into_iter().find(|t| answer.follows(t + MAX_LAG_S))?;
         self.ended_s.is_none_or(|t| t < ran_s).then_some(ran_s)
     }
 }
@@ -75,42 +75,45 @@
 
 impl Checker<'_> {
     /// A repeated submission was answered as if it were the first.
-    pub(super) fn check_accepted_again(&mut self, given: AnswerContext, id: &str) {
-        if self.job(id).answers.was_known_before(given) {
+    pub(super) fn check_accepted_again(&mut self, answer: AnswerContext, id: &str) {
+        if self.job(id).answers.was_known_before(answer) {
             let detail = format!("{id}: accepted, and its repeated submission accepted anew");
-            self.breach(Rule::OlderAnswer, given.t, given.event, detail);
+            self.breach(Rule::OlderAnswer, answer.t, answer.event, detail);
         }
     }
 
     /// A cancellation was answered as if there were no such job.
-    pub(super) fn check_refused_cancel(&mut self, given: AnswerContext, id: &str, status: u16) {
-        if self.job(id).answers.was_known_before(given) {
+    pub(super) fn check_refused_cancel(&mut self, answer: AnswerContext, id: &str, status: u16) {
+        if self.job(id).answers.was_known_before(answer) {
             let detail = format!("{id}: accepted, its cancellation answered {status}");
-            self.breach(Rule::Forgotten, given.t, given.event, detail);
+            self.breach(Rule::Forgotten, answer.t, answer.event, detail);
         }
     }
 
     /// Before an answer is counted: whether it takes back that a task runs.
     pub(super) fn check_no_longer_running(
         &mut self,
-        given: AnswerContext,
+        answer: AnswerContext,
         id: &str,
         stage: JobStage,
     ) {
         if stage != JobStage::Queued {
             return;
         }
-        let Some(ran_s) = self.job(id).answers.running_before(given) else {
+        let Some(ran_s) = self.job(id).answers.running_before(answer) else {
             return;
         };
         let range = (id.to_owned(), 0)..=(id.to_owned(), u32::MAX);
         for ((_, task), places) in self.placements.range(range) {
             for (machine, attempt, since) in places {
-                let is_struck = self.struck.get(machine).is_some_and(|t| *t > *since);
-                if *since < ran_s && !is_struck {
+                let had_fault = self
+                    .machine_faulted_at
+                    .get(machine)
+                    .is_some_and(|t| *t > *since);
+                if *since < ran_s && !had_fault {
                     self.unresolved.push(UnresolvedAnswer {
-                        event: given.event,
-                        t: given.t,
+                        event: answer.event,
+                        t: answer.t,
                         ran_s,
                         machine: machine.clone(),
                         job: id.to_owned(),
--- a/crates/umbersail-rehearsal/src/judge/objectives.rs
+++ b/crates/umbersail-rehearsal/src/judge/objectives.rs
@@ -38,13 +38,13 @@
         figures.done = self
             .jobs
             .values()
-            .filter(|j| j.complete_at.is_some())
+            .filter(|j| j.completed_at.is_some())
             .count();
         let done = self
             .jobs
             .values()
             .filter(|j| j.cancel_requested_at.is_none());
-        figures.finished_s = done.filter_map(|j| j.complete_at).reduce(f64::max);
+        figures.finished_s = done.filter_map(|j| j.completed_at).reduce(f64::max);
         let from = self.night.warm_up_s;
         let counted = self.jobs.values().filter_map(|j| {
             let spec = j.spec.as_ref()?;
@@ -62,7 +62,7 @@
                     .copied()
                     .reduce(f64::max)
                     .filter(|_| j.started.len() == spec.tasks as usize),
-                complete_at: j.complete_at,
+                completed_at: j.completed_at,
             })
         });
         self.figures.served = served::served_figures(counted, end);
@@ -110,7 +110,7 @@
                 };
                 let counted: Vec<&JobState> = of_class(class).filter(|j| due(j) < end).collect();
                 // Complete, and its user would be told so 3 s later.
-                let kept = |j: &&&JobState| j.complete_at.is_some_and(|at| at <= due(j));
+                let kept = |j: &&&JobState| j.completed_at.is_some_and(|at| at <= due(j));
                 let value = share(counted.iter().filter(kept).count(), counted.len());
                 ObjectiveResult {
                     objective: format!("deadline {class} {times}x"),
--- a/crates/umbersail-rehearsal/src/judge/tasks.rs
+++ b/crates/umbersail-rehearsal/src/judge/tasks.rs
@@ -108,7 +108,7 @@
             && job.done_tasks.insert(task)
             && job.done_tasks.len() == spec.tasks as usize
         {
-            job.complete_at = Some(t);
+            job.completed_at = Some(t);
         }
         if let Some(told) = job.cancel_acknowledged_at {
             let most = &mut self.figures.cancelled_gone_s;
--- a/crates/umbersail-rehearsal/src/judge/users.rs
+++ b/crates/umbersail-rehearsal/src/judge/users.rs
@@ -9,7 +9,7 @@
     /// Whether somebody was answered, whatever it was.
     pub(super) fn status_requested(&mut self, index: usize, t: f64, id: &str, answered: bool) {
         self.queries.count(answered);
-        let waits = |j: &JobState| j.cancel_requested_at.is_none() && j.told.is_none();
+        let waits = |j: &JobState| j.cancel_requested_at.is_none() && j.final_stage.is_none();
         if self.jobs.get(id).is_some_and(waits) && self.queries.record_query(t, id, answered) {
             let detail =
                 format!("{id}: no question answered for {MAX_SILENCE_S} s after all troubles");
@@ -19,12 +19,12 @@
 
     pub(super) fn polled(
         &mut self,
-        given: AnswerContext,
+        answer: AnswerContext,
         id: &str,
         status: u16,
         stage: Option<JobStage>,
     ) {
-        let (index, t) = (given.event, given.t);
+        let (index, t) = (answer.event, answer.t);
         let known = self.jobs.contains_key(id);
         match (status, stage) {
             (200, Some(_)) if !known => {
@@ -38,11 +38,11 @@
             (200, Some(stage)) => {
                 self.last_answer_at = t;
                 self.job(id).unanswered_since = None;
-                self.stage_reported(given, id, stage);
+                self.stage_reported(answer, id, stage);
             }
             (404, _) => {
                 self.last_answer_at = t;
-                if known && self.job(id).answers.was_known_before(given) {
+                if known && self.job(id).answers.was_known_before(answer) {
                     self.breach(
                         Rule::Forgotten,
                         t,
@@ -64,21 +64,21 @@
     }
 
     /// Somebody was told how a job stands.
-    pub(super) fn stage_reported(&mut self, given: AnswerContext, id: &str, stage: JobStage) {
-        let (index, t) = (given.event, given.t);
-        self.check_no_longer_running(given, id, stage);
+    pub(super) fn stage_reported(&mut self, answer: AnswerContext, id: &str, stage: JobStage) {
+        let (index, t) = (answer.event, answer.t);
+        self.check_no_longer_running(answer, id, stage);
         let job = self.job(id);
-        let before = job.told;
+        let before = job.final_stage;
         let tasks = job.spec.as_ref().map_or(0, |s| s.tasks) as usize;
         let complete = job.done_tasks.len() >= tasks;
         let asked = job.cancel_requested_at.is_some();
         let over = matches!(stage, JobStage::Done | JobStage::Cancelled);
         // An answer that is on its way while another tells the end may be the older one.
         let back = before.filter(|b| *b != stage);
-        let back = back.filter(|_| over || job.answers.was_final_before(given));
+        let back = back.filter(|_| over || job.answers.was_final_before(answer));
         job.answers.stage_reported(t, stage);
         if over {
-            job.told = Some(stage);
+            job.final_stage = Some(stage);
         }
         match stage {
             JobStage::Done => drop(job.done_reported_at.get_or_insert(t)),
--- a/crates/umbersail-rehearsal/src/report.rs
+++ b/crates/umbersail-rehearsal/src/report.rs
@@ -132,7 +132,7 @@
         let _ = writeln!(out, "  rules: none broken");
     }
     for breach in f.breaches.iter().take(5) {
-        let _ = write!(out, "{}", around(breach, &outcome.events));
+        let _ = write!(out, "{}", describe_breach(breach, &outcome.events));
     }
     if f.breaches.len() > 5 {
         let _ = writeln!(out, "  and {} more", f.breaches.len() - 5);
@@ -145,7 +145,7 @@
 }
 
 /// A breach and the events around it that have to do with the same job.
-fn around(breach: &Breach, events: &[Event]) -> String {
+fn describe_breach(breach: &Breach, events: &[Event]) -> String {
     let name = serde_json::to_value(breach.rule).unwrap_or_default();
     let name = name.as_str().unwrap_or("rule").to_owned();
     let mut out = format!("  BROKEN {name} at {:.3} s: {}\n", breach.t, breach.detail);
@@ -178,7 +178,7 @@
     fs::create_dir_all(dir)?;
     let figures = serde_json::to_vec_pretty(&outcome.figures)?;
     fs::write(dir.join("figures.json"), &figures)?;
-    fs::write(dir.join("report.html"), page(night, outcome))?;
+    fs::write(dir.join("report.html"), html_page(night, outcome))?;
     let (history, hash) = lines(&outcome.events);
     let parts: [(&str, &[u8]); 3] = [
         ("night.toml", night_text.as_bytes()),
@@ -276,7 +276,7 @@
 }
 
 /// The page: everything in one file, nothing fetched.
-fn page(night: &Night, outcome: &Outcome) -> String {
+fn html_page(night: &Night, outcome: &Outcome) -> String {
     let (mut cpus, mut waiting, mut ordinary, mut spot, mut done) = (
         Curve::new(),
         Curve::new(),
@@ -284,7 +284,7 @@
         Curve::new(),
         Curve::new(),
     );
-    let mut troubles: Vec<(f64, f64, String)> = Vec::new();
+    let mut faults: Vec<(f64, f64, String)> = Vec::new();
     let mut count = 0.0;
     for event in &outcome.events {
         match &event.what {
@@ -309,13 +309,13 @@
                 fault: trouble,
                 begins: true,
             } => {
-                troubles.push((event.t, event.t, trouble.clone()));
+                faults.push((event.t, event.t, trouble.clone()));
             }
             EventKind::Fault {
                 fault: trouble,
                 begins: false,
             } => {
-                let open = troubles
+                let open = faults
                     .iter_mut()
                     .rev()
                     .find(|(a, b, t)| a == b && t == trouble);
@@ -326,7 +326,7 @@
             _ => {}
         }
     }
-    let marks: Vec<(f64, f64)> = troubles.iter().map(|(a, b, _)| (*a, *b)).collect();
+    let marks: Vec<(f64, f64)> = faults.iter().map(|(a, b, _)| (*a, *b)).collect();
     let blue = RGBColor(40, 90, 170);
     let green = RGBColor(40, 140, 80);
     let orange = RGBColor(210, 120, 30);
@@ -354,14 +354,14 @@
         );
     }
     let mut list = String::new();
-    for (from, to, what) in &troubles {
+    for (from, to, what) in &faults {
         let _ = write!(list, "<li>{from:.0} to {to:.0} s: {}</li>", escape(what));
     }
     let mut rules = String::from("<p class=\"met\">No rule was broken.</p>");
     if !f.breaches.is_empty() {
         rules = String::from("<p class=\"missed\">Rules were broken:</p><pre>");
         for breach in f.breaches.iter().take(20) {
-            rules.push_str(&escape(&around(breach, &outcome.events)));
+            rules.push_str(&escape(&describe_breach(breach, &outcome.events)));
         }
         rules.push_str("</pre>");
     }
--- a/crates/umbersail-rehearsal/src/served.rs
+++ b/crates/umbersail-rehearsal/src/served.rs
@@ -111,7 +111,7 @@
     /// When its first task ran, and when each of them had run.
     pub first_started_at: Option<f64>,
     pub all_started_at: Option<f64>,
-    pub complete_at: Option<f64>,
+    pub completed_at: Option<f64>,
 }
 
 impl Job<'_> {
@@ -119,7 +119,7 @@
         let due = self
             .deadline_s
             .map_or(f64::MAX, |d| self.submitted_at + d * times);
-        self.complete_at.is_some_and(|at| at <= due)
+        self.completed_at.is_some_and(|at| at <= due)
     }
 
     /// Without a deadline a job is due when the night ends.
@@ -187,7 +187,7 @@
         jobs: due.len(),
         in_time: share(count(&|j| j.within(1.0))),
         in_extended_time: share(count(&|j| j.within(1.5))),
-        done: share(count(&|j| j.complete_at.is_some())),
+        done: share(count(&|j| j.completed_at.is_some())),
         longest_start_s: waits.clone().fold(0.0, f64::max),
         started_late: waits.filter(|wait| *wait > MAX_START_S).count(),
         longest_all_started_s: beside.fold(0.0, f64::max),
@@ -199,7 +199,7 @@
 mod tests {
     use super::*;
 
-    fn job(class: &'static str, team: &'static str, complete_at: Option<f64>) -> Job<'static> {
+    fn job(class: &'static str, team: &'static str, completed_at: Option<f64>) -> Job<'static> {
         Job {
             class,
             team,
@@ -209,7 +209,7 @@
             deadline_s: Some(20.0),
             first_started_at: Some(12.0),
             all_started_at: Some(14.0),
-            complete_at,
+            completed_at,
         }
     }
 
@@ -236,9 +236,9 @@
         assert!(!find(&table, JobGroup::Class, "pages").is_underserved());
         assert!(!find(&table, JobGroup::Team, "kitchen").is_underserved());
         // A guest without a deadline is served once it is done.
-        let guest = |complete_at| Job {
+        let guest = |completed_at| Job {
             deadline_s: None,
-            ..job("sweep", "guests", complete_at)
+            ..job("sweep", "guests", completed_at)
         };
         let mut guests = vec![guest(None); 5];
         guests.extend([guest(Some(99.0)); 4]);
@@ -253,9 +253,9 @@
     #[test]
     fn the_largest_jobs_of_a_class_are_judged_apart_from_the_many_small_ones() {
         // Guards against a class called served while none of its large jobs was.
-        let of_size = |size, complete_at| Job {
+        let of_size = |size, completed_at| Job {
             size,
-            ..job("photos", "kitchen", complete_at)
+            ..job("photos", "kitchen", completed_at)
         };
         let mut jobs: Vec<Job<'_>> = (0..36)
             .map(|n| of_size(1.0 + f64::from(n), Some(25.0)))
