--- a/crates/umbersail-rehearsal/src/judge/mod.rs
+++ b/crates/umbersail-rehearsal/src/judge/mod.rs
@@ -1,5 +1,5 @@
-//! Rules, aims and cost, from the history alone (PROTOCOL, "Rules" and "How
-//! aims are counted").
+//! Evaluates a run from its history alone: the protocol's rules, the service-level
+//! objectives and the cost (PROTOCOL, "Rules" and "How aims are counted").
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -20,56 +20,74 @@
 mod users;
 mod waiting;
 
-/// The rules of the protocol.
+/// A rule that every run must keep: those of the protocol, and additional ones of the
+/// rehearsal package.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Rule {
+    /// A task ran on two machines at the same time.
     RanTwice,
+    /// A team used more CPUs than its quota.
     Quota,
+    /// A task started on a machine that its job does not allow.
     WrongPlace,
+    /// A task ran although the cancellation of its job had been acknowledged.
     RanCancelled,
+    /// An accepted job is later refused or no longer known, or every poll of it fails.
     Forgotten,
+    /// A status was reported for a job that nobody submitted.
     Invented,
+    /// A job was reported done before all of its tasks were.
     NotDone,
+    /// A final stage was reported and later another stage, or a job was reported cancelled
+    /// that no user cancelled.
     WentBack,
+    /// No task was started in the whole run.
     NothingRan,
-    /// Of our own: once all troubles were over, nobody answered for it for long.
+    /// Additional: after all faults had ended, no status request for the job was answered for
+    /// [`crate::MAX_SILENCE_S`].
     ForgottenAtEnd,
-    /// Of our own: a question that was sent after another had been answered got an older
-    /// answer about the same job, at whatever controller.
+    /// Additional: a request that was sent after another had been answered got an older answer
+    /// about the same job, possibly from another controller.
     OlderAnswer,
-    /// Of our own: a submission was accepted that can't run or lacks a field.
+    /// Additional: a submission was accepted that cannot run or lacks a field.
     AcceptedInvalid,
-    /// Of our own: a job of a later step ran before the step before its own had ended.
+    /// Additional: a job of a calendar run started before the preceding step had ended.
     OutOfOrder,
-    /// Of our own: after all troubles it waited for long beside a machine with room.
+    /// Additional: after all faults had ended, a job waited too long although a machine had
+    /// room for a task of it.
     LeftWaiting,
 }
 
-/// A rule that was broken, and by which event.
+/// A violation of a rule, with the event that revealed it.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Breach {
     pub rule: Rule,
+    /// When, in seconds of the run.
     pub t: f64,
+    /// Description; starts with the id of the job or the name of the team.
     pub detail: String,
     /// Index of the event in the history.
     pub event: usize,
 }
 
-/// An aim, what was reached, and of how many.
+/// The value that a run reached for a service-level objective.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct ObjectiveResult {
+    /// Name of the objective, with its class and limit.
     #[serde(rename = "aim")]
     pub objective: String,
     pub value: f64,
+    /// The value that the scenario requires.
     #[serde(rename = "wanted")]
     pub target: f64,
+    /// How many jobs, tasks or machines were counted.
     #[serde(rename = "of")]
     pub count: usize,
     pub met: bool,
 }
 
-/// Figures of a night.
+/// Figures of a run, as written to `figures.json`.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize, Default)]
 pub struct Figures {
     pub breaches: Vec<Breach>,
@@ -79,43 +97,50 @@
     pub accepted: usize,
     pub done: usize,
     pub cancelled: usize,
+    /// Task starts.
     pub starts: usize,
+    /// Attempts that were killed because their lease had expired.
     pub lapsed: usize,
+    /// Attempts that were lost with their machines.
     pub lost: usize,
-    /// The longest that a task was on a machine after its user had been told that
-    /// its job is cancelled, in seconds.
+    /// The longest time in seconds that a task stayed on a machine after the cancellation of
+    /// its job had been acknowledged.
     #[serde(default)]
     pub cancelled_gone_s: f64,
+    /// Machines rented.
     pub machines: usize,
-    /// Money, useful share of it, and money against useful work at the lowest
-    /// nominal price.
+    /// Money spent after the warm-up.
     pub spent: f64,
+    /// Share of `spent` that paid for useful work.
     pub useful: f64,
+    /// `spent` divided by the cost of the useful work at the lowest nominal price per CPU.
     pub price: f64,
-    /// When the last accepted job was done, in seconds.
+    /// When the last job that was not cancelled was done, in seconds.
     pub finished_s: Option<f64>,
-    /// Processor time of all controllers, in seconds of a whole core, and whether
-    /// that was more than the night gives them.
+    /// Processor time of all controllers, in seconds of one core.
     pub processor_s: f64,
+    /// Whether `processor_s` exceeds the limit of the scenario.
     pub overrun: bool,
-    /// By class, by team, and of the largest jobs of each class.
+    /// Served shares by class, by team, and for the largest jobs of each class.
     pub served: Vec<ServedFigures>,
-    /// Work in steps.
+    /// Calendar runs.
     #[serde(default)]
     pub runs: CalendarRunFigures,
+    /// Answers to users' status requests.
     pub answers: QueryFigures,
 }
 
 impl Figures {
-    /// Whether the night failed: a rule was broken, it was not played in its
-    /// time, less than half of a class, of a team or of a class's largest jobs was
-    /// served, or one of the largest began too late.
+    /// Returns whether the run failed: a rule was broken, the controllers exceeded their
+    /// processor time, less than half of a class, of a team or of a class's largest jobs was
+    /// served, or one of the largest jobs started too late.
     pub fn failed(&self) -> bool {
         let fails = |s: &ServedFigures| s.is_underserved() || s.has_late_start();
         !self.breaches.is_empty() || self.overrun || self.served.iter().any(fails)
     }
 }
 
+/// What the history has shown of a job so far.
 #[derive(Default)]
 struct JobState {
     spec: Option<JobSpec>,
@@ -123,52 +148,62 @@
     accepted: Option<f64>,
     cancel_requested_at: Option<f64>,
     cancel_acknowledged_at: Option<f64>,
+    /// The last stage reported that was final: done or cancelled.
     final_stage: Option<JobStage>,
     answers: monotonic::AnswerHistory,
     done_tasks: BTreeSet<u32>,
-    /// When its last task had completed, and when its user was told.
+    /// When the last task had completed, and when the job was first reported done.
     completed_at: Option<f64>,
     done_reported_at: Option<f64>,
+    /// When each task first started; starts that were stopped within [`MIN_START_S`] are
+    /// removed.
     started: BTreeMap<u32, f64>,
+    /// Since when every poll has failed.
     unanswered_since: Option<f64>,
 }
 
 struct MachineState {
+    /// Index into the machine kinds of the scenario.
     kind: usize,
     zone: String,
     spot: bool,
 }
 
-/// A poll that fails for this long means forgotten.
+/// A job whose polls fail for more than this many seconds, while others are answered, counts
+/// as forgotten.
 const FORGOTTEN_S: f64 = 90.0;
-/// A start counts if it is not stopped by command within this.
+/// A start counts unless a command stops the task within this many seconds.
 const MIN_START_S: f64 = 30.0;
 
-/// A machine, an attempt, and since when it is there.
+/// A machine, an attempt that occupies it, and when the attempt started.
 type Place = (String, u64, f64);
 
+/// Applies the events of a history in order, and collects breaches and figures.
 struct Checker<'a> {
     night: &'a Night,
     jobs: BTreeMap<String, JobState>,
     machines: BTreeMap<String, MachineState>,
-    /// Where each task is now.
+    /// Where each task runs now.
     placements: BTreeMap<(String, u32), Vec<Place>>,
+    /// CPUs in use by team.
     team_cpus: BTreeMap<String, f64>,
+    /// When any status request was last answered.
     last_answer_at: f64,
     queries: QueryTracker,
-    /// Answers that are older than others if a task turns out to have run all along.
+    /// Answers that turn out to be older than a previous one if an attempt runs to its end.
     unresolved: Vec<monotonic::UnresolvedAnswer>,
-    /// When a trouble last took a machine.
+    /// When a fault last affected each machine.
     machine_faulted_at: BTreeMap<String, f64>,
     useful_cpu_s: f64,
-    /// What useful work cost at nominal prices, for its share of the machines.
+    /// Cost of the useful work at nominal prices, in proportion to its share of the machines.
     useful_money: f64,
-    /// Spent while it only warmed up.
+    /// Money spent during the warm-up.
     warm_up_spent: f64,
     figures: Figures,
 }
 
-/// An answer in the history: its event, when it was answer, and to which question.
+/// An answer in the history: the index of its event, when it arrived, and when its request
+/// was sent.
 #[derive(Clone, Copy)]
 struct AnswerContext {
     event: usize,
@@ -177,20 +212,20 @@
 }
 
 impl AnswerContext {
-    /// An older history does not say when questions were sent: each then follows all
-    /// answers before it.
+    /// Histories of earlier versions do not contain when requests were sent: each request
+    /// then counts as sent when its answer arrived.
     fn new(event: usize, t: f64, question: Option<Question>) -> AnswerContext {
         let sent_s = question.map_or(t, |q| q.sent_s);
         AnswerContext { event, t, sent_s }
     }
 
-    /// Whether the question was sent when an answer of that time had been answer.
+    /// Returns whether the request was sent after an answer at `answered_s` had arrived.
     fn follows(&self, answered_s: f64) -> bool {
         self.sent_s >= answered_s
     }
 }
 
-/// Judges a night by its history.
+/// Evaluates a run by its history.
 pub fn evaluate(night: &Night, events: &[Event]) -> Figures {
     let mut checker = Checker {
         night,
@@ -213,11 +248,14 @@
     let end = events.last().map_or(0.0, |e| e.t);
     checker.figures.runs = runs::run_figures(night, events);
     for (job, t) in checker.figures.runs.out_of_order.clone() {
-        let detail = format!("{job}: began before the step before its own had ended");
+        let detail = format!("{job}: started before the preceding step had ended");
         checker.breach(Rule::OutOfOrder, t, events.len().saturating_sub(1), detail);
     }
     for left in waiting::find_left_waiting(night, events) {
-        let detail = format!("{}: waits although {} has room", left.job, left.machine);
+        let detail = format!(
+            "{}: left waiting although machine {} has room",
+            left.job, left.machine
+        );
         checker.breach(Rule::LeftWaiting, left.t, left.event, detail);
     }
     checker.finish(end, events.len().saturating_sub(1))
@@ -249,7 +287,7 @@
             }
             EventKind::Refused { job, status } => {
                 if *status != 0 && self.job(job).accepted.is_some() {
-                    let detail = format!("{job}: accepted, then refused with {status}");
+                    let detail = format!("{job}: accepted, then refused with status {status}");
                     self.breach(Rule::Forgotten, t, index, detail);
                 }
             }
@@ -300,7 +338,8 @@
                 status: status @ (200 | 201),
                 ..
             } => {
-                let detail = format!("{job}: {defect}, and answered {status}");
+                let detail =
+                    format!("{job}: invalid submission ({defect}) answered with status {status}");
                 self.breach(Rule::AcceptedInvalid, t, index, detail);
             }
             EventKind::Rented {
--- a/crates/umbersail-rehearsal/src/judge/monotonic.rs
+++ b/crates/umbersail-rehearsal/src/judge/monotonic.rs
@@ -1,33 +1,35 @@
-//! Monotonic reads: no answer to a question that was sent after another answer about the
-//! same job had been given is older than that one, at whatever controller.
+//! Monotonic reads: if a request about a job was sent after another request about the job had
+//! been answered, its answer must not be older than that one, whichever controllers answered.
 
 use umbersail_wire::JobStage;
 
 use super::{AnswerContext, Checker, Rule};
 use crate::history::EndReason;
 
-/// Counts of tasks, and with them whether one runs, may lag by this much (PROTOCOL).
+/// Task counts, and so the information whether any task runs, may lag by this many seconds
+/// (PROTOCOL).
 const MAX_LAG_S: f64 = 3.0;
 
-/// What the users of a job have been told, and when.
+/// When users were first or last told each state of a job.
 #[derive(Debug, Default)]
 pub(super) struct AnswerHistory {
-    /// That it is known, first.
+    /// When an answer first showed that the job is known.
     known_s: Option<f64>,
-    /// That it is done or cancelled, first.
+    /// When the job was first reported done or cancelled.
     final_s: Option<f64>,
-    /// That a task of it runs.
+    /// Each time when the job was reported running.
     running_s: Vec<f64>,
-    /// When a task of it last ended on a machine, whichever way.
+    /// When an attempt of a task last ended on a machine, for whatever reason.
     ended_s: Option<f64>,
 }
 
 impl AnswerHistory {
-    /// An answer that showed the job known.
+    /// Records an answer that showed that the job is known.
     pub fn known(&mut self, t: f64) {
         self.known_s.get_or_insert(t);
     }
 
+    /// Records an answer with a stage of the job.
     pub fn stage_reported(&mut self, t: f64, stage: JobStage) {
         self.known(t);
         match stage {
@@ -37,22 +39,23 @@
         }
     }
 
+    /// Records that an attempt of a task ended.
     pub fn ended(&mut self, t: f64) {
         self.ended_s = Some(t);
     }
 
-    /// Whether the question was sent when the job had been shown known.
+    /// Returns whether the request was sent after an answer had shown that the job is known.
     pub fn was_known_before(&self, answer: AnswerContext) -> bool {
         self.known_s.is_some_and(|t| answer.follows(t))
     }
 
-    /// Whether the question was sent when the job's end had been told.
+    /// Returns whether the request was sent after the job had been reported done or cancelled.
     pub fn was_final_before(&self, answer: AnswerContext) -> bool {
         self.final_s.is_some_and(|t| answer.follows(t))
     }
 
-    /// When an answer that the question need not lag behind last said that a task runs,
-    /// if no task has ended since.
+    /// Returns when the job was last reported running at least [`MAX_LAG_S`] before the request
+    /// was sent, or `None` if a task has ended since.
     fn running_before(&self, answer: AnswerContext) -> Option<f64> {
         let told = self.running_s.iter().rev().copied();
         let ran_s = told.into_iter().find(|t| answer.follows(t + MAX_LAG_S))?;
@@ -60,9 +63,10 @@
     }
 }
 
-/// An answer that no task runs, after another that one does, and an attempt that has
-/// been on its machine since before that one. The answer is older if the attempt goes on
-/// to its end there; otherwise the controllers had stopped it or given it up.
+/// An answer that no task of a job runs, after another answer that one does, together with an
+/// attempt that started before the other answer. If the attempt runs to its end, the answer
+/// was older than the other one; otherwise the controllers had stopped the attempt or given
+/// it up.
 pub(super) struct UnresolvedAnswer {
     event: usize,
     t: f64,
@@ -74,23 +78,25 @@
 }
 
 impl Checker<'_> {
-    /// A repeated submission was answered as if it were the first.
+    /// Checks a repeated submission that was answered as if it were the first one.
     pub(super) fn check_accepted_again(&mut self, answer: AnswerContext, id: &str) {
         if self.job(id).answers.was_known_before(answer) {
-            let detail = format!("{id}: accepted, and its repeated submission accepted anew");
+            let detail = format!("{id}: accepted, then its repeated submission accepted as new");
             self.breach(Rule::OlderAnswer, answer.t, answer.event, detail);
         }
     }
 
-    /// A cancellation was answered as if there were no such job.
+    /// Checks a cancellation that was answered as if the job did not exist.
     pub(super) fn check_refused_cancel(&mut self, answer: AnswerContext, id: &str, status: u16) {
         if self.job(id).answers.was_known_before(answer) {
-            let detail = format!("{id}: accepted, its cancellation answered {status}");
+            let detail =
+                format!("{id}: accepted, then its cancellation answered with status {status}");
             self.breach(Rule::Forgotten, answer.t, answer.event, detail);
         }
     }
 
-    /// Before an answer is counted: whether it takes back that a task runs.
+    /// Checks whether an answer contradicts an earlier one that a task runs. Must be called
+    /// before the answer is recorded.
     pub(super) fn check_no_longer_running(
         &mut self,
         answer: AnswerContext,
@@ -125,17 +131,17 @@
         }
     }
 
-    /// An attempt ended: what was answered while it ran can be judged.
+    /// Decides the unresolved answers that depend on an attempt which has now ended.
     pub(super) fn resolve_answers(
         &mut self,
         machine: &str,
         (job, task, attempt): (&str, u32, u64),
         how: EndReason,
     ) {
-        let its = |d: &UnresolvedAnswer| {
+        let is_of_attempt = |d: &UnresolvedAnswer| {
             (d.machine.as_str(), d.job.as_str(), d.task, d.attempt) == (machine, job, task, attempt)
         };
-        let (mine, others) = self.unresolved.drain(..).partition(its);
+        let (mine, others) = self.unresolved.drain(..).partition(is_of_attempt);
         self.unresolved = others;
         let mine: Vec<UnresolvedAnswer> = mine;
         for older in mine.into_iter().filter(|_| how == EndReason::Done) {
@@ -143,7 +149,7 @@
                 event, t, ran_s, ..
             } = older;
             let detail = format!(
-                "{job}: called running at {ran_s:.3} s, then queued, while {job}/{task} ran on {machine}"
+                "{job}: reported running at {ran_s:.3} s, then queued, while {job}/{task} ran on {machine}"
             );
             self.breach(Rule::OlderAnswer, t, event, detail);
         }
--- a/crates/umbersail-rehearsal/src/judge/objectives.rs
+++ b/crates/umbersail-rehearsal/src/judge/objectives.rs
@@ -1,5 +1,5 @@
-//! What a night comes to: aims as the protocol counts them, money, and how much
-//! was served.
+//! Computes the final figures of a run: service-level objectives as the protocol counts them,
+//! cost, and the share of jobs served.
 
 use super::{Checker, Figures, JobState, ObjectiveResult, Rule};
 use crate::answers::QueryTracker;
@@ -7,6 +7,8 @@
 use crate::served;
 
 impl Checker<'_> {
+    /// Computes the figures that need the whole history; `end` is the time and `last` the index
+    /// of the last event.
     pub(super) fn finish(mut self, end: f64, last: usize) -> Figures {
         if self.figures.starts == 0 {
             self.breach(Rule::NothingRan, end, last, "no task was started".into());
@@ -76,6 +78,7 @@
         self.figures
     }
 
+    /// Computes the value that the run reached for an objective.
     fn objective_result(&self, aim: &Aim, end: f64) -> ObjectiveResult {
         let share = |hits: usize, of: usize| {
             if of == 0 {
@@ -109,7 +112,8 @@
                     j.submitted_at + deadline * times
                 };
                 let counted: Vec<&JobState> = of_class(class).filter(|j| due(j) < end).collect();
-                // Complete, and its user would be told so 3 s later.
+                // A job counts when its last task completes; its user may learn so up to 3 s
+                // later.
                 let kept = |j: &&&JobState| j.completed_at.is_some_and(|at| at <= due(j));
                 let value = share(counted.iter().filter(kept).count(), counted.len());
                 ObjectiveResult {
--- a/crates/umbersail-rehearsal/src/judge/tasks.rs
+++ b/crates/umbersail-rehearsal/src/judge/tasks.rs
@@ -1,5 +1,5 @@
-//! What runs where: tasks on one machine each, within limits, where they may be,
-//! and not after their cancellation.
+//! Checks where tasks run: each task on one machine at a time, within the quota of its team,
+//! on machines that its job allows, and not after its cancellation.
 
 use umbersail_wire::JobSpec;
 
@@ -7,6 +7,7 @@
 use crate::history::EndReason;
 
 impl Checker<'_> {
+    /// Checks and records a task start.
     pub(super) fn started(
         &mut self,
         index: usize,
@@ -27,14 +28,14 @@
             .cancel_acknowledged_at
             .is_some_and(|at| t > at + cancel_s);
         if cancelled {
-            let detail = format!("{id}/{task} starts on {machine} although it is cancelled");
+            let detail = format!("{id}/{task} starts on {machine} although its job is cancelled");
             self.breach(Rule::RanCancelled, t, index, detail);
         }
         let key = (id.to_owned(), task);
         if let Some((other, _, since)) = self.placements.get(&key).and_then(|p| p.first()).cloned()
         {
             let detail =
-                format!("{id}/{task} is on {other} since {since:.3} s and starts on {machine}");
+                format!("{id}/{task} runs on {other} since {since:.3} s and starts on {machine}");
             self.breach(Rule::RanTwice, t, index, detail);
         }
         self.check_place(index, t, machine, &spec, task);
@@ -45,11 +46,12 @@
         let (used, team) = (*used, self.night.teams.iter().find(|x| x.name == spec.team));
         let most = team.map_or(0.0, |x| x.cpus_max);
         if most > 0.0 && used > most + 1e-6 {
-            let detail = format!("{} uses {used} CPUs of {most}", spec.team);
+            let detail = format!("{} uses {used} CPUs; its quota is {most}", spec.team);
             self.breach(Rule::Quota, t, index, detail);
         }
     }
 
+    /// Checks that the job allows the machine and its zone.
     fn check_place(&mut self, index: usize, t: f64, machine: &str, spec: &JobSpec, task: u32) {
         let Some(here) = self.machines.get(machine) else {
             return;
@@ -61,13 +63,13 @@
             .as_ref()
             .is_some_and(|types| !types.contains(kind))
         {
-            wrong = Some("its type is not allowed");
+            wrong = Some("the job does not allow this machine type");
         }
         if spec.zone.as_ref().is_some_and(|zone| *zone != here.zone) {
-            wrong = Some("its zone is not allowed");
+            wrong = Some("the job does not allow this zone");
         }
         if here.spot && !spec.spot() {
-            wrong = Some("it is a spot machine");
+            wrong = Some("the job does not allow spot machines");
         }
         if spec.one_zone() || spec.spread() {
             let range = (spec.id.clone(), 0)..=(spec.id.clone(), u32::MAX);
@@ -79,10 +81,10 @@
                 .collect();
             let same = zones.iter().filter(|z| **z == here.zone).count();
             if spec.one_zone() && same < zones.len() {
-                wrong = Some("the job's tasks are in another zone");
+                wrong = Some("other tasks of the job run in another zone");
             }
             if spec.spread() && same + 1 > (spec.tasks as usize).div_ceil(2) {
-                wrong = Some("more than half of the tasks are in its zone");
+                wrong = Some("more than half of the job's tasks run in this zone");
             }
         }
         if let Some(why) = wrong {
@@ -91,6 +93,7 @@
         }
     }
 
+    /// Records the end of an attempt, with its share of useful work and its cost.
     pub(super) fn ended(
         &mut self,
         t: f64,
@@ -110,9 +113,9 @@
         {
             job.completed_at = Some(t);
         }
-        if let Some(told) = job.cancel_acknowledged_at {
-            let most = &mut self.figures.cancelled_gone_s;
-            *most = most.max(t - told);
+        if let Some(cancelled_at) = job.cancel_acknowledged_at {
+            let longest = &mut self.figures.cancelled_gone_s;
+            *longest = longest.max(t - cancelled_at);
         }
         let job = self.job(id);
         if how == EndReason::Stopped
@@ -143,15 +146,17 @@
         }
     }
 
+    /// Reports tasks that still run after the time allowed for cancellations. Called with each
+    /// usage sample, that is once a second, so each cancellation is checked once or twice.
     pub(super) fn check_cancelled_tasks(&mut self, index: usize, t: f64) {
-        let late = |at: f64| {
+        let is_due = |at: f64| {
             t > at + self.night.workers.cancel_s + 0.5
                 && t <= at + self.night.workers.cancel_s + 1.6
         };
         let jobs = self
             .jobs
             .iter()
-            .filter(|(_, j)| j.cancel_acknowledged_at.is_some_and(late));
+            .filter(|(_, j)| j.cancel_acknowledged_at.is_some_and(is_due));
         let ids: Vec<String> = jobs.map(|(id, _)| id.clone()).collect();
         for id in ids {
             let range = (id.clone(), 0)..=(id.clone(), u32::MAX);
@@ -161,7 +166,7 @@
                 .next()
                 .map(|(k, p)| (k.1, p[0].0.clone()));
             if let Some((task, machine)) = there {
-                let detail = format!("{id}/{task} is on {machine} long after its cancellation");
+                let detail = format!("{id}/{task} still runs on {machine} after its cancellation");
                 self.breach(Rule::RanCancelled, t, index, detail);
             }
         }
--- a/crates/umbersail-rehearsal/src/judge/users.rs
+++ b/crates/umbersail-rehearsal/src/judge/users.rs
@@ -1,4 +1,4 @@
-//! What users are told of their jobs, and whether anybody answers them at all.
+//! Checks the answers that users get about their jobs, and that they get answers at all.
 
 use umbersail_wire::JobStage;
 
@@ -6,17 +6,19 @@
 use crate::answers::MAX_SILENCE_S;
 
 impl Checker<'_> {
-    /// Whether somebody was answered, whatever it was.
+    /// Records a status request, and reports a job whose requests have gone unanswered for too
+    /// long after all faults.
     pub(super) fn status_requested(&mut self, index: usize, t: f64, id: &str, answered: bool) {
         self.queries.count(answered);
-        let waits = |j: &JobState| j.cancel_requested_at.is_none() && j.final_stage.is_none();
-        if self.jobs.get(id).is_some_and(waits) && self.queries.record_query(t, id, answered) {
+        let is_pending = |j: &JobState| j.cancel_requested_at.is_none() && j.final_stage.is_none();
+        if self.jobs.get(id).is_some_and(is_pending) && self.queries.record_query(t, id, answered) {
             let detail =
-                format!("{id}: no question answered for {MAX_SILENCE_S} s after all troubles");
+                format!("{id}: no status request answered for {MAX_SILENCE_S} s after all faults");
             self.breach(Rule::ForgottenAtEnd, t, index, detail);
         }
     }
 
+    /// Checks the answer to a poll.
     pub(super) fn polled(
         &mut self,
         answer: AnswerContext,
@@ -47,15 +49,20 @@
                         Rule::Forgotten,
                         t,
                         index,
-                        format!("{id}: accepted, answered 404"),
+                        format!("{id}: accepted, then a poll answered with status 404"),
                     );
                 }
             }
             _ if known => {
-                let others = t - self.last_answer_at < 20.0;
+                let others_answered = t - self.last_answer_at < 20.0;
                 let since = *self.job(id).unanswered_since.get_or_insert(t);
-                if t - since > FORGOTTEN_S && others {
-                    self.breach(Rule::Forgotten, t, index, format!("{id}: every poll fails"));
+                if t - since > FORGOTTEN_S && others_answered {
+                    self.breach(
+                        Rule::Forgotten,
+                        t,
+                        index,
+                        format!("{id}: all polls have failed for more than {FORGOTTEN_S} s"),
+                    );
                     self.job(id).unanswered_since = Some(t);
                 }
             }
@@ -63,7 +70,7 @@
         }
     }
 
-    /// Somebody was told how a job stands.
+    /// Checks and records a stage that was reported to a user.
     pub(super) fn stage_reported(&mut self, answer: AnswerContext, id: &str, stage: JobStage) {
         let (index, t) = (answer.event, answer.t);
         self.check_no_longer_running(answer, id, stage);
@@ -71,13 +78,14 @@
         let before = job.final_stage;
         let tasks = job.spec.as_ref().map_or(0, |s| s.tasks) as usize;
         let complete = job.done_tasks.len() >= tasks;
-        let asked = job.cancel_requested_at.is_some();
-        let over = matches!(stage, JobStage::Done | JobStage::Cancelled);
-        // An answer that is on its way while another tells the end may be the older one.
-        let back = before.filter(|b| *b != stage);
-        let back = back.filter(|_| over || job.answers.was_final_before(answer));
+        let cancel_requested = job.cancel_requested_at.is_some();
+        let is_final = matches!(stage, JobStage::Done | JobStage::Cancelled);
+        // An answer whose request was sent before the final stage was reported may be older.
+        let contradicted = before.filter(|b| *b != stage);
+        let contradicted =
+            contradicted.filter(|_| is_final || job.answers.was_final_before(answer));
         job.answers.stage_reported(t, stage);
-        if over {
+        if is_final {
             job.final_stage = Some(stage);
         }
         match stage {
@@ -85,20 +93,20 @@
             JobStage::Cancelled => drop(job.cancel_acknowledged_at.get_or_insert(t)),
             _ => {}
         }
-        if let Some(before) = back {
-            let detail = format!("{id}: called {before:?}, then {stage:?}");
+        if let Some(before) = contradicted {
+            let detail = format!("{id}: reported {before:?}, then {stage:?}");
             self.breach(Rule::WentBack, t, index, detail);
         }
-        if stage == JobStage::Cancelled && !asked {
+        if stage == JobStage::Cancelled && !cancel_requested {
             self.breach(
                 Rule::WentBack,
                 t,
                 index,
-                format!("{id}: cancelled by nobody"),
+                format!("{id}: reported cancelled although no user cancelled it"),
             );
         }
         if stage == JobStage::Done && !complete {
-            let detail = format!("{id}: called done before all {tasks} tasks were");
+            let detail = format!("{id}: reported done before all {tasks} tasks were done");
             self.breach(Rule::NotDone, t, index, detail);
         }
     }
--- a/crates/umbersail-rehearsal/src/judge/waiting.rs
+++ b/crates/umbersail-rehearsal/src/judge/waiting.rs
@@ -1,5 +1,5 @@
-//! Jobs that are left waiting although a machine has room for them: none may be, for
-//! long, once all troubles are over.
+//! Finds jobs that are left waiting although a machine has room for them. After all faults have
+//! ended, no job may wait like this for longer than [`MAX_WAIT_S`].
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
@@ -8,15 +8,16 @@
 use crate::history::{EndReason, Event, EventKind};
 use crate::night::Night;
 
-/// So many seconds a job may wait beside a machine with room for it.
+/// How many seconds a job may wait while a machine has room for it.
 const MAX_WAIT_S: f64 = 90.0;
-/// A place counts as free once its task has been gone for so many seconds: under a
-/// backlog some place or other is empty at any moment, for as long as it takes to be
-/// reported, recorded and filled again.
+/// The resources of a task count as free this many seconds after the task has ended: with a
+/// backlog, the resources of some task are free at any moment, for as long as it takes to report
+/// its end, record it and place another task.
 const REFILL_ALLOWANCE_S: f64 = 10.0;
-/// Seconds that the sum of a night's ticks may be short of that by rounding.
+/// Seconds by which a wait measured between samples may fall short of [`MAX_WAIT_S`] because of
+/// rounding.
 const TIME_TOLERANCE_S: f64 = 1e-3;
-/// CPUs and gigabytes that may be missing by rounding.
+/// CPUs, GPUs and gigabytes by which usage may exceed a limit because of rounding.
 const RESOURCE_TOLERANCE: f64 = 1e-6;
 
 /// A job that was left waiting.
@@ -24,13 +25,13 @@
 pub(super) struct LeftWaiting {
     pub job: String,
     pub t: f64,
-    /// Index of the event at which it had waited too long.
+    /// Index of the event at which the wait became too long.
     pub event: usize,
-    /// A machine that had room for it then.
+    /// A machine that had room for the job at that time.
     pub machine: String,
 }
 
-/// A task on a machine, or on its way there.
+/// An attempt on a machine, running or waiting for its image: job, task, machine, attempt.
 type Place = (String, u32, String, u64);
 
 struct Machine {
@@ -38,27 +39,29 @@
     zone: String,
     spot: bool,
     is_up: bool,
-    /// A failure holds it out of use until then.
+    /// A fault keeps the machine out of use until then.
     unavailable_until: f64,
+    /// Resources in use.
     cpus: f64,
     gpus: f64,
     memory_gb: f64,
 }
 
-/// The run of the calendar, and the step of it, that a job belongs to.
+/// The calendar run that a job belongs to: its name, the bits of its opening time, and the step
+/// of the job.
 type StepKey = (String, u64, usize);
 
 struct Job {
     spec: JobSpec,
     accepted: bool,
     cancelled: bool,
-    /// One of its tasks failed: its calendar's later steps don't wait for it.
+    /// A task failed: later steps of the calendar run do not wait for the job.
     failed: bool,
     done: BTreeSet<u32>,
-    /// Tasks that run, and tasks whose machines only fetch their images.
+    /// Tasks that run, and tasks whose machines are still fetching their images.
     running: usize,
     fetching: usize,
-    /// Since when it waits beside room.
+    /// Since when the job has waited while a machine has room for it.
     waiting_since: Option<f64>,
 }
 
@@ -72,21 +75,22 @@
     }
 }
 
-/// Follows the machines' room and the jobs that wait for it.
+/// Tracks the free resources of the machines and the jobs that wait for them.
 struct Tracker<'a> {
     night: &'a Night,
     machines: BTreeMap<String, Machine>,
     jobs: BTreeMap<String, Job>,
     steps: BTreeMap<String, StepKey>,
-    /// Where tasks hold room, and whether they run already.
+    /// Attempts that occupy a machine, and whether each already runs.
     places: BTreeMap<Place, bool>,
+    /// CPUs in use by team.
     team_cpus: BTreeMap<String, f64>,
-    /// Places that will count as free, and when.
+    /// Attempts that have ended but still count as occupying their machines, and until when.
     pending_releases: VecDeque<(f64, Place)>,
     found: Vec<LeftWaiting>,
 }
 
-/// Jobs that were left waiting for [`MAX_WAIT_S`] after all troubles, from the history.
+/// Returns the jobs that were left waiting for [`MAX_WAIT_S`] after all faults had ended.
 pub(super) fn find_left_waiting(night: &Night, events: &[Event]) -> Vec<LeftWaiting> {
     let mut tracker = tracker(night);
     let faults_end_s = night.troubles_over_s();
@@ -188,6 +192,7 @@
         }
     }
 
+    /// Applies `change` to the job if it is known.
     fn update_job(&mut self, job: &str, change: impl FnOnce(&mut Job)) {
         if let Some(job) = self.jobs.get_mut(job) {
             change(job);
@@ -232,7 +237,7 @@
         }
     }
 
-    /// The task holds room on its machine from now on, and runs there or not yet.
+    /// Records that an attempt occupies its machine from now on, and whether it already runs.
     fn occupy(&mut self, place: Place, runs: bool) {
         let is_new = !self.places.contains_key(&place);
         if is_new {
@@ -252,7 +257,7 @@
         });
     }
 
-    /// The task has left its place; false if it was not there.
+    /// Records that an attempt has left its machine. Returns false if it was not there.
     fn release(&mut self, place: &Place) -> bool {
         let Some(ran) = self.places.remove(place) else {
             return false;
@@ -264,10 +269,10 @@
         true
     }
 
-    /// Places whose time to be filled again is over count as free.
+    /// Frees the resources of attempts that ended at least [`REFILL_ALLOWANCE_S`] ago.
     fn release_due_places(&mut self, t: f64) {
-        let is_due = |(at, _): &&(f64, Place)| *at <= t;
-        let due = self.pending_releases.iter().take_while(is_due).count();
+        let has_passed = |(at, _): &&(f64, Place)| *at <= t;
+        let due = self.pending_releases.iter().take_while(has_passed).count();
         let places: Vec<Place> = self
             .pending_releases
             .drain(..due)
@@ -278,6 +283,8 @@
         }
     }
 
+    /// Adds the resources of an attempt to the usage of its team and machine, `times` times: 1
+    /// or -1.
     fn add_usage(&mut self, (job, _, machine, _): &Place, times: f64) {
         let Some(spec) = self.jobs.get(job).map(|j| &j.spec) else {
             return;
@@ -290,16 +297,17 @@
         }
     }
 
-    /// Follows how long each job has waited beside room, and notes those that have for
-    /// too long: once for each wait.
+    /// Updates how long each job has waited while a machine has room, and reports a job that has
+    /// waited too long, once for each [`MAX_WAIT_S`] of waiting.
     fn check_waits(&mut self, index: usize, t: f64) {
         self.release_due_places(t);
         let mut rooms: BTreeMap<String, Option<String>> = BTreeMap::new();
-        let mut waits: Vec<(String, Option<f64>)> = Vec::new();
+        let mut new_waits: Vec<(String, Option<f64>)> = Vec::new();
         for (id, job) in &self.jobs {
-            let waits_beside = match job.is_waiting() {
+            let machine_with_room = match job.is_waiting() {
                 false => None,
-                // Its machine fetches the image: that is no wait for room, nor its end.
+                // A machine fetches the image for the job: this time neither counts as waiting
+                // nor resets the wait.
                 true if job.fetching > 0 => continue,
                 true if self.is_held_by_calendar(id, t) => None,
                 true => rooms
@@ -307,15 +315,15 @@
                     .or_insert_with(|| self.find_room(&job.spec, t))
                     .clone(),
             };
-            let Some(machine) = waits_beside else {
+            let Some(machine) = machine_with_room else {
                 if job.waiting_since.is_some() {
-                    waits.push((id.clone(), None));
+                    new_waits.push((id.clone(), None));
                 }
                 continue;
             };
             let since = job.waiting_since.unwrap_or(t);
             if t - since < MAX_WAIT_S - TIME_TOLERANCE_S {
-                waits.push((id.clone(), Some(since)));
+                new_waits.push((id.clone(), Some(since)));
                 continue;
             }
             self.found.push(LeftWaiting {
@@ -324,15 +332,15 @@
                 event: index,
                 machine,
             });
-            waits.push((id.clone(), None));
+            new_waits.push((id.clone(), None));
         }
-        for (id, since) in waits {
+        for (id, since) in new_waits {
             self.update_job(&id, |job| job.waiting_since = since);
         }
     }
 
-    /// Whether the calendar holds the job back: a step before its own has not ended,
-    /// and its run is not due yet.
+    /// Returns whether the calendar holds the job back: an earlier step of its run has not
+    /// ended, and the run is not due yet.
     fn is_held_by_calendar(&self, id: &str, t: f64) -> bool {
         let Some((run, opens, step)) = self.steps.get(id) else {
             return false;
@@ -349,7 +357,8 @@
         })
     }
 
-    /// A machine with room for a task of the job, if its team's limit has room too.
+    /// Returns a machine with room for a task of the job, or `None` if there is none or the
+    /// quota of the team is used up.
     fn find_room(&self, spec: &JobSpec, t: f64) -> Option<String> {
         let used = self.team_cpus.get(&spec.team).copied().unwrap_or(0.0);
         let team = self.night.teams.iter().find(|x| x.name == spec.team);
@@ -362,6 +371,7 @@
         found.map(|(name, _)| name.clone())
     }
 
+    /// Returns whether the machine is in use, allowed for the job, and has room for a task of it.
     fn has_room(&self, machine: &Machine, spec: &JobSpec, t: f64) -> bool {
         let kind = &self.night.machines[machine.kind];
         let types = spec.types.as_ref();
@@ -377,8 +387,8 @@
     }
 }
 
-/// What the job wants of machines and of its team, as a key: jobs with the same find
-/// room in the same places.
+/// Returns a key of what the job requires of a machine and its team: jobs with the same key
+/// have room on the same machines.
 fn requirements_key(spec: &JobSpec) -> String {
     format!(
         "{} {} {} {} {:?} {:?} {}",
