--- a/crates/umbersail-rehearsal/src/served.rs
+++ b/crates/umbersail-rehearsal/src/served.rs
@@ -1,22 +1,21 @@
-//! How much of each class, of each team and of a class's largest jobs was served,
-//! and how soon it began: the least of it decides a night, however well the rest
-//! fared.
+//! Computes which share of each class, of each team and of the largest jobs of each class was
+//! served, and how soon these jobs started. The worst of these figures decides whether a run
+//! fails, even if all others are good.
 
 use std::collections::BTreeMap;
 
 use serde::{Deserialize, Serialize};
 
-/// Below this share of its jobs in time a class, a team or a class's largest jobs
-/// were not served.
+/// A class, a team or the largest jobs of a class count as not served if a smaller share of
+/// their jobs than this was done in time.
 pub const MIN_SERVED_SHARE: f64 = 0.5;
-/// A class or team with fewer jobs than this says nothing about a share.
+/// The share is not evaluated for classes and teams with fewer jobs than this.
 pub const MIN_JOBS_FOR_SHARE: usize = 8;
-/// The largest jobs of a class begin within so many seconds of their first
-/// submission.
+/// The largest jobs of a class must start within this many seconds of their first submission.
 pub const MAX_START_S: f64 = 240.0;
 
-/// Whose jobs they are: a team's, a class's, or the largest of a class, by tasks
-/// times CPUs. Of jobs that are equally large, all count.
+/// Which jobs a row covers: those of a team, of a class, or the largest of a class, by tasks
+/// times CPUs. Jobs as large as the smallest included one are included as well.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum JobGroup {
@@ -28,7 +27,7 @@
 }
 
 impl JobGroup {
-    /// In words, before the name of a class or team.
+    /// Returns the description that precedes the name of the class or team in reports.
     pub fn words(self) -> &'static str {
         match self {
             JobGroup::Class => "class",
@@ -51,53 +50,56 @@
     }
 }
 
-/// What became of the jobs of one class or team, or of the largest of a class;
-/// cancelled ones left out.
+/// One row: how the jobs of a group were served. Cancelled jobs are left out.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct ServedFigures {
+    /// Which jobs of the class or team the row covers.
     #[serde(rename = "of")]
     pub group: JobGroup,
+    /// Name of the class or team.
     pub name: String,
-    /// Jobs of the class or team in all, and the least tasks times CPUs of those
-    /// that count here.
+    /// Number of jobs of the whole class or team.
     #[serde(rename = "whole")]
     pub total_jobs: usize,
+    /// The smallest size, in tasks times CPUs, of the jobs that the row covers.
     #[serde(rename = "least_size")]
     pub min_size: f64,
-    /// Jobs that were due before the end, counted from their first attempt to
-    /// submit.
+    /// Jobs that were due before the end of the run; the deadline counts from the first attempt
+    /// to submit.
     pub jobs: usize,
-    /// Shares of these: done by the deadline, by 1.5 times it, and at all.
+    /// Share of `jobs` that were done by their deadline.
     pub in_time: f64,
+    /// Share of `jobs` that were done by 1.5 times their deadline.
     #[serde(rename = "late")]
     pub in_extended_time: f64,
+    /// Share of `jobs` that were done at all.
     pub done: f64,
-    /// Longest wait in seconds from the first attempt to submit until the first
-    /// task ran, of all that were accepted, or until the end if none did.
+    /// Longest time in seconds from the first attempt to submit a job that was accepted until
+    /// its first task ran, or until the end of the run if none did.
     #[serde(rename = "begin_s")]
     pub longest_start_s: f64,
-    /// Accepted jobs that did not begin within [`MAX_START_S`].
+    /// Accepted jobs that did not start within [`MAX_START_S`].
     #[serde(rename = "begun_late")]
     pub started_late: usize,
-    /// Longest time in seconds from a job's first task's run until each of its
-    /// tasks ran.
+    /// Longest time in seconds from the start of a job's first task until each of its tasks had
+    /// started.
     #[serde(rename = "beside_s")]
     pub longest_all_started_s: f64,
 }
 
 impl ServedFigures {
-    /// Whether it shows a night that failed, since under half was served.
+    /// Returns whether the run fails because too few of these jobs were served.
     pub fn is_underserved(&self) -> bool {
         self.total_jobs >= MIN_JOBS_FOR_SHARE && self.jobs > 0 && self.in_time < MIN_SERVED_SHARE
     }
 
-    /// Whether it shows a night that failed, since a largest job began too late.
+    /// Returns whether the run fails because one of the largest jobs started too late.
     pub fn has_late_start(&self) -> bool {
         self.group.is_largest() && self.started_late > 0
     }
 }
 
-/// One job that counts.
+/// A job that is counted.
 #[derive(Debug, Clone, Copy)]
 pub struct Job<'a> {
     pub class: &'a str,
@@ -106,15 +108,16 @@
     pub size: f64,
     pub submitted_at: f64,
     pub accepted: bool,
-    /// Seconds from then on; jobs without one are in time when they are done.
+    /// Seconds from `submitted_at`; a job without a deadline is in time if it is done.
     pub deadline_s: Option<f64>,
-    /// When its first task ran, and when each of them had run.
+    /// When the first task started, and when every task had started.
     pub first_started_at: Option<f64>,
     pub all_started_at: Option<f64>,
     pub completed_at: Option<f64>,
 }
 
 impl Job<'_> {
+    /// Returns whether the job was done within `times` its deadline.
     fn within(&self, times: f64) -> bool {
         let due = self
             .deadline_s
@@ -122,13 +125,13 @@
         self.completed_at.is_some_and(|at| at <= due)
     }
 
-    /// Without a deadline a job is due when the night ends.
+    /// Returns whether the job was due before `end`. A job without a deadline is always due.
     fn is_due(&self, end: f64) -> bool {
         self.deadline_s.is_none_or(|d| self.submitted_at + d < end)
     }
 }
 
-/// The table, classes first.
+/// Computes all rows: classes, then the largest jobs of each class, then teams.
 pub fn served_figures<'a>(jobs: impl Iterator<Item = Job<'a>>, end: f64) -> Vec<ServedFigures> {
     let mut classes: BTreeMap<&str, Vec<Job<'a>>> = BTreeMap::new();
     let mut teams: BTreeMap<&str, Vec<Job<'a>>> = BTreeMap::new();
@@ -148,10 +151,10 @@
             (JobGroup::LargestTenth, total_jobs.div_ceil(10)),
             (JobGroup::Largest, 1),
         ];
-        for (of, most) in parts {
-            let least = jobs[most - 1].size;
-            let upto = jobs.partition_point(|j| j.size >= least);
-            rows.extend(row(of, name, total_jobs, &jobs[..upto], end));
+        for (group, count) in parts {
+            let min_size = jobs[count - 1].size;
+            let upto = jobs.partition_point(|j| j.size >= min_size);
+            rows.extend(row(group, name, total_jobs, &jobs[..upto], end));
         }
     }
     for (name, jobs) in &teams {
@@ -160,7 +163,7 @@
     rows
 }
 
-/// One row, or none if there is nothing to say.
+/// Computes one row, or `None` if no job was due and none started late.
 fn row(
     group: JobGroup,
     name: &str,
@@ -175,8 +178,8 @@
     };
     let count = |hit: &dyn Fn(&Job<'_>) -> bool| due.iter().filter(|j| hit(j)).count();
     let accepted = || jobs.iter().filter(|j| j.accepted);
-    let waits = accepted().map(|j| j.first_started_at.unwrap_or(end) - j.submitted_at);
-    let beside = jobs
+    let start_times = accepted().map(|j| j.first_started_at.unwrap_or(end) - j.submitted_at);
+    let all_started = jobs
         .iter()
         .filter_map(|j| Some(j.all_started_at? - j.first_started_at?));
     let row = ServedFigures {
@@ -188,9 +191,9 @@
         in_time: share(count(&|j| j.within(1.0))),
         in_extended_time: share(count(&|j| j.within(1.5))),
         done: share(count(&|j| j.completed_at.is_some())),
-        longest_start_s: waits.clone().fold(0.0, f64::max),
-        started_late: waits.filter(|wait| *wait > MAX_START_S).count(),
-        longest_all_started_s: beside.fold(0.0, f64::max),
+        longest_start_s: start_times.clone().fold(0.0, f64::max),
+        started_late: start_times.filter(|s| *s > MAX_START_S).count(),
+        longest_all_started_s: all_started.fold(0.0, f64::max),
     };
     (!due.is_empty() || row.started_late > 0).then_some(row)
 }
@@ -221,8 +224,8 @@
     }
 
     #[test]
-    fn a_class_under_half_fails_a_night_that_serves_all_others() {
-        // Guards against a night called good because its many small jobs were.
+    fn a_class_served_below_half_fails_the_run_even_if_all_others_are_served() {
+        // Guards against a run that passes because its many small jobs were served.
         let mut jobs = vec![job("pages", "kitchen", Some(25.0)); 90];
         jobs.extend([job("photos", "kitchen", Some(39.0)); 5]);
         jobs.extend([job("photos", "kitchen", Some(30.0)); 3]);
@@ -235,24 +238,24 @@
         assert!((photos.in_extended_time - 8.0 / 9.0).abs() < 1e-9);
         assert!(!find(&table, JobGroup::Class, "pages").is_underserved());
         assert!(!find(&table, JobGroup::Team, "kitchen").is_underserved());
-        // A guest without a deadline is served once it is done.
-        let guest = |completed_at| Job {
+        // A job without a deadline is served once it is done.
+        let without_deadline = |completed_at| Job {
             deadline_s: None,
             ..job("sweep", "guests", completed_at)
         };
-        let mut guests = vec![guest(None); 5];
-        guests.extend([guest(Some(99.0)); 4]);
-        let table = served_figures(guests.iter().copied(), 100.0);
+        let mut no_deadlines = vec![without_deadline(None); 5];
+        no_deadlines.extend([without_deadline(Some(99.0)); 4]);
+        let table = served_figures(no_deadlines.iter().copied(), 100.0);
         assert!(table.iter().all(|s| s.jobs == 9 && s.is_underserved()));
-        // What was due after the end, or a handful of jobs, says nothing.
+        // Jobs due after the end, and groups of only a few jobs, are not evaluated.
         assert!(served_figures(jobs.iter().copied(), 30.0).is_empty());
         let few = served_figures(jobs[90..95].iter().copied(), 100.0);
         assert!(few.iter().all(|s| !s.is_underserved()));
     }
 
     #[test]
-    fn the_largest_jobs_of_a_class_are_judged_apart_from_the_many_small_ones() {
-        // Guards against a class called served while none of its large jobs was.
+    fn the_largest_jobs_of_a_class_are_evaluated_separately() {
+        // Guards against a class that counts as served while none of its large jobs was.
         let of_size = |size, completed_at| Job {
             size,
             ..job("photos", "kitchen", completed_at)
@@ -281,7 +284,7 @@
                 && !of(JobGroup::LargestTenth).is_underserved()
         );
         assert!(of(JobGroup::Largest).is_underserved());
-        // All that are as large as the smallest of them count with them.
+        // Jobs as large as the smallest of the largest ones are included.
         jobs.push(of_size(90.0, Some(25.0)));
         let table = served_figures(jobs.iter().copied(), 300.0);
         assert_eq!(find(&table, JobGroup::Largest, "photos").jobs, 2);
@@ -289,8 +292,8 @@
     }
 
     #[test]
-    fn a_largest_job_that_begins_late_or_never_fails_a_night_and_a_small_one_does_not() {
-        // Guards against jobs that wait without end for being large.
+    fn a_largest_job_that_starts_late_or_never_fails_the_run_and_a_small_one_does_not() {
+        // Guards against jobs that wait forever because they are large.
         let waits = |size, first_started_at| Job {
             size,
             deadline_s: Some(900.0),
@@ -316,7 +319,7 @@
         ];
         jobs[7].first_started_at = Some(251.0);
         assert_eq!(late(&jobs, 1000.0), largest);
-        // Before its deadline, too; but not before the four minutes.
+        // A job that has not started fails before its deadline, but not before MAX_START_S.
         jobs[7].first_started_at = None;
         assert_eq!(late(&jobs, 251.0), largest);
         assert!(late(&jobs, 249.0).is_empty());
--- a/crates/umbersail-rehearsal/src/state_figures.rs
+++ b/crates/umbersail-rehearsal/src/state_figures.rs
@@ -1,4 +1,5 @@
-//! What the state service takes and holds, counted by the first part of the keys.
+//! Counts the requests, changes and keys of the state service; changes and keys are grouped by
+//! the first segment of the key.
 
 use std::cell::{Cell, RefCell};
 use std::collections::{BTreeMap, BTreeSet};
@@ -7,7 +8,7 @@
 
 use crate::history::EventKind;
 
-/// Counts of one night so far.
+/// Counts of one run so far.
 #[derive(Default)]
 pub struct StateFigures {
     changes: RefCell<BTreeMap<String, u64>>,
@@ -17,13 +18,13 @@
 }
 
 impl StateFigures {
-    /// A request came, and whether it was refused for being one too many.
+    /// Records a request, and whether the rate limit refused it.
     pub fn record_request(&self, refused: bool) {
         self.requests.set(self.requests.get() + 1);
         self.refused.set(self.refused.get() + u64::from(refused));
     }
 
-    /// A transaction was applied.
+    /// Records the changes of an applied transaction.
     pub fn record_transaction(&self, txn: &Txn<Value>) {
         for change in &txn.changes {
             let (Change::Put { key, .. } | Change::Delete { key }) = change;
@@ -38,7 +39,7 @@
         }
     }
 
-    /// The figures so far, as the history has them.
+    /// Returns the counts so far as an event for the history.
     pub fn sample(&self) -> EventKind {
         let live_keys = self.live_keys.borrow();
         let count =
