--- a/crates/umbersail-rehearsal/src/bound.rs
+++ b/crates/umbersail-rehearsal/src/bound.rs
@@ -1,9 +1,10 @@
-//! What anybody could have served: a night as a linear program in which tasks are
-//! a fluid, over all machines that the cloud had, failures known beforehand.
+//! Computes an upper bound of the share of jobs that any scheduler could have served: a linear
+//! program in which work is divisible at will, over all machines that the cloud had, with all
+//! faults known in advance.
 //!
-//! It is above what any scheduler reaches: machines are whole only in sum, images
-//! are there, nothing is lost or run twice, and of failures only power cuts take
-//! machines away, since others can be replaced.
+//! No scheduler reaches this bound: the program limits the machines of a kind only in sum,
+//! images need no fetching, no work is lost or repeated, and of all faults only power cuts take
+//! machines away, because machines lost to other faults can be replaced.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -14,26 +15,27 @@
 use crate::night::{MachineKind, Night, Trouble};
 use crate::served::ServedFigures;
 
-/// Time goes on in steps of so many seconds.
+/// Length of a time step in seconds.
 const STEP_S: f64 = 15.0;
-/// Larger programs are left out: they would take minutes.
+/// Programs with more variables are not solved: they would take minutes.
 const MAX_VARIABLES: usize = 40_000;
-/// The earliest that a machine is up, as a share of its usual boot time.
+/// The shortest boot time of a machine, as a share of its usual boot time.
 const MIN_BOOT_SHARE: f64 = 0.6;
-/// What was served is worth so many times as much as the jobs that are looked at:
-/// it is kept wherever that is possible.
+/// Weight of a job that was in time, relative to the target jobs: high, so that the solution
+/// keeps these jobs in time wherever possible.
 const SERVED_WEIGHT: f64 = 50.0;
 
-/// The largest shares of the jobs of a row that could have been in time.
+/// The largest share of the jobs of a row that could have been in time.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Bound {
-    /// With all others that were in time served as well.
+    /// If all other jobs that were in time are served as well.
     pub with_others: f64,
-    /// With everything for these jobs.
+    /// If all machines serve only these jobs.
     pub without_others: f64,
 }
 
-/// A job as far as it matters here; `work_s` is the run time of one task.
+/// A job of the run; `work_s` is the run time of one task. `is_target` marks the jobs of the row
+/// that the bound is computed for.
 struct Job {
     spec: JobSpec,
     submitted_at: f64,
@@ -43,12 +45,13 @@
     is_target: bool,
 }
 
-/// Jobs of one class that come and are due within the same steps.
+/// Jobs of one class that are submitted in the same time step and due in the same time step.
 #[derive(Default)]
 struct Flow {
     jobs: f64,
-    /// Task seconds in all, tasks that may run at once.
+    /// Total task seconds.
     work: f64,
+    /// Tasks, all of which may run at once.
     tasks: f64,
     from: f64,
     to: f64,
@@ -58,7 +61,7 @@
     team: String,
 }
 
-/// The bound of a row, or `None` if the program is too large or can't be solved.
+/// Computes the bound of a row, or `None` if the program is too large or cannot be solved.
 pub fn bound(night: &Night, events: &[Event], row: &ServedFigures) -> Option<Bound> {
     let end = events.last()?.t;
     let jobs = jobs(night, events, row, end);
@@ -68,6 +71,7 @@
     })
 }
 
+/// Collects the jobs that were not cancelled from the history.
 fn jobs(night: &Night, events: &[Event], row: &ServedFigures, end: f64) -> Vec<Job> {
     struct JobTrace<'a> {
         spec: &'a JobSpec,
@@ -117,9 +121,9 @@
         }
     }
     let counted = seen.into_values().filter(|j| !j.cancelled);
-    let known = |j: JobTrace<'_>| {
+    let to_job = |j: JobTrace<'_>| {
         let due = j.spec.deadline_s.map_or(end, |d| j.submitted_at + d);
-        let of = match row.group.is_team() {
+        let is_in_group = match row.group.is_team() {
             true => j.spec.team == row.name,
             false => {
                 let size = f64::from(j.spec.tasks) * j.spec.cpus;
@@ -130,43 +134,44 @@
         Job {
             submitted_at: j.submitted_at,
             due,
-            // What nobody finished is as long as its owner thought.
+            // A job without a finished task is assumed to take as long as its estimate.
             work_s: match j.done.len() {
                 0 => j.spec.estimate_s,
                 n => j.work_s / n as f64,
             },
             in_time: j.completed_at.is_some_and(|at| at <= due),
-            is_target: of && is_due && j.submitted_at >= night.warm_up_s,
+            is_target: is_in_group && is_due && j.submitted_at >= night.warm_up_s,
             spec: j.spec.clone(),
         }
     };
-    counted.map(known).collect()
+    counted.map(to_job).collect()
 }
 
-/// Machine seconds of one kind that there are in one step, ordinary or all.
+/// Returns the machine seconds of one kind that are available in a time span: of ordinary
+/// machines, or with `spot` of all.
 fn machine_seconds(night: &Night, kind: &MachineKind, spot: bool, from: f64, to: f64) -> f64 {
     let per_zone = (kind.ordinary + if spot { kind.spot } else { 0 }) as f64;
-    let lasts = |a: f64, b: f64| (to.min(b) - from.max(a)).max(0.0);
+    let overlap = |a: f64, b: f64| (to.min(b) - from.max(a)).max(0.0);
     let all = per_zone * kind.zones.len() as f64;
     let up = kind.at_start as f64;
-    let late = lasts(0.0, kind.boot_s * MIN_BOOT_SHARE) * (all - up).max(0.0);
-    let dark = |f: &&crate::night::Failure| {
+    let booting = overlap(0.0, kind.boot_s * MIN_BOOT_SHARE) * (all - up).max(0.0);
+    let is_power_cut = |f: &&crate::night::Failure| {
         let here = f.zone.as_ref().is_some_and(|z| kind.zones.contains(z));
         f.what == Trouble::PowerCut && here
     };
-    let dark = night.failures.iter().filter(dark);
-    let dark: f64 = dark
-        .map(|f| lasts(f.at_s, f.at_s + f.for_s) * per_zone)
+    let power_cuts = night.failures.iter().filter(is_power_cut);
+    let without_power: f64 = power_cuts
+        .map(|f| overlap(f.at_s, f.at_s + f.for_s) * per_zone)
         .sum();
-    ((to - from) * all - late - dark).max(0.0)
+    ((to - from) * all - booting - without_power).max(0.0)
 }
 
 fn fits(kind: &MachineKind, flow: &Flow) -> bool {
     flow.cpus <= kind.cpus && flow.memory_gb <= kind.memory_gb
 }
 
-/// Jobs that are alike are one flow; the key's first says whether they are those
-/// that are looked at.
+/// Groups the jobs into flows. The key is whether the jobs are targets, their class, and the
+/// time steps of their submission and deadline.
 fn flows(
     night: &Night,
     jobs: &[Job],
@@ -175,7 +180,7 @@
     let mut flows: BTreeMap<(bool, String, i64, i64), Flow> = BTreeMap::new();
     for job in jobs {
         let wanted = job.is_target || (with_others && job.in_time);
-        // Nobody runs a task in less time than it takes.
+        // A job cannot be in time if less time remains than one task takes.
         let possible = job.in_time || job.submitted_at + job.work_s <= job.due;
         if !wanted || !possible {
             continue;
@@ -206,16 +211,17 @@
     flows
 }
 
-/// The largest share of the jobs that are looked at.
+/// Returns the largest share of the target jobs that could have been in time.
 fn solve(night: &Night, jobs: &[Job], end: f64, with_others: bool) -> Option<f64> {
-    let of = jobs.iter().filter(|j| j.is_target).count();
-    if of == 0 {
+    let targets = jobs.iter().filter(|j| j.is_target).count();
+    if targets == 0 {
         return None;
     }
     let flows = flows(night, jobs, with_others);
     let steps = (end / STEP_S).ceil() as usize;
     let mut program = Problem::new(OptimizationDirection::Maximize);
-    // By kind and step: CPUs, memory, and what may not use spot machines.
+    // By machine kind and time step: CPUs, memory, and the CPUs of jobs that must not use spot
+    // machines.
     let mut cpus: BTreeMap<(usize, usize), Vec<(Variable, f64)>> = BTreeMap::new();
     let mut memory: BTreeMap<(usize, usize), Vec<(Variable, f64)>> = BTreeMap::new();
     let mut ordinary: BTreeMap<(usize, usize), Vec<(Variable, f64)>> = BTreeMap::new();
@@ -223,20 +229,20 @@
     let mut shares: Vec<(Variable, f64)> = Vec::new();
     let mut variables = 0;
     for ((is_target, ..), flow) in &flows {
-        let worth = if *is_target { 1.0 } else { SERVED_WEIGHT };
-        let share = program.add_var(worth * flow.jobs, (0.0, 1.0));
+        let weight = if *is_target { 1.0 } else { SERVED_WEIGHT };
+        let share = program.add_var(weight * flow.jobs, (0.0, 1.0));
         if *is_target {
             shares.push((share, flow.jobs));
         }
         let mut served = vec![(share, -flow.work)];
         for step in (flow.from / STEP_S) as usize..steps.min((flow.to / STEP_S) as usize + 1) {
             let (from, to) = (step as f64 * STEP_S, (step + 1) as f64 * STEP_S);
-            let lasts = to.min(flow.to) - from.max(flow.from);
+            let duration_s = to.min(flow.to) - from.max(flow.from);
             let mut at_once = Vec::new();
             let kinds = night.machines.iter().enumerate();
             for (index, _) in kinds.filter(|(_, k)| fits(k, flow)) {
-                // In units of 1,000 task seconds, to keep amounts alike.
-                let amount = program.add_var(0.0, (0.0, (flow.tasks * lasts / 1e3).max(0.0)));
+                // In units of 1,000 task seconds, so that all coefficients have similar sizes.
+                let amount = program.add_var(0.0, (0.0, (flow.tasks * duration_s / 1e3).max(0.0)));
                 variables += 1;
                 served.push((amount, 1e3));
                 at_once.push((amount, 1.0));
@@ -253,7 +259,7 @@
                 team.push((amount, flow.cpus));
             }
             if at_once.len() > 1 {
-                let most = (flow.tasks * lasts / 1e3).max(0.0);
+                let most = (flow.tasks * duration_s / 1e3).max(0.0);
                 program.add_constraint(at_once, ComparisonOp::Le, most);
             }
         }
@@ -268,8 +274,8 @@
         for ((index, step), terms) in table {
             let kind = &night.machines[index];
             let from = step as f64 * STEP_S;
-            let there = machine_seconds(night, kind, spot, from, from + STEP_S) * of(kind);
-            program.add_constraint(terms, ComparisonOp::Le, there / 1e3);
+            let available = machine_seconds(night, kind, spot, from, from + STEP_S) * of(kind);
+            program.add_constraint(terms, ComparisonOp::Le, available / 1e3);
         }
     };
     bounded(cpus, true, |k| k.cpus);
@@ -286,7 +292,7 @@
         .iter()
         .map(|(share, jobs)| solution.var_value(*share) * jobs)
         .sum();
-    Some((served / of as f64).clamp(0.0, 1.0))
+    Some((served / targets as f64).clamp(0.0, 1.0))
 }
 
 #[cfg(test)]
@@ -296,8 +302,8 @@
     use crate::served::JobGroup;
     use umbersail_wire::{JobKind, Priority};
 
-    /// A night of one kind of machine with eight CPUs, four of them up from the
-    /// start, and none to be rented.
+    /// Returns a scenario with one machine kind of eight CPUs, four machines that are up from
+    /// the start, and none to rent.
     fn night(cpus_max: f64) -> Night {
         let text = bundled("leader-changes-in-outages").unwrap();
         let mut night = Night::parse("test", text).unwrap();
@@ -310,8 +316,9 @@
         night
     }
 
-    /// Jobs of so many tasks with four CPUs each that run for 15 s and are due
-    /// after 60 s, all asked for at 0, and done at once if it says so.
+    /// Returns a history in which jobs are submitted at 0 s: each tuple is a class, a number of
+    /// tasks with four CPUs and 15 s of work, and whether they are done at 20 s. All are due
+    /// after 60 s.
     fn events_of(jobs: &[(&str, u32, bool)]) -> Vec<Event> {
         let mut events = Vec::new();
         for (n, (class, tasks, done)) in jobs.iter().enumerate() {
@@ -379,7 +386,7 @@
     }
 
     #[test]
-    fn the_bound_is_what_machines_limits_and_others_leave() {
+    fn the_bound_follows_machines_quotas_and_other_jobs() {
         // Four machines of eight CPUs run eight tasks at once, 32 in 60 s.
         let near = |found: f64, wanted: f64| (found - wanted).abs() < 1e-6;
         let labels = vec![("labels", 8, false); 8];
@@ -388,7 +395,7 @@
             near(free.without_others, 0.5) && near(free.with_others, 0.5),
             "{free:?}"
         );
-        // Others that were served take their part, unless they are left out.
+        // Other jobs that were served use machines, unless the bound leaves them out.
         let mut shared = labels.clone();
         shared.extend([("pages", 8, true); 2]);
         let shared = bound_of(&night(0.0), &events_of(&shared));
@@ -396,10 +403,10 @@
             near(shared.without_others, 0.5) && near(shared.with_others, 0.25),
             "{shared:?}"
         );
-        // A limit binds as machines do.
+        // The quota of the team limits the bound as well.
         let limited = bound_of(&night(8.0), &events_of(&labels));
         assert!(near(limited.without_others, 0.125), "{limited:?}");
-        // Nor does anybody run a task in less time than it takes.
+        // A task that takes longer than the time to its deadline cannot be in time.
         let mut long = events_of(&labels);
         for event in &mut long {
             if let EventKind::Submitted { spec } = &mut event.what {
@@ -407,12 +414,12 @@
             }
         }
         assert!(near(bound_of(&night(0.0), &long).without_others, 0.0));
-        // And machines without power run nothing.
-        let mut dark = night(0.0);
+        // Machines without power run no tasks.
+        let mut unpowered = night(0.0);
         let cut = "what = \"power-cut\"\nzone = \"south\"\nat_s = 0\nfor_s = 60\n";
-        dark.failures.push(toml::from_str(cut).unwrap());
+        unpowered.failures.push(toml::from_str(cut).unwrap());
         assert!(near(
-            bound_of(&dark, &events_of(&labels)).without_others,
+            bound_of(&unpowered, &events_of(&labels)).without_others,
             0.25
         ));
     }
--- a/crates/umbersail-rehearsal/src/history.rs
+++ b/crates/umbersail-rehearsal/src/history.rs
@@ -164,7 +164,8 @@
         task: u32,
         attempt: u64,
     },
-    /// An attempt of a task ended. `useful_s` is its run time that need not be repeated.
+    /// An attempt of a task ended. `useful_s` is the part of its run time whose
+    /// work was completed or saved and need not be repeated.
     Ended {
         machine: String,
         job: String,
--- a/crates/umbersail-rehearsal/src/judge/objectives.rs
+++ b/crates/umbersail-rehearsal/src/judge/objectives.rs
@@ -22,9 +22,13 @@
             hourly / k.cpus / 3600.0
         });
         let lowest = lowest.reduce(f64::min).unwrap_or(0.0);
-        let (worth, spent) = (self.useful_cpu_s * lowest, self.figures.spent);
+        let (useful_cost, spent) = (self.useful_cpu_s * lowest, self.figures.spent);
         let figures = &mut self.figures;
-        figures.price = if worth > 0.0 { spent / worth } else { 0.0 };
+        figures.price = if useful_cost > 0.0 {
+            spent / useful_cost
+        } else {
+            0.0
+        };
         figures.useful = if spent > 0.0 {
             self.useful_money / spent
         } else {
@@ -70,16 +74,16 @@
         self.figures.served = served::served_figures(counted, end);
         let queries = std::mem::replace(&mut self.queries, QueryTracker::new(0.0));
         self.figures.answers = queries.finish();
-        let aims = self.night.aims.clone();
-        for aim in &aims {
-            let objective_result = self.objective_result(aim, end);
-            self.figures.objectives.push(objective_result);
+        let objectives = self.night.aims.clone();
+        for objective in &objectives {
+            let result = self.objective_result(objective, end);
+            self.figures.objectives.push(result);
         }
         self.figures
     }
 
     /// Computes the value that the run reached for an objective.
-    fn objective_result(&self, aim: &Aim, end: f64) -> ObjectiveResult {
+    fn objective_result(&self, objective: &Aim, end: f64) -> ObjectiveResult {
         let share = |hits: usize, of: usize| {
             if of == 0 {
                 1.0
@@ -90,18 +94,18 @@
         let of_class = |class: &str| {
             let class = class.to_owned();
             let from = self.night.warm_up_s;
-            let here = move |j: &&JobState| {
+            let is_counted = move |j: &&JobState| {
                 j.submitted_at >= from
                     && j.cancel_requested_at.is_none()
                     && j.spec.as_ref().is_some_and(|s| s.class == class)
             };
-            self.jobs.values().filter(here)
+            self.jobs.values().filter(is_counted)
         };
-        match aim {
+        match objective {
             Aim::Deadline {
                 class,
                 times,
-                share: wanted,
+                share: target,
             } => {
                 let due = |j: &&JobState| {
                     let deadline = j
@@ -114,20 +118,20 @@
                 let counted: Vec<&JobState> = of_class(class).filter(|j| due(j) < end).collect();
                 // A job counts when its last task completes; its user may learn so up to 3 s
                 // later.
-                let kept = |j: &&&JobState| j.completed_at.is_some_and(|at| at <= due(j));
-                let value = share(counted.iter().filter(kept).count(), counted.len());
+                let is_in_time = |j: &&&JobState| j.completed_at.is_some_and(|at| at <= due(j));
+                let value = share(counted.iter().filter(is_in_time).count(), counted.len());
                 ObjectiveResult {
                     objective: format!("deadline {class} {times}x"),
                     value,
-                    target: *wanted,
+                    target: *target,
                     count: counted.len(),
-                    met: value >= *wanted,
+                    met: value >= *target,
                 }
             }
             Aim::Wait {
                 class,
                 within_s,
-                share: wanted,
+                share: target,
             } => {
                 let (mut hits, mut of) = (0, 0);
                 for job in of_class(class) {
@@ -143,39 +147,39 @@
                 ObjectiveResult {
                     objective: format!("wait {class} {within_s} s"),
                     value,
-                    target: *wanted,
+                    target: *target,
                     count: of,
-                    met: value >= *wanted,
+                    met: value >= *target,
                 }
             }
             Aim::Submit {
                 within_ms,
-                share: wanted,
+                share: target,
             } => {
-                let asked: Vec<&JobState> = {
+                let submitted: Vec<&JobState> = {
                     let from = self.night.warm_up_s;
                     let counts = |j: &&JobState| j.spec.is_some() && j.submitted_at >= from;
                     self.jobs.values().filter(counts).collect()
                 };
-                let quick = |j: &&&JobState| {
+                let is_in_time = |j: &&&JobState| {
                     j.accepted
                         .is_some_and(|at| (at - j.submitted_at) * 1000.0 <= *within_ms)
                 };
-                let value = share(asked.iter().filter(quick).count(), asked.len());
+                let value = share(submitted.iter().filter(is_in_time).count(), submitted.len());
                 ObjectiveResult {
                     objective: format!("submit {within_ms} ms"),
                     value,
-                    target: *wanted,
-                    count: asked.len(),
-                    met: value >= *wanted,
+                    target: *target,
+                    count: submitted.len(),
+                    met: value >= *target,
                 }
             }
-            Aim::Useful { share: wanted } => ObjectiveResult {
+            Aim::Useful { share: target } => ObjectiveResult {
                 objective: "useful".into(),
                 value: self.figures.useful,
-                target: *wanted,
+                target: *target,
                 count: self.figures.machines,
-                met: self.figures.useful >= *wanted,
+                met: self.figures.useful >= *target,
             },
             Aim::Price { most } => ObjectiveResult {
                 objective: "price".into(),
--- a/crates/umbersail-rehearsal/src/report.rs
+++ b/crates/umbersail-rehearsal/src/report.rs
@@ -1,5 +1,5 @@
-//! What a night leaves behind: a summary for the terminal, a page that opens
-//! without a network, figures as JSON, and an archive of the history.
+//! Writes the results of a run: a summary for the terminal, an HTML page without external
+//! resources, figures as JSON, and an archive of the history.
 
 use std::fmt::Write as _;
 use std::fs::{self, File};
@@ -16,12 +16,12 @@
 use crate::night::Night;
 use crate::play::Outcome;
 
-/// Version of the archive's layout.
+/// Version of the archive layout.
 const ARCHIVE_VERSION: u32 = 1;
-/// Events shown before a breach, and how far back they may lie, in seconds.
+/// Maximum number of events shown before a breach.
 const EVENTS_BEFORE: usize = 12;
 
-/// What the archive holds, with the hash (BLAKE3, hex) of each part.
+/// Describes the archive, with the BLAKE3 hash in hex of each part.
 #[derive(Serialize)]
 struct Manifest<'a> {
     version: u32,
@@ -31,7 +31,7 @@
     parts: Vec<(&'a str, String)>,
 }
 
-/// A summary of a night for a terminal; its last line is `outcome <hash>`.
+/// Returns a summary of a run for a terminal. Its last line is `outcome <hash>`.
 pub fn summary(night: &Night, outcome: &Outcome) -> String {
     let f = &outcome.figures;
     let mut out = String::new();
@@ -39,7 +39,7 @@
     let _ = writeln!(out, "{}", night.title);
     let _ = writeln!(
         out,
-        "  seed {}, {:.0} s played, {} packets, {} controllers, {} machines rented",
+        "  seed {}, {:.0} s simulated, {} packets, {} controllers, {} machines rented",
         outcome.seed, outcome.length_s, outcome.packets, night.controllers.count, f.machines
     );
     let _ = writeln!(
@@ -72,27 +72,27 @@
     if let (true, Some(most_s)) = (f.overrun, night.controllers.processor_most_s) {
         let _ = writeln!(
             out,
-            "  FAILED: not played in its time, which is {most_s} s of a core"
+            "  FAILED: exceeded the limit of {most_s} s of processor time"
         );
     }
     for objective in &f.objectives {
         let met = if objective.met { "met   " } else { "missed" };
         let _ = writeln!(
             out,
-            "  {met} {}: {:.3} (aim {}, of {})",
+            "  {met} {}: {:.3} (objective {}, of {})",
             objective.objective, objective.value, objective.target, objective.count
         );
     }
     for s in &f.served {
         let failed = match () {
             () if s.is_underserved() => "FAILED served",
-            () if s.has_late_start() => "FAILED begun",
+            () if s.has_late_start() => "FAILED late start",
             () => "served",
         };
         let _ = writeln!(
             out,
-            "  {failed} {} {}: {:.2} in time, {:.2} by 1.5 times, {:.2} done (of {}); \
-             begun after {:.0} s at most, {} late; all tasks beside the first after {:.0} s",
+            "  {failed} {} {}: {:.2} by the deadline, {:.2} by 1.5 times the deadline, {:.2} done (of {}); \
+             longest start {:.0} s, {} started late; all tasks started {:.0} s after the first at most",
             s.group.words(),
             s.name,
             s.in_time,
@@ -108,21 +108,21 @@
         {
             let _ = writeln!(
                 out,
-                "    nobody could have served more than {:.2} beside the others as they were served, {:.2} alone",
+                "    upper bound: {:.2} with the other jobs served as they were, {:.2} without other jobs",
                 bound.with_others, bound.without_others
             );
         }
     }
     let _ = writeln!(
         out,
-        "  answers: {} of {} questions in vain; longest without one by job {:.1} s, 99th percentile {:.1} s",
+        "  status requests: {} of {} unanswered; longest time without an answer by job: {:.1} s, 99th percentile {:.1} s",
         f.answers.unanswered, f.answers.polls, f.answers.longest_gap_s, f.answers.p99_gap_s
     );
     if f.runs.runs > 0 {
         let late: f64 = f.runs.late_s.iter().map(|s| s.max(0.0)).sum();
         let _ = writeln!(
             out,
-            "  runs: {} of {} ended by their due time, {late:.0} s late in all, {} never ended",
+            "  calendar runs: {} of {} ended by their due time, {late:.0} s late in total, {} never ended",
             f.runs.in_time,
             f.runs.runs,
             f.runs.runs - f.runs.late_s.len()
@@ -144,22 +144,23 @@
     out
 }
 
-/// A breach and the events around it that have to do with the same job.
+/// Describes a breach with the preceding events about the same job, and the faults that began or
+/// ended within 60 s before the breach.
 fn describe_breach(breach: &Breach, events: &[Event]) -> String {
     let name = serde_json::to_value(breach.rule).unwrap_or_default();
     let name = name.as_str().unwrap_or("rule").to_owned();
     let mut out = format!("  BROKEN {name} at {:.3} s: {}\n", breach.t, breach.detail);
     let job = breach.detail.split(['/', ':', ' ']).next().unwrap_or("");
-    let upto = &events[..=breach.event.min(events.len().saturating_sub(1))];
-    let about = |e: &&Event| match &e.what {
+    let preceding = &events[..=breach.event.min(events.len().saturating_sub(1))];
+    let is_related = |e: &&Event| match &e.what {
         EventKind::Fault { .. } => breach.t - e.t < 60.0,
         EventKind::UsageSample { .. } | EventKind::Polled { .. } => false,
         _ => serde_json::to_string(e).is_ok_and(|text| text.contains(job)),
     };
-    let mut shown: Vec<&Event> = upto
+    let mut shown: Vec<&Event> = preceding
         .iter()
         .rev()
-        .filter(about)
+        .filter(is_related)
         .take(EVENTS_BEFORE)
         .collect();
     shown.reverse();
@@ -170,10 +171,10 @@
     out
 }
 
-/// Writes `report.html`, `figures.json` and `history.tar.gz` into a folder.
+/// Writes `report.html`, `figures.json` and `history.tar.gz` into the directory `dir`.
 ///
 /// # Errors
-/// If the folder or a file can't be written.
+/// If the directory or a file cannot be written.
 pub fn write(dir: &Path, night: &Night, night_text: &str, outcome: &Outcome) -> io::Result<()> {
     fs::create_dir_all(dir)?;
     let figures = serde_json::to_vec_pretty(&outcome.figures)?;
@@ -196,7 +197,7 @@
             .collect(),
     };
     let manifest = serde_json::to_vec_pretty(&manifest)?;
-    // No time of day in it: the same night gives the same bytes.
+    // Without timestamps, so that the same run gives the same bytes.
     let file = File::create(dir.join("history.tar.gz"))?;
     let zipped = GzBuilder::new()
         .mtime(0)
@@ -215,9 +216,10 @@
     archive.into_inner()?.finish()?.flush()
 }
 
+/// Points of time in seconds and value.
 type Curve = Vec<(f64, f64)>;
 
-/// One plot with the failures marked on its time line.
+/// Draws one plot as SVG, with the faults marked on the time axis.
 fn plot(title: &str, curves: &[(&str, RGBColor, Curve)], marks: &[(f64, f64)]) -> String {
     let mut svg = String::new();
     let points = || curves.iter().flat_map(|(_, _, c)| c.iter());
@@ -225,7 +227,7 @@
     let top = points().map(|p| p.1).fold(1.0, f64::max) * 1.1;
     {
         let root = SVGBackend::with_string(&mut svg, (960, 240)).into_drawing_area();
-        // Drawing into a String fails only on a bug: the plot is then left out.
+        // Drawing into a String cannot fail unless there is a bug; the plot is left out then.
         let drawn = (|| -> Result<(), Box<dyn std::error::Error + '_>> {
             let mut chart = ChartBuilder::on(&root)
                 .caption(title, ("sans-serif", 18))
@@ -269,13 +271,14 @@
     svg
 }
 
+/// Escapes text for HTML.
 fn escape(text: &str) -> String {
     text.replace('&', "&amp;")
         .replace('<', "&lt;")
         .replace('>', "&gt;")
 }
 
-/// The page: everything in one file, nothing fetched.
+/// Returns the report as one HTML page without external resources.
 fn html_page(night: &Night, outcome: &Outcome) -> String {
     let (mut cpus, mut waiting, mut ordinary, mut spot, mut done) = (
         Curve::new(),
@@ -332,7 +335,7 @@
     let orange = RGBColor(210, 120, 30);
     let plots = [
         plot("CPUs in use", &[("CPUs", blue, cpus)], &marks),
-        plot("Tasks that wait", &[("tasks", orange, waiting)], &marks),
+        plot("Waiting tasks", &[("tasks", orange, waiting)], &marks),
         plot(
             "Machines up",
             &[("ordinary", blue, ordinary), ("spot", green, spot)],
@@ -374,8 +377,8 @@
 <h1>{title}</h1><p>Simulated machines. Seed {seed}; {length:.0} s; {jobs} jobs, {done} done, {cancelled} cancelled; \
 {starts} tasks started, {lost} lost with their machines, {lapsed} killed by their lease; {machines} machines rented for {spent:.2}, \
 {useful:.0}% of it for useful work.</p>{rules}\
-<table><tr><th>aim</th><th>reached</th><th>wanted</th><th>of</th><th></th></tr>{rows}</table>\
-{p0}{p1}{p2}{p3}<h2>What went wrong, as scripted</h2><ul>{list}</ul><p>outcome <code>{hash}</code></p></body></html>\n",
+<table><tr><th>objective</th><th>reached</th><th>target</th><th>of</th><th></th></tr>{rows}</table>\
+{p0}{p1}{p2}{p3}<h2>Scripted faults</h2><ul>{list}</ul><p>outcome <code>{hash}</code></p></body></html>\n",
         title = escape(&night.title),
         seed = outcome.seed,
         length = outcome.length_s,
--- a/crates/umbersail-rehearsal/src/runs.rs
+++ b/crates/umbersail-rehearsal/src/runs.rs
@@ -1,5 +1,5 @@
-//! Runs of steps that follow one another: who submits their jobs, what the operators'
-//! calendar says of them, and how they went.
+//! Calendar runs: jobs in steps that follow one another. This module submits the jobs, writes
+//! the operators' calendar entries, and evaluates how the runs went.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::rc::Rc;
@@ -14,37 +14,45 @@
 use crate::night::Night;
 use crate::users::Users;
 
-/// A team's jobs in steps, each to begin when the one before has ended.
+/// Jobs of a team in steps. Each step starts when the preceding one has ended.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 #[schemars(rename = "Run")]
 pub struct CalendarRun {
+    /// Name of the calendar entry.
     pub name: String,
+    /// When the first run opens, in seconds of the scenario.
     #[schemars(range(min = 5.0, max = 86400.0))]
     pub opens_s: f64,
-    /// So many times, so many minutes apart.
+    /// Number of runs.
     #[serde(default = "CalendarRun::once")]
     #[schemars(range(min = 1, max = 1000))]
     pub times: u32,
+    /// Minutes between the openings of two runs.
     #[serde(default = "CalendarRun::once")]
     #[schemars(range(min = 1, max = 1440))]
     pub every_min: u32,
-    /// All must be over so many seconds after the opening.
+    /// All jobs must be done within this many seconds of the opening.
     #[schemars(range(min = 1.0, max = 86400.0))]
     pub due_s: f64,
-    /// A step closes once none has come for so long, should one never come.
+    /// A step closes once no job of it has arrived for this many seconds, in case an expected
+    /// job never arrives.
     #[serde(default = "CalendarRun::quiet")]
     #[schemars(range(min = 1.0, max = 86400.0))]
     pub quiet_s: f64,
+    /// The steps, in order.
     #[schemars(length(min = 1, max = 16))]
     pub steps: Vec<RunStep>,
 }
 
+/// One step of a calendar run: a number of jobs of one class.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 #[schemars(rename = "Step")]
 pub struct RunStep {
+    /// Name of the class of the jobs.
     pub class: String,
+    /// Number of jobs.
     #[schemars(range(min = 1, max = 10000))]
     pub jobs: u32,
 }
@@ -57,25 +65,28 @@
         20.0
     }
 
-    /// When its runs open, in seconds of the night.
+    /// Returns when the runs open, in seconds of the scenario.
     fn openings(&self) -> impl Iterator<Item = f64> + '_ {
         (0..self.times).map(|n| self.opens_s + f64::from(n * self.every_min) * 60.0)
     }
 }
 
-/// How the runs of a night went.
+/// How the calendar runs of a rehearsal went.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize, Default)]
 pub struct CalendarRunFigures {
+    /// Runs that opened.
     pub runs: usize,
+    /// Runs that ended by their due time.
     pub in_time: usize,
-    /// Seconds by which they ended before (less than 0) or after they were due, sorted;
-    /// those that never ended left out.
+    /// Seconds by which the runs ended after they were due (negative: before), sorted. Runs that
+    /// never ended are left out.
     pub late_s: Vec<f64>,
-    /// Jobs that began before the step before theirs had ended, and when.
+    /// Jobs that started before the preceding step had ended, and when.
     pub out_of_order: Vec<(String, f64)>,
 }
 
-/// The calendar's entries, as in the operators' file, for a world that began then.
+/// Returns the calendar entries as lines of the operators' properties file, for a world that
+/// started at `epoch_ms`.
 pub(crate) fn properties(night: &Night, epoch_ms: u64) -> String {
     let mut out = String::new();
     if !night.calendar {
@@ -112,22 +123,28 @@
     out
 }
 
+/// Returns the team of a run: that of the class of its first step.
 fn team<'a>(night: &'a Night, run: &CalendarRun) -> &'a str {
     let class = run.steps.first().map(|s| &s.class);
     let found = night.classes.iter().find(|c| Some(&c.name) == class);
     found.map_or("", |c| &c.team)
 }
 
-/// What of the runs can't be played, with the place in the file.
+/// Checks that the runs can be executed.
+///
+/// # Errors
+/// The field of the scenario file that is invalid, and the reason.
 pub(crate) fn check(night: &Night) -> Result<(), (String, String)> {
     for (r, run) in night.runs.iter().enumerate() {
         for (s, step) in run.steps.iter().enumerate() {
             let class = night.classes.iter().find(|c| c.name == step.class);
             let reason = match class {
                 None => "no class has this name",
-                Some(class) if class.team != team(night, run) => "is another team's",
+                Some(class) if class.team != team(night, run) => {
+                    "the class belongs to another team"
+                }
                 Some(class) if class.per_minute > 0.0 || class.at_start > 0 => {
-                    "its jobs come in runs only: per_minute must be 0"
+                    "a class used by a run must have per_minute = 0 and at_start = 0"
                 }
                 Some(_) => continue,
             };
@@ -138,8 +155,8 @@
 }
 
 impl Users {
-    /// Submits the jobs of all runs: at the opening where the calendar keeps the steps
-    /// apart, else each step once the one before has been told to be over.
+    /// Submits the jobs of all runs: all at the opening if the calendar keeps the steps apart,
+    /// otherwise each step once the preceding one is reported over.
     pub(crate) fn submit_runs(self: &Rc<Self>) {
         let night = self.night();
         for (index, run) in night.runs.iter().enumerate() {
@@ -178,11 +195,12 @@
                 sleep(0.5).await;
             }
         }
-        // Its users end with it, and they still wait for their jobs.
+        // The users' tasks are cancelled when this one ends, and they still wait for their jobs.
         std::future::pending::<()>().await;
     }
 }
 
+/// What the history says about a job of a run.
 #[derive(Default)]
 struct JobTrace {
     run: usize,
@@ -192,18 +210,19 @@
     accepted_at: Option<f64>,
     started_at: Option<f64>,
     ended_at: Option<f64>,
-    /// Refused, cancelled or failing everywhere: the step does not wait for it.
+    /// Refused, cancelled or failed: the step does not wait for the job.
     excluded: bool,
 }
 
-/// How the runs went, from the history.
+/// Evaluates the calendar runs from the history.
 pub(crate) fn run_figures(night: &Night, events: &[Event]) -> CalendarRunFigures {
     let mut figures = CalendarRunFigures::default();
     if night.runs.is_empty() {
         return figures;
     }
     let mut runs: BTreeMap<(String, u64), usize> = BTreeMap::new();
-    // When each opened, and when its jobs have certainly been seen before a step closed.
+    // For each run: when it opened, when it is due, and the time by which an accepted job is
+    // certain to be counted before its step closes.
     let mut times: Vec<(f64, f64, f64)> = Vec::new();
     let mut jobs: BTreeMap<&str, JobTrace> = BTreeMap::new();
     for event in events {
@@ -275,19 +294,19 @@
             continue;
         }
         for (id, job) in of_run() {
-            // All is let go at the due time, by a clock that may be ahead.
+            // All jobs may start at the due time, by a controller's clock that may be ahead.
             let certain_due = due - night.controllers.skew_ms / 1000.0;
-            let Some(began) = job.started_at.filter(|at| *at < certain_due) else {
+            let Some(started) = job.started_at.filter(|at| *at < certain_due) else {
                 continue;
             };
             let waits_for = |(_, j): &(&&str, &JobTrace)| {
                 j.step < job.step
                     && !j.excluded
                     && j.accepted_at.is_some_and(|at| at < *certain)
-                    && j.ended_at.is_none_or(|at| at > began)
+                    && j.ended_at.is_none_or(|at| at > started)
             };
             if of_run().any(|j| waits_for(&j)) {
-                figures.out_of_order.push(((*id).to_owned(), began));
+                figures.out_of_order.push(((*id).to_owned(), started));
             }
         }
     }
