--- a/crates/umbersail-rehearsal/src/judge/tests.rs
+++ b/crates/umbersail-rehearsal/src/judge/tests.rs
@@ -1,4 +1,4 @@
-//! Every rule broken by what breaks it, and by nothing else.
+//! Each rule is reported broken by the events that break it, and by no others.
 
 use super::*;
 use crate::bundled::bundled;
@@ -68,7 +68,7 @@
     }
 }
 
-fn told(stage: JobStage) -> EventKind {
+fn cancel_acknowledged(stage: JobStage) -> EventKind {
     EventKind::CancelAcknowledged {
         job: "req-1".into(),
         stage,
@@ -76,7 +76,7 @@
     }
 }
 
-/// A night without troubles of its own and this limit on its first team.
+/// Returns a scenario without faults, with this CPU quota for its first team.
 fn night(limit: f64) -> Night {
     let text = bundled("zone-power-loss-cold-caches").unwrap();
     let mut night = Night::parse("test", text).unwrap();
@@ -85,9 +85,9 @@
     night
 }
 
-/// Rules broken by a job that is accepted on two machines and then these
-/// events, ten seconds apart.
-fn broken(job: JobSpec, limit: f64, then: Vec<EventKind>) -> Vec<Rule> {
+/// Returns the rules broken by a history with two rented machines, an accepted job and then
+/// these events, ten seconds apart.
+fn broken_rules(job: JobSpec, limit: f64, then: Vec<EventKind>) -> Vec<Rule> {
     let night = night(limit);
     let accepted = EventKind::Accepted {
         job: "req-1".into(),
@@ -120,8 +120,8 @@
 }
 
 #[test]
-fn each_rule_is_found_broken_by_what_breaks_it_and_by_nothing_else() {
-    // Guards against a judge that can't say no, or says it for nothing.
+fn each_rule_is_broken_only_by_the_events_that_break_it() {
+    // Guards against checks that miss a breach or report one that did not happen.
     use Rule::*;
     let (done, cancelled) = (JobStage::Done, JobStage::Cancelled);
     let asked = || EventKind::CancelRequested {
@@ -211,7 +211,7 @@
             0.0,
             vec![
                 asked(),
-                told(cancelled),
+                cancel_acknowledged(cancelled),
                 start(),
                 ended("m1", 0, EndReason::Stopped),
             ],
@@ -221,7 +221,7 @@
             free.clone(),
             0.0,
             [
-                vec![asked(), told(cancelled)],
+                vec![asked(), cancel_acknowledged(cancelled)],
                 (0..4).map(|_| level()).collect(),
                 vec![start()],
             ]
@@ -305,17 +305,17 @@
         ),
         (free, 0.0, vec![], vec![NothingRan]),
     ];
-    for (index, (job, limit, then, wanted)) in cases.into_iter().enumerate() {
-        assert_eq!(broken(job, limit, then), wanted, "case {index}");
+    for (index, (job, limit, then, expected)) in cases.into_iter().enumerate() {
+        assert_eq!(broken_rules(job, limit, then), expected, "case {index}");
     }
 }
 
-/// The node that answers `asked_at` this, and a time in a case below, in seconds.
+/// Returns the controller that answers a request, and when the request was sent in seconds.
 fn sent(node: usize, sent_s: f64) -> Option<Question> {
     Some(Question { node, sent_s })
 }
 
-/// A poll sent to a node then.
+/// Returns the answer to a poll that was sent to controller `node` at `sent_s`.
 fn poll(node: usize, sent_s: f64, status: u16, stage: Option<JobStage>) -> EventKind {
     EventKind::Polled {
         job: "req-1".into(),
@@ -334,13 +334,13 @@
     }
 }
 
-fn cancel_asked() -> EventKind {
+fn cancel_request() -> EventKind {
     EventKind::CancelRequested {
         job: "req-1".into(),
     }
 }
 
-fn cancel_told(node: usize, sent_s: f64, stage: JobStage) -> EventKind {
+fn cancel_answer(node: usize, sent_s: f64, stage: JobStage) -> EventKind {
     EventKind::CancelAcknowledged {
         job: "req-1".into(),
         stage,
@@ -348,12 +348,12 @@
     }
 }
 
-/// What is told of a job and when, under a name, and the rules that this breaks.
+/// Name of the case, the events with their times, and the rules that they break.
 type Case = (&'static str, Vec<(f64, EventKind)>, Vec<Rule>);
 
-/// Rules broken by a job of one task that is accepted at 10 s, runs on m1 from 15 s on,
-/// and these events at their times.
-fn broken_at(then: &[(f64, EventKind)]) -> Vec<Rule> {
+/// Returns the rules broken by a job of one task that is accepted at 10 s and runs on m1 from
+/// 15 s on, and by these events at their times.
+fn broken_rules_at(then: &[(f64, EventKind)]) -> Vec<Rule> {
     let accepted = EventKind::Accepted {
         job: "req-1".into(),
         after_s: 0.1,
@@ -380,55 +380,55 @@
 }
 
 #[test]
-fn a_question_sent_after_an_answer_gets_none_that_is_older_at_any_node() {
-    // Guards against a judge that takes an older answer from another node, or that calls
-    // one older whose question was under way when the other was given.
+fn a_request_sent_after_an_answer_gets_no_older_answer_from_any_controller() {
+    // Guards against checks that accept an older answer from another controller, or that call
+    // an answer older although its request was already sent when the other answer arrived.
     use JobStage::*;
     use Rule::*;
     let finish = || (30.0, ended("m1", 0, EndReason::Done));
     let done = || (31.0, poll(1, 30.9, 200, Some(Done)));
-    let call_off = || (19.5, cancel_asked());
-    let cancelled = || (20.0, cancel_told(1, 19.6, Cancelled));
+    let cancel_requested = || (19.5, cancel_request());
+    let cancelled = || (20.0, cancel_answer(1, 19.6, Cancelled));
     let cases: Vec<Case> = vec![
         (
-            "accepted, then unknown elsewhere",
+            "accepted, then unknown at another controller",
             vec![(10.05, poll(2, 10.0, 404, None))],
             vec![Forgotten],
         ),
         (
-            "unknown to a question that was under way",
+            "unknown in answer to a poll sent before the acceptance",
             vec![(10.05, poll(2, 9.99, 404, None))],
             vec![],
         ),
         (
-            "a repetition accepted anew",
+            "repeated submission accepted as new",
             vec![(10.2, repeat(2, 10.1, 201, Some(Queued)))],
             vec![OlderAnswer],
         ),
         (
-            "both of two that were under way at once accepted",
+            "two concurrent submissions both accepted",
             vec![(10.2, repeat(2, 9.95, 201, Some(Queued)))],
             vec![],
         ),
         (
-            "a repetition known",
+            "repeated submission recognized",
             vec![(10.2, repeat(2, 10.1, 200, Some(Queued)))],
             vec![],
         ),
         (
-            "a repetition refused",
+            "repeated submission refused",
             vec![(10.2, repeat(2, 10.1, 400, None))],
             vec![Forgotten],
         ),
         (
-            "a repetition that can never run",
+            "repeated submission refused because the job can never run",
             vec![(10.2, repeat(2, 10.1, 422, None))],
             vec![Forgotten],
         ),
         (
-            "its cancellation finds nothing",
+            "cancellation answered as if the job were unknown",
             vec![
-                call_off(),
+                cancel_requested(),
                 (
                     19.9,
                     EventKind::CancelRefused {
@@ -441,12 +441,12 @@
             vec![Forgotten],
         ),
         (
-            "done, then running elsewhere",
+            "done, then running at another controller",
             vec![finish(), done(), (31.02, poll(0, 31.0, 200, Some(Running)))],
             vec![WentBack],
         ),
         (
-            "running to a question that was under way",
+            "running in answer to a poll sent before done was reported",
             vec![
                 finish(),
                 done(),
@@ -460,37 +460,37 @@
             vec![Forgotten],
         ),
         (
-            "done, then a repetition waits",
+            "done, then a repeated submission reported queued",
             vec![finish(), done(), (31.1, repeat(2, 31.0, 200, Some(Queued)))],
             vec![WentBack],
         ),
         (
-            "done, then a repetition done",
+            "done, then a repeated submission reported done",
             vec![finish(), done(), (31.1, repeat(2, 31.0, 200, Some(Done)))],
             vec![],
         ),
         (
-            "cancelled, then running elsewhere",
+            "cancelled, then running at another controller",
             vec![
-                call_off(),
+                cancel_requested(),
                 cancelled(),
                 (20.1, poll(0, 20.01, 200, Some(Running))),
             ],
             vec![WentBack],
         ),
         (
-            "running to a question sent before the cancellation was told",
+            "running in answer to a poll sent before the cancellation was acknowledged",
             vec![
-                call_off(),
+                cancel_requested(),
                 cancelled(),
                 (20.1, poll(0, 19.99, 200, Some(Running))),
             ],
             vec![],
         ),
         (
-            "cancelled and done, even if asked at once",
+            "cancelled, then done, even if the poll was sent before the acknowledgement",
             vec![
-                call_off(),
+                cancel_requested(),
                 cancelled(),
                 finish(),
                 (30.1, poll(0, 19.99, 200, Some(Done))),
@@ -498,41 +498,41 @@
             vec![WentBack],
         ),
         (
-            "done, and a cancellation that came later says cancelled",
+            "done, then a later cancellation acknowledged as cancelled",
             vec![
                 finish(),
                 done(),
-                (31.5, cancel_asked()),
-                (31.6, cancel_told(0, 31.5, Cancelled)),
+                (31.5, cancel_request()),
+                (31.6, cancel_answer(0, 31.5, Cancelled)),
             ],
             vec![WentBack],
         ),
         (
-            "done, and a cancellation that came later says so",
+            "done, then a later cancellation acknowledged as done",
             vec![
                 finish(),
                 done(),
-                (31.5, cancel_asked()),
-                (31.6, cancel_told(0, 31.5, Done)),
+                (31.5, cancel_request()),
+                (31.6, cancel_answer(0, 31.5, Done)),
             ],
             vec![],
         ),
     ];
-    for (name, then, wanted) in cases {
-        assert_eq!(broken_at(&then), wanted, "{name}");
+    for (name, then, expected) in cases {
+        assert_eq!(broken_rules_at(&then), expected, "{name}");
     }
 }
 
 #[test]
-fn a_job_whose_task_runs_on_is_not_called_waiting_again() {
-    // Guards against a judge that takes back and forth for granted, or that blames a stop,
-    // a lost machine or the lag that is allowed.
+fn a_job_whose_task_still_runs_is_not_reported_queued_again() {
+    // Guards against checks that accept running and then queued for a task that still runs, or
+    // that report a breach after a stop, a lost machine or within the allowed lag.
     use JobStage::*;
     use Rule::*;
     let runs = || (16.0, poll(0, 15.9, 200, Some(Running)));
-    let waits_at = |sent_s: f64| (sent_s + 0.1, poll(1, sent_s, 200, Some(Queued)));
+    let queued_at = |sent_s: f64| (sent_s + 0.1, poll(1, sent_s, 200, Some(Queued)));
     let ends = |how| (40.0, ended("m1", 0, how));
-    let struck = |t| {
+    let faulted = |t| {
         let what = EventKind::MachineFaulted {
             machine: "m1".into(),
             fault: "machines-cut".into(),
@@ -542,65 +542,75 @@
     };
     let cases: Vec<Case> = vec![
         (
-            "it ran all along",
-            vec![runs(), waits_at(19.1), ends(EndReason::Done)],
+            "the task ran the whole time",
+            vec![runs(), queued_at(19.1), ends(EndReason::Done)],
             vec![OlderAnswer],
         ),
         (
-            "within the lag",
-            vec![runs(), waits_at(18.9), ends(EndReason::Done)],
+            "within the allowed lag",
+            vec![runs(), queued_at(18.9), ends(EndReason::Done)],
             vec![],
         ),
         (
-            "nobody had called it running",
-            vec![waits_at(19.1), ends(EndReason::Done)],
+            "never reported running",
+            vec![queued_at(19.1), ends(EndReason::Done)],
             vec![],
         ),
         (
-            "it was stopped then",
-            vec![runs(), waits_at(19.1), ends(EndReason::Stopped)],
+            "the task was stopped",
+            vec![runs(), queued_at(19.1), ends(EndReason::Stopped)],
             vec![],
         ),
         (
-            "its lease ended",
-            vec![runs(), waits_at(19.1), ends(EndReason::Lapsed)],
+            "its lease expired",
+            vec![runs(), queued_at(19.1), ends(EndReason::Lapsed)],
             vec![],
         ),
         (
-            "its machine was gone",
-            vec![runs(), waits_at(19.1), ends(EndReason::Gone)],
+            "its machine was lost",
+            vec![runs(), queued_at(19.1), ends(EndReason::Gone)],
             vec![],
         ),
         (
-            "another attempt runs now",
+            "another attempt runs by then",
             vec![
                 runs(),
                 (17.0, ended("m1", 0, EndReason::Error)),
                 (18.0, started("m1", 0)),
-                waits_at(25.0),
+                queued_at(25.0),
                 ends(EndReason::Done),
             ],
             vec![],
         ),
         (
-            "its machine could not be reached",
-            vec![runs(), struck(17.0), waits_at(25.0), ends(EndReason::Done)],
+            "a fault affected its machine meanwhile",
+            vec![
+                runs(),
+                faulted(17.0),
+                queued_at(25.0),
+                ends(EndReason::Done),
+            ],
             vec![],
         ),
         (
-            "its machine had been struck before it began",
-            vec![struck(14.0), runs(), waits_at(25.0), ends(EndReason::Done)],
+            "a fault affected its machine before the task started",
+            vec![
+                faulted(14.0),
+                runs(),
+                queued_at(25.0),
+                ends(EndReason::Done),
+            ],
             vec![OlderAnswer],
         ),
     ];
-    for (name, then, wanted) in cases {
-        assert_eq!(broken_at(&then), wanted, "{name}");
+    for (name, then, expected) in cases {
+        assert_eq!(broken_rules_at(&then), expected, "{name}");
     }
 }
 
 #[test]
-fn histories_without_questions_are_read_as_before() {
-    // Guards against archives of earlier versions that can't be judged again.
+fn histories_without_request_times_are_still_read() {
+    // Guards against archives of earlier versions that can no longer be evaluated.
     let line = r#"{"t":1.0,"what":"polled","job":"req-1","status":200,"stage":"done"}"#;
     let event: Event = serde_json::from_str(line).unwrap();
     assert_eq!(event.what, polled(200, Some(JobStage::Done)));
--- a/crates/umbersail-rehearsal/src/judge/waiting/tests.rs
+++ b/crates/umbersail-rehearsal/src/judge/waiting/tests.rs
@@ -1,15 +1,15 @@
-//! Jobs that are left waiting, and those that only look as if they were.
+//! Jobs that are left waiting, and jobs that wait for a valid reason.
 
 use super::*;
 use crate::bundled::bundled;
 use umbersail_wire::{JobKind, Priority};
 
-/// What became of the one job of a small history, up to so many seconds.
+/// A history with one job, up to `until_s`.
 struct Case {
     spec: JobSpec,
     cpus_max: f64,
-    /// What happens, and when; the machine "m1", in the north, and not a spot
-    /// machine, is up from the start.
+    /// Events with their times. The machine "m1" is up from the start, in the zone "north", and
+    /// not a spot machine.
     then: Vec<(f64, EventKind)>,
     until_s: f64,
 }
@@ -48,7 +48,7 @@
     }
 }
 
-/// A job of the same team that is neither accepted nor counted.
+/// Returns the submission of another job of the same team, which is never accepted.
 fn other() -> EventKind {
     let spec = Box::new(JobSpec {
         id: "req-2".into(),
@@ -109,7 +109,7 @@
     }
 }
 
-/// When the job was found to have been left waiting; troubles end at 20 s.
+/// Returns when the job was reported as left waiting. The last fault ends at 20 s.
 fn left_at(case: Case) -> Vec<f64> {
     let text = bundled("zone-power-loss-cold-caches").unwrap();
     let mut night = Night::parse("test", text).unwrap();
@@ -160,7 +160,7 @@
 }
 
 #[test]
-fn a_job_beside_a_machine_with_room_was_left_waiting_90_s_after_all_troubles() {
+fn a_job_with_room_on_a_machine_is_left_waiting_90_s_after_all_faults() {
     assert_eq!(left_at(case(vec![])), [110.0]);
     let short = Case {
         until_s: 109.0,
@@ -170,13 +170,13 @@
 }
 
 #[test]
-fn the_wait_counts_from_when_nothing_of_the_job_is_on_a_machine() {
+fn the_wait_starts_when_no_task_of_the_job_is_on_a_machine() {
     let lost = vec![
         (1.0, launched("req-1")),
         (2.0, started("req-1")),
         (25.5, ended(EndReason::Gone)),
     ];
-    // Its own place counts as free 10 s later.
+    // The resources of its own task count as free 10 s after the end of the task.
     let until = |then| Case {
         until_s: 150.0,
         ..case(then)
@@ -193,8 +193,8 @@
 }
 
 #[test]
-fn a_place_that_is_filled_again_and_again_is_no_room() {
-    // The other job's tasks follow one another, with three seconds between them.
+fn resources_that_are_reused_within_seconds_are_no_room() {
+    // Tasks of the other job run one after another, with three seconds between them.
     let mut then = Vec::new();
     for n in 0..20 {
         let at = 1.0 + 8.0 * f64::from(n);
@@ -206,22 +206,22 @@
         ..case(then.clone())
     };
     assert!(left_at(busy).is_empty());
-    // Until nobody fills it any more.
+    // The machine has room once no further task of the other job starts.
     then.truncate(2);
     assert_eq!(left_at(case(then)), [110.0]);
 }
 
 #[test]
-fn a_fetch_is_no_wait_for_room_and_no_end_of_it() {
+fn an_image_fetch_neither_counts_as_waiting_nor_resets_the_wait() {
     let fetches = vec![(1.0, launched("req-1"))];
     assert!(left_at(case(fetches)).is_empty());
-    // It waits from 20 s on, is fetched for in vain, and waits again.
+    // The job waits from 20 s on; its launch at 30 s is withdrawn at 40 s, and it waits on.
     let given_up = vec![(30.0, launched("req-1")), (40.0, withdrawn())];
     assert_eq!(left_at(case(given_up)), [110.0]);
 }
 
 #[test]
-fn who_is_cancelled_refused_or_never_accepted_is_not_left_waiting() {
+fn a_job_cancelled_refused_or_never_accepted_is_not_left_waiting() {
     let asked = EventKind::CancelRequested {
         job: "req-1".into(),
     };
@@ -231,27 +231,27 @@
         status: 0,
     };
     assert!(left_at(case(vec![(1.0, refused)])).is_empty());
-    // The other job, which nobody accepted, waits all along.
+    // The other job, which was never accepted, is not reported.
     assert_eq!(left_at(case(vec![])).len(), 1);
 }
 
 #[test]
-fn no_room_is_what_is_used_fetched_for_gone_struck_or_not_allowed() {
+fn machines_used_reserved_gone_faulted_or_not_allowed_have_no_room() {
     let used = vec![(1.0, launched("req-2")), (2.0, started("req-2"))];
     assert!(left_at(case(used)).is_empty());
-    let fetched_for = vec![(1.0, launched("req-2"))];
-    assert!(left_at(case(fetched_for)).is_empty());
+    let fetching = vec![(1.0, launched("req-2"))];
+    assert!(left_at(case(fetching)).is_empty());
     let gone = EventKind::MachineGone {
         machine: "m1".into(),
         why: "deleted".into(),
     };
     assert!(left_at(case(vec![(50.0, gone)])).is_empty());
-    let struck = EventKind::MachineFaulted {
+    let faulted = EventKind::MachineFaulted {
         machine: "m1".into(),
         fault: "machines-hang".into(),
         for_s: 60.0,
     };
-    assert!(left_at(case(vec![(10.0, struck)])).is_empty());
+    assert!(left_at(case(vec![(10.0, faulted)])).is_empty());
     let not_allowed: [fn(&mut JobSpec); 4] = [
         |spec| spec.zone = Some("south".into()),
         |spec| spec.types = Some(vec!["chest".into()]),
@@ -281,7 +281,7 @@
 }
 
 #[test]
-fn a_team_at_its_limit_leaves_nobody_waiting() {
+fn a_job_of_a_team_at_its_quota_is_not_left_waiting() {
     let limited = |cpus_max| Case {
         cpus_max,
         ..case(vec![(1.0, rented("m2", "north", false))])
@@ -294,7 +294,7 @@
 }
 
 #[test]
-fn the_calendar_holds_a_step_until_the_one_before_has_ended_or_all_is_due() {
+fn the_calendar_holds_a_step_until_the_preceding_one_has_ended_or_the_run_is_due() {
     let text = bundled("calendar-runs-leader-changes").unwrap();
     let mut night = Night::parse("test", text).unwrap();
     night.failures.clear();
