--- a/crates/umbersail-rehearsal/src/bound.rs
+++ b/crates/umbersail-rehearsal/src/bound.rs
@@ -81,7 +81,7 @@
         completed_at: Option<f64>,
         cancelled: bool,
     }
-    let mut seen: BTreeMap<&str, JobTrace<'_>> = BTreeMap::new();
+    let mut traces: BTreeMap<&str, JobTrace<'_>> = BTreeMap::new();
     for event in events {
         match &event.what {
             EventKind::Submitted { spec } => {
@@ -93,10 +93,10 @@
                     completed_at: None,
                     cancelled: false,
                 };
-                seen.insert(&spec.id, job);
+                traces.insert(&spec.id, job);
             }
             EventKind::CancelRequested { job } => {
-                if let Some(job) = seen.get_mut(job.as_str()) {
+                if let Some(job) = traces.get_mut(job.as_str()) {
                     job.cancelled = true;
                 }
             }
@@ -107,7 +107,7 @@
                 useful_s,
                 ..
             } => {
-                if let Some(job) = seen.get_mut(job.as_str()) {
+                if let Some(job) = traces.get_mut(job.as_str()) {
                     job.work_s += useful_s;
                     let last = *how == EndReason::Done
                         && job.done.insert(*task)
@@ -120,7 +120,7 @@
             _ => {}
         }
     }
-    let counted = seen.into_values().filter(|j| !j.cancelled);
+    let counted = traces.into_values().filter(|j| !j.cancelled);
     let to_job = |j: JobTrace<'_>| {
         let due = j.spec.deadline_s.map_or(end, |d| j.submitted_at + d);
         let is_in_group = match row.group.is_team() {
@@ -156,8 +156,8 @@
     let up = kind.at_start as f64;
     let booting = overlap(0.0, kind.boot_s * MIN_BOOT_SHARE) * (all - up).max(0.0);
     let is_power_cut = |f: &&crate::night::Failure| {
-        let here = f.zone.as_ref().is_some_and(|z| kind.zones.contains(z));
-        f.what == Trouble::PowerCut && here
+        let is_in_zone = f.zone.as_ref().is_some_and(|z| kind.zones.contains(z));
+        f.what == Trouble::PowerCut && is_in_zone
     };
     let power_cuts = night.failures.iter().filter(is_power_cut);
     let without_power: f64 = power_cuts
@@ -259,8 +259,8 @@
                 team.push((amount, flow.cpus));
             }
             if at_once.len() > 1 {
-                let most = (flow.tasks * duration_s / 1e3).max(0.0);
-                program.add_constraint(at_once, ComparisonOp::Le, most);
+                let limit = (flow.tasks * duration_s / 1e3).max(0.0);
+                program.add_constraint(at_once, ComparisonOp::Le, limit);
             }
         }
         program.add_constraint(served, ComparisonOp::Ge, 0.0);
--- a/crates/umbersail-rehearsal/src/judge/mod.rs
+++ b/crates/umbersail-rehearsal/src/judge/mod.rs
@@ -62,6 +62,7 @@
 /// A violation of a rule, with the event that revealed it.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Breach {
+    /// The rule that was broken.
     pub rule: Rule,
     /// When, in seconds of the run.
     pub t: f64,
@@ -77,6 +78,7 @@
     /// Name of the objective, with its class and limit.
     #[serde(rename = "aim")]
     pub objective: String,
+    /// The value that the run reached.
     pub value: f64,
     /// The value that the scenario requires.
     #[serde(rename = "wanted")]
@@ -84,18 +86,25 @@
     /// How many jobs, tasks or machines were counted.
     #[serde(rename = "of")]
     pub count: usize,
+    /// Whether the value meets the target.
     pub met: bool,
 }
 
 /// Figures of a run, as written to `figures.json`.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize, Default)]
 pub struct Figures {
+    /// Violations of rules, in the order in which the checks found them.
     pub breaches: Vec<Breach>,
+    /// Results of the service-level objectives.
     #[serde(rename = "aims")]
     pub objectives: Vec<ObjectiveResult>,
+    /// Jobs that users submitted.
     pub jobs: usize,
+    /// Jobs whose submission was accepted.
     pub accepted: usize,
+    /// Jobs of which all tasks completed.
     pub done: usize,
+    /// Jobs whose cancellation was acknowledged.
     pub cancelled: usize,
     /// Task starts.
     pub starts: usize,
@@ -251,12 +260,12 @@
         let detail = format!("{job}: started before the preceding step had ended");
         checker.breach(Rule::OutOfOrder, t, events.len().saturating_sub(1), detail);
     }
-    for left in waiting::find_left_waiting(night, events) {
+    for waiting_job in waiting::find_left_waiting(night, events) {
         let detail = format!(
             "{}: left waiting although machine {} has room",
-            left.job, left.machine
+            waiting_job.job, waiting_job.machine
         );
-        checker.breach(Rule::LeftWaiting, left.t, left.event, detail);
+        checker.breach(Rule::LeftWaiting, waiting_job.t, waiting_job.event, detail);
     }
     checker.finish(end, events.len().saturating_sub(1))
 }
@@ -350,12 +359,12 @@
             } => {
                 let kinds = &self.night.machines;
                 let kind = kinds.iter().position(|k| k.name == *kind).unwrap_or(0);
-                let seen = MachineState {
+                let state = MachineState {
                     kind,
                     zone: zone.clone(),
                     spot: *spot,
                 };
-                self.machines.insert(machine.clone(), seen);
+                self.machines.insert(machine.clone(), state);
                 self.figures.machines += 1;
             }
             EventKind::Started {
--- a/crates/umbersail-rehearsal/src/judge/monotonic.rs
+++ b/crates/umbersail-rehearsal/src/judge/monotonic.rs
@@ -57,8 +57,10 @@
     /// Returns when the job was last reported running at least [`MAX_LAG_S`] before the request
     /// was sent, or `None` if a task has ended since.
     fn running_before(&self, answer: AnswerContext) -> Option<f64> {
-        let told = self.running_s.iter().rev().copied();
-        let ran_s = told.into_iter().find(|t| answer.follows(t + MAX_LAG_S))?;
+        let reported = self.running_s.iter().rev().copied();
+        let ran_s = reported
+            .into_iter()
+            .find(|t| answer.follows(t + MAX_LAG_S))?;
         self.ended_s.is_none_or(|t| t < ran_s).then_some(ran_s)
     }
 }
--- a/crates/umbersail-rehearsal/src/judge/tasks.rs
+++ b/crates/umbersail-rehearsal/src/judge/tasks.rs
@@ -44,19 +44,19 @@
         let used = self.team_cpus.entry(spec.team.clone()).or_default();
         *used += spec.cpus;
         let (used, team) = (*used, self.night.teams.iter().find(|x| x.name == spec.team));
-        let most = team.map_or(0.0, |x| x.cpus_max);
-        if most > 0.0 && used > most + 1e-6 {
-            let detail = format!("{} uses {used} CPUs; its quota is {most}", spec.team);
+        let quota = team.map_or(0.0, |x| x.cpus_max);
+        if quota > 0.0 && used > quota + 1e-6 {
+            let detail = format!("{} uses {used} CPUs; its quota is {quota}", spec.team);
             self.breach(Rule::Quota, t, index, detail);
         }
     }
 
     /// Checks that the job allows the machine and its zone.
     fn check_place(&mut self, index: usize, t: f64, machine: &str, spec: &JobSpec, task: u32) {
-        let Some(here) = self.machines.get(machine) else {
+        let Some(machine_state) = self.machines.get(machine) else {
             return;
         };
-        let kind = &self.night.machines[here.kind].name;
+        let kind = &self.night.machines[machine_state.kind].name;
         let mut wrong = None;
         if spec
             .types
@@ -65,10 +65,14 @@
         {
             wrong = Some("the job does not allow this machine type");
         }
-        if spec.zone.as_ref().is_some_and(|zone| *zone != here.zone) {
+        if spec
+            .zone
+            .as_ref()
+            .is_some_and(|zone| *zone != machine_state.zone)
+        {
             wrong = Some("the job does not allow this zone");
         }
-        if here.spot && !spec.spot() {
+        if machine_state.spot && !spec.spot() {
             wrong = Some("the job does not allow spot machines");
         }
         if spec.one_zone() || spec.spread() {
@@ -79,7 +83,7 @@
                 .flat_map(|(_, places)| places)
                 .filter_map(|(m, ..)| self.machines.get(m).map(|s| s.zone.as_str()))
                 .collect();
-            let same = zones.iter().filter(|z| **z == here.zone).count();
+            let same = zones.iter().filter(|z| **z == machine_state.zone).count();
             if spec.one_zone() && same < zones.len() {
                 wrong = Some("other tasks of the job run in another zone");
             }
@@ -129,10 +133,10 @@
         *self.team_cpus.entry(spec.team).or_default() -= spec.cpus;
         let useful_s = useful_s.min(t - self.night.warm_up_s).max(0.0);
         self.useful_cpu_s += useful_s * spec.cpus;
-        if let Some(here) = self.machines.get(machine) {
-            let kind = &self.night.machines[here.kind];
+        if let Some(machine_state) = self.machines.get(machine) {
+            let kind = &self.night.machines[machine_state.kind];
             let share = (spec.cpus / kind.cpus).max(spec.memory_gb / kind.memory_gb);
-            let hourly = if here.spot {
+            let hourly = if machine_state.spot {
                 kind.spot_price.unwrap_or(kind.price)
             } else {
                 kind.price
@@ -160,12 +164,12 @@
         let ids: Vec<String> = jobs.map(|(id, _)| id.clone()).collect();
         for id in ids {
             let range = (id.clone(), 0)..=(id.clone(), u32::MAX);
-            let there = self
+            let running = self
                 .placements
                 .range(range)
                 .next()
                 .map(|(k, p)| (k.1, p[0].0.clone()));
-            if let Some((task, machine)) = there {
+            if let Some((task, machine)) = running {
                 let detail = format!("{id}/{task} still runs on {machine} after its cancellation");
                 self.breach(Rule::RanCancelled, t, index, detail);
             }
--- a/crates/umbersail-rehearsal/src/judge/waiting.rs
+++ b/crates/umbersail-rehearsal/src/judge/waiting.rs
@@ -142,8 +142,8 @@
             EventKind::Up { machine } => self.set_available(machine, true),
             EventKind::MachineGone { machine, .. } => self.set_available(machine, false),
             EventKind::MachineFaulted { machine, for_s, .. } => {
-                if let Some(here) = self.machines.get_mut(machine) {
-                    here.unavailable_until = here.unavailable_until.max(event.t + for_s);
+                if let Some(machine) = self.machines.get_mut(machine) {
+                    machine.unavailable_until = machine.unavailable_until.max(event.t + for_s);
                 }
             }
             EventKind::Launched {
@@ -362,8 +362,8 @@
     fn find_room(&self, spec: &JobSpec, t: f64) -> Option<String> {
         let used = self.team_cpus.get(&spec.team).copied().unwrap_or(0.0);
         let team = self.night.teams.iter().find(|x| x.name == spec.team);
-        let most = team.map(|x| x.cpus_max).filter(|most| *most > 0.0);
-        if most.is_some_and(|most| used + spec.cpus > most + RESOURCE_TOLERANCE) {
+        let quota = team.map(|x| x.cpus_max).filter(|quota| *quota > 0.0);
+        if quota.is_some_and(|quota| used + spec.cpus > quota + RESOURCE_TOLERANCE) {
             return None;
         }
         let mut machines = self.machines.iter();
--- a/crates/umbersail-rehearsal/src/report.rs
+++ b/crates/umbersail-rehearsal/src/report.rs
@@ -57,7 +57,7 @@
     }
     let _ = writeln!(
         out,
-        "  money: {:.2} spent, {:.0}% of it on useful work, {:.2} times the least price",
+        "  money: {:.2} spent, {:.0}% of it on useful work, {:.2} times the lowest price",
         f.spent,
         f.useful * 100.0,
         f.price
--- a/crates/umbersail-rehearsal/src/served.rs
+++ b/crates/umbersail-rehearsal/src/served.rs
@@ -19,10 +19,15 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum JobGroup {
+    /// All jobs of a class.
     Class,
+    /// The largest quarter of the jobs of a class.
     LargestQuarter,
+    /// The largest tenth of the jobs of a class.
     LargestTenth,
+    /// The largest job of a class.
     Largest,
+    /// All jobs of a team.
     Team,
 }
 
@@ -153,8 +158,8 @@
         ];
         for (group, count) in parts {
             let min_size = jobs[count - 1].size;
-            let upto = jobs.partition_point(|j| j.size >= min_size);
-            rows.extend(row(group, name, total_jobs, &jobs[..upto], end));
+            let included = jobs.partition_point(|j| j.size >= min_size);
+            rows.extend(row(group, name, total_jobs, &jobs[..included], end));
         }
     }
     for (name, jobs) in &teams {
