--- a/crates/umbersail-rehearsal/src/bound.rs
+++ b/crates/umbersail-rehearsal/src/bound.rs
@@ -166,6 +166,7 @@
     ((to - from) * all - booting - without_power).max(0.0)
 }
 
+/// Returns whether a task of the flow fits on an empty machine of this kind.
 fn fits(kind: &MachineKind, flow: &Flow) -> bool {
     flow.cpus <= kind.cpus && flow.memory_gb <= kind.memory_gb
 }
--- a/crates/umbersail-rehearsal/src/judge/waiting.rs
+++ b/crates/umbersail-rehearsal/src/judge/waiting.rs
@@ -371,7 +371,8 @@
         found.map(|(name, _)| name.clone())
     }
 
-    /// Returns whether the machine is in use, allowed for the job, and has room for a task of it.
+    /// Returns whether the machine is up and unaffected by faults, allowed for the job, and has
+    /// room for a task of it.
     fn has_room(&self, machine: &Machine, spec: &JobSpec, t: f64) -> bool {
         let kind = &self.night.machines[machine.kind];
         let types = spec.types.as_ref();
