--- a/crates/umbersail-rehearsal/src/judge/mod.rs
+++ b/crates/umbersail-rehearsal/src/judge/mod.rs
@@ -1,225 +1,276 @@
-//! Rules, aims and cost, from the history alone (PROTOCOL, "Rules" and "How
-//! aims are counted").
+//! Evaluates a run from its history alone: the protocol's rules, the service-level
+//! objectives and the cost (PROTOCOL, "Rules" and "How aims are counted").
 
 use std::collections::{BTreeMap, BTreeSet};
 
 use serde::{Deserialize, Serialize};
 use umbersail_wire::{JobSpec, JobStage};
 
-use crate::answers::{Answers, Questions};
-use crate::history::{Event, Question, What};
+use crate::answers::{QueryFigures, QueryTracker};
+use crate::history::{Event, EventKind, Question};
 use crate::night::Night;
-use crate::runs::{self, RunFigures};
-use crate::served::Served;
+use crate::runs::{self, CalendarRunFigures};
+use crate::served::ServedFigures;
 
-mod aims;
 mod monotonic;
+mod objectives;
 mod tasks;
 #[cfg(test)]
 mod tests;
 mod users;
 mod waiting;
 
-/// The rules of the protocol.
+/// A rule that every run must keep: those of the protocol, and additional ones of the
+/// rehearsal package.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Rule {
+    /// A task ran on two machines at the same time.
     RanTwice,
+    /// A team used more CPUs than its quota.
     Quota,
+    /// A task started on a machine that its job does not allow.
     WrongPlace,
+    /// A task ran although the cancellation of its job had been acknowledged.
     RanCancelled,
+    /// An accepted job is later refused or no longer known, or every poll of it fails.
     Forgotten,
+    /// A status was reported for a job that nobody submitted.
     Invented,
+    /// A job was reported done before all of its tasks were.
     NotDone,
+    /// A final stage was reported and later another stage, or a job was reported cancelled
+    /// that no user cancelled.
     WentBack,
+    /// No task was started in the whole run.
     NothingRan,
-    /// Of our own: once all troubles were over, nobody answered for it for long.
+    /// Additional: after all faults had ended, no status request for the job was answered for
+    /// [`crate::MAX_SILENCE_S`].
     ForgottenAtEnd,
-    /// Of our own: a question that was sent after another had been answered got an older
-    /// answer about the same job, at whatever controller.
+    /// Additional: a request that was sent after another had been answered got an older answer
+    /// about the same job, possibly from another controller.
     OlderAnswer,
-    /// Of our own: a submission was accepted that can't run or lacks a field.
+    /// Additional: a submission was accepted that cannot run or lacks a field.
     AcceptedInvalid,
-    /// Of our own: a job of a later step ran before the step before its own had ended.
+    /// Additional: a job of a calendar run started before the preceding step had ended.
     OutOfOrder,
-    /// Of our own: after all troubles it waited for long beside a machine with room.
+    /// Additional: after all faults had ended, a job waited too long although a machine had
+    /// room for a task of it.
     LeftWaiting,
 }
 
-/// A rule that was broken, and by which event.
+/// A violation of a rule, with the event that revealed it.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Breach {
+    /// The rule that was broken.
     pub rule: Rule,
+    /// When, in seconds of the run.
     pub t: f64,
+    /// Description; starts with the id of the job or the name of the team.
     pub detail: String,
     /// Index of the event in the history.
     pub event: usize,
 }
 
-/// An aim, what was reached, and of how many.
+/// The value that a run reached for a service-level objective.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct Reached {
-    pub aim: String,
+pub struct ObjectiveResult {
+    /// Name of the objective, with its class and limit.
+    #[serde(rename = "aim")]
+    pub objective: String,
+    /// The value that the run reached.
     pub value: f64,
-    pub wanted: f64,
-    pub of: usize,
+    /// The value that the scenario requires.
+    #[serde(rename = "wanted")]
+    pub target: f64,
+    /// How many jobs, tasks or machines were counted.
+    #[serde(rename = "of")]
+    pub count: usize,
+    /// Whether the value meets the target.
     pub met: bool,
 }
 
-/// Figures of a night.
+/// Figures of a run, as written to `figures.json`.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize, Default)]
 pub struct Figures {
+    /// Violations of rules, in the order in which the checks found them.
     pub breaches: Vec<Breach>,
-    pub aims: Vec<Reached>,
+    /// Results of the service-level objectives.
+    #[serde(rename = "aims")]
+    pub objectives: Vec<ObjectiveResult>,
+    /// Jobs that users submitted.
     pub jobs: usize,
+    /// Jobs whose submission was accepted.
     pub accepted: usize,
+    /// Jobs of which all tasks completed.
     pub done: usize,
+    /// Jobs whose cancellation was acknowledged.
     pub cancelled: usize,
+    /// Task starts.
     pub starts: usize,
+    /// Attempts that were killed because their lease had expired.
     pub lapsed: usize,
+    /// Attempts that were lost with their machines.
     pub lost: usize,
-    /// The longest that a task was on a machine after its user had been told that
-    /// its job is cancelled, in seconds.
+    /// The longest time in seconds that a task stayed on a machine after the cancellation of
+    /// its job had been acknowledged.
     #[serde(default)]
     pub cancelled_gone_s: f64,
+    /// Machines rented.
     pub machines: usize,
-    /// Money, useful share of it, and money against useful work at the lowest
-    /// nominal price.
+    /// Money spent after the warm-up.
     pub spent: f64,
+    /// Share of `spent` that paid for useful work.
     pub useful: f64,
+    /// `spent` divided by the cost of the useful work at the lowest nominal price per CPU.
     pub price: f64,
-    /// When the last accepted job was done, in seconds.
+    /// When the last job that was not cancelled was done, in seconds.
     pub finished_s: Option<f64>,
-    /// Processor time of all controllers, in seconds of a whole core, and whether
-    /// that was more than the night gives them.
+    /// Processor time of all controllers, in seconds of one core.
     pub processor_s: f64,
+    /// Whether `processor_s` exceeds the limit of the scenario.
     pub overrun: bool,
-    /// By class, by team, and of the largest jobs of each class.
-    pub served: Vec<Served>,
-    /// Work in steps.
+    /// Served shares by class, by team, and for the largest jobs of each class.
+    pub served: Vec<ServedFigures>,
+    /// Calendar runs.
     #[serde(default)]
-    pub runs: RunFigures,
-    pub answers: Answers,
+    pub runs: CalendarRunFigures,
+    /// Answers to users' status requests.
+    pub answers: QueryFigures,
 }
 
 impl Figures {
-    /// Whether the night failed: a rule was broken, it was not played in its
-    /// time, less than half of a class, of a team or of a class's largest jobs was
-    /// served, or one of the largest began too late.
+    /// Returns whether the run failed: a rule was broken, the controllers exceeded their
+    /// processor time, less than half of a class, of a team or of a class's largest jobs was
+    /// served, or one of the largest jobs started too late.
     pub fn failed(&self) -> bool {
-        let fails = |s: &Served| s.is_under() || s.is_begun_late();
+        let fails = |s: &ServedFigures| s.is_underserved() || s.has_late_start();
         !self.breaches.is_empty() || self.overrun || self.served.iter().any(fails)
     }
 }
 
+/// What the history has shown of a job so far.
 #[derive(Default)]
-struct JobSeen {
+struct JobState {
     spec: Option<JobSpec>,
-    asked_at: f64,
+    submitted_at: f64,
     accepted: Option<f64>,
-    cancel_asked: Option<f64>,
-    cancel_told: Option<f64>,
-    told: Option<JobStage>,
-    answers: monotonic::Answered,
+    cancel_requested_at: Option<f64>,
+    cancel_acknowledged_at: Option<f64>,
+    /// The last stage reported that was final: done or cancelled.
+    final_stage: Option<JobStage>,
+    answers: monotonic::AnswerHistory,
     done_tasks: BTreeSet<u32>,
-    /// When its last task had completed, and when its user was told.
-    complete_at: Option<f64>,
-    done_told: Option<f64>,
+    /// When the last task had completed, and when the job was first reported done.
+    completed_at: Option<f64>,
+    done_reported_at: Option<f64>,
+    /// When each task first started; starts that were stopped within [`MIN_START_S`] are
+    /// removed.
     started: BTreeMap<u32, f64>,
+    /// Since when every poll has failed.
     unanswered_since: Option<f64>,
 }
 
-struct MachineSeen {
+struct MachineState {
+    /// Index into the machine kinds of the scenario.
     kind: usize,
     zone: String,
     spot: bool,
 }
 
-/// A poll that fails for this long means forgotten.
+/// A job whose polls fail for more than this many seconds, while others are answered, counts
+/// as forgotten.
 const FORGOTTEN_S: f64 = 90.0;
-/// A start counts if it is not stopped by command within this.
-const HOLDS_S: f64 = 30.0;
+/// A start counts unless a command stops the task within this many seconds.
+const MIN_START_S: f64 = 30.0;
 
-/// A machine, an attempt, and since when it is there.
+/// A machine, an attempt that occupies it, and when the attempt started.
 type Place = (String, u64, f64);
 
-struct Judge<'a> {
+/// Applies the events of a history in order, and collects breaches and figures.
+struct Checker<'a> {
     night: &'a Night,
-    jobs: BTreeMap<String, JobSeen>,
-    machines: BTreeMap<String, MachineSeen>,
-    /// Where each task is now.
-    on: BTreeMap<(String, u32), Vec<Place>>,
-    used: BTreeMap<String, f64>,
-    answered_at: f64,
-    questions: Questions,
-    /// Answers that are older than others if a task turns out to have run all along.
-    doubted: Vec<monotonic::Doubted>,
-    /// When a trouble last took a machine.
-    struck: BTreeMap<String, f64>,
+    jobs: BTreeMap<String, JobState>,
+    machines: BTreeMap<String, MachineState>,
+    /// Where each task runs now.
+    placements: BTreeMap<(String, u32), Vec<Place>>,
+    /// CPUs in use by team.
+    team_cpus: BTreeMap<String, f64>,
+    /// When any status request was last answered.
+    last_answer_at: f64,
+    queries: QueryTracker,
+    /// Answers that turn out to be older than a previous one if an attempt runs to its end.
+    unresolved: Vec<monotonic::UnresolvedAnswer>,
+    /// When a fault last affected each machine.
+    machine_faulted_at: BTreeMap<String, f64>,
     useful_cpu_s: f64,
-    /// What useful work cost at nominal prices, for its share of the machines.
+    /// Cost of the useful work at nominal prices, in proportion to its share of the machines.
     useful_money: f64,
-    /// Spent while it only warmed up.
-    spent_before: f64,
+    /// Money spent during the warm-up.
+    warm_up_spent: f64,
     figures: Figures,
 }
 
-/// An answer in the history: its event, when it was given, and to which question.
+/// An answer in the history: the index of its event, when it arrived, and when its request
+/// was sent.
 #[derive(Clone, Copy)]
-struct Given {
+struct AnswerContext {
     event: usize,
     t: f64,
     sent_s: f64,
 }
 
-impl Given {
-    /// An older history does not say when questions were sent: each then follows all
-    /// answers before it.
-    fn new(event: usize, t: f64, question: Option<Question>) -> Given {
+impl AnswerContext {
+    /// Histories of earlier versions do not contain when requests were sent: each request
+    /// then counts as sent when its answer arrived.
+    fn new(event: usize, t: f64, question: Option<Question>) -> AnswerContext {
         let sent_s = question.map_or(t, |q| q.sent_s);
-        Given { event, t, sent_s }
+        AnswerContext { event, t, sent_s }
     }
 
-    /// Whether the question was sent when an answer of that time had been given.
-    fn follows(&self, given_s: f64) -> bool {
-        self.sent_s >= given_s
+    /// Returns whether the request was sent after an answer at `answered_s` had arrived.
+    fn follows(&self, answered_s: f64) -> bool {
+        self.sent_s >= answered_s
     }
 }
 
-/// Judges a night by its history.
-pub fn judge(night: &Night, events: &[Event]) -> Figures {
-    let mut judge = Judge {
+/// Evaluates a run by its history.
+pub fn evaluate(night: &Night, events: &[Event]) -> Figures {
+    let mut checker = Checker {
         night,
         jobs: BTreeMap::new(),
         machines: BTreeMap::new(),
-        on: BTreeMap::new(),
-        used: BTreeMap::new(),
-        answered_at: 0.0,
-        questions: Questions::new(night.troubles_over_s()),
-        doubted: Vec::new(),
-        struck: BTreeMap::new(),
+        placements: BTreeMap::new(),
+        team_cpus: BTreeMap::new(),
+        last_answer_at: 0.0,
+        queries: QueryTracker::new(night.troubles_over_s()),
+        unresolved: Vec::new(),
+        machine_faulted_at: BTreeMap::new(),
         useful_cpu_s: 0.0,
         useful_money: 0.0,
-        spent_before: 0.0,
+        warm_up_spent: 0.0,
         figures: Figures::default(),
     };
     for (index, event) in events.iter().enumerate() {
-        judge.see(index, event);
+        checker.apply(index, event);
     }
     let end = events.last().map_or(0.0, |e| e.t);
-    judge.figures.runs = runs::judged(night, events);
-    for (job, t) in judge.figures.runs.out_of_order.clone() {
-        let detail = format!("{job}: began before the step before its own had ended");
-        judge.breach(Rule::OutOfOrder, t, events.len().saturating_sub(1), detail);
+    checker.figures.runs = runs::run_figures(night, events);
+    for (job, t) in checker.figures.runs.out_of_order.clone() {
+        let detail = format!("{job}: started before the preceding step had ended");
+        checker.breach(Rule::OutOfOrder, t, events.len().saturating_sub(1), detail);
     }
-    for left in waiting::judged(night, events) {
-        let detail = format!("{}: waits although {} has room", left.job, left.machine);
-        judge.breach(Rule::LeftWaiting, left.t, left.event, detail);
+    for waiting_job in waiting::find_left_waiting(night, events) {
+        let detail = format!(
+            "{}: left waiting although machine {} has room",
+            waiting_job.job, waiting_job.machine
+        );
+        checker.breach(Rule::LeftWaiting, waiting_job.t, waiting_job.event, detail);
     }
-    judge.finish(end, events.len().saturating_sub(1))
+    checker.finish(end, events.len().saturating_sub(1))
 }
 
-impl Judge<'_> {
+impl Checker<'_> {
     fn breach(&mut self, rule: Rule, t: f64, event: usize, detail: String) {
         self.figures.breaches.push(Breach {
             rule,
@@ -229,77 +280,78 @@
         });
     }
 
-    fn see(&mut self, index: usize, event: &Event) {
+    fn apply(&mut self, index: usize, event: &Event) {
         let t = event.t;
         match &event.what {
-            What::Asked { spec } => {
+            EventKind::Submitted { spec } => {
                 let job = self.jobs.entry(spec.id.clone()).or_default();
-                job.asked_at = t;
+                job.submitted_at = t;
                 job.spec = Some((**spec).clone());
             }
-            What::Accepted { job, .. } => {
+            EventKind::Accepted { job, .. } => {
                 self.job(job).accepted = Some(t);
-                self.job(job).answers.knows(t);
-                self.answered_at = t;
-                self.questions.heard(t, job);
+                self.job(job).answers.known(t);
+                self.last_answer_at = t;
+                self.queries.record_answer(t, job);
             }
-            What::Refused { job, status } => {
+            EventKind::Refused { job, status } => {
                 if *status != 0 && self.job(job).accepted.is_some() {
-                    let detail = format!("{job}: accepted, then refused with {status}");
+                    let detail = format!("{job}: accepted, then refused with status {status}");
                     self.breach(Rule::Forgotten, t, index, detail);
                 }
             }
-            What::Polled {
+            EventKind::Polled {
                 job,
                 status,
                 stage,
                 question,
             } => {
-                let given = Given::new(index, t, *question);
-                self.asked(index, t, job, *status == 404 || stage.is_some());
-                self.polled(given, job, *status, *stage);
+                let answer = AnswerContext::new(index, t, *question);
+                self.status_requested(index, t, job, *status == 404 || stage.is_some());
+                self.polled(answer, job, *status, *stage);
             }
-            What::Repeated {
+            EventKind::Repeated {
                 job,
                 status,
                 stage,
                 question,
             } => {
-                let given = Given::new(index, t, *question);
+                let answer = AnswerContext::new(index, t, *question);
                 if matches!(status, 400 | 422) {
                     let detail = format!("{job}: repeated submission answered {status}");
                     self.breach(Rule::Forgotten, t, index, detail);
                 }
                 if *status == 201 {
-                    self.accepted_anew(given, job);
+                    self.check_accepted_again(answer, job);
                 }
                 if let Some(stage) = stage {
-                    self.told(given, job, *stage);
+                    self.stage_reported(answer, job, *stage);
                 }
             }
-            What::CancelAsked { job } => {
-                self.job(job).cancel_asked.get_or_insert(t);
+            EventKind::CancelRequested { job } => {
+                self.job(job).cancel_requested_at.get_or_insert(t);
             }
-            What::CancelTold {
+            EventKind::CancelAcknowledged {
                 job,
                 stage,
                 question,
-            } => self.told(Given::new(index, t, *question), job, *stage),
-            What::CancelRefused {
+            } => self.stage_reported(AnswerContext::new(index, t, *question), job, *stage),
+            EventKind::CancelRefused {
                 job,
                 status,
                 question,
-            } => self.refused_cancel(Given::new(index, t, *question), job, *status),
-            What::InvalidSubmission {
+            } => self.check_refused_cancel(AnswerContext::new(index, t, *question), job, *status),
+            EventKind::InvalidSubmission {
                 job,
                 defect,
                 status: status @ (200 | 201),
                 ..
             } => {
-                let detail = format!("{job}: {defect}, and answered {status}");
+                let detail =
+                    format!("{job}: invalid submission ({defect}) answered with status {status}");
                 self.breach(Rule::AcceptedInvalid, t, index, detail);
             }
-            What::Rented {
+            EventKind::Rented {
                 machine,
                 kind,
                 zone,
@@ -307,21 +359,21 @@
             } => {
                 let kinds = &self.night.machines;
                 let kind = kinds.iter().position(|k| k.name == *kind).unwrap_or(0);
-                let seen = MachineSeen {
+                let state = MachineState {
                     kind,
                     zone: zone.clone(),
                     spot: *spot,
                 };
-                self.machines.insert(machine.clone(), seen);
+                self.machines.insert(machine.clone(), state);
                 self.figures.machines += 1;
             }
-            What::Started {
+            EventKind::Started {
                 machine,
                 job,
                 task,
                 attempt,
             } => self.started(index, t, machine, job, *task, *attempt),
-            What::Ended {
+            EventKind::Ended {
                 machine,
                 job,
                 task,
@@ -330,49 +382,49 @@
                 useful_s,
             } => {
                 let key = (job.clone(), *task);
-                if let Some(places) = self.on.get_mut(&key) {
+                if let Some(places) = self.placements.get_mut(&key) {
                     places.retain(|(m, a, _)| !(m == machine && a == attempt));
                     if places.is_empty() {
-                        self.on.remove(&key);
+                        self.placements.remove(&key);
                     }
                 }
                 self.ended(t, machine, job, *task, *how, *useful_s);
-                self.ran_all_along(machine, (job, *task, *attempt), *how);
+                self.resolve_answers(machine, (job, *task, *attempt), *how);
                 self.job(job).answers.ended(t);
             }
-            What::Level { spent, .. } => {
+            EventKind::UsageSample { spent, .. } => {
                 if t <= self.night.warm_up_s {
-                    self.spent_before = *spent;
+                    self.warm_up_spent = *spent;
                 }
-                self.figures.spent = *spent - self.spent_before;
-                self.look_for_cancelled(index, t);
+                self.figures.spent = *spent - self.warm_up_spent;
+                self.check_cancelled_tasks(index, t);
             }
-            What::Struck { machine, .. } => {
-                self.struck.insert(machine.clone(), t);
+            EventKind::MachineFaulted { machine, .. } => {
+                self.machine_faulted_at.insert(machine.clone(), t);
             }
-            What::InvalidSubmission { .. }
-            | What::Up { .. }
-            | What::MachineGone { .. }
-            | What::Elected { .. }
-            | What::Trouble { .. }
-            | What::OfRun { .. }
-            | What::LateWrite { .. }
-            | What::LostAnswer { .. }
-            | What::RentalAnswered { .. }
-            | What::Listed { .. }
-            | What::Granted { .. }
-            | What::State { .. }
-            | What::Launched { .. }
-            | What::Withdrawn { .. }
-            | What::Conflict { .. }
-            | What::LateCommand { .. }
-            | What::LateAnswer { .. }
-            | What::LateReport { .. }
-            | What::StoreSent { .. } => {}
+            EventKind::InvalidSubmission { .. }
+            | EventKind::Up { .. }
+            | EventKind::MachineGone { .. }
+            | EventKind::Elected { .. }
+            | EventKind::Fault { .. }
+            | EventKind::RunJob { .. }
+            | EventKind::LateWrite { .. }
+            | EventKind::LostAnswer { .. }
+            | EventKind::RentalAnswered { .. }
+            | EventKind::Listed { .. }
+            | EventKind::Granted { .. }
+            | EventKind::StateSample { .. }
+            | EventKind::Launched { .. }
+            | EventKind::Withdrawn { .. }
+            | EventKind::Conflict { .. }
+            | EventKind::LateCommand { .. }
+            | EventKind::LateAnswer { .. }
+            | EventKind::LateHeartbeat { .. }
+            | EventKind::StoreSent { .. } => {}
         }
     }
 
-    fn job(&mut self, id: &str) -> &mut JobSeen {
+    fn job(&mut self, id: &str) -> &mut JobState {
         self.jobs.entry(id.to_owned()).or_default()
     }
 }
--- a/crates/umbersail-rehearsal/src/judge/monotonic.rs
+++ b/crates/umbersail-rehearsal/src/judge/monotonic.rs
@@ -1,69 +1,75 @@
-//! Monotonic reads: no answer to a question that was sent after another answer about the
-//! same job had been given is older than that one, at whatever controller.
+//! Monotonic reads: if a request about a job was sent after another request about the job had
+//! been answered, its answer must not be older than that one, whichever controllers answered.
 
 use umbersail_wire::JobStage;
 
-use super::{Given, Judge, Rule};
-use crate::history::End;
+use super::{AnswerContext, Checker, Rule};
+use crate::history::EndReason;
 
-/// Counts of tasks, and with them whether one runs, may lag by this much (PROTOCOL).
-const LAG_S: f64 = 3.0;
+/// Task counts, and so the information whether any task runs, may lag by this many seconds
+/// (PROTOCOL).
+const MAX_LAG_S: f64 = 3.0;
 
-/// What the users of a job have been told, and when.
+/// When users were first or last told each state of a job.
 #[derive(Debug, Default)]
-pub(super) struct Answered {
-    /// That it is known, first.
+pub(super) struct AnswerHistory {
+    /// When an answer first showed that the job is known.
     known_s: Option<f64>,
-    /// That it is done or cancelled, first.
-    over_s: Option<f64>,
-    /// That a task of it runs.
+    /// When the job was first reported done or cancelled.
+    final_s: Option<f64>,
+    /// Each time when the job was reported running.
     running_s: Vec<f64>,
-    /// When a task of it last ended on a machine, whichever way.
+    /// When an attempt of a task last ended on a machine, for whatever reason.
     ended_s: Option<f64>,
 }
 
-impl Answered {
-    /// An answer that showed the job known.
-    pub fn knows(&mut self, t: f64) {
+impl AnswerHistory {
+    /// Records an answer that showed that the job is known.
+    pub fn known(&mut self, t: f64) {
         self.known_s.get_or_insert(t);
     }
 
-    pub fn told(&mut self, t: f64, stage: JobStage) {
-        self.knows(t);
+    /// Records an answer with a stage of the job.
+    pub fn stage_reported(&mut self, t: f64, stage: JobStage) {
+        self.known(t);
         match stage {
-            JobStage::Done | JobStage::Cancelled => drop(self.over_s.get_or_insert(t)),
+            JobStage::Done | JobStage::Cancelled => drop(self.final_s.get_or_insert(t)),
             JobStage::Running => self.running_s.push(t),
             JobStage::Queued => {}
         }
     }
 
+    /// Records that an attempt of a task ended.
     pub fn ended(&mut self, t: f64) {
         self.ended_s = Some(t);
     }
 
-    /// Whether the question was sent when the job had been shown known.
-    pub fn is_known_to(&self, given: Given) -> bool {
-        self.known_s.is_some_and(|t| given.follows(t))
+    /// Returns whether the request was sent after an answer had shown that the job is known.
+    pub fn was_known_before(&self, answer: AnswerContext) -> bool {
+        self.known_s.is_some_and(|t| answer.follows(t))
     }
 
-    /// Whether the question was sent when the job's end had been told.
-    pub fn is_over_to(&self, given: Given) -> bool {
-        self.over_s.is_some_and(|t| given.follows(t))
+    /// Returns whether the request was sent after the job had been reported done or cancelled.
+    pub fn was_final_before(&self, answer: AnswerContext) -> bool {
+        self.final_s.is_some_and(|t| answer.follows(t))
     }
 
-    /// When an answer that the question need not lag behind last said that a task runs,
-    /// if no task has ended since.
-    fn ran_at(&self, given: Given) -> Option<f64> {
-        let told = self.running_s.iter().rev().copied();
-        let ran_s = told.into_iter().find(|t| given.follows(t + LAG_S))?;
+    /// Returns when the job was last reported running at least [`MAX_LAG_S`] before the request
+    /// was sent, or `None` if a task has ended since.
+    fn running_before(&self, answer: AnswerContext) -> Option<f64> {
+        let reported = self.running_s.iter().rev().copied();
+        let ran_s = reported
+            .into_iter()
+            .find(|t| answer.follows(t + MAX_LAG_S))?;
         self.ended_s.is_none_or(|t| t < ran_s).then_some(ran_s)
     }
 }
 
-/// An answer that no task runs, after another that one does, and an attempt that has
-/// been on its machine since before that one. The answer is older if the attempt goes on
-/// to its end there; otherwise the controllers had stopped it or given it up.
-pub(super) struct Doubted {
+/// An answer that no task of a job runs, after another answer that one does, together with an
+/// attempt that started before the other answer. If the attempt runs to its end, the answer
+/// was older than the other one; otherwise the controllers had stopped the attempt or given
+/// it up.
+pub(super) struct UnresolvedAnswer {
     event: usize,
     t: f64,
     ran_s: f64,
@@ -73,39 +79,49 @@
     attempt: u64,
 }
 
-impl Judge<'_> {
-    /// A repeated submission was answered as if it were the first.
-    pub(super) fn accepted_anew(&mut self, given: Given, id: &str) {
-        if self.job(id).answers.is_known_to(given) {
-            let detail = format!("{id}: accepted, and its repeated submission accepted anew");
-            self.breach(Rule::OlderAnswer, given.t, given.event, detail);
+impl Checker<'_> {
+    /// Checks a repeated submission that was answered as if it were the first one.
+    pub(super) fn check_accepted_again(&mut self, answer: AnswerContext, id: &str) {
+        if self.job(id).answers.was_known_before(answer) {
+            let detail = format!("{id}: accepted, then its repeated submission accepted as new");
+            self.breach(Rule::OlderAnswer, answer.t, answer.event, detail);
         }
     }
 
-    /// A cancellation was answered as if there were no such job.
-    pub(super) fn refused_cancel(&mut self, given: Given, id: &str, status: u16) {
-        if self.job(id).answers.is_known_to(given) {
-            let detail = format!("{id}: accepted, its cancellation answered {status}");
-            self.breach(Rule::Forgotten, given.t, given.event, detail);
+    /// Checks a cancellation that was answered as if the job did not exist.
+    pub(super) fn check_refused_cancel(&mut self, answer: AnswerContext, id: &str, status: u16) {
+        if self.job(id).answers.was_known_before(answer) {
+            let detail =
+                format!("{id}: accepted, then its cancellation answered with status {status}");
+            self.breach(Rule::Forgotten, answer.t, answer.event, detail);
         }
     }
 
-    /// Before an answer is counted: whether it takes back that a task runs.
-    pub(super) fn runs_no_more(&mut self, given: Given, id: &str, stage: JobStage) {
+    /// Checks whether an answer contradicts an earlier one that a task runs. Must be called
+    /// before the answer is recorded.
+    pub(super) fn check_no_longer_running(
+        &mut self,
+        answer: AnswerContext,
+        id: &str,
+        stage: JobStage,
+    ) {
         if stage != JobStage::Queued {
             return;
         }
-        let Some(ran_s) = self.job(id).answers.ran_at(given) else {
+        let Some(ran_s) = self.job(id).answers.running_before(answer) else {
             return;
         };
         let range = (id.to_owned(), 0)..=(id.to_owned(), u32::MAX);
-        for ((_, task), places) in self.on.range(range) {
+        for ((_, task), places) in self.placements.range(range) {
             for (machine, attempt, since) in places {
-                let is_struck = self.struck.get(machine).is_some_and(|t| *t > *since);
-                if *since < ran_s && !is_struck {
-                    self.doubted.push(Doubted {
-                        event: given.event,
-                        t: given.t,
+                let had_fault = self
+                    .machine_faulted_at
+                    .get(machine)
+                    .is_some_and(|t| *t > *since);
+                if *since < ran_s && !had_fault {
+                    self.unresolved.push(UnresolvedAnswer {
+                        event: answer.event,
+                        t: answer.t,
                         ran_s,
                         machine: machine.clone(),
                         job: id.to_owned(),
@@ -117,25 +133,25 @@
         }
     }
 
-    /// An attempt ended: what was answered while it ran can be judged.
-    pub(super) fn ran_all_along(
+    /// Decides the unresolved answers that depend on an attempt which has now ended.
+    pub(super) fn resolve_answers(
         &mut self,
         machine: &str,
         (job, task, attempt): (&str, u32, u64),
-        how: End,
+        how: EndReason,
     ) {
-        let its = |d: &Doubted| {
+        let is_of_attempt = |d: &UnresolvedAnswer| {
             (d.machine.as_str(), d.job.as_str(), d.task, d.attempt) == (machine, job, task, attempt)
         };
-        let (mine, others) = self.doubted.drain(..).partition(its);
-        self.doubted = others;
-        let mine: Vec<Doubted> = mine;
-        for older in mine.into_iter().filter(|_| how == End::Done) {
-            let Doubted {
+        let (mine, others) = self.unresolved.drain(..).partition(is_of_attempt);
+        self.unresolved = others;
+        let mine: Vec<UnresolvedAnswer> = mine;
+        for older in mine.into_iter().filter(|_| how == EndReason::Done) {
+            let UnresolvedAnswer {
                 event, t, ran_s, ..
             } = older;
             let detail = format!(
-                "{job}: called running at {ran_s:.3} s, then queued, while {job}/{task} ran on {machine}"
+                "{job}: reported running at {ran_s:.3} s, then queued, while {job}/{task} ran on {machine}"
             );
             self.breach(Rule::OlderAnswer, t, event, detail);
         }
--- a/crates/umbersail-rehearsal/src/judge/waiting.rs
+++ b/crates/umbersail-rehearsal/src/judge/waiting.rs
@@ -1,36 +1,37 @@
-//! Jobs that are left waiting although a machine has room for them: none may be, for
-//! long, once all troubles are over.
+//! Finds jobs that are left waiting although a machine has room for them. After all faults have
+//! ended, no job may wait like this for longer than [`MAX_WAIT_S`].
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
 use umbersail_wire::JobSpec;
 
-use crate::history::{End, Event, What};
+use crate::history::{EndReason, Event, EventKind};
 use crate::night::Night;
 
-/// So many seconds a job may wait beside a machine with room for it.
-const LEFT_S: f64 = 90.0;
-/// A place counts as free once its task has been gone for so many seconds: under a
-/// backlog some place or other is empty at any moment, for as long as it takes to be
-/// reported, recorded and filled again.
-const REFILL_S: f64 = 10.0;
-/// Seconds that the sum of a night's ticks may be short of that by rounding.
-const ROUNDING_S: f64 = 1e-3;
-/// CPUs and gigabytes that may be missing by rounding.
-const ROUNDING: f64 = 1e-6;
+/// How many seconds a job may wait while a machine has room for it.
+const MAX_WAIT_S: f64 = 90.0;
+/// The resources of a task count as free this many seconds after the task has ended: with a
+/// backlog, the resources of some task are free at any moment, for as long as it takes to report
+/// its end, record it and place another task.
+const REFILL_ALLOWANCE_S: f64 = 10.0;
+/// Seconds by which a wait measured between samples may fall short of [`MAX_WAIT_S`] because of
+/// rounding.
+const TIME_TOLERANCE_S: f64 = 1e-3;
+/// CPUs, GPUs and gigabytes by which usage may exceed a limit because of rounding.
+const RESOURCE_TOLERANCE: f64 = 1e-6;
 
 /// A job that was left waiting.
 #[derive(Debug, PartialEq)]
 pub(super) struct LeftWaiting {
     pub job: String,
     pub t: f64,
-    /// Index of the event at which it had waited too long.
+    /// Index of the event at which the wait became too long.
     pub event: usize,
-    /// A machine that had room for it then.
+    /// A machine that had room for the job at that time.
     pub machine: String,
 }
 
-/// A task on a machine, or on its way there.
+/// An attempt on a machine, running or waiting for its image: job, task, machine, attempt.
 type Place = (String, u32, String, u64);
 
 struct Machine {
@@ -38,28 +39,30 @@
     zone: String,
     spot: bool,
     is_up: bool,
-    /// A failure holds it out of use until then.
-    struck_until: f64,
+    /// A fault keeps the machine out of use until then.
+    unavailable_until: f64,
+    /// Resources in use.
     cpus: f64,
     gpus: f64,
     memory_gb: f64,
 }
 
-/// The run of the calendar, and the step of it, that a job belongs to.
-type StepOf = (String, u64, usize);
+/// The calendar run that a job belongs to: its name, the bits of its opening time, and the step
+/// of the job.
+type StepKey = (String, u64, usize);
 
 struct Job {
     spec: JobSpec,
     accepted: bool,
     cancelled: bool,
-    /// One of its tasks failed: its calendar's later steps don't wait for it.
+    /// A task failed: later steps of the calendar run do not wait for the job.
     failed: bool,
     done: BTreeSet<u32>,
-    /// Tasks that run, and tasks whose machines only fetch their images.
+    /// Tasks that run, and tasks whose machines are still fetching their images.
     running: usize,
     fetching: usize,
-    /// Since when it waits beside room.
-    since: Option<f64>,
+    /// Since when the job has waited while a machine has room for it.
+    waiting_since: Option<f64>,
 }
 
 impl Job {
@@ -67,33 +70,34 @@
         self.done.len() >= self.spec.tasks as usize
     }
 
-    fn waits(&self) -> bool {
+    fn is_waiting(&self) -> bool {
         self.accepted && !self.cancelled && !self.is_complete() && self.running == 0
     }
 }
 
-/// Follows the machines' room and the jobs that wait for it.
+/// Tracks the free resources of the machines and the jobs that wait for them.
 struct Tracker<'a> {
     night: &'a Night,
     machines: BTreeMap<String, Machine>,
     jobs: BTreeMap<String, Job>,
-    steps: BTreeMap<String, StepOf>,
-    /// Where tasks hold room, and whether they run already.
+    steps: BTreeMap<String, StepKey>,
+    /// Attempts that occupy a machine, and whether each already runs.
     places: BTreeMap<Place, bool>,
-    used: BTreeMap<String, f64>,
-    /// Places that will count as free, and when.
-    refilled: VecDeque<(f64, Place)>,
+    /// CPUs in use by team.
+    team_cpus: BTreeMap<String, f64>,
+    /// Attempts that have ended but still count as occupying their machines, and until when.
+    pending_releases: VecDeque<(f64, Place)>,
     found: Vec<LeftWaiting>,
 }
 
-/// Jobs that were left waiting for [`LEFT_S`] after all troubles, from the history.
-pub(super) fn judged(night: &Night, events: &[Event]) -> Vec<LeftWaiting> {
+/// Returns the jobs that were left waiting for [`MAX_WAIT_S`] after all faults had ended.
+pub(super) fn find_left_waiting(night: &Night, events: &[Event]) -> Vec<LeftWaiting> {
     let mut tracker = tracker(night);
-    let over_s = night.troubles_over_s();
+    let faults_end_s = night.troubles_over_s();
     for (index, event) in events.iter().enumerate() {
-        tracker.see(event);
-        if event.t >= over_s && matches!(event.what, What::Level { .. }) {
-            tracker.look(index, event.t);
+        tracker.apply(event);
+        if event.t >= faults_end_s && matches!(event.what, EventKind::UsageSample { .. }) {
+            tracker.check_waits(index, event.t);
         }
     }
     tracker.found
@@ -106,16 +110,16 @@
         jobs: BTreeMap::new(),
         steps: BTreeMap::new(),
         places: BTreeMap::new(),
-        used: BTreeMap::new(),
-        refilled: VecDeque::new(),
+        team_cpus: BTreeMap::new(),
+        pending_releases: VecDeque::new(),
         found: Vec::new(),
     }
 }
 
 impl Tracker<'_> {
-    fn see(&mut self, event: &Event) {
+    fn apply(&mut self, event: &Event) {
         match &event.what {
-            What::OfRun {
+            EventKind::RunJob {
                 run,
                 opens_s,
                 step,
@@ -124,48 +128,48 @@
                 let step = (run.clone(), opens_s.to_bits(), *step);
                 self.steps.insert(job.clone(), step);
             }
-            What::Asked { spec } => self.asked(spec),
-            What::Accepted { job, .. } => self.with(job, |j| j.accepted = true),
-            What::Refused { job, .. } | What::CancelAsked { job } => {
-                self.with(job, |j| j.cancelled = true);
+            EventKind::Submitted { spec } => self.submitted(spec),
+            EventKind::Accepted { job, .. } => self.update_job(job, |j| j.accepted = true),
+            EventKind::Refused { job, .. } | EventKind::CancelRequested { job } => {
+                self.update_job(job, |j| j.cancelled = true);
             }
-            What::Rented {
+            EventKind::Rented {
                 machine,
                 kind,
                 zone,
                 spot,
             } => self.rented(machine, kind, zone, *spot),
-            What::Up { machine } => self.set_up(machine, true),
-            What::MachineGone { machine, .. } => self.set_up(machine, false),
-            What::Struck { machine, for_s, .. } => {
-                if let Some(here) = self.machines.get_mut(machine) {
-                    here.struck_until = here.struck_until.max(event.t + for_s);
+            EventKind::Up { machine } => self.set_available(machine, true),
+            EventKind::MachineGone { machine, .. } => self.set_available(machine, false),
+            EventKind::MachineFaulted { machine, for_s, .. } => {
+                if let Some(machine) = self.machines.get_mut(machine) {
+                    machine.unavailable_until = machine.unavailable_until.max(event.t + for_s);
                 }
             }
-            What::Launched {
+            EventKind::Launched {
                 machine,
                 job,
                 task,
                 attempt,
-            } => self.hold((job.clone(), *task, machine.clone(), *attempt), false),
-            What::Started {
+            } => self.occupy((job.clone(), *task, machine.clone(), *attempt), false),
+            EventKind::Started {
                 machine,
                 job,
                 task,
                 attempt,
-            } => self.hold((job.clone(), *task, machine.clone(), *attempt), true),
-            What::Withdrawn {
+            } => self.occupy((job.clone(), *task, machine.clone(), *attempt), true),
+            EventKind::Withdrawn {
                 machine,
                 job,
                 task,
                 attempt,
             } => {
                 let place = (job.clone(), *task, machine.clone(), *attempt);
-                if self.leave(&place) {
-                    self.take_room(&place, -1.0);
+                if self.release(&place) {
+                    self.add_usage(&place, -1.0);
                 }
             }
-            What::Ended {
+            EventKind::Ended {
                 machine,
                 job,
                 task,
@@ -174,12 +178,13 @@
                 ..
             } => {
                 let place = (job.clone(), *task, machine.clone(), *attempt);
-                if self.leave(&place) {
-                    self.refilled.push_back((event.t + REFILL_S, place));
+                if self.release(&place) {
+                    self.pending_releases
+                        .push_back((event.t + REFILL_ALLOWANCE_S, place));
                 }
-                self.with(job, |j| match how {
-                    End::Done => drop(j.done.insert(*task)),
-                    End::Error => j.failed = true,
+                self.update_job(job, |j| match how {
+                    EndReason::Done => drop(j.done.insert(*task)),
+                    EndReason::Error => j.failed = true,
                     _ => {}
                 });
             }
@@ -187,13 +192,14 @@
         }
     }
 
-    fn with(&mut self, job: &str, change: impl FnOnce(&mut Job)) {
+    /// Applies `change` to the job if it is known.
+    fn update_job(&mut self, job: &str, change: impl FnOnce(&mut Job)) {
         if let Some(job) = self.jobs.get_mut(job) {
             change(job);
         }
     }
 
-    fn asked(&mut self, spec: &JobSpec) {
+    fn submitted(&mut self, spec: &JobSpec) {
         let job = Job {
             spec: spec.clone(),
             accepted: false,
@@ -202,7 +208,7 @@
             done: BTreeSet::new(),
             running: 0,
             fetching: 0,
-            since: None,
+            waiting_since: None,
         };
         self.jobs.entry(spec.id.clone()).or_insert(job);
     }
@@ -217,7 +223,7 @@
             zone: zone.to_owned(),
             spot,
             is_up: false,
-            struck_until: 0.0,
+            unavailable_until: 0.0,
             cpus: 0.0,
             gpus: 0.0,
             memory_gb: 0.0,
@@ -225,20 +231,20 @@
         self.machines.insert(name.to_owned(), machine);
     }
 
-    fn set_up(&mut self, machine: &str, is_up: bool) {
+    fn set_available(&mut self, machine: &str, is_up: bool) {
         if let Some(machine) = self.machines.get_mut(machine) {
             machine.is_up = is_up;
         }
     }
 
-    /// The task holds room on its machine from now on, and runs there or not yet.
-    fn hold(&mut self, place: Place, runs: bool) {
+    /// Records that an attempt occupies its machine from now on, and whether it already runs.
+    fn occupy(&mut self, place: Place, runs: bool) {
         let is_new = !self.places.contains_key(&place);
         if is_new {
-            self.take_room(&place, 1.0);
+            self.add_usage(&place, 1.0);
         }
         let ran = self.places.insert(place.clone(), runs);
-        self.with(&place.0, |job| {
+        self.update_job(&place.0, |job| {
             match ran {
                 Some(true) => job.running -= 1,
                 Some(false) => job.fetching -= 1,
@@ -251,33 +257,39 @@
         });
     }
 
-    /// The task has left its place; false if it was not there.
-    fn leave(&mut self, place: &Place) -> bool {
+    /// Records that an attempt has left its machine. Returns false if it was not there.
+    fn release(&mut self, place: &Place) -> bool {
         let Some(ran) = self.places.remove(place) else {
             return false;
         };
-        self.with(&place.0, |job| match ran {
+        self.update_job(&place.0, |job| match ran {
             true => job.running -= 1,
             false => job.fetching -= 1,
         });
         true
     }
 
-    /// Places whose time to be filled again is over count as free.
-    fn free_places(&mut self, t: f64) {
-        let is_due = |(at, _): &&(f64, Place)| *at <= t;
-        let due = self.refilled.iter().take_while(is_due).count();
-        let places: Vec<Place> = self.refilled.drain(..due).map(|(_, place)| place).collect();
+    /// Frees the resources of attempts that ended at least [`REFILL_ALLOWANCE_S`] ago.
+    fn release_due_places(&mut self, t: f64) {
+        let has_passed = |(at, _): &&(f64, Place)| *at <= t;
+        let due = self.pending_releases.iter().take_while(has_passed).count();
+        let places: Vec<Place> = self
+            .pending_releases
+            .drain(..due)
+            .map(|(_, place)| place)
+            .collect();
         for place in places {
-            self.take_room(&place, -1.0);
+            self.add_usage(&place, -1.0);
         }
     }
 
-    fn take_room(&mut self, (job, _, machine, _): &Place, times: f64) {
+    /// Adds the resources of an attempt to the usage of its team and machine, `times` times: 1
+    /// or -1.
+    fn add_usage(&mut self, (job, _, machine, _): &Place, times: f64) {
         let Some(spec) = self.jobs.get(job).map(|j| &j.spec) else {
             return;
         };
-        *self.used.entry(spec.team.clone()).or_default() += times * spec.cpus;
+        *self.team_cpus.entry(spec.team.clone()).or_default() += times * spec.cpus;
         if let Some(machine) = self.machines.get_mut(machine) {
             machine.cpus += times * spec.cpus;
             machine.gpus += times * spec.gpus();
@@ -285,32 +297,33 @@
         }
     }
 
-    /// Follows how long each job has waited beside room, and notes those that have for
-    /// too long: once for each wait.
-    fn look(&mut self, index: usize, t: f64) {
-        self.free_places(t);
+    /// Updates how long each job has waited while a machine has room, and reports a job that has
+    /// waited too long, once for each [`MAX_WAIT_S`] of waiting.
+    fn check_waits(&mut self, index: usize, t: f64) {
+        self.release_due_places(t);
         let mut rooms: BTreeMap<String, Option<String>> = BTreeMap::new();
-        let mut waits: Vec<(String, Option<f64>)> = Vec::new();
+        let mut new_waits: Vec<(String, Option<f64>)> = Vec::new();
         for (id, job) in &self.jobs {
-            let waits_beside = match job.waits() {
+            let machine_with_room = match job.is_waiting() {
                 false => None,
-                // Its machine fetches the image: that is no wait for room, nor its end.
+                // A machine fetches the image for the job: this time neither counts as waiting
+                // nor resets the wait.
                 true if job.fetching > 0 => continue,
-                true if self.is_held(id, t) => None,
+                true if self.is_held_by_calendar(id, t) => None,
                 true => rooms
-                    .entry(wanted(&job.spec))
-                    .or_insert_with(|| self.room(&job.spec, t))
+                    .entry(requirements_key(&job.spec))
+                    .or_insert_with(|| self.find_room(&job.spec, t))
                     .clone(),
             };
-            let Some(machine) = waits_beside else {
-                if job.since.is_some() {
-                    waits.push((id.clone(), None));
+            let Some(machine) = machine_with_room else {
+                if job.waiting_since.is_some() {
+                    new_waits.push((id.clone(), None));
                 }
                 continue;
             };
-            let since = job.since.unwrap_or(t);
-            if t - since < LEFT_S - ROUNDING_S {
-                waits.push((id.clone(), Some(since)));
+            let since = job.waiting_since.unwrap_or(t);
+            if t - since < MAX_WAIT_S - TIME_TOLERANCE_S {
+                new_waits.push((id.clone(), Some(since)));
                 continue;
             }
             self.found.push(LeftWaiting {
@@ -319,16 +332,16 @@
                 event: index,
                 machine,
             });
-            waits.push((id.clone(), None));
+            new_waits.push((id.clone(), None));
         }
-        for (id, since) in waits {
-            self.with(&id, |job| job.since = since);
+        for (id, since) in new_waits {
+            self.update_job(&id, |job| job.waiting_since = since);
         }
     }
 
-    /// Whether the calendar holds the job back: a step before its own has not ended,
-    /// and its run is not due yet.
-    fn is_held(&self, id: &str, t: f64) -> bool {
+    /// Returns whether the calendar holds the job back: an earlier step of its run has not
+    /// ended, and the run is not due yet.
+    fn is_held_by_calendar(&self, id: &str, t: f64) -> bool {
         let Some((run, opens, step)) = self.steps.get(id) else {
             return false;
         };
@@ -344,12 +357,13 @@
         })
     }
 
-    /// A machine with room for a task of the job, if its team's limit has room too.
-    fn room(&self, spec: &JobSpec, t: f64) -> Option<String> {
-        let used = self.used.get(&spec.team).copied().unwrap_or(0.0);
+    /// Returns a machine with room for a task of the job, or `None` if there is none or the
+    /// quota of the team is used up.
+    fn find_room(&self, spec: &JobSpec, t: f64) -> Option<String> {
+        let used = self.team_cpus.get(&spec.team).copied().unwrap_or(0.0);
         let team = self.night.teams.iter().find(|x| x.name == spec.team);
-        let most = team.map(|x| x.cpus_max).filter(|most| *most > 0.0);
-        if most.is_some_and(|most| used + spec.cpus > most + ROUNDING) {
+        let quota = team.map(|x| x.cpus_max).filter(|quota| *quota > 0.0);
+        if quota.is_some_and(|quota| used + spec.cpus > quota + RESOURCE_TOLERANCE) {
             return None;
         }
         let mut machines = self.machines.iter();
@@ -357,6 +371,8 @@
         found.map(|(name, _)| name.clone())
     }
 
+    /// Returns whether the machine is up and unaffected by faults, allowed for the job, and has
+    /// room for a task of it.
     fn has_room(&self, machine: &Machine, spec: &JobSpec, t: f64) -> bool {
         let kind = &self.night.machines[machine.kind];
         let types = spec.types.as_ref();
@@ -364,17 +380,17 @@
             && spec.zone.as_ref().is_none_or(|zone| *zone == machine.zone)
             && (!machine.spot || spec.spot());
         machine.is_up
-            && machine.struck_until <= t
+            && machine.unavailable_until <= t
             && is_allowed
-            && machine.cpus + spec.cpus <= kind.cpus + ROUNDING
-            && machine.gpus + spec.gpus() <= kind.gpus + ROUNDING
-            && machine.memory_gb + spec.memory_gb <= kind.memory_gb + ROUNDING
+            && machine.cpus + spec.cpus <= kind.cpus + RESOURCE_TOLERANCE
+            && machine.gpus + spec.gpus() <= kind.gpus + RESOURCE_TOLERANCE
+            && machine.memory_gb + spec.memory_gb <= kind.memory_gb + RESOURCE_TOLERANCE
     }
 }
 
-/// What the job wants of machines and of its team, as a key: jobs with the same find
-/// room in the same places.
-fn wanted(spec: &JobSpec) -> String {
+/// Returns a key of what the job requires of a machine and its team: jobs with the same key
+/// have room on the same machines.
+fn requirements_key(spec: &JobSpec) -> String {
     format!(
         "{} {} {} {} {:?} {:?} {}",
         spec.team,
--- a/crates/umbersail-rehearsal/src/judge/waiting/tests.rs
+++ b/crates/umbersail-rehearsal/src/judge/waiting/tests.rs
@@ -1,20 +1,20 @@
-//! Jobs that are left waiting, and those that only look as if they were.
+//! Jobs that are left waiting, and jobs that wait for a valid reason.
 
 use super::*;
 use crate::bundled::bundled;
 use umbersail_wire::{JobKind, Priority};
 
-/// What became of the one job of a small history, up to so many seconds.
+/// A history with one job, up to `until_s`.
 struct Case {
     spec: JobSpec,
     cpus_max: f64,
-    /// What happens, and when; the machine "m1", in the north, and not a spot
-    /// machine, is up from the start.
-    then: Vec<(f64, What)>,
+    /// Events with their times. The machine "m1" is up from the start, in the zone "north", and
+    /// not a spot machine.
+    then: Vec<(f64, EventKind)>,
     until_s: f64,
 }
 
-fn case(then: Vec<(f64, What)>) -> Case {
+fn case(then: Vec<(f64, EventKind)>) -> Case {
     Case {
         spec: spec(),
         cpus_max: 0.0,
@@ -48,18 +48,18 @@
     }
 }
 
-/// A job of the same team that is neither accepted nor counted.
-fn other() -> What {
+/// Returns the submission of another job of the same team, which is never accepted.
+fn other() -> EventKind {
     let spec = Box::new(JobSpec {
         id: "req-2".into(),
         cpus: 8.0,
         ..spec()
     });
-    What::Asked { spec }
+    EventKind::Submitted { spec }
 }
 
-fn rented(machine: &str, zone: &str, spot: bool) -> What {
-    What::Rented {
+fn rented(machine: &str, zone: &str, spot: bool) -> EventKind {
+    EventKind::Rented {
         machine: machine.into(),
         kind: "box".into(),
         zone: zone.into(),
@@ -67,8 +67,8 @@
     }
 }
 
-fn launched(job: &str) -> What {
-    What::Launched {
+fn launched(job: &str) -> EventKind {
+    EventKind::Launched {
         machine: "m1".into(),
         job: job.into(),
         task: 0,
@@ -76,8 +76,8 @@
     }
 }
 
-fn started(job: &str) -> What {
-    What::Started {
+fn started(job: &str) -> EventKind {
+    EventKind::Started {
         machine: "m1".into(),
         job: job.into(),
         task: 0,
@@ -85,8 +85,8 @@
     }
 }
 
-fn withdrawn() -> What {
-    What::Withdrawn {
+fn withdrawn() -> EventKind {
+    EventKind::Withdrawn {
         machine: "m1".into(),
         job: "req-1".into(),
         task: 0,
@@ -94,12 +94,12 @@
     }
 }
 
-fn ended(how: End) -> What {
+fn ended(how: EndReason) -> EventKind {
     ended_of("req-1", how)
 }
 
-fn ended_of(job: &str, how: End) -> What {
-    What::Ended {
+fn ended_of(job: &str, how: EndReason) -> EventKind {
+    EventKind::Ended {
         machine: "m1".into(),
         job: job.into(),
         task: 0,
@@ -109,7 +109,7 @@
     }
 }
 
-/// When the job was found to have been left waiting; troubles end at 20 s.
+/// Returns when the job was reported as left waiting. The last fault ends at 20 s.
 fn left_at(case: Case) -> Vec<f64> {
     let text = bundled("zone-power-loss-cold-caches").unwrap();
     let mut night = Night::parse("test", text).unwrap();
@@ -117,7 +117,7 @@
     night.failures.truncate(1);
     (night.failures[0].at_s, night.failures[0].back_s) = (20.0, None);
     assert!((night.troubles_over_s() - 20.0).abs() < 1e-9);
-    let up = |machine: &str| What::Up {
+    let up = |machine: &str| EventKind::Up {
         machine: machine.into(),
     };
     let mut all = vec![
@@ -125,13 +125,13 @@
         (0.0, up("m1")),
         (
             0.0,
-            What::Asked {
+            EventKind::Submitted {
                 spec: Box::new(case.spec),
             },
         ),
         (
             0.0,
-            What::Accepted {
+            EventKind::Accepted {
                 job: "req-1".into(),
                 after_s: 0.1,
                 question: None,
@@ -141,7 +141,7 @@
     ];
     all.extend(case.then);
     for second in 1..=case.until_s as u32 {
-        let level = What::Level {
+        let level = EventKind::UsageSample {
             cpus: 0.0,
             waiting: 0,
             ordinary: 0,
@@ -153,11 +153,14 @@
     all.sort_by(|a, b| a.0.total_cmp(&b.0));
     let events = all.into_iter().map(|(t, what)| Event { t, what });
     let events: Vec<Event> = events.collect();
-    judged(&night, &events).iter().map(|l| l.t).collect()
+    find_left_waiting(&night, &events)
+        .iter()
+        .map(|l| l.t)
+        .collect()
 }
 
 #[test]
-fn a_job_beside_a_machine_with_room_was_left_waiting_90_s_after_all_troubles() {
+fn a_job_with_room_on_a_machine_is_left_waiting_90_s_after_all_faults() {
     assert_eq!(left_at(case(vec![])), [110.0]);
     let short = Case {
         until_s: 109.0,
@@ -167,13 +170,13 @@
 }
 
 #[test]
-fn the_wait_counts_from_when_nothing_of_the_job_is_on_a_machine() {
+fn the_wait_starts_when_no_task_of_the_job_is_on_a_machine() {
     let lost = vec![
         (1.0, launched("req-1")),
         (2.0, started("req-1")),
-        (25.5, ended(End::Gone)),
+        (25.5, ended(EndReason::Gone)),
     ];
-    // Its own place counts as free 10 s later.
+    // The resources of its own task count as free 10 s after the end of the task.
     let until = |then| Case {
         until_s: 150.0,
         ..case(then)
@@ -182,7 +185,7 @@
     let half_done = vec![
         (1.0, launched("req-1")),
         (2.0, started("req-1")),
-        (25.5, ended(End::Done)),
+        (25.5, ended(EndReason::Done)),
     ];
     assert_eq!(left_at(until(half_done)), [126.0]);
     let runs = lost[..2].to_vec();
@@ -190,65 +193,65 @@
 }
 
 #[test]
-fn a_place_that_is_filled_again_and_again_is_no_room() {
-    // The other job's tasks follow one another, with three seconds between them.
+fn resources_that_are_reused_within_seconds_are_no_room() {
+    // Tasks of the other job run one after another, with three seconds between them.
     let mut then = Vec::new();
     for n in 0..20 {
         let at = 1.0 + 8.0 * f64::from(n);
         then.push((at, launched("req-2")));
-        then.push((at + 5.0, ended_of("req-2", End::Done)));
+        then.push((at + 5.0, ended_of("req-2", EndReason::Done)));
     }
     let busy = Case {
         until_s: 150.0,
         ..case(then.clone())
     };
     assert!(left_at(busy).is_empty());
-    // Until nobody fills it any more.
+    // The machine has room once no further task of the other job starts.
     then.truncate(2);
     assert_eq!(left_at(case(then)), [110.0]);
 }
 
 #[test]
-fn a_fetch_is_no_wait_for_room_and_no_end_of_it() {
+fn an_image_fetch_neither_counts_as_waiting_nor_resets_the_wait() {
     let fetches = vec![(1.0, launched("req-1"))];
     assert!(left_at(case(fetches)).is_empty());
-    // It waits from 20 s on, is fetched for in vain, and waits again.
+    // The job waits from 20 s on; its launch at 30 s is withdrawn at 40 s, and it waits on.
     let given_up = vec![(30.0, launched("req-1")), (40.0, withdrawn())];
     assert_eq!(left_at(case(given_up)), [110.0]);
 }
 
 #[test]
-fn who_is_cancelled_refused_or_never_accepted_is_not_left_waiting() {
-    let asked = What::CancelAsked {
+fn a_job_cancelled_refused_or_never_accepted_is_not_left_waiting() {
+    let asked = EventKind::CancelRequested {
         job: "req-1".into(),
     };
     assert!(left_at(case(vec![(50.0, asked)])).is_empty());
-    let refused = What::Refused {
+    let refused = EventKind::Refused {
         job: "req-1".into(),
         status: 0,
     };
     assert!(left_at(case(vec![(1.0, refused)])).is_empty());
-    // The other job, which nobody accepted, waits all along.
+    // The other job, which was never accepted, is not reported.
     assert_eq!(left_at(case(vec![])).len(), 1);
 }
 
 #[test]
-fn no_room_is_what_is_used_fetched_for_gone_struck_or_not_allowed() {
+fn machines_used_reserved_gone_faulted_or_not_allowed_have_no_room() {
     let used = vec![(1.0, launched("req-2")), (2.0, started("req-2"))];
     assert!(left_at(case(used)).is_empty());
-    let fetched_for = vec![(1.0, launched("req-2"))];
-    assert!(left_at(case(fetched_for)).is_empty());
-    let gone = What::MachineGone {
+    let fetching = vec![(1.0, launched("req-2"))];
+    assert!(left_at(case(fetching)).is_empty());
+    let gone = EventKind::MachineGone {
         machine: "m1".into(),
         why: "deleted".into(),
     };
     assert!(left_at(case(vec![(50.0, gone)])).is_empty());
-    let struck = What::Struck {
+    let faulted = EventKind::MachineFaulted {
         machine: "m1".into(),
-        trouble: "machines-hang".into(),
+        fault: "machines-hang".into(),
         for_s: 60.0,
     };
-    assert!(left_at(case(vec![(10.0, struck)])).is_empty());
+    assert!(left_at(case(vec![(10.0, faulted)])).is_empty());
     let not_allowed: [fn(&mut JobSpec); 4] = [
         |spec| spec.zone = Some("south".into()),
         |spec| spec.types = Some(vec!["chest".into()]),
@@ -266,7 +269,7 @@
 fn spot_machines_have_room_for_jobs_that_may_use_them() {
     let spot = |allowed| {
         let mut spot = case(vec![(0.5, rented("m1", "north", true))]);
-        let up = What::Up {
+        let up = EventKind::Up {
             machine: "m1".into(),
         };
         spot.then.push((0.6, up));
@@ -278,7 +281,7 @@
 }
 
 #[test]
-fn a_team_at_its_limit_leaves_nobody_waiting() {
+fn a_job_of_a_team_at_its_quota_is_not_left_waiting() {
     let limited = |cpus_max| Case {
         cpus_max,
         ..case(vec![(1.0, rented("m2", "north", false))])
@@ -291,7 +294,7 @@
 }
 
 #[test]
-fn the_calendar_holds_a_step_until_the_one_before_has_ended_or_all_is_due() {
+fn the_calendar_holds_a_step_until_the_preceding_one_has_ended_or_the_run_is_due() {
     let text = bundled("calendar-runs-leader-changes").unwrap();
     let mut night = Night::parse("test", text).unwrap();
     night.failures.clear();
@@ -300,33 +303,35 @@
     let (name, due_s) = (run.name.clone(), run.due_s);
     let mut tracker = tracker(&night);
     for (id, step) in [("req-1", 1), ("req-2", 0)] {
-        tracker.see(&Event {
+        tracker.apply(&Event {
             t: 0.0,
-            what: What::OfRun {
+            what: EventKind::RunJob {
                 run: name.clone(),
                 opens_s: 10.0,
                 step,
                 job: id.into(),
             },
         });
-        tracker.asked(&JobSpec {
+        tracker.submitted(&JobSpec {
             id: id.into(),
             tasks: 1,
             ..spec()
         });
     }
-    assert!(tracker.is_held("req-1", 50.0) && !tracker.is_held("req-2", 50.0));
-    assert!(!tracker.is_held("req-1", 10.0 + due_s + 2.0));
-    tracker.see(&Event {
+    assert!(
+        tracker.is_held_by_calendar("req-1", 50.0) && !tracker.is_held_by_calendar("req-2", 50.0)
+    );
+    assert!(!tracker.is_held_by_calendar("req-1", 10.0 + due_s + 2.0));
+    tracker.apply(&Event {
         t: 60.0,
-        what: What::Ended {
+        what: EventKind::Ended {
             machine: "m1".into(),
             job: "req-2".into(),
             task: 0,
             attempt: 1,
-            how: End::Done,
+            how: EndReason::Done,
             useful_s: 1.0,
         },
     });
-    assert!(!tracker.is_held("req-1", 60.0));
+    assert!(!tracker.is_held_by_calendar("req-1", 60.0));
 }
