--- a/crates/umbersail-rehearsal/src/places.rs
+++ b/crates/umbersail-rehearsal/src/addresses.rs
@@ -4,7 +4,7 @@
 
 use crate::night::Night;
 
-pub fn member(index: usize) -> String {
+pub fn member_name(index: usize) -> String {
     format!("node-{index}")
 }
 
@@ -23,24 +23,24 @@
         }
     }
 
-    pub fn front(self, index: usize) -> SocketAddr {
+    pub fn client_addr(self, index: usize) -> SocketAddr {
         SocketAddr::new(self.ip(0, 0, index as u8 + 1).into(), 8080)
     }
 
-    pub fn back(self, index: usize) -> SocketAddr {
-        SocketAddr::new(self.front(index).ip(), 8081)
+    pub fn peer_addr(self, index: usize) -> SocketAddr {
+        SocketAddr::new(self.client_addr(index).ip(), 8081)
     }
 
-    pub fn state(self, index: usize) -> SocketAddr {
+    pub fn state_addr(self, index: usize) -> SocketAddr {
         SocketAddr::new(self.ip(2, 0, 1).into(), 2379 + index as u16)
     }
 
-    pub fn cloud(self) -> SocketAddr {
+    pub fn cloud_addr(self) -> SocketAddr {
         SocketAddr::new(self.ip(2, 0, 2).into(), 8443)
     }
 }
 
-pub fn zone(night: &Night, index: usize) -> &str {
+pub fn controller_zone(night: &Night, index: usize) -> &str {
     let zones = &night.controllers.zones;
     &zones[index % zones.len()]
 }
--- a/crates/umbersail-rehearsal/src/cancellations.rs
+++ b/crates/umbersail-rehearsal/src/cancellations.rs
@@ -11,7 +11,7 @@
 
 /// A user who waits before the next question, and may be asked to cancel instead.
 #[derive(Default)]
-struct Idle {
+struct IdleUser {
     controller: Cell<Option<usize>>,
     wake: Notify,
 }
@@ -19,14 +19,14 @@
 /// Users that can be asked to cancel their jobs.
 #[derive(Default)]
 pub struct Cancellations {
-    idle: RefCell<BTreeMap<String, Rc<Idle>>>,
+    idle: RefCell<BTreeMap<String, Rc<IdleUser>>>,
 }
 
 impl Cancellations {
     /// Waits for so many seconds, or until the job is to be cancelled: then the number
     /// of the controller to ask is returned.
     pub async fn wait(&self, job: &str, seconds: f64) -> Option<usize> {
-        let idle = Rc::new(Idle::default());
+        let idle = Rc::new(IdleUser::default());
         self.idle.borrow_mut().insert(job.to_owned(), idle.clone());
         let is_asked = {
             let asked = pin!(idle.wake.notified());
@@ -38,14 +38,14 @@
     }
 
     /// Jobs whose users wait, and have not been asked yet.
-    pub fn open(&self) -> Vec<String> {
+    pub fn idle_jobs(&self) -> Vec<String> {
         let idle = self.idle.borrow();
         let open = idle.iter().filter(|(_, i)| i.controller.get().is_none());
         open.map(|(job, _)| job.clone()).collect()
     }
 
     /// The job's user shall cancel it at this controller, at once.
-    pub fn ask(&self, job: &str, controller: usize) {
+    pub fn request_cancel(&self, job: &str, controller: usize) {
         if let Some(idle) = self.idle.borrow().get(job) {
             idle.controller.set(Some(controller));
             idle.wake.notify();
--- a/crates/umbersail-rehearsal/src/late.rs
+++ b/crates/umbersail-rehearsal/src/delays.rs
@@ -13,30 +13,30 @@
 use umbersail_runtime::{HostId, HostSpec, Notify, WorldHandle, sleep, spawn};
 use umbersail_wire::{Heartbeat, TaskState, encode, paths};
 
+use crate::addresses::Addresses;
 use crate::history::{History, What};
 use crate::night::Failure;
-use crate::places::Addresses;
 
 /// A copy's connection lasts so long at the most, in seconds.
-const COPY_S: f64 = 4.0;
+const CONNECTION_S: f64 = 4.0;
 /// Copies under way at once: what goes beyond is not copied, so that memory stays
 /// bounded on the largest fleets.
-const MOST: usize = 20_000;
+const MAX_IN_FLIGHT: usize = 20_000;
 /// Copies of one machine's reports that are kept for the next leader.
-const KEPT: usize = 3;
+const KEPT_PER_MACHINE: usize = 3;
 
 /// Which reports come again, and when.
 #[derive(Debug, Clone, Copy)]
-pub struct Late {
+pub struct DelayFault {
     pub share: f64,
     pub from_s: f64,
     pub to_s: f64,
 }
 
-impl Late {
+impl DelayFault {
     /// As a failure of the script has it.
-    pub fn of(failure: &Failure) -> Late {
-        Late {
+    pub fn new(failure: &Failure) -> DelayFault {
+        DelayFault {
             share: failure.share.unwrap_or(1.0),
             from_s: failure.from_s.unwrap_or(0.0),
             to_s: failure.to_s.unwrap_or(0.0),
@@ -51,7 +51,7 @@
 }
 
 /// One copy: when it is due, by true time, where, and what.
-struct Copied {
+struct HeartbeatCopy {
     due: f64,
     node: usize,
     to: SocketAddr,
@@ -60,16 +60,16 @@
 
 /// The place in the network where copies wait. It is a host of its own: a copy
 /// arrives whatever has become of the machine that sent the report.
-pub struct LateReports {
-    late: Cell<Option<Late>>,
+pub struct HeartbeatCopies {
+    late: Cell<Option<DelayFault>>,
     /// Copies are kept for the next leader, and come so long after its election.
-    for_next: Cell<Option<Late>>,
+    for_next_leader: Cell<Option<DelayFault>>,
     kept: RefCell<BTreeMap<String, Vec<Heartbeat>>>,
     host: Cell<Option<HostId>>,
-    fronts: RefCell<Vec<SocketAddr>>,
+    controllers: RefCell<Vec<SocketAddr>>,
     /// Taken up by the host's routine as soon as they are there.
-    new: Rc<RefCell<Vec<Copied>>>,
-    under_way: Rc<Cell<usize>>,
+    new: Rc<RefCell<Vec<HeartbeatCopy>>>,
+    in_flight: Rc<Cell<usize>>,
     /// The newest report of each machine that was answered.
     newest: Rc<RefCell<BTreeMap<String, Heartbeat>>>,
     history: History,
@@ -77,16 +77,16 @@
     rng: RefCell<ChaCha8Rng>,
 }
 
-impl LateReports {
-    pub fn new(seed: u64, history: History) -> LateReports {
-        LateReports {
+impl HeartbeatCopies {
+    pub fn new(seed: u64, history: History) -> HeartbeatCopies {
+        HeartbeatCopies {
             late: Cell::new(None),
-            for_next: Cell::new(None),
+            for_next_leader: Cell::new(None),
             kept: RefCell::default(),
             host: Cell::new(None),
-            fronts: RefCell::default(),
+            controllers: RefCell::default(),
             new: Rc::default(),
-            under_way: Rc::default(),
+            in_flight: Rc::default(),
             newest: Rc::default(),
             history,
             wake: Rc::default(),
@@ -100,19 +100,19 @@
     }
 
     /// From now on reports are copied.
-    pub fn begin(&self, world: &WorldHandle, fronts: &[SocketAddr], late: Late) {
+    pub fn begin(&self, world: &WorldHandle, controllers: &[SocketAddr], late: DelayFault) {
         self.late.set(Some(late));
-        self.prepare(world, fronts);
+        self.prepare(world, controllers);
     }
 
     /// From now on copies of reports are kept for the next leader.
-    pub fn begin_keeping(&self, world: &WorldHandle, fronts: &[SocketAddr], late: Late) {
-        self.for_next.set(Some(late));
-        self.prepare(world, fronts);
+    pub fn begin_keeping(&self, world: &WorldHandle, controllers: &[SocketAddr], late: DelayFault) {
+        self.for_next_leader.set(Some(late));
+        self.prepare(world, controllers);
     }
 
     /// The host that copies come from.
-    fn prepare(&self, world: &WorldHandle, fronts: &[SocketAddr]) {
+    fn prepare(&self, world: &WorldHandle, controllers: &[SocketAddr]) {
         if self.host.get().is_some() {
             return;
         }
@@ -121,27 +121,27 @@
         };
         let host = world.add_host(HostSpec::new("copies", at.ip(3, 0, 2)));
         self.host.set(Some(host));
-        *self.fronts.borrow_mut() = fronts.to_vec();
-        let (new, under_way, wake) = (self.new.clone(), self.under_way.clone(), self.wake.clone());
+        *self.controllers.borrow_mut() = controllers.to_vec();
+        let (new, in_flight, wake) = (self.new.clone(), self.in_flight.clone(), self.wake.clone());
         let (newest, history) = (self.newest.clone(), self.history.clone());
         let clock = world.clone();
         world.start(host, async move {
             loop {
-                for copied in new.take() {
-                    let (under_way, newest) = (under_way.clone(), newest.clone());
+                for copy in new.take() {
+                    let (in_flight, newest) = (in_flight.clone(), newest.clone());
                     let (history, spawned) = (history.clone(), clock.clone());
-                    let wait = copied.due - clock.now();
+                    let wait = copy.due - clock.now();
                     spawn(async move {
                         sleep(wait.max(0.0)).await;
                         // As it was when the copy came, not when it was answered.
-                        let came = compare(&copied, &newest.borrow());
+                        let came = compare(&copy, &newest.borrow());
                         let sent = spawned.now();
-                        let status = send(&copied).await;
+                        let status = send(&copy).await;
                         if let Some(came) = came {
                             let took_s = spawned.now() - sent;
                             history.add(came(status, (took_s * 1e6).round() / 1e6));
                         }
-                        under_way.set(under_way.get() - 1);
+                        in_flight.set(in_flight.get() - 1);
                     });
                 }
                 wake.notified().await;
@@ -156,14 +156,14 @@
 
     /// No more copies are kept, and those that were are dropped.
     pub fn end_keeping(&self) {
-        self.for_next.set(None);
+        self.for_next_leader.set(None);
         self.kept.borrow_mut().clear();
     }
 
     /// Keeps the report for the next leader, in place of some other one of its machine
     /// once there are enough.
     fn keep(&self, report: &Heartbeat) {
-        let Some(late) = self.for_next.get() else {
+        let Some(late) = self.for_next_leader.get() else {
             return;
         };
         let mut rng = self.rng.borrow_mut();
@@ -172,35 +172,35 @@
         }
         let mut kept = self.kept.borrow_mut();
         let copies = kept.entry(report.machine.clone()).or_default();
-        if copies.len() >= KEPT {
-            copies.swap_remove(rng.random_range(0..KEPT));
+        if copies.len() >= KEPT_PER_MACHINE {
+            copies.swap_remove(rng.random_range(0..KEPT_PER_MACHINE));
         }
         copies.push(report.clone());
     }
 
     /// A leader was elected: what was kept for it arrives, at all controllers at once.
     pub fn deliver_kept(&self, now: f64) {
-        let Some(late) = self.for_next.get() else {
+        let Some(late) = self.for_next_leader.get() else {
             return;
         };
-        let fronts = self.fronts.borrow();
+        let controllers = self.controllers.borrow();
         for report in self.kept.take().into_values().flatten() {
             let after_s = self.rng.borrow_mut().random_range(late.from_s..=late.to_s);
-            for (node, to) in fronts.iter().enumerate() {
-                self.new.borrow_mut().push(Copied {
+            for (node, to) in controllers.iter().enumerate() {
+                self.new.borrow_mut().push(HeartbeatCopy {
                     due: now + after_s,
                     node,
                     to: *to,
                     report: report.clone(),
                 });
-                self.under_way.set(self.under_way.get() + 1);
+                self.in_flight.set(self.in_flight.get() + 1);
             }
         }
         self.wake.notify();
     }
 
     /// A report was answered by one of the controllers.
-    pub fn saw(&self, world: &WorldHandle, node: usize, report: &Heartbeat) {
+    pub fn observe(&self, world: &WorldHandle, node: usize, report: &Heartbeat) {
         if self.host.get().is_none() {
             return;
         }
@@ -210,25 +210,25 @@
         let Some(late) = self.late.get() else {
             return;
         };
-        if self.under_way.get() >= MOST {
+        if self.in_flight.get() >= MAX_IN_FLIGHT {
             return;
         }
         let mut rng = self.rng.borrow_mut();
         let Some(late_s) = late.draw(&mut *rng) else {
             return;
         };
-        let fronts = self.fronts.borrow();
+        let controllers = self.controllers.borrow();
         let node = match rng.random_bool(0.5) {
             true => node,
-            false => rng.random_range(0..fronts.len()),
+            false => rng.random_range(0..controllers.len()),
         };
-        self.new.borrow_mut().push(Copied {
+        self.new.borrow_mut().push(HeartbeatCopy {
             due: world.now() + late_s,
             node,
-            to: fronts[node],
+            to: controllers[node],
             report: report.clone(),
         });
-        self.under_way.set(self.under_way.get() + 1);
+        self.in_flight.set(self.in_flight.get() + 1);
         self.wake.notify();
     }
 }
@@ -236,10 +236,11 @@
 /// How a copy stands to the newest report of its machine: the event, once the status
 /// of the answer is known.
 fn compare(
-    copied: &Copied,
+    copy: &HeartbeatCopy,
     newest: &BTreeMap<String, Heartbeat>,
 ) -> Option<impl FnOnce(u16, f64) -> What + use<>> {
-    let (copy, newest) = (&copied.report, newest.get(&copied.report.machine)?);
+    let (node, copy) = (copy.node, &copy.report);
+    let newest = newest.get(&copy.machine)?;
     let count = |of: &Heartbeat, is: &dyn Fn(&str) -> bool, exited: bool| {
         let tasks = of.tasks.iter();
         let tasks = tasks.filter(|t| (t.state == TaskState::Exited) == exited && is(&t.task));
@@ -249,7 +250,7 @@
         let mut tasks = newest.tasks.iter();
         tasks.any(|t| t.task == task && t.state != TaskState::Exited)
     };
-    let (machine, node) = (copy.machine.clone(), copied.node);
+    let machine = copy.machine.clone();
     let (order, newest_order) = (copy.ordering_key(), newest.ordering_key());
     let ended = count(copy, &|task| !is_active(task), false);
     let begun = count(copy, &is_active, true);
@@ -267,17 +268,17 @@
 
 /// Sends it, for the status of the answer. The report was answered when it came
 /// first: nobody reads what is said now.
-async fn send(copied: &Copied) -> u16 {
+async fn send(copy: &HeartbeatCopy) -> u16 {
     let client = Client::new(ClientLimits {
         max_body_bytes: 64 << 10,
         max_per_address: 1,
         max_idle: 0,
         max_total: 1,
-        connect_timeout_s: COPY_S,
+        connect_timeout_s: CONNECTION_S,
     });
-    let body = encode(&copied.report);
+    let body = encode(&copy.report);
     let answer = client
-        .request(copied.to, "POST", paths::HEARTBEAT, &body, COPY_S)
+        .request(copy.to, "POST", paths::HEARTBEAT, &body, CONNECTION_S)
         .await;
     answer.map_or(0, |(status, _)| status)
 }
@@ -315,8 +316,8 @@
         let told = seen.clone();
         let played = simulation.block_on(async move {
             let at = Addresses { simulated: true };
-            let fronts: Vec<SocketAddr> = (0..3).map(|n| at.front(n)).collect();
-            for (n, front) in fronts.iter().enumerate() {
+            let controllers: Vec<SocketAddr> = (0..3).map(|n| at.client_addr(n)).collect();
+            for (n, front) in controllers.iter().enumerate() {
                 let host = world.add_host(HostSpec::new(format!("n{n}"), at.ip(0, 0, n as u8 + 1)));
                 let (front, told, clock) = (*front, told.clone(), world.clone());
                 let handler: Handler = Rc::new(move |request| {
@@ -331,17 +332,17 @@
                 });
             }
             let history = History::new(world.clone());
-            let late = LateReports::new(5, history.clone());
-            late.saw(&world, 0, &report(1));
-            let wanted = Late {
+            let late = HeartbeatCopies::new(5, history.clone());
+            late.observe(&world, 0, &report(1));
+            let wanted = DelayFault {
                 share: 1.0,
                 from_s: 2.0,
                 to_s: 30.0,
             };
-            late.begin(&world, &fronts, wanted);
-            (0..60).for_each(|_| late.saw(&world, 1, &report(3)));
+            late.begin(&world, &controllers, wanted);
+            (0..60).for_each(|_| late.observe(&world, 1, &report(3)));
             late.end();
-            late.saw(&world, 1, &report(9));
+            late.observe(&world, 1, &report(9));
             sleep(60.0).await;
             history.take()
         });
@@ -375,16 +376,16 @@
         let world = simulation.world();
         let told = simulation.block_on(async move {
             let at = Addresses { simulated: true };
-            let fronts: Vec<SocketAddr> = (0..3).map(|n| at.front(n)).collect();
+            let controllers: Vec<SocketAddr> = (0..3).map(|n| at.client_addr(n)).collect();
             let history = History::new(world.clone());
-            let late = LateReports::new(5, history.clone());
-            let kept = Late {
+            let late = HeartbeatCopies::new(5, history.clone());
+            let kept = DelayFault {
                 share: 1.0,
                 from_s: 0.0,
                 to_s: 2.0,
             };
-            late.begin_keeping(&world, &fronts, kept);
-            (1..40).for_each(|seq| late.saw(&world, 1, &report(seq)));
+            late.begin_keeping(&world, &controllers, kept);
+            (1..40).for_each(|seq| late.observe(&world, 1, &report(seq)));
             sleep(20.0).await;
             late.deliver_kept(world.now());
             sleep(20.0).await;
@@ -393,7 +394,7 @@
             history.take()
         });
         let told = told.unwrap();
-        assert_eq!(told.len(), KEPT * 3);
+        assert_eq!(told.len(), KEPT_PER_MACHINE * 3);
         for event in &told {
             let What::LateReport { took_s, .. } = &event.what else {
                 panic!("{event:?}");
@@ -402,7 +403,7 @@
         }
         for node in 0..3 {
             let here = |e: &&crate::history::Event| matches!(e.what, What::LateReport { node: n, .. } if n == node);
-            assert_eq!(told.iter().filter(here).count(), KEPT);
+            assert_eq!(told.iter().filter(here).count(), KEPT_PER_MACHINE);
         }
     }
 }
--- a/crates/umbersail-rehearsal/src/fleet.rs
+++ b/crates/umbersail-rehearsal/src/fleet.rs
@@ -18,18 +18,18 @@
     RentRequest, decode, paths,
 };
 
+use crate::addresses::Addresses;
+use crate::delays::{DelayFault, HeartbeatCopies};
 use crate::history::{End, History, What};
+use crate::image_store::ImageStore;
 use crate::kv_store_host::{answer, wide_limits};
-use crate::late::{Late, LateReports};
 use crate::night::{MachineKind, Night};
-use crate::places::Addresses;
-use crate::store::StoreHost;
-use crate::user_troubles::Completions;
+use crate::user_faults::Completions;
 use crate::worker::Worker;
 
 /// What only its tasks know of a job.
 #[derive(Debug, Clone)]
-pub struct Truth {
+pub struct SimulatedJob {
     pub spec: JobSpec,
     /// Median run time of its tasks.
     pub run_s: f64,
@@ -66,14 +66,14 @@
 
 /// What the script of failures may turn.
 #[derive(Debug)]
-pub struct Knobs {
-    pub boots: Cell<f64>,
+pub struct Parameters {
+    pub boot_factor: Cell<f64>,
     pub boots_never: Cell<bool>,
     /// New machines are up within [`QUICK_BOOT_S`].
     pub boots_quick: Cell<bool>,
     /// Rentals are carried out at once and answered later.
-    pub rentals_late: Cell<Option<Late>>,
-    pub capacity: Cell<f64>,
+    pub rental_delay: Cell<Option<DelayFault>>,
+    pub capacity_share: Cell<f64>,
 }
 
 /// The cloud, its machines, and the jobs that run on them.
@@ -81,9 +81,9 @@
     pub world: WorldHandle,
     pub history: History,
     pub night: Rc<Night>,
-    pub knobs: Knobs,
+    pub parameters: Parameters,
     pub machines: RefCell<BTreeMap<String, Rc<Machine>>>,
-    pub jobs: RefCell<BTreeMap<String, Truth>>,
+    pub jobs: RefCell<BTreeMap<String, SimulatedJob>>,
     /// Tasks whose result is kept, and progress that was saved, in seconds.
     pub results: RefCell<BTreeSet<(String, u32)>>,
     pub saved: RefCell<BTreeMap<(String, u32), f64>>,
@@ -93,16 +93,16 @@
     /// Jobs whose last task completed.
     pub completions: Completions,
     /// Where images come from, if it is one place for all.
-    pub store: Option<Rc<StoreHost>>,
+    pub store: Option<Rc<ImageStore>>,
     /// Reports that come a second time.
-    pub late: LateReports,
+    pub heartbeat_copies: HeartbeatCopies,
     /// Direct commands that are held up, and for how long.
-    pub late_commands: Cell<Option<Late>>,
+    pub command_delay: Cell<Option<DelayFault>>,
     /// Answers to direct commands that are held up.
-    pub late_answers: Cell<Option<Late>>,
+    pub command_reply_delay: Cell<Option<DelayFault>>,
     fronts: Vec<SocketAddr>,
     members: Vec<String>,
-    hires: RefCell<BTreeMap<String, Vec<String>>>,
+    rentals: RefCell<BTreeMap<String, Vec<String>>>,
     /// Machines that a list has named.
     listed: RefCell<BTreeSet<String>>,
     bucket: RefCell<TokenBucket>,
@@ -119,21 +119,21 @@
         controllers: Vec<(String, SocketAddr)>,
     ) -> Rc<Fleet> {
         let (members, fronts) = controllers.into_iter().unzip();
-        let store = night.store.clone().map(StoreHost::new);
+        let store = night.store.clone().map(ImageStore::new);
         Rc::new(Fleet {
             bucket: RefCell::new(TokenBucket::new(night.cloud.rps, 2.0)),
-            late: LateReports::new(seed, history.clone()),
-            late_commands: Cell::new(None),
-            late_answers: Cell::new(None),
+            heartbeat_copies: HeartbeatCopies::new(seed, history.clone()),
+            command_delay: Cell::new(None),
+            command_reply_delay: Cell::new(None),
             world,
             history,
             night,
-            knobs: Knobs {
-                boots: Cell::new(1.0),
+            parameters: Parameters {
+                boot_factor: Cell::new(1.0),
                 boots_never: Cell::new(false),
                 boots_quick: Cell::new(false),
-                rentals_late: Cell::new(None),
-                capacity: Cell::new(1.0),
+                rental_delay: Cell::new(None),
+                capacity_share: Cell::new(1.0),
             },
             machines: RefCell::default(),
             jobs: RefCell::default(),
@@ -145,7 +145,7 @@
             store,
             fronts,
             members,
-            hires: RefCell::default(),
+            rentals: RefCell::default(),
             listed: RefCell::default(),
             rng: RefCell::new(ChaCha8Rng::seed_from_u64(seed ^ 0x0066_6c65_6574)),
             created: Cell::new(0),
@@ -287,16 +287,16 @@
     fn boot_later(self: &Rc<Self>, machine: Rc<Machine>) {
         let cloud = &self.night.cloud;
         let mut rng = self.rng.borrow_mut();
-        if self.knobs.boots_never.get() || rng.random_bool(cloud.never) {
+        if self.parameters.boots_never.get() || rng.random_bool(cloud.never) {
             return;
         }
-        let nominal = self.kind(&machine).boot_s * self.knobs.boots.get();
+        let nominal = self.kind(&machine).boot_s * self.parameters.boot_factor.get();
         let late = if rng.random_bool(cloud.late) {
             4.0
         } else {
             1.0
         };
-        let wait = match self.knobs.boots_quick.get() {
+        let wait = match self.parameters.boots_quick.get() {
             true => rng.random_range(QUICK_BOOT_S),
             false => nominal * rng.random_range(0.6..1.5) * late,
         };
@@ -381,7 +381,7 @@
         loop {
             sleep(0.1).await;
             for machine in self.up() {
-                machine.worker.expire(&self);
+                machine.worker.check_lease(&self);
             }
         }
     }
@@ -409,7 +409,7 @@
         let Ok(names) = decode::<MachineNames>(&response.body) else {
             return;
         };
-        let late = self.knobs.rentals_late.get();
+        let late = self.parameters.rental_delay.get();
         let held_s = late.and_then(|late| late.draw(&mut *self.rng.borrow_mut()));
         if let Some(held_s) = held_s {
             sleep(held_s).await;
@@ -473,7 +473,7 @@
     }
 
     fn rent(self: &Rc<Self>, wanted: &RentRequest) -> Response {
-        if let Some(known) = self.hires.borrow().get(&wanted.request) {
+        if let Some(known) = self.rentals.borrow().get(&wanted.request) {
             let machines = known.clone();
             return answer(200, &MachineNames { machines });
         }
@@ -489,7 +489,7 @@
         } else {
             kinds[kind].ordinary
         };
-        let most = (there as f64 * self.knobs.capacity.get()) as usize;
+        let most = (there as f64 * self.parameters.capacity_share.get()) as usize;
         let machines = self.machines.borrow();
         let taken = machines.values().filter(|m| {
             m.kind == kind
@@ -508,7 +508,7 @@
             names.push(machine.name.clone());
             self.boot_later(machine);
         }
-        self.hires
+        self.rentals
             .borrow_mut()
             .insert(wanted.request.clone(), names.clone());
         answer(200, &MachineNames { machines: names })
--- a/crates/umbersail-rehearsal/src/store.rs
+++ b/crates/umbersail-rehearsal/src/image_store.rs
@@ -20,10 +20,10 @@
 use crate::worker::Worker;
 
 /// A reader knows within so many seconds that its holder is gone.
-const GONE_S: f64 = 2.0;
+const SOURCE_LOST_S: f64 = 2.0;
 
-/// What the store has sent is told this often.
-const TOLD_S: f64 = 10.0;
+/// What the store has sent is recorded this often.
+const STORE_SENT_INTERVAL_S: f64 = 10.0;
 
 /// A machine, by a number that is never used again.
 pub type Node = usize;
@@ -84,56 +84,56 @@
 
 /// Who sends: the store, or a machine.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-enum Sender {
+enum Source {
     Store,
     Machine(Node),
 }
 
 /// An image on a machine, whole or in pieces.
 #[derive(Debug)]
-struct Hold {
+struct Replica {
     node: Node,
     image: Image,
     total: u32,
     piece_gb: f64,
     have: Pieces,
     coming: Pieces,
-    sources: Vec<Sender>,
+    sources: Vec<Source>,
     /// Sources with a piece under way to it, each with the piece.
-    sending: Vec<(Sender, u32)>,
+    sending: Vec<(Source, u32)>,
     alive: bool,
 }
 
 #[derive(Debug, Default)]
-struct Server {
+struct Uplink {
     rate: f64,
     busy: bool,
-    /// Its readers in turn, by their holds.
+    /// Its readers in turn, by their replicas.
     readers: VecDeque<usize>,
 }
 
 #[derive(Debug)]
-struct Place {
+struct Peer {
     zone: u16,
     up: f64,
     down: f64,
     down_free_at: f64,
     alive: bool,
-    server: Server,
-    holds: Vec<usize>,
+    uplink: Uplink,
+    replicas: Vec<usize>,
 }
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-enum Step {
-    Free(Sender),
+enum TransferEvent {
+    UplinkFree(Source),
     Arrived {
-        hold: usize,
-        from: Sender,
+        replica: usize,
+        from: Source,
         piece: u32,
     },
-    Gone {
-        hold: usize,
-        from: Sender,
+    SourceLost {
+        replica: usize,
+        from: Source,
     },
 }
 
@@ -141,10 +141,10 @@
 #[derive(Debug)]
 pub struct Swarm {
     piece_gb: f64,
-    store: Server,
-    places: BTreeMap<Node, Place>,
-    holds: Vec<Hold>,
-    events: BinaryHeap<Reverse<(u64, u64, Step)>>,
+    store: Uplink,
+    peers: BTreeMap<Node, Peer>,
+    replicas: Vec<Replica>,
+    events: BinaryHeap<Reverse<(u64, u64, TransferEvent)>>,
     order: u64,
     now: f64,
     store_gb: f64,
@@ -157,12 +157,12 @@
     pub fn new(store_gb_s: f64, piece_gb: f64) -> Swarm {
         Swarm {
             piece_gb,
-            store: Server {
+            store: Uplink {
                 rate: store_gb_s,
-                ..Server::default()
+                ..Uplink::default()
             },
-            places: BTreeMap::new(),
-            holds: Vec::new(),
+            peers: BTreeMap::new(),
+            replicas: Vec::new(),
             events: BinaryHeap::new(),
             order: 0,
             now: 0.0,
@@ -178,71 +178,74 @@
     }
 
     pub fn add(&mut self, node: Node, zone: u16, up: f64, down: f64) {
-        let place = Place {
+        let peer = Peer {
             zone,
             up,
             down,
             down_free_at: 0.0,
             alive: true,
-            server: Server {
+            uplink: Uplink {
                 rate: up,
-                ..Server::default()
+                ..Uplink::default()
             },
-            holds: Vec::new(),
+            replicas: Vec::new(),
         };
-        self.places.insert(node, place);
+        self.peers.insert(node, peer);
     }
 
     /// The machine is gone, and all that it has.
     pub fn remove(&mut self, now: f64, node: Node) {
-        let Some(place) = self.places.get_mut(&node) else {
+        let Some(peer) = self.peers.get_mut(&node) else {
             return;
         };
-        place.alive = false;
-        let holds = std::mem::take(&mut place.holds);
-        for hold in holds {
-            self.drop_hold(now, hold);
+        peer.alive = false;
+        let replicas = std::mem::take(&mut peer.replicas);
+        for replica in replicas {
+            self.drop_replica(now, replica);
         }
-        self.places.remove(&node);
+        self.peers.remove(&node);
     }
 
     /// The machine sends so many times slower.
-    pub fn slow(&mut self, node: Node, times: f64) {
-        if let Some(place) = self.places.get_mut(&node) {
-            place.server.rate = place.up / times.max(1e-6);
+    pub fn slow_uplink(&mut self, node: Node, times: f64) {
+        if let Some(peer) = self.peers.get_mut(&node) {
+            peer.uplink.rate = peer.up / times.max(1e-6);
         }
     }
 
     /// What the store gives from now on; 0: it is out.
-    pub fn set_store(&mut self, now: f64, gb_s: f64) {
+    pub fn set_store_rate(&mut self, now: f64, gb_s: f64) {
         self.store.rate = gb_s;
         self.now = self.now.max(now);
-        self.serve(Sender::Store);
+        self.serve(Source::Store);
     }
 
     /// A zone is cut off from the others, but not from the store, until `None`.
-    pub fn cut(&mut self, now: f64, zone: Option<u16>) {
+    pub fn partition_zone(&mut self, now: f64, zone: Option<u16>) {
         self.now = self.now.max(now);
         self.cut = zone;
-        for hold in 0..self.holds.len() {
-            let lost: Vec<Sender> = self.holds[hold]
+        for replica in 0..self.replicas.len() {
+            let lost: Vec<Source> = self.replicas[replica]
                 .sources
                 .iter()
-                .filter(|from| !self.reaches(**from, hold))
+                .filter(|from| !self.reaches(**from, replica))
                 .copied()
                 .collect();
             for from in lost {
-                self.at(self.now + GONE_S, Step::Gone { hold, from });
+                self.at(
+                    self.now + SOURCE_LOST_S,
+                    TransferEvent::SourceLost { replica, from },
+                );
             }
         }
     }
 
-    fn reaches(&self, from: Sender, hold: usize) -> bool {
-        let zone = |node| self.places.get(&node).map(|p| p.zone);
+    fn reaches(&self, from: Source, replica: usize) -> bool {
+        let zone = |node| self.peers.get(&node).map(|p| p.zone);
         match (from, self.cut) {
-            (Sender::Store, _) | (_, None) => true,
-            (Sender::Machine(node), Some(cut)) => {
-                (zone(node) == Some(cut)) == (zone(self.holds[hold].node) == Some(cut))
+            (Source::Store, _) | (_, None) => true,
+            (Source::Machine(node), Some(cut)) => {
+                (zone(node) == Some(cut)) == (zone(self.replicas[replica].node) == Some(cut))
             }
         }
     }
@@ -251,17 +254,17 @@
     /// has or fetches the image.
     pub fn fetch(&mut self, now: f64, node: Node, image: Image, gb: f64, holders: &[Node]) {
         self.now = self.now.max(now);
-        if self.hold_of(node, image).is_some() || !self.places.contains_key(&node) {
+        if self.replica_of(node, image).is_some() || !self.peers.contains_key(&node) {
             return;
         }
         let total = (gb / self.piece_gb).ceil().max(1.0) as u32;
-        let mut sources: Vec<Sender> = holders
+        let mut sources: Vec<Source> = holders
             .iter()
-            .filter(|holder| **holder != node && self.hold_of(**holder, image).is_some())
-            .map(|holder| Sender::Machine(*holder))
+            .filter(|holder| **holder != node && self.replica_of(**holder, image).is_some())
+            .map(|holder| Source::Machine(*holder))
             .collect();
-        let hold = self.holds.len();
-        self.holds.push(Hold {
+        let replica = self.replicas.len();
+        self.replicas.push(Replica {
             node,
             image,
             total,
@@ -272,26 +275,26 @@
             sending: Vec::new(),
             alive: true,
         });
-        sources.retain(|from| self.reaches(*from, hold));
+        sources.retain(|from| self.reaches(*from, replica));
         if sources.is_empty() {
-            sources.push(Sender::Store);
+            sources.push(Source::Store);
         }
-        if let Some(place) = self.places.get_mut(&node) {
-            place.holds.push(hold);
+        if let Some(peer) = self.peers.get_mut(&node) {
+            peer.replicas.push(replica);
         }
         for from in sources {
-            self.read_from(hold, from);
+            self.read_from(replica, from);
         }
     }
 
     /// The machine gives the image up, whole or not.
-    pub fn give_up(&mut self, now: f64, node: Node, image: Image) {
+    pub fn release(&mut self, now: f64, node: Node, image: Image) {
         self.now = self.now.max(now);
-        if let Some(hold) = self.hold_of(node, image) {
-            if let Some(place) = self.places.get_mut(&node) {
-                place.holds.retain(|h| *h != hold);
+        if let Some(replica) = self.replica_of(node, image) {
+            if let Some(peer) = self.peers.get_mut(&node) {
+                peer.replicas.retain(|h| *h != replica);
             }
-            self.drop_hold(now, hold);
+            self.drop_replica(now, replica);
         }
     }
 
@@ -312,108 +315,121 @@
             self.events.pop();
             self.now = self.now.max(at);
             match event {
-                Step::Free(from) => {
-                    if let Some(server) = self.server(from) {
-                        server.busy = false;
+                TransferEvent::UplinkFree(from) => {
+                    if let Some(uplink) = self.uplink(from) {
+                        uplink.busy = false;
                     }
                     self.serve(from);
                 }
-                Step::Arrived { hold, from, piece } => self.arrived(hold, from, piece),
-                Step::Gone { hold, from } => self.source_gone(hold, from),
+                TransferEvent::Arrived {
+                    replica,
+                    from,
+                    piece,
+                } => self.arrived(replica, from, piece),
+                TransferEvent::SourceLost { replica, from } => self.source_gone(replica, from),
             }
         }
         self.now = self.now.max(now);
         std::mem::take(&mut self.finished)
     }
 
-    fn at(&mut self, at: f64, step: Step) {
+    fn at(&mut self, at: f64, step: TransferEvent) {
         self.order += 1;
         let at = (at.max(0.0) * 1e9).round() as u64;
         self.events.push(Reverse((at, self.order, step)));
     }
 
-    fn hold_of(&self, node: Node, image: Image) -> Option<usize> {
-        let place = self.places.get(&node)?;
-        let mut holds = place.holds.iter();
-        holds.find(|h| self.holds[**h].image == image).copied()
+    fn replica_of(&self, node: Node, image: Image) -> Option<usize> {
+        let peer = self.peers.get(&node)?;
+        let mut replicas = peer.replicas.iter();
+        replicas
+            .find(|h| self.replicas[**h].image == image)
+            .copied()
     }
 
-    fn server(&mut self, from: Sender) -> Option<&mut Server> {
+    fn uplink(&mut self, from: Source) -> Option<&mut Uplink> {
         match from {
-            Sender::Store => Some(&mut self.store),
-            Sender::Machine(node) => self.places.get_mut(&node).map(|p| &mut p.server),
+            Source::Store => Some(&mut self.store),
+            Source::Machine(node) => self.peers.get_mut(&node).map(|p| &mut p.uplink),
         }
     }
 
-    fn read_from(&mut self, hold: usize, from: Sender) {
-        self.holds[hold].sources.push(from);
-        if let Some(server) = self.server(from) {
-            server.readers.push_back(hold);
+    fn read_from(&mut self, replica: usize, from: Source) {
+        self.replicas[replica].sources.push(from);
+        if let Some(uplink) = self.uplink(from) {
+            uplink.readers.push_back(replica);
         }
         self.serve(from);
     }
 
     /// Sends the next piece, if anybody wants one.
-    fn serve(&mut self, from: Sender) {
-        let Some(server) = self.server(from) else {
+    fn serve(&mut self, from: Source) {
+        let Some(uplink) = self.uplink(from) else {
             return;
         };
-        if server.busy || server.rate <= 0.0 {
+        if uplink.busy || uplink.rate <= 0.0 {
             return;
         }
-        let rate = server.rate;
-        for turn in 0..server.readers.len() {
-            let Some(server) = self.server(from) else {
+        let rate = uplink.rate;
+        for turn in 0..uplink.readers.len() {
+            let Some(uplink) = self.uplink(from) else {
                 return;
             };
-            let hold = server.readers[turn];
-            let Some(piece) = self.wanted(from, hold) else {
+            let replica = uplink.readers[turn];
+            let Some(piece) = self.next_piece(from, replica) else {
                 continue;
             };
-            if let Some(server) = self.server(from) {
-                server.busy = true;
-                server.readers.remove(turn);
-                server.readers.push_back(hold);
+            if let Some(uplink) = self.uplink(from) {
+                uplink.busy = true;
+                uplink.readers.remove(turn);
+                uplink.readers.push_back(replica);
             }
-            let reader = &mut self.holds[hold];
+            let reader = &mut self.replicas[replica];
             reader.coming.insert(piece);
             reader.sending.push((from, piece));
             let (gb, node) = (reader.piece_gb, reader.node);
             let sent = self.now + gb / rate;
-            let Some(place) = self.places.get_mut(&node) else {
+            let Some(peer) = self.peers.get_mut(&node) else {
                 return;
             };
-            let arrives = sent.max(place.down_free_at.max(self.now) + gb / place.down);
-            place.down_free_at = arrives;
-            if from == Sender::Store {
+            let arrives = sent.max(peer.down_free_at.max(self.now) + gb / peer.down);
+            peer.down_free_at = arrives;
+            if from == Source::Store {
                 self.store_gb += gb;
             }
-            self.at(sent, Step::Free(from));
-            self.at(arrives, Step::Arrived { hold, from, piece });
+            self.at(sent, TransferEvent::UplinkFree(from));
+            self.at(
+                arrives,
+                TransferEvent::Arrived {
+                    replica,
+                    from,
+                    piece,
+                },
+            );
             return;
         }
     }
 
     /// The piece that the reader gets next from here, if any.
-    fn wanted(&self, from: Sender, hold: usize) -> Option<u32> {
-        let reader = &self.holds[hold];
+    fn next_piece(&self, from: Source, replica: usize) -> Option<u32> {
+        let reader = &self.replicas[replica];
         if !reader.alive
             || reader.sending.iter().any(|(sender, _)| *sender == from)
-            || !self.reaches(from, hold)
+            || !self.reaches(from, replica)
         {
             return None;
         }
         match from {
-            Sender::Store => reader.have.first_missing(&reader.coming, reader.total),
-            Sender::Machine(node) => {
-                let holder = &self.holds[self.hold_of(node, reader.image)?];
+            Source::Store => reader.have.first_missing(&reader.coming, reader.total),
+            Source::Machine(node) => {
+                let holder = &self.replicas[self.replica_of(node, reader.image)?];
                 holder.have.first_beside(&reader.have, &reader.coming)
             }
         }
     }
 
-    fn arrived(&mut self, hold: usize, from: Sender, piece: u32) {
-        let reader = &mut self.holds[hold];
+    fn arrived(&mut self, replica: usize, from: Source, piece: u32) {
+        let reader = &mut self.replicas[replica];
         let before = reader.sending.len();
         reader.sending.retain(|sent| *sent != (from, piece));
         if !reader.alive || reader.sending.len() == before {
@@ -426,8 +442,8 @@
         if reader.have.count == reader.total {
             reader.sources.clear();
             for source in &sources {
-                if let Some(server) = self.server(*source) {
-                    server.readers.retain(|h| *h != hold);
+                if let Some(uplink) = self.uplink(*source) {
+                    uplink.readers.retain(|h| *h != replica);
                 }
             }
             self.finished.push((node, image));
@@ -435,12 +451,12 @@
         for source in sources {
             self.serve(source);
         }
-        self.serve(Sender::Machine(node));
+        self.serve(Source::Machine(node));
     }
 
     /// The reader drops a holder; from the store in its stead if it was the last.
-    fn source_gone(&mut self, hold: usize, from: Sender) {
-        let reader = &mut self.holds[hold];
+    fn source_gone(&mut self, replica: usize, from: Source) {
+        let reader = &mut self.replicas[replica];
         let before = reader.sources.len();
         reader.sources.retain(|s| *s != from);
         if !reader.alive || reader.sources.len() == before {
@@ -455,42 +471,48 @@
             reader.coming.remove(piece);
         }
         let sources = reader.sources.clone();
-        if let Some(server) = self.server(from) {
-            server.readers.retain(|h| *h != hold);
+        if let Some(uplink) = self.uplink(from) {
+            uplink.readers.retain(|h| *h != replica);
         }
         if sources.is_empty() {
-            self.read_from(hold, Sender::Store);
+            self.read_from(replica, Source::Store);
         }
         for source in sources {
             self.serve(source);
         }
     }
 
-    fn drop_hold(&mut self, now: f64, hold: usize) {
+    fn drop_replica(&mut self, now: f64, replica: usize) {
         self.now = self.now.max(now);
-        let node = self.holds[hold].node;
-        let image = self.holds[hold].image;
-        self.holds[hold].alive = false;
-        for source in std::mem::take(&mut self.holds[hold].sources) {
-            if let Some(server) = self.server(source) {
-                server.readers.retain(|h| *h != hold);
+        let node = self.replicas[replica].node;
+        let image = self.replicas[replica].image;
+        self.replicas[replica].alive = false;
+        for source in std::mem::take(&mut self.replicas[replica].sources) {
+            if let Some(uplink) = self.uplink(source) {
+                uplink.readers.retain(|h| *h != replica);
             }
         }
-        let readers: Vec<usize> = match self.places.get(&node) {
-            Some(place) => place.server.readers.iter().copied().collect(),
+        let readers: Vec<usize> = match self.peers.get(&node) {
+            Some(peer) => peer.uplink.readers.iter().copied().collect(),
             None => Vec::new(),
         };
         for reader in readers {
-            if self.holds[reader].image == image {
-                let from = Sender::Machine(node);
-                self.at(now + GONE_S, Step::Gone { hold: reader, from });
+            if self.replicas[reader].image == image {
+                let from = Source::Machine(node);
+                self.at(
+                    now + SOURCE_LOST_S,
+                    TransferEvent::SourceLost {
+                        replica: reader,
+                        from,
+                    },
+                );
             }
         }
     }
 }
 
 /// The store and its machines in a night.
-pub struct StoreHost {
+pub struct ImageStore {
     night: Store,
     swarm: RefCell<Swarm>,
     /// Machines by address, with their numbers.
@@ -503,9 +525,9 @@
     wake: Broadcast,
 }
 
-impl StoreHost {
-    pub fn new(night: Store) -> Rc<StoreHost> {
-        Rc::new(StoreHost {
+impl ImageStore {
+    pub fn new(night: Store) -> Rc<ImageStore> {
+        Rc::new(ImageStore {
             swarm: RefCell::new(Swarm::new(night.gb_per_s, night.piece_gb)),
             night,
             nodes: RefCell::default(),
@@ -548,17 +570,17 @@
         self.wake.notify_all();
     }
 
-    pub fn give_up(&self, now: f64, addr: SocketAddr, image: &str) {
+    pub fn release(&self, now: f64, addr: SocketAddr, image: &str) {
         if let Some(node) = self.nodes.borrow().get(&addr) {
             let image = number(&self.images, image) as Image;
-            self.swarm.borrow_mut().give_up(now, *node, image);
+            self.swarm.borrow_mut().release(now, *node, image);
             self.wake.notify_all();
         }
     }
 
     /// Sends as time goes by.
-    pub async fn send_for_ever(self: Rc<Self>, world: WorldHandle, history: History) {
-        let mut told_at = 0.0;
+    pub async fn run(self: Rc<Self>, world: WorldHandle, history: History) {
+        let mut recorded_at = 0.0;
         let out = self.night.out_at_s..self.night.out_at_s + self.night.out_for_s;
         loop {
             let now = world.now();
@@ -566,7 +588,7 @@
                 true => 0.0,
                 false => self.night.gb_per_s,
             };
-            self.swarm.borrow_mut().set_store(now, rate);
+            self.swarm.borrow_mut().set_store_rate(now, rate);
             let finished = self.swarm.borrow_mut().advance(now);
             for (node, image) in finished {
                 let worker = self.workers.borrow().get(&node).cloned();
@@ -575,12 +597,16 @@
                     worker.received(now, &image);
                 }
             }
-            if now >= told_at + TOLD_S {
-                told_at = now;
+            if now >= recorded_at + STORE_SENT_INTERVAL_S {
+                recorded_at = now;
                 let gb = self.swarm.borrow().store_gb();
                 history.add(What::StoreSent { gb });
             }
-            let mut next = self.swarm.borrow().next_at().unwrap_or(now + TOLD_S);
+            let mut next = self
+                .swarm
+                .borrow()
+                .next_at()
+                .unwrap_or(now + STORE_SENT_INTERVAL_S);
             for edge in [out.start, out.end] {
                 if edge > now {
                     next = next.min(edge);
@@ -604,7 +630,7 @@
 
 /// How fetches went, for a night with a store: what it sent, and when tasks had their
 /// images, from their jobs' submission on.
-pub fn told(events: &[Event]) -> String {
+pub fn summary(events: &[Event]) -> String {
     let mut asked = BTreeMap::new();
     let mut waits: BTreeMap<&str, Vec<f64>> = BTreeMap::new();
     let (mut begun, mut sent) = (BTreeSet::new(), 0.0);
--- a/crates/umbersail-rehearsal/src/kv_store_host.rs
+++ b/crates/umbersail-rehearsal/src/kv_store_host.rs
@@ -1,4 +1,4 @@
-//! The stand-in for the state service: `umbersail-ledger` behind HTTP, a door
+//! The stand-in for the state service: `umbersail-store` behind HTTP, a door
 //! of its own for each controller, and the troubles that it may have.
 
 use std::cell::{Cell, RefCell};
@@ -28,9 +28,9 @@
 const CONFLICT: u16 = 409;
 /// The sender of a late transaction hears nothing for so long, in seconds: longer than
 /// any controller waits.
-const NO_ANSWER_S: f64 = 60.0;
+const NO_REPLY_S: f64 = 60.0;
 /// A late transaction that is due in an outage looks so often whether it is over, seconds.
-const OUTAGE_LOOK_S: f64 = 0.1;
+const OUTAGE_CHECK_S: f64 = 0.1;
 
 /// Bounds of a stand-in's listener: nothing of the kit is meant to be scarce.
 pub(crate) fn wide_limits() -> ServerLimits {
@@ -53,7 +53,7 @@
 /// The service, its troubles, and who asked how much.
 pub struct KvStoreHost {
     world: WorldHandle,
-    ledger: RefCell<KvStore>,
+    store: RefCell<KvStore>,
     changed: Broadcast,
     requests: RefCell<TokenBucket>,
     writes: RefCell<TokenBucket>,
@@ -63,16 +63,16 @@
     /// Controllers that are refused alone.
     pub refused: RefCell<Vec<bool>>,
     /// Share of the transactions that get no answer and are carried out late.
-    pub late: Cell<f64>,
+    pub late_share: Cell<f64>,
     /// Share of the transactions that are carried out and whose answer is lost.
-    pub unanswered: Cell<f64>,
+    pub lost_answer_share: Cell<f64>,
     rng: RefCell<ChaCha8Rng>,
     history: History,
     /// Version of the leader's key whose election is in the history.
-    elected: Cell<u64>,
+    election_version: Cell<u64>,
     /// Called after each election.
     on_election: RefCell<Vec<Box<dyn Fn()>>>,
-    granted: GrantWatch,
+    grant_watch: GrantWatch,
     pub figures: StateFigures,
 }
 
@@ -91,26 +91,26 @@
         };
         Rc::new(KvStoreHost {
             world,
-            ledger: RefCell::new(KvStore::new(bounds)),
+            store: RefCell::new(KvStore::new(bounds)),
             changed: Broadcast::default(),
             requests: RefCell::new(TokenBucket::new(state.rps, 1.0)),
             writes: RefCell::new(TokenBucket::new(state.write_rps, 1.0)),
             down: Cell::new(false),
             slow_s: Cell::new(0.0),
             refused: RefCell::new(vec![false; controllers]),
-            late: Cell::new(0.0),
-            unanswered: Cell::new(0.0),
+            late_share: Cell::new(0.0),
+            lost_answer_share: Cell::new(0.0),
             rng: RefCell::new(ChaCha8Rng::seed_from_u64(seed ^ 0x6c77_7269_7465)),
             history,
-            elected: Cell::new(0),
+            election_version: Cell::new(0),
             on_election: RefCell::default(),
-            granted: GrantWatch::default(),
+            grant_watch: GrantWatch::default(),
             figures: StateFigures::default(),
         })
     }
 
     /// Serves one controller at one address.
-    pub async fn door(self: Rc<Self>, controller: usize, addr: SocketAddr) {
+    pub async fn serve_controller(self: Rc<Self>, controller: usize, addr: SocketAddr) {
         let Ok(listener) = TcpListener::bind(addr) else {
             return;
         };
@@ -127,7 +127,7 @@
         loop {
             sleep(0.02).await;
             let now = self.world.now();
-            if !self.down.get() && self.ledger.borrow_mut().expire(now) {
+            if !self.down.get() && self.store.borrow_mut().expire(now) {
                 self.changed.notify_all();
             }
         }
@@ -136,14 +136,14 @@
     pub fn set_down(&self, down: bool) {
         self.down.set(down);
         if !down {
-            self.ledger.borrow_mut().restart_leases(self.world.now());
+            self.store.borrow_mut().restart_leases(self.world.now());
             self.changed.notify_all();
         }
     }
 
     /// The member that the leader's key names.
     pub fn leader(&self) -> Option<String> {
-        let found = self.ledger.borrow().get(LEADER_KEY)?;
+        let found = self.store.borrow().get(LEADER_KEY)?;
         let fields = found.value.as_map()?;
         let member = fields.iter().find(|(k, _)| k.as_str() == Some("member"))?;
         member.1.as_str().map(str::to_owned)
@@ -155,12 +155,12 @@
     }
 
     /// Adds an election to the history once the leader's key has been put anew.
-    fn tell_election(&self) {
-        let version = self.ledger.borrow().get("leader").map_or(0, |k| k.version);
-        if version > self.elected.get()
+    fn record_election(&self) {
+        let version = self.store.borrow().get("leader").map_or(0, |k| k.version);
+        if version > self.election_version.get()
             && let Some(member) = self.leader()
         {
-            self.elected.set(version);
+            self.election_version.set(version);
             self.history.add(What::Elected { member });
             for hook in self.on_election.borrow().iter() {
                 hook();
@@ -168,29 +168,29 @@
         }
     }
 
-    fn away(&self, controller: usize) -> bool {
+    fn is_unavailable(&self, controller: usize) -> bool {
         self.down.get() || self.refused.borrow()[controller]
     }
 
     /// Whether a transaction is to come late, and after how many seconds.
-    fn puts_off(&self) -> Option<f64> {
-        let share = self.late.get();
+    fn draw_write_delay(&self) -> Option<f64> {
+        let share = self.late_share.get();
         let mut rng = self.rng.borrow_mut();
         (share > 0.0 && rng.random_bool(share)).then(|| rng.random_range(LATE_FROM_S..=LATE_TO_S))
     }
 
     /// Carries a transaction out late; in an outage, once it is over.
-    async fn carry_out(self: Rc<Self>, controller: usize, txn: Txn<Value>, wait_s: f64) {
-        let sent_at = self.ledger.borrow().revision();
+    async fn apply_late(self: Rc<Self>, controller: usize, txn: Txn<Value>, wait_s: f64) {
+        let sent_at = self.store.borrow().revision();
         sleep(wait_s).await;
         while self.down.get() {
-            sleep(OUTAGE_LOOK_S).await;
+            sleep(OUTAGE_CHECK_S).await;
         }
         let key = |c: &Change<Value>| match c {
             Change::Put { key, .. } | Change::Delete { key } => key.clone(),
         };
         let keys: Vec<String> = txn.changes.iter().map(key).collect();
-        let since = self.ledger.borrow().changes_since("", sent_at);
+        let since = self.store.borrow().changes_since("", sent_at);
         let changed: BTreeSet<String> = since
             .into_iter()
             .flatten()
@@ -198,12 +198,12 @@
             .collect();
         let is_changed = |key: &&String| changed.contains(*key);
         let overtaken = keys.iter().filter(is_changed).cloned().collect();
-        let done = self.ledger.borrow_mut().txn(self.world.now(), &txn);
+        let done = self.store.borrow_mut().txn(self.world.now(), &txn);
         self.changed.notify_all();
         let applied = matches!(done, Ok(Outcome::Applied { .. }));
         if applied {
             self.figures.applied(&txn);
-            self.granted.applied(&self.history, &txn);
+            self.grant_watch.applied(&self.history, &txn);
         }
         self.history.add(What::LateWrite {
             controller,
@@ -215,13 +215,13 @@
     }
 
     /// Whether the answer to a transaction is to be lost.
-    fn loses_answer(&self) -> bool {
-        let share = self.unanswered.get();
+    fn draw_lost_answer(&self) -> bool {
+        let share = self.lost_answer_share.get();
         share > 0.0 && self.rng.borrow_mut().random_bool(share)
     }
 
     /// Tells the history of a transaction whose sender hears nothing of it.
-    fn tell_lost_answer(&self, controller: usize, txn: &Txn<Value>, applied: bool) {
+    fn record_lost_answer(&self, controller: usize, txn: &Txn<Value>, applied: bool) {
         let (mut puts, mut deletes) = (Vec::new(), Vec::new());
         for change in &txn.changes {
             match change {
@@ -239,7 +239,7 @@
     }
 
     /// Tells the history of a transaction whose conditions failed, by its answer.
-    fn tell_conflict(&self, controller: usize, body: &[u8]) {
+    fn record_conflict(&self, controller: usize, body: &[u8]) {
         if let Ok(result) = decode::<TxnResult>(body) {
             let failed = result.failed;
             self.history.add(What::Conflict { controller, failed });
@@ -250,7 +250,7 @@
         if self.slow_s.get() > 0.0 {
             sleep(self.slow_s.get()).await;
         }
-        if self.away(controller) {
+        if self.is_unavailable(controller) {
             return Response::empty(503);
         }
         let now = self.world.now();
@@ -264,56 +264,56 @@
             Err(status) => return Response::empty(status),
         };
         if let KvRequest::Watch {
-            prefix: under,
+            prefix,
             from,
             wait_s: hold_s,
         } = &call
         {
-            return self.watch(controller, under, *from, now + hold_s).await;
+            return self.watch(controller, prefix, *from, now + hold_s).await;
         }
         let writes = call.change_count() as f64;
         if writes > 0.0 && !self.writes.borrow_mut().take(now, writes) {
             return Response::empty(429);
         }
         if let KvRequest::Txn(txn) = &call
-            && let Some(wait_s) = self.puts_off()
+            && let Some(wait_s) = self.draw_write_delay()
         {
             // Its sender may give up and end meanwhile: it is on its way all the same.
-            let late = self.clone().carry_out(controller, txn.clone(), wait_s);
+            let late = self.clone().apply_late(controller, txn.clone(), wait_s);
             self.world.spawn(late);
-            sleep(NO_ANSWER_S).await;
+            sleep(NO_REPLY_S).await;
             return Response::empty(503);
         }
-        let before = self.ledger.borrow().revision();
-        let (status, body) = call.execute(&mut self.ledger.borrow_mut(), now);
-        if self.ledger.borrow().revision() != before {
+        let before = self.store.borrow().revision();
+        let (status, body) = call.execute(&mut self.store.borrow_mut(), now);
+        if self.store.borrow().revision() != before {
             self.changed.notify_all();
-            self.tell_election();
+            self.record_election();
             if let KvRequest::Txn(txn) = &call {
                 self.figures.applied(txn);
-                self.granted.applied(&self.history, txn);
+                self.grant_watch.applied(&self.history, txn);
             }
         }
-        if self.unanswered.get() > 0.0 && status == CONFLICT && writes > 0.0 {
-            self.tell_conflict(controller, &body);
+        if self.lost_answer_share.get() > 0.0 && status == CONFLICT && writes > 0.0 {
+            self.record_conflict(controller, &body);
         }
         if let KvRequest::Txn(txn) = &call
-            && self.loses_answer()
+            && self.draw_lost_answer()
         {
-            self.tell_lost_answer(controller, txn, status == APPLIED);
-            sleep(NO_ANSWER_S).await;
+            self.record_lost_answer(controller, txn, status == APPLIED);
+            sleep(NO_REPLY_S).await;
             return Response::empty(503);
         }
         Response::new(status, body)
     }
 
     /// Waits for a change; during an outage it stays open.
-    async fn watch(&self, controller: usize, under: &str, from: u64, until: f64) -> Response {
+    async fn watch(&self, controller: usize, prefix: &str, from: u64, until: f64) -> Response {
         loop {
             let now = self.world.now();
-            let away = self.away(controller);
+            let away = self.is_unavailable(controller);
             if !away {
-                let due = watch_reply(&self.ledger.borrow(), under, from, now >= until);
+                let due = watch_reply(&self.store.borrow(), prefix, from, now >= until);
                 if let Some((status, body)) = due {
                     return Response::new(status, body);
                 }
--- a/crates/umbersail-rehearsal/src/odd_requests.rs
+++ b/crates/umbersail-rehearsal/src/odd_requests.rs
@@ -14,7 +14,7 @@
 /// From one request to the next, in seconds.
 const PAUSE_S: std::ops::RangeInclusive<f64> = 0.05..=0.25;
 /// Users wait so long for an answer (PROTOCOL).
-const WAIT_S: f64 = 5.0;
+const REPLY_TIMEOUT_S: f64 = 5.0;
 /// Ids of submissions that must not be accepted have this many digits and begin with 9:
 /// no job of a night has one.
 const INVALID_FROM: u64 = 9_000_000_000;
@@ -137,13 +137,13 @@
     /// Odd requests of all kinds, at each controller in turn, while the trouble lasts.
     pub(crate) async fn send_odd_requests(self: Rc<Self>) {
         let (mut count, mut defect) = (0, 0);
-        while self.troubles.sends_odd.get() {
+        while self.faults.sends_odd_requests.get() {
             let node = count % self.nodes().len();
             // Each defect goes to all controllers, before the next does.
             let is_last = node + 1 == self.nodes().len();
             match (count / self.nodes().len()) % 6 {
-                0 => self.repeat_any(node, false).await,
-                1 => self.repeat_any(node, true).await,
+                0 => self.repeat_submission(node, false).await,
+                1 => self.repeat_submission(node, true).await,
                 2 => self.cancel_done(node).await,
                 _ => {
                     self.submit_invalid(node, defect).await;
@@ -151,14 +151,14 @@
                 }
             }
             count += 1;
-            let pause = self.troubles.chance(|rng| rng.random_range(PAUSE_S));
+            let pause = self.faults.draw_random(|rng| rng.random_range(PAUSE_S));
             sleep(pause).await;
         }
     }
 
     /// A submission of an unfinished job comes again, as it was or with another content.
-    async fn repeat_any(&self, node: usize, changed: bool) {
-        let job = self.troubles.any_unfinished();
+    async fn repeat_submission(&self, node: usize, changed: bool) {
+        let job = self.faults.any_unfinished();
         let Some(spec) = job.and_then(|job| self.spec_of(&job)) else {
             return;
         };
@@ -171,23 +171,26 @@
             decode::<umbersail_wire::JobIdOnly>(&i.body).is_ok_and(|only| only.id == id)
         };
         let bodies: Vec<&Invalid> = bodies.iter().filter(names_it).collect();
-        let Some(chosen) = self.troubles.chance(|rng| bodies.choose(rng).copied()) else {
+        let Some(chosen) = self.faults.draw_random(|rng| bodies.choose(rng).copied()) else {
             return;
         };
-        let told = self.ask_at(node, "POST", paths::JOBS, &chosen.body, WAIT_S);
-        if let Some(told) = told.await {
-            self.note_repeated(&id, &told);
+        let exchange = self.send_to(node, "POST", paths::JOBS, &chosen.body, REPLY_TIMEOUT_S);
+        if let Some(exchange) = exchange.await {
+            self.note_repeated(&id, &exchange);
         }
     }
 
     /// A job that is done is cancelled: that must be answered with its end.
     async fn cancel_done(&self, node: usize) {
-        let Some(job) = self.troubles.any_done() else {
+        let Some(job) = self.faults.any_done() else {
             return;
         };
         let target = format!("{}/{job}/{}", paths::JOBS, paths::CANCEL);
-        if let Some(told) = self.ask_at(node, "POST", &target, b"", WAIT_S).await {
-            self.note_cancel_answer(&job, &told);
+        if let Some(exchange) = self
+            .send_to(node, "POST", &target, b"", REPLY_TIMEOUT_S)
+            .await
+        {
+            self.note_cancel_answer(&job, &exchange);
         }
     }
 
@@ -196,23 +199,25 @@
             return;
         };
         let number = self
-            .troubles
-            .chance(|rng| rng.random_range(INVALID_FROM..=INVALID_TO));
+            .faults
+            .draw_random(|rng| rng.random_range(INVALID_FROM..=INVALID_TO));
         spec.id = format!("req-{number}");
         let all = invalid_submissions(&spec);
         let invalid = all[defect % all.len()].clone();
         let sent_s = self.fleet().history.now_s();
-        let told = self
-            .ask_at(node, "POST", paths::JOBS, &invalid.body, WAIT_S)
+        let exchange = self
+            .send_to(node, "POST", paths::JOBS, &invalid.body, REPLY_TIMEOUT_S)
             .await;
-        self.note(What::InvalidSubmission {
+        self.record(What::InvalidSubmission {
             job: spec.id,
             defect: invalid.defect,
             wanted: invalid.wanted,
-            status: told.as_ref().map_or(0, |told| told.answer.status),
-            says_why: told
+            status: exchange
                 .as_ref()
-                .is_some_and(|told| !told.answer.body.is_empty()),
+                .map_or(0, |exchange| exchange.answer.status),
+            says_why: exchange
+                .as_ref()
+                .is_some_and(|exchange| !exchange.answer.body.is_empty()),
             node,
             sent_s,
         });
--- a/crates/umbersail-rehearsal/src/play.rs
+++ b/crates/umbersail-rehearsal/src/play.rs
@@ -15,12 +15,12 @@
 };
 use umbersail_tuning::Tuning;
 
+use crate::addresses::{Addresses, controller_zone, member_name};
 use crate::fleet::Fleet;
 use crate::history::{Event, History, What};
 use crate::judge::{Figures, judge};
 use crate::kv_store_host::KvStoreHost;
 use crate::night::{Aim, Night};
-use crate::places::{Addresses, member, zone};
 use crate::runs;
 use crate::trouble::{Controller, Stage};
 use crate::users::{Balancer, Users};
@@ -86,9 +86,9 @@
 ) -> Result<String, PlayError> {
     let count = night.controllers.count;
     let known = (0..count).filter(|n| *n != index).map(|n| Known {
-        member: member(n),
-        area: zone(night, n),
-        addr: at.back(n),
+        member: member_name(n),
+        area: controller_zone(night, n),
+        addr: at.peer_addr(n),
     });
     let objectives: Vec<serde_json::Value> = night.aims.iter().filter_map(objective).collect();
     let teams: Vec<serde_json::Value> = night
@@ -97,12 +97,12 @@
         .map(|t| serde_json::json!({"name": t.name, "cpus": t.cpus, "cpus_max": t.cpus_max}))
         .collect();
     let file = SettingsFile {
-        member: member(index),
-        area: zone(night, index),
-        front: at.front(index),
-        back: at.back(index),
+        member: member_name(index),
+        area: controller_zone(night, index),
+        front: at.client_addr(index),
+        back: at.peer_addr(index),
         known: known.collect(),
-        external: [("cloud", at.cloud()), ("state", at.state(index))].into(),
+        external: [("cloud", at.cloud_addr()), ("state", at.state_addr(index))].into(),
         facts: serde_json::json!({
             "teams": teams,
             "objectives": objectives,
@@ -252,19 +252,21 @@
         host("users", 3, 1),
     ];
     let count = night.controllers.count;
-    let fronts: Vec<SocketAddr> = (0..count).map(|n| at.front(n)).collect();
-    let named = (0..count).map(|n| (member(n), at.front(n))).collect();
+    let fronts: Vec<SocketAddr> = (0..count).map(|n| at.client_addr(n)).collect();
+    let named = (0..count)
+        .map(|n| (member_name(n), at.client_addr(n)))
+        .collect();
     let ledger = KvStoreHost::new(world.clone(), history.clone(), &night.state, count, seed);
     let fleet = Fleet::new(world.clone(), history.clone(), night.clone(), seed, named);
     let users = Users::new(fleet.clone(), Balancer::new(fronts), seed);
     let doors = ledger.clone();
     world.start(regional[0], async move {
         for n in 0..count {
-            spawn(doors.clone().door(n, at.state(n)));
+            spawn(doors.clone().serve_controller(n, at.state_addr(n)));
         }
         doors.expire().await;
     });
-    world.start(regional[1], fleet.clone().serve_cloud(at.cloud()));
+    world.start(regional[1], fleet.clone().serve_cloud(at.cloud_addr()));
     world.start(regional[2], users.clone().run());
     fleet.begin();
     let controllers = begin(&world, &night);
@@ -285,7 +287,7 @@
     spawn(fleet.clone().charge());
     spawn(fleet.clone().watch_leases());
     if let Some(store) = &fleet.store {
-        spawn(store.clone().send_for_ever(world.clone(), history.clone()));
+        spawn(store.clone().run(world.clone(), history.clone()));
     }
     let most = night.ends_s();
     let mut state_told_s = 0.0;
@@ -319,7 +321,7 @@
     let mut rng = ChaCha8Rng::seed_from_u64(seed ^ 0x6e6f_6465);
     let build = |(n, config): (usize, Settings)| {
         let at = Addresses { simulated: true };
-        let mut spec = HostSpec::new(member(n), at.ip(0, 0, n as u8 + 1));
+        let mut spec = HostSpec::new(member_name(n), at.ip(0, 0, n as u8 + 1));
         spec.clock_rate = rng.random_range(1.0..=1.0005);
         spec.skew_ms = rng.random_range(-1.0..1.0) * night.controllers.skew_ms;
         spec.max_sockets = night.controllers.max_sockets;
@@ -338,8 +340,8 @@
         };
         start();
         Controller {
-            member: member(n),
-            zone: zone(night, n).to_owned(),
+            member: member_name(n),
+            zone: controller_zone(night, n).to_owned(),
             host,
             start: Box::new(start),
             end: Box::new(move || ends.kill(host)),
--- a/crates/umbersail-rehearsal/src/real.rs
+++ b/crates/umbersail-rehearsal/src/real.rs
@@ -12,8 +12,8 @@
 use nix::unistd::Pid;
 use umbersail_runtime::{HostSpec, Runtime, WorldHandle};
 
+use crate::addresses::{Addresses, controller_zone, member_name};
 use crate::night::Night;
-use crate::places::{Addresses, member, zone};
 use crate::play::{Outcome, PlayError, direct, properties_text, settings_text};
 use crate::trouble::Controller;
 
@@ -82,7 +82,7 @@
 ///
 /// # Errors
 /// If a process can't be started or the folder not be written.
-pub fn play_real(night: &Night, seed: u64, program: &Path) -> Result<Outcome, PlayError> {
+pub fn run_real(night: &Night, seed: u64, program: &Path) -> Result<Outcome, PlayError> {
     let dir = std::env::temp_dir().join(format!("umbersail-rehearsal-{}", std::process::id()));
     std::fs::create_dir_all(&dir)?;
     let at = Addresses { simulated: false };
@@ -91,7 +91,7 @@
     std::fs::write(dir.join("umbersail.properties"), properties)?;
     for n in 0..night.controllers.count {
         std::fs::write(
-            dir.join(format!("{}.toml", member(n))),
+            dir.join(format!("{}.toml", member_name(n))),
             settings_text(night, n, at)?,
         )?;
     }
@@ -114,7 +114,7 @@
         let process = Rc::new(Process {
             program: program.to_owned(),
             dir: dir.to_owned(),
-            name: member(n),
+            name: member_name(n),
             child: RefCell::new(None),
         });
         let (starts, ends, pauses) = (process.clone(), process.clone(), process);
@@ -125,9 +125,9 @@
         };
         start();
         Controller {
-            member: member(n),
-            zone: zone(night, n).to_owned(),
-            host: world.add_host(HostSpec::new(member(n), at.ip(0, 0, n as u8 + 1))),
+            member: member_name(n),
+            zone: controller_zone(night, n).to_owned(),
+            host: world.add_host(HostSpec::new(member_name(n), at.ip(0, 0, n as u8 + 1))),
             start: Box::new(start),
             end: Box::new(move || ends.end()),
             pause: Some(Box::new(move |stops| pauses.pause(stops))),
--- a/crates/umbersail-rehearsal/src/report.rs
+++ b/crates/umbersail-rehearsal/src/report.rs
@@ -138,7 +138,7 @@
         let _ = writeln!(out, "  and {} more", f.breaches.len() - 5);
     }
     if night.store.is_some() {
-        out += &crate::store::told(&outcome.events);
+        out += &crate::image_store::summary(&outcome.events);
     }
     let _ = writeln!(out, "outcome {}", outcome.hash);
     out
--- a/crates/umbersail-rehearsal/src/runs.rs
+++ b/crates/umbersail-rehearsal/src/runs.rs
@@ -156,23 +156,23 @@
             };
             let mut ids = Vec::new();
             for _ in 0..*jobs {
-                let truth = self.draw(class);
+                let truth = self.draw_job(class);
                 let id = truth.spec.id.clone();
-                self.note(What::OfRun {
+                self.record(What::OfRun {
                     run: run.name.clone(),
                     opens_s,
                     step,
                     job: id.clone(),
                 });
                 ids.push(id);
-                let after_s = self.chance(|rng| rng.random_range(0.0..3.0));
-                let user = self.clone().user(truth);
+                let after_s = self.draw_random(|rng| rng.random_range(0.0..3.0));
+                let user = self.clone().run_user(truth);
                 spawn(async move {
                     sleep(after_s).await;
                     user.await;
                 });
             }
-            while !night.calendar && !self.are_over(&ids) {
+            while !night.calendar && !self.are_finished(&ids) {
                 sleep(0.5).await;
             }
         }
--- a/crates/umbersail-rehearsal/src/trouble.rs
+++ b/crates/umbersail-rehearsal/src/trouble.rs
@@ -10,12 +10,12 @@
 use rand_chacha::ChaCha8Rng;
 use umbersail_runtime::{HostId, NetworkConfig, PartitionMode, WorldHandle, sleep};
 
+use crate::delays::DelayFault;
 use crate::fleet::{Fleet, Machine};
 use crate::history::What;
 use crate::kv_store_host::KvStoreHost;
-use crate::late::Late;
 use crate::night::{Failure, ROLL_S, Trouble};
-use crate::user_troubles::Order;
+use crate::user_faults::UserCommand;
 use crate::users::Users;
 
 /// Machines that a trouble takes if it does not say how many.
@@ -110,7 +110,7 @@
         let controllers = self.controllers.iter().map(|c| c.host);
         controllers
             .chain(self.regional)
-            .chain(self.fleet.late.host())
+            .chain(self.fleet.heartbeat_copies.host())
             .chain(self.machine_hosts(None))
             .collect()
     }
@@ -237,7 +237,7 @@
         for controller in controllers.iter().cycle().take(count) {
             let waits = (self.rng.borrow_mut()).random_bool(failure.share.unwrap_or(0.0));
             if let Some(job) = self.job_to_cancel(waits) {
-                self.users.cancellations.ask(&job, *controller);
+                self.users.cancellations.request_cancel(&job, *controller);
             }
             sleep(failure.for_s / count as f64).await;
         }
@@ -252,7 +252,7 @@
             let its = |(name, until): &(String, f64)| *name == m.name && now < *until;
             struck.iter().any(its)
         };
-        let open: BTreeSet<String> = self.users.cancellations.open().into_iter().collect();
+        let open: BTreeSet<String> = self.users.cancellations.idle_jobs().into_iter().collect();
         let (mut running, mut in_trouble) = (BTreeSet::new(), BTreeSet::new());
         for machine in self.fleet.up() {
             let mut jobs = machine.worker.running_jobs();
@@ -277,21 +277,21 @@
         let times = failure.times.unwrap_or(1.0);
         match failure.what {
             Trouble::BootsLate => {
-                fleet.knobs.boots.set(times);
-                Some(Box::new(|s| s.fleet.knobs.boots.set(1.0)))
+                fleet.parameters.boot_factor.set(times);
+                Some(Box::new(|s| s.fleet.parameters.boot_factor.set(1.0)))
             }
             Trouble::BootsNever => {
-                fleet.knobs.boots_never.set(true);
-                Some(Box::new(|s| s.fleet.knobs.boots_never.set(false)))
+                fleet.parameters.boots_never.set(true);
+                Some(Box::new(|s| s.fleet.parameters.boots_never.set(false)))
             }
             Trouble::BootsQuick => {
-                fleet.knobs.boots_quick.set(true);
-                Some(Box::new(|s| s.fleet.knobs.boots_quick.set(false)))
+                fleet.parameters.boots_quick.set(true);
+                Some(Box::new(|s| s.fleet.parameters.boots_quick.set(false)))
             }
             Trouble::RentalsLate => {
-                let late = Late::of(failure);
-                fleet.knobs.rentals_late.set(Some(late));
-                Some(Box::new(|s| s.fleet.knobs.rentals_late.set(None)))
+                let late = DelayFault::new(failure);
+                fleet.parameters.rental_delay.set(Some(late));
+                Some(Box::new(|s| s.fleet.parameters.rental_delay.set(None)))
             }
             Trouble::Burst => {
                 let class = failure.class.clone().unwrap_or_default();
@@ -311,9 +311,9 @@
                 let victims = self.victims(failure, None);
                 victims
                     .iter()
-                    .for_each(|m| m.worker.slow.set(times.max(1.0)));
+                    .for_each(|m| m.worker.slowdown.set(times.max(1.0)));
                 Some(Box::new(move |_| {
-                    victims.iter().for_each(|m| m.worker.slow.set(1.0));
+                    victims.iter().for_each(|m| m.worker.slowdown.set(1.0));
                 }))
             }
             Trouble::MachinesCut => {
@@ -323,38 +323,40 @@
             }
             Trouble::MachinesDeaf => {
                 let victims = self.victims(failure, None);
-                victims.iter().for_each(|m| m.worker.deaf.set(true));
+                victims.iter().for_each(|m| m.worker.unreachable.set(true));
                 Some(Box::new(move |_| {
-                    victims.iter().for_each(|m| m.worker.deaf.set(false));
+                    victims.iter().for_each(|m| m.worker.unreachable.set(false));
                 }))
             }
             Trouble::MachinesMute => {
                 let victims = self.victims(&self.with_count(failure), None);
-                victims.iter().for_each(|m| m.worker.mute.set(true));
+                victims.iter().for_each(|m| m.worker.cannot_send.set(true));
                 Some(Box::new(move |_| {
-                    victims.iter().for_each(|m| m.worker.mute.set(false));
+                    victims.iter().for_each(|m| m.worker.cannot_send.set(false));
                 }))
             }
             Trouble::CommandAnswersLate => {
-                fleet.late_answers.set(Some(Late::of(failure)));
-                Some(Box::new(|s| s.fleet.late_answers.set(None)))
+                fleet
+                    .command_reply_delay
+                    .set(Some(DelayFault::new(failure)));
+                Some(Box::new(|s| s.fleet.command_reply_delay.set(None)))
             }
             Trouble::ReportsLate => {
-                let late = Late::of(failure);
+                let late = DelayFault::new(failure);
                 if failure.for_next == Some(true) {
-                    (fleet.late).begin_keeping(&self.world, fleet.fronts(), late);
+                    (fleet.heartbeat_copies).begin_keeping(&self.world, fleet.fronts(), late);
                     let fleet = fleet.clone();
                     (self.ledger).on_election(Box::new(move || {
-                        fleet.late.deliver_kept(fleet.world.now());
+                        fleet.heartbeat_copies.deliver_kept(fleet.world.now());
                     }));
-                    return Some(Box::new(|s| s.fleet.late.end_keeping()));
+                    return Some(Box::new(|s| s.fleet.heartbeat_copies.end_keeping()));
                 }
-                (fleet.late).begin(&self.world, fleet.fronts(), late);
-                Some(Box::new(|s| s.fleet.late.end()))
+                (fleet.heartbeat_copies).begin(&self.world, fleet.fronts(), late);
+                Some(Box::new(|s| s.fleet.heartbeat_copies.end()))
             }
             Trouble::CommandsLate => {
-                fleet.late_commands.set(Some(Late::of(failure)));
-                Some(Box::new(|s| s.fleet.late_commands.set(None)))
+                fleet.command_delay.set(Some(DelayFault::new(failure)));
+                Some(Box::new(|s| s.fleet.command_delay.set(None)))
             }
             Trouble::CancelSweep => {
                 self.world
@@ -379,7 +381,7 @@
                 let hung_s = failure.for_s;
                 Some(Box::new(move |s| {
                     for machine in victims {
-                        machine.worker.put_off(hung_s);
+                        machine.worker.shift_times(hung_s);
                         s.world.thaw(machine.host);
                     }
                 }))
@@ -390,8 +392,11 @@
                 None
             }
             Trouble::CapacityShrinks => {
-                fleet.knobs.capacity.set(failure.share.unwrap_or(1.0));
-                Some(Box::new(|s| s.fleet.knobs.capacity.set(1.0)))
+                fleet
+                    .parameters
+                    .capacity_share
+                    .set(failure.share.unwrap_or(1.0));
+                Some(Box::new(|s| s.fleet.parameters.capacity_share.set(1.0)))
             }
             Trouble::ControllerCrash => {
                 let back_s = failure.back_s(&fleet.night.controllers);
@@ -424,7 +429,7 @@
             Trouble::ControllerCutFromWorkers => {
                 let whom = self.hosts(&self.whom(failure));
                 let mut workers = self.machine_hosts(None);
-                workers.extend(fleet.late.host());
+                workers.extend(fleet.heartbeat_copies.host());
                 Some(self.cut(&whom, &workers, self.some_mode()))
             }
             Trouble::ControllerIsolated => {
@@ -487,34 +492,37 @@
             Trouble::LateWrites => {
                 let ledger = &self.ledger;
                 let share = match failure.at_once {
-                    true => &ledger.unanswered,
-                    false => &ledger.late,
+                    true => &ledger.lost_answer_share,
+                    false => &ledger.late_share,
                 };
                 share.set(failure.share.unwrap_or(0.0));
                 let at_once = failure.at_once;
                 Some(Box::new(move |s| match at_once {
-                    true => s.ledger.unanswered.set(0.0),
-                    false => s.ledger.late.set(0.0),
+                    true => s.ledger.lost_answer_share.set(0.0),
+                    false => s.ledger.late_share.set(0.0),
                 }))
             }
             Trouble::CloseLooks => {
                 fleet.completions.is_watched.set(true);
                 match failure.job.clone() {
-                    Some(job) => self.users.troubles.order(Order::Look { job, after_s: 0.0 }),
-                    None => self.users.troubles.looks_closely.set(true),
+                    Some(job) => self
+                        .users
+                        .faults
+                        .issue(UserCommand::QueryAll { job, after_s: 0.0 }),
+                    None => self.users.faults.query_bursts.set(true),
                 }
-                Some(Box::new(|s| s.users.troubles.looks_closely.set(false)))
+                Some(Box::new(|s| s.users.faults.query_bursts.set(false)))
             }
             Trouble::OddRequests => {
-                self.users.troubles.sends_odd.set(true);
-                self.users.troubles.order(Order::SendOddRequests);
-                Some(Box::new(|s| s.users.troubles.sends_odd.set(false)))
+                self.users.faults.sends_odd_requests.set(true);
+                self.users.faults.issue(UserCommand::SendOddRequests);
+                Some(Box::new(|s| s.users.faults.sends_odd_requests.set(false)))
             }
             Trouble::CancelAtEnd => {
                 fleet.completions.is_watched.set(true);
-                let late = Some(Late::of(failure));
-                self.users.troubles.cancelled_at_end.set(late);
-                Some(Box::new(|s| s.users.troubles.cancelled_at_end.set(None)))
+                let late = Some(DelayFault::new(failure));
+                self.users.faults.cancelled_at_end.set(late);
+                Some(Box::new(|s| s.users.faults.cancelled_at_end.set(None)))
             }
             Trouble::CancelNow => {
                 self.cancel_now(failure);
@@ -599,7 +607,7 @@
                 self.fleet.remove(&machine, "taken");
                 continue;
             }
-            machine.worker.notice(Some(self.world.now() + wait));
+            machine.worker.set_notice(Some(self.world.now() + wait));
             let stage = self.clone();
             self.world.spawn(async move {
                 sleep(wait).await;
--- a/crates/umbersail-rehearsal/src/user_troubles.rs
+++ b/crates/umbersail-rehearsal/src/user_faults.rs
@@ -13,14 +13,14 @@
 use umbersail_runtime::{Notify, sleep, spawn};
 use umbersail_wire::{JobStage, paths};
 
+use crate::delays::DelayFault;
 use crate::history::{Question, What};
-use crate::late::Late;
-use crate::users::{Told, Users};
+use crate::users::{Exchange, Users};
 
 /// With close looks, this share of the jobs is cancelled right after acceptance, so many
 /// seconds later at most.
-const CANCELLED_AT_ONCE: f64 = 0.2;
-const AT_ONCE_S: f64 = 0.02;
+const EARLY_CANCEL_SHARE: f64 = 0.2;
+const EARLY_CANCEL_S: f64 = 0.02;
 /// A job's end is looked at from any moment on until it is usually recorded: a worker
 /// reports a change up to half a second later.
 const RECORDED_S: f64 = 0.6;
@@ -29,13 +29,13 @@
 /// Users wait so long for the answer to a cancellation (PROTOCOL).
 const CANCEL_S: f64 = 5.0;
 /// The longest answer that users take.
-const BODY_BYTES_MOST: usize = 64 << 10;
+const MAX_BODY_BYTES: usize = 64 << 10;
 
 /// What a trouble wants of the users.
 #[derive(Debug, Clone)]
-pub enum Order {
+pub enum UserCommand {
     /// Ask about the job at all controllers, from so many seconds from now on.
-    Look { job: String, after_s: f64 },
+    QueryAll { job: String, after_s: f64 },
     /// Cancel the job so many seconds from now.
     Cancel { job: String, after_s: f64 },
     /// Send odd requests until the trouble ends.
@@ -66,82 +66,86 @@
 }
 
 /// Which of these troubles is on, and what users know of each other's jobs.
-pub struct UserTroubles {
-    pub looks_closely: Cell<bool>,
-    pub sends_odd: Cell<bool>,
+pub struct UserFaults {
+    pub query_bursts: Cell<bool>,
+    pub sends_odd_requests: Cell<bool>,
     /// Which of the jobs that end are cancelled, and how long after their last task's end.
-    pub cancelled_at_end: Cell<Option<Late>>,
-    orders: RefCell<Vec<Order>>,
+    pub cancelled_at_end: Cell<Option<DelayFault>>,
+    commands: RefCell<Vec<UserCommand>>,
     wake: Rc<Notify>,
     rng: RefCell<ChaCha8Rng>,
-    /// Jobs known to be accepted and not known to be over, and those known to be over.
+    /// Jobs known to be accepted and not known to be finished, and those known to be finished.
     unfinished: RefCell<BTreeSet<String>>,
-    over: RefCell<BTreeMap<String, JobStage>>,
+    finished: RefCell<BTreeMap<String, JobStage>>,
 }
 
-impl UserTroubles {
-    pub fn new(seed: u64) -> UserTroubles {
-        UserTroubles {
-            looks_closely: Cell::new(false),
-            sends_odd: Cell::new(false),
+impl UserFaults {
+    pub fn new(seed: u64) -> UserFaults {
+        UserFaults {
+            query_bursts: Cell::new(false),
+            sends_odd_requests: Cell::new(false),
             cancelled_at_end: Cell::new(None),
-            orders: RefCell::default(),
+            commands: RefCell::default(),
             wake: Rc::default(),
             rng: RefCell::new(ChaCha8Rng::seed_from_u64(seed ^ 0x0075_7472_6f75)),
             unfinished: RefCell::default(),
-            over: RefCell::default(),
+            finished: RefCell::default(),
         }
     }
 
-    pub fn order(&self, order: Order) {
-        self.orders.borrow_mut().push(order);
+    pub fn issue(&self, order: UserCommand) {
+        self.commands.borrow_mut().push(order);
         self.wake.notify();
     }
 
-    pub(crate) fn chance<T>(&self, draw: impl FnOnce(&mut ChaCha8Rng) -> T) -> T {
+    pub(crate) fn draw_random<T>(&self, draw: impl FnOnce(&mut ChaCha8Rng) -> T) -> T {
         draw(&mut self.rng.borrow_mut())
     }
 
     /// Somebody was told that the job is accepted.
     pub(crate) fn accepted(&self, job: &str) {
         self.unfinished.borrow_mut().insert(job.to_owned());
-        self.look(job);
+        self.query_all(job);
     }
 
-    /// Somebody was told that the job is over.
-    pub(crate) fn is_over(&self, job: &str, stage: JobStage) {
+    /// Somebody was told that the job is finished.
+    pub(crate) fn finished_as(&self, job: &str, stage: JobStage) {
         self.unfinished.borrow_mut().remove(job);
-        self.over.borrow_mut().insert(job.to_owned(), stage);
+        self.finished.borrow_mut().insert(job.to_owned(), stage);
     }
 
     /// Something of the job that all controllers have to tell from now on was told.
-    pub(crate) fn look(&self, job: &str) {
-        if self.looks_closely.get() {
+    pub(crate) fn query_all(&self, job: &str) {
+        if self.query_bursts.get() {
             let job = job.to_owned();
-            self.order(Order::Look { job, after_s: 0.0 });
+            self.issue(UserCommand::QueryAll { job, after_s: 0.0 });
         }
     }
 
     /// After how many seconds an accepted job is cancelled at once, if it is one of those.
-    pub(crate) fn cancels_at_once(&self) -> Option<f64> {
-        let is_on = self.looks_closely.get();
-        let chosen = is_on && self.chance(|rng| rng.random_bool(CANCELLED_AT_ONCE));
-        chosen.then(|| self.chance(|rng| rng.random_range(0.0..AT_ONCE_S)))
+    pub(crate) fn draw_early_cancel(&self) -> Option<f64> {
+        let is_on = self.query_bursts.get();
+        let chosen = is_on && self.draw_random(|rng| rng.random_bool(EARLY_CANCEL_SHARE));
+        chosen.then(|| self.draw_random(|rng| rng.random_range(0.0..EARLY_CANCEL_S)))
     }
 
-    /// Any job that is accepted and not known to be over.
+    /// Any job that is accepted and not known to be finished.
     pub(crate) fn any_unfinished(&self) -> Option<String> {
         let jobs = self.unfinished.borrow();
-        let index = (!jobs.is_empty()).then(|| self.chance(|r| r.random_range(0..jobs.len())))?;
+        let index =
+            (!jobs.is_empty()).then(|| self.draw_random(|r| r.random_range(0..jobs.len())))?;
         jobs.iter().nth(index).cloned()
     }
 
     /// Any job that is known to be done.
     pub(crate) fn any_done(&self) -> Option<String> {
-        let over = self.over.borrow();
-        let done = over.iter().filter(|(_, stage)| **stage == JobStage::Done);
+        let finished = self.finished.borrow();
+        let done = finished
+            .iter()
+            .filter(|(_, stage)| **stage == JobStage::Done);
         let done: Vec<&String> = done.map(|(job, _)| job).collect();
-        let index = (!done.is_empty()).then(|| self.chance(|r| r.random_range(0..done.len())))?;
+        let index =
+            (!done.is_empty()).then(|| self.draw_random(|r| r.random_range(0..done.len())))?;
         Some(done[index].clone())
     }
 }
@@ -149,7 +153,7 @@
 /// A connection of its own, for one question.
 fn direct_client() -> Client {
     Client::new(ClientLimits {
-        max_body_bytes: BODY_BYTES_MOST,
+        max_body_bytes: MAX_BODY_BYTES,
         max_per_address: 1,
         max_idle: 0,
         max_total: 1,
@@ -159,27 +163,27 @@
 
 impl Users {
     /// Carries out orders and follows the ends of jobs, for ever.
-    pub(crate) fn follow_troubles(self: &Rc<Self>) {
-        spawn(self.clone().carry_out_orders());
+    pub(crate) fn run_faults(self: &Rc<Self>) {
+        spawn(self.clone().run_commands());
         spawn(self.clone().follow_completions());
     }
 
-    async fn carry_out_orders(self: Rc<Self>) {
+    async fn run_commands(self: Rc<Self>) {
         loop {
-            for order in self.troubles.orders.take() {
+            for order in self.faults.commands.take() {
                 match order {
-                    Order::Look { job, after_s } => {
-                        spawn(self.clone().look_closely(job, after_s));
+                    UserCommand::QueryAll { job, after_s } => {
+                        spawn(self.clone().query_all_controllers(job, after_s));
                     }
-                    Order::Cancel { job, after_s } => {
-                        spawn(self.clone().cancel_in(job, after_s));
+                    UserCommand::Cancel { job, after_s } => {
+                        spawn(self.clone().cancel_after(job, after_s));
                     }
-                    Order::SendOddRequests => {
+                    UserCommand::SendOddRequests => {
                         spawn(self.clone().send_odd_requests());
                     }
                 }
             }
-            self.troubles.wake.notified().await;
+            self.faults.wake.notified().await;
         }
     }
 
@@ -187,20 +191,20 @@
         let fleet = self.fleet().clone();
         loop {
             for job in fleet.completions.next().await {
-                if self.troubles.looks_closely.get() {
-                    let after_s = self.troubles.chance(|r| r.random_range(0.0..RECORDED_S));
-                    spawn(self.clone().look_closely(job.clone(), after_s));
+                if self.faults.query_bursts.get() {
+                    let after_s = self.faults.draw_random(|r| r.random_range(0.0..RECORDED_S));
+                    spawn(self.clone().query_all_controllers(job.clone(), after_s));
                 }
-                let late = self.troubles.cancelled_at_end.get();
-                let after_s = late.and_then(|late| self.troubles.chance(|r| late.draw(r)));
+                let late = self.faults.cancelled_at_end.get();
+                let after_s = late.and_then(|late| self.faults.draw_random(|r| late.draw(r)));
                 if let Some(after_s) = after_s {
-                    spawn(self.clone().cancel_in(job, after_s));
+                    spawn(self.clone().cancel_after(job, after_s));
                 }
             }
         }
     }
 
-    async fn cancel_in(self: Rc<Self>, job: String, after_s: f64) {
+    async fn cancel_after(self: Rc<Self>, job: String, after_s: f64) {
         sleep(after_s).await;
         self.cancel_at_any(&job).await;
     }
@@ -208,37 +212,37 @@
     /// Cancels a job at a controller drawn by lot, then through the balancer.
     pub(crate) async fn cancel_at_any(&self, job: &str) -> bool {
         let node = self
-            .troubles
-            .chance(|r| r.random_range(0..self.nodes().len()));
+            .faults
+            .draw_random(|r| r.random_range(0..self.nodes().len()));
         self.note_cancel(job);
         let target = format!("{}/{job}/{}", paths::JOBS, paths::CANCEL);
-        let told = self.ask_at(node, "POST", &target, b"", CANCEL_S).await;
-        if told.is_some_and(|told| self.note_cancel_answer(job, &told)) {
+        let exchange = self.send_to(node, "POST", &target, b"", CANCEL_S).await;
+        if exchange.is_some_and(|exchange| self.note_cancel_answer(job, &exchange)) {
             return true;
         }
         self.cancel_through_balancer(job).await
     }
 
     /// One question to this controller, on a connection of its own.
-    pub(crate) async fn ask_at(
+    pub(crate) async fn send_to(
         &self,
         node: usize,
         method: &str,
         target: &str,
         body: &[u8],
         wait_s: f64,
-    ) -> Option<Told> {
+    ) -> Option<Exchange> {
         let sent_s = self.fleet().history.now_s();
         let addr: SocketAddr = self.nodes()[node];
         let answer = direct_client()
             .send(addr, method, target, body, wait_s)
             .await;
         let question = Question { node, sent_s };
-        answer.ok().map(|answer| Told { answer, question })
+        answer.ok().map(|answer| Exchange { answer, question })
     }
 
     fn note_cancel(&self, job: &str) {
         (self.fleet().cancelled.borrow_mut()).insert(job.to_owned());
-        self.note(What::CancelAsked { job: job.into() });
+        self.record(What::CancelAsked { job: job.into() });
     }
 }
--- a/crates/umbersail-rehearsal/src/users.rs
+++ b/crates/umbersail-rehearsal/src/users.rs
@@ -13,22 +13,22 @@
 use umbersail_wire::{JobKind, JobSpec, JobStage, JobStatus, Priority, decode, encode, paths};
 
 use crate::cancellations::Cancellations;
-use crate::fleet::{Fleet, Truth};
+use crate::fleet::{Fleet, SimulatedJob};
 use crate::history::{Question, What};
 use crate::night::{self, Class};
-use crate::user_troubles::UserTroubles;
+use crate::user_faults::UserFaults;
 
 /// A user waits so long for the answer to a submission, and to a poll.
-const SUBMIT_S: f64 = 5.0;
-const POLL_S: f64 = 2.0;
+const SUBMIT_TIMEOUT_S: f64 = 5.0;
+const POLL_TIMEOUT_S: f64 = 2.0;
 /// Answers from this status on say nothing of a job: they are asked for again.
 const RETRIED_FROM: u16 = 429;
 /// In all, a submission is repeated for this long.
-const GIVE_UP_S: f64 = 60.0;
+const RETRY_FOR_S: f64 = 60.0;
 /// The load balancer asks another node if one does not accept within this.
-const ACCEPT_S: f64 = 0.5;
+const CONNECT_TIMEOUT_S: f64 = 0.5;
 /// The balancer resets the open connections of a node that is unhealthy for this long.
-const RESET_S: f64 = 5.0;
+const RESET_AFTER_S: f64 = 5.0;
 
 /// What the load balancer knows of one node.
 #[derive(Debug, Clone, Default)]
@@ -73,7 +73,7 @@
     /// longer than the balancer waits (PROTOCOL, "Users -> controller nodes").
     fn has_reset(&self, node: usize, now: f64) -> bool {
         let health = &self.health.borrow()[node];
-        health.ever && !health.healthy && now - health.removed_at >= RESET_S
+        health.ever && !health.healthy && now - health.removed_at >= RESET_AFTER_S
     }
 
     /// Probes one node for ever.
@@ -121,27 +121,27 @@
         max_per_address: 4,
         max_idle: 1,
         max_total: 4,
-        connect_timeout_s: ACCEPT_S,
+        connect_timeout_s: CONNECT_TIMEOUT_S,
     })
 }
 
 /// An answer and the question that it belongs to.
-pub(crate) struct Told {
+pub(crate) struct Exchange {
     pub answer: ClientResponse,
     pub question: Question,
 }
 
 /// One user's connection through the balancer.
-struct Line {
+struct Connection {
     fleet: Rc<Fleet>,
     balancer: Rc<Balancer>,
     client: Client,
     node: Cell<Option<usize>>,
 }
 
-impl Line {
-    fn new(fleet: &Rc<Fleet>, balancer: &Rc<Balancer>) -> Line {
-        Line {
+impl Connection {
+    fn new(fleet: &Rc<Fleet>, balancer: &Rc<Balancer>) -> Connection {
+        Connection {
             fleet: fleet.clone(),
             balancer: balancer.clone(),
             client: client(),
@@ -149,22 +149,22 @@
         }
     }
 
-    /// A line that the balancer has connected to this node.
-    fn to(fleet: &Rc<Fleet>, balancer: &Rc<Balancer>, node: usize) -> Line {
-        let line = Line::new(fleet, balancer);
+    /// A connection that the balancer has connected to this node.
+    fn to(fleet: &Rc<Fleet>, balancer: &Rc<Balancer>, node: usize) -> Connection {
+        let connection = Connection::new(fleet, balancer);
         balancer.health.borrow_mut()[node].open += 1;
-        line.node.set(Some(node));
-        line
+        connection.node.set(Some(node));
+        connection
     }
 
-    fn leave(&self) {
+    fn disconnect(&self) {
         if let Some(node) = self.node.take() {
             self.balancer.health.borrow_mut()[node].open -= 1;
         }
     }
 
     /// One request; a node that takes no connection is passed over, twice.
-    async fn ask(&self, method: &str, target: &str, body: &[u8], wait_s: f64) -> Option<Told> {
+    async fn send(&self, method: &str, target: &str, body: &[u8], wait_s: f64) -> Option<Exchange> {
         let mut tried = Vec::new();
         for _ in 0..3 {
             let now = self.fleet.world.now();
@@ -173,7 +173,7 @@
                 .get()
                 .is_some_and(|n| self.balancer.has_reset(n, now))
             {
-                self.leave();
+                self.disconnect();
             }
             let node = match self.node.get() {
                 Some(node) => node,
@@ -204,17 +204,17 @@
                 Ok(answer) => {
                     // The next request goes through the balancer anew.
                     if answer.closes_connection {
-                        self.leave();
+                        self.disconnect();
                     }
                     let question = Question { node, sent_s };
-                    return Some(Told { answer, question });
+                    return Some(Exchange { answer, question });
                 }
                 Err(_) if refused => {
                     tried.push(node);
-                    self.leave();
+                    self.disconnect();
                 }
                 Err(_) => {
-                    self.leave();
+                    self.disconnect();
                     return None;
                 }
             }
@@ -223,9 +223,9 @@
     }
 }
 
-impl Drop for Line {
+impl Drop for Connection {
     fn drop(&mut self) {
-        self.leave();
+        self.disconnect();
     }
 }
 
@@ -236,14 +236,14 @@
     rng: RefCell<ChaCha8Rng>,
     /// Factors on the rates of classes, by name.
     pub bursts: RefCell<BTreeMap<String, f64>>,
-    numbers: Cell<u64>,
+    job_count: Cell<u64>,
     /// Users that still wait for their jobs.
     pub waiting: Cell<usize>,
     pub closed: Cell<bool>,
     pub cancellations: Cancellations,
-    pub troubles: UserTroubles,
-    /// Jobs of runs that their users know to be over.
-    over: RefCell<BTreeSet<String>>,
+    pub faults: UserFaults,
+    /// Jobs of runs that their users know to be finished.
+    finished_jobs: RefCell<BTreeSet<String>>,
 }
 
 impl Users {
@@ -253,12 +253,12 @@
             balancer,
             rng: RefCell::new(ChaCha8Rng::seed_from_u64(seed ^ 0x0075_7365_7273)),
             bursts: RefCell::default(),
-            numbers: Cell::new(0),
+            job_count: Cell::new(0),
             waiting: Cell::new(0),
             closed: Cell::new(false),
             cancellations: Cancellations::default(),
-            troubles: UserTroubles::new(seed),
-            over: RefCell::default(),
+            faults: UserFaults::new(seed),
+            finished_jobs: RefCell::default(),
         })
     }
 
@@ -272,8 +272,8 @@
             spawn(self.clone().submit_class(index));
         }
         self.submit_runs();
-        self.follow_troubles();
-        spawn(self.clone().ask_of_strangers());
+        self.run_faults();
+        spawn(self.clone().poll_unknown_jobs());
         std::future::pending::<()>().await;
     }
 
@@ -283,7 +283,7 @@
         // The balancer's first probes come first.
         sleep(3.0 + class.from_s).await;
         for _ in 0..class.at_start {
-            spawn(self.clone().user(self.draw(class)));
+            spawn(self.clone().run_user(self.draw_job(class)));
         }
         loop {
             let factor = self
@@ -307,15 +307,15 @@
                 // Its users end with it, and they still wait for their jobs.
                 std::future::pending::<()>().await;
             }
-            spawn(self.clone().user(self.draw(class)));
+            spawn(self.clone().run_user(self.draw_job(class)));
         }
     }
 
     /// A job of a class, and what only its tasks know of it.
-    pub(crate) fn draw(&self, class: &Class) -> Truth {
+    pub(crate) fn draw_job(&self, class: &Class) -> SimulatedJob {
         let mut rng = self.rng.borrow_mut();
         let rng: &mut dyn RngCore = &mut *rng;
-        let lot = |rng: &mut dyn RngCore, median: f64, sigma: f64| match LogNormal::new(
+        let log_normal = |rng: &mut dyn RngCore, median: f64, sigma: f64| match LogNormal::new(
             median.ln(),
             sigma,
         ) {
@@ -330,10 +330,10 @@
             true => class.most,
             false => (1 + more).min(u64::from(class.most)) as u32,
         };
-        let run_s = lot(rng, class.run_s, class.run_sigma);
-        let estimate_s = lot(rng, run_s, class.estimate_sigma);
-        let number = self.numbers.get() + 1;
-        self.numbers.set(number);
+        let run_s = log_normal(rng, class.run_s, class.run_sigma);
+        let estimate_s = log_normal(rng, run_s, class.estimate_sigma);
+        let number = self.job_count.get() + 1;
+        self.job_count.set(number);
         let image = rng.random_range(0..class.images);
         // Ids come in no order.
         let id = format!("req-{:06}", number * 7919 % 999_983);
@@ -365,7 +365,7 @@
             save_s: Some(class.save_s),
             deadline_s: (deadline > 0.0).then_some(deadline),
         };
-        Truth {
+        SimulatedJob {
             spec,
             run_s,
             sigma: class.task_sigma,
@@ -374,18 +374,18 @@
         }
     }
 
-    pub(crate) async fn user(self: Rc<Self>, truth: Truth) {
+    pub(crate) async fn run_user(self: Rc<Self>, truth: SimulatedJob) {
         self.waiting.set(self.waiting.get() + 1);
         let spec = truth.spec.clone();
         let id = spec.id.clone();
         self.fleet.jobs.borrow_mut().insert(spec.id.clone(), truth);
-        self.see_through(spec).await;
-        self.tell_over(&id);
+        self.follow_job(spec).await;
+        self.mark_finished(&id);
         self.waiting.set(self.waiting.get() - 1);
     }
 
-    async fn see_through(&self, spec: JobSpec) {
-        let line = Line::new(&self.fleet, &self.balancer);
+    async fn follow_job(&self, spec: JobSpec) {
+        let connection = Connection::new(&self.fleet, &self.balancer);
         let class = self
             .fleet
             .night
@@ -408,59 +408,61 @@
         };
         let body = encode(&spec);
         let job = spec.id.clone();
-        if !self.submit(&line, &spec, &body).await {
+        if !self.submit(&connection, &spec, &body).await {
             return;
         }
         let accepted_at = self.fleet.world.now();
-        let mut poll_at = accepted_at + self.around(5.0);
-        let cancels = self.troubles.cancels_at_once().or(cancels);
+        let mut poll_at = accepted_at + self.jitter(5.0);
+        let cancels = self.faults.draw_early_cancel().or(cancels);
         let mut cancel_at = cancels.map(|after| accepted_at + after);
         loop {
             let now = self.fleet.world.now();
             let next = cancel_at.map_or(poll_at, |at| at.min(poll_at));
             if let Some(node) = self.cancellations.wait(&job, next - now).await {
-                let line = Line::to(&self.fleet, &self.balancer, node);
-                if self.cancel(&line, &job).await {
+                let connection = Connection::to(&self.fleet, &self.balancer, node);
+                if self.cancel(&connection, &job).await {
                     break;
                 }
             }
             let now = self.fleet.world.now();
             if cancel_at.is_some_and(|at| now >= at) {
                 cancel_at = None;
-                if self.cancel(&line, &job).await {
+                if self.cancel(&connection, &job).await {
                     break;
                 }
             }
             if now >= poll_at {
-                poll_at = self.fleet.world.now() + self.around(5.0);
-                match self.poll(&line, &job).await {
+                poll_at = self.fleet.world.now() + self.jitter(5.0);
+                match self.poll(&connection, &job).await {
                     Some(JobStage::Done | JobStage::Cancelled) => break,
                     _ => continue,
                 }
             }
         }
-        self.tell_over(&job);
+        self.mark_finished(&job);
         if again {
             // Somebody looks once more, and somebody's old retry comes late.
-            sleep(self.around(20.0)).await;
-            self.poll(&line, &job).await;
-            let answer = line.ask("POST", paths::JOBS, &body, SUBMIT_S).await;
-            if let Some(told) = answer {
-                self.note_repeated(&job, &told);
+            sleep(self.jitter(20.0)).await;
+            self.poll(&connection, &job).await;
+            let answer = connection
+                .send("POST", paths::JOBS, &body, SUBMIT_TIMEOUT_S)
+                .await;
+            if let Some(exchange) = answer {
+                self.note_repeated(&job, &exchange);
             }
         }
     }
 
     /// The answer to a repeated submission, if it says anything of the job.
-    pub(crate) fn note_repeated(&self, job: &str, told: &Told) {
-        if told.answer.status < RETRIED_FROM {
-            let stage = stage(&told.answer);
+    pub(crate) fn note_repeated(&self, job: &str, exchange: &Exchange) {
+        if exchange.answer.status < RETRIED_FROM {
+            let stage = stage(&exchange.answer);
             self.note_stage(job, stage);
-            self.note(What::Repeated {
+            self.record(What::Repeated {
                 job: job.into(),
-                status: told.answer.status,
+                status: exchange.answer.status,
                 stage,
-                question: Some(told.question),
+                question: Some(exchange.question),
             });
         }
     }
@@ -468,20 +470,20 @@
     /// Somebody was told this of the job.
     fn note_stage(&self, job: &str, stage: Option<JobStage>) {
         if let Some(stage @ (JobStage::Done | JobStage::Cancelled)) = stage {
-            self.troubles.is_over(job, stage);
+            self.faults.finished_as(job, stage);
         }
     }
 
     /// For those who submit the next step of a run.
-    fn tell_over(&self, job: &str) {
+    fn mark_finished(&self, job: &str) {
         if !self.fleet.night.runs.is_empty() {
-            self.over.borrow_mut().insert(job.to_owned());
+            self.finished_jobs.borrow_mut().insert(job.to_owned());
         }
     }
 
-    pub(crate) fn are_over(&self, jobs: &[String]) -> bool {
-        let over = self.over.borrow();
-        jobs.iter().all(|job| over.contains(job))
+    pub(crate) fn are_finished(&self, jobs: &[String]) -> bool {
+        let finished_jobs = self.finished_jobs.borrow();
+        jobs.iter().all(|job| finished_jobs.contains(job))
     }
 
     pub(crate) fn night(&self) -> Rc<night::Night> {
@@ -513,51 +515,53 @@
         self.fleet.world.now()
     }
 
-    pub(crate) fn note(&self, what: What) {
+    pub(crate) fn record(&self, what: What) {
         self.fleet.history.add(what);
     }
 
-    pub(crate) fn chance<T>(&self, draw: impl FnOnce(&mut ChaCha8Rng) -> T) -> T {
+    pub(crate) fn draw_random<T>(&self, draw: impl FnOnce(&mut ChaCha8Rng) -> T) -> T {
         draw(&mut self.rng.borrow_mut())
     }
 
-    fn around(&self, seconds: f64) -> f64 {
+    fn jitter(&self, seconds: f64) -> f64 {
         self.rng.borrow_mut().random_range(0.9..1.1) * seconds
     }
 
     /// True once it is accepted; it is repeated by the protocol's rules.
-    async fn submit(&self, line: &Line, spec: &JobSpec, body: &[u8]) -> bool {
+    async fn submit(&self, connection: &Connection, spec: &JobSpec, body: &[u8]) -> bool {
         let began = self.fleet.world.now();
         self.fleet.history.add(What::Asked {
             spec: Box::new(spec.clone()),
         });
         loop {
-            let answer = line.ask("POST", paths::JOBS, body, SUBMIT_S).await;
+            let answer = connection
+                .send("POST", paths::JOBS, body, SUBMIT_TIMEOUT_S)
+                .await;
             let now = self.fleet.world.now();
             let job = spec.id.clone();
             match &answer {
-                Some(told) if matches!(told.answer.status, 200 | 201) => {
+                Some(exchange) if matches!(exchange.answer.status, 200 | 201) => {
                     self.fleet.history.add(What::Accepted {
                         job,
                         after_s: now - began,
-                        question: Some(told.question),
+                        question: Some(exchange.question),
                     });
-                    self.troubles.accepted(&spec.id);
+                    self.faults.accepted(&spec.id);
                     return true;
                 }
-                Some(told) if matches!(told.answer.status, 400 | 422) => {
-                    let status = told.answer.status;
+                Some(exchange) if matches!(exchange.answer.status, 400 | 422) => {
+                    let status = exchange.answer.status;
                     self.fleet.history.add(What::Refused { job, status });
                     return false;
                 }
                 _ => {}
             }
             let told = answer
-                .and_then(|told| told.answer.retry_after_s)
+                .and_then(|exchange| exchange.answer.retry_after_s)
                 .unwrap_or(0)
                 .min(30);
-            let pause = f64::from(told).max(self.around(1.1));
-            if now + pause - began > GIVE_UP_S {
+            let pause = f64::from(told).max(self.jitter(1.1));
+            if now + pause - began > RETRY_FOR_S {
                 self.fleet.history.add(What::Refused { job, status: 0 });
                 return false;
             }
@@ -565,63 +569,65 @@
         }
     }
 
-    async fn poll(&self, line: &Line, job: &str) -> Option<JobStage> {
+    async fn poll(&self, connection: &Connection, job: &str) -> Option<JobStage> {
         let target = format!("{}/{job}", paths::JOBS);
-        let answer = line.ask("GET", &target, b"", POLL_S).await;
-        let stage = answer.as_ref().and_then(|told| stage(&told.answer));
+        let answer = connection.send("GET", &target, b"", POLL_TIMEOUT_S).await;
+        let stage = answer.as_ref().and_then(|exchange| stage(&exchange.answer));
         self.note_stage(job, stage);
         self.fleet.history.add(What::Polled {
             job: job.into(),
-            status: answer.as_ref().map_or(0, |told| told.answer.status),
+            status: answer.as_ref().map_or(0, |exchange| exchange.answer.status),
             stage,
-            question: answer.map(|told| told.question),
+            question: answer.map(|exchange| exchange.question),
         });
         stage
     }
 
-    async fn cancel(&self, line: &Line, job: &str) -> bool {
+    async fn cancel(&self, connection: &Connection, job: &str) -> bool {
         self.fleet.cancelled.borrow_mut().insert(job.to_owned());
         self.fleet
             .history
             .add(What::CancelAsked { job: job.into() });
-        self.repeat_cancel(line, job).await
+        self.repeat_cancel(connection, job).await
     }
 
     /// A cancellation that was asked for elsewhere goes on through the balancer.
     pub(crate) async fn cancel_through_balancer(&self, job: &str) -> bool {
-        let line = Line::new(&self.fleet, &self.balancer);
-        self.repeat_cancel(&line, job).await
+        let connection = Connection::new(&self.fleet, &self.balancer);
+        self.repeat_cancel(&connection, job).await
     }
 
-    async fn repeat_cancel(&self, line: &Line, job: &str) -> bool {
+    async fn repeat_cancel(&self, connection: &Connection, job: &str) -> bool {
         let target = format!("{}/{job}/{}", paths::JOBS, paths::CANCEL);
         let began = self.fleet.world.now();
         loop {
-            let answer = line.ask("POST", &target, b"", SUBMIT_S).await;
-            if let Some(told) = answer
-                && self.note_cancel_answer(job, &told)
+            let answer = connection
+                .send("POST", &target, b"", SUBMIT_TIMEOUT_S)
+                .await;
+            if let Some(exchange) = answer
+                && self.note_cancel_answer(job, &exchange)
             {
                 return true;
             }
-            if self.fleet.world.now() - began > GIVE_UP_S {
+            if self.fleet.world.now() - began > RETRY_FOR_S {
                 return false;
             }
-            sleep(self.around(1.2)).await;
+            sleep(self.jitter(1.2)).await;
         }
     }
 
-    /// Whether the answer says that the job is over.
-    pub(crate) fn note_cancel_answer(&self, job: &str, told: &Told) -> bool {
-        let (status, question) = (told.answer.status, Some(told.question));
-        let stage = stage(&told.answer).filter(|_| status == 200);
+    /// Whether the answer says that the job is finished_jobs.
+    pub(crate) fn note_cancel_answer(&self, job: &str, exchange: &Exchange) -> bool {
+        let (status, question) = (exchange.answer.status, Some(exchange.question));
+        let stage = stage(&exchange.answer).filter(|_| status == 200);
         self.note_stage(job, stage);
         if stage == Some(JobStage::Cancelled) {
-            self.troubles.look(job);
+            self.faults.query_all(job);
         }
         let job = job.to_owned();
         match stage {
             Some(stage @ (JobStage::Cancelled | JobStage::Done)) => {
-                self.note(What::CancelTold {
+                self.record(What::CancelTold {
                     job,
                     stage,
                     question,
@@ -630,7 +636,7 @@
             }
             _ => {
                 if (400..RETRIED_FROM).contains(&status) {
-                    self.note(What::CancelRefused {
+                    self.record(What::CancelRefused {
                         job,
                         status,
                         question,
@@ -642,12 +648,12 @@
     }
 
     /// Users also ask about jobs that nobody has submitted.
-    async fn ask_of_strangers(self: Rc<Self>) {
-        let line = Line::new(&self.fleet, &self.balancer);
+    async fn poll_unknown_jobs(self: Rc<Self>) {
+        let connection = Connection::new(&self.fleet, &self.balancer);
         loop {
-            sleep(self.around(17.0)).await;
+            sleep(self.jitter(17.0)).await;
             let number = self.rng.borrow_mut().random_range(1_000_000..9_999_999);
-            self.poll(&line, &format!("req-{number}")).await;
+            self.poll(&connection, &format!("req-{number}")).await;
         }
     }
 }
--- a/crates/umbersail-rehearsal/src/waves.rs
+++ b/crates/umbersail-rehearsal/src/waves.rs
@@ -10,7 +10,7 @@
 use rand_chacha::ChaCha8Rng;
 use umbersail_images::{CacheView, Decision, FetchPriority, FetchRequest, Settings};
 
-use crate::store::Swarm;
+use crate::image_store::Swarm;
 
 /// What goes wrong.
 #[derive(Debug, Clone, Copy, PartialEq)]
@@ -249,11 +249,11 @@
             && now >= until
         {
             self.cut = None;
-            self.swarm.cut(now, None);
+            self.swarm.partition_zone(now, None);
         }
         if self.store_out_until.is_some_and(|until| now >= until) {
             self.store_out_until = None;
-            self.swarm.set_store(now, self.wave.store_gb_s);
+            self.swarm.set_store_rate(now, self.wave.store_gb_s);
         }
     }
 
@@ -270,16 +270,16 @@
             }
             Trouble::FirstSlow(count, times) => {
                 for node in first(count) {
-                    self.swarm.slow(node, times);
+                    self.swarm.slow_uplink(node, times);
                 }
             }
             Trouble::Cut(zone, for_s) => {
                 self.cut = Some((zone, now + for_s));
-                self.swarm.cut(now, Some(zone));
+                self.swarm.partition_zone(now, Some(zone));
             }
             Trouble::StoreOut(for_s) => {
                 self.store_out_until = Some(now + for_s);
-                self.swarm.set_store(now, 0.0);
+                self.swarm.set_store_rate(now, 0.0);
             }
             Trouble::TakeOver => {
                 let records = self.cache_view.records(u32::to_string, usize::to_string);
@@ -298,7 +298,7 @@
             Trouble::Cancelled(count) => {
                 for node in 0..count.min(self.stage.len()) {
                     if self.stage[node] == Stage::Fetches {
-                        self.swarm.give_up(now, node, IMAGE);
+                        self.swarm.release(now, node, IMAGE);
                         self.cache_view.cancel_fetch(&IMAGE, &node);
                         self.stage[node] = Stage::Gone;
                     }
--- a/crates/umbersail-rehearsal/src/worker.rs
+++ b/crates/umbersail-rehearsal/src/worker.rs
@@ -23,14 +23,14 @@
 use crate::night::MachineKind;
 
 /// A worker waits so long for an answer to its report (PROTOCOL).
-const REPLY_S: f64 = 4.0;
+const REPLY_TIMEOUT_S: f64 = 4.0;
 /// A command to a deaf worker is held so long, and then dropped: longer than any
 /// controller waits for an answer.
-const UNHEARD_S: f64 = 30.0;
+const UNREACHABLE_HOLD_S: f64 = 30.0;
 /// The bits of a token from here on up tell leaders apart.
-const GRANT_SHIFT: u32 = 16;
+const LEADER_TERM_SHIFT: u32 = 16;
 /// Reports on a change come no more often than this.
-const CHANGE_S: f64 = 0.5;
+const CHANGE_INTERVAL_S: f64 = 0.5;
 
 /// A task on its machine.
 struct Task {
@@ -52,7 +52,7 @@
     seq: u64,
     token: u64,
     /// Sending time of the last answered report, in true time.
-    renewed: f64,
+    renewed_at: f64,
     notice_until: Option<f64>,
     tasks: BTreeMap<(String, u32, u64), Task>,
     /// Images with sizes, the newest last, and fetches under way with their ends.
@@ -73,11 +73,11 @@
     /// Fails every task that it starts.
     pub faulty: Cell<bool>,
     /// Runs its tasks so many times slower.
-    pub slow: Cell<f64>,
+    pub slowdown: Cell<f64>,
     /// Its reports arrive, and nothing reaches it.
-    pub deaf: Cell<bool>,
+    pub unreachable: Cell<bool>,
     /// Reaches no controller, and is reached.
-    pub mute: Cell<bool>,
+    pub cannot_send: Cell<bool>,
     state: RefCell<State>,
     /// Raised whenever something changes.
     wake: Broadcast,
@@ -102,14 +102,14 @@
             speed,
             clock_rate,
             faulty: Cell::new(false),
-            slow: Cell::new(1.0),
-            deaf: Cell::new(false),
-            mute: Cell::new(false),
+            slowdown: Cell::new(1.0),
+            unreachable: Cell::new(false),
+            cannot_send: Cell::new(false),
             state: RefCell::new(State {
                 session: 0,
                 seq: 0,
                 token: 0,
-                renewed: 0.0,
+                renewed_at: 0.0,
                 notice_until: None,
                 tasks: BTreeMap::new(),
                 images: Vec::new(),
@@ -125,7 +125,7 @@
         {
             let mut state = self.state.borrow_mut();
             state.session += 1;
-            state.renewed = fleet.world.now();
+            state.renewed_at = fleet.world.now();
             state.images.clear();
         }
         if let Ok(listener) = TcpListener::bind(self.addr) {
@@ -133,24 +133,24 @@
             let handler: Handler = Rc::new(move |request| {
                 let (worker, fleet) = (worker.clone(), known.clone());
                 Box::pin(async move {
-                    if worker.deaf.get() {
+                    if worker.unreachable.get() {
                         // Lost on its way: whoever asked has long given up.
-                        sleep(UNHEARD_S).await;
+                        sleep(UNREACHABLE_HOLD_S).await;
                         return Response::empty(503);
                     }
                     let held = match request.path() {
-                        paths::WORKER_COMMANDS => fleet.late_commands.get(),
+                        paths::WORKER_COMMANDS => fleet.command_delay.get(),
                         _ => None,
                     };
                     match held.and_then(|late| random(|rng| late.draw(rng))) {
-                        Some(held_s) => worker.direct_late(&fleet, &request, held_s).await,
-                        None => worker.direct_now(&fleet, &request).await,
+                        Some(held_s) => worker.handle_direct_late(&fleet, &request, held_s).await,
+                        None => worker.handle_direct_now(&fleet, &request).await,
                     }
                 })
             });
             spawn(serve(listener, wide_limits(), handler));
         }
-        spawn(self.clone().report_for_ever(fleet.clone(), first));
+        spawn(self.clone().send_heartbeats(fleet.clone(), first));
         loop {
             self.advance(&fleet);
             let due = self.next_due();
@@ -187,7 +187,7 @@
     }
 
     /// The cloud takes the machine away in so many seconds.
-    pub fn notice(&self, until: Option<f64>) {
+    pub fn set_notice(&self, until: Option<f64>) {
         let mut state = self.state.borrow_mut();
         state.notice_until = until;
         state.changed = true;
@@ -206,7 +206,7 @@
     }
 
     /// Time that the machine hung is no run time.
-    pub fn put_off(&self, seconds: f64) {
+    pub fn shift_times(&self, seconds: f64) {
         let mut state = self.state.borrow_mut();
         for task in state.tasks.values_mut() {
             task.due += seconds;
@@ -235,14 +235,14 @@
         let fetches = std::mem::take(&mut state.fetches);
         drop(state);
         for image in fetches.keys() {
-            self.give_up(fleet, image);
+            self.release_image(fleet, image);
         }
     }
 
     /// The image is not here any more, or will not be.
-    fn give_up(&self, fleet: &Fleet, image: &str) {
+    fn release_image(&self, fleet: &Fleet, image: &str) {
         if let Some(store) = &fleet.store {
-            store.give_up(fleet.world.now(), self.addr, image);
+            store.release(fleet.world.now(), self.addr, image);
         }
     }
 
@@ -255,17 +255,17 @@
     }
 
     /// Ends the session if its lease is over, by the worker's own clock.
-    pub fn expire(&self, fleet: &Fleet) {
+    pub fn check_lease(&self, fleet: &Fleet) {
         let now = fleet.world.now();
         let over = {
             let state = self.state.borrow();
-            (now - state.renewed) * self.clock_rate > fleet.night.workers.lease_s
+            (now - state.renewed_at) * self.clock_rate > fleet.night.workers.lease_s
         };
         if over {
             self.lose_all(fleet, End::Lapsed);
             let mut state = self.state.borrow_mut();
             state.session += 1;
-            state.renewed = now;
+            state.renewed_at = now;
             state.changed = true;
         }
     }
@@ -325,17 +325,17 @@
                 && state.images.iter().map(|(_, s)| s).sum::<f64>() > self.kind.cache_gb
             {
                 let (pushed_out, _) = state.images.remove(0);
-                self.give_up(fleet, &pushed_out);
+                self.release_image(fleet, &pushed_out);
             }
         }
         drop(state);
         for key in keys {
-            self.begin(fleet, &key);
+            self.start_task(fleet, &key);
         }
     }
 
     /// The task has its image: it runs from now on.
-    fn begin(&self, fleet: &Fleet, key: &(String, u32, u64)) {
+    fn start_task(&self, fleet: &Fleet, key: &(String, u32, u64)) {
         let now = fleet.world.now();
         let (job, number, attempt) = key;
         let id = (job.clone(), *number);
@@ -350,7 +350,7 @@
             () if done => 0.0,
             () if self.faulty.get() || fleet.is_mistaken(job) => 1.0,
             () if service => 1e9,
-            () => (fleet.run_s(job, *number) - before).max(0.05) * self.slow.get() / self.speed,
+            () => (fleet.run_s(job, *number) - before).max(0.05) * self.slowdown.get() / self.speed,
         };
         let mut state = self.state.borrow_mut();
         if let Some(task) = state.tasks.get_mut(key) {
@@ -389,8 +389,8 @@
         } else {
             now
         };
-        let made = if ran {
-            (until - task.began).max(0.0) * self.speed / self.slow.get()
+        let progress = if ran {
+            (until - task.began).max(0.0) * self.speed / self.slowdown.get()
         } else {
             0.0
         };
@@ -420,17 +420,17 @@
                 if is_new {
                     fleet.has_result(&key.0);
                 }
-                if is_new { made } else { 0.0 }
+                if is_new { progress } else { 0.0 }
             }
             End::Error => 0.0,
             _ if spec
                 .as_ref()
                 .is_some_and(|s| s.kind == umbersail_wire::JobKind::Service) =>
             {
-                made
+                progress
             }
             _ if step > 0.0 => {
-                let reached = before + made;
+                let reached = before + progress;
                 let saved = if kept {
                     reached
                 } else {
@@ -452,7 +452,7 @@
         });
     }
 
-    fn report(&self, fleet: &Fleet) -> Heartbeat {
+    fn heartbeat(&self, fleet: &Fleet) -> Heartbeat {
         let now = fleet.world.now();
         let mut state = self.state.borrow_mut();
         state.seq += 1;
@@ -481,34 +481,34 @@
     }
 
     /// Commands sent straight here.
-    fn direct(&self, fleet: &Fleet, request: &Request) -> Response {
-        self.expire(fleet);
+    fn handle_direct(&self, fleet: &Fleet, request: &Request) -> Response {
+        self.check_lease(fleet);
         match (request.method.as_str(), request.path()) {
-            ("GET", "/inspect") => answer(200, &self.report(fleet)),
+            ("GET", "/inspect") => answer(200, &self.heartbeat(fleet)),
             ("POST", paths::WORKER_COMMANDS) => {
                 let Ok(order) = decode::<DirectCommands>(&request.body) else {
                     return Response::empty(400);
                 };
-                let obeys = {
+                let accepts = {
                     let state = self.state.borrow();
                     order.token >= state.token && order.session == state.session
                 };
-                if obeys {
-                    self.obey(fleet, order.token, &order.commands);
+                if accepts {
+                    self.execute(fleet, order.token, &order.commands);
                 }
-                answer(if obeys { 200 } else { 409 }, &self.report(fleet))
+                answer(if accepts { 200 } else { 409 }, &self.heartbeat(fleet))
             }
             _ => Response::empty(404),
         }
     }
 
     /// Commands that arrive at once; the network may hold up their answer.
-    async fn direct_now(&self, fleet: &Fleet, request: &Request) -> Response {
+    async fn handle_direct_now(&self, fleet: &Fleet, request: &Request) -> Response {
         let held = match request.path() {
-            paths::WORKER_COMMANDS => fleet.late_answers.get(),
+            paths::WORKER_COMMANDS => fleet.command_reply_delay.get(),
             _ => None,
         };
-        let response = self.direct(fleet, request);
+        let response = self.handle_direct(fleet, request);
         if let Some(held_s) = held.and_then(|late| random(|rng| late.draw(rng))) {
             sleep(held_s).await;
             fleet.history.add(What::LateAnswer {
@@ -521,9 +521,9 @@
     }
 
     /// Commands that the network held up: whoever sent them has given up, as a rule.
-    async fn direct_late(&self, fleet: &Fleet, request: &Request, held_s: f64) -> Response {
+    async fn handle_direct_late(&self, fleet: &Fleet, request: &Request, held_s: f64) -> Response {
         sleep(held_s).await;
-        self.expire(fleet);
+        self.check_lease(fleet);
         let how = decode::<DirectCommands>(&request.body).ok().map(|order| {
             let state = self.state.borrow();
             let how = match order.token.cmp(&state.token) {
@@ -532,9 +532,12 @@
                 Ordering::Equal => history::Late::SameToken,
                 Ordering::Greater => history::Late::HigherToken,
             };
-            (how, order.token >> GRANT_SHIFT < state.token >> GRANT_SHIFT)
+            (
+                how,
+                order.token >> LEADER_TERM_SHIFT < state.token >> LEADER_TERM_SHIFT,
+            )
         });
-        let response = self.direct(fleet, request);
+        let response = self.handle_direct(fleet, request);
         if let Some((how, from_former)) = how {
             fleet.history.add(What::LateCommand {
                 machine: self.name.clone(),
@@ -547,7 +550,7 @@
         response
     }
 
-    fn obey(&self, fleet: &Fleet, token: u64, commands: &[Command]) {
+    fn execute(&self, fleet: &Fleet, token: u64, commands: &[Command]) {
         {
             let mut state = self.state.borrow_mut();
             state.changed |= token > state.token;
@@ -642,7 +645,7 @@
         });
         if here {
             drop(state);
-            self.begin(fleet, &key);
+            self.start_task(fleet, &key);
         } else if !state.fetches.contains_key(&image) {
             let size = spec.map_or(0.0, |s| s.image_gb);
             if let Some(store) = &fleet.store {
@@ -652,10 +655,11 @@
                 return;
             }
             let others = (state.fetches.len() + 1) as f64;
-            let lot: f64 = random(|rng| rng.random_range(0.75..1.5));
-            state
-                .fetches
-                .insert(image, now + size / self.kind.fetch_gb_per_s * lot * others);
+            let factor: f64 = random(|rng| rng.random_range(0.75..1.5));
+            state.fetches.insert(
+                image,
+                now + size / self.kind.fetch_gb_per_s * factor * others,
+            );
         }
     }
 
@@ -690,66 +694,72 @@
             .any(|t| t.state == TaskState::Fetching && t.image == image);
         if !wanted && state.fetches.remove(&image).is_some() {
             drop(state);
-            self.give_up(fleet, &image);
+            self.release_image(fleet, &image);
         }
     }
 
-    async fn report_for_ever(self: Rc<Self>, fleet: Rc<Fleet>, first: usize) {
+    async fn send_heartbeats(self: Rc<Self>, fleet: Rc<Fleet>, first: usize) {
         let limits = ClientLimits {
             max_body_bytes: 64 << 10,
             max_per_address: 1,
             max_idle: 1,
             max_total: 2,
-            connect_timeout_s: REPLY_S,
+            connect_timeout_s: REPLY_TIMEOUT_S,
         };
         let mut client = Client::new(limits.clone());
         let nodes = fleet.fronts().to_vec();
         let mut node = first;
         loop {
-            self.expire(&fleet);
+            self.check_lease(&fleet);
             let (sent, session) = {
                 let mut state = self.state.borrow_mut();
                 state.changed = false;
                 (fleet.world.now(), state.session)
             };
-            if self.mute.get() {
+            if self.cannot_send.get() {
                 // Refused at once, or never accepted.
                 client = Client::new(limits.clone());
                 node = (node + 1) % nodes.len();
                 let is_refused = random(|rng| rng.random_bool(0.5));
-                sleep(if is_refused { 0.0 } else { REPLY_S } + 1.0).await;
+                sleep(if is_refused { 0.0 } else { REPLY_TIMEOUT_S } + 1.0).await;
                 continue;
             }
-            let report = self.report(&fleet);
+            let report = self.heartbeat(&fleet);
             let body = encode(&report);
             let reply = client
-                .request(nodes[node], "POST", paths::HEARTBEAT, &body, REPLY_S)
+                .request(
+                    nodes[node],
+                    "POST",
+                    paths::HEARTBEAT,
+                    &body,
+                    REPLY_TIMEOUT_S,
+                )
                 .await;
             if reply.is_ok() {
-                fleet.late.saw(&fleet.world, node, &report);
+                fleet.heartbeat_copies.observe(&fleet.world, node, &report);
             }
             let mut pause = None;
             match reply {
-                Ok(_) if self.deaf.get() => {
+                Ok(_) if self.unreachable.get() => {
                     // It was heard and hears nothing: it waits, gives the connection
                     // up and tries the next node.
-                    sleep(sent + REPLY_S - fleet.world.now()).await;
+                    sleep(sent + REPLY_TIMEOUT_S - fleet.world.now()).await;
                     client = Client::new(limits.clone());
                     node = (node + 1) % nodes.len();
                     pause = Some(1.0);
                 }
-                Ok((200, body)) => self.answered(&fleet, sent, session, &body),
+                Ok((200, body)) => self.handle_reply(&fleet, sent, session, &body),
                 Ok((421, body)) => {
-                    let told = decode::<Misdirected>(&body)
+                    let redirect = decode::<Misdirected>(&body)
                         .ok()
                         .and_then(|m| m.heartbeat_to);
-                    match told
+                    match redirect
                         .and_then(|name| fleet.member(&name))
                         .filter(|n| *n != node)
                     {
                         Some(other) => {
                             node = other;
-                            pause = Some(random(|rng| rng.random_range(0.0..CHANGE_S)));
+                            pause = Some(random(|rng| rng.random_range(0.0..CHANGE_INTERVAL_S)));
                         }
                         None => {
                             node = (node + 1) % nodes.len();
@@ -764,24 +774,24 @@
             }
             match pause {
                 Some(pause) => sleep(pause).await,
-                None => self.wait_for_report(&fleet, sent).await,
+                None => self.wait_for_next_heartbeat(&fleet, sent).await,
             }
         }
     }
 
     /// Until the next report is due, or half a second after the last one if
     /// something changed.
-    async fn wait_for_report(&self, fleet: &Fleet, sent: f64) {
+    async fn wait_for_next_heartbeat(&self, fleet: &Fleet, sent: f64) {
         let report_s = fleet.night.workers.report_s;
         let due = sent + random(|rng| rng.random_range(0.75..1.25)) * report_s;
         loop {
             let now = fleet.world.now();
             let changed = self.state.borrow().changed;
-            if now >= due || (changed && now >= sent + CHANGE_S) {
+            if now >= due || (changed && now >= sent + CHANGE_INTERVAL_S) {
                 return;
             }
             let next = if changed {
-                (sent + CHANGE_S).min(due)
+                (sent + CHANGE_INTERVAL_S).min(due)
             } else {
                 due
             };
@@ -790,8 +800,8 @@
         }
     }
 
-    fn answered(&self, fleet: &Fleet, sent: f64, session: u64, body: &[u8]) {
-        self.expire(fleet);
+    fn handle_reply(&self, fleet: &Fleet, sent: f64, session: u64, body: &[u8]) {
+        self.check_lease(fleet);
         let Ok(reply) = decode::<HeartbeatReply>(body) else {
             return;
         };
@@ -800,8 +810,8 @@
             if session != state.session || reply.token < state.token {
                 return;
             }
-            state.renewed = state.renewed.max(sent);
+            state.renewed_at = state.renewed_at.max(sent);
         }
-        self.obey(fleet, reply.token, &reply.commands);
+        self.execute(fleet, reply.token, &reply.commands);
     }
 }
--- a/crates/umbersail/src/rehearse.rs
+++ b/crates/umbersail/src/rehearse.rs
@@ -12,7 +12,7 @@
 use umbersail_rehearsal::experiment::{self, Experiment};
 use umbersail_rehearsal::paper;
 use umbersail_rehearsal::{
-    BUNDLED, Bundled, Night, NightError, Outcome, bundled, play, play_many, play_real, report,
+    BUNDLED, Bundled, Night, NightError, Outcome, bundled, play, play_many, report, run_real,
 };
 
 /// Returns the number of cores of this machine.
@@ -136,7 +136,7 @@
         let (scenario, outcome) = match &accelerated {
             Some(scenario) => (
                 scenario,
-                play_real(scenario, self.seed, &std::env::current_exe()?)?,
+                run_real(scenario, self.seed, &std::env::current_exe()?)?,
             ),
             None => (scenario, self.simulate(scenario, self.seed)?),
         };
