--- a/crates/umbersail-rehearsal/src/cancel_now.rs
+++ b/crates/umbersail-rehearsal/src/cancel_now.rs
@@ -1,4 +1,5 @@
-//! Many running jobs are cancelled at once, and some of their machines hang.
+//! Fault `cancel-now`: many running jobs are cancelled at once, and some of their machines may
+//! hang.
 
 use std::collections::BTreeMap;
 use std::rc::Rc;
@@ -12,14 +13,14 @@
 use crate::trouble::{Stage, name_of};
 use crate::user_faults::UserCommand;
 
-/// All are cancelled within so many seconds.
+/// All cancellations are sent within this many seconds.
 const CANCEL_SPREAD_S: f64 = 0.2;
-/// A job has long to go if a task of it goes on for so many seconds and more.
+/// Only jobs with a task that has at least this many seconds left are cancelled.
 const MIN_REMAINING_S: f64 = 30.0;
-/// So many machines hang at the most.
+/// Maximum number of machines that hang.
 const MAX_HUNG_MACHINES: usize = 8;
 
-/// A job that runs: how long its last task goes on, and where its tasks are.
+/// A running job: the longest time that a task has left, and the machines of its tasks.
 #[derive(Default)]
 struct RunningJob {
     remaining_s: f64,
@@ -27,8 +28,8 @@
 }
 
 impl Stage {
-    /// Cancels the job that the failure names, or as many as it says of those that have
-    /// the longest to go.
+    /// Cancels the job that the fault names or, if it names none, the given number of jobs that
+    /// have the longest time left.
     pub(crate) fn cancel_now(self: &Rc<Self>, failure: &Failure) {
         if let Some(job) = failure.job.clone() {
             let after_s = 0.0;
@@ -50,6 +51,7 @@
         }
     }
 
+    /// Returns at most `count` jobs that are not cancelled and have the longest time left.
     fn longest_running(&self, count: usize) -> Vec<(String, RunningJob)> {
         let now = self.world.now();
         let cancelled = self.fleet.cancelled.borrow();
@@ -70,7 +72,7 @@
         jobs
     }
 
-    /// Machines of these jobs hang and go on.
+    /// Freezes machines of these jobs for `hang_s` seconds.
     fn hang(self: &Rc<Self>, failure: &Failure, jobs: Vec<(String, RunningJob)>, hang_s: f64) {
         let machines = jobs.into_iter().flat_map(|(_, running)| running.machines);
         let by_name = machines.map(|m| (m.name.clone(), m));
--- a/crates/umbersail-rehearsal/src/cancellations.rs
+++ b/crates/umbersail-rehearsal/src/cancellations.rs
@@ -1,5 +1,4 @@
-//! Cancellations that the script of failures asks of users, each at a controller of
-//! its choice.
+//! Cancellations that a fault of the scenario requests from users, each at a chosen controller.
 
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
@@ -9,22 +8,22 @@
 use futures::future::{Either, select};
 use umbersail_runtime::{Notify, sleep};
 
-/// A user who waits before the next question, and may be asked to cancel instead.
+/// A user who waits before the next poll and can be requested to cancel instead.
 #[derive(Default)]
 struct IdleUser {
     controller: Cell<Option<usize>>,
     wake: Notify,
 }
 
-/// Users that can be asked to cancel their jobs.
+/// The waiting users, by job, who can be requested to cancel.
 #[derive(Default)]
 pub struct Cancellations {
     idle: RefCell<BTreeMap<String, Rc<IdleUser>>>,
 }
 
 impl Cancellations {
-    /// Waits for so many seconds, or until the job is to be cancelled: then the number
-    /// of the controller to ask is returned.
+    /// Waits for this many seconds or until a cancellation of the job is requested. In the
+    /// latter case, returns the index of the controller to send the cancellation to.
     pub async fn wait(&self, job: &str, seconds: f64) -> Option<usize> {
         let idle = Rc::new(IdleUser::default());
         self.idle.borrow_mut().insert(job.to_owned(), idle.clone());
@@ -37,14 +36,15 @@
         is_asked.then(|| idle.controller.get()).flatten()
     }
 
-    /// Jobs whose users wait, and have not been asked yet.
+    /// Returns the jobs whose users wait and have no request to cancel yet.
     pub fn idle_jobs(&self) -> Vec<String> {
         let idle = self.idle.borrow();
         let open = idle.iter().filter(|(_, i)| i.controller.get().is_none());
         open.map(|(job, _)| job.clone()).collect()
     }
 
-    /// The job's user shall cancel it at this controller, at once.
+    /// Requests that the job's user cancels the job at this controller at once. Does nothing if
+    /// the user does not wait.
     pub fn request_cancel(&self, job: &str, controller: usize) {
         if let Some(idle) = self.idle.borrow().get(job) {
             idle.controller.set(Some(controller));
--- a/crates/umbersail-rehearsal/src/delays.rs
+++ b/crates/umbersail-rehearsal/src/delays.rs
@@ -1,6 +1,6 @@
-//! Reports that come a second time: copies of what was delivered, sent on
-//! connections of their own after a while, as a network that holds packets back
-//! delivers them. Nobody waits for their answers.
+//! Injected message delays, and delayed duplicates of heartbeats: copies of delivered
+//! heartbeats that arrive again later on separate connections, as if the network had held
+//! packets back. No worker waits for the replies to these copies.
 
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
@@ -17,24 +17,28 @@
 use crate::history::{History, What};
 use crate::night::Failure;
 
-/// A copy's connection lasts so long at the most, in seconds.
+/// Timeout of connecting and of the reply when a copy is sent, in seconds.
 const CONNECTION_S: f64 = 4.0;
-/// Copies under way at once: what goes beyond is not copied, so that memory stays
+/// Maximum number of copies in flight. Further heartbeats are not copied, so that memory stays
 /// bounded on the largest fleets.
 const MAX_IN_FLIGHT: usize = 20_000;
-/// Copies of one machine's reports that are kept for the next leader.
+/// Number of heartbeat copies per machine that are kept for the next leader.
 const KEPT_PER_MACHINE: usize = 3;
 
-/// Which reports come again, and when.
+/// Selects the share of messages that a fault delays, and the range of the delay.
 #[derive(Debug, Clone, Copy)]
 pub struct DelayFault {
+    /// Probability that a message is affected.
     pub share: f64,
+    /// Shortest delay, in seconds.
     pub from_s: f64,
+    /// Longest delay, in seconds.
     pub to_s: f64,
 }
 
 impl DelayFault {
-    /// As a failure of the script has it.
+    /// Takes share and range from a fault of the scenario. By default all messages are affected,
+    /// and the delay is zero.
     pub fn new(failure: &Failure) -> DelayFault {
         DelayFault {
             share: failure.share.unwrap_or(1.0),
@@ -43,34 +47,39 @@
         }
     }
 
-    /// How many seconds late one comes, if it does.
+    /// Draws whether a message is affected, and returns its delay in seconds if so.
     pub fn draw(&self, rng: &mut (impl Rng + ?Sized)) -> Option<f64> {
-        let is_late = rng.random_bool(self.share);
-        is_late.then(|| rng.random_range(self.from_s..=self.to_s))
+        let is_delayed = rng.random_bool(self.share);
+        is_delayed.then(|| rng.random_range(self.from_s..=self.to_s))
     }
 }
 
-/// One copy: when it is due, by true time, where, and what.
+/// A heartbeat copy that is to be sent to the controller with index `node` at the time `due`,
+/// in simulation time.
 struct HeartbeatCopy {
     due: f64,
     node: usize,
     to: SocketAddr,
-    report: Heartbeat,
+    heartbeat: Heartbeat,
 }
 
-/// The place in the network where copies wait. It is a host of its own: a copy
-/// arrives whatever has become of the machine that sent the report.
+/// Makes, holds and sends heartbeat copies. The copies are sent from a separate host: each
+/// arrives even if the machine that sent the original heartbeat is gone by then.
 pub struct HeartbeatCopies {
-    late: Cell<Option<DelayFault>>,
-    /// Copies are kept for the next leader, and come so long after its election.
+    /// Which heartbeats are copied now, and after what delay the copies arrive.
+    delay: Cell<Option<DelayFault>>,
+    /// Which heartbeats are copied for the next leader, and after what delay from its election
+    /// the copies arrive.
     for_next_leader: Cell<Option<DelayFault>>,
+    /// Copies kept for the next leader, by machine.
+    /// Copies kept for the next leader, by machine.
     kept: RefCell<BTreeMap<String, Vec<Heartbeat>>>,
     host: Cell<Option<HostId>>,
     controllers: RefCell<Vec<SocketAddr>>,
-    /// Taken up by the host's routine as soon as they are there.
+    /// Copies that the task on the host has not picked up yet.
     new: Rc<RefCell<Vec<HeartbeatCopy>>>,
     in_flight: Rc<Cell<usize>>,
-    /// The newest report of each machine that was answered.
+    /// The newest acknowledged heartbeat of each machine.
     newest: Rc<RefCell<BTreeMap<String, Heartbeat>>>,
     history: History,
     wake: Rc<Notify>,
@@ -78,9 +87,11 @@
 }
 
 impl HeartbeatCopies {
+    /// Creates the component with both faults off.
+    /// Creates the component with both faults off.
     pub fn new(seed: u64, history: History) -> HeartbeatCopies {
         HeartbeatCopies {
-            late: Cell::new(None),
+            delay: Cell::new(None),
             for_next_leader: Cell::new(None),
             kept: RefCell::default(),
             host: Cell::new(None),
@@ -94,24 +105,29 @@
         }
     }
 
-    /// Where copies come from, once there were any.
+    /// Returns the host that sends the copies, if any fault was ever switched on.
     pub fn host(&self) -> Option<HostId> {
         self.host.get()
     }
 
-    /// From now on reports are copied.
-    pub fn begin(&self, world: &WorldHandle, controllers: &[SocketAddr], late: DelayFault) {
-        self.late.set(Some(late));
+    /// Starts to copy heartbeats.
+    pub fn begin(&self, world: &WorldHandle, controllers: &[SocketAddr], delay: DelayFault) {
+        self.delay.set(Some(delay));
         self.prepare(world, controllers);
     }
 
-    /// From now on copies of reports are kept for the next leader.
-    pub fn begin_keeping(&self, world: &WorldHandle, controllers: &[SocketAddr], late: DelayFault) {
-        self.for_next_leader.set(Some(late));
+    /// Starts to keep copies of heartbeats for the next leader.
+    pub fn begin_keeping(
+        &self,
+        world: &WorldHandle,
+        controllers: &[SocketAddr],
+        delay: DelayFault,
+    ) {
+        self.for_next_leader.set(Some(delay));
         self.prepare(world, controllers);
     }
 
-    /// The host that copies come from.
+    /// Adds the host that sends the copies, unless this was done before.
     fn prepare(&self, world: &WorldHandle, controllers: &[SocketAddr]) {
         if self.host.get().is_some() {
             return;
@@ -133,13 +149,14 @@
                     let wait = copy.due - clock.now();
                     spawn(async move {
                         sleep(wait.max(0.0)).await;
-                        // As it was when the copy came, not when it was answered.
-                        let came = compare(&copy, &newest.borrow());
+                        // Compare with the newest heartbeat at the time when the copy
+                        // arrives, not when the copy is answered.
+                        let to_event = compare(&copy, &newest.borrow());
                         let sent = spawned.now();
                         let status = send(&copy).await;
-                        if let Some(came) = came {
+                        if let Some(to_event) = to_event {
                             let took_s = spawned.now() - sent;
-                            history.add(came(status, (took_s * 1e6).round() / 1e6));
+                            history.add(to_event(status, (took_s * 1e6).round() / 1e6));
                         }
                         in_flight.set(in_flight.get() - 1);
                     });
@@ -149,49 +166,52 @@
         });
     }
 
-    /// No more copies are made; those under way arrive.
+    /// Stops copying. Copies in flight still arrive.
     pub fn end(&self) {
-        self.late.set(None);
+        self.delay.set(None);
     }
 
-    /// No more copies are kept, and those that were are dropped.
+    /// Stops keeping copies for the next leader, and drops the kept ones.
     pub fn end_keeping(&self) {
         self.for_next_leader.set(None);
         self.kept.borrow_mut().clear();
     }
 
-    /// Keeps the report for the next leader, in place of some other one of its machine
-    /// once there are enough.
-    fn keep(&self, report: &Heartbeat) {
-        let Some(late) = self.for_next_leader.get() else {
+    /// Keeps a copy for the next leader. If enough copies of this machine are kept, the new copy
+    /// replaces a randomly chosen one.
+    fn keep(&self, heartbeat: &Heartbeat) {
+        let Some(delay) = self.for_next_leader.get() else {
             return;
         };
         let mut rng = self.rng.borrow_mut();
-        if late.draw(&mut *rng).is_none() {
+        if delay.draw(&mut *rng).is_none() {
             return;
         }
         let mut kept = self.kept.borrow_mut();
-        let copies = kept.entry(report.machine.clone()).or_default();
+        let copies = kept.entry(heartbeat.machine.clone()).or_default();
         if copies.len() >= KEPT_PER_MACHINE {
             copies.swap_remove(rng.random_range(0..KEPT_PER_MACHINE));
         }
-        copies.push(report.clone());
+        copies.push(heartbeat.clone());
     }
 
-    /// A leader was elected: what was kept for it arrives, at all controllers at once.
+    /// Sends all kept copies, each to every controller at the same time. Called on an election.
     pub fn deliver_kept(&self, now: f64) {
-        let Some(late) = self.for_next_leader.get() else {
+        let Some(delay) = self.for_next_leader.get() else {
             return;
         };
         let controllers = self.controllers.borrow();
-        for report in self.kept.take().into_values().flatten() {
-            let after_s = self.rng.borrow_mut().random_range(late.from_s..=late.to_s);
+        for heartbeat in self.kept.take().into_values().flatten() {
+            let after_s = self
+                .rng
+                .borrow_mut()
+                .random_range(delay.from_s..=delay.to_s);
             for (node, to) in controllers.iter().enumerate() {
                 self.new.borrow_mut().push(HeartbeatCopy {
                     due: now + after_s,
                     node,
                     to: *to,
-                    report: report.clone(),
+                    heartbeat: heartbeat.clone(),
                 });
                 self.in_flight.set(self.in_flight.get() + 1);
             }
@@ -199,22 +219,23 @@
         self.wake.notify();
     }
 
-    /// A report was answered by one of the controllers.
-    pub fn observe(&self, world: &WorldHandle, node: usize, report: &Heartbeat) {
+    /// Notes a heartbeat that the controller with index `node` answered, and copies the heartbeat
+    /// if a fault selects it.
+    pub fn observe(&self, world: &WorldHandle, node: usize, heartbeat: &Heartbeat) {
         if self.host.get().is_none() {
             return;
         }
-        let machine = report.machine.clone();
-        self.newest.borrow_mut().insert(machine, report.clone());
-        self.keep(report);
-        let Some(late) = self.late.get() else {
+        let machine = heartbeat.machine.clone();
+        self.newest.borrow_mut().insert(machine, heartbeat.clone());
+        self.keep(heartbeat);
+        let Some(delay) = self.delay.get() else {
             return;
         };
         if self.in_flight.get() >= MAX_IN_FLIGHT {
             return;
         }
         let mut rng = self.rng.borrow_mut();
-        let Some(late_s) = late.draw(&mut *rng) else {
+        let Some(delay_s) = delay.draw(&mut *rng) else {
             return;
         };
         let controllers = self.controllers.borrow();
@@ -223,23 +244,23 @@
             false => rng.random_range(0..controllers.len()),
         };
         self.new.borrow_mut().push(HeartbeatCopy {
-            due: world.now() + late_s,
+            due: world.now() + delay_s,
             node,
             to: controllers[node],
-            report: report.clone(),
+            heartbeat: heartbeat.clone(),
         });
         self.in_flight.set(self.in_flight.get() + 1);
         self.wake.notify();
     }
 }
 
-/// How a copy stands to the newest report of its machine: the event, once the status
-/// of the answer is known.
+/// Compares a copy with the newest heartbeat of its machine. The returned function makes the
+/// history event from the status of the reply and the time that the reply took.
 fn compare(
     copy: &HeartbeatCopy,
     newest: &BTreeMap<String, Heartbeat>,
 ) -> Option<impl FnOnce(u16, f64) -> What + use<>> {
-    let (node, copy) = (copy.node, &copy.report);
+    let (node, copy) = (copy.node, &copy.heartbeat);
     let newest = newest.get(&copy.machine)?;
     let count = |of: &Heartbeat, is: &dyn Fn(&str) -> bool, exited: bool| {
         let tasks = of.tasks.iter();
@@ -266,8 +287,8 @@
     })
 }
 
-/// Sends it, for the status of the answer. The report was answered when it came
-/// first: nobody reads what is said now.
+/// Sends a copy and returns the status of the reply, or 0 without a reply. The body of the
+/// reply is ignored, because the worker already has the reply to the original heartbeat.
 async fn send(copy: &HeartbeatCopy) -> u16 {
     let client = Client::new(ClientLimits {
         max_body_bytes: 64 << 10,
@@ -276,7 +297,7 @@
         max_total: 1,
         connect_timeout_s: CONNECTION_S,
     });
-    let body = encode(&copy.report);
+    let body = encode(&copy.heartbeat);
     let answer = client
         .request(copy.to, "POST", paths::HEARTBEAT, &body, CONNECTION_S)
         .await;
@@ -291,7 +312,7 @@
     use umbersail_runtime::{NetworkConfig, Simulation, TcpListener};
     use umbersail_wire::decode;
 
-    fn report(seq: u64) -> Heartbeat {
+    fn heartbeat(seq: u64) -> Heartbeat {
         Heartbeat {
             machine: "m1".into(),
             addr: String::new(),
@@ -307,24 +328,24 @@
     }
 
     #[test]
-    fn copies_come_in_their_time_at_any_controller_and_outlive_the_trouble() {
-        // Guards against copies that come at once, or only where the report went,
-        // or that end with the trouble that made them.
+    fn delayed_copies_arrive_at_any_controller_and_outlive_the_fault() {
+        // Guards against copies that arrive at once, that only reach the controller that
+        // received the original, or that are dropped when the fault ends.
         let simulation = Simulation::new(3, NetworkConfig::default());
         let world = simulation.world();
         let seen: Rc<RefCell<Vec<(usize, f64)>>> = Rc::default();
-        let told = seen.clone();
+        let received = seen.clone();
         let played = simulation.block_on(async move {
             let at = Addresses { simulated: true };
             let controllers: Vec<SocketAddr> = (0..3).map(|n| at.client_addr(n)).collect();
             for (n, front) in controllers.iter().enumerate() {
                 let host = world.add_host(HostSpec::new(format!("n{n}"), at.ip(0, 0, n as u8 + 1)));
-                let (front, told, clock) = (*front, told.clone(), world.clone());
+                let (front, received, clock) = (*front, received.clone(), world.clone());
                 let handler: Handler = Rc::new(move |request| {
                     assert_eq!(request.path(), paths::HEARTBEAT);
                     let came: Heartbeat = decode(&request.body).unwrap();
-                    assert_eq!(came, report(3));
-                    told.borrow_mut().push((n, clock.now()));
+                    assert_eq!(came, heartbeat(3));
+                    received.borrow_mut().push((n, clock.now()));
                     Box::pin(async { Response::empty(200) })
                 });
                 world.start(host, async move {
@@ -333,25 +354,26 @@
             }
             let history = History::new(world.clone());
             let late = HeartbeatCopies::new(5, history.clone());
-            late.observe(&world, 0, &report(1));
+            late.observe(&world, 0, &heartbeat(1));
             let wanted = DelayFault {
                 share: 1.0,
                 from_s: 2.0,
                 to_s: 30.0,
             };
             late.begin(&world, &controllers, wanted);
-            (0..60).for_each(|_| late.observe(&world, 1, &report(3)));
+            (0..60).for_each(|_| late.observe(&world, 1, &heartbeat(3)));
             late.end();
-            late.observe(&world, 1, &report(9));
+            late.observe(&world, 1, &heartbeat(9));
             sleep(60.0).await;
             history.take()
         });
-        let told = played.unwrap();
+        let events = played.unwrap();
         let seen = seen.borrow();
         assert_eq!(seen.len(), 60);
-        // The history tells each with its answer, and what was newer by then.
-        assert_eq!(told.len(), 60);
-        assert!(told.iter().all(|e| matches!(
+        // The history has each copy with the status of its reply and the newest heartbeat by
+        // then.
+        assert_eq!(events.len(), 60);
+        assert!(events.iter().all(|e| matches!(
             &e.what,
             What::LateReport {
                 status: 200,
@@ -370,11 +392,11 @@
     }
 
     #[test]
-    fn copies_kept_for_the_next_leader_come_at_all_controllers_after_its_election() {
-        // Guards against copies that come without an election, or at one controller.
+    fn copies_kept_for_the_next_leader_arrive_at_all_controllers_after_its_election() {
+        // Guards against copies that arrive without an election, or at one controller only.
         let simulation = Simulation::new(3, NetworkConfig::default());
         let world = simulation.world();
-        let told = simulation.block_on(async move {
+        let events = simulation.block_on(async move {
             let at = Addresses { simulated: true };
             let controllers: Vec<SocketAddr> = (0..3).map(|n| at.client_addr(n)).collect();
             let history = History::new(world.clone());
@@ -385,7 +407,7 @@
                 to_s: 2.0,
             };
             late.begin_keeping(&world, &controllers, kept);
-            (1..40).for_each(|seq| late.observe(&world, 1, &report(seq)));
+            (1..40).for_each(|seq| late.observe(&world, 1, &heartbeat(seq)));
             sleep(20.0).await;
             late.deliver_kept(world.now());
             sleep(20.0).await;
@@ -393,9 +415,9 @@
             sleep(20.0).await;
             history.take()
         });
-        let told = told.unwrap();
-        assert_eq!(told.len(), KEPT_PER_MACHINE * 3);
-        for event in &told {
+        let events = events.unwrap();
+        assert_eq!(events.len(), KEPT_PER_MACHINE * 3);
+        for event in &events {
             let What::LateReport { took_s, .. } = &event.what else {
                 panic!("{event:?}");
             };
@@ -403,7 +425,7 @@
         }
         for node in 0..3 {
             let here = |e: &&crate::history::Event| matches!(e.what, What::LateReport { node: n, .. } if n == node);
-            assert_eq!(told.iter().filter(here).count(), KEPT_PER_MACHINE);
+            assert_eq!(events.iter().filter(here).count(), KEPT_PER_MACHINE);
         }
     }
 }
--- a/crates/umbersail-rehearsal/src/grants.rs
+++ b/crates/umbersail-rehearsal/src/grants.rs
@@ -1,4 +1,4 @@
-//! Machines that the grant's records name, as the state service takes them in.
+//! Records which machines the fleet grant names, from the writes to the key-value store.
 
 use std::cell::RefCell;
 use std::collections::BTreeSet;
@@ -7,17 +7,17 @@
 
 use crate::history::{History, What};
 
-/// Parts of the grant stand under this prefix, as the controllers write them.
+/// Key prefix of the records that make up the fleet grant, as the controllers write them.
 const GRANT_PARTS: &str = "grants/fleet/";
 
-/// Adds each machine to the history that a part of the grant names for the first time.
+/// Adds a machine to the history when a grant record names it for the first time.
 #[derive(Default)]
 pub struct GrantWatch {
     named: RefCell<BTreeSet<String>>,
 }
 
 impl GrantWatch {
-    /// A transaction was applied.
+    /// Examines a transaction that the key-value store applied.
     pub fn applied(&self, history: &History, txn: &Txn<Value>) {
         for change in &txn.changes {
             let Change::Put { key, value, .. } = change else {
@@ -35,7 +35,7 @@
     }
 }
 
-/// The names of a part's machines.
+/// Returns the names of the machines in a grant record.
 fn machines(part: &Value) -> Vec<String> {
     let machines = field(part, "machines").and_then(Value::as_array);
     let names = machines.into_iter().flatten();
--- a/crates/umbersail-rehearsal/src/query_bursts.rs
+++ b/crates/umbersail-rehearsal/src/query_bursts.rs
@@ -1,5 +1,5 @@
-//! Close looks: a job is asked about at all controllers within milliseconds, and its
-//! submission is repeated there.
+//! Fault `close-looks`: all controllers are polled for a job within milliseconds, and some
+//! receive the job's submission again. This shows whether controllers give different answers.
 
 use std::rc::Rc;
 
@@ -12,38 +12,38 @@
 use crate::history::What;
 use crate::users::{Users, stage};
 
-/// Every controller is asked so many times.
+/// Number of requests to each controller per burst.
 const ROUNDS: usize = 3;
-/// From one question to the next, in seconds.
+/// Time from one request to the next, in seconds.
 const GAP_S: std::ops::RangeInclusive<f64> = 0.001..=0.02;
-/// This share of the questions is a repeated submission.
+/// Share of the requests that repeat the submission instead of polling.
 const REPEAT_SHARE: f64 = 0.3;
-/// Users wait so long for an answer to a poll, and to a submission (PROTOCOL).
+/// Timeouts of a poll and of a submission, in seconds (PROTOCOL).
 const POLL_TIMEOUT_S: f64 = 2.0;
 const SUBMIT_TIMEOUT_S: f64 = 5.0;
 
 impl Users {
-    /// Asks all controllers, in an order of its own each round, and waits for no answer
-    /// before the next question.
+    /// Sends the burst for a job, `after_s` seconds from now: in each round one request to every
+    /// controller in random order, without waiting for replies in between.
     pub(crate) async fn query_all_controllers(self: Rc<Self>, job: String, after_s: f64) {
         let Some(spec) = self.spec_of(&job) else {
             return;
         };
-        let mut questions = Vec::new();
+        let mut requests = Vec::new();
         let mut after_s = after_s;
         for _ in 0..ROUNDS {
             let mut order: Vec<usize> = (0..self.nodes().len()).collect();
             self.faults.draw_random(|rng| order.shuffle(rng));
             for node in order {
                 let repeats = self.faults.draw_random(|rng| rng.random_bool(REPEAT_SHARE));
-                questions.push(self.ask_after(after_s, node, &spec, repeats));
+                requests.push(self.send_after(after_s, node, &spec, repeats));
                 after_s += self.faults.draw_random(|rng| rng.random_range(GAP_S));
             }
         }
-        join_all(questions).await;
+        join_all(requests).await;
     }
 
-    async fn ask_after(&self, after_s: f64, node: usize, spec: &JobSpec, repeats: bool) {
+    async fn send_after(&self, after_s: f64, node: usize, spec: &JobSpec, repeats: bool) {
         sleep(after_s).await;
         match repeats {
             true => self.repeat_at(node, spec).await,
@@ -56,7 +56,8 @@
         let exchange = self
             .send_to(node, "GET", &target, b"", POLL_TIMEOUT_S)
             .await;
-        // That one controller does not answer is no silence: its user asks elsewhere.
+        // Other results are not recorded: if one controller does not answer, the user polls
+        // another one, so this does not count as silence.
         if let Some(exchange) =
             exchange.filter(|exchange| matches!(exchange.answer.status, 200 | 404))
         {
@@ -69,6 +70,7 @@
         }
     }
 
+    /// Submits the job again at this controller and records the reply.
     pub(crate) async fn repeat_at(&self, node: usize, spec: &JobSpec) {
         let body = encode(spec);
         let exchange = self
--- a/crates/umbersail-rehearsal/src/worker.rs
+++ b/crates/umbersail-rehearsal/src/worker.rs
@@ -1,5 +1,5 @@
-//! The stand-in for a worker: its lease and token, its tasks, its images, and
-//! its reports, by the published protocol.
+//! Simulated worker: lease, fencing token, tasks, cached images and heartbeats, as PROTOCOL
+//! specifies them.
 
 use std::cell::{Cell, RefCell};
 use std::cmp::Ordering;
@@ -22,17 +22,17 @@
 use crate::kv_store_host::{answer, wide_limits};
 use crate::night::MachineKind;
 
-/// A worker waits so long for an answer to its report (PROTOCOL).
+/// Timeout of a heartbeat, in seconds (PROTOCOL).
 const REPLY_TIMEOUT_S: f64 = 4.0;
-/// A command to a deaf worker is held so long, and then dropped: longer than any
-/// controller waits for an answer.
+/// A request to an unreachable worker is dropped after this many seconds. This is longer than
+/// any controller waits for a reply.
 const UNREACHABLE_HOLD_S: f64 = 30.0;
-/// The bits of a token from here on up tell leaders apart.
+/// Position of the lowest token bit that identifies the leader's term.
 const LEADER_TERM_SHIFT: u32 = 16;
-/// Reports on a change come no more often than this.
+/// Shortest interval between heartbeats that are sent because something changed, in seconds.
 const CHANGE_INTERVAL_S: f64 = 0.5;
 
-/// A task on its machine.
+/// An attempt to run a task on this worker.
 struct Task {
     state: TaskState,
     cause: Option<ExitCause>,
@@ -40,10 +40,11 @@
     cpus: f64,
     memory_gb: f64,
     image: String,
-    /// When the state ends by itself, in true time.
+    /// When the running or saving state ends by itself, in simulation time.
     due: f64,
-    /// When it began to run, and the progress that it had then.
+    /// When the attempt began to run.
     began: f64,
+    /// Progress that was saved before the attempt began to run, in seconds.
     before: f64,
 }
 
@@ -51,17 +52,19 @@
     session: u64,
     seq: u64,
     token: u64,
-    /// Sending time of the last answered report, in true time.
+    /// When the last acknowledged heartbeat was sent, in simulation time. The lease runs from here.
     renewed_at: f64,
     notice_until: Option<f64>,
     tasks: BTreeMap<(String, u32, u64), Task>,
-    /// Images with sizes, the newest last, and fetches under way with their ends.
+    /// Cached images with their sizes in GB, the newest last.
     images: Vec<(String, f64)>,
+    /// Fetches in progress and when each ends; infinity if the image store decides.
     fetches: BTreeMap<String, f64>,
+    /// Whether anything changed since the last heartbeat.
     changed: bool,
 }
 
-/// One worker on its host.
+/// A simulated worker on its host.
 pub struct Worker {
     name: String,
     kind: MachineKind,
@@ -70,20 +73,22 @@
     addr: SocketAddr,
     speed: f64,
     clock_rate: f64,
-    /// Fails every task that it starts.
+    /// Every task that starts here fails.
     pub faulty: Cell<bool>,
-    /// Runs its tasks so many times slower.
+    /// Factor on the run time of tasks.
     pub slowdown: Cell<f64>,
-    /// Its reports arrive, and nothing reaches it.
+    /// Heartbeats arrive at controllers, but neither replies nor commands reach the worker.
     pub unreachable: Cell<bool>,
-    /// Reaches no controller, and is reached.
+    /// Connections to controllers fail, while commands reach the worker.
     pub cannot_send: Cell<bool>,
     state: RefCell<State>,
-    /// Raised whenever something changes.
+    /// Notified whenever the state changes.
     wake: Broadcast,
 }
 
 impl Worker {
+    /// Creates a worker without a session; [`Worker::run`] starts it. `speed` is a factor on the
+    /// progress of tasks, `clock_rate` that of the worker's clock.
     pub fn new(
         name: &str,
         kind: &MachineKind,
@@ -120,7 +125,8 @@
         })
     }
 
-    /// The worker's process: a new session, without tasks and images.
+    /// Runs the worker process in a new session, without cached images. The first heartbeat goes
+    /// to the controller with index `first`.
     pub async fn run(self: Rc<Self>, fleet: Rc<Fleet>, first: usize) {
         {
             let mut state = self.state.borrow_mut();
@@ -134,7 +140,7 @@
                 let (worker, fleet) = (worker.clone(), known.clone());
                 Box::pin(async move {
                     if worker.unreachable.get() {
-                        // Lost on its way: whoever asked has long given up.
+                        // The request is lost: its sender has timed out before this reply.
                         sleep(UNREACHABLE_HOLD_S).await;
                         return Response::empty(503);
                     }
@@ -159,7 +165,7 @@
         }
     }
 
-    /// CPUs that running tasks use, and whether anything runs.
+    /// Returns the CPUs that running tasks use.
     pub fn cpus_in_use(&self) -> f64 {
         let state = self.state.borrow();
         let running = state
@@ -169,7 +175,7 @@
         running.map(|t| t.cpus).sum()
     }
 
-    /// Tasks on the machine.
+    /// Returns the number of attempts on the machine that have not exited.
     pub fn active(&self) -> usize {
         let state = self.state.borrow();
         state
@@ -179,14 +185,14 @@
             .count()
     }
 
-    /// Jobs that have running tasks here.
+    /// Returns the jobs that have running tasks here.
     pub fn running_jobs(&self) -> BTreeSet<String> {
         let state = self.state.borrow();
         let running = (state.tasks.iter()).filter(|(_, t)| t.state == TaskState::Running);
         running.map(|((job, ..), _)| job.clone()).collect()
     }
 
-    /// The cloud takes the machine away in so many seconds.
+    /// Sets or clears the time at which the cloud will reclaim the spot instance.
     pub fn set_notice(&self, until: Option<f64>) {
         let mut state = self.state.borrow_mut();
         state.notice_until = until;
@@ -195,7 +201,7 @@
         self.wake.notify_all();
     }
 
-    /// Jobs whose tasks run here, and how long each goes on, in seconds.
+    /// Returns the job and the remaining seconds of each running task.
     pub fn running(&self, now: f64) -> Vec<(String, f64)> {
         let state = self.state.borrow();
         let runs = state
@@ -205,7 +211,8 @@
         runs.map(|(key, t)| (key.0.clone(), t.due - now)).collect()
     }
 
-    /// Time that the machine hung is no run time.
+    /// Shifts the times of tasks and fetches by the time that the machine hung, during which
+    /// nothing made progress.
     pub fn shift_times(&self, seconds: f64) {
         let mut state = self.state.borrow_mut();
         for task in state.tasks.values_mut() {
@@ -217,7 +224,7 @@
         }
     }
 
-    /// Every task ends here; what was saved stays.
+    /// Ends all tasks and fetches on this machine. Saved progress is kept.
     pub fn lose_all(&self, fleet: &Fleet, how: End) {
         let keys: Vec<(String, u32, u64)> = {
             let state = self.state.borrow();
@@ -239,14 +246,14 @@
         }
     }
 
-    /// The image is not here any more, or will not be.
+    /// Tells the image store that this machine no longer holds or fetches the image.
     fn release_image(&self, fleet: &Fleet, image: &str) {
         if let Some(store) = &fleet.store {
             store.release(fleet.world.now(), self.addr, image);
         }
     }
 
-    /// All of the image has come, from wherever it was sent.
+    /// The image store reports that all pieces of the image have arrived.
     pub fn received(&self, now: f64, image: &str) {
         if let Some(end) = self.state.borrow_mut().fetches.get_mut(image) {
             *end = now;
@@ -254,7 +261,7 @@
         self.wake.notify_all();
     }
 
-    /// Ends the session if its lease is over, by the worker's own clock.
+    /// Ends the session and all its tasks if the lease has expired by the worker's own clock.
     pub fn check_lease(&self, fleet: &Fleet) {
         let now = fleet.world.now();
         let over = {
@@ -270,6 +277,7 @@
         }
     }
 
+    /// Returns when the next task or fetch ends.
     fn next_due(&self) -> Option<f64> {
         let state = self.state.borrow();
         let timed = |t: &&Task| matches!(t.state, TaskState::Running | TaskState::Saving);
@@ -279,7 +287,7 @@
             .reduce(f64::min)
     }
 
-    /// Brings tasks and fetches up to now.
+    /// Ends the tasks and fetches that are due by now.
     fn advance(&self, fleet: &Fleet) {
         let now = fleet.world.now();
         let fetched: Vec<String> = {
@@ -309,6 +317,8 @@
         }
     }
 
+    /// Adds a fetched image to the cache, evicts the oldest images if the cache is full, and
+    /// starts the tasks that waited for this image.
     fn fetched(&self, fleet: &Fleet, image: &str) {
         let mut state = self.state.borrow_mut();
         state.fetches.remove(image);
@@ -334,7 +344,7 @@
         }
     }
 
-    /// The task has its image: it runs from now on.
+    /// Starts to run a task whose image is in the cache.
     fn start_task(&self, fleet: &Fleet, key: &(String, u32, u64)) {
         let now = fleet.world.now();
         let (job, number, attempt) = key;
@@ -370,6 +380,8 @@
         self.wake.notify_all();
     }
 
+    /// Ends an attempt: keeps its result or its saved progress, and records how much of its run
+    /// time was useful.
     fn exit(
         &self,
         fleet: &Fleet,
@@ -480,7 +492,7 @@
         }
     }
 
-    /// Commands sent straight here.
+    /// Handles a request that a controller sent directly to the worker.
     fn handle_direct(&self, fleet: &Fleet, request: &Request) -> Response {
         self.check_lease(fleet);
         match (request.method.as_str(), request.path()) {
@@ -502,7 +514,7 @@
         }
     }
 
-    /// Commands that arrive at once; the network may hold up their answer.
+    /// Handles a request without delay; a fault may delay the reply.
     async fn handle_direct_now(&self, fleet: &Fleet, request: &Request) -> Response {
         let held = match request.path() {
             paths::WORKER_COMMANDS => fleet.command_reply_delay.get(),
@@ -520,7 +532,7 @@
         response
     }
 
-    /// Commands that the network held up: whoever sent them has given up, as a rule.
+    /// Handles commands after a network delay. In most cases the sender has timed out by then.
     async fn handle_direct_late(&self, fleet: &Fleet, request: &Request, held_s: f64) -> Response {
         sleep(held_s).await;
         self.check_lease(fleet);
@@ -686,7 +698,7 @@
         let image = task.image.clone();
         drop(state);
         self.exit(fleet, key, ExitCause::Stopped, End::Stopped, false);
-        // A fetch that nobody waits for is given up.
+        // Cancel the fetch if no other task waits for the image.
         let mut state = self.state.borrow_mut();
         let wanted = state
             .tasks
@@ -717,7 +729,7 @@
                 (fleet.world.now(), state.session)
             };
             if self.cannot_send.get() {
-                // Refused at once, or never accepted.
+                // A connection is refused at once, or its attempt times out.
                 client = Client::new(limits.clone());
                 node = (node + 1) % nodes.len();
                 let is_refused = random(|rng| rng.random_bool(0.5));
@@ -741,8 +753,8 @@
             let mut pause = None;
             match reply {
                 Ok(_) if self.unreachable.get() => {
-                    // It was heard and hears nothing: it waits, gives the connection
-                    // up and tries the next node.
+                    // The controller received the heartbeat, but its reply is lost: the
+                    // worker times out and tries the next controller on a new connection.
                     sleep(sent + REPLY_TIMEOUT_S - fleet.world.now()).await;
                     client = Client::new(limits.clone());
                     node = (node + 1) % nodes.len();
@@ -779,8 +791,8 @@
         }
     }
 
-    /// Until the next report is due, or half a second after the last one if
-    /// something changed.
+    /// Waits until the next heartbeat is due: after the usual interval, or half a second
+    /// after the last heartbeat if something changed.
     async fn wait_for_next_heartbeat(&self, fleet: &Fleet, sent: f64) {
         let report_s = fleet.night.workers.report_s;
         let due = sent + random(|rng| rng.random_range(0.75..1.25)) * report_s;
