--- a/crates/umbersail-rehearsal/src/fleet.rs
+++ b/crates/umbersail-rehearsal/src/fleet.rs
@@ -1,4 +1,4 @@
-//! The stand-ins for the cloud and for the machines that it rents.
+//! Simulated cloud provider and the machines rented from it.
 
 use std::cell::{Cell, RefCell};
 use std::collections::{BTreeMap, BTreeSet};
@@ -27,18 +27,20 @@
 use crate::user_faults::Completions;
 use crate::worker::Worker;
 
-/// What only its tasks know of a job.
+/// A submitted job and the actual behaviour of its tasks, which controllers do not know.
 #[derive(Debug, Clone)]
 pub struct SimulatedJob {
+    /// The job as submitted.
     pub spec: JobSpec,
-    /// Median run time of its tasks.
+    /// Median run time of a task, in seconds.
     pub run_s: f64,
+    /// Sigma of the log-normal distribution of task run times.
     pub sigma: f64,
-    /// Submitted with a mistake: its tasks fail on every machine.
+    /// Whether the submission contains a mistake, so that its tasks fail on every machine.
     pub mistaken: bool,
 }
 
-/// A machine that was rented.
+/// A rented machine. Times are in simulation time.
 pub struct Machine {
     pub name: String,
     pub kind: usize,
@@ -48,35 +50,39 @@
     pub addr: SocketAddr,
     pub rented_at: f64,
     pub up_at: Cell<Option<f64>>,
-    /// It stopped on its own.
+    /// When the machine failed by itself.
     pub failed_at: Cell<Option<f64>>,
-    /// It was deleted or taken.
+    /// When the machine was deleted or reclaimed.
     pub gone_at: Cell<Option<f64>>,
     pub worker: Rc<Worker>,
 }
 
 impl Machine {
+    /// Whether the machine has booted, and neither failed nor was deleted.
     pub fn is_up(&self) -> bool {
         self.up_at.get().is_some() && self.failed_at.get().is_none() && self.gone_at.get().is_none()
     }
 }
 
-/// Where boots are quick a new machine is up after so many seconds.
+/// Boot time of a new machine while the fault `boots-quick` is active, in seconds.
 const QUICK_BOOT_S: RangeInclusive<f64> = 1.0..=2.0;
 
-/// What the script of failures may turn.
+/// Parameters of the cloud that injected faults change.
 #[derive(Debug)]
 pub struct Parameters {
+    /// Factor on boot times.
     pub boot_factor: Cell<f64>,
+    /// New machines never boot.
     pub boots_never: Cell<bool>,
-    /// New machines are up within [`QUICK_BOOT_S`].
+    /// New machines boot within [`QUICK_BOOT_S`].
     pub boots_quick: Cell<bool>,
-    /// Rentals are carried out at once and answered later.
+    /// Rentals are executed at once, but their replies are delayed.
     pub rental_delay: Cell<Option<DelayFault>>,
+    /// Share of the capacity of each machine type that can be rented.
     pub capacity_share: Cell<f64>,
 }
 
-/// The cloud, its machines, and the jobs that run on them.
+/// The simulated cloud, its machines, and the jobs that run on them.
 pub struct Fleet {
     pub world: WorldHandle,
     pub history: History,
@@ -84,26 +90,30 @@
     pub parameters: Parameters,
     pub machines: RefCell<BTreeMap<String, Rc<Machine>>>,
     pub jobs: RefCell<BTreeMap<String, SimulatedJob>>,
-    /// Tasks whose result is kept, and progress that was saved, in seconds.
+    /// Tasks that have a result, by job and task number.
     pub results: RefCell<BTreeSet<(String, u32)>>,
+    /// Saved progress of tasks, in seconds.
     pub saved: RefCell<BTreeMap<(String, u32), f64>>,
+    /// Money spent on machines so far.
     pub spent: Cell<f64>,
-    /// Jobs that nobody wants any more.
+    /// Jobs whose cancellation was requested.
     pub cancelled: RefCell<BTreeSet<String>>,
-    /// Jobs whose last task completed.
+    /// Jobs whose last task has completed.
     pub completions: Completions,
-    /// Where images come from, if it is one place for all.
+    /// The image store that all machines share. Without one, each machine fetches at its own
+    /// rate.
     pub store: Option<Rc<ImageStore>>,
-    /// Reports that come a second time.
+    /// Delayed duplicates of heartbeats.
     pub heartbeat_copies: HeartbeatCopies,
-    /// Direct commands that are held up, and for how long.
+    /// Which direct commands are delayed, and for how long.
     pub command_delay: Cell<Option<DelayFault>>,
-    /// Answers to direct commands that are held up.
+    /// Which replies to direct commands are delayed, and for how long.
     pub command_reply_delay: Cell<Option<DelayFault>>,
     fronts: Vec<SocketAddr>,
     members: Vec<String>,
+    /// Machines by rental request, so that a repeated request returns the same machines.
     rentals: RefCell<BTreeMap<String, Vec<String>>>,
-    /// Machines that a list has named.
+    /// Machines that a machine list has named.
     listed: RefCell<BTreeSet<String>>,
     bucket: RefCell<TokenBucket>,
     rng: RefCell<ChaCha8Rng>,
@@ -111,6 +121,7 @@
 }
 
 impl Fleet {
+    /// Creates the cloud without machines; `controllers` are names and addresses.
     pub fn new(
         world: WorldHandle,
         history: History,
@@ -152,14 +163,17 @@
         })
     }
 
+    /// Returns the type of a machine.
     pub fn kind(&self, machine: &Machine) -> &MachineKind {
         &self.night.machines[machine.kind]
     }
 
+    /// Returns the addresses at which controllers serve workers.
     pub fn fronts(&self) -> &[SocketAddr] {
         &self.fronts
     }
 
+    /// Returns the index of the controller with this member name.
     pub fn member(&self, name: &str) -> Option<usize> {
         self.members.iter().position(|m| m == name)
     }
@@ -169,7 +183,8 @@
         self.jobs.borrow().get(job).is_some_and(|j| j.mistaken)
     }
 
-    /// A task has its result: whether that was the last one is told to who watches.
+    /// Called when a task of the job gets its result. If this was the last one and completions
+    /// are watched, the job is added to them.
     pub fn has_result(&self, job: &str) {
         if !self.completions.is_watched.get() {
             return;
@@ -181,7 +196,8 @@
         }
     }
 
-    /// How long a task runs on a machine of usual speed.
+    /// Returns the run time of a task on a machine of normal speed. The value depends on job and
+    /// task number only, so that every attempt has the same run time.
     pub fn run_s(&self, job: &str, task: u32) -> f64 {
         let jobs = self.jobs.borrow();
         let Some(truth) = jobs.get(job) else {
@@ -198,13 +214,14 @@
         }
     }
 
-    /// Machines that are up, by name.
+    /// Returns the machines that are up, in order of their names.
     pub fn up(&self) -> Vec<Rc<Machine>> {
         let machines = self.machines.borrow();
         machines.values().filter(|m| m.is_up()).cloned().collect()
     }
 
-    /// Tasks of wanted jobs that have no result and run nowhere.
+    /// Returns the number of tasks that have no result and are on no machine, without those of
+    /// cancelled jobs.
     pub fn waiting(&self) -> u32 {
         let (jobs, cancelled) = (self.jobs.borrow(), self.cancelled.borrow());
         let wanted = |job: &String| !cancelled.contains(job);
@@ -216,7 +233,7 @@
         tasks.saturating_sub((done + active) as u32)
     }
 
-    /// Machines that are up at the start.
+    /// Creates the machines that are up at the start of the scenario.
     pub fn begin(self: &Rc<Self>) {
         for index in 0..self.night.machines.len() {
             let kind = &self.night.machines[index];
@@ -273,7 +290,7 @@
         machine
     }
 
-    /// The machine is up, and its worker starts.
+    /// Marks the machine as up and starts its worker.
     pub fn boot(self: Rc<Self>, machine: Rc<Machine>) {
         machine.up_at.set(Some(self.world.now()));
         self.history.add(What::Up {
@@ -284,6 +301,7 @@
         world.start(host, machine.worker.clone().run(self, first));
     }
 
+    /// Boots a rented machine after a random time, unless the machine is one that never boots.
     fn boot_later(self: &Rc<Self>, machine: Rc<Machine>) {
         let cloud = &self.night.cloud;
         let mut rng = self.rng.borrow_mut();
@@ -310,13 +328,13 @@
         });
     }
 
-    /// It stops with all that is on it; the list tells 30 s later.
+    /// The machine fails and all its tasks are lost. The machine list shows the failure 30 s later.
     pub fn fail(&self, machine: &Machine) {
         machine.failed_at.set(Some(self.world.now()));
         self.halt(machine, "stopped");
     }
 
-    /// Deleted, or taken back: gone with everything on it.
+    /// Deletes or reclaims the machine; all its tasks are lost. At least 60 s are charged.
     pub fn remove(&self, machine: &Machine, why: &str) {
         if machine.gone_at.get().is_some() {
             return;
@@ -346,7 +364,7 @@
         self.spent.set(self.spent.get() + money);
     }
 
-    /// The current price of a second.
+    /// Returns the current price of the machine per second.
     fn price_of(&self, machine: &Machine) -> f64 {
         let kind = self.kind(machine);
         let hourly = match kind.spot_price {
@@ -356,13 +374,14 @@
         hourly / 3600.0
     }
 
-    /// Spot prices swing by up to a third, each type in its own rhythm.
+    /// Returns the current factor on the spot price. Spot prices vary by up to a third, with a
+    /// different period for each machine type.
     fn spot_factor(&self, kind: usize) -> f64 {
         let phase = self.world.now() / (180.0 + 37.0 * kind as f64);
         1.0 + (phase + kind as f64).sin() / 3.0
     }
 
-    /// Charges what is rented, once a second.
+    /// Charges all rented machines once a second.
     pub async fn charge(self: Rc<Self>) {
         loop {
             sleep(1.0).await;
@@ -376,7 +395,7 @@
         }
     }
 
-    /// Kills what runs past its worker's lease, also where nothing can run.
+    /// Ends the tasks of workers whose lease has expired, also on frozen machines.
     pub async fn watch_leases(self: Rc<Self>) {
         loop {
             sleep(0.1).await;
@@ -404,7 +423,7 @@
         serve(listener, wide_limits(), handler).await;
     }
 
-    /// Holds the answer to a rental up for as long as the script says.
+    /// Delays the reply to a rental if a fault says so, and records the reply.
     async fn answer_rental(&self, response: &Response) {
         let Ok(names) = decode::<MachineNames>(&response.body) else {
             return;
@@ -472,6 +491,7 @@
         }
     }
 
+    /// Rents machines, as far as capacity allows. A repeated request gets the same reply again.
     fn rent(self: &Rc<Self>, wanted: &RentRequest) -> Response {
         if let Some(known) = self.rentals.borrow().get(&wanted.request) {
             let machines = known.clone();
@@ -514,7 +534,7 @@
         answer(200, &MachineNames { machines: names })
     }
 
-    /// Machines as they stood some time ago.
+    /// Returns a page of the machine list. The list lags: it shows the state of some seconds ago.
     fn list(&self, from: &str, most: usize) -> MachineList {
         let lag = self.night.cloud.list_lag_s * self.rng.borrow_mut().random_range(0.8..1.6);
         let then = self.world.now() - lag;
--- a/crates/umbersail-rehearsal/src/image_store.rs
+++ b/crates/umbersail-rehearsal/src/image_store.rs
@@ -1,9 +1,9 @@
-//! The stand-in for the store of images and for machines that hand them on: who
-//! sends which piece to whom, and how long that takes.
+//! Simulated image store and peer-to-peer transfer of images between machines: which source
+//! sends which piece to which machine, and how long each transfer takes.
 //!
-//! A sender sends one piece at a time, at its up rate, to its readers in turn; what
-//! comes to a machine shares its down rate. The store sends at its own rate. Time is
-//! passed in, so that it serves nights and models alike.
+//! A source sends one piece at a time at its upload rate, to its readers in round-robin order.
+//! All pieces that a machine receives share its download rate. The store has a rate of its own.
+//! Time is passed in, so that [`Swarm`] also works outside a simulated world.
 
 use std::cell::{Cell, RefCell};
 use std::cmp::Reverse;
@@ -19,18 +19,18 @@
 use crate::night::Store;
 use crate::worker::Worker;
 
-/// A reader knows within so many seconds that its holder is gone.
+/// Seconds until a reader notices that a source is lost.
 const SOURCE_LOST_S: f64 = 2.0;
 
-/// What the store has sent is recorded this often.
+/// Interval at which the amount sent by the store is recorded, in seconds.
 const STORE_SENT_INTERVAL_S: f64 = 10.0;
 
-/// A machine, by a number that is never used again.
+/// The number of a machine. Numbers are never reused.
 pub type Node = usize;
-/// An image by its number.
+/// The number of an image.
 pub type Image = u32;
 
-/// Pieces as bits.
+/// Set of pieces, as a bit set.
 #[derive(Debug, Clone, Default)]
 struct Pieces {
     words: Vec<u64>,
@@ -59,7 +59,7 @@
         *word &= !bit;
     }
 
-    /// The first piece that is neither here nor coming.
+    /// Returns the first piece that is neither in this set nor in `coming`.
     fn first_missing(&self, coming: &Pieces, total: u32) -> Option<u32> {
         let words = self.words.iter().zip(&coming.words).enumerate();
         let mut free = words.filter_map(|(index, (here, coming))| {
@@ -69,7 +69,7 @@
         free.next().filter(|piece| *piece < total)
     }
 
-    /// The first piece that is here and in neither of the others.
+    /// Returns the first piece that is in this set and in neither of the others.
     fn first_beside(&self, have: &Pieces, coming: &Pieces) -> Option<u32> {
         let words = self.words.iter().zip(&have.words).zip(&coming.words);
         for (index, ((here, have), coming)) in words.enumerate() {
@@ -82,14 +82,14 @@
     }
 }
 
-/// Who sends: the store, or a machine.
+/// Where a piece comes from.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 enum Source {
     Store,
     Machine(Node),
 }
 
-/// An image on a machine, whole or in pieces.
+/// A complete or partial copy of an image on a machine.
 #[derive(Debug)]
 struct Replica {
     node: Node,
@@ -99,7 +99,7 @@
     have: Pieces,
     coming: Pieces,
     sources: Vec<Source>,
-    /// Sources with a piece under way to it, each with the piece.
+    /// Pieces in flight to this machine, each with its source.
     sending: Vec<(Source, u32)>,
     alive: bool,
 }
@@ -108,7 +108,7 @@
 struct Uplink {
     rate: f64,
     busy: bool,
-    /// Its readers in turn, by their replicas.
+    /// Replicas that read from this uplink, in round-robin order.
     readers: VecDeque<usize>,
 }
 
@@ -137,7 +137,7 @@
     },
 }
 
-/// The store and all machines that fetch.
+/// The image store and all machines that fetch images or pass them on.
 #[derive(Debug)]
 pub struct Swarm {
     piece_gb: f64,
@@ -153,7 +153,7 @@
 }
 
 impl Swarm {
-    /// A store that gives so much in all.
+    /// Creates a swarm with a store that sends at this total rate, in GB per second.
     pub fn new(store_gb_s: f64, piece_gb: f64) -> Swarm {
         Swarm {
             piece_gb,
@@ -172,11 +172,12 @@
         }
     }
 
-    /// What the store has sent, in GB.
+    /// Returns how much the store has sent, in GB.
     pub fn store_gb(&self) -> f64 {
         self.store_gb
     }
 
+    /// Adds a machine with its zone and its upload and download rates, in GB per second.
     pub fn add(&mut self, node: Node, zone: u16, up: f64, down: f64) {
         let peer = Peer {
             zone,
@@ -193,7 +194,7 @@
         self.peers.insert(node, peer);
     }
 
-    /// The machine is gone, and all that it has.
+    /// Removes a machine and its replicas.
     pub fn remove(&mut self, now: f64, node: Node) {
         let Some(peer) = self.peers.get_mut(&node) else {
             return;
@@ -206,21 +207,21 @@
         self.peers.remove(&node);
     }
 
-    /// The machine sends so many times slower.
+    /// Divides the machine's upload rate by `times`.
     pub fn slow_uplink(&mut self, node: Node, times: f64) {
         if let Some(peer) = self.peers.get_mut(&node) {
             peer.uplink.rate = peer.up / times.max(1e-6);
         }
     }
 
-    /// What the store gives from now on; 0: it is out.
+    /// Sets the store's rate, in GB per second; 0 is an outage.
     pub fn set_store_rate(&mut self, now: f64, gb_s: f64) {
         self.store.rate = gb_s;
         self.now = self.now.max(now);
         self.serve(Source::Store);
     }
 
-    /// A zone is cut off from the others, but not from the store, until `None`.
+    /// Cuts a zone off from the other zones, but not from the store. `None` ends the partition.
     pub fn partition_zone(&mut self, now: f64, zone: Option<u16>) {
         self.now = self.now.max(now);
         self.cut = zone;
@@ -250,7 +251,7 @@
         }
     }
 
-    /// A machine begins to fetch from these holders, or from the store if none of them
+    /// Starts to fetch an image from these machines, or from the store if none of the machines
     /// has or fetches the image.
     pub fn fetch(&mut self, now: f64, node: Node, image: Image, gb: f64, holders: &[Node]) {
         self.now = self.now.max(now);
@@ -287,7 +288,7 @@
         }
     }
 
-    /// The machine gives the image up, whole or not.
+    /// Drops the machine's complete or partial replica of the image.
     pub fn release(&mut self, now: f64, node: Node, image: Image) {
         self.now = self.now.max(now);
         if let Some(replica) = self.replica_of(node, image) {
@@ -298,14 +299,14 @@
         }
     }
 
-    /// When something happens next.
+    /// Returns the time of the next event.
     pub fn next_at(&self) -> Option<f64> {
         self.events
             .peek()
             .map(|Reverse((at, _, _))| *at as f64 / 1e9)
     }
 
-    /// Goes on until `now`; the fetches that have come to their end meanwhile.
+    /// Processes events until `now` and returns the fetches that have finished.
     pub fn advance(&mut self, now: f64) -> Vec<(Node, Image)> {
         while let Some(Reverse((at, _, event))) = self.events.peek().copied() {
             let at = at as f64 / 1e9;
@@ -362,7 +363,7 @@
         self.serve(from);
     }
 
-    /// Sends the next piece, if anybody wants one.
+    /// Sends the next piece from this source, if a reader needs one.
     fn serve(&mut self, from: Source) {
         let Some(uplink) = self.uplink(from) else {
             return;
@@ -410,7 +411,7 @@
         }
     }
 
-    /// The piece that the reader gets next from here, if any.
+    /// Returns the piece that this source sends to the reader next, if any.
     fn next_piece(&self, from: Source, replica: usize) -> Option<u32> {
         let reader = &self.replicas[replica];
         if !reader.alive
@@ -454,7 +455,8 @@
         self.serve(Source::Machine(node));
     }
 
-    /// The reader drops a holder; from the store in its stead if it was the last.
+    /// Removes a source of a replica. If the source was the last one, the replica reads from the
+    /// store instead.
     fn source_gone(&mut self, replica: usize, from: Source) {
         let reader = &mut self.replicas[replica];
         let before = reader.sources.len();
@@ -511,21 +513,22 @@
     }
 }
 
-/// The store and its machines in a night.
+/// Runs a [`Swarm`] in a scenario and connects it to the simulated workers.
 pub struct ImageStore {
     night: Store,
     swarm: RefCell<Swarm>,
-    /// Machines by address, with their numbers.
+    /// Numbers of machines, by address.
     nodes: RefCell<BTreeMap<SocketAddr, Node>>,
     workers: RefCell<BTreeMap<Node, Rc<Worker>>>,
     zones: RefCell<Vec<String>>,
     images: RefCell<Vec<String>>,
     created: Cell<Node>,
-    /// Raised whenever something may be sent.
+    /// Notified whenever a transfer may start.
     wake: Broadcast,
 }
 
 impl ImageStore {
+    /// Creates the store without machines.
     pub fn new(night: Store) -> Rc<ImageStore> {
         Rc::new(ImageStore {
             swarm: RefCell::new(Swarm::new(night.gb_per_s, night.piece_gb)),
@@ -539,6 +542,7 @@
         })
     }
 
+    /// Adds a machine. Its upload rate is a fixed share of its fetch rate.
     pub fn add(&self, addr: SocketAddr, zone: &str, fetch_gb_per_s: f64, worker: Rc<Worker>) {
         let node = self.created.get();
         self.created.set(node + 1);
@@ -549,6 +553,7 @@
         self.workers.borrow_mut().insert(node, worker);
     }
 
+    /// Removes a machine that is gone.
     pub fn remove(&self, now: f64, addr: SocketAddr) {
         if let Some(node) = self.nodes.borrow_mut().remove(&addr) {
             self.swarm.borrow_mut().remove(now, node);
@@ -557,7 +562,8 @@
         }
     }
 
-    /// A worker begins to fetch; holders by their addresses, as launches name them.
+    /// A worker starts to fetch an image from `holders`, the addresses that the start command
+    /// names.
     pub fn fetch(&self, now: f64, addr: SocketAddr, image: &str, gb: f64, holders: &[String]) {
         let nodes = self.nodes.borrow();
         let Some(node) = nodes.get(&addr) else {
@@ -570,6 +576,7 @@
         self.wake.notify_all();
     }
 
+    /// A worker no longer holds or fetches the image.
     pub fn release(&self, now: f64, addr: SocketAddr, image: &str) {
         if let Some(node) = self.nodes.borrow().get(&addr) {
             let image = number(&self.images, image) as Image;
@@ -578,7 +585,8 @@
         }
     }
 
-    /// Sends as time goes by.
+    /// Runs transfers in simulation time, including the store's outage, and records regularly
+    /// how much the store has sent.
     pub async fn run(self: Rc<Self>, world: WorldHandle, history: History) {
         let mut recorded_at = 0.0;
         let out = self.night.out_at_s..self.night.out_at_s + self.night.out_for_s;
@@ -618,7 +626,7 @@
     }
 }
 
-/// The number of a name, by the order in which names came.
+/// Returns the index of a name, adding the name at the end if it is new.
 fn number(names: &RefCell<Vec<String>>, name: &str) -> usize {
     let mut names = names.borrow_mut();
     let known = names.iter().position(|n| n == name);
@@ -628,8 +636,8 @@
     })
 }
 
-/// How fetches went, for a night with a store: what it sent, and when tasks had their
-/// images, from their jobs' submission on.
+/// Summarizes image transfers for a scenario with an image store: how much the store sent, and
+/// how long after submission tasks began to run, by class.
 pub fn summary(events: &[Event]) -> String {
     let mut asked = BTreeMap::new();
     let mut waits: BTreeMap<&str, Vec<f64>> = BTreeMap::new();
--- a/crates/umbersail-rehearsal/src/kv_store_host.rs
+++ b/crates/umbersail-rehearsal/src/kv_store_host.rs
@@ -21,18 +21,19 @@
 use crate::night::{LATE_FROM_S, LATE_TO_S, State};
 use crate::state_figures::StateFigures;
 
-/// Names the leader, as the controllers write it.
+/// Key of the record that names the leader, as the controllers write it.
 const LEADER_KEY: &str = "leader";
-/// Answers to a transaction that was applied, and to one whose conditions failed.
+/// Statuses of a transaction that was applied, and of one whose conditions failed.
 const APPLIED: u16 = 200;
 const CONFLICT: u16 = 409;
-/// The sender of a late transaction hears nothing for so long, in seconds: longer than
-/// any controller waits.
+/// A transaction without reply is held open for this many seconds, longer than any controller
+/// waits.
 const NO_REPLY_S: f64 = 60.0;
-/// A late transaction that is due in an outage looks so often whether it is over, seconds.
+/// A delayed transaction that is due in an outage checks at this interval, in seconds, whether
+/// the outage is over.
 const OUTAGE_CHECK_S: f64 = 0.1;
 
-/// Bounds of a stand-in's listener: nothing of the kit is meant to be scarce.
+/// Returns limits for the listeners of simulated services, large enough never to be reached.
 pub(crate) fn wide_limits() -> ServerLimits {
     ServerLimits {
         max_body_bytes: 1 << 20,
@@ -46,11 +47,12 @@
     }
 }
 
+/// Encodes a reply.
 pub(crate) fn answer(status: u16, body: &impl serde::Serialize) -> Response {
     Response::new(status, encode(body))
 }
 
-/// The service, its troubles, and who asked how much.
+/// The simulated key-value store, its active faults and its request statistics.
 pub struct KvStoreHost {
     world: WorldHandle,
     store: RefCell<KvStore>,
@@ -58,25 +60,27 @@
     requests: RefCell<TokenBucket>,
     writes: RefCell<TokenBucket>,
     down: Cell<bool>,
-    /// Seconds that every answer takes on top.
+    /// Delay of every reply, in seconds.
     pub slow_s: Cell<f64>,
-    /// Controllers that are refused alone.
+    /// By controller index, whether the controller's requests are refused.
     pub refused: RefCell<Vec<bool>>,
-    /// Share of the transactions that get no answer and are carried out late.
+    /// Share of the transactions that get no reply and are applied late.
     pub late_share: Cell<f64>,
-    /// Share of the transactions that are carried out and whose answer is lost.
+    /// Share of the transactions that are executed but whose reply is lost.
     pub lost_answer_share: Cell<f64>,
     rng: RefCell<ChaCha8Rng>,
     history: History,
-    /// Version of the leader's key whose election is in the history.
+    /// Version of the leader's key at the last election that is in the history.
     election_version: Cell<u64>,
-    /// Called after each election.
+    /// Hooks that run after each election.
     on_election: RefCell<Vec<Box<dyn Fn()>>>,
     grant_watch: GrantWatch,
+    /// Statistics of requests and changes.
     pub figures: StateFigures,
 }
 
 impl KvStoreHost {
+    /// Creates an empty store without faults, with the limits of the scenario.
     pub fn new(
         world: WorldHandle,
         history: History,
@@ -109,7 +113,7 @@
         })
     }
 
-    /// Serves one controller at one address.
+    /// Serves one controller at this address.
     pub async fn serve_controller(self: Rc<Self>, controller: usize, addr: SocketAddr) {
         let Ok(listener) = TcpListener::bind(addr) else {
             return;
@@ -122,7 +126,7 @@
         std::future::pending::<()>().await;
     }
 
-    /// Ends leases in time.
+    /// Ends leases when they expire. During an outage none expires.
     pub async fn expire(self: Rc<Self>) {
         loop {
             sleep(0.02).await;
@@ -133,6 +137,7 @@
         }
     }
 
+    /// Starts or ends an outage. After an outage all leases run anew.
     pub fn set_down(&self, down: bool) {
         self.down.set(down);
         if !down {
@@ -141,7 +146,7 @@
         }
     }
 
-    /// The member that the leader's key names.
+    /// Returns the member that the leader's key names.
     pub fn leader(&self) -> Option<String> {
         let found = self.store.borrow().get(LEADER_KEY)?;
         let fields = found.value.as_map()?;
@@ -149,12 +154,13 @@
         member.1.as_str().map(str::to_owned)
     }
 
-    /// From now on the hook is called right after each election.
+    /// Adds a hook that is called right after each election.
     pub fn on_election(&self, hook: Box<dyn Fn()>) {
         self.on_election.borrow_mut().push(hook);
     }
 
-    /// Adds an election to the history once the leader's key has been put anew.
+    /// Adds an election to the history, and calls the hooks, if the leader's key was written
+    /// since the last recorded election.
     fn record_election(&self) {
         let version = self.store.borrow().get("leader").map_or(0, |k| k.version);
         if version > self.election_version.get()
@@ -168,18 +174,20 @@
         }
     }
 
+    /// Whether an outage or a fault of this controller alone makes the store unavailable.
     fn is_unavailable(&self, controller: usize) -> bool {
         self.down.get() || self.refused.borrow()[controller]
     }
 
-    /// Whether a transaction is to come late, and after how many seconds.
+    /// Draws whether a transaction is delayed, and by how many seconds.
     fn draw_write_delay(&self) -> Option<f64> {
         let share = self.late_share.get();
         let mut rng = self.rng.borrow_mut();
         (share > 0.0 && rng.random_bool(share)).then(|| rng.random_range(LATE_FROM_S..=LATE_TO_S))
     }
 
-    /// Carries a transaction out late; in an outage, once it is over.
+    /// Applies a transaction after `wait_s` seconds, or after the outage if the transaction is
+    /// due in one. The history gets which of the transaction's keys changed in the meantime.
     async fn apply_late(self: Rc<Self>, controller: usize, txn: Txn<Value>, wait_s: f64) {
         let sent_at = self.store.borrow().revision();
         sleep(wait_s).await;
@@ -214,13 +222,13 @@
         });
     }
 
-    /// Whether the answer to a transaction is to be lost.
+    /// Draws whether the reply to a transaction is lost.
     fn draw_lost_answer(&self) -> bool {
         let share = self.lost_answer_share.get();
         share > 0.0 && self.rng.borrow_mut().random_bool(share)
     }
 
-    /// Tells the history of a transaction whose sender hears nothing of it.
+    /// Adds a transaction whose reply is lost to the history.
     fn record_lost_answer(&self, controller: usize, txn: &Txn<Value>, applied: bool) {
         let (mut puts, mut deletes) = (Vec::new(), Vec::new());
         for change in &txn.changes {
@@ -238,7 +246,7 @@
         });
     }
 
-    /// Tells the history of a transaction whose conditions failed, by its answer.
+    /// Adds a transaction whose conditions failed to the history, from its reply.
     fn record_conflict(&self, controller: usize, body: &[u8]) {
         if let Ok(result) = decode::<TxnResult>(body) {
             let failed = result.failed;
@@ -278,7 +286,7 @@
         if let KvRequest::Txn(txn) = &call
             && let Some(wait_s) = self.draw_write_delay()
         {
-            // Its sender may give up and end meanwhile: it is on its way all the same.
+            // The transaction is applied even if its sender times out or ends in the meantime.
             let late = self.clone().apply_late(controller, txn.clone(), wait_s);
             self.world.spawn(late);
             sleep(NO_REPLY_S).await;
@@ -307,7 +315,8 @@
         Response::new(status, body)
     }
 
-    /// Waits for a change; during an outage it stays open.
+    /// Serves a watch: waits for a change under the prefix until the time `until`. During an
+    /// outage the request stays open.
     async fn watch(&self, controller: usize, prefix: &str, from: u64, until: f64) -> Response {
         loop {
             let now = self.world.now();
--- a/crates/umbersail-rehearsal/src/odd_requests.rs
+++ b/crates/umbersail-rehearsal/src/odd_requests.rs
@@ -1,5 +1,5 @@
-//! Odd requests: repetitions of submissions, with the same content and with another,
-//! cancellations of jobs that are done, and submissions that no controller may accept.
+//! Fault `odd-requests`: repeated submissions with the same or with different content,
+//! cancellations of completed jobs, and submissions that no controller may accept.
 
 use std::rc::Rc;
 
@@ -11,34 +11,37 @@
 use crate::history::What;
 use crate::users::Users;
 
-/// From one request to the next, in seconds.
+/// Pause between two requests, in seconds.
 const PAUSE_S: std::ops::RangeInclusive<f64> = 0.05..=0.25;
-/// Users wait so long for an answer (PROTOCOL).
+/// Timeout of a request, in seconds (PROTOCOL).
 const REPLY_TIMEOUT_S: f64 = 5.0;
-/// Ids of submissions that must not be accepted have this many digits and begin with 9:
-/// no job of a night has one.
+/// Range of the numbers in the ids of invalid submissions: ten digits, beginning with 9. No
+/// regular job of a scenario has such an id.
 const INVALID_FROM: u64 = 9_000_000_000;
 const INVALID_TO: u64 = 9_999_999_999;
-/// More than any machine or team has, and still an amount.
+/// A valid amount that is larger than any machine or quota.
 const HUGE: f64 = 1e6;
-/// No amount of anything.
+/// An amount that is too large to be valid.
 const ABSURD: f64 = 1e300;
 
-/// Fields that a submission must have (PROTOCOL: all that may not be null).
+/// Fields that a submission must have (PROTOCOL: all fields that must not be null).
 pub const REQUIRED_FIELDS: [&str; 17] = [
     "id", "recipe", "crew", "cut", "urgency", "portions", "cores", "gpus", "mem_gb", "kit",
     "size_gb", "together", "spread", "borrowed", "cook_s", "stir_s", "bottle_s",
 ];
-/// Fields that hold an amount or a count.
+/// Fields that contain an amount or a count.
 const AMOUNTS: [&str; 8] = [
     "portions", "cores", "gpus", "mem_gb", "size_gb", "cook_s", "stir_s", "bottle_s",
 ];
 
-/// A submission that must not be accepted, and the status that says why.
+/// A submission that must not be accepted.
 #[derive(Debug, Clone)]
 pub struct Invalid {
+    /// Describes what is invalid.
     pub defect: String,
+    /// The status that a controller must answer with.
     pub wanted: u16,
+    /// The encoded request body.
     pub body: Vec<u8>,
 }
 
@@ -55,7 +58,7 @@
     }
 }
 
-/// Every kind of submission that can't be accepted, made from one that can.
+/// Returns all kinds of invalid submissions, each derived from a valid one.
 pub fn invalid_submissions(spec: &JobSpec) -> Vec<Invalid> {
     let plain = JobSpec {
         gpus: Some(spec.gpus()),
@@ -134,12 +137,12 @@
 }
 
 impl Users {
-    /// Odd requests of all kinds, at each controller in turn, while the trouble lasts.
+    /// Sends odd requests of all kinds to each controller in turn, while the fault is active.
     pub(crate) async fn send_odd_requests(self: Rc<Self>) {
         let (mut count, mut defect) = (0, 0);
         while self.faults.sends_odd_requests.get() {
             let node = count % self.nodes().len();
-            // Each defect goes to all controllers, before the next does.
+            // Each defect is sent to all controllers before the next one.
             let is_last = node + 1 == self.nodes().len();
             match (count / self.nodes().len()) % 6 {
                 0 => self.repeat_submission(node, false).await,
@@ -156,7 +159,7 @@
         }
     }
 
-    /// A submission of an unfinished job comes again, as it was or with another content.
+    /// Repeats the submission of a random unfinished job, unchanged or with different content.
     async fn repeat_submission(&self, node: usize, changed: bool) {
         let job = self.faults.any_unfinished();
         let Some(spec) = job.and_then(|job| self.spec_of(&job)) else {
@@ -180,7 +183,7 @@
         }
     }
 
-    /// A job that is done is cancelled: that must be answered with its end.
+    /// Cancels a completed job. The reply must say that the job is done.
     async fn cancel_done(&self, node: usize) {
         let Some(job) = self.faults.any_done() else {
             return;
@@ -194,6 +197,7 @@
         }
     }
 
+    /// Sends an invalid submission and records the reply; status 0 means that none arrived.
     async fn submit_invalid(&self, node: usize, defect: usize) {
         let Some(mut spec) = self.any_spec() else {
             return;
--- a/crates/umbersail-rehearsal/src/real.rs
+++ b/crates/umbersail-rehearsal/src/real.rs
@@ -1,5 +1,5 @@
-//! A night with real processes on loopback: the controllers are the program
-//! itself, the stand-ins are routines of this process on the real event loop.
+//! Runs a scenario in real time on loopback: each controller is a process of the program, and
+//! the simulated services are tasks of this process on the real event loop.
 
 use std::cell::RefCell;
 use std::fs::File;
@@ -17,7 +17,7 @@
 use crate::play::{Outcome, PlayError, direct, properties_text, settings_text};
 use crate::trouble::Controller;
 
-/// One controller's process, ended when this is dropped.
+/// The process of a controller. Dropping this kills the process.
 struct Process {
     program: PathBuf,
     dir: PathBuf,
@@ -46,15 +46,16 @@
         Ok(())
     }
 
-    /// Killed without a signal that it could hear.
+    /// Kills the process with SIGKILL, which it cannot handle.
     fn end(&self) {
         if let Some(mut child) = self.child.borrow_mut().take() {
-            // It may have ended by itself: then there is nothing to kill.
+            // Both calls fail if the process has already ended; nothing is left to do then.
             let _ = child.kill();
             let _ = child.wait();
         }
     }
 
+    /// Stops the process with SIGSTOP, or continues it with SIGCONT.
     fn pause(&self, stops: bool) {
         if let Some(child) = &*self.child.borrow() {
             let signal = if stops {
@@ -62,7 +63,7 @@
             } else {
                 Signal::SIGCONT
             };
-            // A process that has ended can't be stopped any more.
+            // This fails if the process has ended; nothing is left to stop then.
             let _ = kill(Pid::from_raw(child.id() as i32), signal);
         }
     }
@@ -75,13 +76,13 @@
     }
 }
 
-/// Plays a night (see [`Night::hastened`]) against processes of `program` on
-/// 127.0.0.0/8. Settings and logs of the controllers go to a folder of their own
-/// below the system's folder for temporary files. Time is real: two nights with
-/// the same seed are alike and not the same.
+/// Runs a scenario (see [`Night::hastened`]) with processes of `program` on 127.0.0.0/8.
+/// Settings and logs of the controllers are in a directory of their own in the system's
+/// directory for temporary files. Because time is real, two runs with the same seed are similar
+/// but not identical.
 ///
 /// # Errors
-/// If a process can't be started or the folder not be written.
+/// If the directory cannot be written or the runtime cannot be started.
 pub fn run_real(night: &Night, seed: u64, program: &Path) -> Result<Outcome, PlayError> {
     let dir = std::env::temp_dir().join(format!("umbersail-rehearsal-{}", std::process::id()));
     std::fs::create_dir_all(&dir)?;
@@ -108,6 +109,7 @@
     Ok(Outcome::of(night, seed, events, &world))
 }
 
+/// Starts all controllers and returns handles that the faults use.
 fn controllers(world: &WorldHandle, night: &Night, program: &Path, dir: &Path) -> Vec<Controller> {
     let at = Addresses { simulated: false };
     let build = |n: usize| {
@@ -120,7 +122,7 @@
         let (starts, ends, pauses) = (process.clone(), process.clone(), process);
         let start = move || {
             if let Err(e) = starts.start() {
-                eprintln!("umbersail: {}: {e}", starts.program.display());
+                eprintln!("umbersail: cannot start {}: {e}", starts.program.display());
             }
         };
         start();
--- a/crates/umbersail-rehearsal/src/user_faults.rs
+++ b/crates/umbersail-rehearsal/src/user_faults.rs
@@ -1,6 +1,5 @@
-//! What troubles make users do beside waiting for their jobs: they look closely, cancel
-//! at bad moments, and send requests that are odd. Orders come from the script of
-//! failures; they are carried out on the users' host.
+//! Faults that act through users: bursts of requests about a job, cancellations at critical
+//! moments, and odd requests. The scenario's faults issue commands, which run on the users' host.
 
 use std::cell::{Cell, RefCell};
 use std::collections::{BTreeMap, BTreeSet};
@@ -17,46 +16,48 @@
 use crate::history::{Question, What};
 use crate::users::{Exchange, Users};
 
-/// With close looks, this share of the jobs is cancelled right after acceptance, so many
-/// seconds later at most.
+/// While query bursts are on, this share of the jobs is cancelled right after acceptance.
 const EARLY_CANCEL_SHARE: f64 = 0.2;
+/// Latest time of such a cancellation after acceptance, in seconds.
 const EARLY_CANCEL_S: f64 = 0.02;
-/// A job's end is looked at from any moment on until it is usually recorded: a worker
-/// reports a change up to half a second later.
+/// A query burst after a job's last task starts within this many seconds. The end of the job is
+/// usually recorded by then, because a worker reports a change up to half a second later.
 const RECORDED_S: f64 = 0.6;
-/// A direct connection to a controller is given up after so long.
+/// Timeout of connecting directly to a controller, in seconds.
 const CONNECT_S: f64 = 0.5;
-/// Users wait so long for the answer to a cancellation (PROTOCOL).
+/// Timeout of a cancellation, in seconds (PROTOCOL).
 const CANCEL_S: f64 = 5.0;
-/// The longest answer that users take.
+/// Maximum size of a reply that users accept.
 const MAX_BODY_BYTES: usize = 64 << 10;
 
-/// What a trouble wants of the users.
+/// A command of a fault to the users.
 #[derive(Debug, Clone)]
 pub enum UserCommand {
-    /// Ask about the job at all controllers, from so many seconds from now on.
+    /// Send a query burst for the job to all controllers, `after_s` seconds from now.
     QueryAll { job: String, after_s: f64 },
-    /// Cancel the job so many seconds from now.
+    /// Cancel the job, `after_s` seconds from now.
     Cancel { job: String, after_s: f64 },
-    /// Send odd requests until the trouble ends.
+    /// Send odd requests until the fault ends.
     SendOddRequests,
 }
 
-/// Jobs whose last task completed, for those who watch for it.
+/// Queue of the jobs whose last task has completed.
 #[derive(Default)]
 pub struct Completions {
+    /// Whether completions are added at all.
     pub is_watched: Cell<bool>,
     jobs: RefCell<Vec<String>>,
     wake: Rc<Notify>,
 }
 
 impl Completions {
-    /// The last task of the job has just completed.
+    /// Adds a job whose last task has just completed.
     pub fn add(&self, job: &str) {
         self.jobs.borrow_mut().push(job.to_owned());
         self.wake.notify();
     }
 
+    /// Waits until there are completed jobs, and takes them.
     async fn next(&self) -> Vec<String> {
         while self.jobs.borrow().is_empty() {
             self.wake.notified().await;
@@ -65,21 +66,25 @@
     }
 }
 
-/// Which of these troubles is on, and what users know of each other's jobs.
+/// The active faults of users, and what all users together know about jobs.
 pub struct UserFaults {
+    /// Whether query bursts are sent when a job is accepted, completes or is cancelled.
     pub query_bursts: Cell<bool>,
+    /// Whether odd requests are sent.
     pub sends_odd_requests: Cell<bool>,
-    /// Which of the jobs that end are cancelled, and how long after their last task's end.
+    /// Which of the completed jobs are cancelled, and how long after the end of the last task.
     pub cancelled_at_end: Cell<Option<DelayFault>>,
     commands: RefCell<Vec<UserCommand>>,
     wake: Rc<Notify>,
     rng: RefCell<ChaCha8Rng>,
-    /// Jobs known to be accepted and not known to be finished, and those known to be finished.
+    /// Jobs known to be accepted and not known to be finished.
     unfinished: RefCell<BTreeSet<String>>,
+    /// Jobs known to be finished.
     finished: RefCell<BTreeMap<String, JobStage>>,
 }
 
 impl UserFaults {
+    /// Creates the state with all faults off.
     pub fn new(seed: u64) -> UserFaults {
         UserFaults {
             query_bursts: Cell::new(false),
@@ -93,28 +98,31 @@
         }
     }
 
-    pub fn issue(&self, order: UserCommand) {
-        self.commands.borrow_mut().push(order);
+    /// Adds a command, which runs on the users' host.
+    pub fn issue(&self, command: UserCommand) {
+        self.commands.borrow_mut().push(command);
         self.wake.notify();
     }
 
+    /// Draws with the random generator of user faults.
     pub(crate) fn draw_random<T>(&self, draw: impl FnOnce(&mut ChaCha8Rng) -> T) -> T {
         draw(&mut self.rng.borrow_mut())
     }
 
-    /// Somebody was told that the job is accepted.
+    /// Called when a user receives an acceptance of the job.
     pub(crate) fn accepted(&self, job: &str) {
         self.unfinished.borrow_mut().insert(job.to_owned());
         self.query_all(job);
     }
 
-    /// Somebody was told that the job is finished.
+    /// Called when a user receives a reply that the job is done or cancelled.
     pub(crate) fn finished_as(&self, job: &str, stage: JobStage) {
         self.unfinished.borrow_mut().remove(job);
         self.finished.borrow_mut().insert(job.to_owned(), stage);
     }
 
-    /// Something of the job that all controllers have to tell from now on was told.
+    /// Sends a query burst, if these are on. Called when a user received an answer that all
+    /// controllers must be consistent with from now on.
     pub(crate) fn query_all(&self, job: &str) {
         if self.query_bursts.get() {
             let job = job.to_owned();
@@ -122,14 +130,14 @@
         }
     }
 
-    /// After how many seconds an accepted job is cancelled at once, if it is one of those.
+    /// Draws whether an accepted job is cancelled early, and after how many seconds.
     pub(crate) fn draw_early_cancel(&self) -> Option<f64> {
         let is_on = self.query_bursts.get();
         let chosen = is_on && self.draw_random(|rng| rng.random_bool(EARLY_CANCEL_SHARE));
         chosen.then(|| self.draw_random(|rng| rng.random_range(0.0..EARLY_CANCEL_S)))
     }
 
-    /// Any job that is accepted and not known to be finished.
+    /// Returns a random job that is accepted and not known to be finished.
     pub(crate) fn any_unfinished(&self) -> Option<String> {
         let jobs = self.unfinished.borrow();
         let index =
@@ -137,7 +145,7 @@
         jobs.iter().nth(index).cloned()
     }
 
-    /// Any job that is known to be done.
+    /// Returns a random job that is known to be done.
     pub(crate) fn any_done(&self) -> Option<String> {
         let finished = self.finished.borrow();
         let done = finished
@@ -150,7 +158,7 @@
     }
 }
 
-/// A connection of its own, for one question.
+/// Returns a client for a single request on a separate connection.
 fn direct_client() -> Client {
     Client::new(ClientLimits {
         max_body_bytes: MAX_BODY_BYTES,
@@ -162,7 +170,7 @@
 }
 
 impl Users {
-    /// Carries out orders and follows the ends of jobs, for ever.
+    /// Starts the tasks that run commands and react to completed jobs.
     pub(crate) fn run_faults(self: &Rc<Self>) {
         spawn(self.clone().run_commands());
         spawn(self.clone().follow_completions());
@@ -170,8 +178,8 @@
 
     async fn run_commands(self: Rc<Self>) {
         loop {
-            for order in self.faults.commands.take() {
-                match order {
+            for command in self.faults.commands.take() {
+                match command {
                     UserCommand::QueryAll { job, after_s } => {
                         spawn(self.clone().query_all_controllers(job, after_s));
                     }
@@ -209,7 +217,8 @@
         self.cancel_at_any(&job).await;
     }
 
-    /// Cancels a job at a controller drawn by lot, then through the balancer.
+    /// Cancels a job at a random controller and, if the reply does not say that the job is
+    /// finished, through the load balancer. Returns whether the job is known to be finished.
     pub(crate) async fn cancel_at_any(&self, job: &str) -> bool {
         let node = self
             .faults
@@ -223,7 +232,7 @@
         self.cancel_through_balancer(job).await
     }
 
-    /// One question to this controller, on a connection of its own.
+    /// Sends one request to this controller on a separate connection.
     pub(crate) async fn send_to(
         &self,
         node: usize,
