--- a/crates/umbersail-rehearsal/src/fleet.rs
+++ b/crates/umbersail-rehearsal/src/fleet.rs
@@ -200,7 +200,7 @@
     /// task number only, so that every attempt has the same run time.
     pub fn run_s(&self, job: &str, task: u32) -> f64 {
         let jobs = self.jobs.borrow();
-        let Some(truth) = jobs.get(job) else {
+        let Some(simulated) = jobs.get(job) else {
             return 1.0;
         };
         let mut seed = u64::from(task);
@@ -208,9 +208,9 @@
             seed = (seed ^ u64::from(byte)).wrapping_mul(0x0000_0100_0000_01b3);
         }
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
-        match LogNormal::new(truth.run_s.max(0.01).ln(), truth.sigma) {
+        match LogNormal::new(simulated.run_s.max(0.01).ln(), simulated.sigma) {
             Ok(lots) => lots.sample(&mut rng),
-            Err(_) => truth.run_s,
+            Err(_) => simulated.run_s,
         }
     }
 
@@ -226,7 +226,7 @@
         let (jobs, cancelled) = (self.jobs.borrow(), self.cancelled.borrow());
         let wanted = |job: &String| !cancelled.contains(job);
         let tasks = jobs.iter().filter(|(job, _)| wanted(job));
-        let tasks: u32 = tasks.map(|(_, truth)| truth.spec.tasks).sum();
+        let tasks: u32 = tasks.map(|(_, job)| job.spec.tasks).sum();
         let results = self.results.borrow();
         let done = results.iter().filter(|(job, _)| wanted(job)).count();
         let active: usize = self.up().iter().map(|m| m.worker.active()).sum();
@@ -428,8 +428,8 @@
         let Ok(names) = decode::<MachineNames>(&response.body) else {
             return;
         };
-        let late = self.parameters.rental_delay.get();
-        let held_s = late.and_then(|late| late.draw(&mut *self.rng.borrow_mut()));
+        let delay = self.parameters.rental_delay.get();
+        let held_s = delay.and_then(|delay| delay.draw(&mut *self.rng.borrow_mut()));
         if let Some(held_s) = held_s {
             sleep(held_s).await;
         }
--- a/crates/umbersail-rehearsal/src/kv_store_host.rs
+++ b/crates/umbersail-rehearsal/src/kv_store_host.rs
@@ -1,5 +1,5 @@
-//! The stand-in for the state service: `umbersail-store` behind HTTP, a door
-//! of its own for each controller, and the troubles that it may have.
+//! Simulated key-value store service: `umbersail-kv` behind HTTP, with a separate listener for
+//! each controller, and its injected faults.
 
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeSet;
--- a/crates/umbersail-rehearsal/src/real.rs
+++ b/crates/umbersail-rehearsal/src/real.rs
@@ -99,12 +99,12 @@
     let runtime = Runtime::new()?;
     let world = runtime.world();
     let (told, _) = std::sync::mpsc::channel();
-    let played = Rc::new(night.clone());
+    let scenario = Rc::new(night.clone());
     let (handle, program, folder) = (world.clone(), program.to_owned(), dir);
     let events = runtime.block_on(async move {
         let begin =
             |world: &WorldHandle, night: &Night| controllers(world, night, &program, &folder);
-        direct(handle, played, seed, begin, told).await
+        direct(handle, scenario, seed, begin, told).await
     })?;
     Ok(Outcome::of(night, seed, events, &world))
 }
--- a/crates/umbersail-rehearsal/src/users.rs
+++ b/crates/umbersail-rehearsal/src/users.rs
@@ -1,4 +1,4 @@
-//! The users and the load balancer before the controllers.
+//! Simulated users, and the load balancer in front of the controllers.
 
 use std::cell::{Cell, RefCell};
 use std::collections::{BTreeMap, BTreeSet};
@@ -18,40 +18,50 @@
 use crate::night::{self, Class};
 use crate::user_faults::UserFaults;
 
-/// A user waits so long for the answer to a submission, and to a poll.
+/// Timeouts of a submission and of a poll, in seconds.
 const SUBMIT_TIMEOUT_S: f64 = 5.0;
 const POLL_TIMEOUT_S: f64 = 2.0;
-/// Answers from this status on say nothing of a job: they are asked for again.
+/// Replies with this status or a higher one say nothing about a job; the request is retried.
 const RETRIED_FROM: u16 = 429;
-/// In all, a submission is repeated for this long.
+/// A submission or cancellation is retried for this many seconds in total.
 const RETRY_FOR_S: f64 = 60.0;
-/// The load balancer asks another node if one does not accept within this.
+/// The load balancer tries another controller if one does not accept a connection within this
+/// many seconds.
 const CONNECT_TIMEOUT_S: f64 = 0.5;
-/// The balancer resets the open connections of a node that is unhealthy for this long.
+/// The load balancer resets the open connections of a controller that has been unhealthy for
+/// this many seconds.
 const RESET_AFTER_S: f64 = 5.0;
 
-/// What the load balancer knows of one node.
+/// The load balancer's state of one controller. Times are in simulation time.
 #[derive(Debug, Clone, Default)]
 struct Health {
     healthy: bool,
+    /// Whether the controller was ever healthy.
     ever: bool,
+    /// Consecutive probes that failed, and that passed.
     failed: u32,
     passed: u32,
+    /// Earliest time at which the controller can become healthy again. The pause doubles if the
+    /// controller becomes unhealthy repeatedly.
     not_before: f64,
     pause_s: f64,
+    /// When the controller last became unhealthy.
     removed_at: f64,
+    /// Consecutive refused connections; after three the controller is skipped for a while.
     refusals: u32,
     skip_until: f64,
+    /// Open connections.
     open: usize,
 }
 
-/// Picks a node for each new connection.
+/// Simulated load balancer: probes the controllers and picks one for each new connection.
 pub struct Balancer {
     nodes: Vec<SocketAddr>,
     health: RefCell<Vec<Health>>,
 }
 
 impl Balancer {
+    /// Creates a balancer for the controllers at these addresses, none of them healthy yet.
     pub fn new(nodes: Vec<SocketAddr>) -> Rc<Balancer> {
         let health = vec![Health::default(); nodes.len()];
         Rc::new(Balancer {
@@ -60,6 +70,7 @@
         })
     }
 
+    /// Picks the healthy controller with the fewest open connections.
     fn pick(&self, now: f64, except: &[usize]) -> Option<usize> {
         let health = self.health.borrow();
         let able =
@@ -69,14 +80,14 @@
             .min_by_key(|i| (health[*i].open, *i))
     }
 
-    /// Whether a node's open connections have been reset: it has been unhealthy for
-    /// longer than the balancer waits (PROTOCOL, "Users -> controller nodes").
+    /// Whether the open connections of a controller have been reset, because the controller has
+    /// been unhealthy for longer than [`RESET_AFTER_S`] (PROTOCOL, "Users -> controller nodes").
     fn has_reset(&self, node: usize, now: f64) -> bool {
         let health = &self.health.borrow()[node];
         health.ever && !health.healthy && now - health.removed_at >= RESET_AFTER_S
     }
 
-    /// Probes one node for ever.
+    /// Probes the health of one controller about once a second, without end.
     pub async fn probe(self: Rc<Self>, fleet: Rc<Fleet>, node: usize) {
         let client = client();
         loop {
@@ -125,13 +136,13 @@
     })
 }
 
-/// An answer and the question that it belongs to.
+/// A reply, with the controller and the sending time of its request.
 pub(crate) struct Exchange {
     pub answer: ClientResponse,
     pub question: Question,
 }
 
-/// One user's connection through the balancer.
+/// A user's connection through the load balancer.
 struct Connection {
     fleet: Rc<Fleet>,
     balancer: Rc<Balancer>,
@@ -149,7 +160,7 @@
         }
     }
 
-    /// A connection that the balancer has connected to this node.
+    /// Creates a connection to this controller.
     fn to(fleet: &Rc<Fleet>, balancer: &Rc<Balancer>, node: usize) -> Connection {
         let connection = Connection::new(fleet, balancer);
         balancer.health.borrow_mut()[node].open += 1;
@@ -163,7 +174,7 @@
         }
     }
 
-    /// One request; a node that takes no connection is passed over, twice.
+    /// Sends a request. If a controller refuses the connection, up to two others are tried.
     async fn send(&self, method: &str, target: &str, body: &[u8], wait_s: f64) -> Option<Exchange> {
         let mut tried = Vec::new();
         for _ in 0..3 {
@@ -202,7 +213,7 @@
             }
             match answer {
                 Ok(answer) => {
-                    // The next request goes through the balancer anew.
+                    // The balancer picks a controller again for the next request.
                     if answer.closes_connection {
                         self.disconnect();
                     }
@@ -229,24 +240,28 @@
     }
 }
 
-/// All users of a night.
+/// All users of a scenario.
 pub struct Users {
     fleet: Rc<Fleet>,
     balancer: Rc<Balancer>,
     rng: RefCell<ChaCha8Rng>,
-    /// Factors on the rates of classes, by name.
+    /// Factors on the submission rates of classes, by name.
     pub bursts: RefCell<BTreeMap<String, f64>>,
     job_count: Cell<u64>,
-    /// Users that still wait for their jobs.
+    /// Number of users that still wait for their jobs.
     pub waiting: Cell<usize>,
+    /// Whether submission of new jobs has ended.
     pub closed: Cell<bool>,
+    /// Cancellations requested by faults.
     pub cancellations: Cancellations,
+    /// Other faults that act through users.
     pub faults: UserFaults,
-    /// Jobs of runs that their users know to be finished.
+    /// Jobs that their users know to be finished. Only filled in scenarios with runs.
     finished_jobs: RefCell<BTreeSet<String>>,
 }
 
 impl Users {
+    /// Creates the users; [`Users::run`] starts them.
     pub fn new(fleet: Rc<Fleet>, balancer: Rc<Balancer>, seed: u64) -> Rc<Users> {
         Rc::new(Users {
             fleet,
@@ -262,7 +277,7 @@
         })
     }
 
-    /// The users' host: everybody who submits, asks and cancels.
+    /// Runs the users' host: the load balancer's probes and all users.
     pub async fn run(self: Rc<Self>) {
         for node in 0..self.balancer.nodes.len() {
             spawn(self.balancer.clone().probe(self.fleet.clone(), node));
@@ -277,10 +292,11 @@
         std::future::pending::<()>().await;
     }
 
+    /// Submits the jobs of a class: first those at the start, then at random intervals.
     async fn submit_class(self: Rc<Self>, index: usize) {
         let night = self.fleet.night.clone();
         let class = &night.classes[index];
-        // The balancer's first probes come first.
+        // Wait for the first probes of the load balancer.
         sleep(3.0 + class.from_s).await;
         for _ in 0..class.at_start {
             spawn(self.clone().run_user(self.draw_job(class)));
@@ -297,21 +313,22 @@
                 Ok(gaps) if rate > 0.0 => gaps.sample(&mut *self.rng.borrow_mut()),
                 _ => f64::INFINITY,
             };
-            // The rate may change meanwhile; gaps have no memory.
+            // The rate may change while waiting. Exponential intervals are memoryless, so a new
+            // one can be drawn every 5 s.
             if wait > 5.0 {
                 sleep(5.0).await;
                 continue;
             }
             sleep(wait).await;
             if self.closed.get() {
-                // Its users end with it, and they still wait for their jobs.
+                // If this task ended, its users, who still wait for their jobs, would end too.
                 std::future::pending::<()>().await;
             }
             spawn(self.clone().run_user(self.draw_job(class)));
         }
     }
 
-    /// A job of a class, and what only its tasks know of it.
+    /// Draws a job of a class, with the actual behaviour of its tasks.
     pub(crate) fn draw_job(&self, class: &Class) -> SimulatedJob {
         let mut rng = self.rng.borrow_mut();
         let rng: &mut dyn RngCore = &mut *rng;
@@ -335,7 +352,7 @@
         let number = self.job_count.get() + 1;
         self.job_count.set(number);
         let image = rng.random_range(0..class.images);
-        // Ids come in no order.
+        // Ids are not in order of submission.
         let id = format!("req-{:06}", number * 7919 % 999_983);
         let deadline = class.deadline_times * estimate_s + class.deadline_s;
         let spec = JobSpec {
@@ -369,21 +386,25 @@
             spec,
             run_s,
             sigma: class.task_sigma,
-            // Nights without mistakes draw what they always drew.
+            // Without mistakes nothing is drawn here, so that the other random numbers of such
+            // scenarios stay the same.
             mistaken: class.mistaken > 0.0 && rng.random_bool(class.mistaken),
         }
     }
 
-    pub(crate) async fn run_user(self: Rc<Self>, truth: SimulatedJob) {
+    /// Runs one user: submits the job and waits until the job is finished.
+    pub(crate) async fn run_user(self: Rc<Self>, job: SimulatedJob) {
         self.waiting.set(self.waiting.get() + 1);
-        let spec = truth.spec.clone();
+        let spec = job.spec.clone();
         let id = spec.id.clone();
-        self.fleet.jobs.borrow_mut().insert(spec.id.clone(), truth);
+        self.fleet.jobs.borrow_mut().insert(spec.id.clone(), job);
         self.follow_job(spec).await;
         self.mark_finished(&id);
         self.waiting.set(self.waiting.get() - 1);
     }
 
+    /// Submits a job, polls until the job is finished, and cancels the job if that was drawn or
+    /// requested.
     async fn follow_job(&self, spec: JobSpec) {
         let connection = Connection::new(&self.fleet, &self.balancer);
         let class = self
@@ -441,7 +462,8 @@
         }
         self.mark_finished(&job);
         if again {
-            // Somebody looks once more, and somebody's old retry comes late.
+            // Some users poll once more after the end, and an old retry of the submission
+            // arrives late.
             sleep(self.jitter(20.0)).await;
             self.poll(&connection, &job).await;
             let answer = connection
@@ -453,7 +475,7 @@
         }
     }
 
-    /// The answer to a repeated submission, if it says anything of the job.
+    /// Records the reply to a repeated submission, if the reply says anything about the job.
     pub(crate) fn note_repeated(&self, job: &str, exchange: &Exchange) {
         if exchange.answer.status < RETRIED_FROM {
             let stage = stage(&exchange.answer);
@@ -467,20 +489,21 @@
         }
     }
 
-    /// Somebody was told this of the job.
+    /// Notes that a user received a reply with this stage of the job.
     fn note_stage(&self, job: &str, stage: Option<JobStage>) {
         if let Some(stage @ (JobStage::Done | JobStage::Cancelled)) = stage {
             self.faults.finished_as(job, stage);
         }
     }
 
-    /// For those who submit the next step of a run.
+    /// Marks a job as finished, for the users that submit the next step of a run.
     fn mark_finished(&self, job: &str) {
         if !self.fleet.night.runs.is_empty() {
             self.finished_jobs.borrow_mut().insert(job.to_owned());
         }
     }
 
+    /// Whether all these jobs are known to be finished.
     pub(crate) fn are_finished(&self, jobs: &[String]) -> bool {
         let finished_jobs = self.finished_jobs.borrow();
         jobs.iter().all(|job| finished_jobs.contains(job))
@@ -494,21 +517,21 @@
         &self.fleet
     }
 
-    /// The controllers' addresses.
+    /// Returns the controllers' addresses.
     pub(crate) fn nodes(&self) -> &[SocketAddr] {
         &self.balancer.nodes
     }
 
-    /// What a job's user submitted.
+    /// Returns the job as its user submitted it.
     pub(crate) fn spec_of(&self, job: &str) -> Option<JobSpec> {
         let jobs = self.fleet.jobs.borrow();
-        jobs.get(job).map(|truth| truth.spec.clone())
+        jobs.get(job).map(|job| job.spec.clone())
     }
 
-    /// The first submission of the night, by id.
+    /// Returns the submitted job with the lowest id.
     pub(crate) fn any_spec(&self) -> Option<JobSpec> {
         let jobs = self.fleet.jobs.borrow();
-        jobs.values().next().map(|truth| truth.spec.clone())
+        jobs.values().next().map(|job| job.spec.clone())
     }
 
     pub(crate) fn now(&self) -> f64 {
@@ -519,15 +542,18 @@
         self.fleet.history.add(what);
     }
 
+    /// Draws with the random generator of the users.
     pub(crate) fn draw_random<T>(&self, draw: impl FnOnce(&mut ChaCha8Rng) -> T) -> T {
         draw(&mut self.rng.borrow_mut())
     }
 
+    /// Returns the duration changed by a random amount of at most 10%.
     fn jitter(&self, seconds: f64) -> f64 {
         self.rng.borrow_mut().random_range(0.9..1.1) * seconds
     }
 
-    /// True once it is accepted; it is repeated by the protocol's rules.
+    /// Submits a job, with retries by the rules of the protocol. Returns whether the job was
+    /// accepted.
     async fn submit(&self, connection: &Connection, spec: &JobSpec, body: &[u8]) -> bool {
         let began = self.fleet.world.now();
         self.fleet.history.add(What::Asked {
@@ -556,11 +582,11 @@
                 }
                 _ => {}
             }
-            let told = answer
+            let retry_after_s = answer
                 .and_then(|exchange| exchange.answer.retry_after_s)
                 .unwrap_or(0)
                 .min(30);
-            let pause = f64::from(told).max(self.jitter(1.1));
+            let pause = f64::from(retry_after_s).max(self.jitter(1.1));
             if now + pause - began > RETRY_FOR_S {
                 self.fleet.history.add(What::Refused { job, status: 0 });
                 return false;
@@ -569,6 +595,7 @@
         }
     }
 
+    /// Polls a job and records the reply; status 0 means that none arrived.
     async fn poll(&self, connection: &Connection, job: &str) -> Option<JobStage> {
         let target = format!("{}/{job}", paths::JOBS);
         let answer = connection.send("GET", &target, b"", POLL_TIMEOUT_S).await;
@@ -583,6 +610,7 @@
         stage
     }
 
+    /// Records the request and cancels the job.
     async fn cancel(&self, connection: &Connection, job: &str) -> bool {
         self.fleet.cancelled.borrow_mut().insert(job.to_owned());
         self.fleet
@@ -591,12 +619,14 @@
         self.repeat_cancel(connection, job).await
     }
 
-    /// A cancellation that was asked for elsewhere goes on through the balancer.
+    /// Continues a cancellation, already recorded, through the load balancer.
     pub(crate) async fn cancel_through_balancer(&self, job: &str) -> bool {
         let connection = Connection::new(&self.fleet, &self.balancer);
         self.repeat_cancel(&connection, job).await
     }
 
+    /// Sends a cancellation until a reply says that the job is finished. Returns false if none
+    /// does in time.
     async fn repeat_cancel(&self, connection: &Connection, job: &str) -> bool {
         let target = format!("{}/{job}/{}", paths::JOBS, paths::CANCEL);
         let began = self.fleet.world.now();
@@ -616,7 +646,8 @@
         }
     }
 
-    /// Whether the answer says that the job is finished_jobs.
+    /// Records the reply to a cancellation. Returns whether the reply says that the job is
+    /// finished.
     pub(crate) fn note_cancel_answer(&self, job: &str, exchange: &Exchange) -> bool {
         let (status, question) = (exchange.answer.status, Some(exchange.question));
         let stage = stage(&exchange.answer).filter(|_| status == 200);
@@ -647,7 +678,7 @@
         }
     }
 
-    /// Users also ask about jobs that nobody has submitted.
+    /// Polls regularly for jobs that were never submitted.
     async fn poll_unknown_jobs(self: Rc<Self>) {
         let connection = Connection::new(&self.fleet, &self.balancer);
         loop {
@@ -658,6 +689,7 @@
     }
 }
 
+/// Decodes the stage of the job from a reply.
 pub(crate) fn stage(answer: &ClientResponse) -> Option<JobStage> {
     decode::<JobStatus>(&answer.body)
         .ok()
