--- a/crates/umbersail-rehearsal/src/fleet.rs
+++ b/crates/umbersail-rehearsal/src/fleet.rs
@@ -185,7 +185,7 @@
 
     /// Called when a task of the job gets its result. If this was the last one and completions
     /// are watched, the job is added to them.
-    pub fn has_result(&self, job: &str) {
+    pub fn result_added(&self, job: &str) {
         if !self.completions.is_watched.get() {
             return;
         }
@@ -504,12 +504,12 @@
         if !kinds[kind].zones.contains(&wanted.zone) || wanted.count == 0 || wanted.count > 50 {
             return Response::empty(400);
         }
-        let there = if wanted.spot {
+        let offered = if wanted.spot {
             kinds[kind].spot
         } else {
             kinds[kind].ordinary
         };
-        let most = (there as f64 * self.parameters.capacity_share.get()) as usize;
+        let most = (offered as f64 * self.parameters.capacity_share.get()) as usize;
         let machines = self.machines.borrow();
         let taken = machines.values().filter(|m| {
             m.kind == kind
--- a/crates/umbersail-rehearsal/src/image_store.rs
+++ b/crates/umbersail-rehearsal/src/image_store.rs
@@ -59,21 +59,21 @@
         *word &= !bit;
     }
 
-    /// Returns the first piece that is neither in this set nor in `coming`.
-    fn first_missing(&self, coming: &Pieces, total: u32) -> Option<u32> {
-        let words = self.words.iter().zip(&coming.words).enumerate();
-        let mut free = words.filter_map(|(index, (here, coming))| {
-            let left = !(here | coming);
+    /// Returns the first piece that is neither in this set nor in `incoming`.
+    fn first_missing(&self, incoming: &Pieces, total: u32) -> Option<u32> {
+        let words = self.words.iter().zip(&incoming.words).enumerate();
+        let mut free = words.filter_map(|(index, (here, incoming))| {
+            let left = !(here | incoming);
             (left != 0).then(|| index as u32 * 64 + left.trailing_zeros())
         });
         free.next().filter(|piece| *piece < total)
     }
 
     /// Returns the first piece that is in this set and in neither of the others.
-    fn first_beside(&self, have: &Pieces, coming: &Pieces) -> Option<u32> {
-        let words = self.words.iter().zip(&have.words).zip(&coming.words);
-        for (index, ((here, have), coming)) in words.enumerate() {
-            let left = here & !have & !coming;
+    fn first_not_in(&self, have: &Pieces, incoming: &Pieces) -> Option<u32> {
+        let words = self.words.iter().zip(&have.words).zip(&incoming.words);
+        for (index, ((here, have), incoming)) in words.enumerate() {
+            let left = here & !have & !incoming;
             if left != 0 {
                 return Some(index as u32 * 64 + left.trailing_zeros());
             }
@@ -97,13 +97,14 @@
     total: u32,
     piece_gb: f64,
     have: Pieces,
-    coming: Pieces,
+    incoming: Pieces,
     sources: Vec<Source>,
     /// Pieces in flight to this machine, each with its source.
     sending: Vec<(Source, u32)>,
     alive: bool,
 }
 
+/// The upload side of a source.
 #[derive(Debug, Default)]
 struct Uplink {
     rate: f64,
@@ -112,11 +113,13 @@
     readers: VecDeque<usize>,
 }
 
+/// A machine that fetches images and passes them on.
 #[derive(Debug)]
 struct Peer {
     zone: u16,
     up: f64,
     down: f64,
+    /// When the download link is free again.
     down_free_at: f64,
     alive: bool,
     uplink: Uplink,
@@ -145,11 +148,11 @@
     peers: BTreeMap<Node, Peer>,
     replicas: Vec<Replica>,
     events: BinaryHeap<Reverse<(u64, u64, TransferEvent)>>,
-    order: u64,
+    sequence: u64,
     now: f64,
     store_gb: f64,
     finished: Vec<(Node, Image)>,
-    cut: Option<u16>,
+    partitioned_zone: Option<u16>,
 }
 
 impl Swarm {
@@ -164,11 +167,11 @@
             peers: BTreeMap::new(),
             replicas: Vec::new(),
             events: BinaryHeap::new(),
-            order: 0,
+            sequence: 0,
             now: 0.0,
             store_gb: 0.0,
             finished: Vec::new(),
-            cut: None,
+            partitioned_zone: None,
         }
     }
 
@@ -224,7 +227,7 @@
     /// Cuts a zone off from the other zones, but not from the store. `None` ends the partition.
     pub fn partition_zone(&mut self, now: f64, zone: Option<u16>) {
         self.now = self.now.max(now);
-        self.cut = zone;
+        self.partitioned_zone = zone;
         for replica in 0..self.replicas.len() {
             let lost: Vec<Source> = self.replicas[replica]
                 .sources
@@ -241,12 +244,14 @@
         }
     }
 
+    /// Whether no partition separates a source from the machine of a replica.
     fn reaches(&self, from: Source, replica: usize) -> bool {
         let zone = |node| self.peers.get(&node).map(|p| p.zone);
-        match (from, self.cut) {
+        match (from, self.partitioned_zone) {
             (Source::Store, _) | (_, None) => true,
-            (Source::Machine(node), Some(cut)) => {
-                (zone(node) == Some(cut)) == (zone(self.replicas[replica].node) == Some(cut))
+            (Source::Machine(node), Some(isolated)) => {
+                (zone(node) == Some(isolated))
+                    == (zone(self.replicas[replica].node) == Some(isolated))
             }
         }
     }
@@ -271,7 +276,7 @@
             total,
             piece_gb: gb / f64::from(total),
             have: Pieces::none(total),
-            coming: Pieces::none(total),
+            incoming: Pieces::none(total),
             sources: Vec::new(),
             sending: Vec::new(),
             alive: true,
@@ -293,7 +298,7 @@
         self.now = self.now.max(now);
         if let Some(replica) = self.replica_of(node, image) {
             if let Some(peer) = self.peers.get_mut(&node) {
-                peer.replicas.retain(|h| *h != replica);
+                peer.replicas.retain(|r| *r != replica);
             }
             self.drop_replica(now, replica);
         }
@@ -327,24 +332,25 @@
                     from,
                     piece,
                 } => self.arrived(replica, from, piece),
-                TransferEvent::SourceLost { replica, from } => self.source_gone(replica, from),
+                TransferEvent::SourceLost { replica, from } => self.source_lost(replica, from),
             }
         }
         self.now = self.now.max(now);
         std::mem::take(&mut self.finished)
     }
 
+    /// Schedules an event.
     fn at(&mut self, at: f64, step: TransferEvent) {
-        self.order += 1;
+        self.sequence += 1;
         let at = (at.max(0.0) * 1e9).round() as u64;
-        self.events.push(Reverse((at, self.order, step)));
+        self.events.push(Reverse((at, self.sequence, step)));
     }
 
     fn replica_of(&self, node: Node, image: Image) -> Option<usize> {
         let peer = self.peers.get(&node)?;
         let mut replicas = peer.replicas.iter();
         replicas
-            .find(|h| self.replicas[**h].image == image)
+            .find(|r| self.replicas[**r].image == image)
             .copied()
     }
 
@@ -355,6 +361,7 @@
         }
     }
 
+    /// Adds a source to a replica.
     fn read_from(&mut self, replica: usize, from: Source) {
         self.replicas[replica].sources.push(from);
         if let Some(uplink) = self.uplink(from) {
@@ -386,7 +393,7 @@
                 uplink.readers.push_back(replica);
             }
             let reader = &mut self.replicas[replica];
-            reader.coming.insert(piece);
+            reader.incoming.insert(piece);
             reader.sending.push((from, piece));
             let (gb, node) = (reader.piece_gb, reader.node);
             let sent = self.now + gb / rate;
@@ -421,14 +428,15 @@
             return None;
         }
         match from {
-            Source::Store => reader.have.first_missing(&reader.coming, reader.total),
+            Source::Store => reader.have.first_missing(&reader.incoming, reader.total),
             Source::Machine(node) => {
                 let holder = &self.replicas[self.replica_of(node, reader.image)?];
-                holder.have.first_beside(&reader.have, &reader.coming)
+                holder.have.first_not_in(&reader.have, &reader.incoming)
             }
         }
     }
 
+    /// Adds a piece that has arrived, and records the image as finished if it is complete.
     fn arrived(&mut self, replica: usize, from: Source, piece: u32) {
         let reader = &mut self.replicas[replica];
         let before = reader.sending.len();
@@ -436,7 +444,7 @@
         if !reader.alive || reader.sending.len() == before {
             return;
         }
-        reader.coming.remove(piece);
+        reader.incoming.remove(piece);
         reader.have.insert(piece);
         let (node, image) = (reader.node, reader.image);
         let sources = reader.sources.clone();
@@ -444,7 +452,7 @@
             reader.sources.clear();
             for source in &sources {
                 if let Some(uplink) = self.uplink(*source) {
-                    uplink.readers.retain(|h| *h != replica);
+                    uplink.readers.retain(|r| *r != replica);
                 }
             }
             self.finished.push((node, image));
@@ -457,7 +465,7 @@
 
     /// Removes a source of a replica. If the source was the last one, the replica reads from the
     /// store instead.
-    fn source_gone(&mut self, replica: usize, from: Source) {
+    fn source_lost(&mut self, replica: usize, from: Source) {
         let reader = &mut self.replicas[replica];
         let before = reader.sources.len();
         reader.sources.retain(|s| *s != from);
@@ -470,11 +478,11 @@
             .map(|(_, piece)| piece)
             .collect();
         for piece in lost {
-            reader.coming.remove(piece);
+            reader.incoming.remove(piece);
         }
         let sources = reader.sources.clone();
         if let Some(uplink) = self.uplink(from) {
-            uplink.readers.retain(|h| *h != replica);
+            uplink.readers.retain(|r| *r != replica);
         }
         if sources.is_empty() {
             self.read_from(replica, Source::Store);
@@ -484,6 +492,7 @@
         }
     }
 
+    /// Drops a replica. The machines that read from this one notice after [`SOURCE_LOST_S`].
     fn drop_replica(&mut self, now: f64, replica: usize) {
         self.now = self.now.max(now);
         let node = self.replicas[replica].node;
@@ -491,7 +500,7 @@
         self.replicas[replica].alive = false;
         for source in std::mem::take(&mut self.replicas[replica].sources) {
             if let Some(uplink) = self.uplink(source) {
-                uplink.readers.retain(|h| *h != replica);
+                uplink.readers.retain(|r| *r != replica);
             }
         }
         let readers: Vec<usize> = match self.peers.get(&node) {
@@ -546,7 +555,7 @@
     pub fn add(&self, addr: SocketAddr, zone: &str, fetch_gb_per_s: f64, worker: Rc<Worker>) {
         let node = self.created.get();
         self.created.set(node + 1);
-        let zone = number(&self.zones, zone) as u16;
+        let zone = index_of(&self.zones, zone) as u16;
         let up = fetch_gb_per_s * self.night.up_share;
         self.swarm.borrow_mut().add(node, zone, up, fetch_gb_per_s);
         self.nodes.borrow_mut().insert(addr, node);
@@ -571,7 +580,7 @@
         };
         let known = |holder: &String| nodes.get(&holder.parse().ok()?).copied();
         let holders: Vec<Node> = holders.iter().filter_map(known).collect();
-        let image = number(&self.images, image) as Image;
+        let image = index_of(&self.images, image) as Image;
         (self.swarm.borrow_mut()).fetch(now, *node, image, gb, &holders);
         self.wake.notify_all();
     }
@@ -579,7 +588,7 @@
     /// A worker no longer holds or fetches the image.
     pub fn release(&self, now: f64, addr: SocketAddr, image: &str) {
         if let Some(node) = self.nodes.borrow().get(&addr) {
-            let image = number(&self.images, image) as Image;
+            let image = index_of(&self.images, image) as Image;
             self.swarm.borrow_mut().release(now, *node, image);
             self.wake.notify_all();
         }
@@ -627,7 +636,7 @@
 }
 
 /// Returns the index of a name, adding the name at the end if it is new.
-fn number(names: &RefCell<Vec<String>>, name: &str) -> usize {
+fn index_of(names: &RefCell<Vec<String>>, name: &str) -> usize {
     let mut names = names.borrow_mut();
     let known = names.iter().position(|n| n == name);
     known.unwrap_or_else(|| {
@@ -639,17 +648,17 @@
 /// Summarizes image transfers for a scenario with an image store: how much the store sent, and
 /// how long after submission tasks began to run, by class.
 pub fn summary(events: &[Event]) -> String {
-    let mut asked = BTreeMap::new();
+    let mut submitted = BTreeMap::new();
     let mut waits: BTreeMap<&str, Vec<f64>> = BTreeMap::new();
-    let (mut begun, mut sent) = (BTreeSet::new(), 0.0);
+    let (mut started, mut sent) = (BTreeSet::new(), 0.0);
     for event in events {
         match &event.what {
             What::Asked { spec } => {
                 let first = (event.t, spec.class.as_str(), spec.tasks);
-                asked.entry(spec.id.as_str()).or_insert(first);
+                submitted.entry(spec.id.as_str()).or_insert(first);
             }
-            What::Started { job, task, .. } if begun.insert((job, task)) => {
-                if let Some((at, class, _)) = asked.get(job.as_str()) {
+            What::Started { job, task, .. } if started.insert((job, task)) => {
+                if let Some((at, class, _)) = submitted.get(job.as_str()) {
                     waits.entry(class).or_default().push(event.t - at);
                 }
             }
@@ -659,7 +668,11 @@
     }
     let mut out = format!("  images: the store sent {sent:.0} GB\n");
     for (class, mut waits) in waits {
-        let all: u32 = asked.values().filter(|a| a.1 == class).map(|a| a.2).sum();
+        let all: u32 = submitted
+            .values()
+            .filter(|a| a.1 == class)
+            .map(|a| a.2)
+            .sum();
         waits.sort_by(f64::total_cmp);
         let at = |share: f64| {
             let index = ((share * f64::from(all)).ceil() as usize).max(1) - 1;
--- a/crates/umbersail-rehearsal/src/lib.rs
+++ b/crates/umbersail-rehearsal/src/lib.rs
@@ -50,7 +50,7 @@
 pub use bundled::{BUNDLED, Bundled, bundled};
 pub use judge::{Breach, Figures, Reached, Rule, judge};
 pub use night::{Failure, Night, NightError, Priority, Team, Trouble};
-pub use odd_requests::{Invalid, REQUIRED_FIELDS, invalid_submissions};
+pub use odd_requests::{InvalidSubmission, REQUIRED_FIELDS, invalid_submissions};
 pub use play::{Outcome, PlayError, play, play_many, settings};
 pub use real::run_real;
 pub use runs::{Run, RunFigures, Step};
--- a/crates/umbersail-rehearsal/src/odd_requests.rs
+++ b/crates/umbersail-rehearsal/src/odd_requests.rs
@@ -20,9 +20,9 @@
 const INVALID_FROM: u64 = 9_000_000_000;
 const INVALID_TO: u64 = 9_999_999_999;
 /// A valid amount that is larger than any machine or quota.
-const HUGE: f64 = 1e6;
+const ABOVE_ALL_LIMITS: f64 = 1e6;
 /// An amount that is too large to be valid.
-const ABSURD: f64 = 1e300;
+const TOO_LARGE: f64 = 1e300;
 
 /// Fields that a submission must have (PROTOCOL: all fields that must not be null).
 pub const REQUIRED_FIELDS: [&str; 17] = [
@@ -36,7 +36,7 @@
 
 /// A submission that must not be accepted.
 #[derive(Debug, Clone)]
-pub struct Invalid {
+pub struct InvalidSubmission {
     /// Describes what is invalid.
     pub defect: String,
     /// The status that a controller must answer with.
@@ -45,92 +45,92 @@
     pub body: Vec<u8>,
 }
 
-fn set(body: &mut Value, field: &str, value: Value) {
+fn set_field(body: &mut Value, field: &str, value: Value) {
     if let Value::Map(fields) = body {
         fields.retain(|(key, _)| key.as_str() != Some(field));
         fields.push((field.into(), value));
     }
 }
 
-fn without(body: &mut Value, field: &str) {
+fn remove_field(body: &mut Value, field: &str) {
     if let Value::Map(fields) = body {
         fields.retain(|(key, _)| key.as_str() != Some(field));
     }
 }
 
 /// Returns all kinds of invalid submissions, each derived from a valid one.
-pub fn invalid_submissions(spec: &JobSpec) -> Vec<Invalid> {
+pub fn invalid_submissions(spec: &JobSpec) -> Vec<InvalidSubmission> {
     let plain = JobSpec {
         gpus: Some(spec.gpus()),
         one_zone: Some(false),
         spread: Some(false),
         ..spec.clone()
     };
-    let sound: Value = decode(&encode(&plain)).unwrap_or(Value::Nil);
+    let valid: Value = decode(&encode(&plain)).unwrap_or(Value::Nil);
     let mut all = Vec::new();
     let mut add = |defect: String, wanted: u16, change: &dyn Fn(&mut Value)| {
-        let mut body = sound.clone();
+        let mut body = valid.clone();
         change(&mut body);
         let body = encode(&body);
-        all.push(Invalid {
+        all.push(InvalidSubmission {
             defect,
             wanted,
             body,
         });
     };
     for field in REQUIRED_FIELDS {
-        add(format!("no {field}"), 400, &|b| without(b, field));
-        let of_another_type = Value::Array(vec![]);
+        add(format!("no {field}"), 400, &|b| remove_field(b, field));
+        let wrong_type = Value::Array(vec![]);
         add(format!("{field} is a list"), 400, &|b| {
-            set(b, field, of_another_type.clone())
+            set_field(b, field, wrong_type.clone())
         });
     }
     for field in AMOUNTS {
         add(format!("{field} is negative"), 400, &|b| {
-            set(b, field, Value::from(-1))
+            set_field(b, field, Value::from(-1))
         });
         add(format!("{field} is absurd"), 400, &|b| {
-            set(b, field, Value::from(ABSURD))
+            set_field(b, field, Value::from(TOO_LARGE))
         });
         add(format!("{field} is no number"), 400, &|b| {
-            set(b, field, Value::from(f64::NAN))
+            set_field(b, field, Value::from(f64::NAN))
         });
     }
     add("no task".into(), 400, &|b| {
-        set(b, "portions", Value::from(0))
+        set_field(b, "portions", Value::from(0))
     });
     add("too many tasks".into(), 400, &|b| {
-        set(b, "portions", Value::from(100_001))
+        set_field(b, "portions", Value::from(100_001))
     });
     add("an id of another form".into(), 400, &|b| {
-        set(b, "id", Value::from("job 7"))
+        set_field(b, "id", Value::from("job 7"))
     });
     add("an unknown kind".into(), 400, &|b| {
-        set(b, "cut", Value::from("odd"))
+        set_field(b, "cut", Value::from("odd"))
     });
     add("an unknown priority".into(), 400, &|b| {
-        set(b, "urgency", Value::from("odd"))
+        set_field(b, "urgency", Value::from("odd"))
     });
     add("a list".into(), 400, &|b| {
         *b = Value::Array(vec![Value::from(1)])
     });
     add("nothing at all".into(), 400, &|b| *b = Value::Nil);
     add("an unknown team".into(), 422, &|b| {
-        set(b, "crew", Value::from("nobody"))
+        set_field(b, "crew", Value::from("nobody"))
     });
     let unknown_type = Value::Array(vec![Value::from("no such type")]);
     add("an unknown machine type".into(), 422, &|b| {
-        set(b, "breeds", unknown_type.clone())
+        set_field(b, "breeds", unknown_type.clone())
     });
     add("no machine type".into(), 422, &|b| {
-        set(b, "breeds", Value::Array(vec![]))
+        set_field(b, "breeds", Value::Array(vec![]))
     });
     add("an unknown zone".into(), 422, &|b| {
-        set(b, "field", Value::from("nowhere"))
+        set_field(b, "field", Value::from("nowhere"))
     });
     for field in ["cores", "gpus", "mem_gb"] {
         add(format!("too large in {field}"), 422, &|b| {
-            set(b, field, Value::from(HUGE))
+            set_field(b, field, Value::from(ABOVE_ALL_LIMITS))
         });
     }
     all
@@ -170,10 +170,10 @@
         }
         let id = spec.id.clone();
         let bodies = invalid_submissions(&spec);
-        let names_it = |i: &&Invalid| {
+        let has_same_id = |i: &&InvalidSubmission| {
             decode::<umbersail_wire::JobIdOnly>(&i.body).is_ok_and(|only| only.id == id)
         };
-        let bodies: Vec<&Invalid> = bodies.iter().filter(names_it).collect();
+        let bodies: Vec<&InvalidSubmission> = bodies.iter().filter(has_same_id).collect();
         let Some(chosen) = self.faults.draw_random(|rng| bodies.choose(rng).copied()) else {
             return;
         };
--- a/crates/umbersail-rehearsal/src/user_faults.rs
+++ b/crates/umbersail-rehearsal/src/user_faults.rs
@@ -203,8 +203,8 @@
                     let after_s = self.faults.draw_random(|r| r.random_range(0.0..RECORDED_S));
                     spawn(self.clone().query_all_controllers(job.clone(), after_s));
                 }
-                let late = self.faults.cancelled_at_end.get();
-                let after_s = late.and_then(|late| self.faults.draw_random(|r| late.draw(r)));
+                let delay = self.faults.cancelled_at_end.get();
+                let after_s = delay.and_then(|delay| self.faults.draw_random(|r| delay.draw(r)));
                 if let Some(after_s) = after_s {
                     spawn(self.clone().cancel_after(job, after_s));
                 }
--- a/crates/umbersail-rehearsal/src/worker.rs
+++ b/crates/umbersail-rehearsal/src/worker.rs
@@ -45,7 +45,7 @@
     /// When the attempt began to run.
     began: f64,
     /// Progress that was saved before the attempt began to run, in seconds.
-    before: f64,
+    progress_before: f64,
 }
 
 struct State {
@@ -144,11 +144,11 @@
                         sleep(UNREACHABLE_HOLD_S).await;
                         return Response::empty(503);
                     }
-                    let held = match request.path() {
+                    let delay = match request.path() {
                         paths::WORKER_COMMANDS => fleet.command_delay.get(),
                         _ => None,
                     };
-                    match held.and_then(|late| random(|rng| late.draw(rng))) {
+                    match delay.and_then(|delay| random(|rng| delay.draw(rng))) {
                         Some(held_s) => worker.handle_direct_late(&fleet, &request, held_s).await,
                         None => worker.handle_direct_now(&fleet, &request).await,
                     }
@@ -264,11 +264,11 @@
     /// Ends the session and all its tasks if the lease has expired by the worker's own clock.
     pub fn check_lease(&self, fleet: &Fleet) {
         let now = fleet.world.now();
-        let over = {
+        let expired = {
             let state = self.state.borrow();
             (now - state.renewed_at) * self.clock_rate > fleet.night.workers.lease_s
         };
-        if over {
+        if expired {
             self.lose_all(fleet, End::Lapsed);
             let mut state = self.state.borrow_mut();
             state.session += 1;
@@ -334,8 +334,8 @@
             while state.images.len() > 1
                 && state.images.iter().map(|(_, s)| s).sum::<f64>() > self.kind.cache_gb
             {
-                let (pushed_out, _) = state.images.remove(0);
-                self.release_image(fleet, &pushed_out);
+                let (evicted, _) = state.images.remove(0);
+                self.release_image(fleet, &evicted);
             }
         }
         drop(state);
@@ -356,7 +356,7 @@
             jobs.get(job)
                 .is_some_and(|j| j.spec.kind == umbersail_wire::JobKind::Service)
         };
-        let left = match () {
+        let remaining_s = match () {
             () if done => 0.0,
             () if self.faulty.get() || fleet.is_mistaken(job) => 1.0,
             () if service => 1e9,
@@ -366,8 +366,8 @@
         if let Some(task) = state.tasks.get_mut(key) {
             task.state = TaskState::Running;
             task.began = now;
-            task.before = before;
-            task.due = now + left;
+            task.progress_before = before;
+            task.due = now + remaining_s;
         }
         state.changed = true;
         drop(state);
@@ -388,7 +388,7 @@
         key: &(String, u32, u64),
         cause: ExitCause,
         how: End,
-        kept: bool,
+        checkpointed: bool,
     ) {
         let now = fleet.world.now();
         let mut state = self.state.borrow_mut();
@@ -408,8 +408,8 @@
         };
         task.state = TaskState::Exited;
         task.cause = Some(cause);
-        task.saved = kept.then_some(true);
-        let before = task.before;
+        task.saved = checkpointed.then_some(true);
+        let before = task.progress_before;
         state.changed = true;
         drop(state);
         self.wake.notify_all();
@@ -430,7 +430,7 @@
                 fleet.saved.borrow_mut().remove(&id);
                 let is_new = fleet.results.borrow_mut().insert(id);
                 if is_new {
-                    fleet.has_result(&key.0);
+                    fleet.result_added(&key.0);
                 }
                 if is_new { progress } else { 0.0 }
             }
@@ -443,7 +443,7 @@
             }
             _ if step > 0.0 => {
                 let reached = before + progress;
-                let saved = if kept {
+                let saved = if checkpointed {
                     reached
                 } else {
                     (reached / step).floor() * step
@@ -464,6 +464,7 @@
         });
     }
 
+    /// Makes the next heartbeat.
     fn heartbeat(&self, fleet: &Fleet) -> Heartbeat {
         let now = fleet.world.now();
         let mut state = self.state.borrow_mut();
@@ -498,15 +499,15 @@
         match (request.method.as_str(), request.path()) {
             ("GET", "/inspect") => answer(200, &self.heartbeat(fleet)),
             ("POST", paths::WORKER_COMMANDS) => {
-                let Ok(order) = decode::<DirectCommands>(&request.body) else {
+                let Ok(message) = decode::<DirectCommands>(&request.body) else {
                     return Response::empty(400);
                 };
                 let accepts = {
                     let state = self.state.borrow();
-                    order.token >= state.token && order.session == state.session
+                    message.token >= state.token && message.session == state.session
                 };
                 if accepts {
-                    self.execute(fleet, order.token, &order.commands);
+                    self.execute(fleet, message.token, &message.commands);
                 }
                 answer(if accepts { 200 } else { 409 }, &self.heartbeat(fleet))
             }
@@ -516,12 +517,12 @@
 
     /// Handles a request without delay; a fault may delay the reply.
     async fn handle_direct_now(&self, fleet: &Fleet, request: &Request) -> Response {
-        let held = match request.path() {
+        let delay = match request.path() {
             paths::WORKER_COMMANDS => fleet.command_reply_delay.get(),
             _ => None,
         };
         let response = self.handle_direct(fleet, request);
-        if let Some(held_s) = held.and_then(|late| random(|rng| late.draw(rng))) {
+        if let Some(held_s) = delay.and_then(|delay| random(|rng| delay.draw(rng))) {
             sleep(held_s).await;
             fleet.history.add(What::LateAnswer {
                 machine: self.name.clone(),
@@ -536,17 +537,17 @@
     async fn handle_direct_late(&self, fleet: &Fleet, request: &Request, held_s: f64) -> Response {
         sleep(held_s).await;
         self.check_lease(fleet);
-        let how = decode::<DirectCommands>(&request.body).ok().map(|order| {
+        let how = decode::<DirectCommands>(&request.body).ok().map(|message| {
             let state = self.state.borrow();
-            let how = match order.token.cmp(&state.token) {
+            let how = match message.token.cmp(&state.token) {
                 Ordering::Less => history::Late::StaleToken,
-                _ if order.session != state.session => history::Late::StaleSession,
+                _ if message.session != state.session => history::Late::StaleSession,
                 Ordering::Equal => history::Late::SameToken,
                 Ordering::Greater => history::Late::HigherToken,
             };
             (
                 how,
-                order.token >> LEADER_TERM_SHIFT < state.token >> LEADER_TERM_SHIFT,
+                message.token >> LEADER_TERM_SHIFT < state.token >> LEADER_TERM_SHIFT,
             )
         });
         let response = self.handle_direct(fleet, request);
@@ -562,6 +563,7 @@
         response
     }
 
+    /// Executes commands and adopts the token if it is newer.
     fn execute(&self, fleet: &Fleet, token: u64, commands: &[Command]) {
         {
             let mut state = self.state.borrow_mut();
@@ -598,6 +600,7 @@
         self.wake.notify_all();
     }
 
+    /// Starts an attempt, after fetching the image if necessary, or refuses to do so.
     fn launch(&self, fleet: &Fleet, key: (String, u32, u64), holders: &[String]) {
         let now = fleet.world.now();
         let spec = fleet.jobs.borrow().get(&key.0).map(|j| j.spec.clone());
@@ -606,7 +609,7 @@
             return;
         }
         let active = |t: &&Task| t.state != TaskState::Exited;
-        let twice = state
+        let is_active = state
             .tasks
             .iter()
             .any(|((job, task, _), t)| *job == key.0 && *task == key.1 && active(&t));
@@ -618,7 +621,7 @@
         let refused = match &spec {
             None => Some(ExitCause::Unknown),
             Some(spec) if key.1 >= spec.tasks => Some(ExitCause::Unknown),
-            Some(_) if twice => Some(ExitCause::Busy),
+            Some(_) if is_active => Some(ExitCause::Busy),
             Some(spec)
                 if used.0 + spec.cpus > self.kind.cpus + 1e-6
                     || used.1 + spec.memory_gb > self.kind.memory_gb + 1e-6 =>
@@ -628,7 +631,7 @@
             Some(_) => None,
         };
         let image = spec.as_ref().map_or(String::new(), |s| s.image.clone());
-        let here = state.images.iter().any(|(i, _)| *i == image);
+        let is_cached = state.images.iter().any(|(i, _)| *i == image);
         let task = Task {
             state: if refused.is_some() {
                 TaskState::Exited
@@ -642,7 +645,7 @@
             image: image.clone(),
             due: 0.0,
             began: now,
-            before: 0.0,
+            progress_before: 0.0,
         };
         state.tasks.insert(key.clone(), task);
         state.changed = true;
@@ -655,7 +658,7 @@
             task: key.1,
             attempt: key.2,
         });
-        if here {
+        if is_cached {
             drop(state);
             self.start_task(fleet, &key);
         } else if !state.fetches.contains_key(&image) {
@@ -675,6 +678,7 @@
         }
     }
 
+    /// Stops an attempt. A running task saves its progress first if the grace period suffices.
     fn stop(&self, fleet: &Fleet, key: &(String, u32, u64), grace_s: f64) {
         let spec = fleet.jobs.borrow().get(&key.0).map(|j| j.spec.clone());
         let mut state = self.state.borrow_mut();
@@ -710,6 +714,8 @@
         }
     }
 
+    /// Sends heartbeats without end. After a failure the worker turns to the next controller, or
+    /// to the one that a reply names.
     async fn send_heartbeats(self: Rc<Self>, fleet: Rc<Fleet>, first: usize) {
         let limits = ClientLimits {
             max_body_bytes: 64 << 10,
@@ -812,6 +818,8 @@
         }
     }
 
+    /// Handles the reply to a heartbeat: extends the lease and executes the commands, unless the
+    /// session has changed or the token is older than the worker's.
     fn handle_reply(&self, fleet: &Fleet, sent: f64, session: u64, body: &[u8]) {
         self.check_lease(fleet);
         let Ok(reply) = decode::<HeartbeatReply>(body) else {
