--- a/crates/umbersail-rehearsal/src/delays.rs
+++ b/crates/umbersail-rehearsal/src/delays.rs
@@ -145,17 +145,17 @@
             loop {
                 for copy in new.take() {
                     let (in_flight, newest) = (in_flight.clone(), newest.clone());
-                    let (history, spawned) = (history.clone(), clock.clone());
                     let wait = copy.due - clock.now();
+                    let (history, clock) = (history.clone(), clock.clone());
                     spawn(async move {
                         sleep(wait.max(0.0)).await;
                         // Compare with the newest heartbeat at the time when the copy
                         // arrives, not when the copy is answered.
                         let to_event = compare(&copy, &newest.borrow());
-                        let sent = spawned.now();
+                        let sent = clock.now();
                         let status = send(&copy).await;
                         if let Some(to_event) = to_event {
-                            let took_s = spawned.now() - sent;
+                            let took_s = clock.now() - sent;
                             history.add(to_event(status, (took_s * 1e6).round() / 1e6));
                         }
                         in_flight.set(in_flight.get() - 1);
--- a/crates/umbersail-rehearsal/src/fleet.rs
+++ b/crates/umbersail-rehearsal/src/fleet.rs
@@ -42,18 +42,27 @@
 
 /// A rented machine. Times are in simulation time.
 pub struct Machine {
+    /// The machine's name and id.
     pub name: String,
+    /// Index of the machine type in the scenario.
     pub kind: usize,
+    /// The zone that the machine is in.
     pub zone: String,
+    /// Whether the machine is a spot instance.
     pub spot: bool,
+    /// The machine's host in the world.
     pub host: HostId,
+    /// Address of the worker.
     pub addr: SocketAddr,
+    /// When the machine was rented.
     pub rented_at: f64,
+    /// When the machine booted.
     pub up_at: Cell<Option<f64>>,
     /// When the machine failed by itself.
     pub failed_at: Cell<Option<f64>>,
     /// When the machine was deleted or reclaimed.
     pub gone_at: Cell<Option<f64>>,
+    /// The worker that runs on the machine.
     pub worker: Rc<Worker>,
 }
 
@@ -84,11 +93,17 @@
 
 /// The simulated cloud, its machines, and the jobs that run on them.
 pub struct Fleet {
+    /// The world that all hosts belong to.
     pub world: WorldHandle,
+    /// The history of the run.
     pub history: History,
+    /// The scenario.
     pub night: Rc<Night>,
+    /// What injected faults have changed about the cloud.
     pub parameters: Parameters,
+    /// All machines ever rented, by name.
     pub machines: RefCell<BTreeMap<String, Rc<Machine>>>,
+    /// All submitted jobs, by id.
     pub jobs: RefCell<BTreeMap<String, SimulatedJob>>,
     /// Tasks that have a result, by job and task number.
     pub results: RefCell<BTreeSet<(String, u32)>>,
@@ -109,7 +124,7 @@
     pub command_delay: Cell<Option<DelayFault>>,
     /// Which replies to direct commands are delayed, and for how long.
     pub command_reply_delay: Cell<Option<DelayFault>>,
-    fronts: Vec<SocketAddr>,
+    controller_addrs: Vec<SocketAddr>,
     members: Vec<String>,
     /// Machines by rental request, so that a repeated request returns the same machines.
     rentals: RefCell<BTreeMap<String, Vec<String>>>,
@@ -129,7 +144,7 @@
         seed: u64,
         controllers: Vec<(String, SocketAddr)>,
     ) -> Rc<Fleet> {
-        let (members, fronts) = controllers.into_iter().unzip();
+        let (members, controller_addrs) = controllers.into_iter().unzip();
         let store = night.store.clone().map(ImageStore::new);
         Rc::new(Fleet {
             bucket: RefCell::new(TokenBucket::new(night.cloud.rps, 2.0)),
@@ -154,7 +169,7 @@
             cancelled: RefCell::default(),
             completions: Completions::default(),
             store,
-            fronts,
+            controller_addrs,
             members,
             rentals: RefCell::default(),
             listed: RefCell::default(),
@@ -169,8 +184,8 @@
     }
 
     /// Returns the addresses at which controllers serve workers.
-    pub fn fronts(&self) -> &[SocketAddr] {
-        &self.fronts
+    pub fn controller_addrs(&self) -> &[SocketAddr] {
+        &self.controller_addrs
     }
 
     /// Returns the index of the controller with this member name.
@@ -209,7 +224,7 @@
         }
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
         match LogNormal::new(simulated.run_s.max(0.01).ln(), simulated.sigma) {
-            Ok(lots) => lots.sample(&mut rng),
+            Ok(distribution) => distribution.sample(&mut rng),
             Err(_) => simulated.run_s,
         }
     }
@@ -296,7 +311,10 @@
         self.history.add(What::Up {
             machine: machine.name.clone(),
         });
-        let first = self.rng.borrow_mut().random_range(0..self.fronts.len());
+        let first = self
+            .rng
+            .borrow_mut()
+            .random_range(0..self.controller_addrs.len());
         let (world, host) = (self.world.clone(), machine.host);
         world.start(host, machine.worker.clone().run(self, first));
     }
--- a/crates/umbersail-rehearsal/src/trouble.rs
+++ b/crates/umbersail-rehearsal/src/trouble.rs
@@ -344,14 +344,18 @@
             Trouble::ReportsLate => {
                 let late = DelayFault::new(failure);
                 if failure.for_next == Some(true) {
-                    (fleet.heartbeat_copies).begin_keeping(&self.world, fleet.fronts(), late);
+                    (fleet.heartbeat_copies).begin_keeping(
+                        &self.world,
+                        fleet.controller_addrs(),
+                        late,
+                    );
                     let fleet = fleet.clone();
                     (self.ledger).on_election(Box::new(move || {
                         fleet.heartbeat_copies.deliver_kept(fleet.world.now());
                     }));
                     return Some(Box::new(|s| s.fleet.heartbeat_copies.end_keeping()));
                 }
-                (fleet.heartbeat_copies).begin(&self.world, fleet.fronts(), late);
+                (fleet.heartbeat_copies).begin(&self.world, fleet.controller_addrs(), late);
                 Some(Box::new(|s| s.fleet.heartbeat_copies.end()))
             }
             Trouble::CommandsLate => {
--- a/crates/umbersail-rehearsal/src/users.rs
+++ b/crates/umbersail-rehearsal/src/users.rs
@@ -138,7 +138,9 @@
 
 /// A reply, with the controller and the sending time of its request.
 pub(crate) struct Exchange {
+    /// The reply.
     pub answer: ClientResponse,
+    /// Where and when the request was sent.
     pub question: Question,
 }
 
@@ -310,7 +312,7 @@
                 .unwrap_or(1.0);
             let rate = class.per_minute / 60.0 * factor;
             let wait = match Exp::new(rate) {
-                Ok(gaps) if rate > 0.0 => gaps.sample(&mut *self.rng.borrow_mut()),
+                Ok(intervals) if rate > 0.0 => intervals.sample(&mut *self.rng.borrow_mut()),
                 _ => f64::INFINITY,
             };
             // The rate may change while waiting. Exponential intervals are memoryless, so a new
@@ -336,11 +338,11 @@
             median.ln(),
             sigma,
         ) {
-            Ok(lots) => lots.sample(rng),
+            Ok(distribution) => distribution.sample(rng),
             Err(_) => median,
         };
         let more = match Geometric::new(1.0 / class.tasks) {
-            Ok(lots) => lots.sample(rng),
+            Ok(distribution) => distribution.sample(rng),
             Err(_) => 0,
         };
         let tasks = match class.exactly {
--- a/crates/umbersail-rehearsal/src/worker.rs
+++ b/crates/umbersail-rehearsal/src/worker.rs
@@ -725,7 +725,7 @@
             connect_timeout_s: REPLY_TIMEOUT_S,
         };
         let mut client = Client::new(limits.clone());
-        let nodes = fleet.fronts().to_vec();
+        let nodes = fleet.controller_addrs().to_vec();
         let mut node = first;
         loop {
             self.check_lease(&fleet);
