--- a/crates/umbersail-rehearsal/src/delays.rs
+++ b/crates/umbersail-rehearsal/src/delays.rs
@@ -72,7 +72,6 @@
     /// the copies arrive.
     for_next_leader: Cell<Option<DelayFault>>,
     /// Copies kept for the next leader, by machine.
-    /// Copies kept for the next leader, by machine.
     kept: RefCell<BTreeMap<String, Vec<Heartbeat>>>,
     host: Cell<Option<HostId>>,
     controllers: RefCell<Vec<SocketAddr>>,
@@ -87,7 +86,6 @@
 }
 
 impl HeartbeatCopies {
-    /// Creates the component with both faults off.
     /// Creates the component with both faults off.
     pub fn new(seed: u64, history: History) -> HeartbeatCopies {
         HeartbeatCopies {
