--- a/crates/umbersail-rehearsal/src/fleet.rs
+++ b/crates/umbersail-rehearsal/src/fleet.rs
@@ -1,4 +1,4 @@
-//! The stand-ins for the cloud and for the machines that it rents.
+//! Simulated cloud provider and the machines rented from it.
 
 use std::cell::{Cell, RefCell};
 use std::collections::{BTreeMap, BTreeSet};
@@ -18,92 +18,117 @@
     RentRequest, decode, paths,
 };
 
+use crate::addresses::Addresses;
+use crate::delays::{DelayFault, HeartbeatCopies};
 use crate::history::{EndReason, EventKind, History};
+use crate::image_store::ImageStore;
 use crate::kv_store_host::{answer, wide_limits};
-use crate::late::{Late, LateReports};
 use crate::night::{MachineKind, Night};
-use crate::places::Addresses;
-use crate::store::StoreHost;
-use crate::user_troubles::Completions;
+use crate::user_faults::Completions;
 use crate::worker::Worker;
 
-/// What only its tasks know of a job.
+/// A submitted job and the actual behaviour of its tasks, which controllers do not know.
 #[derive(Debug, Clone)]
-pub struct Truth {
+pub struct SimulatedJob {
+    /// The job as submitted.
     pub spec: JobSpec,
-    /// Median run time of its tasks.
+    /// Median run time of a task, in seconds.
     pub run_s: f64,
+    /// Sigma of the log-normal distribution of task run times.
     pub sigma: f64,
-    /// Submitted with a mistake: its tasks fail on every machine.
+    /// Whether the submission contains a mistake, so that its tasks fail on every machine.
     pub mistaken: bool,
 }
 
-/// A machine that was rented.
+/// A rented machine. Times are in simulation time.
 pub struct Machine {
+    /// The machine's name and id.
     pub name: String,
+    /// Index of the machine type in the scenario.
     pub kind: usize,
+    /// The zone that the machine is in.
     pub zone: String,
+    /// Whether the machine is a spot instance.
     pub spot: bool,
+    /// The machine's host in the world.
     pub host: HostId,
+    /// Address of the worker.
     pub addr: SocketAddr,
+    /// When the machine was rented.
     pub rented_at: f64,
+    /// When the machine booted.
     pub up_at: Cell<Option<f64>>,
-    /// It stopped on its own.
+    /// When the machine failed by itself.
     pub failed_at: Cell<Option<f64>>,
-    /// It was deleted or taken.
+    /// When the machine was deleted or reclaimed.
     pub gone_at: Cell<Option<f64>>,
+    /// The worker that runs on the machine.
     pub worker: Rc<Worker>,
 }
 
 impl Machine {
+    /// Whether the machine has booted, and neither failed nor was deleted.
     pub fn is_up(&self) -> bool {
         self.up_at.get().is_some() && self.failed_at.get().is_none() && self.gone_at.get().is_none()
     }
 }
 
-/// Where boots are quick a new machine is up after so many seconds.
+/// Boot time of a new machine while the fault `boots-quick` is active, in seconds.
 const QUICK_BOOT_S: RangeInclusive<f64> = 1.0..=2.0;
 
-/// What the script of failures may turn.
+/// Parameters of the cloud that injected faults change.
 #[derive(Debug)]
-pub struct Knobs {
-    pub boots: Cell<f64>,
+pub struct Parameters {
+    /// Factor on boot times.
+    pub boot_factor: Cell<f64>,
+    /// New machines never boot.
     pub boots_never: Cell<bool>,
-    /// New machines are up within [`QUICK_BOOT_S`].
+    /// New machines boot within [`QUICK_BOOT_S`].
     pub boots_quick: Cell<bool>,
-    /// Rentals are carried out at once and answered later.
-    pub rentals_late: Cell<Option<Late>>,
-    pub capacity: Cell<f64>,
+    /// Rentals are executed at once, but their replies are delayed.
+    pub rental_delay: Cell<Option<DelayFault>>,
+    /// Share of the capacity of each machine type that can be rented.
+    pub capacity_share: Cell<f64>,
 }
 
-/// The cloud, its machines, and the jobs that run on them.
+/// The simulated cloud, its machines, and the jobs that run on them.
 pub struct Fleet {
+    /// The world that all hosts belong to.
     pub world: WorldHandle,
+    /// The history of the run.
     pub history: History,
+    /// The scenario.
     pub night: Rc<Night>,
-    pub knobs: Knobs,
+    /// What injected faults have changed about the cloud.
+    pub parameters: Parameters,
+    /// All machines ever rented, by name.
     pub machines: RefCell<BTreeMap<String, Rc<Machine>>>,
-    pub jobs: RefCell<BTreeMap<String, Truth>>,
-    /// Tasks whose result is kept, and progress that was saved, in seconds.
+    /// All submitted jobs, by id.
+    pub jobs: RefCell<BTreeMap<String, SimulatedJob>>,
+    /// Tasks that have a result, by job and task number.
     pub results: RefCell<BTreeSet<(String, u32)>>,
+    /// Saved progress of tasks, in seconds.
     pub saved: RefCell<BTreeMap<(String, u32), f64>>,
+    /// Money spent on machines so far.
     pub spent: Cell<f64>,
-    /// Jobs that nobody wants any more.
+    /// Jobs whose cancellation was requested.
     pub cancelled: RefCell<BTreeSet<String>>,
-    /// Jobs whose last task completed.
+    /// Jobs whose last task has completed.
     pub completions: Completions,
-    /// Where images come from, if it is one place for all.
-    pub store: Option<Rc<StoreHost>>,
-    /// Reports that come a second time.
-    pub late: LateReports,
-    /// Direct commands that are held up, and for how long.
-    pub late_commands: Cell<Option<Late>>,
-    /// Answers to direct commands that are held up.
-    pub late_answers: Cell<Option<Late>>,
-    fronts: Vec<SocketAddr>,
+    /// The image store that all machines share. Without one, each machine fetches at its own
+    /// rate.
+    pub store: Option<Rc<ImageStore>>,
+    /// Delayed duplicates of heartbeats.
+    pub heartbeat_copies: HeartbeatCopies,
+    /// Which direct commands are delayed, and for how long.
+    pub command_delay: Cell<Option<DelayFault>>,
+    /// Which replies to direct commands are delayed, and for how long.
+    pub command_reply_delay: Cell<Option<DelayFault>>,
+    controller_addrs: Vec<SocketAddr>,
     members: Vec<String>,
-    hires: RefCell<BTreeMap<String, Vec<String>>>,
-    /// Machines that a list has named.
+    /// Machines by rental request, so that a repeated request returns the same machines.
+    rentals: RefCell<BTreeMap<String, Vec<String>>>,
+    /// Machines that a machine list has named.
     listed: RefCell<BTreeSet<String>>,
     bucket: RefCell<TokenBucket>,
     rng: RefCell<ChaCha8Rng>,
@@ -111,6 +136,7 @@
 }
 
 impl Fleet {
+    /// Creates the cloud without machines; `controllers` are names and addresses.
     pub fn new(
         world: WorldHandle,
         history: History,
@@ -118,22 +144,22 @@
         seed: u64,
         controllers: Vec<(String, SocketAddr)>,
     ) -> Rc<Fleet> {
-        let (members, fronts) = controllers.into_iter().unzip();
-        let store = night.store.clone().map(StoreHost::new);
+        let (members, controller_addrs) = controllers.into_iter().unzip();
+        let store = night.store.clone().map(ImageStore::new);
         Rc::new(Fleet {
             bucket: RefCell::new(TokenBucket::new(night.cloud.rps, 2.0)),
-            late: LateReports::new(seed, history.clone()),
-            late_commands: Cell::new(None),
-            late_answers: Cell::new(None),
+            heartbeat_copies: HeartbeatCopies::new(seed, history.clone()),
+            command_delay: Cell::new(None),
+            command_reply_delay: Cell::new(None),
             world,
             history,
             night,
-            knobs: Knobs {
-                boots: Cell::new(1.0),
+            parameters: Parameters {
+                boot_factor: Cell::new(1.0),
                 boots_never: Cell::new(false),
                 boots_quick: Cell::new(false),
-                rentals_late: Cell::new(None),
-                capacity: Cell::new(1.0),
+                rental_delay: Cell::new(None),
+                capacity_share: Cell::new(1.0),
             },
             machines: RefCell::default(),
             jobs: RefCell::default(),
@@ -143,23 +169,26 @@
             cancelled: RefCell::default(),
             completions: Completions::default(),
             store,
-            fronts,
+            controller_addrs,
             members,
-            hires: RefCell::default(),
+            rentals: RefCell::default(),
             listed: RefCell::default(),
             rng: RefCell::new(ChaCha8Rng::seed_from_u64(seed ^ 0x0066_6c65_6574)),
             created: Cell::new(0),
         })
     }
 
+    /// Returns the type of a machine.
     pub fn kind(&self, machine: &Machine) -> &MachineKind {
         &self.night.machines[machine.kind]
     }
 
-    pub fn fronts(&self) -> &[SocketAddr] {
-        &self.fronts
+    /// Returns the addresses at which controllers serve workers.
+    pub fn controller_addrs(&self) -> &[SocketAddr] {
+        &self.controller_addrs
     }
 
+    /// Returns the index of the controller with this member name.
     pub fn member(&self, name: &str) -> Option<usize> {
         self.members.iter().position(|m| m == name)
     }
@@ -169,8 +198,9 @@
         self.jobs.borrow().get(job).is_some_and(|j| j.mistaken)
     }
 
-    /// A task has its result: whether that was the last one is told to who watches.
-    pub fn has_result(&self, job: &str) {
+    /// Called when a task of the job gets its result. If this was the last one and completions
+    /// are watched, the job is added to them.
+    pub fn result_added(&self, job: &str) {
         if !self.completions.is_watched.get() {
             return;
         }
@@ -181,10 +211,11 @@
         }
     }
 
-    /// How long a task runs on a machine of usual speed.
+    /// Returns the run time of a task on a machine of normal speed. The value depends on job and
+    /// task number only, so that every attempt has the same run time.
     pub fn run_s(&self, job: &str, task: u32) -> f64 {
         let jobs = self.jobs.borrow();
-        let Some(truth) = jobs.get(job) else {
+        let Some(simulated) = jobs.get(job) else {
             return 1.0;
         };
         let mut seed = u64::from(task);
@@ -192,31 +223,32 @@
             seed = (seed ^ u64::from(byte)).wrapping_mul(0x0000_0100_0000_01b3);
         }
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
-        match LogNormal::new(truth.run_s.max(0.01).ln(), truth.sigma) {
-            Ok(lots) => lots.sample(&mut rng),
-            Err(_) => truth.run_s,
+        match LogNormal::new(simulated.run_s.max(0.01).ln(), simulated.sigma) {
+            Ok(distribution) => distribution.sample(&mut rng),
+            Err(_) => simulated.run_s,
         }
     }
 
-    /// Machines that are up, by name.
+    /// Returns the machines that are up, in order of their names.
     pub fn up(&self) -> Vec<Rc<Machine>> {
         let machines = self.machines.borrow();
         machines.values().filter(|m| m.is_up()).cloned().collect()
     }
 
-    /// Tasks of wanted jobs that have no result and run nowhere.
+    /// Returns the number of tasks that have no result and are on no machine, without those of
+    /// cancelled jobs.
     pub fn waiting(&self) -> u32 {
         let (jobs, cancelled) = (self.jobs.borrow(), self.cancelled.borrow());
         let wanted = |job: &String| !cancelled.contains(job);
         let tasks = jobs.iter().filter(|(job, _)| wanted(job));
-        let tasks: u32 = tasks.map(|(_, truth)| truth.spec.tasks).sum();
+        let tasks: u32 = tasks.map(|(_, job)| job.spec.tasks).sum();
         let results = self.results.borrow();
         let done = results.iter().filter(|(job, _)| wanted(job)).count();
         let active: usize = self.up().iter().map(|m| m.worker.active()).sum();
         tasks.saturating_sub((done + active) as u32)
     }
 
-    /// Machines that are up at the start.
+    /// Creates the machines that are up at the start of the scenario.
     pub fn begin(self: &Rc<Self>) {
         for index in 0..self.night.machines.len() {
             let kind = &self.night.machines[index];
@@ -273,30 +305,34 @@
         machine
     }
 
-    /// The machine is up, and its worker starts.
+    /// Marks the machine as up and starts its worker.
     pub fn boot(self: Rc<Self>, machine: Rc<Machine>) {
         machine.up_at.set(Some(self.world.now()));
         self.history.add(EventKind::Up {
             machine: machine.name.clone(),
         });
-        let first = self.rng.borrow_mut().random_range(0..self.fronts.len());
+        let first = self
+            .rng
+            .borrow_mut()
+            .random_range(0..self.controller_addrs.len());
         let (world, host) = (self.world.clone(), machine.host);
         world.start(host, machine.worker.clone().run(self, first));
     }
 
+    /// Boots a rented machine after a random time, unless the machine is one that never boots.
     fn boot_later(self: &Rc<Self>, machine: Rc<Machine>) {
         let cloud = &self.night.cloud;
         let mut rng = self.rng.borrow_mut();
-        if self.knobs.boots_never.get() || rng.random_bool(cloud.never) {
+        if self.parameters.boots_never.get() || rng.random_bool(cloud.never) {
             return;
         }
-        let nominal = self.kind(&machine).boot_s * self.knobs.boots.get();
+        let nominal = self.kind(&machine).boot_s * self.parameters.boot_factor.get();
         let late = if rng.random_bool(cloud.late) {
             4.0
         } else {
             1.0
         };
-        let wait = match self.knobs.boots_quick.get() {
+        let wait = match self.parameters.boots_quick.get() {
             true => rng.random_range(QUICK_BOOT_S),
             false => nominal * rng.random_range(0.6..1.5) * late,
         };
@@ -310,13 +346,13 @@
         });
     }
 
-    /// It stops with all that is on it; the list tells 30 s later.
+    /// The machine fails and all its tasks are lost. The machine list shows the failure 30 s later.
     pub fn fail(&self, machine: &Machine) {
         machine.failed_at.set(Some(self.world.now()));
         self.halt(machine, "stopped");
     }
 
-    /// Deleted, or taken back: gone with everything on it.
+    /// Deletes or reclaims the machine; all its tasks are lost. At least 60 s are charged.
     pub fn remove(&self, machine: &Machine, why: &str) {
         if machine.gone_at.get().is_some() {
             return;
@@ -346,7 +382,7 @@
         self.spent.set(self.spent.get() + money);
     }
 
-    /// The current price of a second.
+    /// Returns the current price of the machine per second.
     fn price_of(&self, machine: &Machine) -> f64 {
         let kind = self.kind(machine);
         let hourly = match kind.spot_price {
@@ -356,13 +392,14 @@
         hourly / 3600.0
     }
 
-    /// Spot prices swing by up to a third, each type in its own rhythm.
+    /// Returns the current factor on the spot price. Spot prices vary by up to a third, with a
+    /// different period for each machine type.
     fn spot_factor(&self, kind: usize) -> f64 {
         let phase = self.world.now() / (180.0 + 37.0 * kind as f64);
         1.0 + (phase + kind as f64).sin() / 3.0
     }
 
-    /// Charges what is rented, once a second.
+    /// Charges all rented machines once a second.
     pub async fn charge(self: Rc<Self>) {
         loop {
             sleep(1.0).await;
@@ -376,12 +413,12 @@
         }
     }
 
-    /// Kills what runs past its worker's lease, also where nothing can run.
+    /// Ends the tasks of workers whose lease has expired, also on frozen machines.
     pub async fn watch_leases(self: Rc<Self>) {
         loop {
             sleep(0.1).await;
             for machine in self.up() {
-                machine.worker.expire(&self);
+                machine.worker.check_lease(&self);
             }
         }
     }
@@ -404,13 +441,13 @@
         serve(listener, wide_limits(), handler).await;
     }
 
-    /// Holds the answer to a rental up for as long as the script says.
+    /// Delays the reply to a rental if a fault says so, and records the reply.
     async fn answer_rental(&self, response: &Response) {
         let Ok(names) = decode::<MachineNames>(&response.body) else {
             return;
         };
-        let late = self.knobs.rentals_late.get();
-        let held_s = late.and_then(|late| late.draw(&mut *self.rng.borrow_mut()));
+        let delay = self.parameters.rental_delay.get();
+        let held_s = delay.and_then(|delay| delay.draw(&mut *self.rng.borrow_mut()));
         if let Some(held_s) = held_s {
             sleep(held_s).await;
         }
@@ -472,8 +509,9 @@
         }
     }
 
+    /// Rents machines, as far as capacity allows. A repeated request gets the same reply again.
     fn rent(self: &Rc<Self>, wanted: &RentRequest) -> Response {
-        if let Some(known) = self.hires.borrow().get(&wanted.request) {
+        if let Some(known) = self.rentals.borrow().get(&wanted.request) {
             let machines = known.clone();
             return answer(200, &MachineNames { machines });
         }
@@ -484,12 +522,12 @@
         if !kinds[kind].zones.contains(&wanted.zone) || wanted.count == 0 || wanted.count > 50 {
             return Response::empty(400);
         }
-        let there = if wanted.spot {
+        let offered = if wanted.spot {
             kinds[kind].spot
         } else {
             kinds[kind].ordinary
         };
-        let most = (there as f64 * self.knobs.capacity.get()) as usize;
+        let most = (offered as f64 * self.parameters.capacity_share.get()) as usize;
         let machines = self.machines.borrow();
         let taken = machines.values().filter(|m| {
             m.kind == kind
@@ -508,13 +546,13 @@
             names.push(machine.name.clone());
             self.boot_later(machine);
         }
-        self.hires
+        self.rentals
             .borrow_mut()
             .insert(wanted.request.clone(), names.clone());
         answer(200, &MachineNames { machines: names })
     }
 
-    /// Machines as they stood some time ago.
+    /// Returns a page of the machine list. The list lags: it shows the state of some seconds ago.
     fn list(&self, from: &str, most: usize) -> MachineList {
         let lag = self.night.cloud.list_lag_s * self.rng.borrow_mut().random_range(0.8..1.6);
         let then = self.world.now() - lag;
