--- a/crates/umbersail-rehearsal/benches/fleet.rs
+++ b/crates/umbersail-rehearsal/benches/fleet.rs
@@ -2,10 +2,10 @@
 //! class that keeps the machines busy, without failures.
 
 use criterion::{BenchmarkId, Criterion, Throughput, criterion_group, criterion_main};
-use umbersail_rehearsal::{Night, play};
+use umbersail_rehearsal::{Scenario, play};
 
 /// A minute of work for so many machines, all of which are up at the start.
-fn minute(machines: usize) -> Night {
+fn minute(machines: usize) -> Scenario {
     let text = format!(
         "title = \"{machines} machines\"\nlength_s = 60\ndrain_s = 1\n\
          [controllers]\ncount = 3\nzones = [\"a\", \"b\"]\nmax_sockets = {sockets}\ncore = 0.5\n\
@@ -22,7 +22,7 @@
         rate = (machines / 12).max(2),
         first = (machines / 20).max(1),
     );
-    Night::parse("bench", &text).expect("the night of the bench is valid")
+    Scenario::parse("bench", &text).expect("the night of the bench is valid")
 }
 
 fn fleets(c: &mut Criterion) {
--- a/crates/umbersail-rehearsal/src/bound.rs
+++ b/crates/umbersail-rehearsal/src/bound.rs
@@ -11,7 +11,7 @@
 use umbersail_wire::JobSpec;
 
 use crate::history::{End, Event, What};
-use crate::night::{MachineKind, Night, Trouble};
+use crate::scenario::{MachineKind, Scenario, Trouble};
 use crate::served::Served;
 
 /// Time goes on in steps of so many seconds.
@@ -59,7 +59,7 @@
 }
 
 /// The bound of a row, or `None` if the program is too large or can't be solved.
-pub fn bound(night: &Night, events: &[Event], row: &Served) -> Option<Bound> {
+pub fn bound(night: &Scenario, events: &[Event], row: &Served) -> Option<Bound> {
     let end = events.last()?.t;
     let jobs = jobs(night, events, row, end);
     Some(Bound {
@@ -68,7 +68,7 @@
     })
 }
 
-fn jobs(night: &Night, events: &[Event], row: &Served, end: f64) -> Vec<Job> {
+fn jobs(night: &Scenario, events: &[Event], row: &Served, end: f64) -> Vec<Job> {
     struct JobTrace<'a> {
         spec: &'a JobSpec,
         asked_at: f64,
@@ -144,13 +144,13 @@
 }
 
 /// Machine seconds of one kind that there are in one step, ordinary or all.
-fn machines(night: &Night, kind: &MachineKind, spot: bool, from: f64, to: f64) -> f64 {
+fn machines(night: &Scenario, kind: &MachineKind, spot: bool, from: f64, to: f64) -> f64 {
     let per_zone = (kind.ordinary + if spot { kind.spot } else { 0 }) as f64;
     let lasts = |a: f64, b: f64| (to.min(b) - from.max(a)).max(0.0);
     let all = per_zone * kind.zones.len() as f64;
     let up = kind.at_start as f64;
     let late = lasts(0.0, kind.boot_s * SOONEST) * (all - up).max(0.0);
-    let dark = |f: &&crate::night::Failure| {
+    let dark = |f: &&crate::scenario::Failure| {
         let here = f.zone.as_ref().is_some_and(|z| kind.zones.contains(z));
         f.what == Trouble::PowerCut && here
     };
@@ -167,7 +167,7 @@
 
 /// Jobs that are alike are one flow; the key's first says whether they are those
 /// that are looked at.
-fn flows(night: &Night, jobs: &[Job], others: bool) -> BTreeMap<(bool, String, i64, i64), Flow> {
+fn flows(night: &Scenario, jobs: &[Job], others: bool) -> BTreeMap<(bool, String, i64, i64), Flow> {
     let mut flows: BTreeMap<(bool, String, i64, i64), Flow> = BTreeMap::new();
     for job in jobs {
         let wanted = job.looked_at || (others && job.in_time);
@@ -203,7 +203,7 @@
 }
 
 /// The largest share of the jobs that are looked at.
-fn solve(night: &Night, jobs: &[Job], end: f64, others: bool) -> Option<f64> {
+fn solve(night: &Scenario, jobs: &[Job], end: f64, others: bool) -> Option<f64> {
     let of = jobs.iter().filter(|j| j.looked_at).count();
     if of == 0 {
         return None;
@@ -294,9 +294,9 @@
 
     /// A night of one kind of machine with eight CPUs, four of them up from the
     /// start, and none to be rented.
-    fn night(cpus_max: f64) -> Night {
+    fn night(cpus_max: f64) -> Scenario {
         let text = bundled("leader-changes-in-outages").unwrap();
-        let mut night = Night::parse("test", text).unwrap();
+        let mut night = Scenario::parse("test", text).unwrap();
         night.failures.clear();
         night.machines.truncate(1);
         let kind = &mut night.machines[0];
@@ -357,7 +357,7 @@
         events
     }
 
-    fn reckoned(night: &Night, events: &[Event]) -> Bound {
+    fn reckoned(night: &Scenario, events: &[Event]) -> Bound {
         let row = Served {
             of: Of::Class,
             name: "labels".into(),
--- a/crates/umbersail-rehearsal/src/cancel_now.rs
+++ b/crates/umbersail-rehearsal/src/cancel_now.rs
@@ -8,7 +8,7 @@
 
 use crate::fleet::Machine;
 use crate::history::What;
-use crate::night::Failure;
+use crate::scenario::Failure;
 use crate::trouble::{Stage, name_of};
 use crate::user_troubles::Order;
 
--- a/crates/umbersail-rehearsal/src/experiment.rs
+++ b/crates/umbersail-rehearsal/src/experiment.rs
@@ -10,8 +10,8 @@
 use statrs::distribution::{ContinuousCDF, StudentsT};
 
 use crate::bundled::bundled;
-use crate::night::{Night, NightError};
 use crate::play::{Outcome, PlayError, play_many};
+use crate::scenario::{Scenario, ScenarioError};
 
 /// What is compared, on which nights.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize, JsonSchema)]
@@ -90,9 +90,9 @@
     ///
     /// # Errors
     /// File, key and reason, in one line.
-    pub fn load(path: &Path) -> Result<Experiment, NightError> {
+    pub fn load(path: &Path) -> Result<Experiment, ScenarioError> {
         let file = path.display().to_string();
-        let fail = |key: &str, reason: String| NightError {
+        let fail = |key: &str, reason: String| ScenarioError {
             file: file.clone(),
             key: key.into(),
             reason: reason.replace('\n', " "),
@@ -116,11 +116,11 @@
     ///
     /// # Errors
     /// The first night that can't be read.
-    pub fn nights(&self) -> Result<Vec<(String, Night)>, NightError> {
+    pub fn nights(&self) -> Result<Vec<(String, Scenario)>, ScenarioError> {
         let read = |name: &String| {
             let night = match bundled(name) {
-                Some(text) => Night::parse(name, text)?,
-                None => Night::load(Path::new(name))?,
+                Some(text) => Scenario::parse(name, text)?,
+                None => Scenario::load(Path::new(name))?,
             };
             Ok((name.clone(), night))
         };
@@ -156,7 +156,7 @@
 /// If a night can't be played with a variant's properties.
 pub fn run(
     experiment: &Experiment,
-    nights: &[(String, Night)],
+    nights: &[(String, Scenario)],
     threads: usize,
 ) -> Result<String, PlayError> {
     let seeds: Vec<u64> =
--- a/crates/umbersail-rehearsal/src/fleet.rs
+++ b/crates/umbersail-rehearsal/src/fleet.rs
@@ -21,8 +21,8 @@
 use crate::history::{End, History, What};
 use crate::kv_store_host::{answer, wide_limits};
 use crate::late::{Late, LateReports};
-use crate::night::{MachineKind, Night};
 use crate::places::Addresses;
+use crate::scenario::{MachineKind, Scenario};
 use crate::store::StoreHost;
 use crate::user_troubles::Completions;
 use crate::worker::Worker;
@@ -80,7 +80,7 @@
 pub struct Fleet {
     pub world: WorldHandle,
     pub history: History,
-    pub night: Rc<Night>,
+    pub night: Rc<Scenario>,
     pub knobs: Knobs,
     pub machines: RefCell<BTreeMap<String, Rc<Machine>>>,
     pub jobs: RefCell<BTreeMap<String, Truth>>,
@@ -114,7 +114,7 @@
     pub fn new(
         world: WorldHandle,
         history: History,
-        night: Rc<Night>,
+        night: Rc<Scenario>,
         seed: u64,
         controllers: Vec<(String, SocketAddr)>,
     ) -> Rc<Fleet> {
--- a/crates/umbersail-rehearsal/src/judge/aims.rs
+++ b/crates/umbersail-rehearsal/src/judge/aims.rs
@@ -3,7 +3,7 @@
 
 use super::{Figures, JobSeen, Judge, Reached, Rule};
 use crate::answers::Questions;
-use crate::night::Aim;
+use crate::scenario::Aim;
 use crate::served;
 
 impl Judge<'_> {
--- a/crates/umbersail-rehearsal/src/judge/mod.rs
+++ b/crates/umbersail-rehearsal/src/judge/mod.rs
@@ -8,8 +8,8 @@
 
 use crate::answers::{Answers, Questions};
 use crate::history::{Event, Question, What};
-use crate::night::Night;
 use crate::runs::{self, RunFigures};
+use crate::scenario::Scenario;
 use crate::served::Served;
 
 mod aims;
@@ -144,7 +144,7 @@
 type Place = (String, u64, f64);
 
 struct Judge<'a> {
-    night: &'a Night,
+    night: &'a Scenario,
     jobs: BTreeMap<String, JobSeen>,
     machines: BTreeMap<String, MachineSeen>,
     /// Where each task is now.
@@ -187,7 +187,7 @@
 }
 
 /// Judges a night by its history.
-pub fn judge(night: &Night, events: &[Event]) -> Figures {
+pub fn judge(night: &Scenario, events: &[Event]) -> Figures {
     let mut judge = Judge {
         night,
         jobs: BTreeMap::new(),
--- a/crates/umbersail-rehearsal/src/judge/tests.rs
+++ b/crates/umbersail-rehearsal/src/judge/tests.rs
@@ -77,9 +77,9 @@
 }
 
 /// A night without troubles of its own and this limit on its first team.
-fn night(limit: f64) -> Night {
+fn night(limit: f64) -> Scenario {
     let text = bundled("zone-power-loss-cold-caches").unwrap();
-    let mut night = Night::parse("test", text).unwrap();
+    let mut night = Scenario::parse("test", text).unwrap();
     night.teams[0].cpus_max = limit;
     night.failures.clear();
     night
--- a/crates/umbersail-rehearsal/src/judge/waiting.rs
+++ b/crates/umbersail-rehearsal/src/judge/waiting.rs
@@ -6,7 +6,7 @@
 use umbersail_wire::JobSpec;
 
 use crate::history::{End, Event, What};
-use crate::night::Night;
+use crate::scenario::Scenario;
 
 /// So many seconds a job may wait beside a machine with room for it.
 const LEFT_S: f64 = 90.0;
@@ -74,7 +74,7 @@
 
 /// Follows the machines' room and the jobs that wait for it.
 struct Tracker<'a> {
-    night: &'a Night,
+    night: &'a Scenario,
     machines: BTreeMap<String, Machine>,
     jobs: BTreeMap<String, Job>,
     steps: BTreeMap<String, StepOf>,
@@ -87,7 +87,7 @@
 }
 
 /// Jobs that were left waiting for [`LEFT_S`] after all troubles, from the history.
-pub(super) fn judged(night: &Night, events: &[Event]) -> Vec<LeftWaiting> {
+pub(super) fn judged(night: &Scenario, events: &[Event]) -> Vec<LeftWaiting> {
     let mut tracker = tracker(night);
     let over_s = night.troubles_over_s();
     for (index, event) in events.iter().enumerate() {
@@ -99,7 +99,7 @@
     tracker.found
 }
 
-fn tracker(night: &Night) -> Tracker<'_> {
+fn tracker(night: &Scenario) -> Tracker<'_> {
     Tracker {
         night,
         machines: BTreeMap::new(),
--- a/crates/umbersail-rehearsal/src/judge/waiting/tests.rs
+++ b/crates/umbersail-rehearsal/src/judge/waiting/tests.rs
@@ -112,7 +112,7 @@
 /// When the job was found to have been left waiting; troubles end at 20 s.
 fn left_at(case: Case) -> Vec<f64> {
     let text = bundled("zone-power-loss-cold-caches").unwrap();
-    let mut night = Night::parse("test", text).unwrap();
+    let mut night = Scenario::parse("test", text).unwrap();
     night.teams[0].cpus_max = case.cpus_max;
     night.failures.truncate(1);
     (night.failures[0].at_s, night.failures[0].back_s) = (20.0, None);
@@ -293,7 +293,7 @@
 #[test]
 fn the_calendar_holds_a_step_until_the_one_before_has_ended_or_all_is_due() {
     let text = bundled("calendar-runs-leader-changes").unwrap();
-    let mut night = Night::parse("test", text).unwrap();
+    let mut night = Scenario::parse("test", text).unwrap();
     night.failures.clear();
     night.runs.truncate(1);
     let run = &night.runs[0];
--- a/crates/umbersail-rehearsal/src/kv_store_host.rs
+++ b/crates/umbersail-rehearsal/src/kv_store_host.rs
@@ -18,7 +18,7 @@
 
 use crate::grants::GrantWatch;
 use crate::history::{History, What};
-use crate::night::{LATE_FROM_S, LATE_TO_S, State};
+use crate::scenario::{LATE_FROM_S, LATE_TO_S, State};
 use crate::state_figures::StateFigures;
 
 /// Names the leader, as the controllers write it.
--- a/crates/umbersail-rehearsal/src/late.rs
+++ b/crates/umbersail-rehearsal/src/late.rs
@@ -14,8 +14,8 @@
 use umbersail_wire::{Heartbeat, TaskState, encode, paths};
 
 use crate::history::{History, What};
-use crate::night::Failure;
 use crate::places::Addresses;
+use crate::scenario::Failure;
 
 /// A copy's connection lasts so long at the most, in seconds.
 const COPY_S: f64 = 4.0;
--- a/crates/umbersail-rehearsal/src/lib.rs
+++ b/crates/umbersail-rehearsal/src/lib.rs
@@ -8,10 +8,10 @@
 //! and nothing else.
 //!
 //! ```no_run
-//! use umbersail_rehearsal::{Night, bundled, play};
+//! use umbersail_rehearsal::{Scenario, bundled, play};
 //!
 //! let text = bundled("zone-power-loss-cold-caches").unwrap();
-//! let night = Night::parse("zone-power-loss-cold-caches", text).unwrap();
+//! let night = Scenario::parse("zone-power-loss-cold-caches", text).unwrap();
 //! let outcome = play(&night, 7, &mut |_, _| {}).unwrap();
 //! assert!(outcome.figures.breaches.is_empty());
 //! ```
@@ -29,7 +29,6 @@
 mod judge;
 mod kv_store_host;
 mod late;
-mod night;
 mod odd_requests;
 pub mod paper;
 mod places;
@@ -37,6 +36,7 @@
 mod real;
 pub mod report;
 mod runs;
+mod scenario;
 mod served;
 mod state_figures;
 mod store;
@@ -49,9 +49,9 @@
 pub use answers::{Answers, SILENT_S};
 pub use bundled::{BUNDLED, Bundled, bundled};
 pub use judge::{Breach, Figures, Reached, Rule, judge};
-pub use night::{Failure, Night, NightError, Priority, Team, Trouble};
 pub use odd_requests::{Invalid, REQUIRED_FIELDS, invalid_submissions};
 pub use play::{Outcome, PlayError, play, play_many, settings};
 pub use real::play_real;
 pub use runs::{Run, RunFigures, Step};
+pub use scenario::{Failure, Priority, Scenario, ScenarioError, Team, Trouble};
 pub use served::{BEGIN_S, Of, SERVED_FEW, SERVED_LEAST, Served};
--- a/crates/umbersail-rehearsal/src/places.rs
+++ b/crates/umbersail-rehearsal/src/places.rs
@@ -2,7 +2,7 @@
 
 use std::net::{Ipv4Addr, SocketAddr};
 
-use crate::night::Night;
+use crate::scenario::Scenario;
 
 pub fn member(index: usize) -> String {
     format!("node-{index}")
@@ -40,7 +40,7 @@
     }
 }
 
-pub fn zone(night: &Night, index: usize) -> &str {
+pub fn zone(night: &Scenario, index: usize) -> &str {
     let zones = &night.controllers.zones;
     &zones[index % zones.len()]
 }
--- a/crates/umbersail-rehearsal/src/play.rs
+++ b/crates/umbersail-rehearsal/src/play.rs
@@ -19,9 +19,9 @@
 use crate::history::{Event, History, What};
 use crate::judge::{Figures, judge};
 use crate::kv_store_host::KvStoreHost;
-use crate::night::{Aim, Night};
 use crate::places::{Addresses, member, zone};
 use crate::runs;
+use crate::scenario::{Aim, Scenario};
 use crate::trouble::{Controller, Stage};
 use crate::users::{Balancer, Users};
 
@@ -80,7 +80,7 @@
 
 /// The text of one controller's settings file.
 pub(crate) fn settings_text(
-    night: &Night,
+    night: &Scenario,
     index: usize,
     at: Addresses,
 ) -> Result<String, PlayError> {
@@ -132,7 +132,7 @@
 ///
 /// # Errors
 /// If the night's amounts are none that a controller takes.
-pub fn settings(night: &Night, index: usize) -> Result<Settings, PlayError> {
+pub fn settings(night: &Scenario, index: usize) -> Result<Settings, PlayError> {
     let text = settings_text(night, index, Addresses { simulated: true })?;
     Ok(Settings::parse(&text)?)
 }
@@ -160,7 +160,7 @@
 
 /// The operators' properties of a night, as in their file, for a world that began at
 /// this time of day.
-pub(crate) fn properties_text(night: &Night, epoch_ms: u64) -> String {
+pub(crate) fn properties_text(night: &Scenario, epoch_ms: u64) -> String {
     let controllers = &night.controllers;
     let numbers = controllers.properties.iter();
     let entries = controllers.entries.iter();
@@ -171,7 +171,7 @@
     lines + &runs::properties(night, epoch_ms)
 }
 
-fn tuning(night: &Night) -> Result<Tuning, PlayError> {
+fn tuning(night: &Scenario) -> Result<Tuning, PlayError> {
     let text = properties_text(night, EPOCH_MS);
     Tuning::from_properties(text.as_bytes()).map_err(|e| PlayError::Properties(e.to_string()))
 }
@@ -183,7 +183,7 @@
 ///
 /// # Errors
 /// If the night's properties can't be used, or the world stands still.
-pub fn play(night: &Night, seed: u64, progress: Progress<'_>) -> Result<Outcome, PlayError> {
+pub fn play(night: &Scenario, seed: u64, progress: Progress<'_>) -> Result<Outcome, PlayError> {
     let simulation = Simulation::new(seed, NetworkConfig::default());
     let world = simulation.world();
     let night = Rc::new(night.clone());
@@ -197,7 +197,7 @@
     let (played, length) = (night.clone(), world.clone());
     let result = simulation.block_on_observed(
         async move {
-            let begin = |world: &WorldHandle, night: &Night| {
+            let begin = |world: &WorldHandle, night: &Scenario| {
                 start_controllers(world, night, seed, configs, &tuning)
             };
             direct(world, played, seed, begin, told).await
@@ -212,7 +212,12 @@
 }
 
 impl Outcome {
-    pub(crate) fn of(night: &Night, seed: u64, events: Vec<Event>, world: &WorldHandle) -> Outcome {
+    pub(crate) fn of(
+        night: &Scenario,
+        seed: u64,
+        events: Vec<Event>,
+        world: &WorldHandle,
+    ) -> Outcome {
         let WorkCounters { packets, steps } = world.work_counters();
         let (_, hash) = crate::history::lines(&events);
         let processor_s = world.total_cpu_s();
@@ -236,9 +241,9 @@
 /// Directs a night in whatever world; `begin` starts its controllers.
 pub(crate) async fn direct(
     world: WorldHandle,
-    night: Rc<Night>,
+    night: Rc<Scenario>,
     seed: u64,
-    begin: impl FnOnce(&WorldHandle, &Night) -> Vec<Controller>,
+    begin: impl FnOnce(&WorldHandle, &Scenario) -> Vec<Controller>,
     told: std::sync::mpsc::Sender<f64>,
 ) -> Vec<Event> {
     let at = Addresses {
@@ -311,7 +316,7 @@
 
 fn start_controllers(
     world: &WorldHandle,
-    night: &Night,
+    night: &Scenario,
     seed: u64,
     configs: Vec<Settings>,
     tuning: &Tuning,
@@ -369,7 +374,11 @@
 ///
 /// # Errors
 /// The first that any seed gave.
-pub fn play_many(night: &Night, seeds: &[u64], threads: usize) -> Result<Vec<Outcome>, PlayError> {
+pub fn play_many(
+    night: &Scenario,
+    seeds: &[u64],
+    threads: usize,
+) -> Result<Vec<Outcome>, PlayError> {
     let next = std::sync::atomic::AtomicUsize::new(0);
     let mut found: Vec<(usize, Result<Outcome, PlayError>)> = std::thread::scope(|scope| {
         let work = || {
--- a/crates/umbersail-rehearsal/src/real.rs
+++ b/crates/umbersail-rehearsal/src/real.rs
@@ -12,9 +12,9 @@
 use nix::unistd::Pid;
 use umbersail_runtime::{HostSpec, Runtime, WorldHandle};
 
-use crate::night::Night;
 use crate::places::{Addresses, member, zone};
 use crate::play::{Outcome, PlayError, direct, properties_text, settings_text};
+use crate::scenario::Scenario;
 use crate::trouble::Controller;
 
 /// One controller's process, ended when this is dropped.
@@ -75,14 +75,14 @@
     }
 }
 
-/// Plays a night (see [`Night::hastened`]) against processes of `program` on
+/// Plays a night (see [`Scenario::hastened`]) against processes of `program` on
 /// 127.0.0.0/8. Settings and logs of the controllers go to a folder of their own
 /// below the system's folder for temporary files. Time is real: two nights with
 /// the same seed are alike and not the same.
 ///
 /// # Errors
 /// If a process can't be started or the folder not be written.
-pub fn play_real(night: &Night, seed: u64, program: &Path) -> Result<Outcome, PlayError> {
+pub fn play_real(night: &Scenario, seed: u64, program: &Path) -> Result<Outcome, PlayError> {
     let dir = std::env::temp_dir().join(format!("umbersail-rehearsal-{}", std::process::id()));
     std::fs::create_dir_all(&dir)?;
     let at = Addresses { simulated: false };
@@ -102,13 +102,18 @@
     let (handle, program, folder) = (world.clone(), program.to_owned(), dir);
     let events = runtime.block_on(async move {
         let begin =
-            |world: &WorldHandle, night: &Night| controllers(world, night, &program, &folder);
+            |world: &WorldHandle, night: &Scenario| controllers(world, night, &program, &folder);
         direct(handle, played, seed, begin, told).await
     })?;
     Ok(Outcome::of(night, seed, events, &world))
 }
 
-fn controllers(world: &WorldHandle, night: &Night, program: &Path, dir: &Path) -> Vec<Controller> {
+fn controllers(
+    world: &WorldHandle,
+    night: &Scenario,
+    program: &Path,
+    dir: &Path,
+) -> Vec<Controller> {
     let at = Addresses { simulated: false };
     let build = |n: usize| {
         let process = Rc::new(Process {
--- a/crates/umbersail-rehearsal/src/report.rs
+++ b/crates/umbersail-rehearsal/src/report.rs
@@ -13,8 +13,8 @@
 use crate::bound;
 use crate::history::{Event, What, lines};
 use crate::judge::{Breach, Figures};
-use crate::night::Night;
 use crate::play::Outcome;
+use crate::scenario::Scenario;
 
 /// Version of the archive's layout.
 const ARCHIVE_VERSION: u32 = 1;
@@ -32,7 +32,7 @@
 }
 
 /// A summary of a night for a terminal; its last line is `outcome <hash>`.
-pub fn summary(night: &Night, outcome: &Outcome) -> String {
+pub fn summary(night: &Scenario, outcome: &Outcome) -> String {
     let f = &outcome.figures;
     let mut out = String::new();
     // Writing to a String cannot fail.
@@ -174,7 +174,7 @@
 ///
 /// # Errors
 /// If the folder or a file can't be written.
-pub fn write(dir: &Path, night: &Night, night_text: &str, outcome: &Outcome) -> io::Result<()> {
+pub fn write(dir: &Path, night: &Scenario, night_text: &str, outcome: &Outcome) -> io::Result<()> {
     fs::create_dir_all(dir)?;
     let figures = serde_json::to_vec_pretty(&outcome.figures)?;
     fs::write(dir.join("figures.json"), &figures)?;
@@ -276,7 +276,7 @@
 }
 
 /// The page: everything in one file, nothing fetched.
-fn page(night: &Night, outcome: &Outcome) -> String {
+fn page(night: &Scenario, outcome: &Outcome) -> String {
     let (mut cpus, mut waiting, mut ordinary, mut spot, mut done) = (
         Curve::new(),
         Curve::new(),
--- a/crates/umbersail-rehearsal/src/runs.rs
+++ b/crates/umbersail-rehearsal/src/runs.rs
@@ -11,7 +11,7 @@
 use umbersail_runtime::{sleep, spawn};
 
 use crate::history::{End, Event, What};
-use crate::night::Night;
+use crate::scenario::Scenario;
 use crate::users::Users;
 
 /// A team's jobs in steps, each to begin when the one before has ended.
@@ -74,7 +74,7 @@
 }
 
 /// The calendar's entries, as in the operators' file, for a world that began then.
-pub(crate) fn properties(night: &Night, epoch_ms: u64) -> String {
+pub(crate) fn properties(night: &Scenario, epoch_ms: u64) -> String {
     let mut out = String::new();
     if !night.calendar {
         return out;
@@ -110,14 +110,14 @@
     out
 }
 
-fn team<'a>(night: &'a Night, run: &Run) -> &'a str {
+fn team<'a>(night: &'a Scenario, run: &Run) -> &'a str {
     let class = run.steps.first().map(|s| &s.class);
     let found = night.classes.iter().find(|c| Some(&c.name) == class);
     found.map_or("", |c| &c.team)
 }
 
 /// What of the runs can't be played, with the place in the file.
-pub(crate) fn check(night: &Night) -> Result<(), (String, String)> {
+pub(crate) fn check(night: &Scenario) -> Result<(), (String, String)> {
     for (r, run) in night.runs.iter().enumerate() {
         for (s, step) in run.steps.iter().enumerate() {
             let class = night.classes.iter().find(|c| c.name == step.class);
@@ -147,7 +147,7 @@
         }
     }
 
-    async fn submit_run(self: Rc<Self>, night: Rc<Night>, index: usize, opens_s: f64) {
+    async fn submit_run(self: Rc<Self>, night: Rc<Scenario>, index: usize, opens_s: f64) {
         sleep(opens_s - self.now()).await;
         let run = &night.runs[index];
         for (step, Step { class, jobs }) in run.steps.iter().enumerate() {
@@ -195,7 +195,7 @@
 }
 
 /// How the runs went, from the history.
-pub(crate) fn judged(night: &Night, events: &[Event]) -> RunFigures {
+pub(crate) fn judged(night: &Scenario, events: &[Event]) -> RunFigures {
     let mut figures = RunFigures::default();
     if night.runs.is_empty() {
         return figures;
--- a/crates/umbersail-rehearsal/src/night.rs
+++ b/crates/umbersail-rehearsal/src/scenario.rs
@@ -1,4 +1,4 @@
-//! Night files: what a rehearsal plays, checked against a schema.
+//! Scenario files: what a rehearsal plays, checked against a schema.
 
 use std::collections::BTreeSet;
 use std::path::Path;
@@ -12,7 +12,7 @@
 /// A night file that can't be played.
 #[derive(Debug, Error, PartialEq, Eq)]
 #[error("{file}: {key}: {reason}")]
-pub struct NightError {
+pub struct ScenarioError {
     pub file: String,
     /// Where in the file, with dots and indices.
     pub key: String,
@@ -22,13 +22,13 @@
 /// One night: a fleet, its users, and what goes wrong when.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
-pub struct Night {
+pub struct Scenario {
     pub title: String,
     /// Jobs come in for so many seconds.
     #[schemars(range(min = 1.0, max = 86400.0))]
     pub length_s: f64,
     /// After that the night goes on for so many seconds, or until all is done.
-    #[serde(default = "Night::drain")]
+    #[serde(default = "Scenario::drain")]
     #[schemars(range(min = 0.0, max = 86400.0))]
     pub drain_s: f64,
     /// Aims and money count from here on: what comes before only warms up.
@@ -57,11 +57,11 @@
     #[serde(default)]
     pub runs: Vec<Run>,
     /// The operators' calendar keeps the steps apart; else their users do.
-    #[serde(default = "Night::calendar")]
+    #[serde(default = "Scenario::calendar")]
     pub calendar: bool,
 }
 
-impl Night {
+impl Scenario {
     fn drain() -> f64 {
         300.0
     }
@@ -634,7 +634,7 @@
     }
 
     /// From when on it troubles nobody, by itself: what it ended is back.
-    fn over_s(&self, night: &Night) -> f64 {
+    fn over_s(&self, night: &Scenario) -> f64 {
         let back_s = self.back_s(&night.controllers);
         let lasts_s = match self.what {
             Trouble::ControllerCrash => back_s,
@@ -662,7 +662,7 @@
 /// than what shows a job forgotten.
 const GRACE_S: f64 = 90.0;
 
-impl Night {
+impl Scenario {
     /// From when on nothing goes wrong any more, in seconds.
     pub fn troubles_over_s(&self) -> f64 {
         let ends = self.failures.iter().map(|f| f.over_s(self));
@@ -677,7 +677,7 @@
 
     /// The same night `times` as fast: for real processes, whose own waits are
     /// shortened by properties.
-    pub fn hastened(&self, times: f64) -> Night {
+    pub fn hastened(&self, times: f64) -> Scenario {
         let mut night = self.clone();
         let quick = |seconds: &mut f64| *seconds /= times;
         quick(&mut night.length_s);
@@ -749,18 +749,18 @@
 
     /// The schema of night files (JSON Schema 2020-12).
     pub fn schema() -> serde_json::Value {
-        serde_json::to_value(schemars::schema_for!(Night)).unwrap_or_default()
+        serde_json::to_value(schemars::schema_for!(Scenario)).unwrap_or_default()
     }
 
     /// Reads and checks a file.
     ///
     /// # Errors
     /// File, key and reason, in one line.
-    pub fn load(path: &Path) -> Result<Night, NightError> {
+    pub fn load(path: &Path) -> Result<Scenario, ScenarioError> {
         let file = path.display().to_string();
         match std::fs::read_to_string(path) {
-            Ok(text) => Night::parse(&file, &text),
-            Err(e) => Err(NightError {
+            Ok(text) => Scenario::parse(&file, &text),
+            Err(e) => Err(ScenarioError {
                 file,
                 key: "file".into(),
                 reason: e.to_string(),
@@ -773,8 +773,8 @@
     /// # Errors
     /// The first thing that is wrong: not TOML, against the schema, or against
     /// itself.
-    pub fn parse(file: &str, text: &str) -> Result<Night, NightError> {
-        let fail = |key: String, reason: String| NightError {
+    pub fn parse(file: &str, text: &str) -> Result<Scenario, ScenarioError> {
+        let fail = |key: String, reason: String| ScenarioError {
             file: file.to_owned(),
             key,
             reason: reason.replace('\n', " "),
@@ -785,7 +785,7 @@
             fail(format!("line {line}"), e.message().to_owned())
         })?;
         let json = serde_json::to_value(&value).map_err(|e| fail("file".into(), e.to_string()))?;
-        let validator = jsonschema::validator_for(&Night::schema())
+        let validator = jsonschema::validator_for(&Scenario::schema())
             .map_err(|e| fail("schema".into(), e.to_string()))?;
         if let Some(error) = validator.iter_errors(&json).next() {
             let key = error.instance_path.to_string();
@@ -793,7 +793,7 @@
             let key = if key.is_empty() { "top".into() } else { key };
             return Err(fail(key, error.to_string()));
         }
-        let night: Night =
+        let night: Scenario =
             serde_json::from_value(json).map_err(|e| fail("top".into(), e.to_string()))?;
         night.check().map_err(|(key, reason)| fail(key, reason))?;
         Ok(night)
--- a/crates/umbersail-rehearsal/src/store.rs
+++ b/crates/umbersail-rehearsal/src/store.rs
@@ -16,7 +16,7 @@
 use umbersail_runtime::{Broadcast, WorldHandle, sleep};
 
 use crate::history::{Event, History, What};
-use crate::night::Store;
+use crate::scenario::Store;
 use crate::worker::Worker;
 
 /// A reader knows within so many seconds that its holder is gone.
--- a/crates/umbersail-rehearsal/src/trouble.rs
+++ b/crates/umbersail-rehearsal/src/trouble.rs
@@ -14,7 +14,7 @@
 use crate::history::What;
 use crate::kv_store_host::KvStoreHost;
 use crate::late::Late;
-use crate::night::{Failure, ROLL_S, Trouble};
+use crate::scenario::{Failure, ROLL_S, Trouble};
 use crate::user_troubles::Order;
 use crate::users::Users;
 
--- a/crates/umbersail-rehearsal/src/users.rs
+++ b/crates/umbersail-rehearsal/src/users.rs
@@ -15,7 +15,7 @@
 use crate::cancellations::Cancellations;
 use crate::fleet::{Fleet, Truth};
 use crate::history::{Question, What};
-use crate::night::{self, Class};
+use crate::scenario::{self, Class};
 use crate::user_troubles::UserTroubles;
 
 /// A user waits so long for the answer to a submission, and to a poll.
@@ -344,10 +344,10 @@
             team: class.team.clone(),
             kind: JobKind::Array,
             priority: match class.priority {
-                night::Priority::Low => Priority::Low,
-                night::Priority::Normal => Priority::Normal,
-                night::Priority::High => Priority::High,
-                night::Priority::Production => Priority::Production,
+                scenario::Priority::Low => Priority::Low,
+                scenario::Priority::Normal => Priority::Normal,
+                scenario::Priority::High => Priority::High,
+                scenario::Priority::Production => Priority::Production,
             },
             tasks,
             cpus: class.cpus,
@@ -484,7 +484,7 @@
         jobs.iter().all(|job| over.contains(job))
     }
 
-    pub(crate) fn night(&self) -> Rc<night::Night> {
+    pub(crate) fn night(&self) -> Rc<scenario::Scenario> {
         self.fleet.night.clone()
     }
 
--- a/crates/umbersail-rehearsal/src/worker.rs
+++ b/crates/umbersail-rehearsal/src/worker.rs
@@ -20,7 +20,7 @@
 use crate::fleet::Fleet;
 use crate::history::{self, End, What};
 use crate::kv_store_host::{answer, wide_limits};
-use crate::night::MachineKind;
+use crate::scenario::MachineKind;
 
 /// A worker waits so long for an answer to its report (PROTOCOL).
 const REPLY_S: f64 = 4.0;
--- a/crates/umbersail-rehearsal/tests/nights/all_away.rs
+++ b/crates/umbersail-rehearsal/tests/nights/all_away.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeSet;
 
 use umbersail_rehearsal::history::{End, Event, What};
-use umbersail_rehearsal::{Night, Outcome};
+use umbersail_rehearsal::{Outcome, Scenario};
 
 use crate::harness::{Attempt, attempts, elections, failure, holds, seeds, shop};
 
@@ -15,7 +15,7 @@
 /// Within so many seconds after they are back tasks start again.
 const BACK_WITHIN_S: f64 = 10.0;
 
-fn night(away_s: f64, what: &str, more: &str) -> Night {
+fn night(away_s: f64, what: &str, more: &str) -> Scenario {
     let mut night = shop(80.0, &failure(what, AWAY_AT_S, away_s, more));
     for class in &mut night.classes {
         class.run_s = 30.0;
--- a/crates/umbersail-rehearsal/tests/nights/bad_submissions.rs
+++ b/crates/umbersail-rehearsal/tests/nights/bad_submissions.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeSet;
 
-use umbersail_rehearsal::Night;
+use umbersail_rehearsal::Scenario;
 use umbersail_rehearsal::history::{Event, What};
 
 use crate::harness::{each, failure, keeps_the_rules, seeds, shop};
@@ -57,7 +57,7 @@
     },
 ];
 
-fn night(case: &Case) -> Night {
+fn night(case: &Case) -> Scenario {
     let who = match case.who {
         "" => String::new(),
         who => format!("who = \"{who}\""),
--- a/crates/umbersail-rehearsal/tests/nights/cancel_now.rs
+++ b/crates/umbersail-rehearsal/tests/nights/cancel_now.rs
@@ -1,7 +1,7 @@
 //! Many running jobs with long to go are cancelled within a moment, and machines of theirs
 //! hang just then.
 
-use umbersail_rehearsal::Night;
+use umbersail_rehearsal::Scenario;
 use umbersail_rehearsal::history::{Event, What};
 
 use crate::harness::{cancelled_while_running, failure, keeps_the_rules, seeds, shop, struck};
@@ -15,7 +15,7 @@
 const HANG_MOST: usize = 8;
 
 /// Long tasks on many machines.
-fn night(more: &str) -> Night {
+fn night(more: &str) -> Scenario {
     let cancels = failure("cancel-now", AT_S, 0.0, &format!("count = {COUNT}\n{more}"));
     let mut night = shop(70.0, &cancels);
     for class in &mut night.classes {
--- a/crates/umbersail-rehearsal/tests/nights/cancellations_during_elections.rs
+++ b/crates/umbersail-rehearsal/tests/nights/cancellations_during_elections.rs
@@ -7,7 +7,7 @@
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use umbersail_rehearsal::history::{Event, What};
-use umbersail_rehearsal::{Night, Outcome};
+use umbersail_rehearsal::{Outcome, Scenario};
 use umbersail_wire::JobStage;
 
 use crate::harness::{
@@ -28,7 +28,7 @@
 const UNDER_WAY_S: f64 = 4.5;
 
 /// Many jobs of one long task each, and a state service that takes what users do.
-fn night(failures: &str) -> Night {
+fn night(failures: &str) -> Scenario {
     let mut night = shop(50.0, failures);
     night.classes.truncate(1);
     let class = &mut night.classes[0];
--- a/crates/umbersail-rehearsal/tests/nights/close_looks.rs
+++ b/crates/umbersail-rehearsal/tests/nights/close_looks.rs
@@ -2,7 +2,7 @@
 //! after a job was accepted, ended or was cancelled.
 
 use umbersail_rehearsal::history::{Event, Question, What};
-use umbersail_rehearsal::{Failure, Night, Trouble};
+use umbersail_rehearsal::{Failure, Scenario, Trouble};
 use umbersail_wire::JobStage;
 
 use crate::harness::{each, failure, keeps_the_rules, seeds, shop};
@@ -15,7 +15,7 @@
 const SOON_S: f64 = 0.1;
 
 /// Small jobs that end within seconds, a quarter of them cancelled.
-pub fn busy(failures: &str) -> Night {
+pub fn busy(failures: &str) -> Scenario {
     let looks = failure("close-looks", 5.0, 70.0, "");
     let mut night = shop(75.0, &(looks + failures));
     for class in &mut night.classes {
--- a/crates/umbersail-rehearsal/tests/nights/gap.rs
+++ b/crates/umbersail-rehearsal/tests/nights/gap.rs
@@ -5,7 +5,7 @@
 use std::sync::atomic::{AtomicUsize, Ordering};
 
 use umbersail_rehearsal::history::{Event, What};
-use umbersail_rehearsal::{Night, Outcome};
+use umbersail_rehearsal::{Outcome, Scenario};
 
 use crate::harness::{
     begins_at, cancelled_while_running, each, failure, keeps_the_rules, seeds, shop,
@@ -17,7 +17,7 @@
 
 /// Long tasks that users cancel all the time, and a lease that lasts for more than half
 /// of what a cancellation may take.
-fn night(failures: &str) -> Night {
+fn night(failures: &str) -> Scenario {
     let mut night = shop(75.0, failures);
     night.workers.report_s = 5.0;
     night.workers.lease_s = 26.5;
--- a/crates/umbersail-rehearsal/tests/nights/hand_overs.rs
+++ b/crates/umbersail-rehearsal/tests/nights/hand_overs.rs
@@ -2,7 +2,7 @@
 
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
-use umbersail_rehearsal::Night;
+use umbersail_rehearsal::Scenario;
 use umbersail_rehearsal::history::Event;
 
 use crate::harness::{
@@ -12,7 +12,7 @@
 /// The first of the ends, in seconds.
 const END_AT_S: f64 = 45.0;
 
-fn night(failures: &str) -> Night {
+fn night(failures: &str) -> Scenario {
     shop(80.0, failures)
 }
 
--- a/crates/umbersail-rehearsal/tests/nights/harness.rs
+++ b/crates/umbersail-rehearsal/tests/nights/harness.rs
@@ -3,7 +3,7 @@
 use std::sync::atomic::{AtomicUsize, Ordering};
 
 use umbersail_rehearsal::history::{End, Event, What};
-use umbersail_rehearsal::{Night, Outcome, bundled, play, play_many};
+use umbersail_rehearsal::{Outcome, Scenario, bundled, play, play_many};
 use umbersail_wire::JobStage;
 
 /// Seeds to play: `few` of them, or as many as the variable UMBERSAIL_SEEDS says.
@@ -20,25 +20,25 @@
     events.iter().filter(begins).map(|e| e.t).collect()
 }
 
-pub fn night(name: &str) -> Night {
-    Night::parse(name, bundled(name).unwrap()).unwrap()
+pub fn night(name: &str) -> Scenario {
+    Scenario::parse(name, bundled(name).unwrap()).unwrap()
 }
 
 /// The small shop for so many seconds, with failures of its own (TOML).
-pub fn shop(length_s: f64, failures: &str) -> Night {
+pub fn shop(length_s: f64, failures: &str) -> Scenario {
     let text = bundled("zone-power-loss-cold-caches").unwrap();
     let head = &text[..text.find("[[failures]]").unwrap()];
-    let mut night = Night::parse("test", &format!("{head}{failures}")).unwrap();
+    let mut night = Scenario::parse("test", &format!("{head}{failures}")).unwrap();
     night.length_s = length_s;
     night
 }
 
-pub fn played(night: &Night, seed: u64) -> Outcome {
+pub fn played(night: &Scenario, seed: u64) -> Outcome {
     play(night, seed, &mut |_, _| {}).unwrap()
 }
 
 /// No rule is broken.
-pub fn keeps_the_rules(night: &Night, seeds: &[u64]) -> Vec<Outcome> {
+pub fn keeps_the_rules(night: &Scenario, seeds: &[u64]) -> Vec<Outcome> {
     let outcomes = play_many(night, seeds, 4).unwrap();
     for outcome in &outcomes {
         let figures = &outcome.figures;
@@ -54,7 +54,7 @@
 }
 
 /// No rule is broken, and all that was accepted and not cancelled is done.
-pub fn holds(night: &Night, seeds: &[u64]) -> Vec<Outcome> {
+pub fn holds(night: &Scenario, seeds: &[u64]) -> Vec<Outcome> {
     let outcomes = keeps_the_rules(night, seeds);
     for outcome in &outcomes {
         let (figures, seed) = (&outcome.figures, outcome.seed);
@@ -198,7 +198,7 @@
 
 /// The number of the controller that leads a night at this moment if nothing has
 /// gone wrong until then.
-pub fn leader_number(night: &Night, seed: u64, t: f64) -> usize {
+pub fn leader_number(night: &Scenario, seed: u64, t: f64) -> usize {
     let mut quiet = night.clone();
     quiet.failures.clear();
     (quiet.length_s, quiet.drain_s) = (t, 0.0);
--- a/crates/umbersail-rehearsal/tests/nights/leader_cut.rs
+++ b/crates/umbersail-rehearsal/tests/nights/leader_cut.rs
@@ -3,7 +3,7 @@
 
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
-use umbersail_rehearsal::Night;
+use umbersail_rehearsal::Scenario;
 
 use crate::harness::{
     begins_at, cancelled_while_running, each, elections, failure, holds, leader_at, leader_number,
@@ -14,7 +14,7 @@
 const CUT_AT_S: f64 = 45.0;
 
 /// A shop whose tasks run for long and whose users cancel most of their jobs.
-fn cancelling(failures: &str) -> Night {
+fn cancelling(failures: &str) -> Scenario {
     let mut night = shop(90.0, failures);
     for class in &mut night.classes {
         (class.run_s, class.cancelled) = (45.0, 0.8);
@@ -28,7 +28,7 @@
 
 /// Plays the night; the leader was cut, another was elected in the cut, and users were
 /// told of cancellations after that and before its end while the jobs' tasks ran.
-fn meets(night: &Night, seed: u64, cut_s: f64) {
+fn meets(night: &Scenario, seed: u64, cut_s: f64) {
     let outcomes = holds(night, &[seed]);
     let events = &outcomes[0].events;
     assert_eq!(begins_at(events, "controller-isolated")[0], CUT_AT_S);
--- a/crates/umbersail-rehearsal/tests/nights/lost_answers.rs
+++ b/crates/umbersail-rehearsal/tests/nights/lost_answers.rs
@@ -6,7 +6,7 @@
 
 use umbersail_rehearsal::history::{Event, What};
 
-use umbersail_rehearsal::{Night, Outcome, Run};
+use umbersail_rehearsal::{Outcome, Run, Scenario};
 
 use crate::harness::{elections, failure, holds, night, seeds, shop};
 
@@ -190,7 +190,7 @@
     failure("late-writes", at_s, for_s, &more)
 }
 
-fn small_arrays(length_s: f64, failures: &str) -> Night {
+fn small_arrays(length_s: f64, failures: &str) -> Scenario {
     let mut night = shop(length_s, failures);
     for class in &mut night.classes {
         (class.tasks, class.most, class.cancelled) = (2.0, 3, 0.5);
--- a/crates/umbersail-rehearsal/tests/nights/mute_machines.rs
+++ b/crates/umbersail-rehearsal/tests/nights/mute_machines.rs
@@ -3,7 +3,7 @@
 //! before it is started again, also under a new leader.
 
 use umbersail_rehearsal::history::{End, Event, What};
-use umbersail_rehearsal::{Night, Outcome};
+use umbersail_rehearsal::{Outcome, Scenario};
 
 use crate::harness::{
     attempts, cancelled_while_running, each, elections, failure, holds, seeds, shop, struck,
@@ -14,7 +14,7 @@
 /// A controller waits so long for an answer to a command, in seconds.
 const GIVES_UP_S: f64 = 2.0;
 
-fn night(failures: &str) -> Night {
+fn night(failures: &str) -> Scenario {
     let mut night = shop(95.0, failures);
     for class in &mut night.classes {
         class.cancelled = 0.3;
--- a/crates/umbersail-rehearsal/tests/nights/one_task_jobs.rs
+++ b/crates/umbersail-rehearsal/tests/nights/one_task_jobs.rs
@@ -4,7 +4,7 @@
 use std::collections::BTreeMap;
 
 use umbersail_rehearsal::history::{Event, What};
-use umbersail_rehearsal::{Figures, Night};
+use umbersail_rehearsal::{Figures, Scenario};
 
 use crate::harness::{holds, seeds, shop};
 
@@ -19,7 +19,7 @@
 /// Further changes a minute that are nobody's job: the leader's, grants and doubts.
 const OTHERS_PER_MINUTE: f64 = 60.0;
 
-fn one_task_jobs(length_s: f64) -> Night {
+fn one_task_jobs(length_s: f64) -> Scenario {
     let mut night = shop(length_s, "");
     night.classes.truncate(1);
     let class = &mut night.classes[0];
--- a/crates/umbersail-rehearsal/tests/nights/overload.rs
+++ b/crates/umbersail-rehearsal/tests/nights/overload.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 
 use umbersail_rehearsal::history::{Event, What};
-use umbersail_rehearsal::{Night, Priority};
+use umbersail_rehearsal::{Priority, Scenario};
 
 use crate::harness::{failure, keeps_the_rules, seeds, shop};
 
@@ -18,7 +18,7 @@
 
 /// Six machines for two classes of equal jobs, one urgent and one not, each of which
 /// would take two thirds of them; links take 80 ms and lose a packet in thirty.
-fn overloaded(failures: &str) -> Night {
+fn overloaded(failures: &str) -> Scenario {
     let slow = failure("links-slow", 5.0, 150.0, "times = 80\nshare = 0.03");
     let mut night = shop(LENGTH_S, &(slow + failures));
     (night.machines[0].ordinary, night.machines[0].spot) = (3, 0);
--- a/crates/umbersail-rehearsal/tests/nights/pairs.rs
+++ b/crates/umbersail-rehearsal/tests/nights/pairs.rs
@@ -6,7 +6,7 @@
 use rand::seq::IndexedRandom;
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
-use umbersail_rehearsal::{Failure, Night, Trouble};
+use umbersail_rehearsal::{Failure, Scenario, Trouble};
 
 use crate::harness::{each, played, seeds, shop};
 
@@ -112,7 +112,7 @@
 }
 
 /// A shop in which tasks run for half a minute, and users cancel often.
-fn night(failures: &[Failure]) -> Night {
+fn night(failures: &[Failure]) -> Scenario {
     let mut night = shop(90.0, "");
     for class in &mut night.classes {
         (class.run_s, class.task_sigma, class.cancelled) = (30.0, 0.4, 0.3);
--- a/crates/umbersail-rehearsal/tests/nights/quick_machines.rs
+++ b/crates/umbersail-rehearsal/tests/nights/quick_machines.rs
@@ -7,7 +7,7 @@
 use std::sync::atomic::{AtomicUsize, Ordering};
 
 use umbersail_rehearsal::history::{Event, What};
-use umbersail_rehearsal::{Night, Outcome};
+use umbersail_rehearsal::{Outcome, Scenario};
 
 use crate::harness::{begins_at, each, failure, holds, keeps_the_rules, played, seeds, shop};
 
@@ -111,7 +111,7 @@
 
 /// The small shop with two machines at the start, and new ones that are up within two
 /// seconds; images are small, so that a task runs as soon as it is launched.
-fn quick_shop(length_s: f64, failures: &str) -> Night {
+fn quick_shop(length_s: f64, failures: &str) -> Scenario {
     let quick = failure("boots-quick", 0.0, 2.0 * length_s, "")
         + &failure(
             "rentals-late",
--- a/crates/umbersail-rehearsal/tests/nights/reports_for_successors.rs
+++ b/crates/umbersail-rehearsal/tests/nights/reports_for_successors.rs
@@ -3,7 +3,7 @@
 
 use std::collections::BTreeMap;
 
-use umbersail_rehearsal::Night;
+use umbersail_rehearsal::Scenario;
 use umbersail_rehearsal::history::{Event, What};
 
 use crate::harness::{attempts, elections, failure, first_start, holds, seeds, shop};
@@ -14,7 +14,7 @@
 const MOST_S: f64 = 3.0;
 
 /// Small jobs whose tasks end and start all the time, and leaders that end.
-fn night(more: &str) -> Night {
+fn night(more: &str) -> Scenario {
     let for_next = format!("from_s = 0.0\nto_s = {MOST_S:?}\nfor_next = true");
     let mut failures = failure("reports-late", 15.0, 85.0, &for_next) + more;
     for (n, at_s) in ENDS_S.iter().enumerate() {
@@ -85,7 +85,7 @@
 }
 
 /// Plays it, and sums up over the seeds what was met.
-fn sum(night: &Night, few: u64) -> BTreeMap<String, usize> {
+fn sum(night: &Scenario, few: u64) -> BTreeMap<String, usize> {
     let mut sum = BTreeMap::new();
     for outcome in holds(night, &seeds(few)) {
         for (key, count) in met(&outcome.events) {
--- a/crates/umbersail-rehearsal/tests/nights/small_arrays.rs
+++ b/crates/umbersail-rehearsal/tests/nights/small_arrays.rs
@@ -5,14 +5,14 @@
 
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
-use umbersail_rehearsal::Night;
+use umbersail_rehearsal::Scenario;
 use umbersail_rehearsal::history::{End, Event, What};
 use umbersail_wire::JobStage;
 
 use crate::harness::{Attempt, attempts, begins_at, each, elections, failure, holds, seeds, shop};
 
 /// A shop of small arrays whose tasks take from seconds to a minute.
-fn small(failures: &str) -> Night {
+fn small(failures: &str) -> Scenario {
     let mut night = shop(100.0, failures);
     for (class, tasks) in night.classes.iter_mut().zip([2, 3]) {
         (class.tasks, class.most, class.exactly) = (f64::from(tasks), tasks, true);
--- a/crates/umbersail-rehearsal/tests/nights/sweep.rs
+++ b/crates/umbersail-rehearsal/tests/nights/sweep.rs
@@ -9,7 +9,7 @@
 //! ```
 
 use umbersail_rehearsal::history::{End, Event, What};
-use umbersail_rehearsal::{Failure, Night, Outcome, Trouble, play_many};
+use umbersail_rehearsal::{Failure, Outcome, Scenario, Trouble, play_many};
 use umbersail_wire::JobStage;
 
 use crate::harness::{attempts, played};
@@ -43,7 +43,7 @@
 
 /// A recorded night.
 pub struct Sweep {
-    night: Night,
+    night: Scenario,
     seed: u64,
     events: Vec<Event>,
 }
@@ -78,7 +78,7 @@
 
 impl Sweep {
     /// Plays the night as it is.
-    pub fn record(night: Night, seed: u64) -> Sweep {
+    pub fn record(night: Scenario, seed: u64) -> Sweep {
         let events = played(&night, seed).events;
         Sweep {
             night,
--- a/crates/umbersail-rehearsal/tests/nights/teams_at_limits.rs
+++ b/crates/umbersail-rehearsal/tests/nights/teams_at_limits.rs
@@ -5,7 +5,7 @@
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use umbersail_rehearsal::history::{Event, What};
-use umbersail_rehearsal::{Night, Outcome, Team};
+use umbersail_rehearsal::{Outcome, Scenario, Team};
 
 use crate::harness::{
     attempts, cancelled_while_running, each, elections, failure, holds, seeds, shop, struck,
@@ -31,12 +31,12 @@
 
 /// A shop of two teams that want more than their limits all the time: jobs of one task,
 /// and arrays of four.
-fn crowded(failures: &str) -> Night {
+fn crowded(failures: &str) -> Scenario {
     crowded_with(failures, 4, 80.0)
 }
 
 /// The same with arrays of so many tasks that run for so long.
-fn crowded_with(failures: &str, array_tasks: u32, run_s: f64) -> Night {
+fn crowded_with(failures: &str, array_tasks: u32, run_s: f64) -> Scenario {
     let mut night = shop(100.0, failures);
     let mut class = night.classes[0].clone();
     (class.cpus, class.memory_gb, class.image_gb) = (TASK_CPUS, 6.0, 0.2);
@@ -193,7 +193,7 @@
 
 /// Plays it: the meeting took place, no rule is broken, and each team has starts again
 /// within a lease of the trouble's end, and is at its limit once more.
-fn meets(night: &Night, seed: u64, trouble: &str) -> (Met, Vec<Event>) {
+fn meets(night: &Scenario, seed: u64, trouble: &str) -> (Met, Vec<Event>) {
     let mut outcomes = holds(night, &[seed]);
     let events = &outcomes[0].events;
     let met = meeting(&outcomes[0], trouble);
--- a/crates/umbersail-rehearsal/tests/nights/unreachable.rs
+++ b/crates/umbersail-rehearsal/tests/nights/unreachable.rs
@@ -4,7 +4,7 @@
 //! after.
 
 use umbersail_rehearsal::history::End;
-use umbersail_rehearsal::{Night, Outcome};
+use umbersail_rehearsal::{Outcome, Scenario};
 
 use crate::harness::{Attempt, attempts, begins_at, holds, seeds, shop, struck};
 
@@ -13,7 +13,7 @@
 
 /// The small shop, whose tasks of one class are long. `count` machines are in
 /// trouble from `from_s` after the leader's end on (before it, if negative).
-fn met_with(trouble: &str, from_s: f64, for_s: f64, back_s: f64) -> Night {
+fn met_with(trouble: &str, from_s: f64, for_s: f64, back_s: f64) -> Scenario {
     let at_s = LEADER_ENDS_S + from_s;
     let failures = format!(
         "[[failures]]\nwhat = \"{trouble}\"\nat_s = {at_s}\nfor_s = {for_s}\ncount = 6\n\
--- a/crates/umbersail-rehearsal/tests/nights/whole.rs
+++ b/crates/umbersail-rehearsal/tests/nights/whole.rs
@@ -1,7 +1,7 @@
 //! Whole nights. Each test names the failure that it guards against.
 
 use umbersail_rehearsal::history::What;
-use umbersail_rehearsal::{Night, Rule, bundled};
+use umbersail_rehearsal::{Rule, Scenario, bundled};
 
 use crate::harness::{holds, night, played, shop};
 
@@ -131,7 +131,7 @@
     let text = bundled("zone-power-loss-cold-caches").unwrap();
     let refused = |from: &str, to: &str| {
         assert!(text.contains(from), "{from}");
-        Night::parse("n.toml", &text.replacen(from, to, 1))
+        Scenario::parse("n.toml", &text.replacen(from, to, 1))
             .unwrap_err()
             .to_string()
     };
@@ -262,7 +262,7 @@
 fn every_bundled_night_can_be_read_and_says_what_it_is() {
     // Guards against a bundled file that only its author can play.
     for umbersail_rehearsal::Bundled { name, text, .. } in umbersail_rehearsal::BUNDLED {
-        let night = Night::parse(name, text).unwrap();
+        let night = Scenario::parse(name, text).unwrap();
         assert!(
             !night.title.is_empty() && night.failures.len() >= 5,
             "{name}"
--- a/crates/umbersail-rehearsal/tests/nights/zones.rs
+++ b/crates/umbersail-rehearsal/tests/nights/zones.rs
@@ -4,7 +4,7 @@
 use std::collections::BTreeMap;
 
 use umbersail_rehearsal::history::{End, Event, What};
-use umbersail_rehearsal::{Night, Outcome};
+use umbersail_rehearsal::{Outcome, Scenario};
 
 use crate::harness::{attempts, each, elections, failure, holds, seeds, shop};
 
@@ -12,7 +12,7 @@
 const TROUBLE_AT_S: f64 = 45.0;
 
 /// A shop of jobs whose tasks are in one zone, in both, or in the one that they name.
-fn bound(failures: &str) -> Night {
+fn bound(failures: &str) -> Scenario {
     let mut night = shop(90.0, failures);
     let mut class = night.classes[0].clone();
     (class.tasks, class.most, class.exactly) = (6.0, 6, true);
--- a/crates/umbersail/src/rehearse.rs
+++ b/crates/umbersail/src/rehearse.rs
@@ -1,7 +1,7 @@
 //! `umbersail rehearse` runs a scenario on this machine; `umbersail experiment` compares
 //! settings over scenarios.
 //!
-//! A scenario is a [`Night`] in the code: a fleet, its users and the failures injected.
+//! A scenario is a [`Scenario`] in the code: a fleet, its users and the failures injected.
 
 use std::io::IsTerminal;
 use std::path::PathBuf;
@@ -12,7 +12,7 @@
 use umbersail_rehearsal::experiment::{self, Experiment};
 use umbersail_rehearsal::paper;
 use umbersail_rehearsal::{
-    BUNDLED, Bundled, Night, NightError, Outcome, bundled, play, play_many, play_real, report,
+    BUNDLED, Bundled, Outcome, Scenario, ScenarioError, bundled, play, play_many, play_real, report,
 };
 
 /// Returns the number of cores of this machine.
@@ -65,13 +65,13 @@
 
 /// Returns the name of a scenario for error messages, and its text: that of the bundled scenario
 /// with this name, else that of the file with this path.
-fn scenario_text(name: &str) -> Result<(String, String), NightError> {
+fn scenario_text(name: &str) -> Result<(String, String), ScenarioError> {
     if let Some(text) = bundled(name) {
         return Ok((name.to_owned(), text.to_owned()));
     }
     match std::fs::read_to_string(name) {
         Ok(text) => Ok((name.to_owned(), text)),
-        Err(e) => Err(NightError {
+        Err(e) => Err(ScenarioError {
             file: name.to_owned(),
             key: "file".into(),
             reason: format!("{e}; --list shows the bundled scenarios"),
@@ -82,7 +82,7 @@
 /// Prints names and titles of the bundled scenarios.
 fn print_bundled() {
     for Bundled { name, text, .. } in BUNDLED {
-        match Night::parse(name, text) {
+        match Scenario::parse(name, text) {
             Ok(scenario) => println!("{name:<35} {}", scenario.title),
             Err(e) => eprintln!("{e}"),
         }
@@ -97,12 +97,12 @@
             return ExitCode::SUCCESS;
         }
         if self.schema {
-            println!("{:#}", Night::schema());
+            println!("{:#}", Scenario::schema());
             return ExitCode::SUCCESS;
         }
         let name = self.scenario.as_deref().unwrap_or("");
         let parsed = scenario_text(name).and_then(|(file, text)| {
-            let scenario = Night::parse(&file, &text)?;
+            let scenario = Scenario::parse(&file, &text)?;
             Ok((scenario, text))
         });
         let (scenario, text) = match parsed {
@@ -131,7 +131,7 @@
     }
 
     /// Runs the scenario with one seed and prints its summary. Returns whether the run succeeded.
-    fn run_once(&self, scenario: &Night, text: &str) -> anyhow::Result<bool> {
+    fn run_once(&self, scenario: &Scenario, text: &str) -> anyhow::Result<bool> {
         let accelerated = self.real.map(|times| scenario.hastened(times.max(0.1)));
         let (scenario, outcome) = match &accelerated {
             Some(scenario) => (
@@ -151,7 +151,7 @@
 
     /// Runs several seeds; prints a line for each and the summary of each failed run. Returns
     /// whether all runs succeeded.
-    fn run_seeds(&self, scenario: &Night, seeds: u64) -> anyhow::Result<bool> {
+    fn run_seeds(&self, scenario: &Scenario, seeds: u64) -> anyhow::Result<bool> {
         let seeds: Vec<u64> = (self.seed..self.seed.saturating_add(seeds)).collect();
         let outcomes = play_many(scenario, &seeds, cores())?;
         let mut failed = 0;
@@ -179,7 +179,7 @@
     /// Simulates the scenario with one seed; shows progress if standard error is a terminal.
     fn simulate(
         &self,
-        scenario: &Night,
+        scenario: &Scenario,
         seed: u64,
     ) -> Result<Outcome, umbersail_rehearsal::PlayError> {
         if !std::io::stderr().is_terminal() {
