--- a/crates/umbersail-rehearsal/src/bound.rs
+++ b/crates/umbersail-rehearsal/src/bound.rs
@@ -11,7 +11,7 @@
 use umbersail_wire::JobSpec;
 
 use crate::history::{End, Event, What};
-use crate::scenario::{MachineKind, Scenario, Trouble};
+use crate::scenario::{Fault, MachineKind, Scenario};
 use crate::served::Served;
 
 /// Time goes on in steps of so many seconds.
@@ -152,7 +152,7 @@
     let late = lasts(0.0, kind.boot_s * SOONEST) * (all - up).max(0.0);
     let dark = |f: &&crate::scenario::Failure| {
         let here = f.zone.as_ref().is_some_and(|z| kind.zones.contains(z));
-        f.what == Trouble::PowerCut && here
+        f.what == Fault::PowerCut && here
     };
     let dark = night.failures.iter().filter(dark);
     let dark: f64 = dark
--- a/crates/umbersail-rehearsal/src/cancel_now.rs
+++ b/crates/umbersail-rehearsal/src/cancel_now.rs
@@ -6,10 +6,10 @@
 use rand::Rng;
 use umbersail_runtime::sleep;
 
+use crate::fault::{Stage, name_of};
 use crate::fleet::Machine;
 use crate::history::What;
 use crate::scenario::Failure;
-use crate::trouble::{Stage, name_of};
 use crate::user_troubles::Order;
 
 /// All are cancelled within so many seconds.
--- a/crates/umbersail-rehearsal/src/trouble.rs
+++ b/crates/umbersail-rehearsal/src/fault.rs
@@ -14,7 +14,7 @@
 use crate::history::What;
 use crate::kv_store_host::KvStoreHost;
 use crate::late::Late;
-use crate::scenario::{Failure, ROLL_S, Trouble};
+use crate::scenario::{Failure, Fault, ROLL_S};
 use crate::user_troubles::Order;
 use crate::users::Users;
 
@@ -48,7 +48,7 @@
 }
 
 /// A trouble's name in night files.
-pub(crate) fn name_of(trouble: Trouble) -> String {
+pub(crate) fn name_of(trouble: Fault) -> String {
     let name = serde_json::to_value(trouble).unwrap_or_default();
     name.as_str().unwrap_or("").to_owned()
 }
@@ -276,38 +276,38 @@
         let fleet = &self.fleet;
         let times = failure.times.unwrap_or(1.0);
         match failure.what {
-            Trouble::BootsLate => {
+            Fault::BootsLate => {
                 fleet.knobs.boots.set(times);
                 Some(Box::new(|s| s.fleet.knobs.boots.set(1.0)))
             }
-            Trouble::BootsNever => {
+            Fault::BootsNever => {
                 fleet.knobs.boots_never.set(true);
                 Some(Box::new(|s| s.fleet.knobs.boots_never.set(false)))
             }
-            Trouble::BootsQuick => {
+            Fault::BootsQuick => {
                 fleet.knobs.boots_quick.set(true);
                 Some(Box::new(|s| s.fleet.knobs.boots_quick.set(false)))
             }
-            Trouble::RentalsLate => {
+            Fault::RentalsLate => {
                 let late = Late::of(failure);
                 fleet.knobs.rentals_late.set(Some(late));
                 Some(Box::new(|s| s.fleet.knobs.rentals_late.set(None)))
             }
-            Trouble::Burst => {
+            Fault::Burst => {
                 let class = failure.class.clone().unwrap_or_default();
                 self.users.bursts.borrow_mut().insert(class.clone(), times);
                 Some(Box::new(move |s| {
                     s.users.bursts.borrow_mut().remove(&class);
                 }))
             }
-            Trouble::MachinesFailTasks => {
+            Fault::MachinesFailTasks => {
                 let victims = self.victims(failure, None);
                 victims.iter().for_each(|m| m.worker.faulty.set(true));
                 Some(Box::new(move |_| {
                     victims.iter().for_each(|m| m.worker.faulty.set(false));
                 }))
             }
-            Trouble::MachinesSlow => {
+            Fault::MachinesSlow => {
                 let victims = self.victims(failure, None);
                 victims
                     .iter()
@@ -316,30 +316,30 @@
                     victims.iter().for_each(|m| m.worker.slow.set(1.0));
                 }))
             }
-            Trouble::MachinesCut => {
+            Fault::MachinesCut => {
                 let victims: Vec<HostId> =
                     self.victims(failure, None).iter().map(|m| m.host).collect();
                 Some(self.cut(&victims, &self.all_hosts(), self.some_mode()))
             }
-            Trouble::MachinesDeaf => {
+            Fault::MachinesDeaf => {
                 let victims = self.victims(failure, None);
                 victims.iter().for_each(|m| m.worker.deaf.set(true));
                 Some(Box::new(move |_| {
                     victims.iter().for_each(|m| m.worker.deaf.set(false));
                 }))
             }
-            Trouble::MachinesMute => {
+            Fault::MachinesMute => {
                 let victims = self.victims(&self.with_count(failure), None);
                 victims.iter().for_each(|m| m.worker.mute.set(true));
                 Some(Box::new(move |_| {
                     victims.iter().for_each(|m| m.worker.mute.set(false));
                 }))
             }
-            Trouble::CommandAnswersLate => {
+            Fault::CommandAnswersLate => {
                 fleet.late_answers.set(Some(Late::of(failure)));
                 Some(Box::new(|s| s.fleet.late_answers.set(None)))
             }
-            Trouble::ReportsLate => {
+            Fault::ReportsLate => {
                 let late = Late::of(failure);
                 if failure.for_next == Some(true) {
                     (fleet.late).begin_keeping(&self.world, fleet.fronts(), late);
@@ -352,20 +352,20 @@
                 (fleet.late).begin(&self.world, fleet.fronts(), late);
                 Some(Box::new(|s| s.fleet.late.end()))
             }
-            Trouble::CommandsLate => {
+            Fault::CommandsLate => {
                 fleet.late_commands.set(Some(Late::of(failure)));
                 Some(Box::new(|s| s.fleet.late_commands.set(None)))
             }
-            Trouble::CancelSweep => {
+            Fault::CancelSweep => {
                 self.world
                     .spawn(self.clone().sweep_cancellations(failure.clone()));
                 Some(Box::new(|_| {}))
             }
-            Trouble::MachinesStop => {
+            Fault::MachinesStop => {
                 self.stop_machines(failure);
                 None
             }
-            Trouble::WorkerDiesMidJob => {
+            Fault::WorkerDiesMidJob => {
                 let one = Failure {
                     count: Some(failure.count.unwrap_or(1)),
                     ..failure.clone()
@@ -373,7 +373,7 @@
                 self.stop_machines(&one);
                 None
             }
-            Trouble::MachinesHang => {
+            Fault::MachinesHang => {
                 let victims = self.victims(failure, None);
                 victims.iter().for_each(|m| self.world.freeze(m.host));
                 let hung_s = failure.for_s;
@@ -384,21 +384,21 @@
                     }
                 }))
             }
-            Trouble::PowerCut => Some(self.cut_power(failure)),
-            Trouble::SpotWave => {
+            Fault::PowerCut => Some(self.cut_power(failure)),
+            Fault::SpotWave => {
                 self.take_spot(failure);
                 None
             }
-            Trouble::CapacityShrinks => {
+            Fault::CapacityShrinks => {
                 fleet.knobs.capacity.set(failure.share.unwrap_or(1.0));
                 Some(Box::new(|s| s.fleet.knobs.capacity.set(1.0)))
             }
-            Trouble::ControllerCrash => {
+            Fault::ControllerCrash => {
                 let back_s = failure.back_s(&fleet.night.controllers);
                 self.crash(self.whom(failure), back_s);
                 None
             }
-            Trouble::RollingRestart => {
+            Fault::RollingRestart => {
                 let back_s = failure.back_s(&fleet.night.controllers);
                 let stage = self.clone();
                 self.world.spawn(async move {
@@ -409,31 +409,31 @@
                 });
                 None
             }
-            Trouble::ControllerCut => {
+            Fault::ControllerCut => {
                 let whom = self.hosts(&self.whom(failure));
                 Some(self.cut(&whom, &self.all_hosts(), self.some_mode()))
             }
-            Trouble::ControllerSilent => {
+            Fault::ControllerSilent => {
                 let whom = self.hosts(&self.whom(failure));
                 Some(self.cut(&whom, &self.all_hosts(), PartitionMode::Hold))
             }
-            Trouble::ControllerCutFromState => {
+            Fault::ControllerCutFromState => {
                 let whom = self.hosts(&self.whom(failure));
                 Some(self.cut(&whom, &self.regional[..1], self.some_mode()))
             }
-            Trouble::ControllerCutFromWorkers => {
+            Fault::ControllerCutFromWorkers => {
                 let whom = self.hosts(&self.whom(failure));
                 let mut workers = self.machine_hosts(None);
                 workers.extend(fleet.late.host());
                 Some(self.cut(&whom, &workers, self.some_mode()))
             }
-            Trouble::ControllerIsolated => {
+            Fault::ControllerIsolated => {
                 let whom = self.hosts(&self.whom(failure));
                 let mut others: Vec<HostId> = self.controllers.iter().map(|c| c.host).collect();
                 others.push(self.regional[0]);
                 Some(self.cut(&whom, &others, self.some_mode()))
             }
-            Trouble::StateRefuses => {
+            Fault::StateRefuses => {
                 let whom = self.whom(failure);
                 let set = |s: &Stage, whom: &[usize], refused| {
                     whom.iter()
@@ -442,7 +442,7 @@
                 set(self, &whom, true);
                 Some(Box::new(move |s| set(s, &whom, false)))
             }
-            Trouble::ControllerSlow => {
+            Fault::ControllerSlow => {
                 let whom = self.whom(failure);
                 for n in &whom {
                     self.world.set_slowdown(self.controllers[*n].host, times);
@@ -453,14 +453,14 @@
                     }
                 }))
             }
-            Trouble::ControllerFreezes => {
+            Fault::ControllerFreezes => {
                 let whom = self.whom(failure);
                 whom.iter().for_each(|n| self.pause(*n, true));
                 Some(Box::new(move |s| {
                     whom.iter().for_each(|n| s.pause(*n, false))
                 }))
             }
-            Trouble::ClockSkew => {
+            Fault::ClockSkew => {
                 let whom = self.hosts(&self.whom(failure));
                 let skew_ms = fleet.night.controllers.skew_ms * times;
                 whom.iter().for_each(|h| self.world.set_skew(*h, skew_ms));
@@ -468,23 +468,23 @@
                     whom.iter().for_each(|h| s.world.set_skew(*h, 0.0))
                 }))
             }
-            Trouble::PeersRefused => {
+            Fault::PeersRefused => {
                 let all = self.hosts(&self.whom(failure));
                 Some(self.cut(&all, &all, PartitionMode::Refuse))
             }
-            Trouble::ControllersApart => {
+            Fault::ControllersApart => {
                 let all = self.hosts(&self.whom(failure));
                 Some(self.cut(&all, &all, PartitionMode::Hold))
             }
-            Trouble::StateDown => {
+            Fault::StateDown => {
                 self.ledger.set_down(true);
                 Some(Box::new(|s| s.ledger.set_down(false)))
             }
-            Trouble::StateSlow => {
+            Fault::StateSlow => {
                 self.ledger.slow_s.set(0.1 * times);
                 Some(Box::new(|s| s.ledger.slow_s.set(0.0)))
             }
-            Trouble::LateWrites => {
+            Fault::LateWrites => {
                 let ledger = &self.ledger;
                 let share = match failure.at_once {
                     true => &ledger.unanswered,
@@ -497,7 +497,7 @@
                     false => s.ledger.late.set(0.0),
                 }))
             }
-            Trouble::CloseLooks => {
+            Fault::CloseLooks => {
                 fleet.completions.is_watched.set(true);
                 match failure.job.clone() {
                     Some(job) => self.users.troubles.order(Order::Look { job, after_s: 0.0 }),
@@ -505,22 +505,22 @@
                 }
                 Some(Box::new(|s| s.users.troubles.looks_closely.set(false)))
             }
-            Trouble::OddRequests => {
+            Fault::OddRequests => {
                 self.users.troubles.sends_odd.set(true);
                 self.users.troubles.order(Order::SendOddRequests);
                 Some(Box::new(|s| s.users.troubles.sends_odd.set(false)))
             }
-            Trouble::CancelAtEnd => {
+            Fault::CancelAtEnd => {
                 fleet.completions.is_watched.set(true);
                 let late = Some(Late::of(failure));
                 self.users.troubles.cancelled_at_end.set(late);
                 Some(Box::new(|s| s.users.troubles.cancelled_at_end.set(None)))
             }
-            Trouble::CancelNow => {
+            Fault::CancelNow => {
                 self.cancel_now(failure);
                 None
             }
-            Trouble::LinksSlow => {
+            Fault::LinksSlow => {
                 let usual = NetworkConfig::default();
                 self.world.set_network(NetworkConfig {
                     latency_s: usual.latency_s + times / 1000.0,
@@ -531,13 +531,13 @@
                 });
                 Some(Box::new(move |s| s.world.set_network(usual)))
             }
-            Trouble::ZoneCut => {
+            Fault::ZoneCut => {
                 let inside = self.zone_hosts(failure.zone.as_deref().unwrap_or(""));
                 let mut outside = self.all_hosts();
                 outside.retain(|h| !inside.contains(h));
                 Some(self.cut(&inside, &outside, self.some_mode()))
             }
-            Trouble::ZonesApart => {
+            Fault::ZonesApart => {
                 let zones = &fleet.night.controllers.zones;
                 let first = self.zone_hosts(&zones[0]);
                 let mut others: Vec<HostId> = self.controllers.iter().map(|c| c.host).collect();
--- a/crates/umbersail-rehearsal/src/judge/mod.rs
+++ b/crates/umbersail-rehearsal/src/judge/mod.rs
@@ -195,7 +195,7 @@
         on: BTreeMap::new(),
         used: BTreeMap::new(),
         answered_at: 0.0,
-        questions: Questions::new(night.troubles_over_s()),
+        questions: Questions::new(night.faults_over_s()),
         doubted: Vec::new(),
         struck: BTreeMap::new(),
         useful_cpu_s: 0.0,
--- a/crates/umbersail-rehearsal/src/judge/waiting.rs
+++ b/crates/umbersail-rehearsal/src/judge/waiting.rs
@@ -89,7 +89,7 @@
 /// Jobs that were left waiting for [`LEFT_S`] after all troubles, from the history.
 pub(super) fn judged(night: &Scenario, events: &[Event]) -> Vec<LeftWaiting> {
     let mut tracker = tracker(night);
-    let over_s = night.troubles_over_s();
+    let over_s = night.faults_over_s();
     for (index, event) in events.iter().enumerate() {
         tracker.see(event);
         if event.t >= over_s && matches!(event.what, What::Level { .. }) {
--- a/crates/umbersail-rehearsal/src/judge/waiting/tests.rs
+++ b/crates/umbersail-rehearsal/src/judge/waiting/tests.rs
@@ -116,7 +116,7 @@
     night.teams[0].cpus_max = case.cpus_max;
     night.failures.truncate(1);
     (night.failures[0].at_s, night.failures[0].back_s) = (20.0, None);
-    assert!((night.troubles_over_s() - 20.0).abs() < 1e-9);
+    assert!((night.faults_over_s() - 20.0).abs() < 1e-9);
     let up = |machine: &str| What::Up {
         machine: machine.into(),
     };
--- a/crates/umbersail-rehearsal/src/play.rs
+++ b/crates/umbersail-rehearsal/src/play.rs
@@ -15,6 +15,7 @@
 };
 use umbersail_tuning::Tuning;
 
+use crate::fault::{Controller, Stage};
 use crate::fleet::Fleet;
 use crate::history::{Event, History, What};
 use crate::judge::{Figures, judge};
@@ -22,7 +23,6 @@
 use crate::places::{Addresses, member, zone};
 use crate::runs;
 use crate::scenario::{Aim, Scenario};
-use crate::trouble::{Controller, Stage};
 use crate::users::{Balancer, Users};
 
 /// The history tells what the state service took and holds this often, in seconds.
--- a/crates/umbersail-rehearsal/src/real.rs
+++ b/crates/umbersail-rehearsal/src/real.rs
@@ -12,10 +12,10 @@
 use nix::unistd::Pid;
 use umbersail_runtime::{HostSpec, Runtime, WorldHandle};
 
+use crate::fault::Controller;
 use crate::places::{Addresses, member, zone};
 use crate::play::{Outcome, PlayError, direct, properties_text, settings_text};
 use crate::scenario::Scenario;
-use crate::trouble::Controller;
 
 /// One controller's process, ended when this is dropped.
 struct Process {
--- a/crates/umbersail-rehearsal/src/scenario.rs
+++ b/crates/umbersail-rehearsal/src/scenario.rs
@@ -440,7 +440,7 @@
 /// What goes wrong.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize, JsonSchema)]
 #[serde(rename_all = "kebab-case")]
-pub enum Trouble {
+pub enum Fault {
     /// New machines take `times` as long to boot.
     BootsLate,
     /// New machines never come up.
@@ -544,10 +544,10 @@
     ZonesApart,
 }
 
-impl Trouble {
+impl Fault {
     /// Whether it can be played without a simulated network and clocks.
     pub fn is_playable_on_loopback(self) -> bool {
-        use Trouble::*;
+        use Fault::*;
         !matches!(
             self,
             MachinesCut
@@ -574,7 +574,7 @@
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct Failure {
-    pub what: Trouble,
+    pub what: Fault,
     #[schemars(range(min = 0.0))]
     pub at_s: f64,
     #[serde(default = "Failure::length")]
@@ -637,15 +637,15 @@
     fn over_s(&self, night: &Scenario) -> f64 {
         let back_s = self.back_s(&night.controllers);
         let lasts_s = match self.what {
-            Trouble::ControllerCrash => back_s,
-            Trouble::RollingRestart => (back_s + ROLL_S) * night.controllers.count as f64,
-            Trouble::MachinesStop | Trouble::WorkerDiesMidJob => self.back_s.unwrap_or(0.0),
-            Trouble::SpotWave => 1.5 * night.workers.notice_s,
-            Trouble::LateWrites => self.for_s + LATE_TO_S,
-            Trouble::ReportsLate | Trouble::CommandsLate | Trouble::CommandAnswersLate => {
+            Fault::ControllerCrash => back_s,
+            Fault::RollingRestart => (back_s + ROLL_S) * night.controllers.count as f64,
+            Fault::MachinesStop | Fault::WorkerDiesMidJob => self.back_s.unwrap_or(0.0),
+            Fault::SpotWave => 1.5 * night.workers.notice_s,
+            Fault::LateWrites => self.for_s + LATE_TO_S,
+            Fault::ReportsLate | Fault::CommandsLate | Fault::CommandAnswersLate => {
                 self.for_s + self.to_s.unwrap_or(0.0)
             }
-            Trouble::CancelNow => self.hang_s.unwrap_or(0.0),
+            Fault::CancelNow => self.hang_s.unwrap_or(0.0),
             _ => self.for_s,
         };
         self.at_s + lasts_s
@@ -664,7 +664,7 @@
 
 impl Scenario {
     /// From when on nothing goes wrong any more, in seconds.
-    pub fn troubles_over_s(&self) -> f64 {
+    pub fn faults_over_s(&self) -> f64 {
         let ends = self.failures.iter().map(|f| f.over_s(self));
         ends.fold(0.0, f64::max)
     }
@@ -672,7 +672,7 @@
     /// Whether users cancel at controllers of the script's choice.
     /// When it ends at the latest, in seconds.
     pub fn ends_s(&self) -> f64 {
-        (self.length_s + self.drain_s).max(self.troubles_over_s() + GRACE_S)
+        (self.length_s + self.drain_s).max(self.faults_over_s() + GRACE_S)
     }
 
     /// The same night `times` as fast: for real processes, whose own waits are
@@ -902,7 +902,7 @@
         failure: &Failure,
         zones: &BTreeSet<&String>,
     ) -> Result<(), (&'static str, &'static str)> {
-        use Trouble::*;
+        use Fault::*;
         let what = failure.what;
         if failure.at_s >= self.length_s + self.drain_s {
             return Err(("at_s", "after the end of the night"));
--- a/crates/umbersail-rehearsal/src/waves.rs
+++ b/crates/umbersail-rehearsal/src/waves.rs
@@ -14,7 +14,7 @@
 
 /// What goes wrong.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub enum Trouble {
+pub enum Fault {
     /// The machines that began first die; so many of them.
     FirstDie(usize),
     /// Those send and take so many times slower.
@@ -40,7 +40,7 @@
     pub piece_gb: f64,
     pub report_s: f64,
     pub bounds: Settings,
-    pub troubles: Vec<(f64, Trouble)>,
+    pub troubles: Vec<(f64, Fault)>,
     pub seed: u64,
 }
 
@@ -257,10 +257,10 @@
         }
     }
 
-    fn trouble(&mut self, now: f64, trouble: Trouble) {
+    fn trouble(&mut self, now: f64, trouble: Fault) {
         let first = |count| -> BTreeSet<usize> { self.begun.iter().take(count).copied().collect() };
         match trouble {
-            Trouble::FirstDie(count) => {
+            Fault::FirstDie(count) => {
                 for node in first(count) {
                     self.swarm.remove(now, node);
                     self.cache_view.remove_machine(&node);
@@ -268,20 +268,20 @@
                     self.had_at.remove(&node);
                 }
             }
-            Trouble::FirstSlow(count, times) => {
+            Fault::FirstSlow(count, times) => {
                 for node in first(count) {
                     self.swarm.slow(node, times);
                 }
             }
-            Trouble::Cut(zone, for_s) => {
+            Fault::Cut(zone, for_s) => {
                 self.cut = Some((zone, now + for_s));
                 self.swarm.cut(now, Some(zone));
             }
-            Trouble::StoreOut(for_s) => {
+            Fault::StoreOut(for_s) => {
                 self.store_out_until = Some(now + for_s);
                 self.swarm.set_store(now, 0.0);
             }
-            Trouble::TakeOver => {
+            Fault::TakeOver => {
                 let records = self.cache_view.records(u32::to_string, usize::to_string);
                 self.cache_view = CacheView::new(self.wave.bounds.clone());
                 for record in records.values() {
@@ -295,7 +295,7 @@
                     }
                 }
             }
-            Trouble::Cancelled(count) => {
+            Fault::Cancelled(count) => {
                 for node in 0..count.min(self.stage.len()) {
                     if self.stage[node] == Stage::Fetches {
                         self.swarm.give_up(now, node, IMAGE);
--- a/crates/umbersail-rehearsal/tests/nights/close_looks.rs
+++ b/crates/umbersail-rehearsal/tests/nights/close_looks.rs
@@ -2,7 +2,7 @@
 //! after a job was accepted, ended or was cancelled.
 
 use umbersail_rehearsal::history::{Event, Question, What};
-use umbersail_rehearsal::{Failure, Scenario, Trouble};
+use umbersail_rehearsal::{Failure, Fault, Scenario};
 use umbersail_wire::JobStage;
 
 use crate::harness::{each, failure, keeps_the_rules, seeds, shop};
@@ -189,7 +189,7 @@
         let crash = |at_s: f64| Failure {
             who: Some("leader".into()),
             back_s: Some(1.0),
-            ..bare(Trouble::ControllerCrash, at_s, 0.0)
+            ..bare(Fault::ControllerCrash, at_s, 0.0)
         };
         let mut night = busy("");
         night.length_s = 40.0;
--- a/crates/umbersail-rehearsal/tests/nights/last_task.rs
+++ b/crates/umbersail-rehearsal/tests/nights/last_task.rs
@@ -4,7 +4,7 @@
 use std::collections::BTreeMap;
 
 use umbersail_rehearsal::history::{Event, What};
-use umbersail_rehearsal::{Failure, Outcome, Trouble};
+use umbersail_rehearsal::{Failure, Fault, Outcome};
 use umbersail_wire::JobStage;
 
 use crate::close_looks::busy;
@@ -85,8 +85,8 @@
         let moment = sweep.moments(Anchor::Completion)[*nth].clone();
         let job = || moment.job.clone();
         let failures = |at_s: f64| -> Vec<Failure> {
-            let mut cancel = bare(Trouble::CancelNow, at_s, 0.0);
-            let mut looks = bare(Trouble::CloseLooks, at_s, 1.0);
+            let mut cancel = bare(Fault::CancelNow, at_s, 0.0);
+            let mut looks = bare(Fault::CloseLooks, at_s, 1.0);
             (cancel.job, looks.job) = (job(), job());
             vec![cancel, looks]
         };
--- a/crates/umbersail-rehearsal/tests/nights/pairs.rs
+++ b/crates/umbersail-rehearsal/tests/nights/pairs.rs
@@ -6,7 +6,7 @@
 use rand::seq::IndexedRandom;
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
-use umbersail_rehearsal::{Failure, Scenario, Trouble};
+use umbersail_rehearsal::{Failure, Fault, Scenario};
 
 use crate::harness::{each, played, seeds, shop};
 
@@ -17,8 +17,8 @@
 
 /// All that may meet: what troubles machines, controllers, the state service or the
 /// network.
-const TROUBLES: [Trouble; 20] = {
-    use Trouble::*;
+const TROUBLES: [Fault; 20] = {
+    use Fault::*;
     [
         MachinesCut,
         MachinesStop,
@@ -45,7 +45,7 @@
 
 /// A trouble at this time, with what it needs drawn.
 fn trouble(rng: &mut ChaCha8Rng, at_s: f64) -> Failure {
-    use Trouble::*;
+    use Fault::*;
     let what = *TROUBLES.choose(rng).expect("there are some");
     // To a tenth, so that a printed list is the same night.
     let mut tenths = |from: f64, to: f64| (rng.random_range(from..to) * 10.0).round() / 10.0;
@@ -208,15 +208,15 @@
     // Guards against a list that is printed whole although a part of it breaks, and
     // against shrinking that loses the fault.
     let mut failures: Vec<Failure> = (1..4).flat_map(pair).collect();
-    failures[2].what = Trouble::StateDown;
+    failures[2].what = Fault::StateDown;
     failures[2].for_s = 40.0;
     let broken = |failures: &[Failure]| {
-        let long = |f: &Failure| f.what == Trouble::StateDown && f.for_s >= 9.0;
+        let long = |f: &Failure| f.what == Fault::StateDown && f.for_s >= 9.0;
         failures.iter().any(long).then(|| "too long".to_owned())
     };
     let (least, why) = shrunk(failures, "at first".into(), &broken);
     let seen: Vec<_> = least.iter().map(|f| (f.what, f.for_s)).collect();
-    assert_eq!(seen, [(Trouble::StateDown, 10.0)]);
+    assert_eq!(seen, [(Fault::StateDown, 10.0)]);
     assert_eq!(why, "too long");
     let quiet = |_: &[Failure]| None;
     let (least, why) = shrunk(pair(1), "of itself".into(), &quiet);
--- a/crates/umbersail-rehearsal/tests/nights/sweep.rs
+++ b/crates/umbersail-rehearsal/tests/nights/sweep.rs
@@ -9,7 +9,7 @@
 //! ```
 
 use umbersail_rehearsal::history::{End, Event, What};
-use umbersail_rehearsal::{Failure, Outcome, Scenario, Trouble, play_many};
+use umbersail_rehearsal::{Failure, Fault, Outcome, Scenario, play_many};
 use umbersail_wire::JobStage;
 
 use crate::harness::{attempts, played};
@@ -55,7 +55,7 @@
 }
 
 /// A failure without anything that its kind does not need.
-pub fn bare(what: Trouble, at_s: f64, for_s: f64) -> Failure {
+pub fn bare(what: Fault, at_s: f64, for_s: f64) -> Failure {
     Failure {
         what,
         at_s,
--- a/crates/umbersail-rehearsal/tests/nights/whole.rs
+++ b/crates/umbersail-rehearsal/tests/nights/whole.rs
@@ -115,7 +115,7 @@
     (night.drain_s, night.failures[0].for_s) = (60.0, 50.0);
     assert!((night.ends_s() - 160.0).abs() < 1e-9);
     // All controllers end for longer than the night lasts: nobody is answered.
-    night.failures[0].what = umbersail_rehearsal::Trouble::ControllerCrash;
+    night.failures[0].what = umbersail_rehearsal::Fault::ControllerCrash;
     night.failures[0].back_s = Some(70.0);
     night.controllers.back_s = 600.0;
     assert!((night.ends_s() - 180.0).abs() < 1e-9);
--- a/crates/umbersail-rehearsal/tests/waves.rs
+++ b/crates/umbersail-rehearsal/tests/waves.rs
@@ -1,10 +1,10 @@
 //! Waves of large images against the kit's store: how fast they go, and through what.
 
 use umbersail_images::Settings;
-use umbersail_rehearsal::waves::{Course, Trouble, Wave};
+use umbersail_rehearsal::waves::{Course, Fault, Wave};
 
 /// 40 GB, a store of 10 GB/s, machines that send and take 1 GB/s.
-fn wave(machines: usize, troubles: &[(f64, Trouble)]) -> Wave {
+fn wave(machines: usize, troubles: &[(f64, Fault)]) -> Wave {
     Wave {
         machines,
         zones: 3,
@@ -60,7 +60,7 @@
 fn the_first_holders_may_die_and_the_rest_go_on() {
     // Those of their readers with no other holder take the rest from the store; one that
     // is left with a single holder gets a fifth of what that sends, 40 GB in 200 s.
-    let course = all_had(&wave(300, &[(15.0, Trouble::FirstDie(6))]), 6);
+    let course = all_had(&wave(300, &[(15.0, Fault::FirstDie(6))]), 6);
     assert!(
         course.all_s <= 215.0 && course.most_s <= 110.0,
         "{course:?}"
@@ -70,7 +70,7 @@
 
 #[test]
 fn a_cut_zone_goes_on_by_itself_and_by_the_store() {
-    let course = all_had(&wave(300, &[(10.0, Trouble::Cut(1, 60.0))]), 0);
+    let course = all_had(&wave(300, &[(10.0, Fault::Cut(1, 60.0))]), 0);
     assert!(course.all_s <= 160.0, "{course:?}");
     assert!(course.store_gb <= 0.2 * 300.0 * 40.0, "{course:?}");
 }
@@ -78,7 +78,7 @@
 #[test]
 fn two_leaders_ends_begin_no_fetch_anew_and_cost_the_store_nothing() {
     let calm = all_had(&wave(300, &[]), 0);
-    let ends = [(0.7, Trouble::TakeOver), (20.0, Trouble::TakeOver)];
+    let ends = [(0.7, Fault::TakeOver), (20.0, Fault::TakeOver)];
     let course = all_had(&wave(300, &ends), 0);
     assert!(course.store_gb <= calm.store_gb + 40.0, "{course:?}");
     assert!(course.all_s <= 1.2 * calm.all_s, "{course:?} {calm:?}");
@@ -87,23 +87,23 @@
 #[test]
 fn an_outage_of_the_store_costs_its_length_at_the_most() {
     let calm = all_had(&wave(300, &[]), 0);
-    let course = all_had(&wave(300, &[(10.0, Trouble::StoreOut(30.0))]), 0);
+    let course = all_had(&wave(300, &[(10.0, Fault::StoreOut(30.0))]), 0);
     assert!(course.all_s <= calm.all_s + 31.0, "{course:?} {calm:?}");
     // All first holders have all of it by then.
-    let late = all_had(&wave(300, &[(45.0, Trouble::StoreOut(300.0))]), 0);
+    let late = all_had(&wave(300, &[(45.0, Fault::StoreOut(300.0))]), 0);
     assert!(late.all_s <= calm.all_s + 5.0, "{late:?}");
 }
 
 #[test]
 fn slow_holders_are_made_up_for_by_the_others() {
     let calm = all_had(&wave(300, &[]), 0);
-    let course = all_had(&wave(300, &[(1.0, Trouble::FirstSlow(2, 10.0))]), 0);
+    let course = all_had(&wave(300, &[(1.0, Fault::FirstSlow(2, 10.0))]), 0);
     assert!(course.all_s <= 2.0 * calm.all_s, "{course:?} {calm:?}");
 }
 
 #[test]
 fn replicas_cancelled_while_they_fetch_hold_nobody_up() {
-    let wave = wave(300, &[(20.0, Trouble::Cancelled(40))]);
+    let wave = wave(300, &[(20.0, Fault::Cancelled(40))]);
     let course = wave.play(100_000.0);
     assert!(course.had >= 260, "{course:?}");
     assert!(course.all_s <= 150.0, "{course:?}");
