--- a/crates/umbersail-rehearsal/examples/weights.rs
+++ b/crates/umbersail-rehearsal/examples/weights.rs
@@ -3,7 +3,7 @@
 
 use std::time::Instant;
 
-use umbersail_rehearsal::waves::Wave;
+use umbersail_rehearsal::rollouts::Rollout;
 
 fn main() {
     println!(
@@ -13,9 +13,9 @@
     for (up, pieces) in [(1.0, true), (0.5, true), (1.0, false)] {
         for gb in [40.0, 140.0] {
             for machines in [64, 589, 1307, 4000] {
-                let mut bounds = Wave::bounds(true);
+                let mut bounds = Rollout::bounds(true);
                 bounds.serve_partial = pieces;
-                let wave = Wave {
+                let wave = Rollout {
                     machines,
                     zones: 3,
                     gb,
@@ -25,11 +25,11 @@
                     piece_gb: 0.25,
                     report_s: 1.5,
                     bounds,
-                    troubles: Vec::new(),
+                    faults: Vec::new(),
                     seed: 1,
                 };
                 let began = Instant::now();
-                let course = wave.play(1e6);
+                let course = wave.run(1e6);
                 let took = began.elapsed().as_secs_f64();
                 let all_gb = machines as f64 * gb;
                 println!(
--- a/crates/umbersail-rehearsal/src/fault.rs
+++ b/crates/umbersail-rehearsal/src/fault.rs
@@ -277,21 +277,21 @@
         let times = failure.times.unwrap_or(1.0);
         match failure.what {
             Fault::BootsLate => {
-                fleet.knobs.boots.set(times);
-                Some(Box::new(|s| s.fleet.knobs.boots.set(1.0)))
+                fleet.parameters.boots.set(times);
+                Some(Box::new(|s| s.fleet.parameters.boots.set(1.0)))
             }
             Fault::BootsNever => {
-                fleet.knobs.boots_never.set(true);
-                Some(Box::new(|s| s.fleet.knobs.boots_never.set(false)))
+                fleet.parameters.boots_never.set(true);
+                Some(Box::new(|s| s.fleet.parameters.boots_never.set(false)))
             }
             Fault::BootsQuick => {
-                fleet.knobs.boots_quick.set(true);
-                Some(Box::new(|s| s.fleet.knobs.boots_quick.set(false)))
+                fleet.parameters.boots_quick.set(true);
+                Some(Box::new(|s| s.fleet.parameters.boots_quick.set(false)))
             }
             Fault::RentalsLate => {
                 let late = Late::of(failure);
-                fleet.knobs.rentals_late.set(Some(late));
-                Some(Box::new(|s| s.fleet.knobs.rentals_late.set(None)))
+                fleet.parameters.rentals_late.set(Some(late));
+                Some(Box::new(|s| s.fleet.parameters.rentals_late.set(None)))
             }
             Fault::Burst => {
                 let class = failure.class.clone().unwrap_or_default();
@@ -390,8 +390,8 @@
                 None
             }
             Fault::CapacityShrinks => {
-                fleet.knobs.capacity.set(failure.share.unwrap_or(1.0));
-                Some(Box::new(|s| s.fleet.knobs.capacity.set(1.0)))
+                fleet.parameters.capacity.set(failure.share.unwrap_or(1.0));
+                Some(Box::new(|s| s.fleet.parameters.capacity.set(1.0)))
             }
             Fault::ControllerCrash => {
                 let back_s = failure.back_s(&fleet.night.controllers);
--- a/crates/umbersail-rehearsal/src/fleet.rs
+++ b/crates/umbersail-rehearsal/src/fleet.rs
@@ -66,7 +66,7 @@
 
 /// What the script of failures may turn.
 #[derive(Debug)]
-pub struct Knobs {
+pub struct Parameters {
     pub boots: Cell<f64>,
     pub boots_never: Cell<bool>,
     /// New machines are up within [`QUICK_BOOT_S`].
@@ -81,7 +81,7 @@
     pub world: WorldHandle,
     pub history: History,
     pub night: Rc<Scenario>,
-    pub knobs: Knobs,
+    pub parameters: Parameters,
     pub machines: RefCell<BTreeMap<String, Rc<Machine>>>,
     pub jobs: RefCell<BTreeMap<String, Truth>>,
     /// Tasks whose result is kept, and progress that was saved, in seconds.
@@ -128,7 +128,7 @@
             world,
             history,
             night,
-            knobs: Knobs {
+            parameters: Parameters {
                 boots: Cell::new(1.0),
                 boots_never: Cell::new(false),
                 boots_quick: Cell::new(false),
@@ -287,16 +287,16 @@
     fn boot_later(self: &Rc<Self>, machine: Rc<Machine>) {
         let cloud = &self.night.cloud;
         let mut rng = self.rng.borrow_mut();
-        if self.knobs.boots_never.get() || rng.random_bool(cloud.never) {
+        if self.parameters.boots_never.get() || rng.random_bool(cloud.never) {
             return;
         }
-        let nominal = self.kind(&machine).boot_s * self.knobs.boots.get();
+        let nominal = self.kind(&machine).boot_s * self.parameters.boots.get();
         let late = if rng.random_bool(cloud.late) {
             4.0
         } else {
             1.0
         };
-        let wait = match self.knobs.boots_quick.get() {
+        let wait = match self.parameters.boots_quick.get() {
             true => rng.random_range(QUICK_BOOT_S),
             false => nominal * rng.random_range(0.6..1.5) * late,
         };
@@ -409,7 +409,7 @@
         let Ok(names) = decode::<MachineNames>(&response.body) else {
             return;
         };
-        let late = self.knobs.rentals_late.get();
+        let late = self.parameters.rentals_late.get();
         let held_s = late.and_then(|late| late.draw(&mut *self.rng.borrow_mut()));
         if let Some(held_s) = held_s {
             sleep(held_s).await;
@@ -489,7 +489,7 @@
         } else {
             kinds[kind].ordinary
         };
-        let most = (there as f64 * self.knobs.capacity.get()) as usize;
+        let most = (there as f64 * self.parameters.capacity.get()) as usize;
         let machines = self.machines.borrow();
         let taken = machines.values().filter(|m| {
             m.kind == kind
--- a/crates/umbersail-rehearsal/src/lib.rs
+++ b/crates/umbersail-rehearsal/src/lib.rs
@@ -36,6 +36,7 @@
 mod play;
 mod real;
 pub mod report;
+pub mod rollouts;
 mod runs;
 mod scenario;
 mod served;
@@ -43,7 +44,6 @@
 mod store;
 mod user_troubles;
 mod users;
-pub mod waves;
 mod worker;
 
 pub use answers::{Answers, SILENT_S};
--- a/crates/umbersail-rehearsal/src/waves.rs
+++ b/crates/umbersail-rehearsal/src/rollouts.rs
@@ -1,6 +1,6 @@
 //! A model of one wave of a large image over a fleet: the decisions of
 //! `umbersail-images` against the kit's store and workers that hand on, without
-//! controllers, for fleets larger and troubles more than a night has room for.
+//! controllers, for fleets larger and faults more than a night has room for.
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet, BinaryHeap};
@@ -30,7 +30,7 @@
 
 /// One wave.
 #[derive(Debug, Clone)]
-pub struct Wave {
+pub struct Rollout {
     pub machines: usize,
     pub zones: u16,
     pub gb: f64,
@@ -40,7 +40,7 @@
     pub piece_gb: f64,
     pub report_s: f64,
     pub bounds: Settings,
-    pub troubles: Vec<(f64, Fault)>,
+    pub faults: Vec<(f64, Fault)>,
     pub seed: u64,
 }
 
@@ -63,7 +63,7 @@
     pub decided_s: f64,
 }
 
-impl Wave {
+impl Rollout {
     /// The defaults of `images.*`, with handing on.
     pub fn bounds(hand_on: bool) -> Settings {
         Settings::from_tuning(&umbersail_tuning::Tuning {
@@ -87,10 +87,10 @@
     }
 
     /// Plays it until all that live have the image, for `most_s` at most.
-    pub fn play(&self, most_s: f64) -> Course {
-        let mut play = Play::new(self);
-        play.run(most_s);
-        play.course()
+    pub fn run(&self, most_s: f64) -> Course {
+        let mut run = Run::new(self);
+        run.run(most_s);
+        run.course()
     }
 }
 
@@ -105,8 +105,8 @@
     Gone,
 }
 
-struct Play<'a> {
-    wave: &'a Wave,
+struct Run<'a> {
+    rollout: &'a Rollout,
     cache_view: CacheView<usize, u32>,
     swarm: Swarm,
     stage: Vec<Stage>,
@@ -114,7 +114,7 @@
     heard: Vec<f64>,
     begun: Vec<usize>,
     had_at: BTreeMap<usize, f64>,
-    troubles: BinaryHeap<Reverse<(u64, usize)>>,
+    faults: BinaryHeap<Reverse<(u64, usize)>>,
     cut: Option<(u16, f64)>,
     store_out_until: Option<f64>,
     decided: Duration,
@@ -123,56 +123,61 @@
 
 const IMAGE: u32 = 1;
 
-impl<'a> Play<'a> {
-    fn new(wave: &'a Wave) -> Play<'a> {
-        let mut swarm = Swarm::new(wave.store_gb_s, wave.piece_gb);
-        for node in 0..wave.machines {
-            swarm.add(node, node as u16 % wave.zones, wave.up_gb_s, wave.down_gb_s);
+impl<'a> Run<'a> {
+    fn new(rollout: &'a Rollout) -> Run<'a> {
+        let mut swarm = Swarm::new(rollout.store_gb_s, rollout.piece_gb);
+        for node in 0..rollout.machines {
+            swarm.add(
+                node,
+                node as u16 % rollout.zones,
+                rollout.up_gb_s,
+                rollout.down_gb_s,
+            );
         }
-        let troubles = wave.troubles.iter().enumerate();
-        Play {
-            cache_view: CacheView::new(wave.bounds.clone()),
+        let faults = rollout.faults.iter().enumerate();
+        Run {
+            cache_view: CacheView::new(rollout.bounds.clone()),
             swarm,
-            stage: vec![Stage::Waits; wave.machines],
-            hop: vec![0; wave.machines],
-            heard: vec![0.0; wave.machines],
+            stage: vec![Stage::Waits; rollout.machines],
+            hop: vec![0; rollout.machines],
+            heard: vec![0.0; rollout.machines],
             begun: Vec::new(),
             had_at: BTreeMap::new(),
-            troubles: troubles
+            faults: faults
                 .map(|(index, (at, _))| Reverse(((at * 1e3) as u64, index)))
                 .collect(),
             cut: None,
             store_out_until: None,
             decided: Duration::ZERO,
             reports: 0,
-            wave,
+            rollout,
         }
     }
 
     fn run(&mut self, most_s: f64) {
-        let wave = self.wave;
-        let mut rng = ChaCha8Rng::seed_from_u64(wave.seed);
-        let mut reports: BinaryHeap<Reverse<(u64, usize)>> = (0..wave.machines)
-            .map(|node| Reverse(((rng.random_range(0.0..wave.report_s) * 1e6) as u64, node)))
+        let rollout = self.rollout;
+        let mut rng = ChaCha8Rng::seed_from_u64(rollout.seed);
+        let mut reports: BinaryHeap<Reverse<(u64, usize)>> = (0..rollout.machines)
+            .map(|node| Reverse(((rng.random_range(0.0..rollout.report_s) * 1e6) as u64, node)))
             .collect();
         while let Some(Reverse((at, node))) = reports.pop() {
             let now = at as f64 / 1e6;
             if now > most_s || self.is_over() {
                 return;
             }
-            self.troubles_until(now);
+            self.apply_faults_until(now);
             self.advance(now);
             if self.stage[node] == Stage::Gone {
                 continue;
             }
-            let next = now + wave.report_s * rng.random_range(0.75..1.25);
+            let next = now + rollout.report_s * rng.random_range(0.75..1.25);
             reports.push(Reverse(((next * 1e6) as u64, node)));
             let began = Instant::now();
             let begins = self.report(now, node);
             self.decided += began.elapsed();
             self.reports += 1;
             if let Some(holders) = begins {
-                self.swarm.fetch(now, node, IMAGE, wave.gb, &holders);
+                self.swarm.fetch(now, node, IMAGE, rollout.gb, &holders);
             }
         }
     }
@@ -192,15 +197,15 @@
     }
 
     fn report(&mut self, now: f64, node: usize) -> Option<Vec<usize>> {
-        let wave = self.wave;
-        let zone_number = node as u16 % wave.zones;
+        let rollout = self.rollout;
+        let zone_number = node as u16 % rollout.zones;
         self.heard[node] = now;
         self.cache_view.observe_heartbeat(&node);
         let zone = zone_number.to_string();
         let ask = FetchRequest {
             image: &IMAGE,
-            size_gb: wave.gb,
-            rate_gb_s: wave.down_gb_s,
+            size_gb: rollout.gb,
+            rate_gb_s: rollout.down_gb_s,
             machine: &node,
             zone: &zone,
             priority: FetchPriority {
@@ -211,7 +216,7 @@
         };
         match self.stage[node] {
             Stage::Waits => {
-                let (heard, report_s) = (&self.heard, wave.report_s);
+                let (heard, report_s) = (&self.heard, rollout.report_s);
                 let usable = |m: &usize| now - heard[*m] < 3.0 * report_s;
                 if let Decision::Start { sources: holders } =
                     self.cache_view.request_fetch(now, &ask, usable)
@@ -235,15 +240,15 @@
         None
     }
 
-    fn troubles_until(&mut self, now: f64) {
-        while let Some(Reverse((at, index))) = self.troubles.peek().copied() {
+    fn apply_faults_until(&mut self, now: f64) {
+        while let Some(Reverse((at, index))) = self.faults.peek().copied() {
             let at = at as f64 / 1e3;
             if at > now {
                 break;
             }
-            self.troubles.pop();
+            self.faults.pop();
             self.advance(at);
-            self.trouble(at, self.wave.troubles[index].1);
+            self.apply_fault(at, self.rollout.faults[index].1);
         }
         if let Some((_, until)) = self.cut
             && now >= until
@@ -253,13 +258,13 @@
         }
         if self.store_out_until.is_some_and(|until| now >= until) {
             self.store_out_until = None;
-            self.swarm.set_store(now, self.wave.store_gb_s);
+            self.swarm.set_store(now, self.rollout.store_gb_s);
         }
     }
 
-    fn trouble(&mut self, now: f64, trouble: Fault) {
+    fn apply_fault(&mut self, now: f64, fault: Fault) {
         let first = |count| -> BTreeSet<usize> { self.begun.iter().take(count).copied().collect() };
-        match trouble {
+        match fault {
             Fault::FirstDie(count) => {
                 for node in first(count) {
                     self.swarm.remove(now, node);
@@ -283,7 +288,7 @@
             }
             Fault::TakeOver => {
                 let records = self.cache_view.records(u32::to_string, usize::to_string);
-                self.cache_view = CacheView::new(self.wave.bounds.clone());
+                self.cache_view = CacheView::new(self.rollout.bounds.clone());
                 for record in records.values() {
                     // Names are numbers here.
                     let machine = |name: &str| name.parse().unwrap_or(usize::MAX);
--- a/crates/umbersail-rehearsal/tests/waves.rs
+++ b/crates/umbersail-rehearsal/tests/waves.rs
@@ -1,11 +1,11 @@
 //! Waves of large images against the kit's store: how fast they go, and through what.
 
 use umbersail_images::Settings;
-use umbersail_rehearsal::waves::{Course, Fault, Wave};
+use umbersail_rehearsal::rollouts::{Course, Fault, Rollout};
 
 /// 40 GB, a store of 10 GB/s, machines that send and take 1 GB/s.
-fn wave(machines: usize, troubles: &[(f64, Fault)]) -> Wave {
-    Wave {
+fn wave(machines: usize, faults: &[(f64, Fault)]) -> Rollout {
+    Rollout {
         machines,
         zones: 3,
         gb: 40.0,
@@ -14,15 +14,15 @@
         down_gb_s: 1.0,
         piece_gb: 0.25,
         report_s: 1.5,
-        bounds: Wave::bounds(true),
-        troubles: troubles.to_vec(),
+        bounds: Rollout::bounds(true),
+        faults: faults.to_vec(),
         seed: 7,
     }
 }
 
 /// All that live have it, and nobody began twice.
-fn all_had(wave: &Wave, gone: usize) -> Course {
-    let course = wave.play(100_000.0);
+fn all_had(wave: &Rollout, gone: usize) -> Course {
+    let course = wave.run(100_000.0);
     assert_eq!(course.had, wave.machines - gone, "{course:?}");
     assert!(course.begun <= wave.machines, "{course:?}");
     course
@@ -44,10 +44,10 @@
 
 #[test]
 fn without_handing_on_machines_share_the_store_as_ever() {
-    let wave = Wave {
+    let wave = Rollout {
         bounds: Settings {
             peer_to_peer: false,
-            ..Wave::bounds(false)
+            ..Rollout::bounds(false)
         },
         ..wave(64, &[])
     };
@@ -104,7 +104,7 @@
 #[test]
 fn replicas_cancelled_while_they_fetch_hold_nobody_up() {
     let wave = wave(300, &[(20.0, Fault::Cancelled(40))]);
-    let course = wave.play(100_000.0);
+    let course = wave.run(100_000.0);
     assert!(course.had >= 260, "{course:?}");
     assert!(course.all_s <= 150.0, "{course:?}");
 }
