--- a/crates/umbersail-rehearsal/benches/fleet.rs
+++ b/crates/umbersail-rehearsal/benches/fleet.rs
@@ -2,7 +2,7 @@
 //! class that keeps the machines busy, without failures.
 
 use criterion::{BenchmarkId, Criterion, Throughput, criterion_group, criterion_main};
-use umbersail_rehearsal::{Scenario, play};
+use umbersail_rehearsal::{Scenario, run};
 
 /// A minute of work for so many machines, all of which are up at the start.
 fn minute(machines: usize) -> Scenario {
@@ -30,11 +30,11 @@
     group.sample_size(10);
     for machines in [100, 1000, 4000] {
         let night = minute(machines);
-        let once = play(&night, 1, &mut |_, _| {}).expect("it can be played");
+        let once = run(&night, 1, &mut |_, _| {}).expect("it can be played");
         assert!(once.figures.breaches.is_empty() && once.figures.starts > machines);
         group.throughput(Throughput::Elements(once.packets));
         group.bench_function(BenchmarkId::from_parameter(machines), |b| {
-            b.iter(|| play(&night, 1, &mut |_, _| {}).expect("it can be played"));
+            b.iter(|| run(&night, 1, &mut |_, _| {}).expect("it can be played"));
         });
     }
     group.finish();
--- a/crates/umbersail-rehearsal/src/paper.rs
+++ b/crates/umbersail-rehearsal/src/baseline.rs
@@ -135,7 +135,7 @@
 }
 
 /// Plays one workload, with one of the policies or without preemption.
-pub fn play(workload: &Workload, seed: u64, policy: Option<VictimPreference>) -> Run {
+pub fn run(workload: &Workload, seed: u64, policy: Option<VictimPreference>) -> Run {
     let all = requests(workload, seed);
     let mut left: Vec<f64> = all.iter().map(|r| r.run_s).collect();
     let mut running: Vec<Lease> = Vec::new();
@@ -346,14 +346,14 @@
             let mut line = format!("  {x:>6}");
             for (_, policy) in policies {
                 let runs: Vec<Run> = (0..seeds)
-                    .map(|seed| play(workload, seed, Some(policy)))
+                    .map(|seed| run(workload, seed, Some(policy)))
                     .collect();
                 let mean = |f: fn(&Run) -> f64| runs.iter().map(f).sum::<f64>() / seeds as f64;
                 let (count, used) = (mean(|r| r.preemptions as f64), mean(|r| r.utilization));
                 let _ = write!(line, "  {count:>7.1} ({used:.3})");
                 if policy == VictimPreference::FewestJobsBelowMedian {
                     for (seed, with) in runs.iter().enumerate() {
-                        let without = play(workload, seed as u64, None);
+                        let without = run(workload, seed as u64, None);
                         if without.local_rejected > 0.0 {
                             let less = without.local_rejected - with.local_rejected;
                             local.push(100.0 * less / without.local_rejected);
@@ -388,7 +388,7 @@
         // finding must come out, and the order of the policies.
         let workload = rows()[0].1[2].1;
         let sum = |policy| {
-            let runs = (0..6).map(|seed| play(&workload, seed, policy));
+            let runs = (0..6).map(|seed| run(&workload, seed, policy));
             runs.fold((0.0, 0), |s, r| {
                 (s.0 + r.local_rejected, s.1 + r.preemptions)
             })
--- a/crates/umbersail-rehearsal/src/experiment.rs
+++ b/crates/umbersail-rehearsal/src/experiment.rs
@@ -10,7 +10,7 @@
 use statrs::distribution::{ContinuousCDF, StudentsT};
 
 use crate::bundled::bundled;
-use crate::play::{Outcome, PlayError, play_many};
+use crate::run::{Outcome, RunError, run_many};
 use crate::scenario::{Scenario, ScenarioError};
 
 /// What is compared, on which nights.
@@ -158,7 +158,7 @@
     experiment: &Experiment,
     nights: &[(String, Scenario)],
     threads: usize,
-) -> Result<String, PlayError> {
+) -> Result<String, RunError> {
     let seeds: Vec<u64> =
         (experiment.first_seed..experiment.first_seed + experiment.seeds).collect();
     let mut out = format!(
@@ -175,7 +175,7 @@
                 .properties
                 .extend(variant.properties.clone());
             varied.calendar = variant.calendar.unwrap_or(varied.calendar);
-            let outcomes = play_many(&varied, &seeds, threads)?;
+            let outcomes = run_many(&varied, &seeds, threads)?;
             // Writing to a String cannot fail.
             let _ = writeln!(out, "\n{name}, {}", variant.name);
             match &base {
--- a/crates/umbersail-rehearsal/src/fault.rs
+++ b/crates/umbersail-rehearsal/src/fault.rs
@@ -62,14 +62,14 @@
     }
 
     /// Plays one failure at its time, for its time.
-    pub async fn play(self: Rc<Self>, failure: Failure) {
+    pub async fn inject(self: Rc<Self>, failure: Failure) {
         sleep(failure.at_s).await;
         let trouble = name_of(failure.what);
         let tell = |begins| {
             let trouble = trouble.clone();
             self.fleet.history.add(What::Trouble { trouble, begins });
         };
-        if !self.world.is_simulated() && !failure.what.is_playable_on_loopback() {
+        if !self.world.is_simulated() && !failure.what.can_run_on_loopback() {
             let trouble = format!("{trouble} (left out: not on loopback)");
             self.fleet.history.add(What::Trouble {
                 trouble,
--- a/crates/umbersail-rehearsal/src/lib.rs
+++ b/crates/umbersail-rehearsal/src/lib.rs
@@ -8,15 +8,16 @@
 //! and nothing else.
 //!
 //! ```no_run
-//! use umbersail_rehearsal::{Scenario, bundled, play};
+//! use umbersail_rehearsal::{Scenario, bundled, run};
 //!
 //! let text = bundled("zone-power-loss-cold-caches").unwrap();
 //! let night = Scenario::parse("zone-power-loss-cold-caches", text).unwrap();
-//! let outcome = play(&night, 7, &mut |_, _| {}).unwrap();
+//! let outcome = run(&night, 7, &mut |_, _| {}).unwrap();
 //! assert!(outcome.figures.breaches.is_empty());
 //! ```
 
 mod answers;
+pub mod baseline;
 mod bound;
 mod bundled;
 mod cancel_now;
@@ -31,12 +32,11 @@
 mod kv_store_host;
 mod late;
 mod odd_requests;
-pub mod paper;
 mod places;
-mod play;
 mod real;
 pub mod report;
 pub mod rollouts;
+mod run;
 mod runs;
 mod scenario;
 mod served;
@@ -50,8 +50,8 @@
 pub use bundled::{BUNDLED, Bundled, bundled};
 pub use judge::{Breach, Figures, Reached, Rule, judge};
 pub use odd_requests::{Invalid, REQUIRED_FIELDS, invalid_submissions};
-pub use play::{Outcome, PlayError, play, play_many, settings};
-pub use real::play_real;
+pub use real::run_real;
+pub use run::{Outcome, RunError, run, run_many, settings};
 pub use runs::{Run, RunFigures, Step};
 pub use scenario::{Failure, Fault, Priority, Scenario, ScenarioError, Team};
 pub use served::{BEGIN_S, Of, SERVED_FEW, SERVED_LEAST, Served};
--- a/crates/umbersail-rehearsal/src/real.rs
+++ b/crates/umbersail-rehearsal/src/real.rs
@@ -14,7 +14,7 @@
 
 use crate::fault::Controller;
 use crate::places::{Addresses, member, zone};
-use crate::play::{Outcome, PlayError, direct, properties_text, settings_text};
+use crate::run::{Outcome, RunError, direct, properties_text, settings_text};
 use crate::scenario::Scenario;
 
 /// One controller's process, ended when this is dropped.
@@ -82,7 +82,7 @@
 ///
 /// # Errors
 /// If a process can't be started or the folder not be written.
-pub fn play_real(night: &Scenario, seed: u64, program: &Path) -> Result<Outcome, PlayError> {
+pub fn run_real(night: &Scenario, seed: u64, program: &Path) -> Result<Outcome, RunError> {
     let dir = std::env::temp_dir().join(format!("umbersail-rehearsal-{}", std::process::id()));
     std::fs::create_dir_all(&dir)?;
     let at = Addresses { simulated: false };
--- a/crates/umbersail-rehearsal/src/report.rs
+++ b/crates/umbersail-rehearsal/src/report.rs
@@ -13,7 +13,7 @@
 use crate::bound;
 use crate::history::{Event, What, lines};
 use crate::judge::{Breach, Figures};
-use crate::play::Outcome;
+use crate::run::Outcome;
 use crate::scenario::Scenario;
 
 /// Version of the archive's layout.
--- a/crates/umbersail-rehearsal/src/play.rs
+++ b/crates/umbersail-rehearsal/src/run.rs
@@ -33,7 +33,7 @@
 
 /// Why a night can't be played to its end.
 #[derive(Debug, Error)]
-pub enum PlayError {
+pub enum RunError {
     #[error("settings of the controllers: {0}")]
     Settings(#[from] InvalidSettings),
     #[error("settings of the controllers can't be written: {0}")]
@@ -83,7 +83,7 @@
     night: &Scenario,
     index: usize,
     at: Addresses,
-) -> Result<String, PlayError> {
+) -> Result<String, RunError> {
     let count = night.controllers.count;
     let known = (0..count).filter(|n| *n != index).map(|n| Known {
         member: member(n),
@@ -132,7 +132,7 @@
 ///
 /// # Errors
 /// If the night's amounts are none that a controller takes.
-pub fn settings(night: &Scenario, index: usize) -> Result<Settings, PlayError> {
+pub fn settings(night: &Scenario, index: usize) -> Result<Settings, RunError> {
     let text = settings_text(night, index, Addresses { simulated: true })?;
     Ok(Settings::parse(&text)?)
 }
@@ -171,9 +171,9 @@
     lines + &runs::properties(night, epoch_ms)
 }
 
-fn tuning(night: &Scenario) -> Result<Tuning, PlayError> {
+fn tuning(night: &Scenario) -> Result<Tuning, RunError> {
     let text = properties_text(night, EPOCH_MS);
-    Tuning::from_properties(text.as_bytes()).map_err(|e| PlayError::Properties(e.to_string()))
+    Tuning::from_properties(text.as_bytes()).map_err(|e| RunError::Properties(e.to_string()))
 }
 
 /// Told now and then while a night plays: seconds played, and of how many.
@@ -183,12 +183,12 @@
 ///
 /// # Errors
 /// If the night's properties can't be used, or the world stands still.
-pub fn play(night: &Scenario, seed: u64, progress: Progress<'_>) -> Result<Outcome, PlayError> {
+pub fn run(night: &Scenario, seed: u64, progress: Progress<'_>) -> Result<Outcome, RunError> {
     let simulation = Simulation::new(seed, NetworkConfig::default());
     let world = simulation.world();
     let night = Rc::new(night.clone());
     let tuning = tuning(&night)?;
-    let configs: Result<Vec<Settings>, PlayError> = (0..night.controllers.count)
+    let configs: Result<Vec<Settings>, RunError> = (0..night.controllers.count)
         .map(|n| settings(&night, n))
         .collect();
     let configs = configs?;
@@ -285,7 +285,7 @@
         struck: std::cell::RefCell::default(),
     });
     for failure in night.failures.clone() {
-        spawn(stage.clone().play(failure));
+        spawn(stage.clone().inject(failure));
     }
     spawn(fleet.clone().charge());
     spawn(fleet.clone().watch_leases());
@@ -374,13 +374,9 @@
 ///
 /// # Errors
 /// The first that any seed gave.
-pub fn play_many(
-    night: &Scenario,
-    seeds: &[u64],
-    threads: usize,
-) -> Result<Vec<Outcome>, PlayError> {
+pub fn run_many(night: &Scenario, seeds: &[u64], threads: usize) -> Result<Vec<Outcome>, RunError> {
     let next = std::sync::atomic::AtomicUsize::new(0);
-    let mut found: Vec<(usize, Result<Outcome, PlayError>)> = std::thread::scope(|scope| {
+    let mut found: Vec<(usize, Result<Outcome, RunError>)> = std::thread::scope(|scope| {
         let work = || {
             let mut mine = Vec::new();
             loop {
@@ -388,7 +384,7 @@
                 let Some(seed) = seeds.get(index) else {
                     return mine;
                 };
-                mine.push((index, play(night, *seed, &mut |_, _| {})));
+                mine.push((index, run(night, *seed, &mut |_, _| {})));
             }
         };
         let workers: Vec<_> = (0..threads.clamp(1, seeds.len().max(1)))
--- a/crates/umbersail-rehearsal/src/scenario.rs
+++ b/crates/umbersail-rehearsal/src/scenario.rs
@@ -546,7 +546,7 @@
 
 impl Fault {
     /// Whether it can be played without a simulated network and clocks.
-    pub fn is_playable_on_loopback(self) -> bool {
+    pub fn can_run_on_loopback(self) -> bool {
         use Fault::*;
         !matches!(
             self,
--- a/crates/umbersail-rehearsal/tests/nights/harness.rs
+++ b/crates/umbersail-rehearsal/tests/nights/harness.rs
@@ -3,7 +3,7 @@
 use std::sync::atomic::{AtomicUsize, Ordering};
 
 use umbersail_rehearsal::history::{End, Event, What};
-use umbersail_rehearsal::{Outcome, Scenario, bundled, play, play_many};
+use umbersail_rehearsal::{Outcome, Scenario, bundled, run, run_many};
 use umbersail_wire::JobStage;
 
 /// Seeds to play: `few` of them, or as many as the variable UMBERSAIL_SEEDS says.
@@ -34,12 +34,12 @@
 }
 
 pub fn played(night: &Scenario, seed: u64) -> Outcome {
-    play(night, seed, &mut |_, _| {}).unwrap()
+    run(night, seed, &mut |_, _| {}).unwrap()
 }
 
 /// No rule is broken.
 pub fn keeps_the_rules(night: &Scenario, seeds: &[u64]) -> Vec<Outcome> {
-    let outcomes = play_many(night, seeds, 4).unwrap();
+    let outcomes = run_many(night, seeds, 4).unwrap();
     for outcome in &outcomes {
         let figures = &outcome.figures;
         let seed = outcome.seed;
--- a/crates/umbersail-rehearsal/tests/nights/sweep.rs
+++ b/crates/umbersail-rehearsal/tests/nights/sweep.rs
@@ -9,7 +9,7 @@
 //! ```
 
 use umbersail_rehearsal::history::{End, Event, What};
-use umbersail_rehearsal::{Failure, Fault, Outcome, Scenario, play_many};
+use umbersail_rehearsal::{Failure, Fault, Outcome, Scenario, run_many};
 use umbersail_wire::JobStage;
 
 use crate::harness::{attempts, played};
@@ -130,7 +130,7 @@
             let at_s = moment.t + offset;
             let mut night = self.night.clone();
             night.failures.extend(failures(at_s));
-            let played = play_many(&night, &[self.seed], AT_ONCE).unwrap();
+            let played = run_many(&night, &[self.seed], AT_ONCE).unwrap();
             for outcome in played {
                 self.assert_same_until(&outcome, at_s);
                 outcomes.push(outcome);
--- a/crates/umbersail/src/rehearse.rs
+++ b/crates/umbersail/src/rehearse.rs
@@ -9,10 +9,10 @@
 
 use anyhow::Context;
 use indicatif::{ProgressBar, ProgressStyle};
+use umbersail_rehearsal::baseline;
 use umbersail_rehearsal::experiment::{self, Experiment};
-use umbersail_rehearsal::paper;
 use umbersail_rehearsal::{
-    BUNDLED, Bundled, Outcome, Scenario, ScenarioError, bundled, play, play_many, play_real, report,
+    BUNDLED, Bundled, Outcome, Scenario, ScenarioError, bundled, report, run, run_many, run_real,
 };
 
 /// Returns the number of cores of this machine.
@@ -136,7 +136,7 @@
         let (scenario, outcome) = match &accelerated {
             Some(scenario) => (
                 scenario,
-                play_real(scenario, self.seed, &std::env::current_exe()?)?,
+                run_real(scenario, self.seed, &std::env::current_exe()?)?,
             ),
             None => (scenario, self.simulate(scenario, self.seed)?),
         };
@@ -153,7 +153,7 @@
     /// whether all runs succeeded.
     fn run_seeds(&self, scenario: &Scenario, seeds: u64) -> anyhow::Result<bool> {
         let seeds: Vec<u64> = (self.seed..self.seed.saturating_add(seeds)).collect();
-        let outcomes = play_many(scenario, &seeds, cores())?;
+        let outcomes = run_many(scenario, &seeds, cores())?;
         let mut failed = 0;
         for outcome in &outcomes {
             let figures = &outcome.figures;
@@ -181,9 +181,9 @@
         &self,
         scenario: &Scenario,
         seed: u64,
-    ) -> Result<Outcome, umbersail_rehearsal::PlayError> {
+    ) -> Result<Outcome, umbersail_rehearsal::RunError> {
         if !std::io::stderr().is_terminal() {
-            return play(scenario, seed, &mut |_, _| {});
+            return run(scenario, seed, &mut |_, _| {});
         }
         let bar = ProgressBar::new((scenario.length_s + scenario.drain_s) as u64);
         // If the template were invalid, the progress bar would keep its default style.
@@ -191,7 +191,7 @@
             bar.set_style(style);
         }
         bar.set_message(format!("seed {seed}"));
-        let outcome = play(scenario, seed, &mut |at, _| bar.set_position(at as u64));
+        let outcome = run(scenario, seed, &mut |at, _| bar.set_position(at as u64));
         bar.finish_and_clear();
         outcome
     }
@@ -219,7 +219,7 @@
     /// invalid or a run fails.
     pub fn run(&self) -> ExitCode {
         let Some(file) = &self.file else {
-            print!("{}", paper::table(self.seeds.max(2)));
+            print!("{}", baseline::table(self.seeds.max(2)));
             return ExitCode::SUCCESS;
         };
         let loaded = Experiment::load(file).and_then(|e| Ok((e.nights()?, e)));
