--- a/crates/umbersail-rehearsal/src/experiment.rs
+++ b/crates/umbersail-rehearsal/src/experiment.rs
@@ -19,7 +19,8 @@
 pub struct Experiment {
     pub title: String,
     /// Bundled nights by name, or night files.
-    pub nights: Vec<String>,
+    #[serde(rename = "nights")]
+    pub scenarios: Vec<String>,
     pub seeds: u64,
     #[serde(default = "Experiment::first")]
     pub first_seed: u64,
@@ -106,8 +107,11 @@
                 "two at least, or there is nothing to compare".into(),
             ));
         }
-        if experiment.seeds < 2 || experiment.nights.is_empty() {
-            return Err(fail("seeds", "two at least, on one night at least".into()));
+        if experiment.seeds < 2 || experiment.scenarios.is_empty() {
+            return Err(fail(
+                "seeds",
+                "two at least, on one scenario at least".into(),
+            ));
         }
         Ok(experiment)
     }
@@ -116,15 +120,15 @@
     ///
     /// # Errors
     /// The first night that can't be read.
-    pub fn nights(&self) -> Result<Vec<(String, Scenario)>, ScenarioError> {
+    pub fn scenarios(&self) -> Result<Vec<(String, Scenario)>, ScenarioError> {
         let read = |name: &String| {
-            let night = match bundled(name) {
+            let scenario = match bundled(name) {
                 Some(text) => Scenario::parse(name, text)?,
                 None => Scenario::load(Path::new(name))?,
             };
-            Ok((name.clone(), night))
+            Ok((name.clone(), scenario))
         };
-        self.nights.iter().map(read).collect()
+        self.scenarios.iter().map(read).collect()
     }
 }
 
@@ -156,7 +160,7 @@
 /// If a night can't be played with a variant's properties.
 pub fn run(
     experiment: &Experiment,
-    nights: &[(String, Scenario)],
+    scenarios: &[(String, Scenario)],
     threads: usize,
 ) -> Result<String, RunError> {
     let seeds: Vec<u64> =
@@ -166,10 +170,10 @@
         experiment.title,
         seeds.len()
     );
-    for (name, night) in nights {
+    for (name, scenario) in scenarios {
         let mut base: Option<Vec<Outcome>> = None;
         for variant in &experiment.variants {
-            let mut varied = night.clone();
+            let mut varied = scenario.clone();
             varied
                 .controllers
                 .properties
--- a/crates/umbersail-rehearsal/src/judge/aims.rs
+++ b/crates/umbersail-rehearsal/src/judge/aims.rs
@@ -3,7 +3,7 @@
 
 use super::{Figures, JobSeen, Judge, Reached, Rule};
 use crate::answers::Questions;
-use crate::scenario::Aim;
+use crate::scenario::Objective;
 use crate::served;
 
 impl Judge<'_> {
@@ -65,7 +65,7 @@
         self.figures.served = served::served(counted, end);
         let questions = std::mem::replace(&mut self.questions, Questions::new(0.0));
         self.figures.answers = questions.finish();
-        let aims = self.night.aims.clone();
+        let aims = self.night.objectives.clone();
         for aim in &aims {
             let reached = self.reached(aim, end);
             self.figures.aims.push(reached);
@@ -73,7 +73,7 @@
         self.figures
     }
 
-    fn reached(&self, aim: &Aim, end: f64) -> Reached {
+    fn reached(&self, aim: &Objective, end: f64) -> Reached {
         let share = |hits: usize, of: usize| {
             if of == 0 {
                 1.0
@@ -92,7 +92,7 @@
             self.jobs.values().filter(here)
         };
         match aim {
-            Aim::Deadline {
+            Objective::Deadline {
                 class,
                 times,
                 share: wanted,
@@ -117,7 +117,7 @@
                     met: value >= *wanted,
                 }
             }
-            Aim::Wait {
+            Objective::Wait {
                 class,
                 within_s,
                 share: wanted,
@@ -141,7 +141,7 @@
                     met: value >= *wanted,
                 }
             }
-            Aim::Submit {
+            Objective::Submit {
                 within_ms,
                 share: wanted,
             } => {
@@ -163,14 +163,14 @@
                     met: value >= *wanted,
                 }
             }
-            Aim::Useful { share: wanted } => Reached {
+            Objective::Useful { share: wanted } => Reached {
                 aim: "useful".into(),
                 value: self.figures.useful,
                 wanted: *wanted,
                 of: self.figures.machines,
                 met: self.figures.useful >= *wanted,
             },
-            Aim::Price { most } => Reached {
+            Objective::Price { most } => Reached {
                 aim: "price".into(),
                 value: self.figures.price,
                 wanted: *most,
--- a/crates/umbersail-rehearsal/src/run.rs
+++ b/crates/umbersail-rehearsal/src/run.rs
@@ -22,7 +22,7 @@
 use crate::kv_store_host::KvStoreHost;
 use crate::places::{Addresses, member, zone};
 use crate::runs;
-use crate::scenario::{Aim, Scenario};
+use crate::scenario::{Objective, Scenario};
 use crate::users::{Balancer, Users};
 
 /// The history tells what the state service took and holds this often, in seconds.
@@ -80,25 +80,29 @@
 
 /// The text of one controller's settings file.
 pub(crate) fn settings_text(
-    night: &Scenario,
+    scenario: &Scenario,
     index: usize,
     at: Addresses,
 ) -> Result<String, RunError> {
-    let count = night.controllers.count;
+    let count = scenario.controllers.count;
     let known = (0..count).filter(|n| *n != index).map(|n| Known {
         member: member(n),
-        area: zone(night, n),
+        area: zone(scenario, n),
         addr: at.back(n),
     });
-    let objectives: Vec<serde_json::Value> = night.aims.iter().filter_map(objective).collect();
-    let teams: Vec<serde_json::Value> = night
+    let objectives: Vec<serde_json::Value> = scenario
+        .objectives
+        .iter()
+        .filter_map(objective_json)
+        .collect();
+    let teams: Vec<serde_json::Value> = scenario
         .teams
         .iter()
         .map(|t| serde_json::json!({"name": t.name, "cpus": t.cpus, "cpus_max": t.cpus_max}))
         .collect();
     let file = SettingsFile {
         member: member(index),
-        area: zone(night, index),
+        area: zone(scenario, index),
         front: at.front(index),
         back: at.back(index),
         known: known.collect(),
@@ -107,22 +111,22 @@
             "teams": teams,
             "objectives": objectives,
             "workers": {
-                "report_s": night.workers.report_s,
-                "lease_s": night.workers.lease_s,
-                "cancel_s": night.workers.cancel_s,
+                "report_s": scenario.workers.report_s,
+                "lease_s": scenario.workers.lease_s,
+                "cancel_s": scenario.workers.cancel_s,
             },
             "state": {
-                "rps": night.state.rps,
-                "write_rps": night.state.write_rps,
-                "value_kb": night.state.value_kb,
-                "txn_ops": night.state.txn_ops,
+                "rps": scenario.state.rps,
+                "write_rps": scenario.state.write_rps,
+                "value_kb": scenario.state.value_kb,
+                "txn_ops": scenario.state.txn_ops,
             },
-            "cloud": {"rps": night.cloud.rps, "list_lag_s": night.cloud.list_lag_s},
+            "cloud": {"rps": scenario.cloud.rps, "list_lag_s": scenario.cloud.list_lag_s},
             "resources": {
-                "cpu": night.controllers.core,
-                "max_sockets": night.controllers.max_sockets,
+                "cpu": scenario.controllers.core,
+                "max_sockets": scenario.controllers.max_sockets,
             },
-            "skew_ms": night.controllers.skew_ms,
+            "skew_ms": scenario.controllers.skew_ms,
         }),
     };
     Ok(toml::to_string(&file)?)
@@ -132,22 +136,22 @@
 ///
 /// # Errors
 /// If the night's amounts are none that a controller takes.
-pub fn settings(night: &Scenario, index: usize) -> Result<Settings, RunError> {
-    let text = settings_text(night, index, Addresses { simulated: true })?;
+pub fn settings(scenario: &Scenario, index: usize) -> Result<Settings, RunError> {
+    let text = settings_text(scenario, index, Addresses { simulated: true })?;
     Ok(Settings::parse(&text)?)
 }
 
 /// An aim as the settings restate it to the controllers.
-fn objective(aim: &Aim) -> Option<serde_json::Value> {
-    match aim {
-        Aim::Deadline {
+fn objective_json(objective: &Objective) -> Option<serde_json::Value> {
+    match objective {
+        Objective::Deadline {
             class,
             times,
             share,
         } => Some(serde_json::json!({
             "kind": "deadline", "class": class, "times": times, "share": share,
         })),
-        Aim::Wait {
+        Objective::Wait {
             class,
             within_s,
             share,
@@ -160,19 +164,19 @@
 
 /// The operators' properties of a night, as in their file, for a world that began at
 /// this time of day.
-pub(crate) fn properties_text(night: &Scenario, epoch_ms: u64) -> String {
-    let controllers = &night.controllers;
+pub(crate) fn properties_text(scenario: &Scenario, epoch_ms: u64) -> String {
+    let controllers = &scenario.controllers;
     let numbers = controllers.properties.iter();
     let entries = controllers.entries.iter();
     let lines: String = numbers
         .map(|(key, value)| format!("{key}={value}\n"))
         .chain(entries.map(|(key, value)| format!("{key}={value}\n")))
         .collect();
-    lines + &runs::properties(night, epoch_ms)
+    lines + &runs::properties(scenario, epoch_ms)
 }
 
-fn tuning(night: &Scenario) -> Result<Tuning, RunError> {
-    let text = properties_text(night, EPOCH_MS);
+fn tuning(scenario: &Scenario) -> Result<Tuning, RunError> {
+    let text = properties_text(scenario, EPOCH_MS);
     Tuning::from_properties(text.as_bytes()).map_err(|e| RunError::Properties(e.to_string()))
 }
 
@@ -183,22 +187,22 @@
 ///
 /// # Errors
 /// If the night's properties can't be used, or the world stands still.
-pub fn run(night: &Scenario, seed: u64, progress: Progress<'_>) -> Result<Outcome, RunError> {
+pub fn run(scenario: &Scenario, seed: u64, progress: Progress<'_>) -> Result<Outcome, RunError> {
     let simulation = Simulation::new(seed, NetworkConfig::default());
     let world = simulation.world();
-    let night = Rc::new(night.clone());
-    let tuning = tuning(&night)?;
-    let configs: Result<Vec<Settings>, RunError> = (0..night.controllers.count)
-        .map(|n| settings(&night, n))
+    let scenario = Rc::new(scenario.clone());
+    let tuning = tuning(&scenario)?;
+    let configs: Result<Vec<Settings>, RunError> = (0..scenario.controllers.count)
+        .map(|n| settings(&scenario, n))
         .collect();
     let configs = configs?;
-    let most = night.ends_s();
+    let most = scenario.ends_s();
     let (told, seen) = std::sync::mpsc::channel::<f64>();
-    let (played, length) = (night.clone(), world.clone());
+    let (played, length) = (scenario.clone(), world.clone());
     let result = simulation.block_on_observed(
         async move {
-            let begin = |world: &WorldHandle, night: &Scenario| {
-                start_controllers(world, night, seed, configs, &tuning)
+            let begin = |world: &WorldHandle, scenario: &Scenario| {
+                start_controllers(world, scenario, seed, configs, &tuning)
             };
             direct(world, played, seed, begin, told).await
         },
@@ -208,12 +212,12 @@
             }
         },
     )?;
-    Ok(Outcome::of(&night, seed, result, &length))
+    Ok(Outcome::of(&scenario, seed, result, &length))
 }
 
 impl Outcome {
     pub(crate) fn of(
-        night: &Scenario,
+        scenario: &Scenario,
         seed: u64,
         events: Vec<Event>,
         world: &WorldHandle,
@@ -221,13 +225,13 @@
         let WorkCounters { packets, steps } = world.work_counters();
         let (_, hash) = crate::history::lines(&events);
         let processor_s = world.total_cpu_s();
-        let most_s = night.controllers.processor_most_s;
+        let most_s = scenario.controllers.processor_most_s;
         Outcome {
             seed,
             figures: Figures {
                 processor_s,
                 overrun: most_s.is_some_and(|most_s| processor_s > most_s),
-                ..judge(night, &events)
+                ..judge(scenario, &events)
             },
             events,
             hash,
@@ -241,7 +245,7 @@
 /// Directs a night in whatever world; `begin` starts its controllers.
 pub(crate) async fn direct(
     world: WorldHandle,
-    night: Rc<Scenario>,
+    scenario: Rc<Scenario>,
     seed: u64,
     begin: impl FnOnce(&WorldHandle, &Scenario) -> Vec<Controller>,
     told: std::sync::mpsc::Sender<f64>,
@@ -256,11 +260,17 @@
         host("cloud", 2, 2),
         host("users", 3, 1),
     ];
-    let count = night.controllers.count;
+    let count = scenario.controllers.count;
     let fronts: Vec<SocketAddr> = (0..count).map(|n| at.front(n)).collect();
     let named = (0..count).map(|n| (member(n), at.front(n))).collect();
-    let ledger = KvStoreHost::new(world.clone(), history.clone(), &night.state, count, seed);
-    let fleet = Fleet::new(world.clone(), history.clone(), night.clone(), seed, named);
+    let ledger = KvStoreHost::new(world.clone(), history.clone(), &scenario.state, count, seed);
+    let fleet = Fleet::new(
+        world.clone(),
+        history.clone(),
+        scenario.clone(),
+        seed,
+        named,
+    );
     let users = Users::new(fleet.clone(), Balancer::new(fronts), seed);
     let doors = ledger.clone();
     world.start(regional[0], async move {
@@ -272,7 +282,7 @@
     world.start(regional[1], fleet.clone().serve_cloud(at.cloud()));
     world.start(regional[2], users.clone().run());
     fleet.begin();
-    let controllers = begin(&world, &night);
+    let controllers = begin(&world, &scenario);
     let state = ledger.clone();
     let stage = Rc::new(Stage {
         world: world.clone(),
@@ -284,7 +294,7 @@
         rng: Stage::rng(seed),
         struck: std::cell::RefCell::default(),
     });
-    for failure in night.failures.clone() {
+    for failure in scenario.failures.clone() {
         spawn(stage.clone().inject(failure));
     }
     spawn(fleet.clone().charge());
@@ -292,7 +302,7 @@
     if let Some(store) = &fleet.store {
         spawn(store.clone().send_for_ever(world.clone(), history.clone()));
     }
-    let most = night.ends_s();
+    let most = scenario.ends_s();
     let mut state_told_s = 0.0;
     loop {
         sleep(1.0).await;
@@ -304,7 +314,7 @@
         }
         // Nobody listens if no progress is shown.
         let _ = told.send(now);
-        if now >= night.length_s {
+        if now >= scenario.length_s {
             users.closed.set(true);
             if users.waiting.get() == 0 || now >= most {
                 break;
@@ -316,7 +326,7 @@
 
 fn start_controllers(
     world: &WorldHandle,
-    night: &Scenario,
+    scenario: &Scenario,
     seed: u64,
     configs: Vec<Settings>,
     tuning: &Tuning,
@@ -326,10 +336,10 @@
         let at = Addresses { simulated: true };
         let mut spec = HostSpec::new(member(n), at.ip(0, 0, n as u8 + 1));
         spec.clock_rate = rng.random_range(1.0..=1.0005);
-        spec.skew_ms = rng.random_range(-1.0..1.0) * night.controllers.skew_ms;
-        spec.max_sockets = night.controllers.max_sockets;
+        spec.skew_ms = rng.random_range(-1.0..1.0) * scenario.controllers.skew_ms;
+        spec.max_sockets = scenario.controllers.max_sockets;
         spec.cpu_per_step_s = STEP_S;
-        spec.cpu_share = night.controllers.core;
+        spec.cpu_share = scenario.controllers.core;
         let host: HostId = world.add_host(spec);
         let ends = world.clone();
         let (world, tuning) = (world.clone(), tuning.clone());
@@ -344,7 +354,7 @@
         start();
         Controller {
             member: member(n),
-            zone: zone(night, n).to_owned(),
+            zone: zone(scenario, n).to_owned(),
             host,
             start: Box::new(start),
             end: Box::new(move || ends.kill(host)),
@@ -374,7 +384,11 @@
 ///
 /// # Errors
 /// The first that any seed gave.
-pub fn run_many(night: &Scenario, seeds: &[u64], threads: usize) -> Result<Vec<Outcome>, RunError> {
+pub fn run_many(
+    scenario: &Scenario,
+    seeds: &[u64],
+    threads: usize,
+) -> Result<Vec<Outcome>, RunError> {
     let next = std::sync::atomic::AtomicUsize::new(0);
     let mut found: Vec<(usize, Result<Outcome, RunError>)> = std::thread::scope(|scope| {
         let work = || {
@@ -384,7 +398,7 @@
                 let Some(seed) = seeds.get(index) else {
                     return mine;
                 };
-                mine.push((index, run(night, *seed, &mut |_, _| {})));
+                mine.push((index, run(scenario, *seed, &mut |_, _| {})));
             }
         };
         let workers: Vec<_> = (0..threads.clamp(1, seeds.len().max(1)))
--- a/crates/umbersail-rehearsal/src/scenario.rs
+++ b/crates/umbersail-rehearsal/src/scenario.rs
@@ -49,8 +49,8 @@
     pub machines: Vec<MachineKind>,
     pub teams: Vec<Team>,
     pub classes: Vec<Class>,
-    #[serde(default)]
-    pub aims: Vec<Aim>,
+    #[serde(default, rename = "aims")]
+    pub objectives: Vec<Objective>,
     #[serde(default)]
     pub failures: Vec<Failure>,
     /// Work in steps that follow one another.
@@ -409,11 +409,11 @@
 /// What users expect, as the protocol counts it.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[serde(tag = "kind", rename_all = "lowercase", deny_unknown_fields)]
-pub enum Aim {
+pub enum Objective {
     /// Share of jobs done within `times` their deadline.
     Deadline {
         class: String,
-        #[serde(default = "Aim::once")]
+        #[serde(default = "Objective::once")]
         times: f64,
         share: f64,
     },
@@ -431,7 +431,7 @@
     Price { most: f64 },
 }
 
-impl Aim {
+impl Objective {
     fn once() -> f64 {
         1.0
     }
@@ -634,13 +634,13 @@
     }
 
     /// From when on it troubles nobody, by itself: what it ended is back.
-    fn over_s(&self, night: &Scenario) -> f64 {
-        let back_s = self.back_s(&night.controllers);
+    fn over_s(&self, scenario: &Scenario) -> f64 {
+        let back_s = self.back_s(&scenario.controllers);
         let lasts_s = match self.what {
             Fault::ControllerCrash => back_s,
-            Fault::RollingRestart => (back_s + ROLL_S) * night.controllers.count as f64,
+            Fault::RollingRestart => (back_s + ROLL_S) * scenario.controllers.count as f64,
             Fault::MachinesStop | Fault::WorkerDiesMidJob => self.back_s.unwrap_or(0.0),
-            Fault::SpotWave => 1.5 * night.workers.notice_s,
+            Fault::SpotWave => 1.5 * scenario.workers.notice_s,
             Fault::LateWrites => self.for_s + LATE_TO_S,
             Fault::ReportsLate | Fault::CommandsLate | Fault::CommandAnswersLate => {
                 self.for_s + self.to_s.unwrap_or(0.0)
@@ -678,29 +678,29 @@
     /// The same night `times` as fast: for real processes, whose own waits are
     /// shortened by properties.
     pub fn hastened(&self, times: f64) -> Scenario {
-        let mut night = self.clone();
+        let mut scenario = self.clone();
         let quick = |seconds: &mut f64| *seconds /= times;
-        quick(&mut night.length_s);
-        quick(&mut night.drain_s);
-        quick(&mut night.warm_up_s);
-        quick(&mut night.controllers.back_s);
-        let workers = &mut night.workers;
+        quick(&mut scenario.length_s);
+        quick(&mut scenario.drain_s);
+        quick(&mut scenario.warm_up_s);
+        quick(&mut scenario.controllers.back_s);
+        let workers = &mut scenario.workers;
         let waits = [
             &mut workers.report_s,
             &mut workers.lease_s,
             &mut workers.cancel_s,
         ];
         waits.into_iter().for_each(quick);
-        quick(&mut night.workers.notice_s);
-        night.state.rps *= times;
-        night.state.write_rps *= times;
-        night.cloud.rps *= times;
-        quick(&mut night.cloud.list_lag_s);
-        for kind in &mut night.machines {
+        quick(&mut scenario.workers.notice_s);
+        scenario.state.rps *= times;
+        scenario.state.write_rps *= times;
+        scenario.cloud.rps *= times;
+        quick(&mut scenario.cloud.list_lag_s);
+        for kind in &mut scenario.machines {
             quick(&mut kind.boot_s);
             kind.fetch_gb_per_s *= times;
         }
-        for class in &mut night.classes {
+        for class in &mut scenario.classes {
             class.per_minute *= times;
             let waits = [
                 &mut class.run_s,
@@ -712,19 +712,19 @@
             ];
             waits.into_iter().for_each(quick);
         }
-        for aim in &mut night.aims {
-            match aim {
-                Aim::Wait { within_s, .. } => quick(within_s),
-                Aim::Submit { within_ms, .. } => quick(within_ms),
+        for objective in &mut scenario.objectives {
+            match objective {
+                Objective::Wait { within_s, .. } => quick(within_s),
+                Objective::Submit { within_ms, .. } => quick(within_ms),
                 _ => {}
             }
         }
-        for run in &mut night.runs {
+        for run in &mut scenario.runs {
             quick(&mut run.opens_s);
             quick(&mut run.due_s);
             quick(&mut run.quiet_s);
         }
-        for failure in &mut night.failures {
+        for failure in &mut scenario.failures {
             quick(&mut failure.at_s);
             quick(&mut failure.for_s);
             let waits = [
@@ -737,14 +737,14 @@
         }
         let waits = umbersail_tuning::CONSTANTS.iter().filter(|c| c.unit == "s");
         for constant in waits {
-            let set = night.controllers.properties.get(constant.key).copied();
+            let set = scenario.controllers.properties.get(constant.key).copied();
             let value = (set.unwrap_or(constant.default) / times).clamp(constant.min, constant.max);
-            night
+            scenario
                 .controllers
                 .properties
                 .insert(constant.key.to_owned(), value);
         }
-        night
+        scenario
     }
 
     /// The schema of night files (JSON Schema 2020-12).
@@ -793,10 +793,12 @@
             let key = if key.is_empty() { "top".into() } else { key };
             return Err(fail(key, error.to_string()));
         }
-        let night: Scenario =
+        let scenario: Scenario =
             serde_json::from_value(json).map_err(|e| fail("top".into(), e.to_string()))?;
-        night.check().map_err(|(key, reason)| fail(key, reason))?;
-        Ok(night)
+        scenario
+            .check()
+            .map_err(|(key, reason)| fail(key, reason))?;
+        Ok(scenario)
     }
 
     /// What no schema can say: names that must exist, amounts that must fit.
@@ -858,33 +860,33 @@
                 return fail(at("most"), "less than the mean number of tasks");
             }
         }
-        for (i, aim) in self.aims.iter().enumerate() {
-            if let Aim::Deadline { class, .. } | Aim::Wait { class, .. } = aim {
+        for (i, objective) in self.objectives.iter().enumerate() {
+            if let Objective::Deadline { class, .. } | Objective::Wait { class, .. } = objective {
                 let Some(class) = self.classes.iter().find(|c| c.name == *class) else {
                     return fail(format!("aims.{i}.class"), "no class has this name");
                 };
                 let timeless = class.deadline_times <= 0.0 && class.deadline_s <= 0.0;
-                if matches!(aim, Aim::Deadline { .. }) && timeless {
+                if matches!(objective, Objective::Deadline { .. }) && timeless {
                     return fail(format!("aims.{i}.class"), "the class has no deadline");
                 }
             }
         }
-        for (i, aim) in self.aims.iter().enumerate() {
+        for (i, objective) in self.objectives.iter().enumerate() {
             // Not by the schema, which would name the entry and not the key.
-            let share = match aim {
-                Aim::Deadline { share, .. } | Aim::Wait { share, .. } => Some(share),
-                Aim::Submit { share, .. } | Aim::Useful { share } => Some(share),
-                Aim::Price { .. } => None,
+            let share = match objective {
+                Objective::Deadline { share, .. } | Objective::Wait { share, .. } => Some(share),
+                Objective::Submit { share, .. } | Objective::Useful { share } => Some(share),
+                Objective::Price { .. } => None,
             };
             if share.is_some_and(|share| !(0.0..=1.0).contains(share)) {
                 return fail(format!("aims.{i}.share"), "is not from 0 to 1");
             }
-            let (key, amount) = match aim {
-                Aim::Deadline { times, .. } => ("times", *times),
-                Aim::Wait { within_s, .. } => ("within_s", *within_s),
-                Aim::Submit { within_ms, .. } => ("within_ms", *within_ms),
-                Aim::Price { most } => ("most", *most),
-                Aim::Useful { .. } => continue,
+            let (key, amount) = match objective {
+                Objective::Deadline { times, .. } => ("times", *times),
+                Objective::Wait { within_s, .. } => ("within_s", *within_s),
+                Objective::Submit { within_ms, .. } => ("within_ms", *within_ms),
+                Objective::Price { most } => ("most", *most),
+                Objective::Useful { .. } => continue,
             };
             if amount < 0.0 {
                 return fail(format!("aims.{i}.{key}"), "is negative");
@@ -905,7 +907,7 @@
         use Fault::*;
         let what = failure.what;
         if failure.at_s >= self.length_s + self.drain_s {
-            return Err(("at_s", "after the end of the night"));
+            return Err(("at_s", "after the end of the scenario"));
         }
         match &failure.zone {
             Some(zone) if !zones.contains(zone) => return Err(("zone", "no such zone")),
--- a/crates/umbersail-rehearsal/tests/nights/bad_submissions.rs
+++ b/crates/umbersail-rehearsal/tests/nights/bad_submissions.rs
@@ -67,7 +67,7 @@
         .map(|what| failure(what, FROM_S, case.for_s, &who));
     let odd = failure("odd-requests", 5.0, 105.0, "");
     let mut night = shop(110.0, &(odd + &trouble.unwrap_or_default()));
-    night.aims.clear();
+    night.objectives.clear();
     night
 }
 
--- a/crates/umbersail-rehearsal/tests/nights/cancel_now.rs
+++ b/crates/umbersail-rehearsal/tests/nights/cancel_now.rs
@@ -22,7 +22,7 @@
         (class.run_s, class.per_minute, class.at_start) = (200.0, 60.0, 8);
         (class.tasks, class.most, class.cancelled) = (2.0, 4, 0.0);
     }
-    night.aims.clear();
+    night.objectives.clear();
     night.drain_s = 60.0;
     night
 }
--- a/crates/umbersail-rehearsal/tests/nights/cancellations_during_elections.rs
+++ b/crates/umbersail-rehearsal/tests/nights/cancellations_during_elections.rs
@@ -37,7 +37,7 @@
     (class.run_s, class.cancelled, class.spot) = (60.0, 0.0, false);
     (class.deadline_times, class.deadline_s) = (0.0, 0.0);
     (class.at_start, class.per_minute) = (300, 90.0);
-    night.aims.clear();
+    night.objectives.clear();
     // Work waits all the time: whatever room there is, a new leader fills at once.
     night.teams[0].cpus_max = 200.0;
     night.machines[0].at_start = 20;
--- a/crates/umbersail-rehearsal/tests/nights/close_looks.rs
+++ b/crates/umbersail-rehearsal/tests/nights/close_looks.rs
@@ -23,7 +23,7 @@
         (class.run_s, class.per_minute, class.cancelled) = (6.0, 40.0, 0.25);
         (class.image_gb, class.cpus, class.memory_gb) = (0.1, 1.0, 1.0);
     }
-    night.aims.clear();
+    night.objectives.clear();
     // Nine questions for each event of a job are more than a small service answers.
     (night.state.rps, night.state.write_rps) = (600.0, 120.0);
     night
--- a/crates/umbersail-rehearsal/tests/nights/last_task.rs
+++ b/crates/umbersail-rehearsal/tests/nights/last_task.rs
@@ -80,7 +80,7 @@
             (class.run_s, class.per_minute, class.image_gb) = (5.0, 30.0, 0.1);
             class.cancelled = 0.0;
         }
-        night.aims.clear();
+        night.objectives.clear();
         let sweep = Sweep::record(night, *seed);
         let moment = sweep.moments(Anchor::Completion)[*nth].clone();
         let job = || moment.job.clone();
--- a/crates/umbersail-rehearsal/tests/nights/leader_cut.rs
+++ b/crates/umbersail-rehearsal/tests/nights/leader_cut.rs
@@ -22,7 +22,7 @@
         (class.deadline_times, class.deadline_s) = (0.0, 0.0);
         class.per_minute = 20.0;
     }
-    night.aims.clear();
+    night.objectives.clear();
     night
 }
 
--- a/crates/umbersail-rehearsal/tests/nights/one_task_jobs.rs
+++ b/crates/umbersail-rehearsal/tests/nights/one_task_jobs.rs
@@ -27,7 +27,7 @@
     (class.per_minute, class.at_start) = (60.0 * JOBS_PER_S, 0);
     (class.cancelled, class.cancelled_within_s) = (0.25, 2.0);
     (class.run_s, class.image_gb) = (8.0, 0.1);
-    night.aims.clear();
+    night.objectives.clear();
     night
 }
 
--- a/crates/umbersail-rehearsal/tests/nights/overload.rs
+++ b/crates/umbersail-rehearsal/tests/nights/overload.rs
@@ -36,7 +36,7 @@
         (class.checkpoint_s, class.save_s) = (0.0, 0.0);
         (class.deadline_times, class.deadline_s) = (0.0, 300.0);
     }
-    night.aims.clear();
+    night.objectives.clear();
     night
 }
 
--- a/crates/umbersail-rehearsal/tests/nights/pairs.rs
+++ b/crates/umbersail-rehearsal/tests/nights/pairs.rs
@@ -119,7 +119,7 @@
         (class.tasks, class.most) = (4.0, 12);
         (class.deadline_times, class.deadline_s) = (0.0, 0.0);
     }
-    night.aims.clear();
+    night.objectives.clear();
     night.failures = failures.to_vec();
     night
 }
--- a/crates/umbersail-rehearsal/tests/nights/small_arrays.rs
+++ b/crates/umbersail-rehearsal/tests/nights/small_arrays.rs
@@ -20,7 +20,7 @@
         (class.per_minute, class.cancelled, class.spread) = (25.0, 0.0, false);
         (class.cpus, class.memory_gb, class.spot) = (1.0, 2.0, false);
     }
-    night.aims.clear();
+    night.objectives.clear();
     night
 }
 
--- a/crates/umbersail-rehearsal/tests/nights/teams_at_limits.rs
+++ b/crates/umbersail-rehearsal/tests/nights/teams_at_limits.rs
@@ -43,7 +43,7 @@
     (class.run_s, class.cancelled, class.spot) = (run_s, 0.0, false);
     (class.deadline_times, class.deadline_s) = (0.0, 0.0);
     class.exactly = true;
-    night.aims.clear();
+    night.objectives.clear();
     night.teams.clear();
     night.classes.clear();
     for (name, cpus_max) in LIMITS {
--- a/crates/umbersail-rehearsal/tests/nights/zones.rs
+++ b/crates/umbersail-rehearsal/tests/nights/zones.rs
@@ -21,7 +21,7 @@
     (class.cancelled, class.spot) = (0.1, true);
     (class.deadline_times, class.deadline_s) = (0.0, 0.0);
     (class.at_start, class.per_minute) = (4, 5.0);
-    night.aims.clear();
+    night.objectives.clear();
     night.classes.clear();
     let kinds = [
         ("together", true, false, None),
--- a/crates/umbersail/src/rehearse.rs
+++ b/crates/umbersail/src/rehearse.rs
@@ -222,7 +222,7 @@
             print!("{}", baseline::table(self.seeds.max(2)));
             return ExitCode::SUCCESS;
         };
-        let loaded = Experiment::load(file).and_then(|e| Ok((e.nights()?, e)));
+        let loaded = Experiment::load(file).and_then(|e| Ok((e.scenarios()?, e)));
         let result = match loaded {
             Ok((scenarios, experiment)) => {
                 experiment::run(&experiment, &scenarios, cores()).map_err(|e| e.to_string())
