--- a/crates/umbersail-rehearsal/src/scenario.rs
+++ b/crates/umbersail-rehearsal/src/scenario.rs
@@ -1,4 +1,4 @@
-//! Scenario files: what a rehearsal plays, checked against a schema.
+//! Scenario files: their types, JSON Schema and validation.
 
 use std::collections::BTreeSet;
 use std::path::Path;
@@ -9,54 +9,67 @@
 
 use crate::runs::{self, Run};
 
-/// A night file that can't be played.
+/// An error in a scenario file.
 #[derive(Debug, Error, PartialEq, Eq)]
 #[error("{file}: {key}: {reason}")]
 pub struct ScenarioError {
+    /// Name of the scenario file.
     pub file: String,
-    /// Where in the file, with dots and indices.
+    /// Path of the key in the file, with dots and indices.
     pub key: String,
+    /// Why the value of the key is invalid.
     pub reason: String,
 }
 
-/// One night: a fleet, its users, and what goes wrong when.
+/// A scenario: a cluster, its load, and the faults injected.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct Scenario {
+    /// One-line description.
     pub title: String,
-    /// Jobs come in for so many seconds.
+    /// Seconds during which jobs are submitted.
     #[schemars(range(min = 1.0, max = 86400.0))]
     pub length_s: f64,
-    /// After that the night goes on for so many seconds, or until all is done.
+    /// Seconds that the run continues after `length_s`, unless all jobs end sooner.
     #[serde(default = "Scenario::drain")]
     #[schemars(range(min = 0.0, max = 86400.0))]
     pub drain_s: f64,
-    /// Aims and money count from here on: what comes before only warms up.
+    /// Seconds at the start that objectives and costs exclude as warm-up.
     #[serde(default)]
     #[schemars(range(min = 0.0, max = 86400.0))]
     pub warm_up_s: f64,
+    /// Controllers and their resources.
     pub controllers: Controllers,
+    /// Timing of the worker protocol.
     #[serde(default)]
     pub workers: Workers,
+    /// Limits of the state service.
     #[serde(default)]
     pub state: State,
+    /// Limits and failure rates of the cloud.
     #[serde(default)]
     pub cloud: Cloud,
-    /// Images come from one store for all; without, each machine fetches at its own
-    /// rate whatever the others do.
+    /// Image store shared by all machines. Without a store, each machine fetches images at
+    /// its own rate, independent of the other machines.
     #[serde(default)]
     pub store: Option<Store>,
+    /// Machine types.
     pub machines: Vec<MachineKind>,
+    /// Teams with their quotas.
     pub teams: Vec<Team>,
+    /// Job classes, which define the load.
     pub classes: Vec<Class>,
+    /// Service-level objectives.
     #[serde(default, rename = "aims")]
     pub objectives: Vec<Objective>,
+    /// Faults to inject.
     #[serde(default)]
     pub failures: Vec<Failure>,
-    /// Work in steps that follow one another.
+    /// Calendar runs: sequences of steps, each of which starts after the previous one.
     #[serde(default)]
     pub runs: Vec<Run>,
-    /// The operators' calendar keeps the steps apart; else their users do.
+    /// Whether the calendar sequences the steps of runs. Otherwise their users submit each
+    /// step when the previous one has ended.
     #[serde(default = "Scenario::calendar")]
     pub calendar: bool,
 }
@@ -70,39 +83,41 @@
     }
 }
 
-/// The controllers and what they may use.
+/// Controllers and their resources.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct Controllers {
+    /// Number of controllers.
     #[schemars(range(min = 1, max = 15))]
     pub count: usize,
-    /// They are dealt to these in turn.
+    /// Zones, to which controllers are assigned round-robin.
     #[schemars(length(min = 1))]
     pub zones: Vec<String>,
-    /// Share of one core.
+    /// Share of one core that each controller may use.
     #[serde(default = "Controllers::core")]
     #[schemars(range(min = 0.001, max = 1.0))]
     pub core: f64,
-    /// Processor time of a whole core that all controllers together may take,
-    /// in seconds: a night that takes more was not played in its time.
+    /// Limit of the processor time of all controllers together, in seconds of a whole core.
+    /// A run that uses more fails, because the controllers could not keep up in real time.
     #[serde(default)]
     #[schemars(range(min = 0.001, max = 1000000.0))]
     pub processor_most_s: Option<f64>,
+    /// Limit of open sockets for each controller.
     #[serde(default = "Controllers::sockets")]
     #[schemars(range(min = 50, max = 100000))]
     pub max_sockets: usize,
-    /// From a process's end to its next start, in seconds.
+    /// Seconds from the end of a controller process to its restart.
     #[serde(default = "Controllers::back")]
     #[schemars(range(min = 0.1, max = 600.0))]
     pub back_s: f64,
-    /// Bound of the error of the time of day, in milliseconds.
+    /// Maximum error of the wall clock, in milliseconds.
     #[serde(default = "Controllers::skew")]
     #[schemars(range(min = 0.0, max = 60000.0))]
     pub skew_ms: f64,
-    /// Operators' properties, as in their file.
+    /// Operator settings, with the keys of the properties file.
     #[serde(default)]
     pub properties: std::collections::BTreeMap<String, f64>,
-    /// Their entries for plans, as in the same file: `reserve.sale.team = "lots"`.
+    /// Text entries of the properties file, such as `reserve.sale.team = "lots"`.
     #[serde(default)]
     pub entries: std::collections::BTreeMap<String, String>,
 }
@@ -122,17 +137,21 @@
     }
 }
 
-/// Times of the workers' protocol, in seconds.
+/// Timing of the worker protocol, in seconds.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields, default)]
 pub struct Workers {
+    /// Interval between the heartbeats of a worker.
     #[schemars(range(min = 0.2, max = 60.0))]
     pub report_s: f64,
+    /// Lease of a task: without an acknowledged heartbeat for this long, the worker stops
+    /// the task.
     #[schemars(range(min = 1.0, max = 600.0))]
     pub lease_s: f64,
+    /// Time limit for a cancellation to take effect.
     #[schemars(range(min = 1.0, max = 600.0))]
     pub cancel_s: f64,
-    /// Nominal notice before a spot machine is taken back.
+    /// Nominal notice period before a spot machine is reclaimed.
     #[schemars(range(min = 0.0, max = 600.0))]
     pub notice_s: f64,
 }
@@ -152,12 +171,16 @@
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields, default)]
 pub struct State {
+    /// Requests per second.
     #[schemars(range(min = 5.0, max = 100000.0))]
     pub rps: f64,
+    /// Writes per second.
     #[schemars(range(min = 2.0, max = 100000.0))]
     pub write_rps: f64,
+    /// Size limit of a value, in KB.
     #[schemars(range(min = 1.0, max = 1024.0))]
     pub value_kb: f64,
+    /// Maximum number of operations in a transaction.
     #[schemars(range(min = 4, max = 1000))]
     pub txn_ops: usize,
 }
@@ -173,18 +196,20 @@
     }
 }
 
-/// The cloud and its habits.
+/// Limits and failure rates of the cloud.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields, default)]
 pub struct Cloud {
+    /// Requests per second.
     #[schemars(range(min = 0.2, max = 1000.0))]
     pub rps: f64,
+    /// Maximum delay until the list of machines shows a change, in seconds.
     #[schemars(range(min = 0.0, max = 120.0))]
     pub list_lag_s: f64,
     /// Share of machines that take several times as long to boot.
     #[schemars(range(min = 0.0, max = 1.0))]
     pub late: f64,
-    /// Share of machines that never come up.
+    /// Share of machines that never finish booting.
     #[schemars(range(min = 0.0, max = 1.0))]
     pub never: f64,
 }
@@ -200,25 +225,27 @@
     }
 }
 
-/// The store of images, and workers that hand them on where launches say from whom.
+/// The image store. Workers also serve images to other workers, if a launch command names
+/// them as sources.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct Store {
-    /// What it sends in all.
+    /// Total bandwidth of the store.
     #[schemars(range(min = 0.001, max = 100000.0))]
     pub gb_per_s: f64,
-    /// What a machine sends, as a share of its type's rate of fetches.
+    /// Upload bandwidth of a machine, as a share of the fetch rate of its type.
     #[serde(default = "Store::share")]
     #[schemars(range(min = 0.001, max = 100.0))]
     pub up_share: f64,
-    /// Images are sent in pieces of this size.
+    /// Size of the pieces in which images are transferred.
     #[serde(default = "Store::piece")]
     #[schemars(range(min = 0.001, max = 100.0))]
     pub piece_gb: f64,
-    /// It sends nothing from then on, for so many seconds.
+    /// Start of an outage of the store, in seconds.
     #[serde(default)]
     #[schemars(range(min = 0.0))]
     pub out_at_s: f64,
+    /// Length of the outage in seconds.
     #[serde(default)]
     #[schemars(range(min = 0.0))]
     pub out_for_s: f64,
@@ -233,39 +260,49 @@
     }
 }
 
-/// A machine type and how many there are.
+/// A machine type and the number of machines available.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct MachineKind {
+    /// Name of the type.
     pub name: String,
+    /// CPUs of a machine.
     #[schemars(range(min = 0.1, max = 10000.0))]
     pub cpus: f64,
+    /// GPUs of a machine.
     #[serde(default)]
     #[schemars(range(min = 0.0))]
     pub gpus: f64,
+    /// Memory of a machine in GB.
     #[schemars(range(min = 0.1, max = 100000.0))]
     pub memory_gb: f64,
-    /// Price an hour, ordinary and spot.
+    /// Price per hour of an on-demand machine.
     #[schemars(range(min = 0.0, max = 10000.0))]
     pub price: f64,
+    /// Price per hour of a spot machine.
     #[serde(default)]
     #[schemars(range(min = 0.0))]
     pub spot_price: Option<f64>,
+    /// Boot time in seconds.
     #[schemars(range(min = 0.1, max = 3600.0))]
     pub boot_s: f64,
+    /// Zones that have machines of this type.
     #[schemars(length(min = 1))]
     pub zones: Vec<String>,
+    /// Size of the image cache in GB.
     #[serde(default = "MachineKind::cache")]
     #[schemars(range(min = 0.0))]
     pub cache_gb: f64,
+    /// Rate at which a machine fetches images.
     #[serde(default = "MachineKind::fetch")]
     #[schemars(range(min = 0.001, max = 1000.0))]
     pub fetch_gb_per_s: f64,
-    /// There are so many to be had in each zone, ordinary and spot.
+    /// On-demand machines available in each zone.
     pub ordinary: usize,
+    /// Spot machines available in each zone.
     #[serde(default)]
     pub spot: usize,
-    /// Ordinary ones that are up at the start, in all.
+    /// On-demand machines running at the start, in all zones together.
     #[serde(default)]
     pub at_start: usize,
 }
@@ -279,101 +316,125 @@
     }
 }
 
-/// A team with what it is guaranteed and limited to; 0 is none.
+/// A team with its guaranteed quota and its limit.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct Team {
+    /// Name of the team.
     pub name: String,
+    /// Guaranteed CPUs; 0 means no guarantee.
     #[serde(default)]
     #[schemars(range(min = 0.0))]
     pub cpus: f64,
+    /// Limit of CPUs in use; 0 means no limit.
     #[serde(default)]
     #[schemars(range(min = 0.0))]
     pub cpus_max: f64,
 }
 
-/// Priority as in the protocol.
+/// Job priority, as in the user protocol.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize, JsonSchema)]
 #[serde(rename_all = "lowercase")]
 pub enum Priority {
+    /// Below `normal`.
     Low,
+    /// The usual priority.
     Normal,
+    /// Above `normal`.
     High,
+    /// The highest priority.
     Production,
 }
 
-/// A class of jobs, with the distributions that its jobs are drawn from.
+/// A job class, with the distributions from which its jobs are drawn.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct Class {
+    /// Name of the class.
     pub name: String,
+    /// Team that submits the jobs.
     pub team: String,
+    /// Priority of the jobs.
     pub priority: Priority,
-    /// Tasks of a job: geometric with this mean, and never more than `most`.
+    /// Mean number of tasks of a job; the number is geometrically distributed and capped at
+    /// `most`.
     #[schemars(range(min = 1.0, max = 100000.0))]
     pub tasks: f64,
+    /// Maximum number of tasks of a job.
     #[schemars(range(min = 1, max = 100000))]
     pub most: u32,
+    /// CPUs of a task.
     #[schemars(range(min = 0.01, max = 10000.0))]
     pub cpus: f64,
+    /// Memory of a task in GB.
     #[schemars(range(min = 0.0, max = 100000.0))]
     pub memory_gb: f64,
-    /// Median run time of a task in seconds, log-normal.
+    /// Median run time of a task in seconds; run times are log-normally distributed.
     #[schemars(range(min = 0.1, max = 86400.0))]
     pub run_s: f64,
-    /// Sigma of its logarithm between jobs, and between the tasks of one.
+    /// Sigma of the logarithm of the run time between jobs.
     #[serde(default = "Class::spread_of_runs")]
     #[schemars(range(min = 0.0, max = 3.0))]
     pub run_sigma: f64,
+    /// Sigma of the logarithm of the run time between the tasks of a job.
     #[serde(default = "Class::spread_of_tasks")]
     #[schemars(range(min = 0.0, max = 3.0))]
     pub task_sigma: f64,
-    /// Sigma of the logarithm of the owner's error.
+    /// Sigma of the logarithm of the error of the user's run time estimate.
     #[serde(default = "Class::error")]
     #[schemars(range(min = 0.0, max = 3.0))]
     pub estimate_sigma: f64,
+    /// Size of an image in GB.
     #[schemars(range(min = 0.0, max = 1000.0))]
     pub image_gb: f64,
-    /// Different images that jobs of the class use.
+    /// Number of different images that jobs of the class use.
     #[serde(default = "Class::images")]
     #[schemars(range(min = 1, max = 1000))]
     pub images: u32,
-    /// Jobs a minute, and at the very start.
+    /// Jobs submitted per minute.
     #[schemars(range(min = 0.0, max = 10000.0))]
     pub per_minute: f64,
+    /// Jobs submitted at the start.
     #[serde(default)]
     pub at_start: u32,
+    /// Whether tasks may run on spot machines.
     #[serde(default)]
     pub spot: bool,
+    /// Seconds between checkpoints; 0 means no checkpoints.
     #[serde(default)]
     #[schemars(range(min = 0.0))]
     pub checkpoint_s: f64,
+    /// Seconds to save a checkpoint when a task is preempted.
     #[serde(default)]
     #[schemars(range(min = 0.0))]
     pub save_s: f64,
-    /// Deadline: so many times the estimate, and seconds on top; 0 is none.
+    /// Deadline as a multiple of the estimate, to which `deadline_s` is added. A job has no
+    /// deadline if both are 0.
     #[serde(default)]
     #[schemars(range(min = 0.0))]
     pub deadline_times: f64,
+    /// Seconds added to the deadline.
     #[serde(default)]
     #[schemars(range(min = 0.0))]
     pub deadline_s: f64,
+    /// Whether all tasks of a job run in one zone.
     #[serde(default)]
     pub together: bool,
+    /// Whether the tasks of a job are spread over at least two zones.
     #[serde(default)]
     pub spread: bool,
-    /// The only zone where its tasks may run.
+    /// The only zone where tasks of the class may run.
     #[serde(default)]
     pub zone: Option<String>,
-    /// Every job has `most` tasks.
+    /// Whether every job has exactly `most` tasks.
     #[serde(default)]
     pub exactly: bool,
-    /// Its jobs come from so many seconds on.
+    /// Seconds from the start of the run to the first submission.
     #[serde(default)]
     #[schemars(range(min = 0.0, max = 86400.0))]
     pub from_s: f64,
-    /// Share of jobs submitted with a mistake: they fail on every machine, until
-    /// their users cancel them a minute or two later.
+    /// Share of jobs with a bug: they fail on every machine, until their users cancel them
+    /// one to two minutes later.
     #[serde(default)]
     #[schemars(range(min = 0.0, max = 1.0))]
     pub mistaken: f64,
@@ -381,8 +442,8 @@
     #[serde(default = "Class::cancelled")]
     #[schemars(range(min = 0.0, max = 1.0))]
     pub cancelled: f64,
-    /// They do so within so many seconds of the acceptance; 0: between one second and
-    /// a minute after it.
+    /// Users cancel within this many seconds after acceptance; 0 means between one second and
+    /// one minute after acceptance.
     #[serde(default)]
     #[schemars(range(min = 0.0, max = 600.0))]
     pub cancelled_within_s: f64,
@@ -406,7 +467,7 @@
     }
 }
 
-/// What users expect, as the protocol counts it.
+/// A service-level objective, measured as the user protocol defines it.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[serde(tag = "kind", rename_all = "lowercase", deny_unknown_fields)]
 pub enum Objective {
@@ -417,17 +478,18 @@
         times: f64,
         share: f64,
     },
-    /// Share of tasks started within so many seconds of submission.
+    /// Share of tasks started within `within_s` seconds of submission.
     Wait {
         class: String,
         within_s: f64,
         share: f64,
     },
-    /// Share of submissions accepted within so many milliseconds.
+    /// Share of submissions accepted within `within_ms` milliseconds.
     Submit { within_ms: f64, share: f64 },
     /// Share of the money spent on useful work.
     Useful { share: f64 },
-    /// Money against useful work at the lowest nominal price.
+    /// Maximum ratio of the money spent to the cost of the useful work at the lowest nominal
+    /// price.
     Price { most: f64 },
 }
 
@@ -437,7 +499,7 @@
     }
 }
 
-/// What goes wrong.
+/// A kind of fault to inject.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize, JsonSchema)]
 #[serde(rename_all = "kebab-case")]
 pub enum Fault {
