--- a/crates/umbersail-rehearsal/src/scenario.rs
+++ b/crates/umbersail-rehearsal/src/scenario.rs
@@ -141,7 +141,7 @@
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields, default)]
 pub struct Workers {
-    /// Interval between the heartbeats of a worker.
+    /// Mean interval between the heartbeats of a worker.
     #[schemars(range(min = 0.2, max = 60.0))]
     pub report_s: f64,
     /// Lease of a task: without an acknowledged heartbeat for this long, the worker stops
@@ -505,109 +505,113 @@
 pub enum Fault {
     /// New machines take `times` as long to boot.
     BootsLate,
-    /// New machines never come up.
+    /// New machines never finish booting.
     BootsNever,
-    /// New machines are up within one to two seconds.
+    /// New machines boot within one to two seconds.
     BootsQuick,
-    /// A `share` of the rentals is carried out at once and answered from `from_s` to
-    /// `to_s` later.
+    /// The cloud executes a `share` of the requests for machines at once and answers them
+    /// `from_s` to `to_s` later.
     RentalsLate,
-    /// Jobs of `class` come `times` as often.
+    /// The submission rate of `class` is multiplied by `times`.
     Burst,
     /// `count` machines fail every task that they start.
     MachinesFailTasks,
     /// `count` machines run their tasks `times` slower.
     MachinesSlow,
-    /// `count` machines lose the network.
+    /// `count` machines lose all network connections.
     MachinesCut,
-    /// `count` machines stop with all that is on them.
+    /// `count` machines stop and lose their tasks and cached images.
     MachinesStop,
-    /// `count` machines hang, and go on at the end.
+    /// `count` machines hang, and continue when the fault ends.
     MachinesHang,
-    /// `count` machines report and are heard; no answer and no command reaches them.
+    /// `count` machines are unreachable: controllers receive their heartbeats, but no reply
+    /// and no command reaches the machines.
     MachinesDeaf,
-    /// A `share` of the reports that were answered come again from `from_s` to
-    /// `to_s` later, at the controller that they went to or at any other, whatever
-    /// has become of their machine. With `for_next`, some copies of each machine are kept
-    /// for the next leader, and come `from_s` to `to_s` after its election, at all
-    /// controllers.
+    /// A `share` of the acknowledged heartbeats is delivered again `from_s` to `to_s` later,
+    /// to the same or to another controller, even if the machine no longer exists. With
+    /// `for_next`, some copies of each machine's heartbeats are kept until the next leader is
+    /// elected, and delivered to all controllers `from_s` to `to_s` after the election.
     ReportsLate,
-    /// `count` machines, all of `zone` or a `share` of them reach no controller, while
-    /// direct commands reach them and are answered.
+    /// `count` machines, all machines of `zone`, or a `share` of the machines can't reach any
+    /// controller, while they receive and answer direct commands.
     MachinesMute,
-    /// A `share` of the direct commands to workers is carried out at once, and its answer
-    /// is held up for `from_s` to `to_s`.
+    /// Workers execute a `share` of the direct commands at once, and the reply is delayed by
+    /// `from_s` to `to_s`.
     CommandAnswersLate,
-    /// A `share` of the direct commands to workers is held up and carried out from
-    /// `from_s` to `to_s` later, although whoever sent them has given up.
+    /// A `share` of the direct commands to workers is delayed and executed `from_s` to `to_s`
+    /// later, although the sender has timed out.
     CommandsLate,
-    /// Users cancel `count` running jobs, evenly over the time, at each controller that
-    /// `who` names in turn; those first that run on machines in trouble. A `share` of
-    /// them is of jobs of which nothing runs.
+    /// Users cancel `count` running jobs, evenly distributed over the duration, at the
+    /// controllers that `who` names in turn. Jobs on machines with a fault are chosen first. A
+    /// `share` of the cancellations is of jobs without running tasks.
     CancelSweep,
-    /// A worker that runs a task dies in the middle of it.
+    /// A machine that runs a task stops during the task.
     WorkerDiesMidJob,
-    /// All machines of `zone` lose power and come back cold at the end.
+    /// All machines of `zone` lose power, and restart with empty caches when the fault ends.
     PowerCut,
-    /// `count` spot machines are taken back, most with a notice.
+    /// `count` spot machines are reclaimed, most with notice.
     SpotWave,
-    /// The cloud has only `share` of its machines to give.
+    /// Only a `share` of the machines of the cloud is available.
     CapacityShrinks,
-    /// `who` crashes: a number, `leader` or `all`.
+    /// The controllers `who` crash: a number, `leader` or `all`.
     ControllerCrash,
-    /// All are restarted one after the other.
+    /// All controllers are restarted one after the other.
     RollingRestart,
-    /// `who` loses the network.
+    /// `who` loses all network connections.
     ControllerCut,
-    /// `who` is silent to everybody, and what was said to it comes late.
+    /// Nothing that `who` sends arrives, and messages to `who` are held until the fault ends.
     ControllerSilent,
-    /// `who` loses only the state service.
+    /// `who` loses only the connection to the state service.
     ControllerCutFromState,
-    /// `who` loses only the workers.
+    /// `who` loses only the connections to the workers.
     ControllerCutFromWorkers,
-    /// `who` loses the state service and its peers, and neither workers nor users.
+    /// `who` loses the connections to the state service and its peers, but reaches workers and
+    /// users.
     ControllerIsolated,
-    /// The state service refuses `who` alone.
+    /// The state service rejects requests of `who` only.
     StateRefuses,
     /// `who` computes `times` slower.
     ControllerSlow,
-    /// `who` does nothing at all.
+    /// The processes of `who` are frozen.
     ControllerFreezes,
-    /// The clocks of `who` are off by `times` the bound on the time of day.
+    /// The wall clocks of `who` are wrong by `times` the maximum clock error.
     ClockSkew,
-    /// New connections between controllers are refused; open ones go on.
+    /// New connections between controllers are refused; open connections continue.
     PeersRefused,
-    /// Controllers can't reach each other: packets between them are held.
+    /// Controllers can't reach each other: packets between controllers are held.
     ControllersApart,
     /// The state service is down.
     StateDown,
     /// The state service takes `times` 100 ms for each answer.
     StateSlow,
-    /// A `share` of the transactions to the state service gets no answer and is carried
-    /// out 2 to 12 s later, each at a time of its own, or `at_once`.
+    /// A `share` of the transactions to the state service gets no reply and is executed 2 to
+    /// 12 s later, each at a random time, or `at_once`.
     LateWrites,
-    /// Users ask at all controllers within milliseconds, and repeat the submission, right
-    /// after a job was accepted, ended or was cancelled; or about `job` as it begins.
+    /// Right after a job was accepted, has ended or was cancelled, users query all controllers
+    /// within milliseconds and repeat the submission. With `job`, users do so for this job
+    /// when the fault begins.
     CloseLooks,
-    /// Users repeat submissions of unfinished jobs, cancel jobs that are done, and submit
-    /// what must not be accepted.
+    /// Users repeat submissions of unfinished jobs, cancel finished jobs, and send invalid
+    /// submissions.
     OddRequests,
-    /// A `share` of the jobs that end is cancelled as their last task ends, or from
-    /// `from_s` to `to_s` later.
+    /// A `share` of the jobs that end is cancelled when the last task ends, or `from_s` to
+    /// `to_s` later.
     CancelAtEnd,
-    /// Users cancel `count` jobs that have long to go, or `job`, within a moment; with
-    /// `hang_s` some of their machines hang that long.
+    /// Users cancel `count` jobs with much remaining run time, or `job`, almost at the same
+    /// time. With `hang_s`, some machines of these jobs hang for that many seconds.
     CancelNow,
-    /// Every packet takes `times` ms longer, and a `share` is lost and sent again.
+    /// Every packet takes `times` ms longer, and a `share` of the packets is lost and
+    /// retransmitted.
     LinksSlow,
-    /// `zone` is cut off from everything.
+    /// `zone` is partitioned from all hosts outside of the zone.
     ZoneCut,
-    /// The zones can't reach each other; packets are held.
+    /// The first zone and the other zones can't reach each other; packets are held.
     ZonesApart,
 }
 
 impl Fault {
-    /// Whether it can be played without a simulated network and clocks.
+    /// Returns whether the fault can be injected without a simulated network and simulated
+    /// clocks.
     pub fn can_run_on_loopback(self) -> bool {
         use Fault::*;
         !matches!(
@@ -632,54 +636,62 @@
     }
 }
 
-/// One failure of the script.
+/// One fault to inject, with its time and parameters.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct Failure {
+    /// Kind of the fault.
     pub what: Fault,
+    /// Start of the fault in seconds.
     #[schemars(range(min = 0.0))]
     pub at_s: f64,
+    /// Duration of the fault in seconds.
     #[serde(default = "Failure::length")]
     #[schemars(range(min = 0.0))]
     pub for_s: f64,
+    /// Zone to which the fault is limited.
     #[serde(default)]
     pub zone: Option<String>,
-    /// A controller: its number, `leader`, or `all`.
+    /// Controllers with the fault: a number, `leader`, or `all`.
     #[serde(default)]
     pub who: Option<String>,
+    /// Job class of a burst.
     #[serde(default)]
     pub class: Option<String>,
+    /// Factor or amount, as the kind of fault defines it.
     #[serde(default)]
     #[schemars(range(min = 0.0))]
     pub times: Option<f64>,
+    /// Share, as the kind of fault defines it.
     #[serde(default)]
     #[schemars(range(min = 0.0, max = 1.0))]
     pub share: Option<f64>,
+    /// Number of machines or jobs with the fault.
     #[serde(default)]
     pub count: Option<usize>,
-    /// From an end to the next start, in seconds: of controllers in place of the
-    /// night's own, and of machines, which otherwise don't come back. They come
-    /// back cold, under their names.
+    /// Seconds from the end to the restart. For controllers, overrides the value of the
+    /// scenario. Machines restart only if this is set, with empty caches and the same names.
     #[serde(default)]
     #[schemars(range(min = 0.2, max = 600.0))]
     pub back_s: Option<f64>,
-    /// Copies of reports, or commands that are held up, come so many seconds later.
+    /// Minimum delay, in seconds, of the delayed messages or requests.
     #[serde(default)]
     #[schemars(range(min = 0.0, max = 3600.0))]
     pub from_s: Option<f64>,
+    /// Maximum delay, in seconds, of the delayed messages or requests.
     #[serde(default)]
     #[schemars(range(min = 0.0, max = 3600.0))]
     pub to_s: Option<f64>,
-    /// Of late writes: they are carried out at once, and only the answer is lost.
+    /// For late writes: the transactions are executed at once, and only the reply is lost.
     #[serde(default)]
     pub at_once: bool,
-    /// Copies of reports are kept for the next leader.
+    /// Whether copies of heartbeats are kept for the next leader.
     #[serde(default)]
     pub for_next: Option<bool>,
-    /// The only job that it is about.
+    /// The only job to which the fault applies.
     #[serde(default)]
     pub job: Option<String>,
-    /// Machines hang for so many seconds.
+    /// Seconds for which machines hang.
     #[serde(default)]
     #[schemars(range(min = 0.1, max = 3600.0))]
     pub hang_s: Option<f64>,
@@ -690,12 +702,13 @@
         20.0
     }
 
-    /// From the end of a process to its next start, in seconds.
+    /// Returns the seconds from the end of a controller process to its restart.
     pub fn back_s(&self, controllers: &Controllers) -> f64 {
         self.back_s.unwrap_or(controllers.back_s)
     }
 
-    /// From when on it troubles nobody, by itself: what it ended is back.
+    /// Returns the time at which the direct effects of the fault end: stopped processes and
+    /// machines have restarted, and delayed messages are delivered.
     fn over_s(&self, scenario: &Scenario) -> f64 {
         let back_s = self.back_s(&scenario.controllers);
         let lasts_s = match self.what {
@@ -714,31 +727,32 @@
     }
 }
 
-/// A transaction that gets no answer is carried out so many seconds later: longer than
-/// its sender waits, so that newer ones come before it.
+/// Minimum delay of a late write in seconds. The delay exceeds the timeout of the sender, so
+/// that newer transactions are executed first.
 pub const LATE_FROM_S: f64 = 2.0;
+/// Maximum delay of a late write in seconds.
 pub const LATE_TO_S: f64 = 12.0;
-/// A controller that was rolled has so many seconds before the next one ends.
+/// Seconds between the restart of one controller and the stop of the next one in a rolling
+/// restart.
 pub const ROLL_S: f64 = 6.0;
-/// The night goes on for so long after the last trouble while users wait: longer
-/// than what shows a job forgotten.
+/// Seconds that a run continues after the last fault while jobs are unfinished. Longer than
+/// the time after which the judge reports a job as forgotten.
 const GRACE_S: f64 = 90.0;
 
 impl Scenario {
-    /// From when on nothing goes wrong any more, in seconds.
+    /// Returns the time in seconds at which the last fault has ended.
     pub fn faults_over_s(&self) -> f64 {
         let ends = self.failures.iter().map(|f| f.over_s(self));
         ends.fold(0.0, f64::max)
     }
 
-    /// Whether users cancel at controllers of the script's choice.
-    /// When it ends at the latest, in seconds.
+    /// Returns the latest end of the run in seconds.
     pub fn ends_s(&self) -> f64 {
         (self.length_s + self.drain_s).max(self.faults_over_s() + GRACE_S)
     }
 
-    /// The same night `times` as fast: for real processes, whose own waits are
-    /// shortened by properties.
+    /// Returns the scenario with all times divided by `times`. Used for real processes, whose
+    /// own timeouts are shortened by properties.
     pub fn hastened(&self, times: f64) -> Scenario {
         let mut scenario = self.clone();
         let quick = |seconds: &mut f64| *seconds /= times;
@@ -809,15 +823,15 @@
         scenario
     }
 
-    /// The schema of night files (JSON Schema 2020-12).
+    /// Returns the schema of scenario files (JSON Schema 2020-12).
     pub fn schema() -> serde_json::Value {
         serde_json::to_value(schemars::schema_for!(Scenario)).unwrap_or_default()
     }
 
-    /// Reads and checks a file.
+    /// Reads and validates a scenario file.
     ///
     /// # Errors
-    /// File, key and reason, in one line.
+    /// Returns file, key and reason in one line if the file can't be read or is invalid.
     pub fn load(path: &Path) -> Result<Scenario, ScenarioError> {
         let file = path.display().to_string();
         match std::fs::read_to_string(path) {
@@ -830,11 +844,11 @@
         }
     }
 
-    /// Reads and checks a file's text; `file` is its name for errors.
+    /// Parses and validates the text of a scenario file; `file` is the name in errors.
     ///
     /// # Errors
-    /// The first thing that is wrong: not TOML, against the schema, or against
-    /// itself.
+    /// Returns the first error: a TOML syntax error, a violation of the schema, or a
+    /// contradiction between values.
     pub fn parse(file: &str, text: &str) -> Result<Scenario, ScenarioError> {
         let fail = |key: String, reason: String| ScenarioError {
             file: file.to_owned(),
@@ -863,7 +877,8 @@
         Ok(scenario)
     }
 
-    /// What no schema can say: names that must exist, amounts that must fit.
+    /// Checks what the schema can't express: references between entries and relations between
+    /// values.
     fn check(&self) -> Result<(), (String, String)> {
         let fail = |key: String, reason: &str| Err((key, reason.to_owned()));
         let zones: BTreeSet<&String> = self
@@ -934,7 +949,7 @@
             }
         }
         for (i, objective) in self.objectives.iter().enumerate() {
-            // Not by the schema, which would name the entry and not the key.
+            // Not checked by the schema, whose error would name the entry and not the key.
             let share = match objective {
                 Objective::Deadline { share, .. } | Objective::Wait { share, .. } => Some(share),
                 Objective::Submit { share, .. } | Objective::Useful { share } => Some(share),
