--- a/crates/umbersail-rehearsal/src/lib.rs
+++ b/crates/umbersail-rehearsal/src/lib.rs
@@ -1,18 +1,17 @@
-//! The rehearsal kit: a whole night of umbersail on one machine, the same
-//! twice.
+//! Deterministic rehearsals: runs a whole cluster on one machine in simulated time.
 //!
-//! The real controllers run in a simulated world (`umbersail-runtime`) against
-//! stand-ins for workers, cloud, state service, load balancer and users, by the
-//! published protocol. A night file says what is there, who wants what and what
-//! goes wrong when; one seed decides all chance. The judge reads the history
-//! and nothing else.
+//! The real controllers run in a simulated network (`umbersail-runtime`) against simulated
+//! workers, cloud, state service, load balancer and users, which use the published protocol.
+//! A scenario file defines the cluster, its load and the faults to inject. One seed determines
+//! all random numbers, so that the same scenario and seed give the same outcome. The judge
+//! checks the rules and measures the objectives from the recorded history alone.
 //!
 //! ```no_run
 //! use umbersail_rehearsal::{Scenario, bundled, run};
 //!
 //! let text = bundled("zone-power-loss-cold-caches").unwrap();
-//! let night = Scenario::parse("zone-power-loss-cold-caches", text).unwrap();
-//! let outcome = run(&night, 7, &mut |_, _| {}).unwrap();
+//! let scenario = Scenario::parse("zone-power-loss-cold-caches", text).unwrap();
+//! let outcome = run(&scenario, 7, &mut |_, _| {}).unwrap();
 //! assert!(outcome.figures.breaches.is_empty());
 //! ```
 
--- a/crates/umbersail-rehearsal/src/real.rs
+++ b/crates/umbersail-rehearsal/src/real.rs
@@ -14,7 +14,7 @@
 
 use crate::fault::Controller;
 use crate::places::{Addresses, member, zone};
-use crate::run::{Outcome, RunError, direct, properties_text, settings_text};
+use crate::run::{Outcome, RunError, execute, properties_text, settings_text};
 use crate::scenario::Scenario;
 
 /// One controller's process, ended when this is dropped.
@@ -103,7 +103,7 @@
     let events = runtime.block_on(async move {
         let begin =
             |world: &WorldHandle, night: &Scenario| controllers(world, night, &program, &folder);
-        direct(handle, played, seed, begin, told).await
+        execute(handle, played, seed, begin, told).await
     })?;
     Ok(Outcome::of(night, seed, events, &world))
 }
--- a/crates/umbersail-rehearsal/src/run.rs
+++ b/crates/umbersail-rehearsal/src/run.rs
@@ -1,5 +1,5 @@
-//! Plays a night: builds its world, runs the real controllers in it, and
-//! collects what happened.
+//! Runs a scenario: sets up the simulated hosts, runs the real controllers against them, and
+//! collects the history.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -25,41 +25,49 @@
 use crate::scenario::{Objective, Scenario};
 use crate::users::{Balancer, Users};
 
-/// The history tells what the state service took and holds this often, in seconds.
-const STATE_TOLD_S: f64 = 10.0;
-/// Processor time of one step of a controller's routine on a whole core, in
-/// seconds: what such a step takes at the median on an ordinary machine.
+/// Seconds between samples of the state service's load and contents in the history.
+const STATE_SAMPLE_INTERVAL_S: f64 = 10.0;
+/// Processor time of one step of a controller task on a whole core, in seconds: the median
+/// on an ordinary machine.
 const STEP_S: f64 = 12e-6;
 
-/// Why a night can't be played to its end.
+/// An error that prevents a run from completing.
 #[derive(Debug, Error)]
 pub enum RunError {
-    #[error("settings of the controllers: {0}")]
+    /// A controller rejects its settings.
+    #[error("invalid controller settings: {0}")]
     Settings(#[from] InvalidSettings),
-    #[error("settings of the controllers can't be written: {0}")]
+    /// The settings of a controller can't be written as TOML.
+    #[error("can't write the controller settings: {0}")]
     UnwritableSettings(#[from] toml::ser::Error),
+    /// The operator settings of the scenario are invalid.
     #[error("controllers.properties: {0}")]
     Properties(String),
-    #[error("the simulated world stopped: {0}")]
+    /// The simulation or the setup of real processes failed.
+    #[error("the simulation stopped: {0}")]
     World(#[from] std::io::Error),
 }
 
-/// A night that was played.
+/// The result of a run.
 #[derive(Debug)]
 pub struct Outcome {
+    /// Seed of the run.
     pub seed: u64,
+    /// The recorded history.
     pub events: Vec<Event>,
+    /// The judge's results.
     pub figures: Figures,
-    /// BLAKE3 over the history, hex.
+    /// BLAKE3 hash of the history, in hex.
     pub hash: String,
-    /// True time of the night in seconds.
+    /// True length of the run in seconds, unaffected by simulated clock errors.
     pub length_s: f64,
-    /// Packets sent and steps of routines.
+    /// Packets sent.
     pub packets: u64,
+    /// Steps of simulated tasks.
     pub steps: u64,
 }
 
-/// The settings file of one controller, as the platform would write it.
+/// The settings file of one controller, as the hosting platform writes it.
 #[derive(Serialize)]
 struct SettingsFile<'a> {
     member: String,
@@ -78,7 +86,7 @@
     addr: SocketAddr,
 }
 
-/// The text of one controller's settings file.
+/// Returns the text of one controller's settings file.
 pub(crate) fn settings_text(
     scenario: &Scenario,
     index: usize,
@@ -132,16 +140,17 @@
     Ok(toml::to_string(&file)?)
 }
 
-/// The settings of one controller of a simulated night.
+/// Returns the settings of one controller in a simulated run.
 ///
 /// # Errors
-/// If the night's amounts are none that a controller takes.
+/// Returns an error if a controller rejects values of the scenario.
 pub fn settings(scenario: &Scenario, index: usize) -> Result<Settings, RunError> {
     let text = settings_text(scenario, index, Addresses { simulated: true })?;
     Ok(Settings::parse(&text)?)
 }
 
-/// An aim as the settings restate it to the controllers.
+/// Returns an objective in the form of the controller settings, if controllers use objectives
+/// of this kind.
 fn objective_json(objective: &Objective) -> Option<serde_json::Value> {
     match objective {
         Objective::Deadline {
@@ -162,8 +171,8 @@
     }
 }
 
-/// The operators' properties of a night, as in their file, for a world that began at
-/// this time of day.
+/// Returns the text of the properties file for a run that starts at the wall clock time
+/// `epoch_ms`.
 pub(crate) fn properties_text(scenario: &Scenario, epoch_ms: u64) -> String {
     let controllers = &scenario.controllers;
     let numbers = controllers.properties.iter();
@@ -180,13 +189,14 @@
     Tuning::from_properties(text.as_bytes()).map_err(|e| RunError::Properties(e.to_string()))
 }
 
-/// Told now and then while a night plays: seconds played, and of how many.
+/// Progress callback: called repeatedly during a run with the simulated seconds so far and the
+/// latest end of the run.
 pub type Progress<'a> = &'a mut dyn FnMut(f64, f64);
 
-/// Plays a night with a seed, whole.
+/// Runs a scenario to its end with a seed.
 ///
 /// # Errors
-/// If the night's properties can't be used, or the world stands still.
+/// Returns an error if the scenario's settings are invalid, or if the simulation stops.
 pub fn run(scenario: &Scenario, seed: u64, progress: Progress<'_>) -> Result<Outcome, RunError> {
     let simulation = Simulation::new(seed, NetworkConfig::default());
     let world = simulation.world();
@@ -197,22 +207,22 @@
         .collect();
     let configs = configs?;
     let most = scenario.ends_s();
-    let (told, seen) = std::sync::mpsc::channel::<f64>();
-    let (played, length) = (scenario.clone(), world.clone());
+    let (progress_sender, progress_receiver) = std::sync::mpsc::channel::<f64>();
+    let (simulated_scenario, final_world) = (scenario.clone(), world.clone());
     let result = simulation.block_on_observed(
         async move {
             let begin = |world: &WorldHandle, scenario: &Scenario| {
                 start_controllers(world, scenario, seed, configs, &tuning)
             };
-            direct(world, played, seed, begin, told).await
+            execute(world, simulated_scenario, seed, begin, progress_sender).await
         },
         || {
-            if let Some(at) = seen.try_iter().last() {
+            if let Some(at) = progress_receiver.try_iter().last() {
                 progress(at, most);
             }
         },
     )?;
-    Ok(Outcome::of(&scenario, seed, result, &length))
+    Ok(Outcome::of(&scenario, seed, result, &final_world))
 }
 
 impl Outcome {
@@ -242,13 +252,14 @@
     }
 }
 
-/// Directs a night in whatever world; `begin` starts its controllers.
-pub(crate) async fn direct(
+/// Runs a scenario in a simulated or real world, and returns the history. `begin` starts the
+/// controllers.
+pub(crate) async fn execute(
     world: WorldHandle,
     scenario: Rc<Scenario>,
     seed: u64,
     begin: impl FnOnce(&WorldHandle, &Scenario) -> Vec<Controller>,
-    told: std::sync::mpsc::Sender<f64>,
+    progress: std::sync::mpsc::Sender<f64>,
 ) -> Vec<Event> {
     let at = Addresses {
         simulated: world.is_simulated(),
@@ -303,17 +314,17 @@
         spawn(store.clone().send_for_ever(world.clone(), history.clone()));
     }
     let most = scenario.ends_s();
-    let mut state_told_s = 0.0;
+    let mut last_state_sample_s = 0.0;
     loop {
         sleep(1.0).await;
         let now = world.now();
-        level(&fleet);
-        if now >= state_told_s + STATE_TOLD_S {
-            state_told_s = now;
+        record_sample(&fleet);
+        if now >= last_state_sample_s + STATE_SAMPLE_INTERVAL_S {
+            last_state_sample_s = now;
             history.add(state.figures.told());
         }
-        // Nobody listens if no progress is shown.
-        let _ = told.send(now);
+        // Sending fails if the receiver of the progress was dropped, which is not an error.
+        let _ = progress.send(now);
         if now >= scenario.length_s {
             users.closed.set(true);
             if users.waiting.get() == 0 || now >= most {
@@ -347,7 +358,7 @@
             let (config, tuning, clock) = (config.clone(), tuning.clone(), world.clock(host));
             world.start(host, async move {
                 if let Err(e) = umbersail_control::run(config, tuning, clock).await {
-                    unreachable!("a simulated controller can't listen: {e}");
+                    unreachable!("a simulated controller can't open its listening socket: {e}");
                 }
             });
         };
@@ -364,8 +375,8 @@
     configs.into_iter().enumerate().map(build).collect()
 }
 
-/// One point of the report's curves.
-fn level(fleet: &Fleet) {
+/// Records one sample for the charts of the report.
+fn record_sample(fleet: &Fleet) {
     let up = fleet.up();
     let cpus = up.iter().map(|m| m.worker.cpus_in_use()).sum::<f64>();
     let spot = up.iter().filter(|m| m.spot).count();
@@ -379,11 +390,11 @@
     });
 }
 
-/// Plays a night with many seeds, a thread for each of them and at most
-/// `threads` at once; outcomes come back in order of seed.
+/// Runs a scenario with several seeds on up to `threads` threads, and returns the outcomes in
+/// the order of `seeds`.
 ///
 /// # Errors
-/// The first that any seed gave.
+/// Returns the error of the first seed in this order that failed.
 pub fn run_many(
     scenario: &Scenario,
     seeds: &[u64],
@@ -406,7 +417,7 @@
             .collect();
         let joined = workers.into_iter().flat_map(|w| match w.join() {
             Ok(mine) => mine,
-            // A failed assertion of a controller is the caller's to see.
+            // Passes a panic of a controller, such as a failed assertion, on to the caller.
             Err(panic) => std::panic::resume_unwind(panic),
         });
         joined.collect()
--- a/crates/umbersail-rehearsal/src/scenario.rs
+++ b/crates/umbersail-rehearsal/src/scenario.rs
@@ -888,10 +888,11 @@
             .chain(self.machines.iter().flat_map(|m| &m.zones))
             .collect();
         if self.warm_up_s >= self.length_s {
-            return fail("warm_up_s".into(), "leaves nothing of length_s to count");
+            return fail("warm_up_s".into(), "must be less than length_s");
         }
         if self.workers.cancel_s <= self.workers.lease_s + 5.0 {
-            let reason = "must exceed lease_s by more than 5, or a cancellation can't hold";
+            let reason =
+                "must exceed lease_s by more than 5, or a cancellation can't take effect in time";
             return fail("workers.cancel_s".into(), reason);
         }
         if self.machines.is_empty() || self.classes.is_empty() || self.teams.is_empty() {
@@ -908,7 +909,10 @@
                 );
             }
             if kind.at_start > kind.ordinary * kind.zones.len() {
-                return fail(format!("machines.{i}.at_start"), "more than there are");
+                return fail(
+                    format!("machines.{i}.at_start"),
+                    "exceeds the number of available machines",
+                );
             }
         }
         for (i, class) in self.classes.iter().enumerate() {
@@ -1026,13 +1030,13 @@
             return Err(("times", "is missing"));
         }
         if what == LinksSlow && failure.share.is_some_and(|share| share >= 1.0) {
-            return Err(("share", "no packet would ever arrive"));
+            return Err(("share", "must be less than 1, or no packet arrives"));
         }
         if matches!(what, CapacityShrinks | LateWrites | CancelAtEnd) && failure.share.is_none() {
             return Err(("share", "is missing"));
         }
         if failure.at_once && what != LateWrites {
-            return Err(("at_once", "is for late writes alone"));
+            return Err(("at_once", "is only for late-writes"));
         }
         if matches!(
             what,
@@ -1048,23 +1052,23 @@
             }
         }
         if failure.for_next.is_some() && what != ReportsLate {
-            return Err(("for_next", "no reports are copied"));
+            return Err(("for_next", "is only for reports-late"));
         }
         if what == CancelNow && failure.count.is_none() && failure.job.is_none() {
             return Err(("count", "is missing"));
         }
         if failure.job.is_some() && !matches!(what, CancelNow | CloseLooks) {
-            return Err(("job", "it is about no single job"));
+            return Err(("job", "this fault does not apply to a single job"));
         }
         if failure.hang_s.is_some() && what != CancelNow {
-            return Err(("hang_s", "no machine hangs"));
+            return Err(("hang_s", "is only for cancel-now"));
         }
         let ends = matches!(
             what,
             ControllerCrash | RollingRestart | MachinesStop | WorkerDiesMidJob
         );
         if failure.back_s.is_some() && !ends {
-            return Err(("back_s", "nothing ends that could come back"));
+            return Err(("back_s", "nothing ends that could restart"));
         }
         Ok(())
     }
