--- a/crates/umbersail-rehearsal/src/bundled.rs
+++ b/crates/umbersail-rehearsal/src/bundled.rs
@@ -1,13 +1,13 @@
-//! Scenarios that come with the program, named by load and fault.
+//! Scenarios that are part of the program, named by load and fault.
 
 /// A bundled scenario.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Bundled {
-    /// Its name.
+    /// Name of the scenario.
     pub name: &'static str,
-    /// Its name in the release before, which still finds it in this one.
+    /// Name in the previous release, accepted as an alias.
     pub former_name: &'static str,
-    /// The scenario file.
+    /// Text of the scenario file.
     pub text: &'static str,
 }
 
@@ -40,7 +40,7 @@
     "bottling-dawn" => "zones-lose-each-other";
 }
 
-/// The text of a bundled scenario, by its name or its former one.
+/// Returns the text of the bundled scenario with this name or former name.
 pub fn bundled(name: &str) -> Option<&'static str> {
     let is_it = |scenario: &&Bundled| scenario.name == name || scenario.former_name == name;
     BUNDLED.iter().find(is_it).map(|scenario| scenario.text)
--- a/crates/umbersail-rehearsal/src/experiment.rs
+++ b/crates/umbersail-rehearsal/src/experiment.rs
@@ -1,5 +1,4 @@
-//! Experiments: variants of the operators' properties, played on the same
-//! nights with the same seeds, and what difference they make.
+//! Experiments: compares variants of the operator settings over the same scenarios and seeds.
 
 use std::collections::BTreeMap;
 use std::fmt::Write as _;
@@ -13,43 +12,52 @@
 use crate::run::{Outcome, RunError, run_many};
 use crate::scenario::{Scenario, ScenarioError};
 
-/// What is compared, on which nights.
+/// An experiment file: the variants to compare, and the scenarios to run.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct Experiment {
+    /// One-line description.
     pub title: String,
-    /// Bundled nights by name, or night files.
+    /// Names of bundled scenarios, or paths of scenario files.
     #[serde(rename = "nights")]
     pub scenarios: Vec<String>,
+    /// Number of seeds.
     pub seeds: u64,
+    /// First seed; the others follow in sequence.
     #[serde(default = "Experiment::first")]
     pub first_seed: u64,
-    /// The first one is what the others are compared with.
+    /// Variants. The first one is the baseline with which the others are compared.
     pub variants: Vec<Variant>,
 }
 
-/// Operators' properties under a name.
+/// A named set of operator settings.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct Variant {
+    /// Name of the variant.
     pub name: String,
+    /// Settings that override those of the scenario.
     #[serde(default)]
     pub properties: BTreeMap<String, f64>,
-    /// Whether the operators' calendar keeps the steps of runs apart.
+    /// Whether the calendar sequences the steps of runs; overrides the scenario's value.
     #[serde(default)]
     pub calendar: Option<bool>,
 }
 
-/// A mean with the half width of its 95% interval (Student's t).
+/// A mean with its 95% confidence interval (Student's t).
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Mean {
+    /// Mean of the sample.
     pub mean: f64,
+    /// Half of the width of the confidence interval.
     pub half: f64,
+    /// Size of the sample.
     pub n: usize,
 }
 
 impl Mean {
-    /// Of paired differences, or of any sample; one value has no interval.
+    /// Computes the mean of a sample, such as paired differences. With fewer than two values,
+    /// the interval is infinite.
     pub fn of(values: &[f64]) -> Mean {
         let n = values.len();
         let mean = values.iter().sum::<f64>() / n.max(1) as f64;
@@ -70,7 +78,7 @@
         }
     }
 
-    /// Whether zero lies outside of the interval.
+    /// Returns whether zero lies outside of the interval.
     pub fn differs(&self) -> bool {
         self.mean.abs() > self.half
     }
@@ -87,10 +95,10 @@
         1
     }
 
-    /// Reads and checks a file.
+    /// Reads and validates an experiment file.
     ///
     /// # Errors
-    /// File, key and reason, in one line.
+    /// Returns file, key and reason in one line if the file can't be read or is invalid.
     pub fn load(path: &Path) -> Result<Experiment, ScenarioError> {
         let file = path.display().to_string();
         let fail = |key: &str, reason: String| ScenarioError {
@@ -104,22 +112,22 @@
         if experiment.variants.len() < 2 {
             return Err(fail(
                 "variants",
-                "two at least, or there is nothing to compare".into(),
+                "at least two variants are required".into(),
             ));
         }
         if experiment.seeds < 2 || experiment.scenarios.is_empty() {
             return Err(fail(
                 "seeds",
-                "two at least, on one scenario at least".into(),
+                "at least two seeds and one scenario are required".into(),
             ));
         }
         Ok(experiment)
     }
 
-    /// The nights it names.
+    /// Loads the scenarios of the experiment.
     ///
     /// # Errors
-    /// The first night that can't be read.
+    /// Returns the error of the first scenario that can't be read or is invalid.
     pub fn scenarios(&self) -> Result<Vec<(String, Scenario)>, ScenarioError> {
         let read = |name: &String| {
             let scenario = match bundled(name) {
@@ -132,7 +140,7 @@
     }
 }
 
-/// Figures by which variants are compared: name and value.
+/// Returns the figures by which variants are compared, as pairs of name and value.
 fn figures(outcome: &Outcome) -> Vec<(String, f64)> {
     let f = &outcome.figures;
     let mut all: Vec<(String, f64)> = f.aims.iter().map(|a| (a.aim.clone(), a.value)).collect();
@@ -153,11 +161,12 @@
     all
 }
 
-/// Plays it all and tells the differences from the first variant, paired by
-/// seed, with 95% intervals; those that can't be told from zero are bracketed.
+/// Runs all scenarios with all variants and returns a table of the differences from the first
+/// variant, paired by seed, with 95% confidence intervals. Differences that are not
+/// significantly different from zero are in parentheses.
 ///
 /// # Errors
-/// If a night can't be played with a variant's properties.
+/// Returns an error if a scenario can't run with the settings of a variant.
 pub fn run(
     experiment: &Experiment,
     scenarios: &[(String, Scenario)],
@@ -219,8 +228,8 @@
 
     #[test]
     fn intervals_are_those_of_students_t() {
-        // Guards against intervals that are too narrow for few seeds. By a
-        // table: t(0.975, 3) = 3.182.
+        // Guards against intervals that are too narrow for few seeds. From a table of Student's t:
+        // t(0.975, 3) = 3.182.
         let mean = Mean::of(&[1.0, 2.0, 3.0, 4.0]);
         assert!((mean.mean - 2.5).abs() < 1e-9);
         assert!((mean.half - 3.182 * (5.0f64 / 3.0 / 4.0).sqrt()).abs() < 1e-3);
--- a/crates/umbersail-rehearsal/src/fault.rs
+++ b/crates/umbersail-rehearsal/src/fault.rs
@@ -1,5 +1,4 @@
-//! The script of failures: what each trouble does to the world, and how it is
-//! undone.
+//! Fault injection: what each fault does to the simulated cluster, and how it is reverted.
 
 use std::cell::RefCell;
 use std::collections::BTreeSet;
@@ -18,54 +17,65 @@
 use crate::user_troubles::Order;
 use crate::users::Users;
 
-/// Machines that a trouble takes if it does not say how many.
-const USUAL_COUNT: usize = 3;
+/// Default number of machines or jobs that a fault affects.
+const DEFAULT_COUNT: usize = 3;
 
-/// A controller as the script sees it.
+/// A controller, with the operations that faults need.
 pub struct Controller {
+    /// Member name of the controller.
     pub member: String,
+    /// Zone of the controller.
     pub zone: String,
+    /// Simulated host of the controller.
     pub host: HostId,
-    /// Starts and ends its process.
+    /// Starts the process.
     pub start: Box<dyn Fn()>,
+    /// Kills the process.
     pub end: Box<dyn Fn()>,
-    /// Stops a real process for a while, or lets it go on.
+    /// Suspends (`true`) or resumes a real process. `None` in a simulation.
     pub pause: Option<Box<dyn Fn(bool)>>,
 }
 
-/// All that a trouble may touch.
+/// Everything that faults can affect.
 pub struct Stage {
+    /// The simulated or real world.
     pub world: WorldHandle,
+    /// Machines and cloud.
     pub fleet: Rc<Fleet>,
+    /// The state service.
     pub ledger: Rc<KvStoreHost>,
+    /// Users and the load balancer.
     pub users: Rc<Users>,
+    /// All controllers.
     pub controllers: Vec<Controller>,
-    /// Hosts that belong to no zone: state service, cloud, users.
+    /// Hosts that belong to no zone: state service, cloud and users, in this order.
     pub regional: [HostId; 3],
+    /// Random numbers for the choice of machines and jobs.
     pub rng: RefCell<ChaCha8Rng>,
-    /// Machines that a trouble took, and until when.
+    /// Machines with a fault, and the end of the fault in seconds.
     pub struck: RefCell<Vec<(String, f64)>>,
 }
 
-/// A trouble's name in night files.
+/// Returns the name of a fault in scenario files.
 pub(crate) fn name_of(trouble: Fault) -> String {
     let name = serde_json::to_value(trouble).unwrap_or_default();
     name.as_str().unwrap_or("").to_owned()
 }
 
-/// What is to be undone at a trouble's end.
+/// Reverts a fault when it ends.
 type Undo = Box<dyn FnOnce(&Rc<Stage>)>;
 
 impl Stage {
+    /// Returns the random number generator for a seed.
     pub fn rng(seed: u64) -> RefCell<ChaCha8Rng> {
         RefCell::new(ChaCha8Rng::seed_from_u64(seed ^ 0x0074_726f_7562_6c65))
     }
 
-    /// Plays one failure at its time, for its time.
+    /// Waits for the start of the fault, applies it, and reverts it when it ends.
     pub async fn inject(self: Rc<Self>, failure: Failure) {
         sleep(failure.at_s).await;
         let trouble = name_of(failure.what);
-        let tell = |begins| {
+        let record = |begins| {
             let trouble = trouble.clone();
             self.fleet.history.add(What::Trouble { trouble, begins });
         };
@@ -77,17 +87,17 @@
             });
             return;
         }
-        tell(true);
+        record(true);
         let undo = self.begin(&failure);
         if let Some(undo) = undo {
             sleep(failure.for_s).await;
             undo(&self);
         }
-        tell(false);
+        record(false);
     }
 
-    /// Controllers that a failure names, by number.
-    fn whom(&self, failure: &Failure) -> Vec<usize> {
+    /// Returns the indices of the controllers that a failure names.
+    fn target_controllers(&self, failure: &Failure) -> Vec<usize> {
         match failure.who.as_deref() {
             Some("all") | None => (0..self.controllers.len()).collect(),
             Some("leader") => {
@@ -131,9 +141,9 @@
         controllers.chain(self.machine_hosts(Some(zone))).collect()
     }
 
-    /// Machines that are up, drawn by lot, those that do something first.
-    fn victims(&self, failure: &Failure, spot: Option<bool>) -> Vec<Rc<Machine>> {
-        let count = failure.count.unwrap_or(USUAL_COUNT);
+    /// Chooses running machines at random, from those with tasks if there are enough.
+    fn choose_machines(&self, failure: &Failure, spot: Option<bool>) -> Vec<Rc<Machine>> {
+        let count = failure.count.unwrap_or(DEFAULT_COUNT);
         let fits = |m: &Rc<Machine>| {
             spot.is_none_or(|s| s == m.spot) && failure.zone.as_ref().is_none_or(|z| *z == m.zone)
         };
@@ -159,7 +169,7 @@
         victims
     }
 
-    /// The same failure with the number of machines that its zone or share makes.
+    /// Returns the failure with `count` computed from its share or zone.
     fn with_count(&self, failure: &Failure) -> Failure {
         let here = |m: &&Rc<Machine>| failure.zone.as_ref().is_none_or(|z| *z == m.zone);
         let up = self.fleet.up().iter().filter(here).count();
@@ -180,8 +190,9 @@
         Box::new(move |stage| stage.world.heal(cut))
     }
 
-    /// Packets of a cut are held as often as not.
-    fn some_mode(&self) -> PartitionMode {
+    /// Returns one of two partition modes with equal probability: hold packets, or reset
+    /// connections.
+    fn random_partition_mode(&self) -> PartitionMode {
         match self.rng.borrow_mut().random_bool(0.5) {
             true => PartitionMode::Hold,
             false => PartitionMode::Reset,
@@ -197,9 +208,9 @@
         }
     }
 
-    /// Machines stop with all that is on them, for good or for a while.
+    /// Stops machines with their tasks. Machines restart after `back_s`, if it is set.
     fn stop_machines(self: &Rc<Self>, failure: &Failure) {
-        for machine in self.victims(failure, None) {
+        for machine in self.choose_machines(failure, None) {
             let Some(back_s) = failure.back_s else {
                 self.fleet.fail(&machine);
                 continue;
@@ -211,7 +222,7 @@
             let fleet = self.fleet.clone();
             self.world.spawn(async move {
                 sleep(back_s).await;
-                // Meanwhile the cloud may have been told to delete it.
+                // The cloud may have deleted the machine in the meantime.
                 if machine.is_up() {
                     fleet.boot(machine);
                 }
@@ -230,10 +241,10 @@
         }
     }
 
-    /// Asks users to cancel running jobs, evenly over the failure's time.
+    /// Lets users cancel running jobs, evenly distributed over the duration of the fault.
     async fn sweep_cancellations(self: Rc<Self>, failure: Failure) {
-        let count = failure.count.unwrap_or(USUAL_COUNT).max(1);
-        let controllers = self.whom(&failure);
+        let count = failure.count.unwrap_or(DEFAULT_COUNT).max(1);
+        let controllers = self.target_controllers(&failure);
         for controller in controllers.iter().cycle().take(count) {
             let waits = (self.rng.borrow_mut()).random_bool(failure.share.unwrap_or(0.0));
             if let Some(job) = self.job_to_cancel(waits) {
@@ -243,8 +254,8 @@
         }
     }
 
-    /// A job whose user can be asked, drawn by lot: one that runs, on a machine in trouble
-    /// if there is any, or one of which nothing runs.
+    /// Chooses a job to cancel at random: with `waits`, a job without running tasks; otherwise
+    /// a running job, on a machine with a fault if there is one.
     fn job_to_cancel(&self, waits: bool) -> Option<String> {
         let now = self.world.now();
         let struck = self.struck.borrow();
@@ -253,25 +264,25 @@
             struck.iter().any(its)
         };
         let open: BTreeSet<String> = self.users.cancellations.open().into_iter().collect();
-        let (mut running, mut in_trouble) = (BTreeSet::new(), BTreeSet::new());
+        let (mut running, mut on_faulty_machine) = (BTreeSet::new(), BTreeSet::new());
         for machine in self.fleet.up() {
             let mut jobs = machine.worker.running_jobs();
             jobs.retain(|job| open.contains(job));
             if is_struck(&machine) {
-                in_trouble.extend(jobs.iter().cloned());
+                on_faulty_machine.extend(jobs.iter().cloned());
             }
             running.extend(jobs);
         }
-        let from = match in_trouble.is_empty() {
+        let from = match on_faulty_machine.is_empty() {
             _ if waits => &open - &running,
             true => running,
-            false => in_trouble,
+            false => on_faulty_machine,
         };
         let from: Vec<String> = from.into_iter().collect();
         from.choose(&mut *self.rng.borrow_mut()).cloned()
     }
 
-    /// Does it; what must be undone comes back.
+    /// Applies the fault. Returns the function that reverts it, if it has an end.
     fn begin(self: &Rc<Self>, failure: &Failure) -> Option<Undo> {
         let fleet = &self.fleet;
         let times = failure.times.unwrap_or(1.0);
@@ -301,14 +312,14 @@
                 }))
             }
             Fault::MachinesFailTasks => {
-                let victims = self.victims(failure, None);
+                let victims = self.choose_machines(failure, None);
                 victims.iter().for_each(|m| m.worker.faulty.set(true));
                 Some(Box::new(move |_| {
                     victims.iter().for_each(|m| m.worker.faulty.set(false));
                 }))
             }
             Fault::MachinesSlow => {
-                let victims = self.victims(failure, None);
+                let victims = self.choose_machines(failure, None);
                 victims
                     .iter()
                     .for_each(|m| m.worker.slow.set(times.max(1.0)));
@@ -317,19 +328,22 @@
                 }))
             }
             Fault::MachinesCut => {
-                let victims: Vec<HostId> =
-                    self.victims(failure, None).iter().map(|m| m.host).collect();
-                Some(self.cut(&victims, &self.all_hosts(), self.some_mode()))
+                let victims: Vec<HostId> = self
+                    .choose_machines(failure, None)
+                    .iter()
+                    .map(|m| m.host)
+                    .collect();
+                Some(self.cut(&victims, &self.all_hosts(), self.random_partition_mode()))
             }
             Fault::MachinesDeaf => {
-                let victims = self.victims(failure, None);
+                let victims = self.choose_machines(failure, None);
                 victims.iter().for_each(|m| m.worker.deaf.set(true));
                 Some(Box::new(move |_| {
                     victims.iter().for_each(|m| m.worker.deaf.set(false));
                 }))
             }
             Fault::MachinesMute => {
-                let victims = self.victims(&self.with_count(failure), None);
+                let victims = self.choose_machines(&self.with_count(failure), None);
                 victims.iter().for_each(|m| m.worker.mute.set(true));
                 Some(Box::new(move |_| {
                     victims.iter().for_each(|m| m.worker.mute.set(false));
@@ -374,7 +388,7 @@
                 None
             }
             Fault::MachinesHang => {
-                let victims = self.victims(failure, None);
+                let victims = self.choose_machines(failure, None);
                 victims.iter().for_each(|m| self.world.freeze(m.host));
                 let hung_s = failure.for_s;
                 Some(Box::new(move |s| {
@@ -386,7 +400,7 @@
             }
             Fault::PowerCut => Some(self.cut_power(failure)),
             Fault::SpotWave => {
-                self.take_spot(failure);
+                self.reclaim_spot_machines(failure);
                 None
             }
             Fault::CapacityShrinks => {
@@ -395,7 +409,7 @@
             }
             Fault::ControllerCrash => {
                 let back_s = failure.back_s(&fleet.night.controllers);
-                self.crash(self.whom(failure), back_s);
+                self.crash(self.target_controllers(failure), back_s);
                 None
             }
             Fault::RollingRestart => {
@@ -410,31 +424,31 @@
                 None
             }
             Fault::ControllerCut => {
-                let whom = self.hosts(&self.whom(failure));
-                Some(self.cut(&whom, &self.all_hosts(), self.some_mode()))
+                let whom = self.hosts(&self.target_controllers(failure));
+                Some(self.cut(&whom, &self.all_hosts(), self.random_partition_mode()))
             }
             Fault::ControllerSilent => {
-                let whom = self.hosts(&self.whom(failure));
+                let whom = self.hosts(&self.target_controllers(failure));
                 Some(self.cut(&whom, &self.all_hosts(), PartitionMode::Hold))
             }
             Fault::ControllerCutFromState => {
-                let whom = self.hosts(&self.whom(failure));
-                Some(self.cut(&whom, &self.regional[..1], self.some_mode()))
+                let whom = self.hosts(&self.target_controllers(failure));
+                Some(self.cut(&whom, &self.regional[..1], self.random_partition_mode()))
             }
             Fault::ControllerCutFromWorkers => {
-                let whom = self.hosts(&self.whom(failure));
+                let whom = self.hosts(&self.target_controllers(failure));
                 let mut workers = self.machine_hosts(None);
                 workers.extend(fleet.late.host());
-                Some(self.cut(&whom, &workers, self.some_mode()))
+                Some(self.cut(&whom, &workers, self.random_partition_mode()))
             }
             Fault::ControllerIsolated => {
-                let whom = self.hosts(&self.whom(failure));
+                let whom = self.hosts(&self.target_controllers(failure));
                 let mut others: Vec<HostId> = self.controllers.iter().map(|c| c.host).collect();
                 others.push(self.regional[0]);
-                Some(self.cut(&whom, &others, self.some_mode()))
+                Some(self.cut(&whom, &others, self.random_partition_mode()))
             }
             Fault::StateRefuses => {
-                let whom = self.whom(failure);
+                let whom = self.target_controllers(failure);
                 let set = |s: &Stage, whom: &[usize], refused| {
                     whom.iter()
                         .for_each(|n| s.ledger.refused.borrow_mut()[*n] = refused);
@@ -443,7 +457,7 @@
                 Some(Box::new(move |s| set(s, &whom, false)))
             }
             Fault::ControllerSlow => {
-                let whom = self.whom(failure);
+                let whom = self.target_controllers(failure);
                 for n in &whom {
                     self.world.set_slowdown(self.controllers[*n].host, times);
                 }
@@ -454,14 +468,14 @@
                 }))
             }
             Fault::ControllerFreezes => {
-                let whom = self.whom(failure);
+                let whom = self.target_controllers(failure);
                 whom.iter().for_each(|n| self.pause(*n, true));
                 Some(Box::new(move |s| {
                     whom.iter().for_each(|n| s.pause(*n, false))
                 }))
             }
             Fault::ClockSkew => {
-                let whom = self.hosts(&self.whom(failure));
+                let whom = self.hosts(&self.target_controllers(failure));
                 let skew_ms = fleet.night.controllers.skew_ms * times;
                 whom.iter().for_each(|h| self.world.set_skew(*h, skew_ms));
                 Some(Box::new(move |s| {
@@ -469,11 +483,11 @@
                 }))
             }
             Fault::PeersRefused => {
-                let all = self.hosts(&self.whom(failure));
+                let all = self.hosts(&self.target_controllers(failure));
                 Some(self.cut(&all, &all, PartitionMode::Refuse))
             }
             Fault::ControllersApart => {
-                let all = self.hosts(&self.whom(failure));
+                let all = self.hosts(&self.target_controllers(failure));
                 Some(self.cut(&all, &all, PartitionMode::Hold))
             }
             Fault::StateDown => {
@@ -524,7 +538,7 @@
                 let usual = NetworkConfig::default();
                 self.world.set_network(NetworkConfig {
                     latency_s: usual.latency_s + times / 1000.0,
-                    // Half of what is added varies.
+                    // Half of the added latency is jitter.
                     jitter_s: usual.jitter_s + times / 2000.0,
                     loss: failure.share.unwrap_or(usual.loss),
                     ..usual
@@ -535,7 +549,7 @@
                 let inside = self.zone_hosts(failure.zone.as_deref().unwrap_or(""));
                 let mut outside = self.all_hosts();
                 outside.retain(|h| !inside.contains(h));
-                Some(self.cut(&inside, &outside, self.some_mode()))
+                Some(self.cut(&inside, &outside, self.random_partition_mode()))
             }
             Fault::ZonesApart => {
                 let zones = &fleet.night.controllers.zones;
@@ -548,8 +562,8 @@
         }
     }
 
-    /// Machines and controllers of a zone stop; the machines come back cold, with
-    /// no task and no image, and go on under their names.
+    /// Stops all machines and controllers of a zone. The machines restart without tasks and
+    /// cached images, and keep their names.
     fn cut_power(self: &Rc<Self>, failure: &Failure) -> Undo {
         let zone = failure.zone.clone().unwrap_or_default();
         let machines: Vec<Rc<Machine>> = self
@@ -564,38 +578,38 @@
                 .lose_all(&self.fleet, crate::history::End::Gone);
             self.world.power_off(machine.host);
         }
-        let dark = self
+        let unpowered = self
             .controllers
             .iter()
             .enumerate()
             .filter(|(_, c)| c.zone == zone);
-        let dark: Vec<usize> = dark.map(|(n, _)| n).collect();
-        for n in &dark {
+        let unpowered: Vec<usize> = unpowered.map(|(n, _)| n).collect();
+        for n in &unpowered {
             (self.controllers[*n].end)();
             self.world.power_off(self.controllers[*n].host);
         }
         Box::new(move |stage| {
             for machine in machines {
-                // Meanwhile the cloud may have been told to delete it.
+                // The cloud may have deleted the machine in the meantime.
                 if machine.is_up() {
                     stage.fleet.clone().boot(machine);
                 }
             }
-            for n in dark {
+            for n in unpowered {
                 (stage.controllers[n].start)();
             }
         })
     }
 
-    /// Spot machines are taken back, one in five of them without notice.
-    fn take_spot(self: &Rc<Self>, failure: &Failure) {
+    /// Reclaims spot machines, one in five of them without notice.
+    fn reclaim_spot_machines(self: &Rc<Self>, failure: &Failure) {
         let notice_s = self.fleet.night.workers.notice_s;
-        for machine in self.victims(failure, Some(true)) {
-            let (told, wait) = {
+        for machine in self.choose_machines(failure, Some(true)) {
+            let (has_notice, wait) = {
                 let mut rng = self.rng.borrow_mut();
                 (rng.random_bool(0.8), notice_s * rng.random_range(0.5..1.5))
             };
-            if !told {
+            if !has_notice {
                 self.fleet.remove(&machine, "taken");
                 continue;
             }
