--- a/crates/umbersail-rehearsal/src/baseline.rs
+++ b/crates/umbersail-rehearsal/src/baseline.rs
@@ -1,12 +1,12 @@
-//! The paper's own experiment with the project's eviction: 32 nodes, 3,000
-//! requests, local ones rejected with and without preemption, and MOV, MLIP and
-//! MOML side by side (Amini Salehi, Javadi and Buyya, section 5).
+//! Reproduces a published experiment with this project's eviction policies: 32 nodes and 3,000
+//! requests; measures the rejection of local requests with and without preemption, and compares
+//! the policies MOV, MLIP and MOML (Amini Salehi, Javadi and Buyya, section 5).
 //!
 //! Differences from the paper, and why: requests are drawn from the run time and
 //! arrival distributions of Lublin and Feitelson's model, with the parameters
 //! that they published for batch jobs and without its daily cycle, since the
-//! original generator is not at hand; arrivals are scaled to a stated load; the
-//! candidate sets are the service's (grown greedily in three orders), not all
+//! original generator is not available; arrivals are scaled to a stated load; the
+//! candidate sets are those of the service (grown greedily in three orders), not all
 //! sets; there is no advance reservation: a deadline request starts at once or
 //! is rejected, a best-effort one waits.
 
@@ -28,9 +28,9 @@
 const SUSPEND_S: f64 = 161.0;
 const RESUME_S: f64 = 126.0;
 const MIGRATE_S: f64 = 160.0;
-/// Work offered to the nodes, as a share of what they can do.
+/// Offered load, as a share of the capacity of the nodes.
 const LOAD: f64 = 1.0;
-/// Candidate sets that the service grows at most.
+/// Maximum number of candidate victim sets.
 const SETS: usize = 16;
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -50,27 +50,34 @@
     run_s: f64,
 }
 
-/// One workload: a row of the paper's Table 1 at one point.
+/// One workload: one point of a row of the paper's Table 1.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Workload {
+    /// Mean number of nodes of a request.
     pub mean_nodes: f64,
+    /// Number of best-effort requests.
     pub best_effort: usize,
+    /// Number of deadline requests.
     pub deadline: usize,
+    /// Number of local requests.
     pub local: usize,
 }
 
-/// What one run gives.
+/// Results of one run.
 #[derive(Debug, Clone, Copy, PartialEq, Default)]
 pub struct Run {
-    /// Shares of local and of grid requests that were rejected.
+    /// Share of local requests that were rejected.
     pub local_rejected: f64,
+    /// Share of grid requests that were rejected.
     pub grid_rejected: f64,
+    /// Number of preempted requests.
     pub preemptions: usize,
+    /// Share of the capacity of the nodes that was used.
     pub utilization: f64,
 }
 
-/// Median run time is about an hour, with a long tail (hyper-gamma of the
-/// logarithm; Lublin and Feitelson 2003, batch jobs).
+/// Draws a run time in seconds. The median is about an hour, with a long tail (hyper-gamma
+/// distribution of the logarithm; Lublin and Feitelson 2003, batch jobs).
 fn run_s(rng: &mut dyn RngCore, nodes: f64) -> f64 {
     let short = (0.78 - 0.0054 * nodes).clamp(0.0, 1.0);
     let gamma = if rng.random_bool(short) {
@@ -128,13 +135,13 @@
     all
 }
 
-/// A lease that holds nodes.
+/// A running request, which holds nodes until its end.
 struct Lease {
     index: usize,
     end: f64,
 }
 
-/// Plays one workload, with one of the policies or without preemption.
+/// Runs one workload, with one of the policies or without preemption.
 pub fn run(workload: &Workload, seed: u64, policy: Option<VictimPreference>) -> Run {
     let all = requests(workload, seed);
     let mut left: Vec<f64> = all.iter().map(|r| r.run_s).collect();
@@ -194,7 +201,7 @@
             }
             next += 1;
         }
-        // First come, first served, and whoever fits into what is left.
+        // First come, first served; later requests that fit into the free nodes start too.
         queue.retain(|index| {
             let free = NODES - running.iter().map(|l| all[l.index].nodes).sum::<f64>();
             let fits = all[*index].nodes <= free;
@@ -210,12 +217,13 @@
     let grids = (workload.best_effort + workload.deadline) as f64;
     out.local_rejected = local / (workload.local as f64).max(1.0);
     out.grid_rejected = grid / grids.max(1.0);
-    // Rejected and cancelled work is not computed, overheads are not counted.
+    // Excludes rejected and cancelled work, and overheads.
     out.utilization = used_of(&all, &left, used) / (NODES * last.max(1.0));
     out
 }
 
-/// `left` is negative infinity for what was cancelled or rejected.
+/// Returns the work of completed requests. `left` is negative infinity for requests that were
+/// cancelled or rejected.
 fn used_of(all: &[Request], left: &[f64], used: f64) -> f64 {
     let lost = all.iter().zip(left).filter(|(_, left)| !left.is_finite());
     used - lost.map(|(r, _)| r.nodes * r.run_s).sum::<f64>()
@@ -254,7 +262,7 @@
     }
 }
 
-/// Whom the project's policy preempts for a local request.
+/// Returns the requests that the policy preempts for a local request.
 fn victims(
     all: &[Request],
     running: &[Lease],
@@ -268,7 +276,7 @@
         ..Shape::default()
     };
     let price = |kind: Kind, lease: &Lease| match kind {
-        // All that it has done is lost; the paper calls it no overhead at all.
+        // A cancelled request loses all work done; the paper counts no overhead for it.
         Kind::Cancelable => (all[lease.index].run_s - (lease.end - now)).max(0.0),
         Kind::Migratable => MIGRATE_S,
         _ => SUSPEND_S + RESUME_S,
@@ -296,7 +304,7 @@
     Some(chosen.tasks.into_iter().map(|(index, _)| index).collect())
 }
 
-/// The rows of Table 1, each with the points at which it is played.
+/// Returns the rows of Table 1, each with its points.
 fn rows() -> Vec<(&'static str, Vec<(f64, Workload)>)> {
     let at = |mean_nodes, best_effort, deadline, local| Workload {
         mean_nodes,
@@ -322,8 +330,8 @@
     ]
 }
 
-/// Plays all of it with so many seeds: the paper's Table 2, and the counts of
-/// preemptions behind its Figure 4.
+/// Runs all workloads with `seeds` seeds and returns the paper's Table 2, and the numbers of
+/// preemptions of its Figure 4.
 pub fn table(seeds: u64) -> String {
     let policies = [
         ("MOV", VictimPreference::LeastWorkLost),
@@ -384,8 +392,8 @@
 
     #[test]
     fn preemption_serves_local_requests_and_mlip_stops_the_fewest() {
-        // Guards against an experiment that shows nothing: the paper's first
-        // finding must come out, and the order of the policies.
+        // Guards against an experiment without effect: preemption must reduce rejections, as in
+        // the paper, and the policies must have the paper's order of preemption counts.
         let workload = rows()[0].1[2].1;
         let sum = |policy| {
             let runs = (0..6).map(|seed| run(&workload, seed, policy));
--- a/crates/umbersail-rehearsal/src/rollouts.rs
+++ b/crates/umbersail-rehearsal/src/rollouts.rs
@@ -12,59 +12,76 @@
 
 use crate::store::Swarm;
 
-/// What goes wrong.
+/// A fault to inject into a rollout.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum Fault {
-    /// The machines that began first die; so many of them.
+    /// The given number of machines, those that started to fetch first, stop for good.
     FirstDie(usize),
-    /// Those send and take so many times slower.
+    /// The given number of machines, those that started to fetch first, transfer slower by the
+    /// given factor.
     FirstSlow(usize, f64),
-    /// This zone is cut off from the others for so many seconds.
+    /// The given zone is partitioned from the others for the given seconds.
     Cut(u16, f64),
+    /// The image store is down for the given seconds.
     StoreOut(f64),
-    /// A successor takes over with what is recorded.
+    /// A new leader takes over and restores its state from the records.
     TakeOver,
-    /// These machines, from the first of the fleet on, give up what they fetch.
+    /// The given number of machines, from the first of the fleet on, cancel their fetches.
     Cancelled(usize),
 }
 
-/// One wave.
+/// Parameters of a rollout.
 #[derive(Debug, Clone)]
 pub struct Rollout {
+    /// Number of machines.
     pub machines: usize,
+    /// Number of zones, to which machines are assigned round-robin.
     pub zones: u16,
+    /// Size of the image in GB.
     pub gb: f64,
+    /// Total bandwidth of the store in GB/s.
     pub store_gb_s: f64,
+    /// Upload bandwidth of a machine in GB/s.
     pub up_gb_s: f64,
+    /// Download bandwidth of a machine in GB/s.
     pub down_gb_s: f64,
+    /// Size of the pieces in which the image is transferred, in GB.
     pub piece_gb: f64,
+    /// Mean interval between the heartbeats of a machine.
     pub report_s: f64,
+    /// Settings of the image distribution.
     pub bounds: Settings,
+    /// Times in seconds and faults to inject.
     pub faults: Vec<(f64, Fault)>,
+    /// Seed that determines all random numbers.
     pub seed: u64,
 }
 
-/// How it went.
+/// Results of a rollout.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Course {
-    /// When half, nine tenths and all of the machines that live had it, in seconds.
+    /// Seconds until half of the surviving machines had the image.
     pub half_s: f64,
+    /// Seconds until nine tenths of the surviving machines had the image.
     pub most_s: f64,
+    /// Seconds until all surviving machines had the image.
     pub all_s: f64,
+    /// Number of machines that have the image at the end.
     pub had: usize,
-    /// What the store sent, in GB.
+    /// Data sent by the store, in GB.
     pub store_gb: f64,
-    /// Fetches begun: more than machines means that some began anew.
+    /// Number of fetches started; exceeds the number of machines if fetches were restarted.
     pub begun: usize,
-    /// Reports decided on.
+    /// Number of heartbeats processed.
     pub reports: usize,
+    /// Length of the longest chain of machines from the store.
     pub hops: u32,
-    /// Processor time of all decisions, in seconds: not the same twice.
+    /// Wall clock time of all decisions, in seconds; differs from run to run.
     pub decided_s: f64,
 }
 
 impl Rollout {
-    /// The defaults of `images.*`, with handing on.
+    /// Returns the default `images.*` settings, with peer-to-peer transfers on or off.
     pub fn bounds(hand_on: bool) -> Settings {
         Settings::from_tuning(&umbersail_tuning::Tuning {
             peer_to_peer_images: f64::from(u8::from(hand_on)),
@@ -72,7 +89,7 @@
         })
     }
 
-    /// No way of spreading it is faster, in seconds.
+    /// Returns the lower bound of the rollout time in seconds, for any way of distribution.
     pub fn bound_s(&self) -> f64 {
         let n = self.machines as f64;
         let spread = n * self.gb / (self.store_gb_s + n * self.up_gb_s);
@@ -80,13 +97,13 @@
         alone.max(spread)
     }
 
-    /// All machines at once from the store, in seconds.
+    /// Returns the rollout time in seconds if all machines fetch from the store at once.
     pub fn from_store_s(&self) -> f64 {
         let n = self.machines as f64;
         (n * self.gb / self.store_gb_s).max(self.gb / self.down_gb_s)
     }
 
-    /// Plays it until all that live have the image, for `most_s` at most.
+    /// Runs until all surviving machines have the image, for at most `most_s` seconds.
     pub fn run(&self, most_s: f64) -> Course {
         let mut run = Run::new(self);
         run.run(most_s);
@@ -98,7 +115,7 @@
 enum Stage {
     Waits,
     Fetches,
-    /// Has it, and a report has not said so yet, or has.
+    /// The machine has the image; `shown` is whether a heartbeat has reported this.
     Has {
         shown: bool,
     },
@@ -290,7 +307,7 @@
                 let records = self.cache_view.records(u32::to_string, usize::to_string);
                 self.cache_view = CacheView::new(self.rollout.bounds.clone());
                 for record in records.values() {
-                    // Names are numbers here.
+                    // Machine names are numbers in this model.
                     let machine = |name: &str| name.parse().unwrap_or(usize::MAX);
                     self.cache_view.restore(now, IMAGE, record, machine);
                 }
