--- a/crates/umbersail-rehearsal/src/cancel_now.rs
+++ b/crates/umbersail-rehearsal/src/cancel_now.rs
@@ -6,7 +6,7 @@
 use rand::Rng;
 use umbersail_runtime::sleep;
 
-use crate::fault::{Stage, name_of};
+use crate::fault::{FaultInjector, name_of};
 use crate::fleet::Machine;
 use crate::history::What;
 use crate::scenario::Failure;
@@ -26,7 +26,7 @@
     machines: Vec<Rc<Machine>>,
 }
 
-impl Stage {
+impl FaultInjector {
     /// Cancels the job that the failure names, or as many as it says of those that have
     /// the longest to go.
     pub(crate) fn cancel_now(self: &Rc<Self>, failure: &Failure) {
--- a/crates/umbersail-rehearsal/src/fault.rs
+++ b/crates/umbersail-rehearsal/src/fault.rs
@@ -37,7 +37,7 @@
 }
 
 /// Everything that faults can affect.
-pub struct Stage {
+pub struct FaultInjector {
     /// The simulated or real world.
     pub world: WorldHandle,
     /// Machines and cloud.
@@ -57,15 +57,15 @@
 }
 
 /// Returns the name of a fault in scenario files.
-pub(crate) fn name_of(trouble: Fault) -> String {
-    let name = serde_json::to_value(trouble).unwrap_or_default();
+pub(crate) fn name_of(fault: Fault) -> String {
+    let name = serde_json::to_value(fault).unwrap_or_default();
     name.as_str().unwrap_or("").to_owned()
 }
 
 /// Reverts a fault when it ends.
-type Undo = Box<dyn FnOnce(&Rc<Stage>)>;
+type Undo = Box<dyn FnOnce(&Rc<FaultInjector>)>;
 
-impl Stage {
+impl FaultInjector {
     /// Returns the random number generator for a seed.
     pub fn rng(seed: u64) -> RefCell<ChaCha8Rng> {
         RefCell::new(ChaCha8Rng::seed_from_u64(seed ^ 0x0074_726f_7562_6c65))
@@ -187,7 +187,7 @@
 
     fn cut(&self, a: &[HostId], b: &[HostId], mode: PartitionMode) -> Undo {
         let cut = self.world.partition(a, b, mode);
-        Box::new(move |stage| stage.world.heal(cut))
+        Box::new(move |injector| injector.world.heal(cut))
     }
 
     /// Returns one of two partition modes with equal probability: hold packets, or reset
@@ -233,10 +233,10 @@
     fn crash(self: &Rc<Self>, whom: Vec<usize>, back_s: f64) {
         for n in whom {
             (self.controllers[n].end)();
-            let stage = self.clone();
+            let injector = self.clone();
             self.world.spawn(async move {
                 sleep(back_s).await;
-                (stage.controllers[n].start)();
+                (injector.controllers[n].start)();
             });
         }
     }
@@ -414,10 +414,10 @@
             }
             Fault::RollingRestart => {
                 let back_s = failure.back_s(&fleet.night.controllers);
-                let stage = self.clone();
+                let injector = self.clone();
                 self.world.spawn(async move {
-                    for n in 0..stage.controllers.len() {
-                        stage.crash(vec![n], back_s);
+                    for n in 0..injector.controllers.len() {
+                        injector.crash(vec![n], back_s);
                         sleep(back_s + ROLL_S).await;
                     }
                 });
@@ -449,7 +449,7 @@
             }
             Fault::StateRefuses => {
                 let whom = self.target_controllers(failure);
-                let set = |s: &Stage, whom: &[usize], refused| {
+                let set = |s: &FaultInjector, whom: &[usize], refused| {
                     whom.iter()
                         .for_each(|n| s.ledger.refused.borrow_mut()[*n] = refused);
                 };
@@ -588,15 +588,15 @@
             (self.controllers[*n].end)();
             self.world.power_off(self.controllers[*n].host);
         }
-        Box::new(move |stage| {
+        Box::new(move |injector| {
             for machine in machines {
                 // The cloud may have deleted the machine in the meantime.
                 if machine.is_up() {
-                    stage.fleet.clone().boot(machine);
+                    injector.fleet.clone().boot(machine);
                 }
             }
             for n in unpowered {
-                (stage.controllers[n].start)();
+                (injector.controllers[n].start)();
             }
         })
     }
@@ -614,10 +614,10 @@
                 continue;
             }
             machine.worker.notice(Some(self.world.now() + wait));
-            let stage = self.clone();
+            let injector = self.clone();
             self.world.spawn(async move {
                 sleep(wait).await;
-                stage.fleet.remove(&machine, "taken");
+                injector.fleet.remove(&machine, "taken");
             });
         }
     }
--- a/crates/umbersail-rehearsal/src/real.rs
+++ b/crates/umbersail-rehearsal/src/real.rs
@@ -75,7 +75,7 @@
     }
 }
 
-/// Plays a night (see [`Scenario::hastened`]) against processes of `program` on
+/// Plays a night (see [`Scenario::accelerated`]) against processes of `program` on
 /// 127.0.0.0/8. Settings and logs of the controllers go to a folder of their own
 /// below the system's folder for temporary files. Time is real: two nights with
 /// the same seed are alike and not the same.
--- a/crates/umbersail-rehearsal/src/rollouts.rs
+++ b/crates/umbersail-rehearsal/src/rollouts.rs
@@ -1,6 +1,6 @@
-//! A model of one wave of a large image over a fleet: the decisions of
-//! `umbersail-images` against the kit's store and workers that hand on, without
-//! controllers, for fleets larger and faults more than a night has room for.
+//! A model of the rollout of a large image to a fleet: the decisions of `umbersail-images` with
+//! the simulated image store and workers that serve images to other workers. The model has no
+//! controllers, so that larger fleets and more faults are possible than in a scenario.
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet, BinaryHeap};
@@ -59,7 +59,7 @@
 
 /// Results of a rollout.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Course {
+pub struct RolloutResult {
     /// Seconds until half of the surviving machines had the image.
     pub half_s: f64,
     /// Seconds until nine tenths of the surviving machines had the image.
@@ -104,10 +104,10 @@
     }
 
     /// Runs until all surviving machines have the image, for at most `most_s` seconds.
-    pub fn run(&self, most_s: f64) -> Course {
+    pub fn run(&self, most_s: f64) -> RolloutResult {
         let mut run = Run::new(self);
         run.run(most_s);
-        run.course()
+        run.result()
     }
 }
 
@@ -329,7 +329,7 @@
         }
     }
 
-    fn course(&self) -> Course {
+    fn result(&self) -> RolloutResult {
         let mut times: Vec<f64> = self.had_at.values().copied().collect();
         times.sort_by(f64::total_cmp);
         let living = self.stage.iter().filter(|s| **s != Stage::Gone).count();
@@ -337,7 +337,7 @@
             let index = ((share * living as f64).ceil() as usize).max(1) - 1;
             times.get(index).copied().unwrap_or(f64::INFINITY)
         };
-        Course {
+        RolloutResult {
             half_s: at(0.5),
             most_s: at(0.9),
             all_s: at(1.0),
--- a/crates/umbersail-rehearsal/src/run.rs
+++ b/crates/umbersail-rehearsal/src/run.rs
@@ -15,7 +15,7 @@
 };
 use umbersail_tuning::Tuning;
 
-use crate::fault::{Controller, Stage};
+use crate::fault::{Controller, FaultInjector};
 use crate::fleet::Fleet;
 use crate::history::{Event, History, What};
 use crate::judge::{Figures, judge};
@@ -295,18 +295,18 @@
     fleet.begin();
     let controllers = begin(&world, &scenario);
     let state = ledger.clone();
-    let stage = Rc::new(Stage {
+    let injector = Rc::new(FaultInjector {
         world: world.clone(),
         fleet: fleet.clone(),
         ledger,
         users: users.clone(),
         controllers,
         regional,
-        rng: Stage::rng(seed),
+        rng: FaultInjector::rng(seed),
         struck: std::cell::RefCell::default(),
     });
     for failure in scenario.failures.clone() {
-        spawn(stage.clone().inject(failure));
+        spawn(injector.clone().inject(failure));
     }
     spawn(fleet.clone().charge());
     spawn(fleet.clone().watch_leases());
--- a/crates/umbersail-rehearsal/src/scenario.rs
+++ b/crates/umbersail-rehearsal/src/scenario.rs
@@ -753,7 +753,7 @@
 
     /// Returns the scenario with all times divided by `times`. Used for real processes, whose
     /// own timeouts are shortened by properties.
-    pub fn hastened(&self, times: f64) -> Scenario {
+    pub fn accelerated(&self, times: f64) -> Scenario {
         let mut scenario = self.clone();
         let quick = |seconds: &mut f64| *seconds /= times;
         quick(&mut scenario.length_s);
--- a/crates/umbersail-rehearsal/tests/waves.rs
+++ b/crates/umbersail-rehearsal/tests/waves.rs
@@ -1,7 +1,7 @@
 //! Waves of large images against the kit's store: how fast they go, and through what.
 
 use umbersail_images::Settings;
-use umbersail_rehearsal::rollouts::{Course, Fault, Rollout};
+use umbersail_rehearsal::rollouts::{Fault, Rollout, RolloutResult};
 
 /// 40 GB, a store of 10 GB/s, machines that send and take 1 GB/s.
 fn wave(machines: usize, faults: &[(f64, Fault)]) -> Rollout {
@@ -21,7 +21,7 @@
 }
 
 /// All that live have it, and nobody began twice.
-fn all_had(wave: &Rollout, gone: usize) -> Course {
+fn all_had(wave: &Rollout, gone: usize) -> RolloutResult {
     let course = wave.run(100_000.0);
     assert_eq!(course.had, wave.machines - gone, "{course:?}");
     assert!(course.begun <= wave.machines, "{course:?}");
--- a/crates/umbersail/src/rehearse.rs
+++ b/crates/umbersail/src/rehearse.rs
@@ -132,7 +132,7 @@
 
     /// Runs the scenario with one seed and prints its summary. Returns whether the run succeeded.
     fn run_once(&self, scenario: &Scenario, text: &str) -> anyhow::Result<bool> {
-        let accelerated = self.real.map(|times| scenario.hastened(times.max(0.1)));
+        let accelerated = self.real.map(|times| scenario.accelerated(times.max(0.1)));
         let (scenario, outcome) = match &accelerated {
             Some(scenario) => (
                 scenario,
