--- a/crates/umbersail-rehearsal/benches/fleet.rs
+++ b/crates/umbersail-rehearsal/benches/fleet.rs
@@ -2,10 +2,10 @@
 //! class that keeps the machines busy, without failures.
 
 use criterion::{BenchmarkId, Criterion, Throughput, criterion_group, criterion_main};
-use umbersail_rehearsal::{Night, play};
+use umbersail_rehearsal::{Scenario, run};
 
 /// A minute of work for so many machines, all of which are up at the start.
-fn minute(machines: usize) -> Night {
+fn minute(machines: usize) -> Scenario {
     let text = format!(
         "title = \"{machines} machines\"\nlength_s = 60\ndrain_s = 1\n\
          [controllers]\ncount = 3\nzones = [\"a\", \"b\"]\nmax_sockets = {sockets}\ncore = 0.5\n\
@@ -22,7 +22,7 @@
         rate = (machines / 12).max(2),
         first = (machines / 20).max(1),
     );
-    Night::parse("bench", &text).expect("the night of the bench is valid")
+    Scenario::parse("bench", &text).expect("the night of the bench is valid")
 }
 
 fn fleets(c: &mut Criterion) {
@@ -30,11 +30,11 @@
     group.sample_size(10);
     for machines in [100, 1000, 4000] {
         let night = minute(machines);
-        let once = play(&night, 1, &mut |_, _| {}).expect("it can be played");
+        let once = run(&night, 1, &mut |_, _| {}).expect("it can be played");
         assert!(once.figures.breaches.is_empty() && once.figures.starts > machines);
         group.throughput(Throughput::Elements(once.packets));
         group.bench_function(BenchmarkId::from_parameter(machines), |b| {
-            b.iter(|| play(&night, 1, &mut |_, _| {}).expect("it can be played"));
+            b.iter(|| run(&night, 1, &mut |_, _| {}).expect("it can be played"));
         });
     }
     group.finish();
--- a/crates/umbersail-rehearsal/src/addresses.rs
+++ b/crates/umbersail-rehearsal/src/addresses.rs
@@ -2,7 +2,7 @@
 
 use std::net::{Ipv4Addr, SocketAddr};
 
-use crate::night::Night;
+use crate::scenario::Scenario;
 
 /// Returns the member name of the controller with this index.
 pub fn member_name(index: usize) -> String {
@@ -49,7 +49,7 @@
 }
 
 /// Returns the zone of the controller with this index.
-pub fn controller_zone(night: &Night, index: usize) -> &str {
+pub fn controller_zone(night: &Scenario, index: usize) -> &str {
     let zones = &night.controllers.zones;
     &zones[index % zones.len()]
 }
--- a/crates/umbersail-rehearsal/src/bound.rs
+++ b/crates/umbersail-rehearsal/src/bound.rs
@@ -12,7 +12,7 @@
 use umbersail_wire::JobSpec;
 
 use crate::history::{EndReason, Event, EventKind};
-use crate::night::{MachineKind, Night, Trouble};
+use crate::scenario::{Fault, MachineKind, Scenario};
 use crate::served::ServedFigures;
 
 /// Length of a time step in seconds.
@@ -62,7 +62,7 @@
 }
 
 /// Computes the bound of a row, or `None` if the program is too large or cannot be solved.
-pub fn bound(night: &Night, events: &[Event], row: &ServedFigures) -> Option<Bound> {
+pub fn bound(night: &Scenario, events: &[Event], row: &ServedFigures) -> Option<Bound> {
     let end = events.last()?.t;
     let jobs = jobs(night, events, row, end);
     Some(Bound {
@@ -72,7 +72,7 @@
 }
 
 /// Collects the jobs that were not cancelled from the history.
-fn jobs(night: &Night, events: &[Event], row: &ServedFigures, end: f64) -> Vec<Job> {
+fn jobs(night: &Scenario, events: &[Event], row: &ServedFigures, end: f64) -> Vec<Job> {
     struct JobTrace<'a> {
         spec: &'a JobSpec,
         submitted_at: f64,
@@ -149,15 +149,15 @@
 
 /// Returns the machine seconds of one kind that are available in a time span: of ordinary
 /// machines, or with `spot` of all.
-fn machine_seconds(night: &Night, kind: &MachineKind, spot: bool, from: f64, to: f64) -> f64 {
+fn machine_seconds(night: &Scenario, kind: &MachineKind, spot: bool, from: f64, to: f64) -> f64 {
     let per_zone = (kind.ordinary + if spot { kind.spot } else { 0 }) as f64;
     let overlap = |a: f64, b: f64| (to.min(b) - from.max(a)).max(0.0);
     let all = per_zone * kind.zones.len() as f64;
     let up = kind.at_start as f64;
     let booting = overlap(0.0, kind.boot_s * MIN_BOOT_SHARE) * (all - up).max(0.0);
-    let is_power_cut = |f: &&crate::night::Failure| {
+    let is_power_cut = |f: &&crate::scenario::Failure| {
         let is_in_zone = f.zone.as_ref().is_some_and(|z| kind.zones.contains(z));
-        f.what == Trouble::PowerCut && is_in_zone
+        f.what == Fault::PowerCut && is_in_zone
     };
     let power_cuts = night.failures.iter().filter(is_power_cut);
     let without_power: f64 = power_cuts
@@ -174,7 +174,7 @@
 /// Groups the jobs into flows. The key is whether the jobs are targets, their class, and the
 /// time steps of their submission and deadline.
 fn flows(
-    night: &Night,
+    night: &Scenario,
     jobs: &[Job],
     with_others: bool,
 ) -> BTreeMap<(bool, String, i64, i64), Flow> {
@@ -213,7 +213,7 @@
 }
 
 /// Returns the largest share of the target jobs that could have been in time.
-fn solve(night: &Night, jobs: &[Job], end: f64, with_others: bool) -> Option<f64> {
+fn solve(night: &Scenario, jobs: &[Job], end: f64, with_others: bool) -> Option<f64> {
     let targets = jobs.iter().filter(|j| j.is_target).count();
     if targets == 0 {
         return None;
@@ -305,9 +305,9 @@
 
     /// Returns a scenario with one machine kind of eight CPUs, four machines that are up from
     /// the start, and none to rent.
-    fn night(cpus_max: f64) -> Night {
+    fn night(cpus_max: f64) -> Scenario {
         let text = bundled("leader-changes-in-outages").unwrap();
-        let mut night = Night::parse("test", text).unwrap();
+        let mut night = Scenario::parse("test", text).unwrap();
         night.failures.clear();
         night.machines.truncate(1);
         let kind = &mut night.machines[0];
@@ -369,7 +369,7 @@
         events
     }
 
-    fn bound_of(night: &Night, events: &[Event]) -> Bound {
+    fn bound_of(night: &Scenario, events: &[Event]) -> Bound {
         let row = ServedFigures {
             group: JobGroup::Class,
             name: "labels".into(),
--- a/crates/umbersail-rehearsal/src/cancel_now.rs
+++ b/crates/umbersail-rehearsal/src/cancel_now.rs
@@ -7,10 +7,10 @@
 use rand::Rng;
 use umbersail_runtime::sleep;
 
+use crate::fault::{FaultInjector, name_of};
 use crate::fleet::Machine;
 use crate::history::EventKind;
-use crate::night::Failure;
-use crate::trouble::{Stage, name_of};
+use crate::scenario::Failure;
 use crate::user_faults::UserCommand;
 
 /// All cancellations are sent within this many seconds.
@@ -27,7 +27,7 @@
     machines: Vec<Rc<Machine>>,
 }
 
-impl Stage {
+impl FaultInjector {
     /// Cancels the job that the fault names or, if it names none, the given number of jobs that
     /// have the longest time left.
     pub(crate) fn cancel_now(self: &Rc<Self>, failure: &Failure) {
--- a/crates/umbersail-rehearsal/src/delays.rs
+++ b/crates/umbersail-rehearsal/src/delays.rs
@@ -15,7 +15,7 @@
 
 use crate::addresses::Addresses;
 use crate::history::{EventKind, History};
-use crate::night::Failure;
+use crate::scenario::Failure;
 
 /// Timeout of connecting and of the reply when a copy is sent, in seconds.
 const CONNECTION_S: f64 = 4.0;
--- a/crates/umbersail-rehearsal/src/trouble.rs
+++ b/crates/umbersail-rehearsal/src/fault.rs
@@ -1,5 +1,4 @@
-//! The script of failures: what each trouble does to the world, and how it is
-//! undone.
+//! Fault injection: what each fault does to the simulated cluster, and how it is reverted.
 
 use std::cell::RefCell;
 use std::collections::BTreeSet;
@@ -14,65 +13,76 @@
 use crate::fleet::{Fleet, Machine};
 use crate::history::EventKind;
 use crate::kv_store_host::KvStoreHost;
-use crate::night::{Failure, ROLL_S, Trouble};
+use crate::scenario::{Failure, Fault, ROLL_S};
 use crate::user_faults::UserCommand;
 use crate::users::Users;
 
-/// Machines that a trouble takes if it does not say how many.
-const USUAL_COUNT: usize = 3;
+/// Default number of machines or jobs that a fault affects.
+const DEFAULT_COUNT: usize = 3;
 
-/// A controller as the script sees it.
+/// A controller, with the operations that faults need.
 pub struct Controller {
+    /// Member name of the controller.
     pub member: String,
+    /// Zone of the controller.
     pub zone: String,
+    /// Simulated host of the controller.
     pub host: HostId,
-    /// Starts and ends its process.
+    /// Starts the process.
     pub start: Box<dyn Fn()>,
+    /// Kills the process.
     pub end: Box<dyn Fn()>,
-    /// Stops a real process for a while, or lets it go on.
+    /// Suspends (`true`) or resumes a real process. `None` in a simulation.
     pub pause: Option<Box<dyn Fn(bool)>>,
 }
 
-/// All that a trouble may touch.
-pub struct Stage {
+/// Everything that faults can affect.
+pub struct FaultInjector {
+    /// The simulated or real world.
     pub world: WorldHandle,
+    /// Machines and cloud.
     pub fleet: Rc<Fleet>,
+    /// The state service.
     pub ledger: Rc<KvStoreHost>,
+    /// Users and the load balancer.
     pub users: Rc<Users>,
+    /// All controllers.
     pub controllers: Vec<Controller>,
-    /// Hosts that belong to no zone: state service, cloud, users.
+    /// Hosts that belong to no zone: state service, cloud and users, in this order.
     pub regional: [HostId; 3],
+    /// Random numbers for the choice of machines and jobs.
     pub rng: RefCell<ChaCha8Rng>,
-    /// Machines that a trouble took, and until when.
+    /// Machines with a fault, and the end of the fault in seconds.
     pub struck: RefCell<Vec<(String, f64)>>,
 }
 
-/// A trouble's name in night files.
-pub(crate) fn name_of(trouble: Trouble) -> String {
-    let name = serde_json::to_value(trouble).unwrap_or_default();
+/// Returns the name of a fault in scenario files.
+pub(crate) fn name_of(fault: Fault) -> String {
+    let name = serde_json::to_value(fault).unwrap_or_default();
     name.as_str().unwrap_or("").to_owned()
 }
 
-/// What is to be undone at a trouble's end.
-type Undo = Box<dyn FnOnce(&Rc<Stage>)>;
+/// Reverts a fault when it ends.
+type Undo = Box<dyn FnOnce(&Rc<FaultInjector>)>;
 
-impl Stage {
+impl FaultInjector {
+    /// Returns the random number generator for a seed.
     pub fn rng(seed: u64) -> RefCell<ChaCha8Rng> {
         RefCell::new(ChaCha8Rng::seed_from_u64(seed ^ 0x0074_726f_7562_6c65))
     }
 
-    /// Plays one failure at its time, for its time.
-    pub async fn play(self: Rc<Self>, failure: Failure) {
+    /// Waits for the start of the fault, applies it, and reverts it when it ends.
+    pub async fn inject(self: Rc<Self>, failure: Failure) {
         sleep(failure.at_s).await;
         let trouble = name_of(failure.what);
-        let tell = |begins| {
+        let record = |begins| {
             let trouble = trouble.clone();
             self.fleet.history.add(EventKind::Fault {
                 fault: trouble,
                 begins,
             });
         };
-        if !self.world.is_simulated() && !failure.what.is_playable_on_loopback() {
+        if !self.world.is_simulated() && !failure.what.can_run_on_loopback() {
             let trouble = format!("{trouble} (left out: not on loopback)");
             self.fleet.history.add(EventKind::Fault {
                 fault: trouble,
@@ -80,17 +90,17 @@
             });
             return;
         }
-        tell(true);
+        record(true);
         let undo = self.begin(&failure);
         if let Some(undo) = undo {
             sleep(failure.for_s).await;
             undo(&self);
         }
-        tell(false);
+        record(false);
     }
 
-    /// Controllers that a failure names, by number.
-    fn whom(&self, failure: &Failure) -> Vec<usize> {
+    /// Returns the indices of the controllers that a failure names.
+    fn target_controllers(&self, failure: &Failure) -> Vec<usize> {
         match failure.who.as_deref() {
             Some("all") | None => (0..self.controllers.len()).collect(),
             Some("leader") => {
@@ -134,9 +144,9 @@
         controllers.chain(self.machine_hosts(Some(zone))).collect()
     }
 
-    /// Machines that are up, drawn by lot, those that do something first.
-    fn victims(&self, failure: &Failure, spot: Option<bool>) -> Vec<Rc<Machine>> {
-        let count = failure.count.unwrap_or(USUAL_COUNT);
+    /// Chooses running machines at random, from those with tasks if there are enough.
+    fn choose_machines(&self, failure: &Failure, spot: Option<bool>) -> Vec<Rc<Machine>> {
+        let count = failure.count.unwrap_or(DEFAULT_COUNT);
         let fits = |m: &Rc<Machine>| {
             spot.is_none_or(|s| s == m.spot) && failure.zone.as_ref().is_none_or(|z| *z == m.zone)
         };
@@ -162,7 +172,7 @@
         victims
     }
 
-    /// The same failure with the number of machines that its zone or share makes.
+    /// Returns the failure with `count` computed from its share or zone.
     fn with_count(&self, failure: &Failure) -> Failure {
         let here = |m: &&Rc<Machine>| failure.zone.as_ref().is_none_or(|z| *z == m.zone);
         let up = self.fleet.up().iter().filter(here).count();
@@ -180,11 +190,12 @@
 
     fn cut(&self, a: &[HostId], b: &[HostId], mode: PartitionMode) -> Undo {
         let cut = self.world.partition(a, b, mode);
-        Box::new(move |stage| stage.world.heal(cut))
+        Box::new(move |injector| injector.world.heal(cut))
     }
 
-    /// Packets of a cut are held as often as not.
-    fn some_mode(&self) -> PartitionMode {
+    /// Returns one of two partition modes with equal probability: hold packets, or reset
+    /// connections.
+    fn random_partition_mode(&self) -> PartitionMode {
         match self.rng.borrow_mut().random_bool(0.5) {
             true => PartitionMode::Hold,
             false => PartitionMode::Reset,
@@ -200,9 +211,9 @@
         }
     }
 
-    /// Machines stop with all that is on them, for good or for a while.
+    /// Stops machines with their tasks. Machines restart after `back_s`, if it is set.
     fn stop_machines(self: &Rc<Self>, failure: &Failure) {
-        for machine in self.victims(failure, None) {
+        for machine in self.choose_machines(failure, None) {
             let Some(back_s) = failure.back_s else {
                 self.fleet.fail(&machine);
                 continue;
@@ -214,7 +225,7 @@
             let fleet = self.fleet.clone();
             self.world.spawn(async move {
                 sleep(back_s).await;
-                // Meanwhile the cloud may have been told to delete it.
+                // The cloud may have deleted the machine in the meantime.
                 if machine.is_up() {
                     fleet.boot(machine);
                 }
@@ -225,18 +236,18 @@
     fn crash(self: &Rc<Self>, whom: Vec<usize>, back_s: f64) {
         for n in whom {
             (self.controllers[n].end)();
-            let stage = self.clone();
+            let injector = self.clone();
             self.world.spawn(async move {
                 sleep(back_s).await;
-                (stage.controllers[n].start)();
+                (injector.controllers[n].start)();
             });
         }
     }
 
-    /// Asks users to cancel running jobs, evenly over the failure's time.
+    /// Lets users cancel running jobs, evenly distributed over the duration of the fault.
     async fn sweep_cancellations(self: Rc<Self>, failure: Failure) {
-        let count = failure.count.unwrap_or(USUAL_COUNT).max(1);
-        let controllers = self.whom(&failure);
+        let count = failure.count.unwrap_or(DEFAULT_COUNT).max(1);
+        let controllers = self.target_controllers(&failure);
         for controller in controllers.iter().cycle().take(count) {
             let waits = (self.rng.borrow_mut()).random_bool(failure.share.unwrap_or(0.0));
             if let Some(job) = self.job_to_cancel(waits) {
@@ -246,8 +257,8 @@
         }
     }
 
-    /// A job whose user can be asked, drawn by lot: one that runs, on a machine in trouble
-    /// if there is any, or one of which nothing runs.
+    /// Chooses a job to cancel at random: with `waits`, a job without running tasks; otherwise
+    /// a running job, on a machine with a fault if there is one.
     fn job_to_cancel(&self, waits: bool) -> Option<String> {
         let now = self.world.now();
         let struck = self.struck.borrow();
@@ -256,62 +267,62 @@
             struck.iter().any(its)
         };
         let open: BTreeSet<String> = self.users.cancellations.idle_jobs().into_iter().collect();
-        let (mut running, mut in_trouble) = (BTreeSet::new(), BTreeSet::new());
+        let (mut running, mut on_faulty_machine) = (BTreeSet::new(), BTreeSet::new());
         for machine in self.fleet.up() {
             let mut jobs = machine.worker.running_jobs();
             jobs.retain(|job| open.contains(job));
             if is_struck(&machine) {
-                in_trouble.extend(jobs.iter().cloned());
+                on_faulty_machine.extend(jobs.iter().cloned());
             }
             running.extend(jobs);
         }
-        let from = match in_trouble.is_empty() {
+        let from = match on_faulty_machine.is_empty() {
             _ if waits => &open - &running,
             true => running,
-            false => in_trouble,
+            false => on_faulty_machine,
         };
         let from: Vec<String> = from.into_iter().collect();
         from.choose(&mut *self.rng.borrow_mut()).cloned()
     }
 
-    /// Does it; what must be undone comes back.
+    /// Applies the fault. Returns the function that reverts it, if it has an end.
     fn begin(self: &Rc<Self>, failure: &Failure) -> Option<Undo> {
         let fleet = &self.fleet;
         let times = failure.times.unwrap_or(1.0);
         match failure.what {
-            Trouble::BootsLate => {
+            Fault::BootsLate => {
                 fleet.parameters.boot_factor.set(times);
                 Some(Box::new(|s| s.fleet.parameters.boot_factor.set(1.0)))
             }
-            Trouble::BootsNever => {
+            Fault::BootsNever => {
                 fleet.parameters.boots_never.set(true);
                 Some(Box::new(|s| s.fleet.parameters.boots_never.set(false)))
             }
-            Trouble::BootsQuick => {
+            Fault::BootsQuick => {
                 fleet.parameters.boots_quick.set(true);
                 Some(Box::new(|s| s.fleet.parameters.boots_quick.set(false)))
             }
-            Trouble::RentalsLate => {
+            Fault::RentalsLate => {
                 let late = DelayFault::new(failure);
                 fleet.parameters.rental_delay.set(Some(late));
                 Some(Box::new(|s| s.fleet.parameters.rental_delay.set(None)))
             }
-            Trouble::Burst => {
+            Fault::Burst => {
                 let class = failure.class.clone().unwrap_or_default();
                 self.users.bursts.borrow_mut().insert(class.clone(), times);
                 Some(Box::new(move |s| {
                     s.users.bursts.borrow_mut().remove(&class);
                 }))
             }
-            Trouble::MachinesFailTasks => {
-                let victims = self.victims(failure, None);
+            Fault::MachinesFailTasks => {
+                let victims = self.choose_machines(failure, None);
                 victims.iter().for_each(|m| m.worker.faulty.set(true));
                 Some(Box::new(move |_| {
                     victims.iter().for_each(|m| m.worker.faulty.set(false));
                 }))
             }
-            Trouble::MachinesSlow => {
-                let victims = self.victims(failure, None);
+            Fault::MachinesSlow => {
+                let victims = self.choose_machines(failure, None);
                 victims
                     .iter()
                     .for_each(|m| m.worker.slowdown.set(times.max(1.0)));
@@ -319,32 +330,35 @@
                     victims.iter().for_each(|m| m.worker.slowdown.set(1.0));
                 }))
             }
-            Trouble::MachinesCut => {
-                let victims: Vec<HostId> =
-                    self.victims(failure, None).iter().map(|m| m.host).collect();
-                Some(self.cut(&victims, &self.all_hosts(), self.some_mode()))
+            Fault::MachinesCut => {
+                let victims: Vec<HostId> = self
+                    .choose_machines(failure, None)
+                    .iter()
+                    .map(|m| m.host)
+                    .collect();
+                Some(self.cut(&victims, &self.all_hosts(), self.random_partition_mode()))
             }
-            Trouble::MachinesDeaf => {
-                let victims = self.victims(failure, None);
+            Fault::MachinesDeaf => {
+                let victims = self.choose_machines(failure, None);
                 victims.iter().for_each(|m| m.worker.unreachable.set(true));
                 Some(Box::new(move |_| {
                     victims.iter().for_each(|m| m.worker.unreachable.set(false));
                 }))
             }
-            Trouble::MachinesMute => {
-                let victims = self.victims(&self.with_count(failure), None);
+            Fault::MachinesMute => {
+                let victims = self.choose_machines(&self.with_count(failure), None);
                 victims.iter().for_each(|m| m.worker.cannot_send.set(true));
                 Some(Box::new(move |_| {
                     victims.iter().for_each(|m| m.worker.cannot_send.set(false));
                 }))
             }
-            Trouble::CommandAnswersLate => {
+            Fault::CommandAnswersLate => {
                 fleet
                     .command_reply_delay
                     .set(Some(DelayFault::new(failure)));
                 Some(Box::new(|s| s.fleet.command_reply_delay.set(None)))
             }
-            Trouble::ReportsLate => {
+            Fault::ReportsLate => {
                 let late = DelayFault::new(failure);
                 if failure.for_next == Some(true) {
                     (fleet.heartbeat_copies).begin_keeping(
@@ -361,20 +375,20 @@
                 (fleet.heartbeat_copies).begin(&self.world, fleet.controller_addrs(), late);
                 Some(Box::new(|s| s.fleet.heartbeat_copies.end()))
             }
-            Trouble::CommandsLate => {
+            Fault::CommandsLate => {
                 fleet.command_delay.set(Some(DelayFault::new(failure)));
                 Some(Box::new(|s| s.fleet.command_delay.set(None)))
             }
-            Trouble::CancelSweep => {
+            Fault::CancelSweep => {
                 self.world
                     .spawn(self.clone().sweep_cancellations(failure.clone()));
                 Some(Box::new(|_| {}))
             }
-            Trouble::MachinesStop => {
+            Fault::MachinesStop => {
                 self.stop_machines(failure);
                 None
             }
-            Trouble::WorkerDiesMidJob => {
+            Fault::WorkerDiesMidJob => {
                 let one = Failure {
                     count: Some(failure.count.unwrap_or(1)),
                     ..failure.clone()
@@ -382,8 +396,8 @@
                 self.stop_machines(&one);
                 None
             }
-            Trouble::MachinesHang => {
-                let victims = self.victims(failure, None);
+            Fault::MachinesHang => {
+                let victims = self.choose_machines(failure, None);
                 victims.iter().for_each(|m| self.world.freeze(m.host));
                 let hung_s = failure.for_s;
                 Some(Box::new(move |s| {
@@ -393,69 +407,69 @@
                     }
                 }))
             }
-            Trouble::PowerCut => Some(self.cut_power(failure)),
-            Trouble::SpotWave => {
-                self.take_spot(failure);
+            Fault::PowerCut => Some(self.cut_power(failure)),
+            Fault::SpotWave => {
+                self.reclaim_spot_machines(failure);
                 None
             }
-            Trouble::CapacityShrinks => {
+            Fault::CapacityShrinks => {
                 fleet
                     .parameters
                     .capacity_share
                     .set(failure.share.unwrap_or(1.0));
                 Some(Box::new(|s| s.fleet.parameters.capacity_share.set(1.0)))
             }
-            Trouble::ControllerCrash => {
+            Fault::ControllerCrash => {
                 let back_s = failure.back_s(&fleet.night.controllers);
-                self.crash(self.whom(failure), back_s);
+                self.crash(self.target_controllers(failure), back_s);
                 None
             }
-            Trouble::RollingRestart => {
+            Fault::RollingRestart => {
                 let back_s = failure.back_s(&fleet.night.controllers);
-                let stage = self.clone();
+                let injector = self.clone();
                 self.world.spawn(async move {
-                    for n in 0..stage.controllers.len() {
-                        stage.crash(vec![n], back_s);
+                    for n in 0..injector.controllers.len() {
+                        injector.crash(vec![n], back_s);
                         sleep(back_s + ROLL_S).await;
                     }
                 });
                 None
             }
-            Trouble::ControllerCut => {
-                let whom = self.hosts(&self.whom(failure));
-                Some(self.cut(&whom, &self.all_hosts(), self.some_mode()))
+            Fault::ControllerCut => {
+                let whom = self.hosts(&self.target_controllers(failure));
+                Some(self.cut(&whom, &self.all_hosts(), self.random_partition_mode()))
             }
-            Trouble::ControllerSilent => {
-                let whom = self.hosts(&self.whom(failure));
+            Fault::ControllerSilent => {
+                let whom = self.hosts(&self.target_controllers(failure));
                 Some(self.cut(&whom, &self.all_hosts(), PartitionMode::Hold))
             }
-            Trouble::ControllerCutFromState => {
-                let whom = self.hosts(&self.whom(failure));
-                Some(self.cut(&whom, &self.regional[..1], self.some_mode()))
+            Fault::ControllerCutFromState => {
+                let whom = self.hosts(&self.target_controllers(failure));
+                Some(self.cut(&whom, &self.regional[..1], self.random_partition_mode()))
             }
-            Trouble::ControllerCutFromWorkers => {
-                let whom = self.hosts(&self.whom(failure));
+            Fault::ControllerCutFromWorkers => {
+                let whom = self.hosts(&self.target_controllers(failure));
                 let mut workers = self.machine_hosts(None);
                 workers.extend(fleet.heartbeat_copies.host());
-                Some(self.cut(&whom, &workers, self.some_mode()))
+                Some(self.cut(&whom, &workers, self.random_partition_mode()))
             }
-            Trouble::ControllerIsolated => {
-                let whom = self.hosts(&self.whom(failure));
+            Fault::ControllerIsolated => {
+                let whom = self.hosts(&self.target_controllers(failure));
                 let mut others: Vec<HostId> = self.controllers.iter().map(|c| c.host).collect();
                 others.push(self.regional[0]);
-                Some(self.cut(&whom, &others, self.some_mode()))
+                Some(self.cut(&whom, &others, self.random_partition_mode()))
             }
-            Trouble::StateRefuses => {
-                let whom = self.whom(failure);
-                let set = |s: &Stage, whom: &[usize], refused| {
+            Fault::StateRefuses => {
+                let whom = self.target_controllers(failure);
+                let set = |s: &FaultInjector, whom: &[usize], refused| {
                     whom.iter()
                         .for_each(|n| s.ledger.refused.borrow_mut()[*n] = refused);
                 };
                 set(self, &whom, true);
                 Some(Box::new(move |s| set(s, &whom, false)))
             }
-            Trouble::ControllerSlow => {
-                let whom = self.whom(failure);
+            Fault::ControllerSlow => {
+                let whom = self.target_controllers(failure);
                 for n in &whom {
                     self.world.set_slowdown(self.controllers[*n].host, times);
                 }
@@ -465,38 +479,38 @@
                     }
                 }))
             }
-            Trouble::ControllerFreezes => {
-                let whom = self.whom(failure);
+            Fault::ControllerFreezes => {
+                let whom = self.target_controllers(failure);
                 whom.iter().for_each(|n| self.pause(*n, true));
                 Some(Box::new(move |s| {
                     whom.iter().for_each(|n| s.pause(*n, false))
                 }))
             }
-            Trouble::ClockSkew => {
-                let whom = self.hosts(&self.whom(failure));
+            Fault::ClockSkew => {
+                let whom = self.hosts(&self.target_controllers(failure));
                 let skew_ms = fleet.night.controllers.skew_ms * times;
                 whom.iter().for_each(|h| self.world.set_skew(*h, skew_ms));
                 Some(Box::new(move |s| {
                     whom.iter().for_each(|h| s.world.set_skew(*h, 0.0))
                 }))
             }
-            Trouble::PeersRefused => {
-                let all = self.hosts(&self.whom(failure));
+            Fault::PeersRefused => {
+                let all = self.hosts(&self.target_controllers(failure));
                 Some(self.cut(&all, &all, PartitionMode::Refuse))
             }
-            Trouble::ControllersApart => {
-                let all = self.hosts(&self.whom(failure));
+            Fault::ControllersApart => {
+                let all = self.hosts(&self.target_controllers(failure));
                 Some(self.cut(&all, &all, PartitionMode::Hold))
             }
-            Trouble::StateDown => {
+            Fault::StateDown => {
                 self.ledger.set_down(true);
                 Some(Box::new(|s| s.ledger.set_down(false)))
             }
-            Trouble::StateSlow => {
+            Fault::StateSlow => {
                 self.ledger.slow_s.set(0.1 * times);
                 Some(Box::new(|s| s.ledger.slow_s.set(0.0)))
             }
-            Trouble::LateWrites => {
+            Fault::LateWrites => {
                 let ledger = &self.ledger;
                 let share = match failure.at_once {
                     true => &ledger.lost_answer_share,
@@ -509,7 +523,7 @@
                     false => s.ledger.late_share.set(0.0),
                 }))
             }
-            Trouble::CloseLooks => {
+            Fault::CloseLooks => {
                 fleet.completions.is_watched.set(true);
                 match failure.job.clone() {
                     Some(job) => self
@@ -520,39 +534,39 @@
                 }
                 Some(Box::new(|s| s.users.faults.query_bursts.set(false)))
             }
-            Trouble::OddRequests => {
+            Fault::OddRequests => {
                 self.users.faults.sends_odd_requests.set(true);
                 self.users.faults.issue(UserCommand::SendOddRequests);
                 Some(Box::new(|s| s.users.faults.sends_odd_requests.set(false)))
             }
-            Trouble::CancelAtEnd => {
+            Fault::CancelAtEnd => {
                 fleet.completions.is_watched.set(true);
                 let late = Some(DelayFault::new(failure));
                 self.users.faults.cancelled_at_end.set(late);
                 Some(Box::new(|s| s.users.faults.cancelled_at_end.set(None)))
             }
-            Trouble::CancelNow => {
+            Fault::CancelNow => {
                 self.cancel_now(failure);
                 None
             }
-            Trouble::LinksSlow => {
+            Fault::LinksSlow => {
                 let usual = NetworkConfig::default();
                 self.world.set_network(NetworkConfig {
                     latency_s: usual.latency_s + times / 1000.0,
-                    // Half of what is added varies.
+                    // Half of the added latency is jitter.
                     jitter_s: usual.jitter_s + times / 2000.0,
                     loss: failure.share.unwrap_or(usual.loss),
                     ..usual
                 });
                 Some(Box::new(move |s| s.world.set_network(usual)))
             }
-            Trouble::ZoneCut => {
+            Fault::ZoneCut => {
                 let inside = self.zone_hosts(failure.zone.as_deref().unwrap_or(""));
                 let mut outside = self.all_hosts();
                 outside.retain(|h| !inside.contains(h));
-                Some(self.cut(&inside, &outside, self.some_mode()))
+                Some(self.cut(&inside, &outside, self.random_partition_mode()))
             }
-            Trouble::ZonesApart => {
+            Fault::ZonesApart => {
                 let zones = &fleet.night.controllers.zones;
                 let first = self.zone_hosts(&zones[0]);
                 let mut others: Vec<HostId> = self.controllers.iter().map(|c| c.host).collect();
@@ -563,8 +577,8 @@
         }
     }
 
-    /// Machines and controllers of a zone stop; the machines come back cold, with
-    /// no task and no image, and go on under their names.
+    /// Stops all machines and controllers of a zone. The machines restart without tasks and
+    /// cached images, and keep their names.
     fn cut_power(self: &Rc<Self>, failure: &Failure) -> Undo {
         let zone = failure.zone.clone().unwrap_or_default();
         let machines: Vec<Rc<Machine>> = self
@@ -579,46 +593,46 @@
                 .lose_all(&self.fleet, crate::history::EndReason::Gone);
             self.world.power_off(machine.host);
         }
-        let dark = self
+        let unpowered = self
             .controllers
             .iter()
             .enumerate()
             .filter(|(_, c)| c.zone == zone);
-        let dark: Vec<usize> = dark.map(|(n, _)| n).collect();
-        for n in &dark {
+        let unpowered: Vec<usize> = unpowered.map(|(n, _)| n).collect();
+        for n in &unpowered {
             (self.controllers[*n].end)();
             self.world.power_off(self.controllers[*n].host);
         }
-        Box::new(move |stage| {
+        Box::new(move |injector| {
             for machine in machines {
-                // Meanwhile the cloud may have been told to delete it.
+                // The cloud may have deleted the machine in the meantime.
                 if machine.is_up() {
-                    stage.fleet.clone().boot(machine);
+                    injector.fleet.clone().boot(machine);
                 }
             }
-            for n in dark {
-                (stage.controllers[n].start)();
+            for n in unpowered {
+                (injector.controllers[n].start)();
             }
         })
     }
 
-    /// Spot machines are taken back, one in five of them without notice.
-    fn take_spot(self: &Rc<Self>, failure: &Failure) {
+    /// Reclaims spot machines, one in five of them without notice.
+    fn reclaim_spot_machines(self: &Rc<Self>, failure: &Failure) {
         let notice_s = self.fleet.night.workers.notice_s;
-        for machine in self.victims(failure, Some(true)) {
-            let (told, wait) = {
+        for machine in self.choose_machines(failure, Some(true)) {
+            let (has_notice, wait) = {
                 let mut rng = self.rng.borrow_mut();
                 (rng.random_bool(0.8), notice_s * rng.random_range(0.5..1.5))
             };
-            if !told {
+            if !has_notice {
                 self.fleet.remove(&machine, "taken");
                 continue;
             }
             machine.worker.set_notice(Some(self.world.now() + wait));
-            let stage = self.clone();
+            let injector = self.clone();
             self.world.spawn(async move {
                 sleep(wait).await;
-                stage.fleet.remove(&machine, "taken");
+                injector.fleet.remove(&machine, "taken");
             });
         }
     }
--- a/crates/umbersail-rehearsal/src/fleet.rs
+++ b/crates/umbersail-rehearsal/src/fleet.rs
@@ -23,7 +23,7 @@
 use crate::history::{EndReason, EventKind, History};
 use crate::image_store::ImageStore;
 use crate::kv_store_host::{answer, wide_limits};
-use crate::night::{MachineKind, Night};
+use crate::scenario::{MachineKind, Scenario};
 use crate::user_faults::Completions;
 use crate::worker::Worker;
 
@@ -98,7 +98,7 @@
     /// The history of the run.
     pub history: History,
     /// The scenario.
-    pub night: Rc<Night>,
+    pub night: Rc<Scenario>,
     /// What injected faults have changed about the cloud.
     pub parameters: Parameters,
     /// All machines ever rented, by name.
@@ -140,7 +140,7 @@
     pub fn new(
         world: WorldHandle,
         history: History,
-        night: Rc<Night>,
+        night: Rc<Scenario>,
         seed: u64,
         controllers: Vec<(String, SocketAddr)>,
     ) -> Rc<Fleet> {
--- a/crates/umbersail-rehearsal/src/image_store.rs
+++ b/crates/umbersail-rehearsal/src/image_store.rs
@@ -16,7 +16,7 @@
 use umbersail_runtime::{Broadcast, WorldHandle, sleep};
 
 use crate::history::{Event, EventKind, History};
-use crate::night::Store;
+use crate::scenario::Store;
 use crate::worker::Worker;
 
 /// Seconds until a reader notices that a source is lost.
--- a/crates/umbersail-rehearsal/src/judge/mod.rs
+++ b/crates/umbersail-rehearsal/src/judge/mod.rs
@@ -8,8 +8,8 @@
 
 use crate::answers::{QueryFigures, QueryTracker};
 use crate::history::{Event, EventKind, Question};
-use crate::night::Night;
 use crate::runs::{self, CalendarRunFigures};
+use crate::scenario::Scenario;
 use crate::served::ServedFigures;
 
 mod monotonic;
@@ -189,7 +189,7 @@
 
 /// Applies the events of a history in order, and collects breaches and figures.
 struct Checker<'a> {
-    night: &'a Night,
+    night: &'a Scenario,
     jobs: BTreeMap<String, JobState>,
     machines: BTreeMap<String, MachineState>,
     /// Where each task runs now.
@@ -235,7 +235,7 @@
 }
 
 /// Evaluates a run by its history.
-pub fn evaluate(night: &Night, events: &[Event]) -> Figures {
+pub fn evaluate(night: &Scenario, events: &[Event]) -> Figures {
     let mut checker = Checker {
         night,
         jobs: BTreeMap::new(),
@@ -243,7 +243,7 @@
         placements: BTreeMap::new(),
         team_cpus: BTreeMap::new(),
         last_answer_at: 0.0,
-        queries: QueryTracker::new(night.troubles_over_s()),
+        queries: QueryTracker::new(night.faults_over_s()),
         unresolved: Vec::new(),
         machine_faulted_at: BTreeMap::new(),
         useful_cpu_s: 0.0,
--- a/crates/umbersail-rehearsal/src/judge/objectives.rs
+++ b/crates/umbersail-rehearsal/src/judge/objectives.rs
@@ -3,7 +3,7 @@
 
 use super::{Checker, Figures, JobState, ObjectiveResult, Rule};
 use crate::answers::QueryTracker;
-use crate::night::Aim;
+use crate::scenario::Objective;
 use crate::served;
 
 impl Checker<'_> {
@@ -74,7 +74,7 @@
         self.figures.served = served::served_figures(counted, end);
         let queries = std::mem::replace(&mut self.queries, QueryTracker::new(0.0));
         self.figures.answers = queries.finish();
-        let objectives = self.night.aims.clone();
+        let objectives = self.night.objectives.clone();
         for objective in &objectives {
             let result = self.objective_result(objective, end);
             self.figures.objectives.push(result);
@@ -83,7 +83,7 @@
     }
 
     /// Computes the value that the run reached for an objective.
-    fn objective_result(&self, objective: &Aim, end: f64) -> ObjectiveResult {
+    fn objective_result(&self, objective: &Objective, end: f64) -> ObjectiveResult {
         let share = |hits: usize, of: usize| {
             if of == 0 {
                 1.0
@@ -102,7 +102,7 @@
             self.jobs.values().filter(is_counted)
         };
         match objective {
-            Aim::Deadline {
+            Objective::Deadline {
                 class,
                 times,
                 share: target,
@@ -128,7 +128,7 @@
                     met: value >= *target,
                 }
             }
-            Aim::Wait {
+            Objective::Wait {
                 class,
                 within_s,
                 share: target,
@@ -152,7 +152,7 @@
                     met: value >= *target,
                 }
             }
-            Aim::Submit {
+            Objective::Submit {
                 within_ms,
                 share: target,
             } => {
@@ -174,14 +174,14 @@
                     met: value >= *target,
                 }
             }
-            Aim::Useful { share: target } => ObjectiveResult {
+            Objective::Useful { share: target } => ObjectiveResult {
                 objective: "useful".into(),
                 value: self.figures.useful,
                 target: *target,
                 count: self.figures.machines,
                 met: self.figures.useful >= *target,
             },
-            Aim::Price { most } => ObjectiveResult {
+            Objective::Price { most } => ObjectiveResult {
                 objective: "price".into(),
                 value: self.figures.price,
                 target: *most,
--- a/crates/umbersail-rehearsal/src/judge/waiting.rs
+++ b/crates/umbersail-rehearsal/src/judge/waiting.rs
@@ -6,7 +6,7 @@
 use umbersail_wire::JobSpec;
 
 use crate::history::{EndReason, Event, EventKind};
-use crate::night::Night;
+use crate::scenario::Scenario;
 
 /// How many seconds a job may wait while a machine has room for it.
 const MAX_WAIT_S: f64 = 90.0;
@@ -77,7 +77,7 @@
 
 /// Tracks the free resources of the machines and the jobs that wait for them.
 struct Tracker<'a> {
-    night: &'a Night,
+    night: &'a Scenario,
     machines: BTreeMap<String, Machine>,
     jobs: BTreeMap<String, Job>,
     steps: BTreeMap<String, StepKey>,
@@ -91,9 +91,9 @@
 }
 
 /// Returns the jobs that were left waiting for [`MAX_WAIT_S`] after all faults had ended.
-pub(super) fn find_left_waiting(night: &Night, events: &[Event]) -> Vec<LeftWaiting> {
+pub(super) fn find_left_waiting(night: &Scenario, events: &[Event]) -> Vec<LeftWaiting> {
     let mut tracker = tracker(night);
-    let faults_end_s = night.troubles_over_s();
+    let faults_end_s = night.faults_over_s();
     for (index, event) in events.iter().enumerate() {
         tracker.apply(event);
         if event.t >= faults_end_s && matches!(event.what, EventKind::UsageSample { .. }) {
@@ -103,7 +103,7 @@
     tracker.found
 }
 
-fn tracker(night: &Night) -> Tracker<'_> {
+fn tracker(night: &Scenario) -> Tracker<'_> {
     Tracker {
         night,
         machines: BTreeMap::new(),
--- a/crates/umbersail-rehearsal/src/judge/waiting/tests.rs
+++ b/crates/umbersail-rehearsal/src/judge/waiting/tests.rs
@@ -112,11 +112,11 @@
 /// Returns when the job was reported as left waiting. The last fault ends at 20 s.
 fn left_at(case: Case) -> Vec<f64> {
     let text = bundled("zone-power-loss-cold-caches").unwrap();
-    let mut night = Night::parse("test", text).unwrap();
+    let mut night = Scenario::parse("test", text).unwrap();
     night.teams[0].cpus_max = case.cpus_max;
     night.failures.truncate(1);
     (night.failures[0].at_s, night.failures[0].back_s) = (20.0, None);
-    assert!((night.troubles_over_s() - 20.0).abs() < 1e-9);
+    assert!((night.faults_over_s() - 20.0).abs() < 1e-9);
     let up = |machine: &str| EventKind::Up {
         machine: machine.into(),
     };
@@ -296,7 +296,7 @@
 #[test]
 fn the_calendar_holds_a_step_until_the_preceding_one_has_ended_or_the_run_is_due() {
     let text = bundled("calendar-runs-leader-changes").unwrap();
-    let mut night = Night::parse("test", text).unwrap();
+    let mut night = Scenario::parse("test", text).unwrap();
     night.failures.clear();
     night.runs.truncate(1);
     let run = &night.runs[0];
--- a/crates/umbersail-rehearsal/src/real.rs
+++ b/crates/umbersail-rehearsal/src/real.rs
@@ -13,9 +13,9 @@
 use umbersail_runtime::{HostSpec, Runtime, WorldHandle};
 
 use crate::addresses::{Addresses, controller_zone, member_name};
-use crate::night::Night;
-use crate::play::{Outcome, PlayError, direct, properties_text, settings_text};
-use crate::trouble::Controller;
+use crate::fault::Controller;
+use crate::run::{Outcome, RunError, execute, properties_text, settings_text};
+use crate::scenario::Scenario;
 
 /// The process of a controller. Dropping this kills the process.
 struct Process {
@@ -76,14 +76,14 @@
     }
 }
 
-/// Runs a scenario (see [`Night::hastened`]) with processes of `program` on 127.0.0.0/8.
+/// Runs a scenario (see [`Scenario::accelerated`]) with processes of `program` on 127.0.0.0/8.
 /// Settings and logs of the controllers are in a directory of their own in the system's
 /// directory for temporary files. Because time is real, two runs with the same seed are similar
 /// but not identical.
 ///
 /// # Errors
 /// If the directory cannot be written or the runtime cannot be started.
-pub fn run_real(night: &Night, seed: u64, program: &Path) -> Result<Outcome, PlayError> {
+pub fn run_real(night: &Scenario, seed: u64, program: &Path) -> Result<Outcome, RunError> {
     let dir = std::env::temp_dir().join(format!("umbersail-rehearsal-{}", std::process::id()));
     std::fs::create_dir_all(&dir)?;
     let at = Addresses { simulated: false };
@@ -103,14 +103,19 @@
     let (handle, program, folder) = (world.clone(), program.to_owned(), dir);
     let events = runtime.block_on(async move {
         let begin =
-            |world: &WorldHandle, night: &Night| controllers(world, night, &program, &folder);
-        direct(handle, scenario, seed, begin, told).await
+            |world: &WorldHandle, night: &Scenario| controllers(world, night, &program, &folder);
+        execute(handle, scenario, seed, begin, told).await
     })?;
     Ok(Outcome::of(night, seed, events, &world))
 }
 
 /// Starts all controllers and returns handles that the faults use.
-fn controllers(world: &WorldHandle, night: &Night, program: &Path, dir: &Path) -> Vec<Controller> {
+fn controllers(
+    world: &WorldHandle,
+    night: &Scenario,
+    program: &Path,
+    dir: &Path,
+) -> Vec<Controller> {
     let at = Addresses { simulated: false };
     let build = |n: usize| {
         let process = Rc::new(Process {
--- a/crates/umbersail-rehearsal/src/report.rs
+++ b/crates/umbersail-rehearsal/src/report.rs
@@ -13,8 +13,8 @@
 use crate::bound;
 use crate::history::{Event, EventKind, lines};
 use crate::judge::{Breach, Figures};
-use crate::night::Night;
-use crate::play::Outcome;
+use crate::run::Outcome;
+use crate::scenario::Scenario;
 
 /// Version of the archive layout.
 const ARCHIVE_VERSION: u32 = 1;
@@ -32,7 +32,7 @@
 }
 
 /// Returns a summary of a run for a terminal. Its last line is `outcome <hash>`.
-pub fn summary(night: &Night, outcome: &Outcome) -> String {
+pub fn summary(night: &Scenario, outcome: &Outcome) -> String {
     let f = &outcome.figures;
     let mut out = String::new();
     // Writing to a String cannot fail.
@@ -175,7 +175,7 @@
 ///
 /// # Errors
 /// If the directory or a file cannot be written.
-pub fn write(dir: &Path, night: &Night, night_text: &str, outcome: &Outcome) -> io::Result<()> {
+pub fn write(dir: &Path, night: &Scenario, night_text: &str, outcome: &Outcome) -> io::Result<()> {
     fs::create_dir_all(dir)?;
     let figures = serde_json::to_vec_pretty(&outcome.figures)?;
     fs::write(dir.join("figures.json"), &figures)?;
@@ -279,7 +279,7 @@
 }
 
 /// Returns the report as one HTML page without external resources.
-fn html_page(night: &Night, outcome: &Outcome) -> String {
+fn html_page(night: &Scenario, outcome: &Outcome) -> String {
     let (mut cpus, mut waiting, mut ordinary, mut spot, mut done) = (
         Curve::new(),
         Curve::new(),
--- a/crates/umbersail-rehearsal/src/waves.rs
+++ b/crates/umbersail-rehearsal/src/rollouts.rs
@@ -1,6 +1,6 @@
-//! A model of one wave of a large image over a fleet: the decisions of
-//! `umbersail-images` against the kit's store and workers that hand on, without
-//! controllers, for fleets larger and troubles more than a night has room for.
+//! A model of the rollout of a large image to a fleet: the decisions of `umbersail-images` with
+//! the simulated image store and workers that serve images to other workers. The model has no
+//! controllers, so that larger fleets and more faults are possible than in a scenario.
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet, BinaryHeap};
@@ -12,59 +12,76 @@
 
 use crate::image_store::Swarm;
 
-/// What goes wrong.
+/// A fault to inject into a rollout.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub enum Trouble {
-    /// The machines that began first die; so many of them.
+pub enum Fault {
+    /// The given number of machines, those that started to fetch first, stop for good.
     FirstDie(usize),
-    /// Those send and take so many times slower.
+    /// The given number of machines, those that started to fetch first, transfer slower by the
+    /// given factor.
     FirstSlow(usize, f64),
-    /// This zone is cut off from the others for so many seconds.
+    /// The given zone is partitioned from the others for the given seconds.
     Cut(u16, f64),
+    /// The image store is down for the given seconds.
     StoreOut(f64),
-    /// A successor takes over with what is recorded.
+    /// A new leader takes over and restores its state from the records.
     TakeOver,
-    /// These machines, from the first of the fleet on, give up what they fetch.
+    /// The given number of machines, from the first of the fleet on, cancel their fetches.
     Cancelled(usize),
 }
 
-/// One wave.
+/// Parameters of a rollout.
 #[derive(Debug, Clone)]
-pub struct Wave {
+pub struct Rollout {
+    /// Number of machines.
     pub machines: usize,
+    /// Number of zones, to which machines are assigned round-robin.
     pub zones: u16,
+    /// Size of the image in GB.
     pub gb: f64,
+    /// Total bandwidth of the store in GB/s.
     pub store_gb_s: f64,
+    /// Upload bandwidth of a machine in GB/s.
     pub up_gb_s: f64,
+    /// Download bandwidth of a machine in GB/s.
     pub down_gb_s: f64,
+    /// Size of the pieces in which the image is transferred, in GB.
     pub piece_gb: f64,
+    /// Mean interval between the heartbeats of a machine.
     pub report_s: f64,
+    /// Settings of the image distribution.
     pub bounds: Settings,
-    pub troubles: Vec<(f64, Trouble)>,
+    /// Times in seconds and faults to inject.
+    pub faults: Vec<(f64, Fault)>,
+    /// Seed that determines all random numbers.
     pub seed: u64,
 }
 
-/// How it went.
+/// Results of a rollout.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Course {
-    /// When half, nine tenths and all of the machines that live had it, in seconds.
+pub struct RolloutResult {
+    /// Seconds until half of the surviving machines had the image.
     pub half_s: f64,
+    /// Seconds until nine tenths of the surviving machines had the image.
     pub most_s: f64,
+    /// Seconds until all surviving machines had the image.
     pub all_s: f64,
+    /// Number of machines that have the image at the end.
     pub had: usize,
-    /// What the store sent, in GB.
+    /// Data sent by the store, in GB.
     pub store_gb: f64,
-    /// Fetches begun: more than machines means that some began anew.
+    /// Number of fetches started; exceeds the number of machines if fetches were restarted.
     pub begun: usize,
-    /// Reports decided on.
+    /// Number of heartbeats processed.
     pub reports: usize,
+    /// Length of the longest chain of machines from the store.
     pub hops: u32,
-    /// Processor time of all decisions, in seconds: not the same twice.
+    /// Wall clock time of all decisions, in seconds; differs from run to run.
     pub decided_s: f64,
 }
 
-impl Wave {
-    /// The defaults of `images.*`, with handing on.
+impl Rollout {
+    /// Returns the default `images.*` settings, with peer-to-peer transfers on or off.
     pub fn bounds(hand_on: bool) -> Settings {
         Settings::from_tuning(&umbersail_tuning::Tuning {
             peer_to_peer_images: f64::from(u8::from(hand_on)),
@@ -72,7 +89,7 @@
         })
     }
 
-    /// No way of spreading it is faster, in seconds.
+    /// Returns the lower bound of the rollout time in seconds, for any way of distribution.
     pub fn bound_s(&self) -> f64 {
         let n = self.machines as f64;
         let spread = n * self.gb / (self.store_gb_s + n * self.up_gb_s);
@@ -80,17 +97,17 @@
         alone.max(spread)
     }
 
-    /// All machines at once from the store, in seconds.
+    /// Returns the rollout time in seconds if all machines fetch from the store at once.
     pub fn from_store_s(&self) -> f64 {
         let n = self.machines as f64;
         (n * self.gb / self.store_gb_s).max(self.gb / self.down_gb_s)
     }
 
-    /// Plays it until all that live have the image, for `most_s` at most.
-    pub fn play(&self, most_s: f64) -> Course {
-        let mut play = Play::new(self);
-        play.run(most_s);
-        play.course()
+    /// Runs until all surviving machines have the image, for at most `most_s` seconds.
+    pub fn run(&self, most_s: f64) -> RolloutResult {
+        let mut run = Run::new(self);
+        run.run(most_s);
+        run.result()
     }
 }
 
@@ -98,15 +115,15 @@
 enum Stage {
     Waits,
     Fetches,
-    /// Has it, and a report has not said so yet, or has.
+    /// The machine has the image; `shown` is whether a heartbeat has reported this.
     Has {
         shown: bool,
     },
     Gone,
 }
 
-struct Play<'a> {
-    wave: &'a Wave,
+struct Run<'a> {
+    rollout: &'a Rollout,
     cache_view: CacheView<usize, u32>,
     swarm: Swarm,
     stage: Vec<Stage>,
@@ -114,7 +131,7 @@
     heard: Vec<f64>,
     begun: Vec<usize>,
     had_at: BTreeMap<usize, f64>,
-    troubles: BinaryHeap<Reverse<(u64, usize)>>,
+    faults: BinaryHeap<Reverse<(u64, usize)>>,
     cut: Option<(u16, f64)>,
     store_out_until: Option<f64>,
     decided: Duration,
@@ -123,56 +140,61 @@
 
 const IMAGE: u32 = 1;
 
-impl<'a> Play<'a> {
-    fn new(wave: &'a Wave) -> Play<'a> {
-        let mut swarm = Swarm::new(wave.store_gb_s, wave.piece_gb);
-        for node in 0..wave.machines {
-            swarm.add(node, node as u16 % wave.zones, wave.up_gb_s, wave.down_gb_s);
+impl<'a> Run<'a> {
+    fn new(rollout: &'a Rollout) -> Run<'a> {
+        let mut swarm = Swarm::new(rollout.store_gb_s, rollout.piece_gb);
+        for node in 0..rollout.machines {
+            swarm.add(
+                node,
+                node as u16 % rollout.zones,
+                rollout.up_gb_s,
+                rollout.down_gb_s,
+            );
         }
-        let troubles = wave.troubles.iter().enumerate();
-        Play {
-            cache_view: CacheView::new(wave.bounds.clone()),
+        let faults = rollout.faults.iter().enumerate();
+        Run {
+            cache_view: CacheView::new(rollout.bounds.clone()),
             swarm,
-            stage: vec![Stage::Waits; wave.machines],
-            hop: vec![0; wave.machines],
-            heard: vec![0.0; wave.machines],
+            stage: vec![Stage::Waits; rollout.machines],
+            hop: vec![0; rollout.machines],
+            heard: vec![0.0; rollout.machines],
             begun: Vec::new(),
             had_at: BTreeMap::new(),
-            troubles: troubles
+            faults: faults
                 .map(|(index, (at, _))| Reverse(((at * 1e3) as u64, index)))
                 .collect(),
             cut: None,
             store_out_until: None,
             decided: Duration::ZERO,
             reports: 0,
-            wave,
+            rollout,
         }
     }
 
     fn run(&mut self, most_s: f64) {
-        let wave = self.wave;
-        let mut rng = ChaCha8Rng::seed_from_u64(wave.seed);
-        let mut reports: BinaryHeap<Reverse<(u64, usize)>> = (0..wave.machines)
-            .map(|node| Reverse(((rng.random_range(0.0..wave.report_s) * 1e6) as u64, node)))
+        let rollout = self.rollout;
+        let mut rng = ChaCha8Rng::seed_from_u64(rollout.seed);
+        let mut reports: BinaryHeap<Reverse<(u64, usize)>> = (0..rollout.machines)
+            .map(|node| Reverse(((rng.random_range(0.0..rollout.report_s) * 1e6) as u64, node)))
             .collect();
         while let Some(Reverse((at, node))) = reports.pop() {
             let now = at as f64 / 1e6;
             if now > most_s || self.is_over() {
                 return;
             }
-            self.troubles_until(now);
+            self.apply_faults_until(now);
             self.advance(now);
             if self.stage[node] == Stage::Gone {
                 continue;
             }
-            let next = now + wave.report_s * rng.random_range(0.75..1.25);
+            let next = now + rollout.report_s * rng.random_range(0.75..1.25);
             reports.push(Reverse(((next * 1e6) as u64, node)));
             let began = Instant::now();
             let begins = self.report(now, node);
             self.decided += began.elapsed();
             self.reports += 1;
             if let Some(holders) = begins {
-                self.swarm.fetch(now, node, IMAGE, wave.gb, &holders);
+                self.swarm.fetch(now, node, IMAGE, rollout.gb, &holders);
             }
         }
     }
@@ -192,15 +214,15 @@
     }
 
     fn report(&mut self, now: f64, node: usize) -> Option<Vec<usize>> {
-        let wave = self.wave;
-        let zone_number = node as u16 % wave.zones;
+        let rollout = self.rollout;
+        let zone_number = node as u16 % rollout.zones;
         self.heard[node] = now;
         self.cache_view.observe_heartbeat(&node);
         let zone = zone_number.to_string();
         let ask = FetchRequest {
             image: &IMAGE,
-            size_gb: wave.gb,
-            rate_gb_s: wave.down_gb_s,
+            size_gb: rollout.gb,
+            rate_gb_s: rollout.down_gb_s,
             machine: &node,
             zone: &zone,
             priority: FetchPriority {
@@ -211,7 +233,7 @@
         };
         match self.stage[node] {
             Stage::Waits => {
-                let (heard, report_s) = (&self.heard, wave.report_s);
+                let (heard, report_s) = (&self.heard, rollout.report_s);
                 let usable = |m: &usize| now - heard[*m] < 3.0 * report_s;
                 if let Decision::Start { sources: holders } =
                     self.cache_view.request_fetch(now, &ask, usable)
@@ -235,15 +257,15 @@
         None
     }
 
-    fn troubles_until(&mut self, now: f64) {
-        while let Some(Reverse((at, index))) = self.troubles.peek().copied() {
+    fn apply_faults_until(&mut self, now: f64) {
+        while let Some(Reverse((at, index))) = self.faults.peek().copied() {
             let at = at as f64 / 1e3;
             if at > now {
                 break;
             }
-            self.troubles.pop();
+            self.faults.pop();
             self.advance(at);
-            self.trouble(at, self.wave.troubles[index].1);
+            self.apply_fault(at, self.rollout.faults[index].1);
         }
         if let Some((_, until)) = self.cut
             && now >= until
@@ -253,14 +275,14 @@
         }
         if self.store_out_until.is_some_and(|until| now >= until) {
             self.store_out_until = None;
-            self.swarm.set_store_rate(now, self.wave.store_gb_s);
+            self.swarm.set_store_rate(now, self.rollout.store_gb_s);
         }
     }
 
-    fn trouble(&mut self, now: f64, trouble: Trouble) {
+    fn apply_fault(&mut self, now: f64, fault: Fault) {
         let first = |count| -> BTreeSet<usize> { self.begun.iter().take(count).copied().collect() };
-        match trouble {
-            Trouble::FirstDie(count) => {
+        match fault {
+            Fault::FirstDie(count) => {
                 for node in first(count) {
                     self.swarm.remove(now, node);
                     self.cache_view.remove_machine(&node);
@@ -268,24 +290,24 @@
                     self.had_at.remove(&node);
                 }
             }
-            Trouble::FirstSlow(count, times) => {
+            Fault::FirstSlow(count, times) => {
                 for node in first(count) {
                     self.swarm.slow_uplink(node, times);
                 }
             }
-            Trouble::Cut(zone, for_s) => {
+            Fault::Cut(zone, for_s) => {
                 self.cut = Some((zone, now + for_s));
                 self.swarm.partition_zone(now, Some(zone));
             }
-            Trouble::StoreOut(for_s) => {
+            Fault::StoreOut(for_s) => {
                 self.store_out_until = Some(now + for_s);
                 self.swarm.set_store_rate(now, 0.0);
             }
-            Trouble::TakeOver => {
+            Fault::TakeOver => {
                 let records = self.cache_view.records(u32::to_string, usize::to_string);
-                self.cache_view = CacheView::new(self.wave.bounds.clone());
+                self.cache_view = CacheView::new(self.rollout.bounds.clone());
                 for record in records.values() {
-                    // Names are numbers here.
+                    // Machine names are numbers in this model.
                     let machine = |name: &str| name.parse().unwrap_or(usize::MAX);
                     self.cache_view.restore(now, IMAGE, record, machine);
                 }
@@ -295,7 +317,7 @@
                     }
                 }
             }
-            Trouble::Cancelled(count) => {
+            Fault::Cancelled(count) => {
                 for node in 0..count.min(self.stage.len()) {
                     if self.stage[node] == Stage::Fetches {
                         self.swarm.release(now, node, IMAGE);
@@ -307,7 +329,7 @@
         }
     }
 
-    fn course(&self) -> Course {
+    fn result(&self) -> RolloutResult {
         let mut times: Vec<f64> = self.had_at.values().copied().collect();
         times.sort_by(f64::total_cmp);
         let living = self.stage.iter().filter(|s| **s != Stage::Gone).count();
@@ -315,7 +337,7 @@
             let index = ((share * living as f64).ceil() as usize).max(1) - 1;
             times.get(index).copied().unwrap_or(f64::INFINITY)
         };
-        Course {
+        RolloutResult {
             half_s: at(0.5),
             most_s: at(0.9),
             all_s: at(1.0),
--- a/crates/umbersail-rehearsal/src/play.rs
+++ b/crates/umbersail-rehearsal/src/run.rs
@@ -1,5 +1,5 @@
-//! Plays a night: builds its world, runs the real controllers in it, and
-//! collects what happened.
+//! Runs a scenario: sets up the simulated hosts, runs the real controllers against them, and
+//! collects the history.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -16,50 +16,58 @@
 use umbersail_tuning::Tuning;
 
 use crate::addresses::{Addresses, controller_zone, member_name};
+use crate::fault::{Controller, FaultInjector};
 use crate::fleet::Fleet;
 use crate::history::{Event, EventKind, History};
 use crate::judge::{Figures, evaluate};
 use crate::kv_store_host::KvStoreHost;
-use crate::night::{Aim, Night};
 use crate::runs;
-use crate::trouble::{Controller, Stage};
+use crate::scenario::{Objective, Scenario};
 use crate::users::{Balancer, Users};
 
-/// The history tells what the state service took and holds this often, in seconds.
-const STATE_TOLD_S: f64 = 10.0;
-/// Processor time of one step of a controller's routine on a whole core, in
-/// seconds: what such a step takes at the median on an ordinary machine.
+/// Seconds between samples of the state service's load and contents in the history.
+const STATE_SAMPLE_INTERVAL_S: f64 = 10.0;
+/// Processor time of one step of a controller task on a whole core, in seconds: the median
+/// on an ordinary machine.
 const STEP_S: f64 = 12e-6;
 
-/// Why a night can't be played to its end.
+/// An error that prevents a run from completing.
 #[derive(Debug, Error)]
-pub enum PlayError {
-    #[error("settings of the controllers: {0}")]
+pub enum RunError {
+    /// A controller rejects its settings.
+    #[error("invalid controller settings: {0}")]
     Settings(#[from] InvalidSettings),
-    #[error("settings of the controllers can't be written: {0}")]
+    /// The settings of a controller can't be written as TOML.
+    #[error("can't write the controller settings: {0}")]
     UnwritableSettings(#[from] toml::ser::Error),
+    /// The operator settings of the scenario are invalid.
     #[error("controllers.properties: {0}")]
     Properties(String),
-    #[error("the simulated world stopped: {0}")]
+    /// The simulation or the setup of real processes failed.
+    #[error("the simulation stopped: {0}")]
     World(#[from] std::io::Error),
 }
 
-/// A night that was played.
+/// The result of a run.
 #[derive(Debug)]
 pub struct Outcome {
+    /// Seed of the run.
     pub seed: u64,
+    /// The recorded history.
     pub events: Vec<Event>,
+    /// The judge's results.
     pub figures: Figures,
-    /// BLAKE3 over the history, hex.
+    /// BLAKE3 hash of the history, in hex.
     pub hash: String,
-    /// True time of the night in seconds.
+    /// True length of the run in seconds, unaffected by simulated clock errors.
     pub length_s: f64,
-    /// Packets sent and steps of routines.
+    /// Packets sent.
     pub packets: u64,
+    /// Steps of simulated tasks.
     pub steps: u64,
 }
 
-/// The settings file of one controller, as the platform would write it.
+/// The settings file of one controller, as the hosting platform writes it.
 #[derive(Serialize)]
 struct SettingsFile<'a> {
     member: String,
@@ -78,27 +86,31 @@
     addr: SocketAddr,
 }
 
-/// The text of one controller's settings file.
+/// Returns the text of one controller's settings file.
 pub(crate) fn settings_text(
-    night: &Night,
+    scenario: &Scenario,
     index: usize,
     at: Addresses,
-) -> Result<String, PlayError> {
-    let count = night.controllers.count;
+) -> Result<String, RunError> {
+    let count = scenario.controllers.count;
     let known = (0..count).filter(|n| *n != index).map(|n| Known {
         member: member_name(n),
-        area: controller_zone(night, n),
+        area: controller_zone(scenario, n),
         addr: at.peer_addr(n),
     });
-    let objectives: Vec<serde_json::Value> = night.aims.iter().filter_map(objective).collect();
-    let teams: Vec<serde_json::Value> = night
+    let objectives: Vec<serde_json::Value> = scenario
+        .objectives
+        .iter()
+        .filter_map(objective_json)
+        .collect();
+    let teams: Vec<serde_json::Value> = scenario
         .teams
         .iter()
         .map(|t| serde_json::json!({"name": t.name, "cpus": t.cpus, "cpus_max": t.cpus_max}))
         .collect();
     let file = SettingsFile {
         member: member_name(index),
-        area: controller_zone(night, index),
+        area: controller_zone(scenario, index),
         front: at.client_addr(index),
         back: at.peer_addr(index),
         known: known.collect(),
@@ -107,47 +119,48 @@
             "teams": teams,
             "objectives": objectives,
             "workers": {
-                "report_s": night.workers.report_s,
-                "lease_s": night.workers.lease_s,
-                "cancel_s": night.workers.cancel_s,
+                "report_s": scenario.workers.report_s,
+                "lease_s": scenario.workers.lease_s,
+                "cancel_s": scenario.workers.cancel_s,
             },
             "state": {
-                "rps": night.state.rps,
-                "write_rps": night.state.write_rps,
-                "value_kb": night.state.value_kb,
-                "txn_ops": night.state.txn_ops,
+                "rps": scenario.state.rps,
+                "write_rps": scenario.state.write_rps,
+                "value_kb": scenario.state.value_kb,
+                "txn_ops": scenario.state.txn_ops,
             },
-            "cloud": {"rps": night.cloud.rps, "list_lag_s": night.cloud.list_lag_s},
+            "cloud": {"rps": scenario.cloud.rps, "list_lag_s": scenario.cloud.list_lag_s},
             "resources": {
-                "cpu": night.controllers.core,
-                "max_sockets": night.controllers.max_sockets,
+                "cpu": scenario.controllers.core,
+                "max_sockets": scenario.controllers.max_sockets,
             },
-            "skew_ms": night.controllers.skew_ms,
+            "skew_ms": scenario.controllers.skew_ms,
         }),
     };
     Ok(toml::to_string(&file)?)
 }
 
-/// The settings of one controller of a simulated night.
+/// Returns the settings of one controller in a simulated run.
 ///
 /// # Errors
-/// If the night's amounts are none that a controller takes.
-pub fn settings(night: &Night, index: usize) -> Result<Settings, PlayError> {
-    let text = settings_text(night, index, Addresses { simulated: true })?;
+/// Returns an error if a controller rejects values of the scenario.
+pub fn settings(scenario: &Scenario, index: usize) -> Result<Settings, RunError> {
+    let text = settings_text(scenario, index, Addresses { simulated: true })?;
     Ok(Settings::parse(&text)?)
 }
 
-/// An aim as the settings restate it to the controllers.
-fn objective(aim: &Aim) -> Option<serde_json::Value> {
-    match aim {
-        Aim::Deadline {
+/// Returns an objective in the form of the controller settings, if controllers use objectives
+/// of this kind.
+fn objective_json(objective: &Objective) -> Option<serde_json::Value> {
+    match objective {
+        Objective::Deadline {
             class,
             times,
             share,
         } => Some(serde_json::json!({
             "kind": "deadline", "class": class, "times": times, "share": share,
         })),
-        Aim::Wait {
+        Objective::Wait {
             class,
             within_s,
             share,
@@ -158,71 +171,77 @@
     }
 }
 
-/// The operators' properties of a night, as in their file, for a world that began at
-/// this time of day.
-pub(crate) fn properties_text(night: &Night, epoch_ms: u64) -> String {
-    let controllers = &night.controllers;
+/// Returns the text of the properties file for a run that starts at the wall clock time
+/// `epoch_ms`.
+pub(crate) fn properties_text(scenario: &Scenario, epoch_ms: u64) -> String {
+    let controllers = &scenario.controllers;
     let numbers = controllers.properties.iter();
     let entries = controllers.entries.iter();
     let lines: String = numbers
         .map(|(key, value)| format!("{key}={value}\n"))
         .chain(entries.map(|(key, value)| format!("{key}={value}\n")))
         .collect();
-    lines + &runs::properties(night, epoch_ms)
+    lines + &runs::properties(scenario, epoch_ms)
 }
 
-fn tuning(night: &Night) -> Result<Tuning, PlayError> {
-    let text = properties_text(night, EPOCH_MS);
-    Tuning::from_properties(text.as_bytes()).map_err(|e| PlayError::Properties(e.to_string()))
+fn tuning(scenario: &Scenario) -> Result<Tuning, RunError> {
+    let text = properties_text(scenario, EPOCH_MS);
+    Tuning::from_properties(text.as_bytes()).map_err(|e| RunError::Properties(e.to_string()))
 }
 
-/// Told now and then while a night plays: seconds played, and of how many.
+/// Progress callback: called repeatedly during a run with the simulated seconds so far and the
+/// latest end of the run.
 pub type Progress<'a> = &'a mut dyn FnMut(f64, f64);
 
-/// Plays a night with a seed, whole.
+/// Runs a scenario to its end with a seed.
 ///
 /// # Errors
-/// If the night's properties can't be used, or the world stands still.
-pub fn play(night: &Night, seed: u64, progress: Progress<'_>) -> Result<Outcome, PlayError> {
+/// Returns an error if the scenario's settings are invalid, or if the simulation stops.
+pub fn run(scenario: &Scenario, seed: u64, progress: Progress<'_>) -> Result<Outcome, RunError> {
     let simulation = Simulation::new(seed, NetworkConfig::default());
     let world = simulation.world();
-    let night = Rc::new(night.clone());
-    let tuning = tuning(&night)?;
-    let configs: Result<Vec<Settings>, PlayError> = (0..night.controllers.count)
-        .map(|n| settings(&night, n))
+    let scenario = Rc::new(scenario.clone());
+    let tuning = tuning(&scenario)?;
+    let configs: Result<Vec<Settings>, RunError> = (0..scenario.controllers.count)
+        .map(|n| settings(&scenario, n))
         .collect();
     let configs = configs?;
-    let most = night.ends_s();
-    let (told, seen) = std::sync::mpsc::channel::<f64>();
-    let (played, length) = (night.clone(), world.clone());
+    let most = scenario.ends_s();
+    let (progress_sender, progress_receiver) = std::sync::mpsc::channel::<f64>();
+    let (simulated_scenario, final_world) = (scenario.clone(), world.clone());
     let result = simulation.block_on_observed(
         async move {
-            let begin = |world: &WorldHandle, night: &Night| {
-                start_controllers(world, night, seed, configs, &tuning)
+            let begin = |world: &WorldHandle, scenario: &Scenario| {
+                start_controllers(world, scenario, seed, configs, &tuning)
             };
-            direct(world, played, seed, begin, told).await
+            execute(world, simulated_scenario, seed, begin, progress_sender).await
         },
         || {
-            if let Some(at) = seen.try_iter().last() {
+            if let Some(at) = progress_receiver.try_iter().last() {
                 progress(at, most);
             }
         },
     )?;
-    Ok(Outcome::of(&night, seed, result, &length))
+    Ok(Outcome::of(&scenario, seed, result, &final_world))
 }
 
 impl Outcome {
-    pub(crate) fn of(night: &Night, seed: u64, events: Vec<Event>, world: &WorldHandle) -> Outcome {
+    pub(crate) fn of(
+        scenario: &Scenario,
+        seed: u64,
+        events: Vec<Event>,
+        world: &WorldHandle,
+    ) -> Outcome {
         let WorkCounters { packets, steps } = world.work_counters();
         let (_, hash) = crate::history::lines(&events);
         let processor_s = world.total_cpu_s();
-        let most_s = night.controllers.processor_most_s;
+        let most_s = scenario.controllers.processor_most_s;
         Outcome {
             seed,
             figures: Figures {
                 processor_s,
                 overrun: most_s.is_some_and(|most_s| processor_s > most_s),
-                ..evaluate(night, &events)
+                ..evaluate(scenario, &events)
             },
             events,
             hash,
@@ -233,13 +252,14 @@
     }
 }
 
-/// Directs a night in whatever world; `begin` starts its controllers.
-pub(crate) async fn direct(
+/// Runs a scenario in a simulated or real world, and returns the history. `begin` starts the
+/// controllers.
+pub(crate) async fn execute(
     world: WorldHandle,
-    night: Rc<Night>,
+    scenario: Rc<Scenario>,
     seed: u64,
-    begin: impl FnOnce(&WorldHandle, &Night) -> Vec<Controller>,
-    told: std::sync::mpsc::Sender<f64>,
+    begin: impl FnOnce(&WorldHandle, &Scenario) -> Vec<Controller>,
+    progress: std::sync::mpsc::Sender<f64>,
 ) -> Vec<Event> {
     let at = Addresses {
         simulated: world.is_simulated(),
@@ -251,13 +271,19 @@
         host("cloud", 2, 2),
         host("users", 3, 1),
     ];
-    let count = night.controllers.count;
+    let count = scenario.controllers.count;
     let fronts: Vec<SocketAddr> = (0..count).map(|n| at.client_addr(n)).collect();
     let named = (0..count)
         .map(|n| (member_name(n), at.client_addr(n)))
         .collect();
-    let ledger = KvStoreHost::new(world.clone(), history.clone(), &night.state, count, seed);
-    let fleet = Fleet::new(world.clone(), history.clone(), night.clone(), seed, named);
+    let ledger = KvStoreHost::new(world.clone(), history.clone(), &scenario.state, count, seed);
+    let fleet = Fleet::new(
+        world.clone(),
+        history.clone(),
+        scenario.clone(),
+        seed,
+        named,
+    );
     let users = Users::new(fleet.clone(), Balancer::new(fronts), seed);
     let doors = ledger.clone();
     world.start(regional[0], async move {
@@ -269,39 +295,39 @@
     world.start(regional[1], fleet.clone().serve_cloud(at.cloud_addr()));
     world.start(regional[2], users.clone().run());
     fleet.begin();
-    let controllers = begin(&world, &night);
+    let controllers = begin(&world, &scenario);
     let state = ledger.clone();
-    let stage = Rc::new(Stage {
+    let injector = Rc::new(FaultInjector {
         world: world.clone(),
         fleet: fleet.clone(),
         ledger,
         users: users.clone(),
         controllers,
         regional,
-        rng: Stage::rng(seed),
+        rng: FaultInjector::rng(seed),
         struck: std::cell::RefCell::default(),
     });
-    for failure in night.failures.clone() {
-        spawn(stage.clone().play(failure));
+    for failure in scenario.failures.clone() {
+        spawn(injector.clone().inject(failure));
     }
     spawn(fleet.clone().charge());
     spawn(fleet.clone().watch_leases());
     if let Some(store) = &fleet.store {
         spawn(store.clone().run(world.clone(), history.clone()));
     }
-    let most = night.ends_s();
-    let mut state_told_s = 0.0;
+    let most = scenario.ends_s();
+    let mut last_state_sample_s = 0.0;
     loop {
         sleep(1.0).await;
         let now = world.now();
-        level(&fleet);
-        if now >= state_told_s + STATE_TOLD_S {
-            state_told_s = now;
+        record_sample(&fleet);
+        if now >= last_state_sample_s + STATE_SAMPLE_INTERVAL_S {
+            last_state_sample_s = now;
             history.add(state.figures.sample());
         }
-        // Nobody listens if no progress is shown.
-        let _ = told.send(now);
-        if now >= night.length_s {
+        // Sending fails if the receiver of the progress was dropped, which is not an error.
+        let _ = progress.send(now);
+        if now >= scenario.length_s {
             users.closed.set(true);
             if users.waiting.get() == 0 || now >= most {
                 break;
@@ -313,7 +339,7 @@
 
 fn start_controllers(
     world: &WorldHandle,
-    night: &Night,
+    scenario: &Scenario,
     seed: u64,
     configs: Vec<Settings>,
     tuning: &Tuning,
@@ -323,10 +349,10 @@
         let at = Addresses { simulated: true };
         let mut spec = HostSpec::new(member_name(n), at.ip(0, 0, n as u8 + 1));
         spec.clock_rate = rng.random_range(1.0..=1.0005);
-        spec.skew_ms = rng.random_range(-1.0..1.0) * night.controllers.skew_ms;
-        spec.max_sockets = night.controllers.max_sockets;
+        spec.skew_ms = rng.random_range(-1.0..1.0) * scenario.controllers.skew_ms;
+        spec.max_sockets = scenario.controllers.max_sockets;
         spec.cpu_per_step_s = STEP_S;
-        spec.cpu_share = night.controllers.core;
+        spec.cpu_share = scenario.controllers.core;
         let host: HostId = world.add_host(spec);
         let ends = world.clone();
         let (world, tuning) = (world.clone(), tuning.clone());
@@ -334,14 +360,14 @@
             let (config, tuning, clock) = (config.clone(), tuning.clone(), world.clock(host));
             world.start(host, async move {
                 if let Err(e) = umbersail_control::run(config, tuning, clock).await {
-                    unreachable!("a simulated controller can't listen: {e}");
+                    unreachable!("a simulated controller can't open its listening socket: {e}");
                 }
             });
         };
         start();
         Controller {
             member: member_name(n),
-            zone: controller_zone(night, n).to_owned(),
+            zone: controller_zone(scenario, n).to_owned(),
             host,
             start: Box::new(start),
             end: Box::new(move || ends.kill(host)),
@@ -351,8 +377,8 @@
     configs.into_iter().enumerate().map(build).collect()
 }
 
-/// One point of the report's curves.
-fn level(fleet: &Fleet) {
+/// Records one sample for the charts of the report.
+fn record_sample(fleet: &Fleet) {
     let up = fleet.up();
     let cpus = up.iter().map(|m| m.worker.cpus_in_use()).sum::<f64>();
     let spot = up.iter().filter(|m| m.spot).count();
@@ -366,14 +392,18 @@
     });
 }
 
-/// Plays a night with many seeds, a thread for each of them and at most
-/// `threads` at once; outcomes come back in order of seed.
+/// Runs a scenario with several seeds on up to `threads` threads, and returns the outcomes in
+/// the order of `seeds`.
 ///
 /// # Errors
-/// The first that any seed gave.
-pub fn play_many(night: &Night, seeds: &[u64], threads: usize) -> Result<Vec<Outcome>, PlayError> {
+/// Returns the error of the first seed in this order that failed.
+pub fn run_many(
+    scenario: &Scenario,
+    seeds: &[u64],
+    threads: usize,
+) -> Result<Vec<Outcome>, RunError> {
     let next = std::sync::atomic::AtomicUsize::new(0);
-    let mut found: Vec<(usize, Result<Outcome, PlayError>)> = std::thread::scope(|scope| {
+    let mut found: Vec<(usize, Result<Outcome, RunError>)> = std::thread::scope(|scope| {
         let work = || {
             let mut mine = Vec::new();
             loop {
@@ -381,7 +411,7 @@
                 let Some(seed) = seeds.get(index) else {
                     return mine;
                 };
-                mine.push((index, play(night, *seed, &mut |_, _| {})));
+                mine.push((index, run(scenario, *seed, &mut |_, _| {})));
             }
         };
         let workers: Vec<_> = (0..threads.clamp(1, seeds.len().max(1)))
@@ -389,7 +419,7 @@
             .collect();
         let joined = workers.into_iter().flat_map(|w| match w.join() {
             Ok(mine) => mine,
-            // A failed assertion of a controller is the caller's to see.
+            // Passes a panic of a controller, such as a failed assertion, on to the caller.
             Err(panic) => std::panic::resume_unwind(panic),
         });
         joined.collect()
--- a/crates/umbersail-rehearsal/src/runs.rs
+++ b/crates/umbersail-rehearsal/src/runs.rs
@@ -11,7 +11,7 @@
 use umbersail_runtime::{sleep, spawn};
 
 use crate::history::{EndReason, Event, EventKind};
-use crate::night::Night;
+use crate::scenario::Scenario;
 use crate::users::Users;
 
 /// Jobs of a team in steps. Each step starts when the preceding one has ended.
@@ -87,7 +87,7 @@
 
 /// Returns the calendar entries as lines of the operators' properties file, for a world that
 /// started at `epoch_ms`.
-pub(crate) fn properties(night: &Night, epoch_ms: u64) -> String {
+pub(crate) fn properties(night: &Scenario, epoch_ms: u64) -> String {
     let mut out = String::new();
     if !night.calendar {
         return out;
@@ -124,7 +124,7 @@
 }
 
 /// Returns the team of a run: that of the class of its first step.
-fn team<'a>(night: &'a Night, run: &CalendarRun) -> &'a str {
+fn team<'a>(night: &'a Scenario, run: &CalendarRun) -> &'a str {
     let class = run.steps.first().map(|s| &s.class);
     let found = night.classes.iter().find(|c| Some(&c.name) == class);
     found.map_or("", |c| &c.team)
@@ -134,7 +134,7 @@
 ///
 /// # Errors
 /// The field of the scenario file that is invalid, and the reason.
-pub(crate) fn check(night: &Night) -> Result<(), (String, String)> {
+pub(crate) fn check(night: &Scenario) -> Result<(), (String, String)> {
     for (r, run) in night.runs.iter().enumerate() {
         for (s, step) in run.steps.iter().enumerate() {
             let class = night.classes.iter().find(|c| c.name == step.class);
@@ -166,7 +166,7 @@
         }
     }
 
-    async fn submit_run(self: Rc<Self>, night: Rc<Night>, index: usize, opens_s: f64) {
+    async fn submit_run(self: Rc<Self>, night: Rc<Scenario>, index: usize, opens_s: f64) {
         sleep(opens_s - self.now()).await;
         let run = &night.runs[index];
         for (step, RunStep { class, jobs }) in run.steps.iter().enumerate() {
@@ -215,7 +215,7 @@
 }
 
 /// Evaluates the calendar runs from the history.
-pub(crate) fn run_figures(night: &Night, events: &[Event]) -> CalendarRunFigures {
+pub(crate) fn run_figures(night: &Scenario, events: &[Event]) -> CalendarRunFigures {
     let mut figures = CalendarRunFigures::default();
     if night.runs.is_empty() {
         return figures;
--- a/crates/umbersail-rehearsal/src/night.rs
+++ b/crates/umbersail-rehearsal/src/scenario.rs
@@ -1,4 +1,4 @@
-//! Night files: what a rehearsal plays, checked against a schema.
+//! Scenario files: their types, JSON Schema and validation.
 
 use std::collections::BTreeSet;
 use std::path::Path;
@@ -9,59 +9,72 @@
 
 use crate::runs::{self, CalendarRun};
 
-/// A night file that can't be played.
+/// An error in a scenario file.
 #[derive(Debug, Error, PartialEq, Eq)]
 #[error("{file}: {key}: {reason}")]
-pub struct NightError {
+pub struct ScenarioError {
+    /// Name of the scenario file.
     pub file: String,
-    /// Where in the file, with dots and indices.
+    /// Path of the key in the file, with dots and indices.
     pub key: String,
+    /// Why the value of the key is invalid.
     pub reason: String,
 }
 
-/// One night: a fleet, its users, and what goes wrong when.
+/// A scenario: a cluster, its load, and the faults injected.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
-pub struct Night {
+pub struct Scenario {
+    /// One-line description.
     pub title: String,
-    /// Jobs come in for so many seconds.
+    /// Seconds during which jobs are submitted.
     #[schemars(range(min = 1.0, max = 86400.0))]
     pub length_s: f64,
-    /// After that the night goes on for so many seconds, or until all is done.
-    #[serde(default = "Night::drain")]
+    /// Seconds that the run continues after `length_s`, unless all jobs end sooner.
+    #[serde(default = "Scenario::drain")]
     #[schemars(range(min = 0.0, max = 86400.0))]
     pub drain_s: f64,
-    /// Aims and money count from here on: what comes before only warms up.
+    /// Seconds at the start that objectives and costs exclude as warm-up.
     #[serde(default)]
     #[schemars(range(min = 0.0, max = 86400.0))]
     pub warm_up_s: f64,
+    /// Controllers and their resources.
     pub controllers: Controllers,
+    /// Timing of the worker protocol.
     #[serde(default)]
     pub workers: Workers,
+    /// Limits of the state service.
     #[serde(default)]
     pub state: State,
+    /// Limits and failure rates of the cloud.
     #[serde(default)]
     pub cloud: Cloud,
-    /// Images come from one store for all; without, each machine fetches at its own
-    /// rate whatever the others do.
+    /// Image store shared by all machines. Without a store, each machine fetches images at
+    /// its own rate, independent of the other machines.
     #[serde(default)]
     pub store: Option<Store>,
+    /// Machine types.
     pub machines: Vec<MachineKind>,
+    /// Teams with their quotas.
     pub teams: Vec<Team>,
+    /// Job classes, which define the load.
     pub classes: Vec<Class>,
-    #[serde(default)]
-    pub aims: Vec<Aim>,
+    /// Service-level objectives.
+    #[serde(default, rename = "aims")]
+    pub objectives: Vec<Objective>,
+    /// Faults to inject.
     #[serde(default)]
     pub failures: Vec<Failure>,
-    /// Work in steps that follow one another.
+    /// Calendar runs: sequences of steps, each of which starts after the previous one.
     #[serde(default)]
     pub runs: Vec<CalendarRun>,
-    /// The operators' calendar keeps the steps apart; else their users do.
-    #[serde(default = "Night::calendar")]
+    /// Whether the calendar sequences the steps of runs. Otherwise their users submit each
+    /// step when the previous one has ended.
+    #[serde(default = "Scenario::calendar")]
     pub calendar: bool,
 }
 
-impl Night {
+impl Scenario {
     fn drain() -> f64 {
         300.0
     }
@@ -70,39 +83,41 @@
     }
 }
 
-/// The controllers and what they may use.
+/// Controllers and their resources.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct Controllers {
+    /// Number of controllers.
     #[schemars(range(min = 1, max = 15))]
     pub count: usize,
-    /// They are dealt to these in turn.
+    /// Zones, to which controllers are assigned round-robin.
     #[schemars(length(min = 1))]
     pub zones: Vec<String>,
-    /// Share of one core.
+    /// Share of one core that each controller may use.
     #[serde(default = "Controllers::core")]
     #[schemars(range(min = 0.001, max = 1.0))]
     pub core: f64,
-    /// Processor time of a whole core that all controllers together may take,
-    /// in seconds: a night that takes more was not played in its time.
+    /// Limit of the processor time of all controllers together, in seconds of a whole core.
+    /// A run that uses more fails, because the controllers could not keep up in real time.
     #[serde(default)]
     #[schemars(range(min = 0.001, max = 1000000.0))]
     pub processor_most_s: Option<f64>,
+    /// Limit of open sockets for each controller.
     #[serde(default = "Controllers::sockets")]
     #[schemars(range(min = 50, max = 100000))]
     pub max_sockets: usize,
-    /// From a process's end to its next start, in seconds.
+    /// Seconds from the end of a controller process to its restart.
     #[serde(default = "Controllers::back")]
     #[schemars(range(min = 0.1, max = 600.0))]
     pub back_s: f64,
-    /// Bound of the error of the time of day, in milliseconds.
+    /// Maximum error of the wall clock, in milliseconds.
     #[serde(default = "Controllers::skew")]
     #[schemars(range(min = 0.0, max = 60000.0))]
     pub skew_ms: f64,
-    /// Operators' properties, as in their file.
+    /// Operator settings, with the keys of the properties file.
     #[serde(default)]
     pub properties: std::collections::BTreeMap<String, f64>,
-    /// Their entries for plans, as in the same file: `reserve.sale.team = "lots"`.
+    /// Text entries of the properties file, such as `reserve.sale.team = "lots"`.
     #[serde(default)]
     pub entries: std::collections::BTreeMap<String, String>,
 }
@@ -122,17 +137,21 @@
     }
 }
 
-/// Times of the workers' protocol, in seconds.
+/// Timing of the worker protocol, in seconds.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields, default)]
 pub struct Workers {
+    /// Mean interval between the heartbeats of a worker.
     #[schemars(range(min = 0.2, max = 60.0))]
     pub report_s: f64,
+    /// Lease of a task: without an acknowledged heartbeat for this long, the worker stops
+    /// the task.
     #[schemars(range(min = 1.0, max = 600.0))]
     pub lease_s: f64,
+    /// Time limit for a cancellation to take effect.
     #[schemars(range(min = 1.0, max = 600.0))]
     pub cancel_s: f64,
-    /// Nominal notice before a spot machine is taken back.
+    /// Nominal notice period before a spot machine is reclaimed.
     #[schemars(range(min = 0.0, max = 600.0))]
     pub notice_s: f64,
 }
@@ -152,12 +171,16 @@
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields, default)]
 pub struct State {
+    /// Requests per second.
     #[schemars(range(min = 5.0, max = 100000.0))]
     pub rps: f64,
+    /// Writes per second.
     #[schemars(range(min = 2.0, max = 100000.0))]
     pub write_rps: f64,
+    /// Size limit of a value, in KB.
     #[schemars(range(min = 1.0, max = 1024.0))]
     pub value_kb: f64,
+    /// Maximum number of operations in a transaction.
     #[schemars(range(min = 4, max = 1000))]
     pub txn_ops: usize,
 }
@@ -173,18 +196,20 @@
     }
 }
 
-/// The cloud and its habits.
+/// Limits and failure rates of the cloud.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields, default)]
 pub struct Cloud {
+    /// Requests per second.
     #[schemars(range(min = 0.2, max = 1000.0))]
     pub rps: f64,
+    /// Maximum delay until the list of machines shows a change, in seconds.
     #[schemars(range(min = 0.0, max = 120.0))]
     pub list_lag_s: f64,
     /// Share of machines that take several times as long to boot.
     #[schemars(range(min = 0.0, max = 1.0))]
     pub late: f64,
-    /// Share of machines that never come up.
+    /// Share of machines that never finish booting.
     #[schemars(range(min = 0.0, max = 1.0))]
     pub never: f64,
 }
@@ -200,25 +225,27 @@
     }
 }
 
-/// The store of images, and workers that hand them on where launches say from whom.
+/// The image store. Workers also serve images to other workers, if a launch command names
+/// them as sources.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct Store {
-    /// What it sends in all.
+    /// Total bandwidth of the store.
     #[schemars(range(min = 0.001, max = 100000.0))]
     pub gb_per_s: f64,
-    /// What a machine sends, as a share of its type's rate of fetches.
+    /// Upload bandwidth of a machine, as a share of the fetch rate of its type.
     #[serde(default = "Store::share")]
     #[schemars(range(min = 0.001, max = 100.0))]
     pub up_share: f64,
-    /// Images are sent in pieces of this size.
+    /// Size of the pieces in which images are transferred.
     #[serde(default = "Store::piece")]
     #[schemars(range(min = 0.001, max = 100.0))]
     pub piece_gb: f64,
-    /// It sends nothing from then on, for so many seconds.
+    /// Start of an outage of the store, in seconds.
     #[serde(default)]
     #[schemars(range(min = 0.0))]
     pub out_at_s: f64,
+    /// Length of the outage in seconds.
     #[serde(default)]
     #[schemars(range(min = 0.0))]
     pub out_for_s: f64,
@@ -233,39 +260,49 @@
     }
 }
 
-/// A machine type and how many there are.
+/// A machine type and the number of machines available.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct MachineKind {
+    /// Name of the type.
     pub name: String,
+    /// CPUs of a machine.
     #[schemars(range(min = 0.1, max = 10000.0))]
     pub cpus: f64,
+    /// GPUs of a machine.
     #[serde(default)]
     #[schemars(range(min = 0.0))]
     pub gpus: f64,
+    /// Memory of a machine in GB.
     #[schemars(range(min = 0.1, max = 100000.0))]
     pub memory_gb: f64,
-    /// Price an hour, ordinary and spot.
+    /// Price per hour of an on-demand machine.
     #[schemars(range(min = 0.0, max = 10000.0))]
     pub price: f64,
+    /// Price per hour of a spot machine.
     #[serde(default)]
     #[schemars(range(min = 0.0))]
     pub spot_price: Option<f64>,
+    /// Boot time in seconds.
     #[schemars(range(min = 0.1, max = 3600.0))]
     pub boot_s: f64,
+    /// Zones that have machines of this type.
     #[schemars(length(min = 1))]
     pub zones: Vec<String>,
+    /// Size of the image cache in GB.
     #[serde(default = "MachineKind::cache")]
     #[schemars(range(min = 0.0))]
     pub cache_gb: f64,
+    /// Rate at which a machine fetches images.
     #[serde(default = "MachineKind::fetch")]
     #[schemars(range(min = 0.001, max = 1000.0))]
     pub fetch_gb_per_s: f64,
-    /// There are so many to be had in each zone, ordinary and spot.
+    /// On-demand machines available in each zone.
     pub ordinary: usize,
+    /// Spot machines available in each zone.
     #[serde(default)]
     pub spot: usize,
-    /// Ordinary ones that are up at the start, in all.
+    /// On-demand machines running at the start, in all zones together.
     #[serde(default)]
     pub at_start: usize,
 }
@@ -279,101 +316,125 @@
     }
 }
 
-/// A team with what it is guaranteed and limited to; 0 is none.
+/// A team with its guaranteed quota and its limit.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct Team {
+    /// Name of the team.
     pub name: String,
+    /// Guaranteed CPUs; 0 means no guarantee.
     #[serde(default)]
     #[schemars(range(min = 0.0))]
     pub cpus: f64,
+    /// Limit of CPUs in use; 0 means no limit.
     #[serde(default)]
     #[schemars(range(min = 0.0))]
     pub cpus_max: f64,
 }
 
-/// Priority as in the protocol.
+/// Job priority, as in the user protocol.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize, JsonSchema)]
 #[serde(rename_all = "lowercase")]
 pub enum Priority {
+    /// Below `normal`.
     Low,
+    /// The usual priority.
     Normal,
+    /// Above `normal`.
     High,
+    /// The highest priority.
     Production,
 }
 
-/// A class of jobs, with the distributions that its jobs are drawn from.
+/// A job class, with the distributions from which its jobs are drawn.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct Class {
+    /// Name of the class.
     pub name: String,
+    /// Team that submits the jobs.
     pub team: String,
+    /// Priority of the jobs.
     pub priority: Priority,
-    /// Tasks of a job: geometric with this mean, and never more than `most`.
+    /// Mean number of tasks of a job; the number is geometrically distributed and capped at
+    /// `most`.
     #[schemars(range(min = 1.0, max = 100000.0))]
     pub tasks: f64,
+    /// Maximum number of tasks of a job.
     #[schemars(range(min = 1, max = 100000))]
     pub most: u32,
+    /// CPUs of a task.
     #[schemars(range(min = 0.01, max = 10000.0))]
     pub cpus: f64,
+    /// Memory of a task in GB.
     #[schemars(range(min = 0.0, max = 100000.0))]
     pub memory_gb: f64,
-    /// Median run time of a task in seconds, log-normal.
+    /// Median run time of a task in seconds; run times are log-normally distributed.
     #[schemars(range(min = 0.1, max = 86400.0))]
     pub run_s: f64,
-    /// Sigma of its logarithm between jobs, and between the tasks of one.
+    /// Sigma of the logarithm of the run time between jobs.
     #[serde(default = "Class::spread_of_runs")]
     #[schemars(range(min = 0.0, max = 3.0))]
     pub run_sigma: f64,
+    /// Sigma of the logarithm of the run time between the tasks of a job.
     #[serde(default = "Class::spread_of_tasks")]
     #[schemars(range(min = 0.0, max = 3.0))]
     pub task_sigma: f64,
-    /// Sigma of the logarithm of the owner's error.
+    /// Sigma of the logarithm of the error of the user's run time estimate.
     #[serde(default = "Class::error")]
     #[schemars(range(min = 0.0, max = 3.0))]
     pub estimate_sigma: f64,
+    /// Size of an image in GB.
     #[schemars(range(min = 0.0, max = 1000.0))]
     pub image_gb: f64,
-    /// Different images that jobs of the class use.
+    /// Number of different images that jobs of the class use.
     #[serde(default = "Class::images")]
     #[schemars(range(min = 1, max = 1000))]
     pub images: u32,
-    /// Jobs a minute, and at the very start.
+    /// Jobs submitted per minute.
     #[schemars(range(min = 0.0, max = 10000.0))]
     pub per_minute: f64,
+    /// Jobs submitted at the start.
     #[serde(default)]
     pub at_start: u32,
+    /// Whether tasks may run on spot machines.
     #[serde(default)]
     pub spot: bool,
+    /// Seconds between checkpoints; 0 means no checkpoints.
     #[serde(default)]
     #[schemars(range(min = 0.0))]
     pub checkpoint_s: f64,
+    /// Seconds to save a checkpoint when a task is preempted.
     #[serde(default)]
     #[schemars(range(min = 0.0))]
     pub save_s: f64,
-    /// Deadline: so many times the estimate, and seconds on top; 0 is none.
+    /// Deadline as a multiple of the estimate, to which `deadline_s` is added. A job has no
+    /// deadline if both are 0.
     #[serde(default)]
     #[schemars(range(min = 0.0))]
     pub deadline_times: f64,
+    /// Seconds added to the deadline.
     #[serde(default)]
     #[schemars(range(min = 0.0))]
     pub deadline_s: f64,
+    /// Whether all tasks of a job run in one zone.
     #[serde(default)]
     pub together: bool,
+    /// Whether the tasks of a job are spread over at least two zones.
     #[serde(default)]
     pub spread: bool,
-    /// The only zone where its tasks may run.
+    /// The only zone where tasks of the class may run.
     #[serde(default)]
     pub zone: Option<String>,
-    /// Every job has `most` tasks.
+    /// Whether every job has exactly `most` tasks.
     #[serde(default)]
     pub exactly: bool,
-    /// Its jobs come from so many seconds on.
+    /// Seconds from the start of the run to the first submission.
     #[serde(default)]
     #[schemars(range(min = 0.0, max = 86400.0))]
     pub from_s: f64,
-    /// Share of jobs submitted with a mistake: they fail on every machine, until
-    /// their users cancel them a minute or two later.
+    /// Share of jobs with a bug: they fail on every machine, until their users cancel them
+    /// one to two minutes later.
     #[serde(default)]
     #[schemars(range(min = 0.0, max = 1.0))]
     pub mistaken: f64,
@@ -381,8 +442,8 @@
     #[serde(default = "Class::cancelled")]
     #[schemars(range(min = 0.0, max = 1.0))]
     pub cancelled: f64,
-    /// They do so within so many seconds of the acceptance; 0: between one second and
-    /// a minute after it.
+    /// Users cancel within this many seconds after acceptance; 0 means between one second and
+    /// one minute after acceptance.
     #[serde(default)]
     #[schemars(range(min = 0.0, max = 600.0))]
     pub cancelled_within_s: f64,
@@ -406,148 +467,153 @@
     }
 }
 
-/// What users expect, as the protocol counts it.
+/// A service-level objective, measured as the user protocol defines it.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[serde(tag = "kind", rename_all = "lowercase", deny_unknown_fields)]
-pub enum Aim {
+pub enum Objective {
     /// Share of jobs done within `times` their deadline.
     Deadline {
         class: String,
-        #[serde(default = "Aim::once")]
+        #[serde(default = "Objective::once")]
         times: f64,
         share: f64,
     },
-    /// Share of tasks started within so many seconds of submission.
+    /// Share of tasks started within `within_s` seconds of submission.
     Wait {
         class: String,
         within_s: f64,
         share: f64,
     },
-    /// Share of submissions accepted within so many milliseconds.
+    /// Share of submissions accepted within `within_ms` milliseconds.
     Submit { within_ms: f64, share: f64 },
     /// Share of the money spent on useful work.
     Useful { share: f64 },
-    /// Money against useful work at the lowest nominal price.
+    /// Maximum ratio of the money spent to the cost of the useful work at the lowest nominal
+    /// price.
     Price { most: f64 },
 }
 
-impl Aim {
+impl Objective {
     fn once() -> f64 {
         1.0
     }
 }
 
-/// What goes wrong.
+/// A kind of fault to inject.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize, JsonSchema)]
 #[serde(rename_all = "kebab-case")]
-pub enum Trouble {
+pub enum Fault {
     /// New machines take `times` as long to boot.
     BootsLate,
-    /// New machines never come up.
+    /// New machines never finish booting.
     BootsNever,
-    /// New machines are up within one to two seconds.
+    /// New machines boot within one to two seconds.
     BootsQuick,
-    /// A `share` of the rentals is carried out at once and answered from `from_s` to
-    /// `to_s` later.
+    /// The cloud executes a `share` of the requests for machines at once and answers them
+    /// `from_s` to `to_s` later.
     RentalsLate,
-    /// Jobs of `class` come `times` as often.
+    /// The submission rate of `class` is multiplied by `times`.
     Burst,
     /// `count` machines fail every task that they start.
     MachinesFailTasks,
     /// `count` machines run their tasks `times` slower.
     MachinesSlow,
-    /// `count` machines lose the network.
+    /// `count` machines lose all network connections.
     MachinesCut,
-    /// `count` machines stop with all that is on them.
+    /// `count` machines stop and lose their tasks and cached images.
     MachinesStop,
-    /// `count` machines hang, and go on at the end.
+    /// `count` machines hang, and continue when the fault ends.
     MachinesHang,
-    /// `count` machines report and are heard; no answer and no command reaches them.
+    /// `count` machines are unreachable: controllers receive their heartbeats, but no reply
+    /// and no command reaches the machines.
     MachinesDeaf,
-    /// A `share` of the reports that were answered come again from `from_s` to
-    /// `to_s` later, at the controller that they went to or at any other, whatever
-    /// has become of their machine. With `for_next`, some copies of each machine are kept
-    /// for the next leader, and come `from_s` to `to_s` after its election, at all
-    /// controllers.
+    /// A `share` of the acknowledged heartbeats is delivered again `from_s` to `to_s` later,
+    /// to the same or to another controller, even if the machine no longer exists. With
+    /// `for_next`, some copies of each machine's heartbeats are kept until the next leader is
+    /// elected, and delivered to all controllers `from_s` to `to_s` after the election.
     ReportsLate,
-    /// `count` machines, all of `zone` or a `share` of them reach no controller, while
-    /// direct commands reach them and are answered.
+    /// `count` machines, all machines of `zone`, or a `share` of the machines can't reach any
+    /// controller, while they receive and answer direct commands.
     MachinesMute,
-    /// A `share` of the direct commands to workers is carried out at once, and its answer
-    /// is held up for `from_s` to `to_s`.
+    /// Workers execute a `share` of the direct commands at once, and the reply is delayed by
+    /// `from_s` to `to_s`.
     CommandAnswersLate,
-    /// A `share` of the direct commands to workers is held up and carried out from
-    /// `from_s` to `to_s` later, although whoever sent them has given up.
+    /// A `share` of the direct commands to workers is delayed and executed `from_s` to `to_s`
+    /// later, although the sender has timed out.
     CommandsLate,
-    /// Users cancel `count` running jobs, evenly over the time, at each controller that
-    /// `who` names in turn; those first that run on machines in trouble. A `share` of
-    /// them is of jobs of which nothing runs.
+    /// Users cancel `count` running jobs, evenly distributed over the duration, at the
+    /// controllers that `who` names in turn. Jobs on machines with a fault are chosen first. A
+    /// `share` of the cancellations is of jobs without running tasks.
     CancelSweep,
-    /// A worker that runs a task dies in the middle of it.
+    /// A machine that runs a task stops during the task.
     WorkerDiesMidJob,
-    /// All machines of `zone` lose power and come back cold at the end.
+    /// All machines of `zone` lose power, and restart with empty caches when the fault ends.
     PowerCut,
-    /// `count` spot machines are taken back, most with a notice.
+    /// `count` spot machines are reclaimed, most with notice.
     SpotWave,
-    /// The cloud has only `share` of its machines to give.
+    /// Only a `share` of the machines of the cloud is available.
     CapacityShrinks,
-    /// `who` crashes: a number, `leader` or `all`.
+    /// The controllers `who` crash: a number, `leader` or `all`.
     ControllerCrash,
-    /// All are restarted one after the other.
+    /// All controllers are restarted one after the other.
     RollingRestart,
-    /// `who` loses the network.
+    /// `who` loses all network connections.
     ControllerCut,
-    /// `who` is silent to everybody, and what was said to it comes late.
+    /// Nothing that `who` sends arrives, and messages to `who` are held until the fault ends.
     ControllerSilent,
-    /// `who` loses only the state service.
+    /// `who` loses only the connection to the state service.
     ControllerCutFromState,
-    /// `who` loses only the workers.
+    /// `who` loses only the connections to the workers.
     ControllerCutFromWorkers,
-    /// `who` loses the state service and its peers, and neither workers nor users.
+    /// `who` loses the connections to the state service and its peers, but reaches workers and
+    /// users.
     ControllerIsolated,
-    /// The state service refuses `who` alone.
+    /// The state service rejects requests of `who` only.
     StateRefuses,
     /// `who` computes `times` slower.
     ControllerSlow,
-    /// `who` does nothing at all.
+    /// The processes of `who` are frozen.
     ControllerFreezes,
-    /// The clocks of `who` are off by `times` the bound on the time of day.
+    /// The wall clocks of `who` are wrong by `times` the maximum clock error.
     ClockSkew,
-    /// New connections between controllers are refused; open ones go on.
+    /// New connections between controllers are refused; open connections continue.
     PeersRefused,
-    /// Controllers can't reach each other: packets between them are held.
+    /// Controllers can't reach each other: packets between controllers are held.
     ControllersApart,
     /// The state service is down.
     StateDown,
     /// The state service takes `times` 100 ms for each answer.
     StateSlow,
-    /// A `share` of the transactions to the state service gets no answer and is carried
-    /// out 2 to 12 s later, each at a time of its own, or `at_once`.
+    /// A `share` of the transactions to the state service gets no reply and is executed 2 to
+    /// 12 s later, each at a random time, or `at_once`.
     LateWrites,
-    /// Users ask at all controllers within milliseconds, and repeat the submission, right
-    /// after a job was accepted, ended or was cancelled; or about `job` as it begins.
+    /// Right after a job was accepted, has ended or was cancelled, users query all controllers
+    /// within milliseconds and repeat the submission. With `job`, users do so for this job
+    /// when the fault begins.
     CloseLooks,
-    /// Users repeat submissions of unfinished jobs, cancel jobs that are done, and submit
-    /// what must not be accepted.
+    /// Users repeat submissions of unfinished jobs, cancel finished jobs, and send invalid
+    /// submissions.
     OddRequests,
-    /// A `share` of the jobs that end is cancelled as their last task ends, or from
-    /// `from_s` to `to_s` later.
+    /// A `share` of the jobs that end is cancelled when the last task ends, or `from_s` to
+    /// `to_s` later.
     CancelAtEnd,
-    /// Users cancel `count` jobs that have long to go, or `job`, within a moment; with
-    /// `hang_s` some of their machines hang that long.
+    /// Users cancel `count` jobs with much remaining run time, or `job`, almost at the same
+    /// time. With `hang_s`, some machines of these jobs hang for that many seconds.
     CancelNow,
-    /// Every packet takes `times` ms longer, and a `share` is lost and sent again.
+    /// Every packet takes `times` ms longer, and a `share` of the packets is lost and
+    /// retransmitted.
     LinksSlow,
-    /// `zone` is cut off from everything.
+    /// `zone` is partitioned from all hosts outside of the zone.
     ZoneCut,
-    /// The zones can't reach each other; packets are held.
+    /// The first zone and the other zones can't reach each other; packets are held.
     ZonesApart,
 }
 
-impl Trouble {
-    /// Whether it can be played without a simulated network and clocks.
-    pub fn is_playable_on_loopback(self) -> bool {
-        use Trouble::*;
+impl Fault {
+    /// Returns whether the fault can be injected without a simulated network and simulated
+    /// clocks.
+    pub fn can_run_on_loopback(self) -> bool {
+        use Fault::*;
         !matches!(
             self,
             MachinesCut
@@ -570,54 +636,62 @@
     }
 }
 
-/// One failure of the script.
+/// One fault to inject, with its time and parameters.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct Failure {
-    pub what: Trouble,
+    /// Kind of the fault.
+    pub what: Fault,
+    /// Start of the fault in seconds.
     #[schemars(range(min = 0.0))]
     pub at_s: f64,
+    /// Duration of the fault in seconds.
     #[serde(default = "Failure::length")]
     #[schemars(range(min = 0.0))]
     pub for_s: f64,
+    /// Zone to which the fault is limited.
     #[serde(default)]
     pub zone: Option<String>,
-    /// A controller: its number, `leader`, or `all`.
+    /// Controllers with the fault: a number, `leader`, or `all`.
     #[serde(default)]
     pub who: Option<String>,
+    /// Job class of a burst.
     #[serde(default)]
     pub class: Option<String>,
+    /// Factor or amount, as the kind of fault defines it.
     #[serde(default)]
     #[schemars(range(min = 0.0))]
     pub times: Option<f64>,
+    /// Share, as the kind of fault defines it.
     #[serde(default)]
     #[schemars(range(min = 0.0, max = 1.0))]
     pub share: Option<f64>,
+    /// Number of machines or jobs with the fault.
     #[serde(default)]
     pub count: Option<usize>,
-    /// From an end to the next start, in seconds: of controllers in place of the
-    /// night's own, and of machines, which otherwise don't come back. They come
-    /// back cold, under their names.
+    /// Seconds from the end to the restart. For controllers, overrides the value of the
+    /// scenario. Machines restart only if this is set, with empty caches and the same names.
     #[serde(default)]
     #[schemars(range(min = 0.2, max = 600.0))]
     pub back_s: Option<f64>,
-    /// Copies of reports, or commands that are held up, come so many seconds later.
+    /// Minimum delay, in seconds, of the delayed messages or requests.
     #[serde(default)]
     #[schemars(range(min = 0.0, max = 3600.0))]
     pub from_s: Option<f64>,
+    /// Maximum delay, in seconds, of the delayed messages or requests.
     #[serde(default)]
     #[schemars(range(min = 0.0, max = 3600.0))]
     pub to_s: Option<f64>,
-    /// Of late writes: they are carried out at once, and only the answer is lost.
+    /// For late writes: the transactions are executed at once, and only the reply is lost.
     #[serde(default)]
     pub at_once: bool,
-    /// Copies of reports are kept for the next leader.
+    /// Whether copies of heartbeats are kept for the next leader.
     #[serde(default)]
     pub for_next: Option<bool>,
-    /// The only job that it is about.
+    /// The only job to which the fault applies.
     #[serde(default)]
     pub job: Option<String>,
-    /// Machines hang for so many seconds.
+    /// Seconds for which machines hang.
     #[serde(default)]
     #[schemars(range(min = 0.1, max = 3600.0))]
     pub hang_s: Option<f64>,
@@ -628,79 +702,81 @@
         20.0
     }
 
-    /// From the end of a process to its next start, in seconds.
+    /// Returns the seconds from the end of a controller process to its restart.
     pub fn back_s(&self, controllers: &Controllers) -> f64 {
         self.back_s.unwrap_or(controllers.back_s)
     }
 
-    /// From when on it troubles nobody, by itself: what it ended is back.
-    fn over_s(&self, night: &Night) -> f64 {
-        let back_s = self.back_s(&night.controllers);
+    /// Returns the time at which the direct effects of the fault end: stopped processes and
+    /// machines have restarted, and delayed messages are delivered.
+    fn over_s(&self, scenario: &Scenario) -> f64 {
+        let back_s = self.back_s(&scenario.controllers);
         let lasts_s = match self.what {
-            Trouble::ControllerCrash => back_s,
-            Trouble::RollingRestart => (back_s + ROLL_S) * night.controllers.count as f64,
-            Trouble::MachinesStop | Trouble::WorkerDiesMidJob => self.back_s.unwrap_or(0.0),
-            Trouble::SpotWave => 1.5 * night.workers.notice_s,
-            Trouble::LateWrites => self.for_s + LATE_TO_S,
-            Trouble::ReportsLate | Trouble::CommandsLate | Trouble::CommandAnswersLate => {
+            Fault::ControllerCrash => back_s,
+            Fault::RollingRestart => (back_s + ROLL_S) * scenario.controllers.count as f64,
+            Fault::MachinesStop | Fault::WorkerDiesMidJob => self.back_s.unwrap_or(0.0),
+            Fault::SpotWave => 1.5 * scenario.workers.notice_s,
+            Fault::LateWrites => self.for_s + LATE_TO_S,
+            Fault::ReportsLate | Fault::CommandsLate | Fault::CommandAnswersLate => {
                 self.for_s + self.to_s.unwrap_or(0.0)
             }
-            Trouble::CancelNow => self.hang_s.unwrap_or(0.0),
+            Fault::CancelNow => self.hang_s.unwrap_or(0.0),
             _ => self.for_s,
         };
         self.at_s + lasts_s
     }
 }
 
-/// A transaction that gets no answer is carried out so many seconds later: longer than
-/// its sender waits, so that newer ones come before it.
+/// Minimum delay of a late write in seconds. The delay exceeds the timeout of the sender, so
+/// that newer transactions are executed first.
 pub const LATE_FROM_S: f64 = 2.0;
+/// Maximum delay of a late write in seconds.
 pub const LATE_TO_S: f64 = 12.0;
-/// A controller that was rolled has so many seconds before the next one ends.
+/// Seconds between the restart of one controller and the stop of the next one in a rolling
+/// restart.
 pub const ROLL_S: f64 = 6.0;
-/// The night goes on for so long after the last trouble while users wait: longer
-/// than what shows a job forgotten.
+/// Seconds that a run continues after the last fault while jobs are unfinished. Longer than
+/// the time after which the judge reports a job as forgotten.
 const GRACE_S: f64 = 90.0;
 
-impl Night {
-    /// From when on nothing goes wrong any more, in seconds.
-    pub fn troubles_over_s(&self) -> f64 {
+impl Scenario {
+    /// Returns the time in seconds at which the last fault has ended.
+    pub fn faults_over_s(&self) -> f64 {
         let ends = self.failures.iter().map(|f| f.over_s(self));
         ends.fold(0.0, f64::max)
     }
 
-    /// Whether users cancel at controllers of the script's choice.
-    /// When it ends at the latest, in seconds.
+    /// Returns the latest end of the run in seconds.
     pub fn ends_s(&self) -> f64 {
-        (self.length_s + self.drain_s).max(self.troubles_over_s() + GRACE_S)
+        (self.length_s + self.drain_s).max(self.faults_over_s() + GRACE_S)
     }
 
-    /// The same night `times` as fast: for real processes, whose own waits are
-    /// shortened by properties.
-    pub fn hastened(&self, times: f64) -> Night {
-        let mut night = self.clone();
+    /// Returns the scenario with all times divided by `times`. Used for real processes, whose
+    /// own timeouts are shortened by properties.
+    pub fn accelerated(&self, times: f64) -> Scenario {
+        let mut scenario = self.clone();
         let quick = |seconds: &mut f64| *seconds /= times;
-        quick(&mut night.length_s);
-        quick(&mut night.drain_s);
-        quick(&mut night.warm_up_s);
-        quick(&mut night.controllers.back_s);
-        let workers = &mut night.workers;
+        quick(&mut scenario.length_s);
+        quick(&mut scenario.drain_s);
+        quick(&mut scenario.warm_up_s);
+        quick(&mut scenario.controllers.back_s);
+        let workers = &mut scenario.workers;
         let waits = [
             &mut workers.report_s,
             &mut workers.lease_s,
             &mut workers.cancel_s,
         ];
         waits.into_iter().for_each(quick);
-        quick(&mut night.workers.notice_s);
-        night.state.rps *= times;
-        night.state.write_rps *= times;
-        night.cloud.rps *= times;
-        quick(&mut night.cloud.list_lag_s);
-        for kind in &mut night.machines {
+        quick(&mut scenario.workers.notice_s);
+        scenario.state.rps *= times;
+        scenario.state.write_rps *= times;
+        scenario.cloud.rps *= times;
+        quick(&mut scenario.cloud.list_lag_s);
+        for kind in &mut scenario.machines {
             quick(&mut kind.boot_s);
             kind.fetch_gb_per_s *= times;
         }
-        for class in &mut night.classes {
+        for class in &mut scenario.classes {
             class.per_minute *= times;
             let waits = [
                 &mut class.run_s,
@@ -712,19 +788,19 @@
             ];
             waits.into_iter().for_each(quick);
         }
-        for aim in &mut night.aims {
-            match aim {
-                Aim::Wait { within_s, .. } => quick(within_s),
-                Aim::Submit { within_ms, .. } => quick(within_ms),
+        for objective in &mut scenario.objectives {
+            match objective {
+                Objective::Wait { within_s, .. } => quick(within_s),
+                Objective::Submit { within_ms, .. } => quick(within_ms),
                 _ => {}
             }
         }
-        for run in &mut night.runs {
+        for run in &mut scenario.runs {
             quick(&mut run.opens_s);
             quick(&mut run.due_s);
             quick(&mut run.quiet_s);
         }
-        for failure in &mut night.failures {
+        for failure in &mut scenario.failures {
             quick(&mut failure.at_s);
             quick(&mut failure.for_s);
             let waits = [
@@ -737,30 +813,30 @@
         }
         let waits = umbersail_tuning::CONSTANTS.iter().filter(|c| c.unit == "s");
         for constant in waits {
-            let set = night.controllers.properties.get(constant.key).copied();
+            let set = scenario.controllers.properties.get(constant.key).copied();
             let value = (set.unwrap_or(constant.default) / times).clamp(constant.min, constant.max);
-            night
+            scenario
                 .controllers
                 .properties
                 .insert(constant.key.to_owned(), value);
         }
-        night
+        scenario
     }
 
-    /// The schema of night files (JSON Schema 2020-12).
+    /// Returns the schema of scenario files (JSON Schema 2020-12).
     pub fn schema() -> serde_json::Value {
-        serde_json::to_value(schemars::schema_for!(Night)).unwrap_or_default()
+        serde_json::to_value(schemars::schema_for!(Scenario)).unwrap_or_default()
     }
 
-    /// Reads and checks a file.
+    /// Reads and validates a scenario file.
     ///
     /// # Errors
-    /// File, key and reason, in one line.
-    pub fn load(path: &Path) -> Result<Night, NightError> {
+    /// Returns file, key and reason in one line if the file can't be read or is invalid.
+    pub fn load(path: &Path) -> Result<Scenario, ScenarioError> {
         let file = path.display().to_string();
         match std::fs::read_to_string(path) {
-            Ok(text) => Night::parse(&file, &text),
-            Err(e) => Err(NightError {
+            Ok(text) => Scenario::parse(&file, &text),
+            Err(e) => Err(ScenarioError {
                 file,
                 key: "file".into(),
                 reason: e.to_string(),
@@ -768,13 +844,13 @@
         }
     }
 
-    /// Reads and checks a file's text; `file` is its name for errors.
+    /// Parses and validates the text of a scenario file; `file` is the name in errors.
     ///
     /// # Errors
-    /// The first thing that is wrong: not TOML, against the schema, or against
-    /// itself.
-    pub fn parse(file: &str, text: &str) -> Result<Night, NightError> {
-        let fail = |key: String, reason: String| NightError {
+    /// Returns the first error: a TOML syntax error, a violation of the schema, or a
+    /// contradiction between values.
+    pub fn parse(file: &str, text: &str) -> Result<Scenario, ScenarioError> {
+        let fail = |key: String, reason: String| ScenarioError {
             file: file.to_owned(),
             key,
             reason: reason.replace('\n', " "),
@@ -785,7 +861,7 @@
             fail(format!("line {line}"), e.message().to_owned())
         })?;
         let json = serde_json::to_value(&value).map_err(|e| fail("file".into(), e.to_string()))?;
-        let validator = jsonschema::validator_for(&Night::schema())
+        let validator = jsonschema::validator_for(&Scenario::schema())
             .map_err(|e| fail("schema".into(), e.to_string()))?;
         if let Some(error) = validator.iter_errors(&json).next() {
             let key = error.instance_path.to_string();
@@ -793,13 +869,16 @@
             let key = if key.is_empty() { "top".into() } else { key };
             return Err(fail(key, error.to_string()));
         }
-        let night: Night =
+        let scenario: Scenario =
             serde_json::from_value(json).map_err(|e| fail("top".into(), e.to_string()))?;
-        night.check().map_err(|(key, reason)| fail(key, reason))?;
-        Ok(night)
+        scenario
+            .check()
+            .map_err(|(key, reason)| fail(key, reason))?;
+        Ok(scenario)
     }
 
-    /// What no schema can say: names that must exist, amounts that must fit.
+    /// Checks what the schema can't express: references between entries and relations between
+    /// values.
     fn check(&self) -> Result<(), (String, String)> {
         let fail = |key: String, reason: &str| Err((key, reason.to_owned()));
         let zones: BTreeSet<&String> = self
@@ -809,10 +888,11 @@
             .chain(self.machines.iter().flat_map(|m| &m.zones))
             .collect();
         if self.warm_up_s >= self.length_s {
-            return fail("warm_up_s".into(), "leaves nothing of length_s to count");
+            return fail("warm_up_s".into(), "must be less than length_s");
         }
         if self.workers.cancel_s <= self.workers.lease_s + 5.0 {
-            let reason = "must exceed lease_s by more than 5, or a cancellation can't hold";
+            let reason =
+                "must exceed lease_s by more than 5, or a cancellation can't take effect in time";
             return fail("workers.cancel_s".into(), reason);
         }
         if self.machines.is_empty() || self.classes.is_empty() || self.teams.is_empty() {
@@ -829,7 +909,10 @@
                 );
             }
             if kind.at_start > kind.ordinary * kind.zones.len() {
-                return fail(format!("machines.{i}.at_start"), "more than there are");
+                return fail(
+                    format!("machines.{i}.at_start"),
+                    "exceeds the number of available machines",
+                );
             }
         }
         for (i, class) in self.classes.iter().enumerate() {
@@ -858,33 +941,33 @@
                 return fail(at("most"), "less than the mean number of tasks");
             }
         }
-        for (i, aim) in self.aims.iter().enumerate() {
-            if let Aim::Deadline { class, .. } | Aim::Wait { class, .. } = aim {
+        for (i, objective) in self.objectives.iter().enumerate() {
+            if let Objective::Deadline { class, .. } | Objective::Wait { class, .. } = objective {
                 let Some(class) = self.classes.iter().find(|c| c.name == *class) else {
                     return fail(format!("aims.{i}.class"), "no class has this name");
                 };
                 let timeless = class.deadline_times <= 0.0 && class.deadline_s <= 0.0;
-                if matches!(aim, Aim::Deadline { .. }) && timeless {
+                if matches!(objective, Objective::Deadline { .. }) && timeless {
                     return fail(format!("aims.{i}.class"), "the class has no deadline");
                 }
             }
         }
-        for (i, aim) in self.aims.iter().enumerate() {
-            // Not by the schema, which would name the entry and not the key.
-            let share = match aim {
-                Aim::Deadline { share, .. } | Aim::Wait { share, .. } => Some(share),
-                Aim::Submit { share, .. } | Aim::Useful { share } => Some(share),
-                Aim::Price { .. } => None,
+        for (i, objective) in self.objectives.iter().enumerate() {
+            // Not checked by the schema, whose error would name the entry and not the key.
+            let share = match objective {
+                Objective::Deadline { share, .. } | Objective::Wait { share, .. } => Some(share),
+                Objective::Submit { share, .. } | Objective::Useful { share } => Some(share),
+                Objective::Price { .. } => None,
             };
             if share.is_some_and(|share| !(0.0..=1.0).contains(share)) {
                 return fail(format!("aims.{i}.share"), "is not from 0 to 1");
             }
-            let (key, amount) = match aim {
-                Aim::Deadline { times, .. } => ("times", *times),
-                Aim::Wait { within_s, .. } => ("within_s", *within_s),
-                Aim::Submit { within_ms, .. } => ("within_ms", *within_ms),
-                Aim::Price { most } => ("most", *most),
-                Aim::Useful { .. } => continue,
+            let (key, amount) = match objective {
+                Objective::Deadline { times, .. } => ("times", *times),
+                Objective::Wait { within_s, .. } => ("within_s", *within_s),
+                Objective::Submit { within_ms, .. } => ("within_ms", *within_ms),
+                Objective::Price { most } => ("most", *most),
+                Objective::Useful { .. } => continue,
             };
             if amount < 0.0 {
                 return fail(format!("aims.{i}.{key}"), "is negative");
@@ -902,10 +985,10 @@
         failure: &Failure,
         zones: &BTreeSet<&String>,
     ) -> Result<(), (&'static str, &'static str)> {
-        use Trouble::*;
+        use Fault::*;
         let what = failure.what;
         if failure.at_s >= self.length_s + self.drain_s {
-            return Err(("at_s", "after the end of the night"));
+            return Err(("at_s", "after the end of the scenario"));
         }
         match &failure.zone {
             Some(zone) if !zones.contains(zone) => return Err(("zone", "no such zone")),
@@ -947,13 +1030,13 @@
             return Err(("times", "is missing"));
         }
         if what == LinksSlow && failure.share.is_some_and(|share| share >= 1.0) {
-            return Err(("share", "no packet would ever arrive"));
+            return Err(("share", "must be less than 1, or no packet arrives"));
         }
         if matches!(what, CapacityShrinks | LateWrites | CancelAtEnd) && failure.share.is_none() {
             return Err(("share", "is missing"));
         }
         if failure.at_once && what != LateWrites {
-            return Err(("at_once", "is for late writes alone"));
+            return Err(("at_once", "is only for late-writes"));
         }
         if matches!(
             what,
@@ -969,23 +1052,23 @@
             }
         }
         if failure.for_next.is_some() && what != ReportsLate {
-            return Err(("for_next", "no reports are copied"));
+            return Err(("for_next", "is only for reports-late"));
         }
         if what == CancelNow && failure.count.is_none() && failure.job.is_none() {
             return Err(("count", "is missing"));
         }
         if failure.job.is_some() && !matches!(what, CancelNow | CloseLooks) {
-            return Err(("job", "it is about no single job"));
+            return Err(("job", "this fault does not apply to a single job"));
         }
         if failure.hang_s.is_some() && what != CancelNow {
-            return Err(("hang_s", "no machine hangs"));
+            return Err(("hang_s", "is only for cancel-now"));
         }
         let ends = matches!(
             what,
             ControllerCrash | RollingRestart | MachinesStop | WorkerDiesMidJob
         );
         if failure.back_s.is_some() && !ends {
-            return Err(("back_s", "nothing ends that could come back"));
+            return Err(("back_s", "nothing ends that could restart"));
         }
         Ok(())
     }
--- a/crates/umbersail-rehearsal/src/worker.rs
+++ b/crates/umbersail-rehearsal/src/worker.rs
@@ -20,7 +20,7 @@
 use crate::fleet::Fleet;
 use crate::history::{self, EndReason, EventKind};
 use crate::kv_store_host::{answer, wide_limits};
-use crate::night::MachineKind;
+use crate::scenario::MachineKind;
 
 /// Timeout of a heartbeat, in seconds (PROTOCOL).
 const REPLY_TIMEOUT_S: f64 = 4.0;
--- a/crates/umbersail-rehearsal/tests/nights/one_task_jobs.rs
+++ b/crates/umbersail-rehearsal/tests/nights/one_task_jobs.rs
@@ -4,7 +4,7 @@
 use std::collections::BTreeMap;
 
 use umbersail_rehearsal::history::{Event, EventKind};
-use umbersail_rehearsal::{Figures, Night};
+use umbersail_rehearsal::{Figures, Scenario};
 
 use crate::harness::{holds, seeds, shop};
 
@@ -19,7 +19,7 @@
 /// Further changes a minute that are nobody's job: the leader's, grants and doubts.
 const OTHERS_PER_MINUTE: f64 = 60.0;
 
-fn one_task_jobs(length_s: f64) -> Night {
+fn one_task_jobs(length_s: f64) -> Scenario {
     let mut night = shop(length_s, "");
     night.classes.truncate(1);
     let class = &mut night.classes[0];
@@ -27,7 +27,7 @@
     (class.per_minute, class.at_start) = (60.0 * JOBS_PER_S, 0);
     (class.cancelled, class.cancelled_within_s) = (0.25, 2.0);
     (class.run_s, class.image_gb) = (8.0, 0.1);
-    night.aims.clear();
+    night.objectives.clear();
     night
 }
 
--- a/crates/umbersail-rehearsal/tests/nights/sweep.rs
+++ b/crates/umbersail-rehearsal/tests/nights/sweep.rs
@@ -9,7 +9,7 @@
 //! ```
 
 use umbersail_rehearsal::history::{EndReason, Event, EventKind};
-use umbersail_rehearsal::{Failure, Night, Outcome, Trouble, play_many};
+use umbersail_rehearsal::{Failure, Fault, Outcome, Scenario, run_many};
 use umbersail_wire::JobStage;
 
 use crate::harness::{attempts, played};
@@ -43,7 +43,7 @@
 
 /// A recorded night.
 pub struct Sweep {
-    night: Night,
+    night: Scenario,
     seed: u64,
     events: Vec<Event>,
 }
@@ -55,7 +55,7 @@
 }
 
 /// A failure without anything that its kind does not need.
-pub fn bare(what: Trouble, at_s: f64, for_s: f64) -> Failure {
+pub fn bare(what: Fault, at_s: f64, for_s: f64) -> Failure {
     Failure {
         what,
         at_s,
@@ -78,7 +78,7 @@
 
 impl Sweep {
     /// Plays the night as it is.
-    pub fn record(night: Night, seed: u64) -> Sweep {
+    pub fn record(night: Scenario, seed: u64) -> Sweep {
         let events = played(&night, seed).events;
         Sweep {
             night,
@@ -130,7 +130,7 @@
             let at_s = moment.t + offset;
             let mut night = self.night.clone();
             night.failures.extend(failures(at_s));
-            let played = play_many(&night, &[self.seed], AT_ONCE).unwrap();
+            let played = run_many(&night, &[self.seed], AT_ONCE).unwrap();
             for outcome in played {
                 self.assert_same_until(&outcome, at_s);
                 outcomes.push(outcome);
--- a/crates/umbersail-rehearsal/tests/nights/whole.rs
+++ b/crates/umbersail-rehearsal/tests/nights/whole.rs
@@ -1,7 +1,7 @@
 //! Whole nights. Each test names the failure that it guards against.
 
 use umbersail_rehearsal::history::EventKind;
-use umbersail_rehearsal::{Night, Rule, bundled};
+use umbersail_rehearsal::{Rule, Scenario, bundled};
 
 use crate::harness::{holds, night, played, shop};
 
@@ -115,7 +115,7 @@
     (night.drain_s, night.failures[0].for_s) = (60.0, 50.0);
     assert!((night.ends_s() - 160.0).abs() < 1e-9);
     // All controllers end for longer than the night lasts: nobody is answered.
-    night.failures[0].what = umbersail_rehearsal::Trouble::ControllerCrash;
+    night.failures[0].what = umbersail_rehearsal::Fault::ControllerCrash;
     night.failures[0].back_s = Some(70.0);
     night.controllers.back_s = 600.0;
     assert!((night.ends_s() - 180.0).abs() < 1e-9);
@@ -135,7 +135,7 @@
     let text = bundled("zone-power-loss-cold-caches").unwrap();
     let refused = |from: &str, to: &str| {
         assert!(text.contains(from), "{from}");
-        Night::parse("n.toml", &text.replacen(from, to, 1))
+        Scenario::parse("n.toml", &text.replacen(from, to, 1))
             .unwrap_err()
             .to_string()
     };
@@ -266,7 +266,7 @@
 fn every_bundled_night_can_be_read_and_says_what_it_is() {
     // Guards against a bundled file that only its author can play.
     for umbersail_rehearsal::Bundled { name, text, .. } in umbersail_rehearsal::BUNDLED {
-        let night = Night::parse(name, text).unwrap();
+        let night = Scenario::parse(name, text).unwrap();
         assert!(
             !night.title.is_empty() && night.failures.len() >= 5,
             "{name}"
