--- a/crates/umbersail-control/src/engine/listing.rs
+++ b/crates/umbersail-control/src/engine/listing.rs
@@ -64,7 +64,7 @@
             }
             if entry.state == MachineState::Failed {
                 // The machine has stopped, and with it all tasks on it (rule 3).
-                self.clear_machine(&name);
+                self.requeue_machine_tasks(&name);
             }
             present.push(name);
         }
@@ -168,7 +168,7 @@
         let max_names = self.cfg.tuning.max_deleted_machine_names as usize;
         for name in names {
             let name: MachineId = name.as_str().into();
-            self.clear_machine(&name);
+            self.requeue_machine_tasks(&name);
             self.plans.images.remove_machine(&name);
             if let Some(machine) = self.machines.remove(&name) {
                 self.remove_from_part(&name, machine.grant_part);
--- a/crates/umbersail-control/src/engine/recovery.rs
+++ b/crates/umbersail-control/src/engine/recovery.rs
@@ -79,7 +79,7 @@
 
     /// Requeues all tasks of a machine that can hold none any more: its lease has expired, or
     /// the machine has failed or is deleted.
-    pub(super) fn clear_machine(&mut self, name: &MachineId) {
+    pub(super) fn requeue_machine_tasks(&mut self, name: &MachineId) {
         let tasks: Vec<(JobId, u32)> = self
             .machines
             .get(name)
--- a/crates/umbersail-control/src/engine/tests/random_faults.rs
+++ b/crates/umbersail-control/src/engine/tests/random_faults.rs
@@ -279,7 +279,7 @@
     degraded_mode_memory: DegradedModeMemory,
     leadership: Option<Leadership>,
     next_duties_at: f64,
-    next_greeting_at: f64,
+    next_hello_at: f64,
 }
 
 /// The parts of the state service that these tests need.
@@ -453,7 +453,7 @@
                 degraded_mode_memory: DegradedModeMemory::default(),
                 leadership: None,
                 next_duties_at: rng.random_range(0.0..0.5),
-                next_greeting_at: rng.random_range(0.0..1.0),
+                next_hello_at: rng.random_range(0.0..1.0),
             }
         });
         let members = members.collect();
@@ -749,10 +749,10 @@
         if !self.members[node].up || frozen {
             return;
         }
-        if self.t >= self.members[node].next_greeting_at {
-            self.members[node].next_greeting_at = self.t + self.rng.random_range(0.8..1.2);
+        if self.t >= self.members[node].next_hello_at {
+            self.members[node].next_hello_at = self.t + self.rng.random_range(0.8..1.2);
             for peer in (0..NODES).filter(|p| *p != node) {
-                self.greet(node, peer);
+                self.send_hello(node, peer);
             }
         }
         if self.t < self.members[node].next_duties_at {
@@ -1094,7 +1094,7 @@
         host.worker.heartbeat()
     }
 
-    fn greet(&mut self, node: usize, peer: usize) {
+    fn send_hello(&mut self, node: usize, peer: usize) {
         if !self.members[peer].up || self.peers_are_partitioned(node, peer) {
             return;
         }
@@ -1338,7 +1338,7 @@
             return Ok(());
         }
         match self.deliver_heartbeat(node, &heartbeat, true)? {
-            Answer::Reply(token, commands) => {
+            HeartbeatOutcome::Reply(token, commands) => {
                 for task in started_tasks(&commands) {
                     self.check_start(index, &task)?;
                 }
@@ -1367,14 +1367,14 @@
                     commands,
                 });
             }
-            Answer::Redirected(_) if self.is_unreachable(index) => {
+            HeartbeatOutcome::Redirected(_) if self.is_unreachable(index) => {
                 self.retry_on_next_node(index, REPLY_TIMEOUT_S + 1.0)
             }
-            Answer::Redirected(to) => {
+            HeartbeatOutcome::Redirected(to) => {
                 self.hosts[index].node = to;
                 self.hosts[index].next_heartbeat_at = t + 0.2;
             }
-            Answer::Rejected => self.retry_on_next_node(index, 1.0),
+            HeartbeatOutcome::Rejected => self.retry_on_next_node(index, 1.0),
         }
         Ok(())
     }
@@ -1449,21 +1449,21 @@
         node: usize,
         heartbeat: &Heartbeat,
         may_redirect: bool,
-    ) -> Result<Answer, String> {
+    ) -> Result<HeartbeatOutcome, String> {
         if !self.members[node].up {
-            return Ok(Answer::Rejected);
+            return Ok(HeartbeatOutcome::Rejected);
         }
         if self.members[node].leadership.is_some() {
             let redirects_to_zone =
                 zone_of(node) != heartbeat.zone && may_redirect && self.rng.random_bool(0.3);
             let zone_delegate = (0..NODES).find(|n| zone_of(*n) == heartbeat.zone);
             return Ok(match zone_delegate.filter(|_| redirects_to_zone) {
-                Some(zone_delegate) => Answer::Redirected(zone_delegate),
+                Some(zone_delegate) => HeartbeatOutcome::Redirected(zone_delegate),
                 None => self.answer_as_leader(node, heartbeat)?,
             });
         }
         let Some((leader, _)) = self.members[node].leader.filter(|(l, _)| *l != node) else {
-            return Ok(Answer::Rejected);
+            return Ok(HeartbeatOutcome::Rejected);
         };
         let peers_partitioned = self.peers_are_partitioned(node, leader);
         if may_redirect
@@ -1471,40 +1471,46 @@
             && zone_of(node) != heartbeat.zone
             && self.rng.random_bool(0.7)
         {
-            return Ok(Answer::Redirected(leader));
+            return Ok(HeartbeatOutcome::Redirected(leader));
         }
         if !peers_partitioned && self.members[leader].up && !self.rng.random_bool(0.03) {
             let answer = self.answer_as_leader(leader, heartbeat)?;
-            if matches!(answer, Answer::Reply(..)) {
+            if matches!(answer, HeartbeatOutcome::Reply(..)) {
                 // Otherwise the leader's reply is lost, and the delegate renews the lease.
                 if self.rng.random_bool(0.97) {
                     self.members[node].delegate.on_relayed_reply(heartbeat);
                     return Ok(answer);
                 }
             } else {
-                return Ok(Answer::Redirected(leader));
+                return Ok(HeartbeatOutcome::Redirected(leader));
             }
         }
         let now = self.members[node].clock.read(self.t);
         let delegate = &mut self.members[node].delegate;
         Ok(match delegate.renew(now, heartbeat) {
-            Some(token) => Answer::Reply(token, delegate.stop_commands(heartbeat, |_| false)),
-            None => Answer::Redirected(leader),
+            Some(token) => {
+                HeartbeatOutcome::Reply(token, delegate.stop_commands(heartbeat, |_| false))
+            }
+            None => HeartbeatOutcome::Redirected(leader),
         })
     }
 
     /// Does what `Node::accept_heartbeat` does.
-    fn answer_as_leader(&mut self, node: usize, heartbeat: &Heartbeat) -> Result<Answer, String> {
+    fn answer_as_leader(
+        &mut self,
+        node: usize,
+        heartbeat: &Heartbeat,
+    ) -> Result<HeartbeatOutcome, String> {
         let (t, now) = (self.t, self.members[node].clock.read(self.t));
         let Some(leadership) = &mut self.members[node].leadership else {
-            return Ok(Answer::Rejected);
+            return Ok(HeartbeatOutcome::Rejected);
         };
         leadership.superseded |= epoch(heartbeat.token) > leadership.engine.revision();
         if leadership.superseded
             || now >= leadership.renew_until
             || !leadership.engine.receive_heartbeat(now, heartbeat)
         {
-            return Ok(Answer::Rejected);
+            return Ok(HeartbeatOutcome::Rejected);
         }
         let machine = &heartbeat.machine;
         if !leadership
@@ -1523,14 +1529,14 @@
         let may_start =
             leadership.degraded_mode.allows_unrecorded_starts() || now < leadership.start_until;
         let commands = leadership.engine.reply(now, heartbeat, may_start);
-        Ok(Answer::Reply(
+        Ok(HeartbeatOutcome::Reply(
             leadership.engine.token_for(&heartbeat.machine),
             commands,
         ))
     }
 }
 
-enum Answer {
+enum HeartbeatOutcome {
     Reply(u64, Vec<Command>),
     Redirected(usize),
     Rejected,
--- a/crates/umbersail-control/src/engine/tests/reservations.rs
+++ b/crates/umbersail-control/src/engine/tests/reservations.rs
@@ -13,7 +13,7 @@
 const RESERVED: usize = 3;
 
 /// Settings with one reservation and further lines.
-fn settings(further_lines: &str) -> Tuning {
+fn tuning_with(further_lines: &str) -> Tuning {
     let text = format!(
         "reserve.sale.team=t\nreserve.sale.classes=own\nreserve.sale.machines=m8:{RESERVED}\n\
          reserve.sale.from=1970-01-01T02:00Z\nreserve.sale.to=1970-01-01T04:00Z\n{further_lines}"
@@ -172,7 +172,7 @@
 #[test]
 fn a_rental_request_is_recorded_before_it_is_sent_and_a_new_leader_repeats_it_under_its_name() {
     // Guards against machines that are rented twice, by a leader and by the next one.
-    let mut env = Environment::new(settings(""));
+    let mut env = Environment::new(tuning_with(""));
     let mut first = env.elect(0.0);
     first.tick(0.0);
     assert_eq!(env.run_cloud_actions(&mut first, 0.0, false), []);
@@ -207,7 +207,7 @@
 fn reserved_machines_take_only_the_reservations_jobs_and_are_not_deleted_when_idle() {
     // Guards against a reservation whose machines other jobs use up, whose machines are deleted
     // as idle, or whose machines count as room for other jobs.
-    let mut env = Environment::new(settings("reserve.sale.borrow=nobody\n"));
+    let mut env = Environment::new(tuning_with("reserve.sale.borrow=nobody\n"));
     let (mut engine, mut workers) = env.with_reserved_machines();
     accept(&mut engine, 3.0, of_class("other", "req-1", 2, 8.0));
     accept(&mut engine, 3.0, of_class("own", "req-2", 2, 8.0));
@@ -244,7 +244,7 @@
 #[test]
 fn borrowed_machines_are_taken_back_from_checkpointing_jobs_when_the_reservations_jobs_arrive() {
     // Guards against jobs of the reservation that wait for machines lent to other jobs.
-    let mut env = Environment::new(settings(""));
+    let mut env = Environment::new(tuning_with(""));
     let (mut engine, mut workers) = env.with_reserved_machines();
     let with_checkpoints = JobSpec {
         priority: Priority::Low,
@@ -293,7 +293,7 @@
 #[test]
 fn a_job_that_waits_too_long_is_lent_an_idle_reserved_machine_and_that_machine_is_replaced() {
     // Guards against a reservation that keeps another job waiting forever.
-    let mut env = Environment::new(settings(""));
+    let mut env = Environment::new(tuning_with(""));
     let (mut engine, mut workers) = env.with_reserved_machines();
     accept(&mut engine, 3.0, of_class("other", "req-1", 1, 8.0));
     let borrow_after_s = env.cfg.tuning.reserve_borrow_after_s;
@@ -314,7 +314,7 @@
 #[test]
 fn a_silent_reserved_machine_is_replaced_and_a_surplus_machine_is_released() {
     // Guards against a reservation whose machines exist in the records but do not run.
-    let mut env = Environment::new(settings(""));
+    let mut env = Environment::new(tuning_with(""));
     let (mut engine, mut workers) = env.with_reserved_machines();
     let reserved = |engine: &Engine| {
         engine
@@ -352,7 +352,7 @@
         ..ProptestConfig::default()
     };
     proptest!(config, |(steps in prop::collection::vec(0u8..7, 1..60))| {
-        let mut env = Environment::new(settings(""));
+        let mut env = Environment::new(tuning_with(""));
         let mut engine = env.elect(0.0);
         let mut now = 0.0;
         for step in steps {
--- a/crates/umbersail-control/src/engine/tick.rs
+++ b/crates/umbersail-control/src/engine/tick.rs
@@ -47,7 +47,7 @@
                 machine = &*name,
                 "no heartbeat until the machine's lease expired: its tasks are requeued"
             );
-            self.clear_machine(&name);
+            self.requeue_machine_tasks(&name);
         }
     }
 
--- a/crates/umbersail-control/src/engine/write.rs
+++ b/crates/umbersail-control/src/engine/write.rs
@@ -8,7 +8,7 @@
 use umbersail_standby::OrphanedAttempts;
 use umbersail_wire::{Change, Condition, TaskState, Txn, Value};
 
-use super::grant::WrittenPart;
+use super::grant_record::WrittenPart;
 use super::plans::WrittenPlan;
 use super::{Engine, Job, JobId, MachineId, Placement, Time};
 use crate::records::{
--- a/crates/umbersail-control/src/front.rs
+++ b/crates/umbersail-control/src/front.rs
@@ -149,7 +149,7 @@
                 .is_returning(&heartbeat.machine, false, now)
         };
         if matches!(&*self.role.borrow(), Role::Leading(_)) {
-            if self.is_only_node_isolated(now)
+            if self.is_isolated_alone(now)
                 && let Some(member) = self.hand_off_target(&heartbeat, now)
             {
                 return redirect_to(member);
@@ -177,7 +177,7 @@
         // The worker probably reaches the leader itself, and this node has no commands for
         // the worker, so the worker is redirected. A worker that returns is not redirected
         // again.
-        if self.is_only_node_isolated(now)
+        if self.is_isolated_alone(now)
             && !self
                 .handed_off_workers
                 .borrow_mut()
--- a/crates/umbersail-control/src/health.rs
+++ b/crates/umbersail-control/src/health.rs
@@ -41,7 +41,7 @@
     /// partition of the zone would also cut off the load balancer, which was heard from
     /// recently. The workers of this node can then reach the other nodes, and should be
     /// redirected there.
-    pub(crate) fn is_only_node_isolated(&self, now: Time) -> bool {
+    pub(crate) fn is_isolated_alone(&self, now: Time) -> bool {
         self.is_isolated(now)
             && now - self.outside_contact_at.get() < self.tuning.balancer_contact_max_age_s
     }
--- a/crates/umbersail-control/src/redirects.rs
+++ b/crates/umbersail-control/src/redirects.rs
@@ -25,7 +25,7 @@
 /// Upper bound on tracked workers, of about 50 bytes each: twice a fleet of 4,000 machines.
 /// When the bound is reached, all entries are dropped, and a worker that can't reach the
 /// leader is detected again.
-const MAX_REDIRECTS: usize = 8192;
+const MAX_TRACKED_WORKERS: usize = 8192;
 
 impl RedirectTracker {
     pub fn new(return_window_s: Time, serve_s: Time) -> RedirectTracker {
@@ -55,7 +55,7 @@
             _ if left_leader => served,
             _ => Redirect::Redirected(now),
         };
-        if self.machines.len() >= MAX_REDIRECTS && !self.machines.contains_key(machine) {
+        if self.machines.len() >= MAX_TRACKED_WORKERS && !self.machines.contains_key(machine) {
             self.machines.clear();
         }
         self.machines.insert(machine.to_owned(), next);
--- a/crates/umbersail-control/src/redirects/tests.rs
+++ b/crates/umbersail-control/src/redirects/tests.rs
@@ -57,10 +57,10 @@
 #[test]
 fn a_worker_that_left_the_leader_is_served_also_after_the_tracker_was_full() {
     let mut redirects = RedirectTracker::new(8.0, 20.0);
-    for n in 0..=MAX_REDIRECTS {
+    for n in 0..=MAX_TRACKED_WORKERS {
         assert!(redirects.is_returning(&format!("m{n}"), true, 0.0));
     }
-    assert!(redirects.machines.len() <= MAX_REDIRECTS);
+    assert!(redirects.machines.len() <= MAX_TRACKED_WORKERS);
     assert!(
         redirects.is_returning("m0", true, 1.0),
         "the worker was dropped from the tracker and is served again"
--- a/crates/umbersail-control/tests/isolated_controllers/superseded_leaders.rs
+++ b/crates/umbersail-control/tests/isolated_controllers/superseded_leaders.rs
@@ -20,7 +20,7 @@
 }
 
 #[test]
-fn a_leader_greeted_by_its_successor_steps_down_at_once() {
+fn a_leader_that_receives_its_successors_hello_message_steps_down_at_once() {
     // Guards against a leader that the state service rejects and that keeps answering its
     // workers until its renewal time ends, although its peers report another leader. The
     // successor cannot reach these workers, and they get no new tasks in the meantime.
@@ -110,7 +110,7 @@
 }
 
 #[test]
-fn a_leader_that_thaws_answers_no_heartbeat_queued_behind_its_successors_greeting() {
+fn a_leader_that_thaws_answers_no_heartbeat_queued_behind_its_successors_hello_message() {
     // Guards against a frozen leader whose renewal time has not ended and that answers the
     // queued heartbeats as it thaws, although its successor's greeting came before them.
     const WORKERS: usize = 24;
@@ -138,7 +138,7 @@
             });
             join_all(all)
         };
-        let send_greeting = |successor: Option<(usize, u64)>| {
+        let send_hello = |successor: Option<(usize, u64)>| {
             let http = http.clone();
             let hello = Hello {
                 member: format!("n{}", (leader + 1) % NODES),
@@ -153,7 +153,7 @@
             }
         };
         // Opens the connections and gives every worker the leader's token.
-        assert_eq!(send_greeting(None).await, 200);
+        assert_eq!(send_hello(None).await, 200);
         let tokens: Vec<u64> = send_heartbeats(2, 0).await.into_iter().flatten().collect();
         assert_eq!(tokens.len(), WORKERS);
         let token = tokens[0];
@@ -167,9 +167,9 @@
         );
         cluster.world.freeze(cluster.nodes[leader]);
         spawn({
-            let greeting = send_greeting(Some(((leader + 1) % NODES, u64::MAX)));
+            let hello_status = send_hello(Some(((leader + 1) % NODES, u64::MAX)));
             async move {
-                assert_eq!(greeting.await, 200);
+                assert_eq!(hello_status.await, 200);
             }
         });
         sleep(0.2).await;
