--- a/crates/umbersail-cycle/src/cheapest.rs
+++ b/crates/umbersail-cycle/src/cheapest.rs
@@ -34,13 +34,14 @@
     }
 }
 
-/// Yields (index, slots) by cost, then by index. Most jobs take a few slots out of
-/// thousands. A heap finds `k` of `n` slots in O(n + k log n) without sorting the rest.
+/// Yields (index, tag) by cost, then by index. Most jobs take a few slots out of thousands. A
+/// heap finds `k` of `n` slots in O(n + k log n) without sorting the rest.
 #[derive(Debug)]
 pub struct CheapestFirst(BinaryHeap<PricedSlot>);
 
 impl CheapestFirst {
-    /// Creates an iterator over offers (cost, index, slots). Costs may be in any unit.
+    /// Creates an iterator over offers (cost, index, tag). The tag is returned unchanged. Costs
+    /// may be in any unit.
     pub fn new(offers: impl IntoIterator<Item = (f64, usize, u32)>) -> CheapestFirst {
         let offer = |(cost, index, tag)| PricedSlot { cost, index, tag };
         CheapestFirst(offers.into_iter().map(offer).collect::<Vec<_>>().into())
--- a/crates/umbersail-policy/src/quota.rs
+++ b/crates/umbersail-policy/src/quota.rs
@@ -17,7 +17,8 @@
     pub max_gpus: f64,
 }
 
-/// Resources that a team's tasks use, including attempts that are not accounted for.
+/// Resources that a team's tasks use, including attempts of which it is not known whether they
+/// still run.
 pub type Usage = Shape;
 
 impl TeamLimits {
--- a/crates/umbersail-policy/src/rent.rs
+++ b/crates/umbersail-policy/src/rent.rs
@@ -17,9 +17,9 @@
     pub spot: bool,
     /// Number of running and waiting tasks.
     pub tasks: u32,
-    /// How many times the machines in use may turn over before the waiting tasks must
-    /// start. Such tasks wait for machines in use to become free before on-demand machines
-    /// are rented.
+    /// How many times the machines in use may finish their tasks and become free before the
+    /// waiting tasks must start. Such tasks wait for machines in use to become free before
+    /// on-demand machines are rented.
     pub max_turnovers: f64,
     /// Number of further tasks to keep capacity for. Only spot machines are rented for
     /// this.
@@ -240,7 +240,7 @@
 /// Adds rental requests for tasks that did not fit on existing machines, with the least price
 /// per task. Tasks that may run on spot machines and can wait for machines in use get no
 /// on-demand machine while `max_on_demand` is reached, or while the machines in use can do all
-/// deferred work within the allowed number of turnovers.
+/// deferred work before they have become free as often as `max_turnovers` allows.
 #[allow(clippy::too_many_arguments)]
 fn rent_for(
     types: &[MachineType],
@@ -470,7 +470,7 @@
         assert_eq!(
             plan.requests,
             vec![],
-            "16 tasks wait for 2 machines to turn over twice"
+            "16 tasks wait until 2 machines have become free twice"
         );
         backlog.tasks = 25;
         let bought = |backlog: &Demand, share| -> u32 {
--- a/crates/umbersail-policy/src/starvation.rs
+++ b/crates/umbersail-policy/src/starvation.rs
@@ -164,8 +164,8 @@
 
     #[test]
     fn many_small_jobs_of_one_group_take_turns_with_a_large_job_of_another() {
-        // Guards against boosting by waiting time alone: hundreds of small jobs of one user, each as
-        // old as the large job of another, would all go before it.
+        // Guards against boosting by waiting time alone: hundreds of small jobs of one group,
+        // each as old as the large job of another, would all go before it.
         let mut jobs: Vec<UnstartedJob<u32>> = (0..300).map(|_| unstarted(1, 150.0, 1.0)).collect();
         jobs.push(unstarted(2, 149.0, 32.0));
         let chosen = boosted_jobs(&jobs, 140.0, 64.0, 0.0);
--- a/crates/umbersail-standby/src/all_replica_read.rs
+++ b/crates/umbersail-standby/src/all_replica_read.rs
@@ -34,8 +34,9 @@
 /// Only a controller that has read or recorded a job's final result reports that result,
 /// and a job cannot have ended before the time at which it was last seen unfinished. So if
 /// every controller remembers all results that it has reported since that time, and none
-/// remembers a result of this job, then no controller has reported one (rule 6). This holds
-/// whether or not some controllers can still reach the state service.
+/// remembers a result of this job, then no controller has reported one (rule 6 of
+/// `docs/design.md`). This holds whether or not some controllers can still reach the state
+/// service.
 pub fn read_outcome<E: Copy>(answers: &[ReplicaAnswer<E>]) -> ReadOutcome<E> {
     if let Some(result) = answers.iter().find_map(|answer| answer.ended) {
         return ReadOutcome::Ended(result);
--- a/crates/umbersail-standby/src/degraded_mode.rs
+++ b/crates/umbersail-standby/src/degraded_mode.rs
@@ -3,8 +3,8 @@
 //!
 //! A leader that cannot write may still start tasks if every other controller has agreed.
 //! Its successor then knows of the agreement, or knows that its own process has no
-//! information. A process that has restarted has no information and must assume unrecorded
-//! starts, until the leader itself reports that all starts are recorded.
+//! information. A process that has restarted has no information and must assume that tasks were
+//! started without a record, until the leader itself reports that all starts are recorded.
 
 use std::collections::BTreeSet;
 
--- a/crates/umbersail-standby/src/failure_detector.rs
+++ b/crates/umbersail-standby/src/failure_detector.rs
@@ -63,8 +63,9 @@
 ///
 /// A false suspicion is safe: the leader's key is replaced only at the expected version, so
 /// at most one node succeeds a leader, and all writes of a replaced leader are refused
-/// (rule 1). But a false suspicion costs a change of leader. Evidence that a packet filter or
-/// a slow network could cause is therefore checked by a probe through the state service.
+/// (rule 1 of `docs/design.md`). But a false suspicion costs a change of leader. Evidence that
+/// a packet filter or a slow network could cause is therefore checked by a probe through the
+/// state service.
 #[derive(Debug)]
 pub struct FailureDetector {
     timeouts: DetectorTimeouts,
--- a/crates/umbersail-standby/src/orphaned_attempts.rs
+++ b/crates/umbersail-standby/src/orphaned_attempts.rs
@@ -29,7 +29,7 @@
 ///
 /// The progress record of a job is kept in the state service for as long as the job is in
 /// this index. The next leader therefore reads which attempts may be running, and does not
-/// have to treat whole machines as occupied (rule 4).
+/// have to treat whole machines as occupied (rule 4 of `docs/design.md`).
 #[derive(Debug, Clone)]
 pub struct OrphanedJobs<J, M> {
     jobs: BTreeMap<J, OrphanedAttempts<M>>,
--- a/crates/umbersail-standby/tests/model/degraded_mode.rs
+++ b/crates/umbersail-standby/tests/model/degraded_mode.rs
@@ -1,5 +1,5 @@
-//! Steps of degraded mode, in which a leader makes unrecorded starts with its peers'
-//! agreement.
+//! Steps of degraded mode, in which a leader starts tasks, with its peers' agreement, without
+//! recording them in the state service.
 
 use crate::fault::InjectedFault;
 use crate::memory::AGREED;
--- a/crates/umbersail-standby/tests/model/fault.rs
+++ b/crates/umbersail-standby/tests/model/fault.rs
@@ -39,8 +39,8 @@
     AgreementWithoutRead,
     /// A peer's claim about a live leader counts, unless the receiver has agreed itself.
     PeerClaimOfLiveLeaderTrusted,
-    /// A leader's reply to a hello message that was sent before the receiver agreed cancels the
-    /// receiver's agreement.
+    /// A controller that has agreed receives a leader's reply to a hello message that the
+    /// controller sent before it agreed, and the reply cancels the agreement.
     StaleReplyCounts,
     /// A leader that requests agreement claims that all is recorded.
     RequestingReportedAsOff,
--- a/crates/umbersail-standby/tests/model/leader.rs
+++ b/crates/umbersail-standby/tests/model/leader.rs
@@ -78,8 +78,8 @@
             {
                 out.push(set(&|l| l.observe(m, ran)));
             }
-            // No leader has replied to the machine for a full lease, so the machine's tasks
-            // have stopped (rule 3).
+            // No leader has replied to the machine for a full lease duration, so the machine's
+            // tasks have stopped (rule 3 of `docs/design.md`).
             if leader.silent_leases[m as usize] == 2 {
                 out.push(set(&|l| {
                     l.possible_orphans &= !bit;
--- a/crates/umbersail-standby/tests/model/memory.rs
+++ b/crates/umbersail-standby/tests/model/memory.rs
@@ -1,4 +1,5 @@
-//! The production type for knowledge of unrecorded starts, made comparable and hashable.
+//! The production type for what a controller knows about unrecorded starts (tasks started
+//! without a record in the state service), made comparable and hashable.
 
 use std::hash::{Hash, Hasher};
 
@@ -12,9 +13,11 @@
 pub const AFTER: f64 = 2.0;
 
 /// The production `DegradedModeMemory`, and a fingerprint by which states are compared. The
-/// fingerprint holds the token of the leader that the memory is about; 2 if the controller
-/// agreed with that leader, 1 if the controller learned that all starts are recorded, else 0;
-/// and how many tokens are no newer than the first token that the controller read.
+/// parts of the fingerprint are:
+/// - the token of the leader that the memory is about;
+/// - 2 if the controller agreed with that leader, 1 if the controller learned that all starts
+///   are recorded, else 0;
+/// - the number of tokens that are not newer than the first token that the controller read.
 #[derive(Debug, Clone)]
 pub struct Memory {
     pub real: DegradedModeMemory,
--- a/crates/umbersail-standby/tests/model/state.rs
+++ b/crates/umbersail-standby/tests/model/state.rs
@@ -134,19 +134,20 @@
     pub key: u8,
     /// Bit set of the machines that the progress record names.
     pub record: u8,
-    /// The state service holds the record that unrecorded starts must be accounted for.
+    /// The state service holds the record that a leader must find and record the tasks that
+    /// were started without a record.
     pub recovery_pending: bool,
     pub nodes: [Node; NODE_COUNT],
     /// For each machine the highest token that it has seen, and whether it runs the task.
     pub machines: [(u8, bool); MACHINE_COUNT as usize],
-    /// Bit set of the machines that received a reply since the last full lease.
+    /// Bit set of the machines that received a reply since the last full lease duration passed.
     pub answered: u8,
-    /// Number of full leases that may still pass.
+    /// Number of full lease durations that may still pass.
     pub leases: u8,
     /// The deadline of all leaders before the newest has passed.
     pub former_leaders_stopped: bool,
-    /// Launches in flight: machine, token, and whether a lease has passed since the launch
-    /// was sent.
+    /// Launches in flight: machine, token, and whether a lease duration has passed since the
+    /// launch was sent.
     pub launches: Vec<(u8, u8, bool)>,
     /// A duplicate of a heartbeat that may arrive at any time: machine, token, and whether
     /// the machine ran the task.
--- a/crates/umbersail-standby/tests/model/time.rs
+++ b/crates/umbersail-standby/tests/model/time.rs
@@ -5,8 +5,8 @@
 use crate::steps::Transition;
 
 impl SystemState {
-    /// Adds the steps in which the deadline of earlier leaders passes, a full lease passes, or
-    /// a heartbeat is duplicated.
+    /// Adds the steps in which the deadline of earlier leaders passes, a full lease duration
+    /// passes, or a heartbeat is duplicated.
     pub fn time_steps(&self, fault: InjectedFault, out: &mut Vec<Transition>) {
         if !self.former_leaders_stopped && self.leases > 0 {
             out.push(self.with(|w| {
--- a/crates/umbersail-tuning/src/lib.rs
+++ b/crates/umbersail-tuning/src/lib.rs
@@ -34,7 +34,7 @@
 #[derive(Debug, Error, PartialEq)]
 pub enum TuningError {
     /// The file is not a properties file.
-    #[error("{0}")]
+    #[error("the properties file cannot be read: {0}")]
     Syntax(String),
     /// No constant has this key.
     #[error("key '{0}' is unknown")]
@@ -251,7 +251,7 @@
     ordinary_share, "rental.ordinary_share", 0.25, 0.0..=1000.0, "share",
         "Number of on-demand machines rented per spot machine for work that may use either kind and can wait: on-demand machines cost about 2.7 times as much, so these raise the mean price by a third";
     max_late_turns, "rental.late_turns", 2.0, 0.0..=10.0, "turns",
-        "Number of times that the machines in use may turn over while a job waits for them that would be late even on a machine rented now";
+        "Number of times that the machines in use may finish their tasks and become free while a job waits for them that would be late even on a machine rented now";
     ordinary_cost, "place.ordinary_cost", 2.0, 0.0..=1000.0, "s",
         "Placement cost of putting a task that may use spot machines on an on-demand machine: on-demand machines should become idle first because they cost several times as much";
     image_weight_s, "place.image_weight", 1.0, 0.0..=100.0, "per second of fetch",
