--- a/crates/umbersail-control/src/all_replica_read.rs
+++ b/crates/umbersail-control/src/all_replica_read.rs
@@ -42,7 +42,7 @@
 }
 
 impl Node {
-    /// Reads a job's status from all controllers (rule 6).
+    /// Reads a job's status from all controllers (rule 6 of `docs/design.md`).
     pub(crate) async fn all_replica_read(self: &Rc<Self>, id: &str) -> ReadOutcome<EndedJobRecord> {
         if !self.all_peers_responsive() {
             return ReadOutcome::Unknown;
@@ -140,7 +140,8 @@
         let drift = self.tuning.clock_drift;
         // The peer answered at an unknown time between request and reply. `seen_at` is the
         // earliest time at which the peer can have seen the job unfinished, and
-        // `complete_since` the latest time since which the peer can remember.
+        // `complete_since` the latest possible time since which the peer has kept the end of
+        // every job that it reported to users.
         let seen_at = |ago_ms: u64| asked_at - ago_ms as f64 / 1000.0 * (1.0 + drift);
         let complete_since = now - answer.retention_ms as f64 / 1000.0 * (1.0 - drift);
         let to_answer = |entry: ReplicaReadEntry| ReplicaAnswer {
--- a/crates/umbersail-control/src/capacity.rs
+++ b/crates/umbersail-control/src/capacity.rs
@@ -1,5 +1,5 @@
-//! Division of the node's sockets among its connections, and of the key-value store's rate
-//! limits among the controllers.
+//! Division of the node's sockets among its connections, and of the state service's rate limits
+//! among the controllers.
 
 use std::rc::Rc;
 
@@ -13,7 +13,7 @@
 use crate::settings::Settings;
 use crate::state::KeyValueClient;
 
-/// Connections to the key-value store.
+/// Connections to the state service.
 const STORE_CONNECTIONS: usize = 48;
 
 /// Connections to the cloud.
@@ -37,7 +37,7 @@
 /// 4,000 machines, in addition to the ids of thousands of jobs.
 const MAX_PEER_BODY_BYTES: usize = 1 << 20;
 
-/// Largest response of the key-value store, in bytes: one page of a list.
+/// Largest response of the state service, in bytes: one page of a list.
 const MAX_STORE_BODY_BYTES: usize = 8 << 20;
 /// Largest response of the cloud, in bytes: one page of a list.
 const MAX_CLOUD_BODY_BYTES: usize = 1 << 20;
@@ -49,7 +49,7 @@
 /// never be listed.
 const MIN_CLOUD_RPS: f64 = 0.1;
 
-/// Client of the key-value store.
+/// Client of the state service.
 pub(crate) fn key_value_client(
     tuning: &Tuning,
     settings: &Settings,
@@ -133,7 +133,7 @@
 }
 
 impl Node {
-    /// Sets this node's share of the key-value store's rate limits, which apply to all nodes
+    /// Sets this node's share of the state service's rate limits, which apply to all nodes
     /// together.
     pub(crate) fn apply_rate_limits(&self, leading: bool) {
         let facts = &self.settings.facts;
--- a/crates/umbersail-control/src/cloud.rs
+++ b/crates/umbersail-control/src/cloud.rs
@@ -19,7 +19,8 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum RentOutcome {
     Machines(Vec<String>),
-    /// The cloud refused the request.
+    /// The cloud refused the request, for lack of machines or because of a fault of the cloud.
+    /// No machine was rented.
     NoCapacity,
     /// The machines may have been rented, or may be rented later. In that case they appear in
     /// the machine list.
@@ -118,7 +119,7 @@
                 Some(types)
             }
             (status, _) => {
-                debug!(status, "cloud returned no catalogue");
+                debug!(status, "cloud returned no catalogue of machine types");
                 None
             }
         }
--- a/crates/umbersail-control/src/delegate.rs
+++ b/crates/umbersail-control/src/delegate.rs
@@ -4,7 +4,7 @@
 //! The leader delegates lease renewal to its peers for a limited time, which ends no later
 //! than the time until which the leader itself may renew leases. The leader treats no
 //! machine's lease as expired before each delegate has reported that it did not renew the
-//! lease, or cannot renew leases any more (rule 3).
+//! lease, or cannot renew leases any more (rule 3 of `docs/design.md`).
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::rc::Rc;
--- a/crates/umbersail-control/src/engine/commands.rs
+++ b/crates/umbersail-control/src/engine/commands.rs
@@ -37,7 +37,7 @@
 
     /// Commands for the reply to a heartbeat that was applied. `may_start` is false once this
     /// leader's lease has expired: running tasks are then kept alive and none is started
-    /// (rule 2).
+    /// (rule 2 of `docs/design.md`).
     pub fn reply(&mut self, now: Time, heartbeat: &Heartbeat, may_start: bool) -> Vec<Command> {
         let Some((name, _)) = self.machines.get_key_value(heartbeat.machine.as_str()) else {
             return Vec::new();
@@ -75,7 +75,8 @@
             .collect()
     }
 
-    /// All commands for a fenced machine. Stop and forget commands come first: the worker
+    /// All commands for a fenced machine, which has accepted this leader's token. Stop
+    /// commands, and commands that drop the state of exited tasks, come first: the worker
     /// executes in order, and capacity must be free before a launch.
     fn commands(
         &mut self,
@@ -95,7 +96,8 @@
         commands
     }
 
-    /// The stop or forget command for a task that the heartbeat lists, if one is needed.
+    /// The command for a task that the heartbeat lists: to stop it or to drop its state after
+    /// it exited, if one is needed.
     fn command_for_listed(&self, name: &MachineId, entry: &TaskReport) -> Option<Command> {
         let (id, task) = split_task(&entry.task)?;
         let job = self.jobs.get(id);
--- a/crates/umbersail-control/src/engine/delegations.rs
+++ b/crates/umbersail-control/src/engine/delegations.rs
@@ -25,9 +25,9 @@
 
 impl Engine {
     /// Finished jobs whose tasks may still run: a peer that answers workers on behalf of this
-    /// leader tells them to stop these tasks (rule 2). `None` if nothing may be delegated,
-    /// because an earlier leader started tasks without a record that are not all known yet, or
-    /// because there are too many such jobs.
+    /// leader tells them to stop these tasks (rule 2 of `docs/design.md`). `None` if nothing
+    /// may be delegated, because an earlier leader started tasks without a record that are not
+    /// all known yet, or because there are too many such jobs.
     pub fn finished_jobs(&self) -> Option<Vec<String>> {
         let cancelled = self.jobs.iter().filter(|(_, job)| job.cancelled);
         let ids = cancelled.map(|(id, _)| id).chain(self.orphaned_jobs.jobs());
@@ -74,12 +74,14 @@
         }
     }
 
-    /// Whether peers may have made renewals not yet reported to this leader, so that a lease may
-    /// still hold that as far as known expired at `end`, `lease` seconds after its last renewal.
+    /// Whether peers may have made renewals not yet reported to this leader, so that a lease
+    /// may still be valid although, by the renewals known here, it expired at `end`, `lease`
+    /// seconds after its last known renewal.
     ///
-    /// One peer may have renewed the machine's lease until another peer continued: the second
-    /// peer's report that it renewed nothing counts only if it was made at least one lease
-    /// after the first peer's last possible reply.
+    /// One peer may have renewed the machine's lease until its delegation ended, and another
+    /// peer may have continued: the second peer's report that it renewed nothing is relied on
+    /// only if it was made at least one lease duration after the first peer's last possible
+    /// reply.
     pub(super) fn may_have_been_renewed(&self, now: Time, end: Time, lease: f64) -> bool {
         let mut end = end;
         loop {
--- a/crates/umbersail-control/src/engine/eligibility.rs
+++ b/crates/umbersail-control/src/engine/eligibility.rs
@@ -64,7 +64,7 @@
 
     /// The zone that the job's present tasks require, and the number of tasks in each zone.
     /// Tasks whose recovery is pending count in every zone where they may run, and so do
-    /// attempts of completed tasks that an earlier leader started (rule 4).
+    /// attempts of completed tasks that an earlier leader started (rule 4 of `docs/design.md`).
     pub(super) fn zones_of(&self, job: &Job) -> (Option<String>, BTreeMap<String, u32>) {
         let mut zones: BTreeMap<String, u32> = BTreeMap::new();
         if !job.spec.one_zone() && !job.spec.spread() {
--- a/crates/umbersail-control/src/engine/grant_record.rs
+++ b/crates/umbersail-control/src/engine/grant_record.rs
@@ -124,8 +124,8 @@
     }
 
     /// Adds the parts that are due to the transaction: parts with machines not yet recorded and,
-    /// if `include_removals`, also parts that still record deleted machines, which a successor
-    /// would have to account for.
+    /// if `include_removals`, also parts that still record deleted machines, for which a
+    /// successor would have to find out what runs there.
     pub(super) fn write_due_parts(
         &self,
         txn: &mut Txn<Record>,
--- a/crates/umbersail-control/src/engine/heartbeats.rs
+++ b/crates/umbersail-control/src/engine/heartbeats.rs
@@ -23,7 +23,7 @@
 struct Orphans {
     /// There are such attempts.
     any: bool,
-    /// The resources of some of them are unknown (rule 4).
+    /// The resources of some of them are unknown (rule 4 of `docs/design.md`).
     any_unsized: bool,
     /// Finished jobs that such attempts belong to.
     finished_jobs: BTreeSet<JobId>,
@@ -166,13 +166,16 @@
             (None, Some(_)) => {
                 info!(
                     machine = &**name,
-                    "unreachable: heartbeats arrive, but replies do not reach the machine; no tasks are placed on it"
+                    "the machine is unreachable: its heartbeats arrive, but replies do not reach it; no tasks are placed on it"
                 );
                 self.cycle_requested = true;
             }
             (Some(since), None) => {
                 let unreachable_s = (now - since) as u64;
-                info!(machine = &**name, unreachable_s, "reachable again");
+                info!(
+                    machine = &**name,
+                    unreachable_s, "the machine is reachable again"
+                );
                 if machine.tasks.is_empty() {
                     machine.idle_since = now;
                 }
@@ -384,7 +387,7 @@
         {
             info!(
                 job = &**id,
-                "a task has run longer than the job's failed tasks did: no longer suspected faulty"
+                "the job is no longer suspected faulty: a task has run longer than its failed tasks did"
             );
             job.mark_dirty(now);
             self.clear_job_errors(id);
--- a/crates/umbersail-control/src/engine/job.rs
+++ b/crates/umbersail-control/src/engine/job.rs
@@ -109,15 +109,16 @@
     /// A transaction that records the job's completion is in flight.
     pub end_write_pending: bool,
     pub evictions: u32,
-    /// Task errors since the job's last success.
+    /// Task errors since a task of the job last succeeded.
     pub errors: u32,
     /// Machines where those errors happened.
     pub failed_on_since_success: BTreeSet<MachineId>,
-    /// Machines where a task of the job has failed, even before its last success. The job is not
-    /// placed there until it has waited for long.
+    /// Machines where a task of the job has failed, even before a task of the job last
+    /// succeeded. The job is not placed there until it has waited for long.
     pub avoided_machines: BTreeSet<MachineId>,
-    /// The job has failed on several machines since its last success, so the job is probably
-    /// faulty itself. Its tasks are tried one at a time until one succeeds or runs for long.
+    /// The job has failed on several machines since one of its tasks last succeeded, so the job
+    /// is probably faulty itself. Its tasks are tried one at a time until one succeeds or runs
+    /// for long.
     pub suspected_faulty: bool,
     /// The longest time that a task of the job ran before failing, in seconds.
     pub longest_failed_run_s: f64,
--- a/crates/umbersail-control/src/engine/jobs.rs
+++ b/crates/umbersail-control/src/engine/jobs.rs
@@ -13,7 +13,8 @@
 
 impl Engine {
     /// Numbers of completed and of running tasks of a job. Tasks that an earlier leader started
-    /// according to the job's record count as running until their machine is accounted for.
+    /// according to the job's record count as running until their machine is accounted for, so
+    /// that it is known what runs there.
     pub fn job_progress(&self, id: &str) -> Option<(u32, u32)> {
         let job = self.jobs.get(id)?;
         let running = job
@@ -156,7 +157,8 @@
     }
 
     /// Removes a cancelled job once none of its tasks can run any more; its progress record may
-    /// then be deleted. Until then the job's resources count as used (rule 4).
+    /// then be deleted. Until then the job's resources count as used (rule 4 of
+    /// `docs/design.md`).
     pub(super) fn remove_if_finished(&mut self, id: &JobId) {
         let is_finished = |j: &Job| {
             j.cancelled
--- a/crates/umbersail-control/src/engine/listing.rs
+++ b/crates/umbersail-control/src/engine/listing.rs
@@ -63,7 +63,8 @@
                 }
             }
             if entry.state == MachineState::Failed {
-                // The machine has stopped, and with it all tasks on it (rule 3).
+                // The machine has stopped, and with it all tasks on it (rule 3 of
+                // `docs/design.md`).
                 self.requeue_machine_tasks(&name);
             }
             present.push(name);
@@ -129,7 +130,8 @@
         }
     }
 
-    /// The cloud refused the rental: it has no such machines now.
+    /// The cloud refused the rental: it has no such machines now, or has a fault. Nothing was
+    /// rented.
     pub fn rental_refused(&mut self, now: Time, request: &RentRequest) {
         self.reservation_request_answered(now, &request.request, None);
         if let Some(index) = self.type_index(&request.machine_type) {
--- a/crates/umbersail-control/src/engine/machine.rs
+++ b/crates/umbersail-control/src/engine/machine.rs
@@ -56,7 +56,7 @@
     /// The tasks that cannot finish before `reclaim_at` have been stopped.
     pub reclaim_handled: bool,
     pub quarantined: bool,
-    /// Task errors since the last success on this machine, by job.
+    /// Task errors since a task last succeeded on this machine, by job.
     pub errors_by_job: BTreeMap<JobId, u32>,
     /// When those errors became enough to suspect that the machine is faulty.
     pub suspected_faulty_at: Option<Time>,
@@ -72,7 +72,7 @@
     /// another attempt elsewhere; these are being stopped.
     pub has_orphaned_tasks: bool,
     /// The resources of some of the orphaned tasks are unknown: the whole machine counts as
-    /// used (rule 4).
+    /// used (rule 4 of `docs/design.md`).
     pub has_unsized_orphans: bool,
     /// Images in the machine's cache, least recently used first.
     pub images: Vec<ImageKey>,
--- a/crates/umbersail-control/src/engine/mod.rs
+++ b/crates/umbersail-control/src/engine/mod.rs
@@ -118,7 +118,8 @@
     /// Finished jobs whose progress records still exist.
     pub finished_jobs: Vec<(String, JobProgressRecord)>,
     /// The predecessor ran a build that kept no progress records of finished jobs: each machine
-    /// counts as used in full until it is accounted for (rule 4).
+    /// counts as used in full until it is accounted for, which means that the tasks that
+    /// earlier leaders left on it are known (rule 4).
     pub count_whole_machines: bool,
     /// An earlier leader may have started tasks that are not recorded, and not all machines have
     /// been accounted for since then (rule 3).
@@ -179,7 +180,7 @@
     grant_parts: Vec<GrantPartState>,
     /// Peers that may renew workers' leases on behalf of this leader, by name.
     delegations: BTreeMap<String, Delegation>,
-    /// All machines with launches that no reply has carried yet, possibly among others.
+    /// A superset of the machines with launches that no reply has carried yet.
     machines_with_unsent_launches: BTreeSet<MachineId>,
     /// Finished jobs whose progress records can be deleted when nothing urgent is due.
     run_records_to_delete: BTreeSet<JobId>,
--- a/crates/umbersail-control/src/engine/placement.rs
+++ b/crates/umbersail-control/src/engine/placement.rs
@@ -371,8 +371,8 @@
         machine: &MachineId,
         usage: &mut [Usage],
     ) {
-        // Rule 5: the fencing token differs between leaders and the counter between
-        // attempts, so no attempt number is ever used twice.
+        // Rule 5 of `docs/design.md`: the fencing token differs between leaders and the counter
+        // between attempts, so no attempt number is ever used twice.
         self.attempt_counter += 1;
         let attempt = (self.revision() << 24) + self.attempt_counter;
         let Some(job) = self.jobs.get_mut(id) else {
--- a/crates/umbersail-control/src/engine/plans/calendar.rs
+++ b/crates/umbersail-control/src/engine/plans/calendar.rs
@@ -2,7 +2,7 @@
 //! and when each job is due. The calendar itself starts and stops no task. A scheduling cycle
 //! places no task of a held job, and tasks of such a job that already run continue, so rules
 //! 3 and 5 are unaffected. The event that lets a step begin is recorded first, like
-//! everything that the next leader has to know (rule 6).
+//! everything that the next leader has to know (rule 6 of `docs/design.md`).
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::rc::Rc;
@@ -73,9 +73,9 @@
     for event in events {
         let (entry, opening) = (&*event.run.0, event.run.1);
         if event.is_warning() {
-            warn!(entry, opening, "run {}", event.kind);
+            warn!(entry, opening, "calendar run {}", event.kind);
         } else {
-            info!(entry, opening, "run {}", event.kind);
+            info!(entry, opening, "calendar run {}", event.kind);
         }
     }
 }
--- a/crates/umbersail-control/src/engine/plans/images.rs
+++ b/crates/umbersail-control/src/engine/plans/images.rs
@@ -2,7 +2,7 @@
 //! view of `umbersail-images`, and what it asks the cache view before it sends a launch.
 //!
 //! Only a launch that has not been sent to its worker waits for its turn to fetch. A launch
-//! that was sent is decided by heartbeats as usual (rules 3 and 5).
+//! that was sent is decided by heartbeats as usual (rules 3 and 5 of `docs/design.md`).
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::rc::Rc;
--- a/crates/umbersail-control/src/engine/plans/reserve.rs
+++ b/crates/umbersail-control/src/engine/plans/reserve.rs
@@ -508,7 +508,7 @@
 
     /// Stops borrowers on machines whose own work waits and has too little free capacity there.
     /// A stopped task counts as running until a heartbeat shows that it has exited, and starts
-    /// elsewhere only then (rules 3 and 4).
+    /// elsewhere only then (rules 3 and 4 of `docs/design.md`).
     fn reclaim_lent_machines(&mut self, now: Time) {
         if self.plans.reserve.bits.is_empty() {
             return;
@@ -644,7 +644,7 @@
             job = &**id,
             task,
             machine = &*placement.machine,
-            "stopping a borrower on a reserved machine"
+            "stopping a task of a job that borrowed a reserved machine"
         );
         placement.pending_stop = Some(PendingStop {
             grace_s,
--- a/crates/umbersail-control/src/engine/reachability.rs
+++ b/crates/umbersail-control/src/engine/reachability.rs
@@ -3,8 +3,8 @@
 //! A machine with a one-way partition sends heartbeats while replies and commands do not
 //! reach it. It looks empty and healthy, and launches would be sent to it again and again. Two
 //! things count as evidence: a later heartbeat does not show what a reply contained, or the
-//! agent session ends although a reply was sent. Rule 3 does not depend on this module: which
-//! tasks may run on the machine is decided by its heartbeats and its lease.
+//! agent session ends although a reply was sent. Rule 3 of `docs/design.md` does not depend on
+//! this module: which tasks may run on the machine is decided by its heartbeats and its lease.
 
 use umbersail_wire::Heartbeat;
 
--- a/crates/umbersail-control/src/engine/recovery.rs
+++ b/crates/umbersail-control/src/engine/recovery.rs
@@ -1,14 +1,14 @@
 //! Recovery after a failover: tasks that earlier leaders may have left running. Machines are
-//! accounted for one by one, by a heartbeat, by the expiry of their lease or by the cloud
-//! (rules 3 and 4).
+//! accounted for one by one, which means that the tasks that may run on them become known: by a
+//! heartbeat, by the expiry of their lease or by the cloud (rules 3 and 4 of `docs/design.md`).
 
 use tracing::info;
 
 use super::{Engine, JobId, MachineId};
 
 impl Engine {
-    /// Accounts for the machine: no task of this or an earlier leader is on it except those
-    /// that its newest heartbeat lists (rule 3).
+    /// Marks the machine as accounted for: no task of this or an earlier leader is on it except
+    /// those that its newest heartbeat lists (rule 3).
     pub(super) fn account_for_machine(&mut self, name: &MachineId) {
         if let Some(machine) = self.machines.get_mut(name) {
             if !machine.inherited {
@@ -17,8 +17,8 @@
             machine.inherited = false;
         }
         self.finish_unrecorded_recovery(name);
-        // Looked up by machine, because a new leader accounts for thousands of machines
-        // within a second while it has thousands of jobs.
+        // The jobs are indexed by machine, because a new leader accounts for thousands of
+        // machines within a second while it has thousands of jobs.
         for id in self
             .inherited_jobs_by_machine
             .remove(name)
--- a/crates/umbersail-control/src/engine/rental.rs
+++ b/crates/umbersail-control/src/engine/rental.rs
@@ -299,10 +299,10 @@
         }
     }
 
-    /// How many times the machines in use may turn over before the job's waiting tasks must
-    /// start. A job that is late, or would be late by the time a new machine has booted,
-    /// gains little from an on-demand machine, so it waits for machines in use to become
-    /// free.
+    /// How many times the machines in use may finish their tasks and become free before the
+    /// job's waiting tasks must start. A job that is late, or would be late by the time a new
+    /// machine has booted, gains little from an on-demand machine, so it waits for machines in
+    /// use to become free.
     fn max_turnovers(&self, now: Time, job: &Job) -> f64 {
         let tuning = &self.cfg.tuning;
         if self.cfg.guarantee_start_objective.is_some() {
@@ -362,7 +362,7 @@
                 continue;
             }
             let turnovers = self.max_turnovers(now, job);
-            // The first task of a boosted job does not wait for machines to turn over.
+            // The first task of a boosted job does not wait for machines in use to become free.
             let first_tasks =
                 u32::from(waiting > 0 && self.is_boosted_to_start(id, job)).min(tasks);
             // Demands are merged by all fields that distinguish them, because every job may
--- a/crates/umbersail-control/src/engine/schedule.rs
+++ b/crates/umbersail-control/src/engine/schedule.rs
@@ -102,7 +102,7 @@
     /// for one slice at most and not for a pass over the whole cluster. Upper tiers and the
     /// most urgent jobs are placed in the first slice. Each slice takes a new snapshot of
     /// the machines, so heartbeats and cancellations that arrived between two slices are
-    /// respected (rules 3 and 4).
+    /// respected (rules 3 and 4 of `docs/design.md`).
     pub fn schedule(&mut self, now: Time) {
         let mut steps = StepBudget::new(self.cfg.slice_steps);
         if self.unfinished_cycle.is_none() && !self.is_cached_order_valid(now) {
@@ -246,11 +246,11 @@
                     || self.orphaned_jobs.may_hold_unknown_shape(&machine.name)))
     }
 
-    /// Resources that each team uses. Attempts that are not accounted for count as running
-    /// (rule 4). Tasks whose recovery is pending, and orphaned attempts, count by their own
-    /// size, which is known from records that are kept for as long as such an attempt may
-    /// exist. For teams with a limit, every machine that may run unrecorded attempts counts
-    /// with its full capacity.
+    /// Resources that each team uses. Attempts that are not accounted for, so that they may run
+    /// or not, count as running (rule 4). Tasks whose recovery is pending, and orphaned
+    /// attempts, count by their own size, which is known from records that are kept for as long
+    /// as such an attempt may exist. For teams with a limit, every machine that may run
+    /// unrecorded attempts counts with its full capacity.
     pub(super) fn team_usage(&self, unaccounted: &Shape) -> Vec<Usage> {
         let mut usage = vec![Usage::default(); self.cfg.teams.len()];
         for job in self.jobs.values() {
--- a/crates/umbersail-control/src/engine/starvation_guard.rs
+++ b/crates/umbersail-control/src/engine/starvation_guard.rs
@@ -6,7 +6,8 @@
 //! so a new leader reaches the same decisions. The guard follows the same safety rules as
 //! any scheduling cycle: a slot is held or filled only on a machine that takes tasks, a
 //! launch is sent only after it is recorded, and every machine that may run the task is
-//! accounted for (rules 3 and 4). The guard never stops a task.
+//! accounted for, so that it is known what runs there (rules 3 and 4 of `docs/design.md`). The
+//! guard never stops a task.
 
 use std::collections::{BTreeMap, BTreeSet};
 
--- a/crates/umbersail-control/src/engine/tests/cancellations.rs
+++ b/crates/umbersail-control/src/engine/tests/cancellations.rs
@@ -9,9 +9,10 @@
 
 #[test]
 fn a_new_leaders_first_reply_stops_tasks_of_finished_jobs_because_it_renews_the_lease() {
-    // Guards against a task of a cancelled job that still runs (`ran_cancelled`): the lease since
-    // the former leader's last reply has almost expired, the new leader's first reply renews the
-    // lease, and only the reply to the next heartbeat contains the stop command.
+    // Guards against a task of a cancelled job that still runs (rule breach `ran_cancelled`, as
+    // the rehearsal reports it): the lease since the former leader's last reply has almost
+    // expired, the new leader's first reply renews the lease, and only the reply to the next
+    // heartbeat contains the stop command.
     let mut engine = engine_after_failover(vec![team(0.0, 0.0)], spec("req-1", 3, 2.0));
     accept(&mut engine, 0.0, spec("req-3", 1, 2.0));
     engine.job_key_removed("req-3");
@@ -113,8 +114,8 @@
 
 #[test]
 fn a_task_whose_launch_was_in_flight_during_the_cancellation_is_stopped() {
-    // Guards against a task of a cancelled job that still runs (`ran_cancelled`): the launch
-    // command may arrive after the cancellation was acknowledged.
+    // Guards against a task of a cancelled job that still runs (rule breach `ran_cancelled`):
+    // the launch command may arrive after the cancellation was acknowledged.
     let mut engine = new_engine(vec![team(0.0, 0.0)]);
     let mut worker = ready_worker(&mut engine, "m1", "a");
     accept(&mut engine, 1.0, spec("req-1", 2, 8.0));
@@ -137,9 +138,9 @@
 
 #[test]
 fn tasks_of_finished_jobs_are_stopped_and_their_machine_takes_no_other_task_until_then() {
-    // Guards against a task of a cancelled job that still runs (`ran_cancelled`) and an exceeded
-    // quota (`quota`) after a failover: the new leader has no record of a job that was cancelled
-    // before its election.
+    // Guards against a task of a cancelled job that still runs (rule breach `ran_cancelled`)
+    // and an exceeded quota (rule breach `quota`) after a failover: the new leader has no
+    // record of a job that was cancelled before its election.
     let mut engine = new_engine(vec![team(0.0, 0.0)]);
     let mut worker = ready_worker(&mut engine, "m1", "a");
     worker.tasks.push(TaskReport {
--- a/crates/umbersail-control/src/engine/tests/failovers.rs
+++ b/crates/umbersail-control/src/engine/tests/failovers.rs
@@ -4,8 +4,9 @@
 
 #[test]
 fn a_new_leader_starts_no_task_that_may_run_on_a_machine_until_the_machine_shows_its_token() {
-    // Guards against a task that runs twice (`ran_twice`) after a failover: a heartbeat from
-    // before the machine received the new leader's token proves nothing.
+    // Guards against a task that runs twice (rule breach `ran_twice`, as the rehearsal reports
+    // it) after a failover: a heartbeat from before the machine received the new leader's token
+    // proves nothing.
     let mut engine = engine_after_failover(vec![team(0.0, 0.0)], spec("req-1", 3, 2.0));
     let mut other = ready_worker(&mut engine, "m2", "a");
     commit(&mut engine, 1.0);
@@ -93,9 +94,9 @@
 
 #[test]
 fn a_task_started_without_a_record_is_recorded_before_recovery_counts_as_complete() {
-    // Guards against a task that runs twice (`ran_twice`) under the leader after next: a new
-    // leader learned from a heartbeat of a task that its predecessor had started without a record,
-    // did not record the task, and ended.
+    // Guards against a task that runs twice (rule breach `ran_twice`) under the leader after
+    // next: a new leader learned from a heartbeat of a task that its predecessor had started
+    // without a record, did not record the task, and ended.
     let mut inherited_state = inherited_state_of(spec("req-1", 4, 2.0));
     inherited_state.predecessor_degraded = true;
     let config = config(vec![team(0.0, 0.0)], Tuning::default());
--- a/crates/umbersail-control/src/engine/tests/late_transactions.rs
+++ b/crates/umbersail-control/src/engine/tests/late_transactions.rs
@@ -1,6 +1,5 @@
 //! Transactions that get no reply and are executed late, after newer ones. The tests apply
-//! the transactions that the production code builds to the key-value store of the state
-//! service.
+//! the transactions that the production code builds to the state service of the state service.
 
 use umbersail_kv::{KvStore, Limits, Outcome as TxnResult};
 
@@ -400,8 +399,8 @@
 
 #[test]
 fn a_leader_key_put_by_an_abandoned_election_expires_with_its_lease() {
-    // Guards against a cluster without a leader for longer than one lease, when an election
-    // was abandoned and the request to end its lease was lost.
+    // Guards against a cluster without a leader for longer than one lease duration, when an
+    // election was abandoned and the request to end its lease was lost.
     let mut setup = LeaderWithStore::new();
     setup.now += 20.0;
     setup.store.expire(setup.now);
--- a/crates/umbersail-control/src/engine/tests/leases.rs
+++ b/crates/umbersail-control/src/engine/tests/leases.rs
@@ -22,8 +22,9 @@
 
 #[test]
 fn the_lease_of_an_unfenced_machine_expires_only_after_the_former_leader_must_stop_renewing() {
-    // Guards against a task that runs twice (`ran_twice`) when the former leader is in the same
-    // network partition as the machine and continues to renew its lease.
+    // Guards against a task that runs twice (rule breach `ran_twice`, as the rehearsal reports
+    // it) when the former leader is in the same network partition as the machine and continues
+    // to renew its lease.
     let mut engine = engine_after_failover(vec![team(0.0, 0.0)], spec("req-1", 3, 2.0));
     let renewal_s = engine.cfg.renewal_s();
     assert!(
@@ -103,8 +104,9 @@
 
 #[test]
 fn a_lease_that_a_delegate_may_have_renewed_has_not_expired() {
-    // Guards against a task that runs twice (`ran_twice`) during a partition between zones: a peer
-    // in the worker's zone renews its lease, and the leader receives messages from neither.
+    // Guards against a task that runs twice (rule breach `ran_twice`) during a partition
+    // between zones: a peer in the worker's zone renews its lease, and the leader receives
+    // messages from neither.
     let mut engine = engine_with_silent_machine_and_delegate();
     engine.tick(14.0);
     assert_eq!(
@@ -146,16 +148,17 @@
 
 #[test]
 fn a_lease_that_one_delegate_and_then_another_may_have_renewed_has_not_expired() {
-    // Guards against a task that runs twice (`ran_twice`) when the leader is not told of renewals
-    // by two peers: one peer renewed the lease until its delegation ended, and the second peer
-    // continued after it had reported to the leader that it had renewed nothing.
+    // Guards against a task that runs twice (rule breach `ran_twice`) when the leader is not
+    // told of renewals by two peers: one peer renewed the lease until its delegation ended, and
+    // the second peer continued after it had reported to the leader that it had renewed
+    // nothing.
     let mut engine = engine_with_silent_machine_and_delegate();
     engine.delegate_renewals_to("controller-2", 60.0);
     engine.record_delegated_renewals(15.0, "controller-2", 14.9, 100.0, &[]);
     engine.tick(31.0);
     assert_eq!(engine.jobs["req-1"].pending(), 0);
-    // A report of the second peer counts if it was made at least one lease after the first
-    // peer's delegation ended.
+    // A report of the second peer that it renewed nothing is relied on if it was made at least
+    // one lease duration after the first peer's delegation ended.
     engine.record_delegated_renewals(31.0, "controller-2", 30.9, 100.0, &[]);
     engine.tick(31.1);
     assert_eq!(engine.jobs["req-1"].pending(), 1);
@@ -206,9 +209,10 @@
 
 #[test]
 fn a_delegates_renewal_report_does_not_cover_the_former_leaders_replies() {
-    // Guards against a task that runs twice (`ran_twice`) after a failover: the newest reply known
-    // to the new leader was a peer's, sent before the former leader's last reply, and the lease
-    // counted as expired half a second after the machine had shown its tasks.
+    // Guards against a task that runs twice (rule breach `ran_twice`) after a failover: the
+    // newest reply known to the new leader was a peer's, sent before the former leader's last
+    // reply, and the lease counted as expired half a second after the machine had shown its
+    // tasks to the new leader.
     let mut engine = fenced_by_direct_command(true);
     engine.tick(LEASE_S * 1.001 + 0.6);
     assert_eq!(
--- a/crates/umbersail-control/src/engine/tests/placement.rs
+++ b/crates/umbersail-control/src/engine/tests/placement.rs
@@ -5,8 +5,8 @@
 
 #[test]
 fn zone_spread_and_single_zone_placement_count_tasks_that_may_still_run() {
-    // Guards against tasks in a wrong zone (`wrong_place`) before the heartbeats show the tasks
-    // that a former leader started.
+    // Guards against tasks in a wrong zone (rule breach `wrong_place`, as the rehearsal reports
+    // it) before the heartbeats show the tasks that a former leader started.
     let mut job = spec("req-1", 4, 2.0);
     job.spread = Some(true);
     let mut engine = engine_after_failover(vec![team(0.0, 0.0)], job);
@@ -109,7 +109,7 @@
         on_m1("req-2") ^ on_m1("req-3"),
         "exactly one of the two jobs gets the slot on m1"
     );
-    // The other job stops waiting for m1 before it would be late in any case.
+    // The other job stops waiting for m1 before its start objective of 8 s has passed.
     engine.tick(6.0);
     assert!(engine.needs_scheduling());
     warm.send_heartbeat(&mut engine, 7.2);
--- a/crates/umbersail-control/src/engine/tests/quotas.rs
+++ b/crates/umbersail-control/src/engine/tests/quotas.rs
@@ -4,8 +4,8 @@
 
 #[test]
 fn tasks_whose_recovery_is_pending_after_a_failover_count_toward_the_quota() {
-    // Guards against an exceeded quota (`quota`): exactly the tasks whose recovery is pending
-    // count.
+    // Guards against an exceeded quota (rule breach `quota`, as the rehearsal reports it):
+    // exactly the tasks whose recovery is pending count.
     let mut engine = engine_after_failover(vec![team(0.0, 10.0)], spec("req-1", 3, 2.0));
     let mut other = ready_worker(&mut engine, "m2", "a");
     accept(&mut engine, 1.0, spec("req-2", 4, 2.0));
@@ -51,8 +51,8 @@
 
 #[test]
 fn attempts_of_finished_jobs_count_by_their_size_until_they_are_gone() {
-    // Guards against an exceeded quota (`quota`), and against teams with a quota that start no
-    // task after a failover until most machines have shown the token.
+    // Guards against an exceeded quota (rule breach `quota`), and against teams with a quota
+    // that start no task after a failover until most machines have shown the token.
     let size = Some((2.0, 0.0, 1.0));
     for (whole_machines, size, first) in [(false, size, 1), (true, size, 0), (false, None, 0)] {
         let mut engine = engine_with_orphaned_attempts(8.0, whole_machines, size);
@@ -93,8 +93,9 @@
 
 #[test]
 fn the_progress_record_of_a_cancelled_job_stays_until_none_of_its_tasks_can_run() {
-    // Guards against an exceeded quota (`quota`): the leader that received the cancellation ends,
-    // and the next leader finds no record of tasks that are still being stopped.
+    // Guards against an exceeded quota (rule breach `quota`): the leader that received the
+    // cancellation ends, and the next leader finds no record of tasks that are still being
+    // stopped.
     let mut engine = engine_after_failover(vec![team(0.0, 4.0)], spec("req-1", 3, 2.0));
     let mut other = ready_worker(&mut engine, "m2", "a");
     engine.job_key_removed("req-1");
--- a/crates/umbersail-control/src/engine/tests/random_faults.rs
+++ b/crates/umbersail-control/src/engine/tests/random_faults.rs
@@ -73,8 +73,8 @@
     Suspicions,
     /// Many writes get no reply and are executed late, after newer ones.
     DelayedWrites,
-    /// The state service repeatedly rejects the leader alone, for less than a lease each
-    /// time, while other nodes confirm a cancellation. Then the service is unavailable to
+    /// The state service repeatedly rejects the leader alone, for less than a lease duration
+    /// each time, while other nodes confirm a cancellation. Then the service is unavailable to
     /// every node for longer than the time limit for stopping cancelled tasks.
     RejectionsThenOutage,
 }
@@ -105,7 +105,8 @@
         self.at + self.duration_s
     }
 
-    /// Whether `RejectionsThenOutage` rejects the leader at time `t`.
+    /// Whether the state service rejects the requests of the leader at time `t` under
+    /// `RejectionsThenOutage`.
     fn rejects_leader_at(&self, t: f64) -> bool {
         (t - self.at) % (REJECTED_S + SERVED_S) < REJECTED_S
     }
@@ -161,7 +162,7 @@
                 at
             },
             duration_s: match kind {
-                // At least 0.2 s, which is far less than a lease.
+                // At least 0.2 s, which is far less than a lease duration.
                 FaultKind::BriefCrash => duration_s / 5.0,
                 FaultKind::Isolated => duration_s * 3.0,
                 FaultKind::RejectionsThenOutage => 4.0 + duration_s / 2.0,
@@ -390,8 +391,8 @@
         session: u64,
     },
     Txn(umbersail_wire::Txn<Record>),
-    /// An election whose lease has its full time again when the transaction is executed, as
-    /// after an outage.
+    /// An election whose lease gets its full duration again when the transaction is executed,
+    /// as after an outage of the state service.
     Election(umbersail_wire::Txn<Record>),
     HelloReply {
         to: usize,
@@ -420,7 +421,7 @@
     degraded_mode_entries: usize,
     /// Cancellations confirmed while the state service rejects the leader.
     cancelled_while_rejected: usize,
-    /// Delayed elections that were applied.
+    /// Election transactions that were executed late.
     delayed_elections: usize,
     /// The node that led when `RejectionsThenOutage` began.
     rejected_leader: Option<usize>,
@@ -743,7 +744,7 @@
         }
     }
 
-    /// The periodic duties of a node, about twice a second, and its greetings to peers.
+    /// The periodic duties of a node, about twice a second, and its hello messages to peers.
     fn run_duties(&mut self, node: usize) {
         let frozen = self.is_active(FaultKind::Freeze, |f| f.node == node);
         if !self.members[node].up || frozen {
@@ -773,7 +774,8 @@
                     let suspects = self.is_active(FaultKind::Suspicions, |f| f.node == node);
                     if suspects && !is_own_record && self.rng.random_bool(0.1) {
                         // The leader may be alive; it continues until it learns of this
-                        // election or compares the key (rule 2 of `docs/design.md`).
+                        // election or finds that the leader key has changed (rule 2 of
+                        // `docs/design.md`).
                         self.try_election(node, now);
                     } else if leader == node && !is_own_record {
                         // The record is of this node's former process, which has ended, so
@@ -1536,8 +1538,11 @@
     }
 }
 
+/// A controller's response to a heartbeat.
 enum HeartbeatOutcome {
+    /// The fencing token and the commands of the reply.
     Reply(u64, Vec<Command>),
+    /// The index of the controller that the worker is redirected to.
     Redirected(usize),
     Rejected,
 }
--- a/crates/umbersail-control/src/engine/tests/reservations.rs
+++ b/crates/umbersail-control/src/engine/tests/reservations.rs
@@ -12,7 +12,7 @@
 /// Number of reserved machines.
 const RESERVED: usize = 3;
 
-/// Settings with one reservation and further lines.
+/// Constants and plan entries: one reservation, and the given further lines.
 fn tuning_with(further_lines: &str) -> Tuning {
     let text = format!(
         "reserve.sale.team=t\nreserve.sale.classes=own\nreserve.sale.machines=m8:{RESERVED}\n\
--- a/crates/umbersail-control/src/engine/tests/zone_constraints.rs
+++ b/crates/umbersail-control/src/engine/tests/zone_constraints.rs
@@ -4,9 +4,9 @@
 
 #[test]
 fn an_attempt_of_a_completed_task_that_may_still_run_counts_for_its_zone() {
-    // Guards against tasks in a wrong zone (`wrong_place`) after a failover: one task of a job
-    // that spreads over zones is complete, and another attempt of this task may still run on a
-    // machine that has sent no heartbeat yet.
+    // Guards against tasks in a wrong zone (rule breach `wrong_place`, as the rehearsal reports
+    // it) after a failover: one task of a job that spreads over zones is complete, and another
+    // attempt of this task may still run on a machine that has sent no heartbeat yet.
     let mut job = spec("req-1", 4, 2.0);
     job.spread = Some(true);
     let mut inherited_state = inherited_state_of(job);
--- a/crates/umbersail-control/src/engine/tick.rs
+++ b/crates/umbersail-control/src/engine/tick.rs
@@ -52,7 +52,7 @@
     }
 
     /// Whether the lease of a machine that may hold tasks has expired and the expiry has not been
-    /// handled yet (rule 3).
+    /// handled yet (rule 3 of `docs/design.md`).
     fn has_expired(&self, now: Time, machine: &Machine) -> bool {
         let holds = machine.inherited || machine.has_orphaned_tasks || !machine.tasks.is_empty();
         if machine.lease_expired || !holds {
--- a/crates/umbersail-control/src/engine/tokens.rs
+++ b/crates/umbersail-control/src/engine/tokens.rs
@@ -3,7 +3,7 @@
 use super::{Engine, Job, MachineId, Placement, Time};
 
 /// Number of low bits of a fencing token that count the increments for one machine. The bits
-/// above are the epoch, which is the revision of the grant (rule 1).
+/// above are the epoch, which is the revision of the grant (rule 1 of `docs/design.md`).
 pub(super) const MINOR_COUNTER_BITS: u32 = 16;
 
 /// The part of a token that identifies the leader.
--- a/crates/umbersail-control/src/engine/write.rs
+++ b/crates/umbersail-control/src/engine/write.rs
@@ -74,10 +74,11 @@
 /// Why a job's record is written, most urgent first.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 enum WritePriority {
-    /// A launch or a stop command waits for the record, or a completion has waited for long.
-    /// These are written in the order of age. While a job waits, its launches are collected in
-    /// one record, whereas completions cannot be combined: when completions always came after
-    /// launches, they were reported too late.
+    /// A launch or a stop command waits for the record, or a completion has waited for long
+    /// (such completions are written with the priority of a launch). These are written in the
+    /// order of age. While a job waits, its launches are collected in one record, whereas
+    /// completions cannot be combined: when completions always came after launches, users
+    /// learned of them too late.
     Launch,
     /// The job is complete.
     End,
@@ -170,7 +171,7 @@
 impl Engine {
     /// Registers the remaining attempts of a completed job as orphaned, so that they are
     /// stopped. Their resources count as used from now on, not only from the next heartbeat,
-    /// until their machines show that the attempts are gone (rule 4).
+    /// until their machines show that the attempts are gone (rule 4 of `docs/design.md`).
     fn record_orphaned_attempts(&mut self, id: &JobId, job: &Job) {
         let mut machines: BTreeMap<MachineId, Option<(u64, u64)>> = BTreeMap::new();
         if job.inherited_extra_attempts() > 0 {
--- a/crates/umbersail-control/src/front.rs
+++ b/crates/umbersail-control/src/front.rs
@@ -67,7 +67,7 @@
     }
 }
 
-/// State of a job in the key-value store, read after the request arrived.
+/// State of a job in the state service, read after the request arrived.
 enum JobLookup {
     /// The job is unfinished; its key has this version.
     Unfinished(u64),
@@ -135,7 +135,7 @@
     /// node then serves the worker for a while.
     async fn handle_heartbeat(&self, body: &[u8]) -> Response {
         let Ok(heartbeat) = decode::<Heartbeat>(body) else {
-            warn!("malformed heartbeat");
+            warn!("received a malformed heartbeat from a worker");
             return Response::empty(400);
         };
         let now = self.clock.now();
@@ -215,8 +215,8 @@
     /// Returns the node to which a former or isolated leader redirects a worker that it can't
     /// or should not answer: the successor that it designated. The successor is the leader
     /// now, or renews the worker's lease as a delegate for as long as this node might do so
-    /// (rule 2). What is known of the worker's tasks stays the same (rule 3). A worker that
-    /// returns could not reach the successor, and is not redirected again.
+    /// (rule 2 of `docs/design.md`). What is known of the worker's tasks stays the same (rule
+    /// 3). A worker that returns could not reach the successor, and is not redirected again.
     fn hand_off_target(&self, heartbeat: &Heartbeat, now: Time) -> Option<String> {
         let next = self.last_designated.borrow().clone()?;
         let has_returned =
@@ -243,7 +243,7 @@
         let heartbeat: Heartbeat = match decode(body) {
             Ok(heartbeat) => heartbeat,
             Err(e) => {
-                warn!(reason = %e, "malformed heartbeat");
+                warn!(reason = %e, "received a malformed heartbeat");
                 return Response::empty(400);
             }
         };
@@ -350,8 +350,8 @@
         self.terminal_cache.borrow_mut().put(now, id, end);
     }
 
-    /// Answers a poll. If the key-value store does not answer this node, a peer is asked. If
-    /// the store answers no node, an all-replica read may still give the answer.
+    /// Answers a poll. If the state service does not answer this node, a peer is asked. If the
+    /// store answers no node, an all-replica read may still give the answer.
     async fn poll_or_relay(self: &Rc<Self>, id: &str) -> Response {
         let response = self.poll(id).await;
         if response.status != 503 {
@@ -367,8 +367,7 @@
         }
     }
 
-    /// Handles a cancellation. If the key-value store does not answer this node, a peer is
-    /// asked.
+    /// Handles a cancellation. If the state service does not answer this node, a peer is asked.
     async fn cancel_or_relay(&self, id: &str) -> Response {
         let response = self.cancel(id).await;
         match response.status {
@@ -377,7 +376,8 @@
         }
     }
 
-    /// Answers a poll from the cache, a version comparison, or the job's records.
+    /// Answers a poll from the cache of finished jobs, by comparing the version of the job's
+    /// key, or from the job's records.
     pub(crate) async fn poll(self: &Rc<Self>, id: &str) -> Response {
         if !is_job_id(id) {
             return Response::empty(404);
@@ -447,7 +447,7 @@
     }
 
     /// Handles a submission. If this node's share of the rate limits is used up, or the
-    /// key-value store rejects the request, the submission is relayed to a peer before it is
+    /// state service rejects the request, the submission is relayed to a peer before it is
     /// refused.
     async fn submit_or_relay(&self, body: &[u8]) -> Response {
         if !self.kv.has_budget(1.0) {
@@ -470,7 +470,7 @@
         response
     }
 
-    /// Validates a submission and records the job in the key-value store.
+    /// Validates a submission and records the job in the state service.
     pub(crate) async fn submit(&self, body: &[u8]) -> Response {
         let spec = match decode::<JobSpec>(body) {
             Ok(spec) => spec,
@@ -504,7 +504,7 @@
         let txn = acceptance_txn(record);
         let sent_at = self.clock.now();
         match self.kv.txn(&txn, priority).await {
-            // The user is told that the job is accepted only after the key-value store has
+            // The user is told that the job is accepted only after the state service has
             // recorded the job (rule 6).
             TxnOutcome::Applied { revision } => {
                 self.batched_polls.record_version(&id, revision, sent_at);
@@ -521,7 +521,7 @@
             TxnOutcome::NotExecuted | TxnOutcome::Unknown => {
                 info!(
                     job = id,
-                    reason = "the key-value store did not record the job",
+                    reason = "the state service did not record the job",
                     "submission refused"
                 );
                 self.retry_later()
@@ -608,7 +608,7 @@
         }
     }
 
-    /// Records the cancellation of a job in the key-value store.
+    /// Records the cancellation of a job in the state service.
     pub(crate) async fn cancel(&self, id: &str) -> Response {
         if !is_job_id(id) {
             return Response::empty(404);
--- a/crates/umbersail-control/src/health.rs
+++ b/crates/umbersail-control/src/health.rs
@@ -1,5 +1,5 @@
-//! Reachability of the key-value store and of the other controllers, and the readiness of
-//! this node for user requests.
+//! Reachability of the state service and of the other controllers, and the readiness of this
+//! node for user requests.
 
 use std::rc::Rc;
 
@@ -9,11 +9,11 @@
 use crate::records::{LEADER_KEY, LeaderRecord};
 use crate::state::RequestPriority;
 
-/// Interval between probes of a key-value store that does not respond, in seconds.
+/// Interval between probes of a state service that does not respond, in seconds.
 const UNRESPONSIVE_PROBE_S: Time = 0.3;
 
 impl Node {
-    /// Whether the key-value store has answered a request of this node recently.
+    /// Whether the state service has answered a request of this node recently.
     pub(crate) fn is_store_reachable(&self) -> bool {
         let now = self.clock.now();
         self.kv
@@ -28,7 +28,7 @@
             && !(self.peers.borrow().values()).any(|p| p.heard_at.is_some_and(is_recent))
     }
 
-    /// Whether this node reaches neither the key-value store nor any peer. A store that
+    /// Whether this node reaches neither the state service nor any peer. A state service that
     /// answers requests with errors counts as reached. If this node is isolated, another node
     /// leads or will soon be elected.
     pub(crate) fn is_isolated(&self, now: Time) -> bool {
@@ -47,8 +47,8 @@
     }
 
     /// Whether this node should receive user requests. A node is not ready if it alone does
-    /// not reach the key-value store. If no node reaches the store, all stay ready: the load
-    /// balancer readmits a node only after a delay, which would prolong the outage.
+    /// not reach the state service. If no node reaches the state service, all stay ready: the
+    /// load balancer readmits a node only after a delay, which would prolong the outage.
     pub(crate) fn is_ready(&self) -> bool {
         if self.machine_types.borrow().is_empty() {
             return false;
@@ -58,9 +58,9 @@
         }
         let now = self.clock.now();
         let Some(last_answer) = self.kv.last_success() else {
-            // The node started during an outage. If the store answers it with errors, as it
-            // answers all nodes, the node is ready like the others, so that the load balancer
-            // need not wait for it after the outage.
+            // The node started during an outage. If the state service answers it with errors,
+            // as it answers all nodes, the node is ready like the others, so that the load
+            // balancer need not wait for it after the outage.
             let answers_with_errors =
                 self.kv.unresponsive_since().is_none() && self.kv.has_ever_responded();
             let reached = |p: &PeerState| p.state_reachable;
@@ -68,17 +68,17 @@
                 && !self.hears_from_no_peer(now)
                 && !self.peers.borrow().values().any(reached);
         };
-        // Without contact to a peer, this node can't tell whether the store rejects the
+        // Without contact to a peer, this node can't tell whether the state service rejects the
         // requests of other nodes too. The time limit is doubled here, so that a short outage
-        // of the store during a partition between controllers has no effect.
+        // of the state service during a partition between controllers has no effect.
         let rejected_s = 2.0 * self.tuning.state_lost_after_s;
         if self.is_isolated(now) || self.hears_from_no_peer(now) && now - last_answer >= rejected_s
         {
             return false;
         }
-        // A peer's report that the store is reachable counts only if the report is clearly
-        // newer than the last answer to this node: at the start of an outage the last reports
-        // of all peers still say "reachable".
+        // A peer's report that the state service is reachable counts only if the report is
+        // clearly newer than the last answer to this node: at the start of an outage the last
+        // reports of all peers still say "reachable".
         let newer_than = last_answer + self.tuning.state_lost_after_s + self.tuning.peer_interval_s;
         !self.peers.borrow().values().any(|p| {
             p.state_reachable
@@ -87,12 +87,13 @@
         })
     }
 
-    /// Sends a small read to the key-value store whenever the store has not answered within
-    /// the probe interval. Without the probe, a node without user requests would consider the
-    /// store unreachable and report that it is not ready.
+    /// Sends a small read to the state service whenever the state service has not answered
+    /// within the probe interval. Without the probe, a node without user requests would
+    /// consider the state service unreachable and report that it is not ready.
     pub(crate) async fn probe_store(self: Rc<Self>) {
         loop {
-            // User requests are refused until the store answers, so the probes are frequent.
+            // User requests are refused until the state service answers, so the probes are
+            // frequent.
             let interval = match self.kv.unresponsive_since() {
                 Some(_) => UNRESPONSIVE_PROBE_S.min(self.tuning.state_probe_interval_s),
                 None => self.tuning.state_probe_interval_s,
--- a/crates/umbersail-control/src/leader/cloud.rs
+++ b/crates/umbersail-control/src/leader/cloud.rs
@@ -65,7 +65,7 @@
         }
     }
 
-    /// Records the machine types in the key-value store. Returns whether the write succeeded.
+    /// Records the machine types in the state service. Returns whether the write succeeded.
     async fn record_catalogue(&self, token: u64, types: Vec<MachineType>) -> bool {
         let read = self
             .kv
--- a/crates/umbersail-control/src/leader/election.rs
+++ b/crates/umbersail-control/src/leader/election.rs
@@ -1,6 +1,6 @@
 //! Leader election. A follower waits until the leader key is deleted or the failure of the
 //! leader is confirmed. One transaction then writes the leader key and makes this node the
-//! holder of the fleet grant (rule 1).
+//! holder of the fleet grant (rule 1 of `docs/design.md`).
 
 use std::pin::pin;
 use std::rc::Rc;
@@ -202,8 +202,7 @@
         }
     }
 
-    /// Whether a peer sent a message recently and reported that it reaches the key-value
-    /// store.
+    /// Whether a peer sent a message recently and reported that it reaches the state service.
     pub(super) fn peer_could_lead(&self, now: Time) -> bool {
         self.peers.borrow().values().any(|p| {
             p.state_reachable
--- a/crates/umbersail-control/src/leader/fencing.rs
+++ b/crates/umbersail-control/src/leader/fencing.rs
@@ -1,5 +1,5 @@
 //! Fencing: the leader sends its fencing token to workers directly, without waiting for
-//! their heartbeats (rule 1).
+//! their heartbeats (rule 1 of `docs/design.md`).
 
 use std::rc::Rc;
 
@@ -50,7 +50,7 @@
                 Err(e) => warn!(machine, reason = %e, "worker sent a malformed response"),
             },
             Ok((status, _)) => debug!(machine, status, "worker rejected the token"),
-            Err(e) => debug!(machine, reason = %e, "worker did not respond"),
+            Err(e) => debug!(machine, reason = %e, "worker did not respond to a direct command"),
         }
     }
 }
--- a/crates/umbersail-control/src/leader/jobs.rs
+++ b/crates/umbersail-control/src/leader/jobs.rs
@@ -75,7 +75,7 @@
         }
     }
 
-    /// Lists all jobs. Used when the key-value store no longer holds the changes since the
+    /// Lists all jobs. Used when the state service no longer holds the changes since the
     /// revision that the engine knows.
     async fn list_jobs(&self, token: u64) {
         let listed = self
--- a/crates/umbersail-control/src/leader/lease.rs
+++ b/crates/umbersail-control/src/leader/lease.rs
@@ -1,4 +1,5 @@
-//! The leader's lease: how long the leader may start tasks and answer heartbeats (rule 2).
+//! The leader's lease: how long the leader may start tasks and answer heartbeats (rule 2 of
+//! `docs/design.md`).
 
 use std::cell::Cell;
 use std::rc::Rc;
@@ -13,13 +14,13 @@
 use crate::records::LEADER_KEY;
 use crate::state::{KeyValueError, RequestPriority};
 
-/// Factor on the renewal interval while requests to the key-value store fail.
+/// Factor on the renewal interval while requests to the state service fail.
 const FAILING_INTERVAL_FACTOR: f64 = 0.4;
 /// Longest time that a start command takes to reach a worker, in seconds.
 const START_MARGIN_S: Time = 0.1;
 
-/// The leader's lease in the key-value store, and the deadlines that follow from the lease
-/// on this node's clock. One task renews the lease; the handlers of public requests and of
+/// The leader's lease in the state service, and the deadlines that follow from the lease on
+/// this node's clock. One task renews the lease; the handlers of public requests and of
 /// requests from other controllers read it.
 #[derive(Debug)]
 pub(crate) struct LeaderLease {
--- a/crates/umbersail-control/src/leader/mod.rs
+++ b/crates/umbersail-control/src/leader/mod.rs
@@ -95,7 +95,8 @@
         if let Some(recovered) = self.recover_state(elected, &lease).await {
             let RecoveredState { inheritance, .. } = recovered;
             // Jobs cancelled after this read are not known yet, so heartbeats must not be
-            // answered for longer than one renewal interval after the read (rule 2).
+            // answered for longer than one renewal interval after the read (rule 2 of
+            // `docs/design.md`).
             lease.bound_renewals(recovered.jobs_read_at + cfg.renewal_s());
             let now = self.clock.now();
             let engine = Engine::new(cfg, now, self.clock.unix_ms(), inheritance);
@@ -159,8 +160,8 @@
             if let Some(end) = self.term_end(now, lease, elected_at) {
                 return end;
             }
-            // A leader that can't reach the key-value store can't end its lease there. It
-            // tells its peers that it resigns, and one of them replaces the leader key.
+            // A leader that can't reach the state service can't end its lease there. It tells
+            // its peers that it resigns, and one of them replaces the leader key.
             self.set_resigning(self.is_isolated_from_state());
             paused = self.log_pause(now, lease, paused);
             if self.is_unreachable_by_workers(now, &mut no_heartbeat_since) {
@@ -200,9 +201,9 @@
         let paused = now >= lease.renew_until();
         match (was_paused, paused) {
             (false, true) => {
-                warn!("key-value store unavailable for too long: heartbeats are refused");
+                warn!("state service unavailable for too long: heartbeats are refused");
             }
-            (true, false) => info!("key-value store available again: heartbeats are answered"),
+            (true, false) => info!("state service available again: heartbeats are answered"),
             _ => {}
         }
         paused
--- a/crates/umbersail-control/src/leader/recovery.rs
+++ b/crates/umbersail-control/src/leader/recovery.rs
@@ -1,5 +1,5 @@
 //! Recovery: a new leader reads jobs, their progress, the fleet grant and the plans before
-//! it schedules anything (rules 3 and 4).
+//! it schedules anything (rules 3 and 4 of `docs/design.md`).
 
 use std::collections::BTreeMap;
 
--- a/crates/umbersail-control/src/leader/scheduler.rs
+++ b/crates/umbersail-control/src/leader/scheduler.rs
@@ -18,7 +18,7 @@
 };
 use crate::state::{KeyValueError, RequestPriority};
 
-/// Pause after a transaction or a read that the key-value store did not execute, in seconds.
+/// Pause after a transaction or a read that the state service did not execute, in seconds.
 const RETRY_S: Time = 0.2;
 /// Heartbeats arrive in bursts: one scheduler step handles all heartbeats that arrive within
 /// this time, in seconds.
@@ -176,7 +176,8 @@
     }
 
     /// Caches the ends of jobs that the transaction recorded. Polls for these jobs are then
-    /// answered without a read, also while the key-value store is unavailable (rule 6).
+    /// answered without a read, also while the state service is unavailable (rule 6 of
+    /// `docs/design.md`).
     fn cache_ends(&self, txn: &Txn<Record>) {
         for change in &txn.changes {
             if let Change::Put { key, value, .. } = change
--- a/crates/umbersail-control/src/lib.rs
+++ b/crates/umbersail-control/src/lib.rs
@@ -1,9 +1,8 @@
 //! The controller: leader election, the scheduling engine of the leader, the public HTTP
-//! API, and the clients of the key-value store and the cloud provider.
+//! API, and the clients of the state service and the cloud provider.
 //!
-//! The key-value store holds all durable state. The settings call it `state`. Comments that
-//! name a rule by its number, such as "rule 2", refer to the safety rules in
-//! `docs/design.md`.
+//! The state service holds all durable state. The settings call it `state`. Comments that name
+//! a rule by its number, such as "rule 2", refer to the safety rules in `docs/design.md`.
 #![deny(missing_docs)]
 // Tests are exempt: some state in one long function what the engine does in several.
 #![cfg_attr(not(test), warn(clippy::too_many_lines))]
--- a/crates/umbersail-control/src/node.rs
+++ b/crates/umbersail-control/src/node.rs
@@ -66,7 +66,7 @@
 pub(crate) struct PeerState {
     /// When the last message from the peer arrived.
     pub heard_at: Option<Time>,
-    /// Whether the peer reported that it reaches the key-value store.
+    /// Whether the peer reported that it reaches the state service.
     pub state_reachable: bool,
     /// When the peer last answered a request of this node.
     pub answered_at: Option<Time>,
@@ -77,7 +77,7 @@
     pub uptime_s: f64,
     /// How late timers fired in the peer's process, in seconds.
     pub lag_s: f64,
-    /// When the key-value store last answered the peer, on this node's clock.
+    /// When the state service last answered the peer, on this node's clock.
     pub store_answer_at: Option<Time>,
 }
 
@@ -96,7 +96,7 @@
     /// Tuning parameters from the properties file.
     pub(crate) tuning: Rc<Tuning>,
     pub(crate) clock: Rc<dyn Clock>,
-    /// Client of the key-value store.
+    /// Client of the state service.
     pub(crate) kv: KeyValueClient,
     /// Client of the cloud provider's API.
     pub(crate) cloud: CloudClient,
@@ -350,7 +350,7 @@
                 _ => {
                     let pause = random(|rng| rng.random_range(0.5..1.5));
                     warn!(
-                        "machine types unknown: neither the key-value store nor the cloud returned them"
+                        "machine types unknown: neither the state service nor the cloud returned them"
                     );
                     sleep(pause).await;
                 }
--- a/crates/umbersail-control/src/peers.rs
+++ b/crates/umbersail-control/src/peers.rs
@@ -58,7 +58,7 @@
     /// Jobs that this node recently read or recorded as cancelled. An isolated leader cannot
     /// read them from the state service and learns of them from its peers. This only speeds
     /// up the cancellation: such a leader must in any case stop renewing workers' leases in
-    /// time for it (rule 2).
+    /// time for it (rule 2 of `docs/design.md`).
     pub(crate) fn recently_cancelled(&self) -> Vec<String> {
         let since = self.clock.now() - self.settings.facts.workers.cancel_s;
         let cache = self.terminal_cache.borrow();
--- a/crates/umbersail-control/src/plans.rs
+++ b/crates/umbersail-control/src/plans.rs
@@ -1,5 +1,5 @@
 //! Operators' plan entries (calendars and reservations) in the properties file, which are
-//! validated before the controller starts, and the plans recorded in the key-value store.
+//! validated before the controller starts, and the plans recorded in the state service.
 
 use std::net::SocketAddr;
 
@@ -101,9 +101,9 @@
 /// Timeout for reading one page of plans, in seconds.
 const READ_TIMEOUT_S: f64 = 5.0;
 
-/// Reads all plans from the key-value store. Each plan is returned as its kind and name, its
-/// version, and its content. A value that is not a plan record is returned unchanged,
-/// without a version.
+/// Reads all plans from the state service. Each plan is returned as its kind and name, its
+/// version, and its content. A value that is not a plan record is returned unchanged, without a
+/// version.
 ///
 /// # Errors
 /// The status of an error response, or the reason why there was no valid response.
@@ -128,10 +128,10 @@
             Ok((200, body)) => body,
             Ok((status, _)) => {
                 return Err(format!(
-                    "the key-value store answered with status {status}: try again"
+                    "the state service answered with status {status}: try again"
                 ));
             }
-            Err(e) => return Err(format!("the key-value store did not answer: {e}")),
+            Err(e) => return Err(format!("the state service did not answer: {e}")),
         };
         let page: KeyList<Value> = decode(&body).map_err(|e| e.to_string())?;
         let Some(last) = page.items.last() else {
--- a/crates/umbersail-control/src/polls.rs
+++ b/crates/umbersail-control/src/polls.rs
@@ -30,7 +30,7 @@
     Unfinished,
     /// The key has another version, or no version is known: the job must be read.
     Unknown,
-    /// The key-value store did not answer.
+    /// The state service did not answer.
     Unanswered,
 }
 
@@ -80,8 +80,9 @@
 
 impl Node {
     /// Determines whether the job is still unfinished, by a comparison that starts after this
-    /// call (rule 6). Many polls share one request. An unchanged version proves that the job
-    /// is unfinished, because a job's key does not change until the job ends.
+    /// call (rule 6 of `docs/design.md`). Many polls share one request. An unchanged version
+    /// proves that the job is unfinished, because a job's key does not change until the job
+    /// ends.
     pub(crate) async fn compare_version(self: &Rc<Self>, id: &str) -> PollOutcome {
         let Some((version, _)) = self.batched_polls.versions.borrow().get(id).copied() else {
             return PollOutcome::Unknown;
--- a/crates/umbersail-control/src/records.rs
+++ b/crates/umbersail-control/src/records.rs
@@ -1,4 +1,4 @@
-//! The records in the key-value store, their keys, and the transactions that write them.
+//! The records in the state service, their keys, and the transactions that write them.
 
 use serde::{Deserialize, Serialize};
 use umbersail_wire::{Change, Condition, JobSpec, MachineType, Txn, Value};
@@ -16,8 +16,8 @@
 /// Key of the leader's answer to suspicions, a [`LivenessRecord`]. The write itself proves
 /// that the leader is alive.
 pub const LIVENESS_KEY: &str = "alive";
-/// Key of the [`RecoveryPendingRecord`]. The key exists until the leader has accounted for
-/// all tasks that an earlier holder may have started without a record.
+/// Key of the [`RecoveryPendingRecord`]. The key exists until the leader knows, and has
+/// recorded, all tasks that an earlier holder may have started without a record.
 pub const RECOVERY_PENDING_KEY: &str = "unsettled";
 /// Key of the machine types, for nodes that start while the cloud API is unavailable.
 pub const CATALOGUE_KEY: &str = "catalogue";
@@ -78,7 +78,7 @@
     pub holder: String,
     /// The holder keeps a job's progress record for as long as orphaned attempts of the job
     /// may be running, and records their resources there. After a holder whose build did not
-    /// do so, a new leader counts the machines as fully occupied (rule 4).
+    /// do so, a new leader counts the machines as fully occupied (rule 4 of `docs/design.md`).
     #[serde(rename = "keeps_remnants", default)]
     pub keeps_orphaned_attempts: bool,
     /// Plans are recorded, or this holder may record plans. A new leader then reads the plans
@@ -224,7 +224,7 @@
     true
 }
 
-/// The leader that must account for tasks started without a record.
+/// The leader that must find and record the tasks started without a record.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RecoveryPendingRecord {
     /// Name of the leader.
--- a/crates/umbersail-control/src/settings.rs
+++ b/crates/umbersail-control/src/settings.rs
@@ -48,7 +48,9 @@
     #[error("known: must not list this member, {0}")]
     ListsItselfAsPeer(String),
     /// A guarantee or limit of a team is negative or not finite.
-    #[error("facts.teams: team '{team}': {key}: {value} must not be negative")]
+    #[error(
+        "facts.teams: team '{team}': {key}: {value} must be a finite number that is not negative"
+    )]
     NegativeTeamAmount {
         /// Name of the team.
         team: String,
@@ -97,7 +99,7 @@
 pub struct External {
     /// The API of the cloud provider.
     pub cloud: SocketAddr,
-    /// The key-value store.
+    /// The state service.
     pub state: SocketAddr,
 }
 
@@ -112,7 +114,7 @@
     pub objectives: Vec<Objective>,
     /// Time limits of the workers.
     pub workers: Workers,
-    /// Limits of the key-value store.
+    /// Limits of the state service.
     pub state: KeyValueLimits,
     /// Limits of the cloud provider.
     pub cloud: CloudLimits,
@@ -177,7 +179,7 @@
     pub cancel_s: f64,
 }
 
-/// Limits of the key-value store, for all controllers together.
+/// Limits of the state service, for all controllers together.
 #[derive(Debug, Clone, Deserialize)]
 pub struct KeyValueLimits {
     /// Requests per second.
--- a/crates/umbersail-control/src/standby.rs
+++ b/crates/umbersail-control/src/standby.rs
@@ -200,7 +200,7 @@
                 );
                 // The record's `open` counts like that of a hello message, provided that the
                 // record replies to this probe: a reply to an earlier probe may be applied
-                // late (rule 3).
+                // late (rule 3 of `docs/design.md`).
                 let replies = result.events.iter().filter_map(|e| e.value.as_ref());
                 let is_reply_to_probe =
                     |a: &&LivenessRecord| a.token == token && a.newest_suspicion >= revision;
--- a/crates/umbersail-control/src/state.rs
+++ b/crates/umbersail-control/src/state.rs
@@ -1,5 +1,5 @@
-//! Client of the key-value store, which observes this controller's share of the store's
-//! rate limits. The settings call the store `state`.
+//! Client of the state service, which observes this controller's share of its rate limits. The
+//! settings call it `state`.
 
 use std::cell::{Cell, RefCell};
 use std::net::SocketAddr;
@@ -18,20 +18,21 @@
 use crate::engine::TxnOutcome;
 use crate::records::Record;
 
-/// Why a request to the key-value store failed.
+/// Why a request to the state service failed.
 #[derive(Debug, Error, Clone, PartialEq, Eq)]
 pub enum KeyValueError {
-    /// The request exceeds this node's share of the rate limits, or the store's own limits.
-    #[error("rate limit exceeded")]
+    /// The request exceeds this node's share of the rate limits, or the state service's own
+    /// limits.
+    #[error("rate limit of the state service exceeded")]
     RateLimited,
-    /// The request was not executed: the store said so, or the request was never sent.
-    #[error("unavailable: {0}")]
+    /// The request was not executed: the state service said so, or the request was never sent.
+    #[error("the state service did not execute the request: {0}")]
     Unavailable(String),
     /// The outcome is unknown: the request may have been executed, or may be executed later.
-    #[error("no answer: {0}")]
+    #[error("the state service may have executed the request: {0}")]
     NoAnswer(String),
-    /// The lease has expired, or the store no longer holds the requested revisions.
-    #[error("lease expired or revisions compacted")]
+    /// The lease has expired, or the state service no longer holds the requested revisions.
+    #[error("the lease has expired or the revisions are compacted")]
     Gone,
 }
 
@@ -108,7 +109,7 @@
     BestEffort,
 }
 
-/// Client of the key-value store. Clones share the rate limits and the connections.
+/// Client of the state service. Clones share the rate limits and the connections.
 #[derive(Clone)]
 pub struct KeyValueClient {
     inner: Rc<Inner>,
@@ -124,11 +125,11 @@
     last_success: Cell<Option<Time>>,
     /// Since when all requests have failed.
     failing_since: Cell<Option<Time>>,
-    /// When the store last sent any response, including an error.
+    /// When the state service last sent any response, including an error.
     last_response_at: Cell<Time>,
     /// Since when requests have had no response of any kind.
     unresponsive_since: Cell<Option<Time>>,
-    /// Without any response for this long the store counts as unreachable, in seconds.
+    /// Without any response for this long the state service counts as unreachable, in seconds.
     unresponsive_s: f64,
     /// Number of malformed responses.
     malformed: Cell<u64>,
@@ -172,7 +173,7 @@
         self.inner.writes.borrow_mut().set_rate(write_rps);
     }
 
-    /// When the store last answered a request without an error.
+    /// When the state service last answered a request without an error.
     pub fn last_success(&self) -> Option<Time> {
         self.inner.last_success.get()
     }
@@ -182,18 +183,19 @@
         self.inner.failing_since.get()
     }
 
-    /// Whether the store has ever sent any response, including an error.
+    /// Whether the state service has ever sent any response, including an error.
     pub fn has_ever_responded(&self) -> bool {
         self.inner.last_response_at.get() > f64::MIN
     }
 
-    /// Since when the store has sent no response at all, not even an error. In an outage the
-    /// store responds with errors; a store that sends nothing can't be reached.
+    /// Since when the state service has sent no response at all, not even an error. In an
+    /// outage it responds with errors; if it sends nothing, it can't be reached.
     pub fn unresponsive_since(&self) -> Option<Time> {
         self.inner.unresponsive_since.get()
     }
 
-    /// Whether the store has been unresponsive for so long that it counts as unreachable.
+    /// Whether the state service has been unresponsive for so long that it counts as
+    /// unreachable.
     fn is_unreachable(&self) -> bool {
         let now = self.inner.clock.now();
         self.unresponsive_since()
@@ -246,8 +248,10 @@
         );
         if !may_wait && self.is_unreachable() {
             // Fails at once, because a user waits for the answer. Requests of `Critical`
-            // and `Background` priority show when the store is reachable again.
-            return Err(KeyValueError::Unavailable("store unreachable".into()));
+            // and `Background` priority show when the state service is reachable again.
+            return Err(KeyValueError::Unavailable(
+                "it has sent no response for too long".into(),
+            ));
         }
         while !self.try_admit(priority, writes) {
             if priority != RequestPriority::Background {
@@ -307,7 +311,7 @@
         }
         match result {
             Ok((429, _)) => {
-                debug!(method, target, "key-value store: rate limit exceeded");
+                debug!(method, target, "state service: rate limit exceeded");
                 Err(KeyValueError::RateLimited)
             }
             Ok((503, _)) => {
@@ -316,7 +320,7 @@
             }
             Ok((status, body)) if status < 500 => {
                 // A watch opened before an outage ends with status 200 during the
-                // outage, so it does not show whether the store serves requests.
+                // outage, so it does not show whether the state service serves requests.
                 if !target.starts_with(paths::WATCH) {
                     self.inner.last_success.set(Some(self.inner.clock.now()));
                     self.inner.failing_since.set(None);
@@ -349,7 +353,7 @@
         self.inner.malformed.set(count);
         warn!(
             what,
-            reason, count, "malformed response of the key-value store"
+            reason, count, "malformed response of the state service"
         );
         KeyValueError::NoAnswer("malformed response".into())
     }
@@ -438,7 +442,7 @@
                 warn!(
                     status,
                     body = &*String::from_utf8_lossy(&body),
-                    "transaction rejected"
+                    "the state service rejected a transaction"
                 );
                 TxnOutcome::NotExecuted
             }
--- a/crates/umbersail-control/src/terminal_cache.rs
+++ b/crates/umbersail-control/src/terminal_cache.rs
@@ -1,6 +1,6 @@
 //! Bounded cache of the most recently ended jobs. It answers repeated polls, and while the
-//! key-value store is unavailable it keeps answers consistent with those that this
-//! controller gave before (rule 6).
+//! state service is unavailable it keeps answers consistent with those that this controller
+//! gave before (rule 6 of `docs/design.md`).
 
 use std::collections::{BTreeMap, VecDeque};
 
--- a/crates/umbersail-control/tests/fake_services/mod.rs
+++ b/crates/umbersail-control/tests/fake_services/mod.rs
@@ -28,8 +28,8 @@
     Response::new(status, encode(body))
 }
 
-/// A fake state service: the key-value store with a clock of its own. The clock stops
-/// during an outage, so that no lease expires then.
+/// A fake state service: the state service with a clock of its own. The clock stops during an
+/// outage, so that no lease expires then.
 pub struct StateService {
     store: RefCell<KvStore>,
     now: Cell<f64>,
--- a/crates/umbersail-control/tests/isolated_controllers.rs
+++ b/crates/umbersail-control/tests/isolated_controllers.rs
@@ -1021,8 +1021,9 @@
                 "a 404 requires a read of the state service"
             );
         }
-        // A restarted node has lost the states it reported, so that no poll can be answered,
-        // but the node accepts users.
+        // A restarted controller has lost the states it reported. No controller can then answer
+        // a poll from what all of them remember, but the restarted one still accepts requests
+        // of users.
         cluster.world.kill(cluster.nodes[second_follower]);
         cluster.start(second_follower);
         sleep(4.0).await;
--- a/crates/umbersail-control/tests/isolated_controllers/superseded_leaders.rs
+++ b/crates/umbersail-control/tests/isolated_controllers/superseded_leaders.rs
@@ -112,7 +112,7 @@
 #[test]
 fn a_leader_that_thaws_answers_no_heartbeat_queued_behind_its_successors_hello_message() {
     // Guards against a frozen leader whose renewal time has not ended and that answers the
-    // queued heartbeats as it thaws, although its successor's greeting came before them.
+    // queued heartbeats as it thaws, although its successor's hello message came before them.
     const WORKERS: usize = 24;
     run_with_cluster(|cluster| async move {
         let leader = cluster.wait_for_leader().await;
