--- a/crates/umbersail-control/src/engine/listing.rs
+++ b/crates/umbersail-control/src/engine/listing.rs
@@ -63,8 +63,9 @@
                 }
             }
             if entry.state == MachineState::Failed {
-                // The machine has stopped, and with it all tasks on it (rule 3).
-                self.clear_machine(&name);
+                // The machine has stopped, and with it all tasks on it (rule 3 of
+                // `docs/design.md`).
+                self.requeue_machine_tasks(&name);
             }
             present.push(name);
         }
@@ -129,7 +130,8 @@
         }
     }
 
-    /// The cloud refused the rental: it has no such machines now.
+    /// The cloud refused the rental: it has no such machines now, or has a fault. Nothing was
+    /// rented.
     pub fn rental_refused(&mut self, now: Time, request: &RentRequest) {
         self.reservation_request_answered(now, &request.request, None);
         if let Some(index) = self.type_index(&request.machine_type) {
@@ -168,7 +170,7 @@
         let max_names = self.cfg.tuning.max_deleted_machine_names as usize;
         for name in names {
             let name: MachineId = name.as_str().into();
-            self.clear_machine(&name);
+            self.requeue_machine_tasks(&name);
             self.plans.images.remove_machine(&name);
             if let Some(machine) = self.machines.remove(&name) {
                 self.remove_from_part(&name, machine.grant_part);
--- a/crates/umbersail-control/src/engine/tests/random_faults.rs
+++ b/crates/umbersail-control/src/engine/tests/random_faults.rs
@@ -73,8 +73,8 @@
     Suspicions,
     /// Many writes get no reply and are executed late, after newer ones.
     DelayedWrites,
-    /// The state service repeatedly rejects the leader alone, for less than a lease each
-    /// time, while other nodes confirm a cancellation. Then the service is unavailable to
+    /// The state service repeatedly rejects the leader alone, for less than a lease duration
+    /// each time, while other nodes confirm a cancellation. Then the service is unavailable to
     /// every node for longer than the time limit for stopping cancelled tasks.
     RejectionsThenOutage,
 }
@@ -105,7 +105,8 @@
         self.at + self.duration_s
     }
 
-    /// Whether `RejectionsThenOutage` rejects the leader at time `t`.
+    /// Whether the state service rejects the requests of the leader at time `t` under
+    /// `RejectionsThenOutage`.
     fn rejects_leader_at(&self, t: f64) -> bool {
         (t - self.at) % (REJECTED_S + SERVED_S) < REJECTED_S
     }
@@ -161,7 +162,7 @@
                 at
             },
             duration_s: match kind {
-                // At least 0.2 s, which is far less than a lease.
+                // At least 0.2 s, which is far less than a lease duration.
                 FaultKind::BriefCrash => duration_s / 5.0,
                 FaultKind::Isolated => duration_s * 3.0,
                 FaultKind::RejectionsThenOutage => 4.0 + duration_s / 2.0,
@@ -279,7 +280,7 @@
     degraded_mode_memory: DegradedModeMemory,
     leadership: Option<Leadership>,
     next_duties_at: f64,
-    next_greeting_at: f64,
+    next_hello_at: f64,
 }
 
 /// The parts of the state service that these tests need.
@@ -390,8 +391,8 @@
         session: u64,
     },
     Txn(umbersail_wire::Txn<Record>),
-    /// An election whose lease has its full time again when the transaction is executed, as
-    /// after an outage.
+    /// An election whose lease gets its full duration again when the transaction is executed,
+    /// as after an outage of the state service.
     Election(umbersail_wire::Txn<Record>),
     HelloReply {
         to: usize,
@@ -420,7 +421,7 @@
     degraded_mode_entries: usize,
     /// Cancellations confirmed while the state service rejects the leader.
     cancelled_while_rejected: usize,
-    /// Delayed elections that were applied.
+    /// Election transactions that were executed late.
     delayed_elections: usize,
     /// The node that led when `RejectionsThenOutage` began.
     rejected_leader: Option<usize>,
@@ -453,7 +454,7 @@
                 degraded_mode_memory: DegradedModeMemory::default(),
                 leadership: None,
                 next_duties_at: rng.random_range(0.0..0.5),
-                next_greeting_at: rng.random_range(0.0..1.0),
+                next_hello_at: rng.random_range(0.0..1.0),
             }
         });
         let members = members.collect();
@@ -743,16 +744,16 @@
         }
     }
 
-    /// The periodic duties of a node, about twice a second, and its greetings to peers.
+    /// The periodic duties of a node, about twice a second, and its hello messages to peers.
     fn run_duties(&mut self, node: usize) {
         let frozen = self.is_active(FaultKind::Freeze, |f| f.node == node);
         if !self.members[node].up || frozen {
             return;
         }
-        if self.t >= self.members[node].next_greeting_at {
-            self.members[node].next_greeting_at = self.t + self.rng.random_range(0.8..1.2);
+        if self.t >= self.members[node].next_hello_at {
+            self.members[node].next_hello_at = self.t + self.rng.random_range(0.8..1.2);
             for peer in (0..NODES).filter(|p| *p != node) {
-                self.greet(node, peer);
+                self.send_hello(node, peer);
             }
         }
         if self.t < self.members[node].next_duties_at {
@@ -773,7 +774,8 @@
                     let suspects = self.is_active(FaultKind::Suspicions, |f| f.node == node);
                     if suspects && !is_own_record && self.rng.random_bool(0.1) {
                         // The leader may be alive; it continues until it learns of this
-                        // election or compares the key (rule 2 of `docs/design.md`).
+                        // election or finds that the leader key has changed (rule 2 of
+                        // `docs/design.md`).
                         self.try_election(node, now);
                     } else if leader == node && !is_own_record {
                         // The record is of this node's former process, which has ended, so
@@ -1094,7 +1096,7 @@
         host.worker.heartbeat()
     }
 
-    fn greet(&mut self, node: usize, peer: usize) {
+    fn send_hello(&mut self, node: usize, peer: usize) {
         if !self.members[peer].up || self.peers_are_partitioned(node, peer) {
             return;
         }
@@ -1338,7 +1340,7 @@
             return Ok(());
         }
         match self.deliver_heartbeat(node, &heartbeat, true)? {
-            Answer::Reply(token, commands) => {
+            HeartbeatOutcome::Reply(token, commands) => {
                 for task in started_tasks(&commands) {
                     self.check_start(index, &task)?;
                 }
@@ -1367,14 +1369,14 @@
                     commands,
                 });
             }
-            Answer::Redirected(_) if self.is_unreachable(index) => {
+            HeartbeatOutcome::Redirected(_) if self.is_unreachable(index) => {
                 self.retry_on_next_node(index, REPLY_TIMEOUT_S + 1.0)
             }
-            Answer::Redirected(to) => {
+            HeartbeatOutcome::Redirected(to) => {
                 self.hosts[index].node = to;
                 self.hosts[index].next_heartbeat_at = t + 0.2;
             }
-            Answer::Rejected => self.retry_on_next_node(index, 1.0),
+            HeartbeatOutcome::Rejected => self.retry_on_next_node(index, 1.0),
         }
         Ok(())
     }
@@ -1449,21 +1451,21 @@
         node: usize,
         heartbeat: &Heartbeat,
         may_redirect: bool,
-    ) -> Result<Answer, String> {
+    ) -> Result<HeartbeatOutcome, String> {
         if !self.members[node].up {
-            return Ok(Answer::Rejected);
+            return Ok(HeartbeatOutcome::Rejected);
         }
         if self.members[node].leadership.is_some() {
             let redirects_to_zone =
                 zone_of(node) != heartbeat.zone && may_redirect && self.rng.random_bool(0.3);
             let zone_delegate = (0..NODES).find(|n| zone_of(*n) == heartbeat.zone);
             return Ok(match zone_delegate.filter(|_| redirects_to_zone) {
-                Some(zone_delegate) => Answer::Redirected(zone_delegate),
+                Some(zone_delegate) => HeartbeatOutcome::Redirected(zone_delegate),
                 None => self.answer_as_leader(node, heartbeat)?,
             });
         }
         let Some((leader, _)) = self.members[node].leader.filter(|(l, _)| *l != node) else {
-            return Ok(Answer::Rejected);
+            return Ok(HeartbeatOutcome::Rejected);
         };
         let peers_partitioned = self.peers_are_partitioned(node, leader);
         if may_redirect
@@ -1471,40 +1473,46 @@
             && zone_of(node) != heartbeat.zone
             && self.rng.random_bool(0.7)
         {
-            return Ok(Answer::Redirected(leader));
+            return Ok(HeartbeatOutcome::Redirected(leader));
         }
         if !peers_partitioned && self.members[leader].up && !self.rng.random_bool(0.03) {
             let answer = self.answer_as_leader(leader, heartbeat)?;
-            if matches!(answer, Answer::Reply(..)) {
+            if matches!(answer, HeartbeatOutcome::Reply(..)) {
                 // Otherwise the leader's reply is lost, and the delegate renews the lease.
                 if self.rng.random_bool(0.97) {
                     self.members[node].delegate.on_relayed_reply(heartbeat);
                     return Ok(answer);
                 }
             } else {
-                return Ok(Answer::Redirected(leader));
+                return Ok(HeartbeatOutcome::Redirected(leader));
             }
         }
         let now = self.members[node].clock.read(self.t);
         let delegate = &mut self.members[node].delegate;
         Ok(match delegate.renew(now, heartbeat) {
-            Some(token) => Answer::Reply(token, delegate.stop_commands(heartbeat, |_| false)),
-            None => Answer::Redirected(leader),
+            Some(token) => {
+                HeartbeatOutcome::Reply(token, delegate.stop_commands(heartbeat, |_| false))
+            }
+            None => HeartbeatOutcome::Redirected(leader),
         })
     }
 
     /// Does what `Node::accept_heartbeat` does.
-    fn answer_as_leader(&mut self, node: usize, heartbeat: &Heartbeat) -> Result<Answer, String> {
+    fn answer_as_leader(
+        &mut self,
+        node: usize,
+        heartbeat: &Heartbeat,
+    ) -> Result<HeartbeatOutcome, String> {
         let (t, now) = (self.t, self.members[node].clock.read(self.t));
         let Some(leadership) = &mut self.members[node].leadership else {
-            return Ok(Answer::Rejected);
+            return Ok(HeartbeatOutcome::Rejected);
         };
         leadership.superseded |= epoch(heartbeat.token) > leadership.engine.revision();
         if leadership.superseded
             || now >= leadership.renew_until
             || !leadership.engine.receive_heartbeat(now, heartbeat)
         {
-            return Ok(Answer::Rejected);
+            return Ok(HeartbeatOutcome::Rejected);
         }
         let machine = &heartbeat.machine;
         if !leadership
@@ -1523,15 +1531,18 @@
         let may_start =
             leadership.degraded_mode.allows_unrecorded_starts() || now < leadership.start_until;
         let commands = leadership.engine.reply(now, heartbeat, may_start);
-        Ok(Answer::Reply(
+        Ok(HeartbeatOutcome::Reply(
             leadership.engine.token_for(&heartbeat.machine),
             commands,
         ))
     }
 }
 
-enum Answer {
+/// A controller's response to a heartbeat.
+enum HeartbeatOutcome {
+    /// The fencing token and the commands of the reply.
     Reply(u64, Vec<Command>),
+    /// The index of the controller that the worker is redirected to.
     Redirected(usize),
     Rejected,
 }
