--- a/crates/umbersail-rehearsal/src/scenario.rs
+++ b/crates/umbersail-rehearsal/src/scenario.rs
@@ -203,7 +203,8 @@
     /// Requests per second.
     #[schemars(range(min = 0.2, max = 1000.0))]
     pub rps: f64,
-    /// Maximum delay until the list of machines shows a change, in seconds.
+    /// Nominal delay in seconds until the list of machines shows a change; the actual delay is
+    /// 0.8 to 1.6 times as long.
     #[schemars(range(min = 0.0, max = 120.0))]
     pub list_lag_s: f64,
     /// Share of machines that take several times as long to boot.
