--- a/crates/umbersail-calendar/src/event.rs
+++ b/crates/umbersail-calendar/src/event.rs
@@ -3,7 +3,7 @@
 use std::fmt;
 use std::rc::Rc;
 
-use crate::when::UnixMs;
+use crate::openings::UnixMs;
 
 /// Identifies a run by its entry and its opening time.
 pub type RunKey = (Rc<str>, UnixMs);
@@ -20,57 +20,57 @@
 /// What happened to a run.
 #[derive(Debug, Clone, PartialEq)]
 pub enum RunEventKind {
-    /// It opened.
+    /// The run opened.
     Opened {
         /// Seconds after its opening time.
         late_s: f64,
     },
-    /// It was due before it could open; it is skipped.
+    /// The run was due before it could open, so it is skipped.
     Missed,
-    /// The file has another version of its entry.
+    /// The properties contain another version of the run's entry.
     Changed,
-    /// The file no longer has its entry.
+    /// The properties no longer contain the run's entry.
     Removed,
-    /// A step takes no more jobs.
+    /// A step closed: it accepts no more jobs.
     Closed {
         /// Index of the step.
         index: usize,
         /// The reason.
-        why: &'static str,
-        /// Jobs that it has taken.
-        came: u32,
+        reason: &'static str,
+        /// Number of jobs that the step has accepted.
+        accepted_jobs: u32,
     },
     /// All jobs of a step have ended.
     Finished {
         /// Index of the step.
         index: usize,
         /// Duration in seconds.
-        took_s: f64,
-        /// Jobs that it has taken.
-        came: u32,
-        /// A job that was not waited for, since it fails on every machine.
-        failing: Option<Rc<str>>,
+        duration_s: f64,
+        /// Number of jobs that the step has accepted.
+        accepted_jobs: u32,
+        /// A job whose end the step did not wait for, because the job fails on every machine.
+        failing_job: Option<Rc<str>>,
     },
-    /// It is expected to end late.
+    /// The run is expected to end after its due time.
     Late {
         /// Index of the current step.
         index: usize,
         /// Expected delay in seconds.
-        by_s: f64,
+        delay_s: f64,
         /// The reason.
-        why: &'static str,
+        reason: &'static str,
     },
-    /// It is due while jobs of later steps were held back; they are released.
+    /// The due time passed while jobs of later steps were held; these jobs are released.
     Released {
-        /// Jobs that were held back.
-        held: usize,
+        /// Number of released jobs.
+        held_jobs: usize,
     },
-    /// It ended.
+    /// The run ended.
     Ended {
-        /// Seconds after its due time; negative if it was in time.
+        /// Seconds after its due time; negative if the run ended before its due time.
         late_s: f64,
-        /// Unfinished jobs.
-        left: usize,
+        /// Number of unfinished jobs.
+        unfinished_jobs: usize,
     },
 }
 
@@ -81,8 +81,11 @@
             RunEventKind::Missed | RunEventKind::Late { .. } | RunEventKind::Released { .. } => {
                 true
             }
-            RunEventKind::Finished { failing, .. } => failing.is_some(),
-            RunEventKind::Ended { late_s, left } => *late_s > 0.0 || *left > 0,
+            RunEventKind::Finished { failing_job, .. } => failing_job.is_some(),
+            RunEventKind::Ended {
+                late_s,
+                unfinished_jobs,
+            } => *late_s > 0.0 || *unfinished_jobs > 0,
             _ => false,
         }
     }
@@ -91,48 +94,78 @@
 impl fmt::Display for RunEventKind {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            RunEventKind::Opened { late_s } => write!(f, "opened {late_s:.1} s after its time"),
-            RunEventKind::Missed => write!(f, "missed: its due time passed before it could open"),
+            RunEventKind::Opened { late_s } => {
+                write!(f, "opened {late_s:.1} s after its opening time")
+            }
+            RunEventKind::Missed => {
+                write!(f, "missed: the due time passed before the run could open")
+            }
             RunEventKind::Changed => {
-                write!(f, "goes on with its recorded steps: the entry has changed")
+                write!(
+                    f,
+                    "continues with its recorded steps: the entry has changed"
+                )
             }
             RunEventKind::Removed => {
-                write!(f, "goes on with its recorded steps: the entry is gone")
+                write!(
+                    f,
+                    "continues with its recorded steps: the entry was removed"
+                )
             }
-            RunEventKind::Closed { index, why, came } => {
+            RunEventKind::Closed {
+                index,
+                reason,
+                accepted_jobs,
+            } => {
                 write!(
                     f,
-                    "step {} takes no more jobs: {why}; {came} came",
+                    "closed step {}: {reason}; {accepted_jobs} jobs accepted",
                     index + 1
                 )
             }
             RunEventKind::Finished {
                 index,
-                took_s,
-                came,
-                failing,
+                duration_s,
+                accepted_jobs,
+                failing_job,
             } => {
                 write!(
                     f,
-                    "step {} finished in {took_s:.1} s, {came} jobs",
+                    "finished step {} in {duration_s:.1} s with {accepted_jobs} jobs",
                     index + 1
                 )?;
-                match failing {
-                    Some(id) => write!(f, "; not waiting for {id}, which fails wherever it runs"),
+                match failing_job {
+                    Some(id) => write!(f, "; not waiting for {id}, which fails on every machine"),
                     None => Ok(()),
                 }
             }
-            RunEventKind::Late { index, by_s, why } => {
-                write!(f, "will be late by {by_s:.0} s: step {}: {why}", index + 1)
+            RunEventKind::Late {
+                index,
+                delay_s,
+                reason,
+            } => {
+                write!(
+                    f,
+                    "will be late by {delay_s:.0} s: step {}: {reason}",
+                    index + 1
+                )
             }
-            RunEventKind::Released { held } => {
-                write!(f, "is due: lets go {held} jobs of later steps")
+            RunEventKind::Released { held_jobs } => {
+                write!(f, "is due: releases {held_jobs} held jobs of later steps")
             }
-            RunEventKind::Ended { late_s, left: 0 } if *late_s <= 0.0 => {
+            RunEventKind::Ended {
+                late_s,
+                unfinished_jobs: 0,
+            } if *late_s <= 0.0 => {
                 write!(f, "ended {:.1} s before its due time", -late_s)
             }
-            RunEventKind::Ended { late_s, left: 0 } => write!(f, "ended {late_s:.1} s late"),
-            RunEventKind::Ended { left, .. } => write!(f, "given up with {left} jobs unfinished"),
+            RunEventKind::Ended {
+                late_s,
+                unfinished_jobs: 0,
+            } => write!(f, "ended {late_s:.1} s after its due time"),
+            RunEventKind::Ended {
+                unfinished_jobs, ..
+            } => write!(f, "was given up with {unfinished_jobs} unfinished jobs"),
         }
     }
 }
--- a/crates/umbersail-calendar/src/lib.rs
+++ b/crates/umbersail-calendar/src/lib.rs
@@ -1,13 +1,15 @@
-//! The publishing calendar: runs of steps that open at times of day and are due by
-//! one. Decisions without I/O and without a clock: the time of day and the steady time
-//! are passed in. Jobs stay the users'; this says which of them wait for an earlier
-//! step, and by when they should end. See `docs/calendar.md`.
+//! The publishing calendar: recurring runs, each of which consists of steps, opens at a
+//! configured time and is due at a configured time. This crate only makes decisions; it performs
+//! no I/O and reads no clock: the time of day and the monotonic time are passed in.
+//!
+//! Users submit the jobs. The calendar decides which jobs wait for an earlier step of their run,
+//! and by when each job should end. See `docs/calendar.md`.
 //!
 //! ```
 //! use std::collections::BTreeMap;
 //! use umbersail_calendar::Calendar;
 //!
-//! let mut file = BTreeMap::new();
+//! let mut properties = BTreeMap::new();
 //! for (key, value) in [
 //!     ("calendar.evening.team", "press"),
 //!     ("calendar.evening.zone", "Europe/Lisbon"),
@@ -17,11 +19,11 @@
 //!     ("calendar.evening.step.1.classes", "scan"),
 //!     ("calendar.evening.step.1.quiet", "5m"),
 //! ] {
-//!     file.insert(key.to_owned(), value.to_owned());
+//!     properties.insert(key.to_owned(), value.to_owned());
 //! }
-//! let calendar = Calendar::parse(&file).unwrap();
+//! let calendar = Calendar::parse(&properties).unwrap();
 //! let evening = &calendar.entries["evening"];
-//! let (_, next) = evening.openings.around(1_800_000_000_000);
+//! let (_, next) = evening.openings.last_and_next(1_800_000_000_000);
 //! assert_eq!(evening.due(next.unwrap()) - next.unwrap(), (4 * 60 + 30) * 60_000);
 //! ```
 #![forbid(unsafe_code)]
@@ -35,17 +37,17 @@
 
 mod entry;
 mod event;
+mod openings;
 mod record;
 mod run;
 mod settings;
 mod timestamp;
 mod tracker;
-mod when;
 
 pub use entry::{Calendar, Entry, EntryError, PREFIX};
 pub use event::{RunEvent, RunEventKind, RunKey};
+pub use openings::{InvalidValue, Openings, RelativeTime, UnixMs};
 pub use record::{InvalidRunRecord, RunRecord, StepRecord};
 pub use settings::Settings;
 pub use timestamp::Timestamp;
 pub use tracker::{AcceptedJob, RecordWrite, RunTracker, TickOutcome};
-pub use when::{After, InvalidValue, Openings, UnixMs};
--- a/crates/umbersail-control/src/capacity.rs
+++ b/crates/umbersail-control/src/capacity.rs
@@ -1,5 +1,5 @@
-//! Division of the node's sockets among its connections, and of the key-value store's rate
-//! limits among the controllers.
+//! Division of the node's sockets among its connections, and of the state service's rate limits
+//! among the controllers.
 
 use std::rc::Rc;
 
@@ -13,7 +13,7 @@
 use crate::settings::Settings;
 use crate::state::KeyValueClient;
 
-/// Connections to the key-value store.
+/// Connections to the state service.
 const STORE_CONNECTIONS: usize = 48;
 
 /// Connections to the cloud.
@@ -37,7 +37,7 @@
 /// 4,000 machines, in addition to the ids of thousands of jobs.
 const MAX_PEER_BODY_BYTES: usize = 1 << 20;
 
-/// Largest response of the key-value store, in bytes: one page of a list.
+/// Largest response of the state service, in bytes: one page of a list.
 const MAX_STORE_BODY_BYTES: usize = 8 << 20;
 /// Largest response of the cloud, in bytes: one page of a list.
 const MAX_CLOUD_BODY_BYTES: usize = 1 << 20;
@@ -49,7 +49,7 @@
 /// never be listed.
 const MIN_CLOUD_RPS: f64 = 0.1;
 
-/// Client of the key-value store.
+/// Client of the state service.
 pub(crate) fn key_value_client(
     tuning: &Tuning,
     settings: &Settings,
@@ -62,7 +62,7 @@
             max_per_address: STORE_CONNECTIONS,
             max_idle: 8,
             max_total: STORE_CONNECTIONS,
-            connect_s: CONNECT_S,
+            connect_timeout_s: CONNECT_S,
         }),
         settings.external.state,
         clock,
@@ -85,7 +85,7 @@
             max_per_address: CLOUD_CONNECTIONS,
             max_idle: 2,
             max_total: CLOUD_CONNECTIONS,
-            connect_s: CONNECT_S,
+            connect_timeout_s: CONNECT_S,
         }),
         settings.external.cloud,
         clock,
@@ -102,7 +102,7 @@
         max_per_address: 40,
         max_idle: 2,
         max_total: connections_to_workers(tuning, settings),
-        connect_s: CONNECT_S,
+        connect_timeout_s: CONNECT_S,
     })
 }
 
@@ -114,7 +114,7 @@
         max_per_address: to_peer,
         max_idle: to_peer,
         max_total: EXTRA_PEER_CONNECTIONS + to_peer,
-        connect_s: CONNECT_S,
+        connect_timeout_s: CONNECT_S,
     })
 }
 
@@ -133,7 +133,7 @@
 }
 
 impl Node {
-    /// Sets this node's share of the key-value store's rate limits, which apply to all nodes
+    /// Sets this node's share of the state service's rate limits, which apply to all nodes
     /// together.
     pub(crate) fn apply_rate_limits(&self, leading: bool) {
         let facts = &self.settings.facts;
@@ -174,17 +174,17 @@
             max_body_bytes: tuning.max_body_bytes as usize,
             max_connections: upper_bound.min(left).max(lower_bound),
             reserved: self.reserved_sockets.clone(),
-            least_unreserved: lower_bound,
+            min_unreserved: lower_bound,
             reserved_paths: vec![paths::HEARTBEAT.into(), paths::HEALTH.into()],
-            idle_s: tuning.idle_connection_s,
-            receive_s: tuning.receive_s,
-            send_s: tuning.receive_s,
+            idle_timeout_s: tuning.idle_connection_s,
+            receive_timeout_s: tuning.receive_s,
+            send_timeout_s: tuning.receive_s,
         };
         let back = ServerLimits {
             max_body_bytes: MAX_PEER_BODY_BYTES,
             max_connections: from_peers,
             reserved: Rc::default(),
-            least_unreserved: 0,
+            min_unreserved: 0,
             ..front.clone()
         };
         (front, back)
--- a/crates/umbersail-control/src/engine/mod.rs
+++ b/crates/umbersail-control/src/engine/mod.rs
@@ -8,16 +8,16 @@
 mod delegations;
 mod eligibility;
 mod evict;
-mod grant;
+mod grant_record;
 mod heartbeats;
 mod ids;
 mod job;
 mod jobs;
 mod listing;
 mod machine;
-mod order;
 mod placement;
 mod plans;
+mod priority_order;
 mod reachability;
 mod reclaim;
 mod recovery;
@@ -43,17 +43,17 @@
 
 use crate::records::{JobProgressRecord, JobRecord};
 use delegations::Delegation;
-use grant::GrantPartState;
-pub use grant::InheritedPart;
+use grant_record::GrantPartState;
+pub use grant_record::InheritedPart;
 pub(crate) use heartbeats::split_task;
 pub use ids::{JobId, MachineId};
 pub(crate) use job::{BlockedReason, Job, PendingStop, Placement};
 pub(crate) use machine::Machine;
-use order::CachedPriorityOrder;
 pub use plans::InheritedPlan;
 use plans::Plans;
 pub(crate) use plans::image_fits_cache;
 pub(crate) use plans::reservation_limits;
+use priority_order::CachedPriorityOrder;
 use schedule::SchedulingCycle;
 use starvation_guard::StarvationGuard;
 pub use tokens::{FencingCommand, epoch, first_token};
@@ -118,7 +118,8 @@
     /// Finished jobs whose progress records still exist.
     pub finished_jobs: Vec<(String, JobProgressRecord)>,
     /// The predecessor ran a build that kept no progress records of finished jobs: each machine
-    /// counts as used in full until it is accounted for (rule 4).
+    /// counts as used in full until it is accounted for, which means that the tasks that
+    /// earlier leaders left on it are known (rule 4).
     pub count_whole_machines: bool,
     /// An earlier leader may have started tasks that are not recorded, and not all machines have
     /// been accounted for since then (rule 3).
@@ -179,7 +180,7 @@
     grant_parts: Vec<GrantPartState>,
     /// Peers that may renew workers' leases on behalf of this leader, by name.
     delegations: BTreeMap<String, Delegation>,
-    /// All machines with launches that no reply has carried yet, possibly among others.
+    /// A superset of the machines with launches that no reply has carried yet.
     machines_with_unsent_launches: BTreeSet<MachineId>,
     /// Finished jobs whose progress records can be deleted when nothing urgent is due.
     run_records_to_delete: BTreeSet<JobId>,
--- a/crates/umbersail-control/src/leader/scheduler.rs
+++ b/crates/umbersail-control/src/leader/scheduler.rs
@@ -7,7 +7,7 @@
 use futures::future::{Either, select};
 use serde::de::IgnoredAny;
 use tracing::debug;
-use umbersail_runtime::{Time, charge, sleep, spawn};
+use umbersail_runtime::{Time, charge_cpu, sleep, spawn};
 use umbersail_wire::{Change, Txn, Value};
 
 use crate::engine::{Engine, FencingCommand, PendingTxn, TxnOutcome};
@@ -18,7 +18,7 @@
 };
 use crate::state::{KeyValueError, RequestPriority};
 
-/// Pause after a transaction or a read that the key-value store did not execute, in seconds.
+/// Pause after a transaction or a read that the state service did not execute, in seconds.
 const RETRY_S: Time = 0.2;
 /// Heartbeats arrive in bursts: one scheduler step handles all heartbeats that arrive within
 /// this time, in seconds.
@@ -55,7 +55,7 @@
             if self.degraded_mode.borrow().allows_unrecorded_starts() && step.txn.is_none() {
                 // In degraded mode tasks are started without a record. Either nothing can be
                 // written now, or nothing needs to be written.
-                self.scheduler_progress.raise();
+                self.scheduler_progress.notify_all();
                 self.send_increased_tokens(token);
                 self.wait_for_work(step.next_s).await;
                 continue;
@@ -123,8 +123,8 @@
         }
         pacing.last_cycle = now;
         engine.schedule(now);
-        charge(engine.take_steps() as f64 * self.tuning.step_ns * 1e-9);
-        self.scheduler_progress.raise();
+        charge_cpu(engine.take_steps() as f64 * self.tuning.step_ns * 1e-9);
+        self.scheduler_progress.notify_all();
     }
 
     /// Waits until the engine state changes. Returns false if the wait timed out.
@@ -167,7 +167,7 @@
             engine.txn_finished(now, pending, outcome);
             (engine.has_lost_leadership(), engine.token_increments(now))
         });
-        self.scheduler_progress.raise();
+        self.scheduler_progress.notify_all();
         let Some((false, increments)) = after_commit else {
             return false;
         };
@@ -176,7 +176,8 @@
     }
 
     /// Caches the ends of jobs that the transaction recorded. Polls for these jobs are then
-    /// answered without a read, also while the key-value store is unavailable (rule 6).
+    /// answered without a read, also while the state service is unavailable (rule 6 of
+    /// `docs/design.md`).
     fn cache_ends(&self, txn: &Txn<Record>) {
         for change in &txn.changes {
             if let Change::Put { key, value, .. } = change
--- a/crates/umbersail-control/src/polls.rs
+++ b/crates/umbersail-control/src/polls.rs
@@ -30,7 +30,7 @@
     Unfinished,
     /// The key has another version, or no version is known: the job must be read.
     Unknown,
-    /// The key-value store did not answer.
+    /// The state service did not answer.
     Unanswered,
 }
 
@@ -80,15 +80,16 @@
 
 impl Node {
     /// Determines whether the job is still unfinished, by a comparison that starts after this
-    /// call (rule 6). Many polls share one request. An unchanged version proves that the job
-    /// is unfinished, because a job's key does not change until the job ends.
+    /// call (rule 6 of `docs/design.md`). Many polls share one request. An unchanged version
+    /// proves that the job is unfinished, because a job's key does not change until the job
+    /// ends.
     pub(crate) async fn compare_version(self: &Rc<Self>, id: &str) -> PollOutcome {
         let Some((version, _)) = self.batched_polls.versions.borrow().get(id).copied() else {
             return PollOutcome::Unknown;
         };
         let batch = self.join_batch(id, version);
         while !batch.finished.get() {
-            batch.done.raised().await;
+            batch.done.notified().await;
         }
         match &*batch.changed.borrow() {
             Some(changed) if changed.contains(id) => {
@@ -174,6 +175,6 @@
         };
         *batch.changed.borrow_mut() = answered.then_some(changed);
         batch.finished.set(true);
-        batch.done.raise();
+        batch.done.notify_all();
     }
 }
--- a/crates/umbersail-control/src/standby.rs
+++ b/crates/umbersail-control/src/standby.rs
@@ -107,7 +107,7 @@
                 break;
             }
             // Whether the timeout passed or the role changed, the loop checks both again.
-            let _ = timeout(deadline - now, self.role_changed.raised()).await;
+            let _ = timeout(deadline - now, self.role_changed.notified()).await;
         }
         Response::new(200, encode(&self.build_hello()))
     }
@@ -200,7 +200,7 @@
                 );
                 // The record's `open` counts like that of a hello message, provided that the
                 // record replies to this probe: a reply to an earlier probe may be applied
-                // late (rule 3).
+                // late (rule 3 of `docs/design.md`).
                 let replies = result.events.iter().filter_map(|e| e.value.as_ref());
                 let is_reply_to_probe =
                     |a: &&LivenessRecord| a.token == token && a.newest_suspicion >= revision;
@@ -291,7 +291,7 @@
         if let Role::Leading(leading) = &*self.role.borrow() {
             leading.superseded.set(true);
         }
-        self.role_changed.raise();
+        self.role_changed.notify_all();
         self.step_down.notify();
     }
 
@@ -367,7 +367,7 @@
             if resigns {
                 info!("resigning: the state service replies to peers but not to this node");
             }
-            self.role_changed.raise();
+            self.role_changed.notify_all();
         }
     }
 }
--- a/crates/umbersail-rehearsal/src/worker.rs
+++ b/crates/umbersail-rehearsal/src/worker.rs
@@ -1,5 +1,5 @@
-//! The stand-in for a worker: its lease and token, its tasks, its images, and
-//! its reports, by the published protocol.
+//! Simulated worker: lease, fencing token, tasks, cached images and heartbeats, as PROTOCOL
+//! specifies them.
 
 use std::cell::{Cell, RefCell};
 use std::cmp::Ordering;
@@ -18,21 +18,21 @@
 };
 
 use crate::fleet::Fleet;
-use crate::history::{self, End, What};
+use crate::history::{self, EndReason, EventKind};
 use crate::kv_store_host::{answer, wide_limits};
-use crate::night::MachineKind;
-
-/// A worker waits so long for an answer to its report (PROTOCOL).
-const REPLY_S: f64 = 4.0;
-/// A command to a deaf worker is held so long, and then dropped: longer than any
-/// controller waits for an answer.
-const UNHEARD_S: f64 = 30.0;
-/// The bits of a token from here on up tell leaders apart.
-const GRANT_SHIFT: u32 = 16;
-/// Reports on a change come no more often than this.
-const CHANGE_S: f64 = 0.5;
-
-/// A task on its machine.
+use crate::scenario::MachineKind;
+
+/// Timeout of a heartbeat, in seconds (PROTOCOL).
+const REPLY_TIMEOUT_S: f64 = 4.0;
+/// A request to an unreachable worker is dropped after this many seconds. This is longer than
+/// any controller waits for a reply.
+const UNREACHABLE_HOLD_S: f64 = 30.0;
+/// Position of the lowest token bit that identifies the leader's term.
+const LEADER_TERM_SHIFT: u32 = 16;
+/// Shortest interval between heartbeats that are sent because something changed, in seconds.
+const CHANGE_INTERVAL_S: f64 = 0.5;
+
+/// An attempt to run a task on this worker.
 struct Task {
     state: TaskState,
     cause: Option<ExitCause>,
@@ -40,28 +40,31 @@
     cpus: f64,
     memory_gb: f64,
     image: String,
-    /// When the state ends by itself, in true time.
+    /// When the running or saving state ends by itself, in simulation time.
     due: f64,
-    /// When it began to run, and the progress that it had then.
+    /// When the attempt began to run.
     began: f64,
-    before: f64,
+    /// Progress that was saved before the attempt began to run, in seconds.
+    progress_before: f64,
 }
 
 struct State {
     session: u64,
     seq: u64,
     token: u64,
-    /// Sending time of the last answered report, in true time.
-    renewed: f64,
+    /// When the last acknowledged heartbeat was sent, in simulation time. The lease runs from here.
+    renewed_at: f64,
     notice_until: Option<f64>,
     tasks: BTreeMap<(String, u32, u64), Task>,
-    /// Images with sizes, the newest last, and fetches under way with their ends.
+    /// Cached images with their sizes in GB, the newest last.
     images: Vec<(String, f64)>,
+    /// Fetches in progress and when each ends; infinity if the image store decides.
     fetches: BTreeMap<String, f64>,
+    /// Whether anything changed since the last heartbeat.
     changed: bool,
 }
 
-/// One worker on its host.
+/// A simulated worker on its host.
 pub struct Worker {
     name: String,
     kind: MachineKind,
@@ -70,20 +73,22 @@
     addr: SocketAddr,
     speed: f64,
     clock_rate: f64,
-    /// Fails every task that it starts.
+    /// Every task that starts here fails.
     pub faulty: Cell<bool>,
-    /// Runs its tasks so many times slower.
-    pub slow: Cell<f64>,
-    /// Its reports arrive, and nothing reaches it.
-    pub deaf: Cell<bool>,
-    /// Reaches no controller, and is reached.
-    pub mute: Cell<bool>,
+    /// Factor on the run time of tasks.
+    pub slowdown: Cell<f64>,
+    /// Heartbeats arrive at controllers, but neither replies nor commands reach the worker.
+    pub unreachable: Cell<bool>,
+    /// Connections to controllers fail, while commands reach the worker.
+    pub cannot_send: Cell<bool>,
     state: RefCell<State>,
-    /// Raised whenever something changes.
+    /// Notified whenever the state changes.
     wake: Broadcast,
 }
 
 impl Worker {
+    /// Creates a worker without a session; [`Worker::run`] starts it. `speed` is a factor on the
+    /// progress of tasks, `clock_rate` that of the worker's clock.
     pub fn new(
         name: &str,
         kind: &MachineKind,
@@ -102,14 +107,14 @@
             speed,
             clock_rate,
             faulty: Cell::new(false),
-            slow: Cell::new(1.0),
-            deaf: Cell::new(false),
-            mute: Cell::new(false),
+            slowdown: Cell::new(1.0),
+            unreachable: Cell::new(false),
+            cannot_send: Cell::new(false),
             state: RefCell::new(State {
                 session: 0,
                 seq: 0,
                 token: 0,
-                renewed: 0.0,
+                renewed_at: 0.0,
                 notice_until: None,
                 tasks: BTreeMap::new(),
                 images: Vec::new(),
@@ -120,12 +125,13 @@
         })
     }
 
-    /// The worker's process: a new session, without tasks and images.
+    /// Runs the worker process in a new session, without cached images. The first heartbeat goes
+    /// to the controller with index `first`.
     pub async fn run(self: Rc<Self>, fleet: Rc<Fleet>, first: usize) {
         {
             let mut state = self.state.borrow_mut();
             state.session += 1;
-            state.renewed = fleet.world.now();
+            state.renewed_at = fleet.world.now();
             state.images.clear();
         }
         if let Ok(listener) = TcpListener::bind(self.addr) {
@@ -133,33 +139,33 @@
             let handler: Handler = Rc::new(move |request| {
                 let (worker, fleet) = (worker.clone(), known.clone());
                 Box::pin(async move {
-                    if worker.deaf.get() {
-                        // Lost on its way: whoever asked has long given up.
-                        sleep(UNHEARD_S).await;
+                    if worker.unreachable.get() {
+                        // The request is lost: its sender has timed out before this reply.
+                        sleep(UNREACHABLE_HOLD_S).await;
                         return Response::empty(503);
                     }
-                    let held = match request.path() {
-                        paths::WORKER_COMMANDS => fleet.late_commands.get(),
+                    let delay = match request.path() {
+                        paths::WORKER_COMMANDS => fleet.command_delay.get(),
                         _ => None,
                     };
-                    match held.and_then(|late| random(|rng| late.draw(rng))) {
-                        Some(held_s) => worker.direct_late(&fleet, &request, held_s).await,
-                        None => worker.direct_now(&fleet, &request).await,
+                    match delay.and_then(|delay| random(|rng| delay.draw(rng))) {
+                        Some(held_s) => worker.handle_direct_late(&fleet, &request, held_s).await,
+                        None => worker.handle_direct_now(&fleet, &request).await,
                     }
                 })
             });
             spawn(serve(listener, wide_limits(), handler));
         }
-        spawn(self.clone().report_for_ever(fleet.clone(), first));
+        spawn(self.clone().send_heartbeats(fleet.clone(), first));
         loop {
             self.advance(&fleet);
             let due = self.next_due();
             let wait = due.map_or(60.0, |due| due - fleet.world.now());
-            let _ = select(pin!(self.wake.raised()), pin!(sleep(wait.max(0.0)))).await;
+            let _ = select(pin!(self.wake.notified()), pin!(sleep(wait.max(0.0)))).await;
         }
     }
 
-    /// CPUs that running tasks use, and whether anything runs.
+    /// Returns the CPUs that running tasks use.
     pub fn cpus_in_use(&self) -> f64 {
         let state = self.state.borrow();
         let running = state
@@ -169,7 +175,7 @@
         running.map(|t| t.cpus).sum()
     }
 
-    /// Tasks on the machine.
+    /// Returns the number of attempts on the machine that have not exited.
     pub fn active(&self) -> usize {
         let state = self.state.borrow();
         state
@@ -179,23 +185,23 @@
             .count()
     }
 
-    /// Jobs that have running tasks here.
+    /// Returns the jobs that have running tasks here.
     pub fn running_jobs(&self) -> BTreeSet<String> {
         let state = self.state.borrow();
         let running = (state.tasks.iter()).filter(|(_, t)| t.state == TaskState::Running);
         running.map(|((job, ..), _)| job.clone()).collect()
     }
 
-    /// The cloud takes the machine away in so many seconds.
-    pub fn notice(&self, until: Option<f64>) {
+    /// Sets or clears the time at which the cloud will reclaim the spot instance.
+    pub fn set_notice(&self, until: Option<f64>) {
         let mut state = self.state.borrow_mut();
         state.notice_until = until;
         state.changed = true;
         drop(state);
-        self.wake.raise();
+        self.wake.notify_all();
     }
 
-    /// Jobs whose tasks run here, and how long each goes on, in seconds.
+    /// Returns the job and the remaining seconds of each running task.
     pub fn running(&self, now: f64) -> Vec<(String, f64)> {
         let state = self.state.borrow();
         let runs = state
@@ -205,8 +211,9 @@
         runs.map(|(key, t)| (key.0.clone(), t.due - now)).collect()
     }
 
-    /// Time that the machine hung is no run time.
-    pub fn put_off(&self, seconds: f64) {
+    /// Shifts the times of tasks and fetches by the time that the machine hung, during which
+    /// nothing made progress.
+    pub fn shift_times(&self, seconds: f64) {
         let mut state = self.state.borrow_mut();
         for task in state.tasks.values_mut() {
             task.due += seconds;
@@ -217,8 +224,8 @@
         }
     }
 
-    /// Every task ends here; what was saved stays.
-    pub fn lose_all(&self, fleet: &Fleet, how: End) {
+    /// Ends all tasks and fetches on this machine. Saved progress is kept.
+    pub fn lose_all(&self, fleet: &Fleet, how: EndReason) {
         let keys: Vec<(String, u32, u64)> = {
             let state = self.state.borrow();
             let active = state
@@ -235,41 +242,42 @@
         let fetches = std::mem::take(&mut state.fetches);
         drop(state);
         for image in fetches.keys() {
-            self.give_up(fleet, image);
+            self.release_image(fleet, image);
         }
     }
 
-    /// The image is not here any more, or will not be.
-    fn give_up(&self, fleet: &Fleet, image: &str) {
+    /// Tells the image store that this machine no longer holds or fetches the image.
+    fn release_image(&self, fleet: &Fleet, image: &str) {
         if let Some(store) = &fleet.store {
-            store.give_up(fleet.world.now(), self.addr, image);
+            store.release(fleet.world.now(), self.addr, image);
         }
     }
 
-    /// All of the image has come, from wherever it was sent.
+    /// The image store reports that all pieces of the image have arrived.
     pub fn received(&self, now: f64, image: &str) {
         if let Some(end) = self.state.borrow_mut().fetches.get_mut(image) {
             *end = now;
         }
-        self.wake.raise();
+        self.wake.notify_all();
     }
 
-    /// Ends the session if its lease is over, by the worker's own clock.
-    pub fn expire(&self, fleet: &Fleet) {
+    /// Ends the session and all its tasks if the lease has expired by the worker's own clock.
+    pub fn check_lease(&self, fleet: &Fleet) {
         let now = fleet.world.now();
-        let over = {
+        let expired = {
             let state = self.state.borrow();
-            (now - state.renewed) * self.clock_rate > fleet.night.workers.lease_s
+            (now - state.renewed_at) * self.clock_rate > fleet.night.workers.lease_s
         };
-        if over {
-            self.lose_all(fleet, End::Lapsed);
+        if expired {
+            self.lose_all(fleet, EndReason::Lapsed);
             let mut state = self.state.borrow_mut();
             state.session += 1;
-            state.renewed = now;
+            state.renewed_at = now;
             state.changed = true;
         }
     }
 
+    /// Returns when the next task or fetch ends.
     fn next_due(&self) -> Option<f64> {
         let state = self.state.borrow();
         let timed = |t: &&Task| matches!(t.state, TaskState::Running | TaskState::Saving);
@@ -279,7 +287,7 @@
             .reduce(f64::min)
     }
 
-    /// Brings tasks and fetches up to now.
+    /// Ends the tasks and fetches that are due by now.
     fn advance(&self, fleet: &Fleet) {
         let now = fleet.world.now();
         let fetched: Vec<String> = {
@@ -300,15 +308,19 @@
         };
         for (key, state) in due {
             match state {
-                TaskState::Saving => self.exit(fleet, &key, ExitCause::Stopped, End::Stopped, true),
+                TaskState::Saving => {
+                    self.exit(fleet, &key, ExitCause::Stopped, EndReason::Stopped, true)
+                }
                 _ if self.faulty.get() || fleet.is_mistaken(&key.0) => {
-                    self.exit(fleet, &key, ExitCause::Error, End::Error, false)
+                    self.exit(fleet, &key, ExitCause::Error, EndReason::Error, false)
                 }
-                _ => self.exit(fleet, &key, ExitCause::Done, End::Done, false),
+                _ => self.exit(fleet, &key, ExitCause::Done, EndReason::Done, false),
             }
         }
     }
 
+    /// Adds a fetched image to the cache, evicts the oldest images if the cache is full, and
+    /// starts the tasks that waited for this image.
     fn fetched(&self, fleet: &Fleet, image: &str) {
         let mut state = self.state.borrow_mut();
         state.fetches.remove(image);
@@ -324,18 +336,18 @@
             while state.images.len() > 1
                 && state.images.iter().map(|(_, s)| s).sum::<f64>() > self.kind.cache_gb
             {
-                let (pushed_out, _) = state.images.remove(0);
-                self.give_up(fleet, &pushed_out);
+                let (evicted, _) = state.images.remove(0);
+                self.release_image(fleet, &evicted);
             }
         }
         drop(state);
         for key in keys {
-            self.begin(fleet, &key);
+            self.start_task(fleet, &key);
         }
     }
 
-    /// The task has its image: it runs from now on.
-    fn begin(&self, fleet: &Fleet, key: &(String, u32, u64)) {
+    /// Starts to run a task whose image is in the cache.
+    fn start_task(&self, fleet: &Fleet, key: &(String, u32, u64)) {
         let now = fleet.world.now();
         let (job, number, attempt) = key;
         let id = (job.clone(), *number);
@@ -346,37 +358,39 @@
             jobs.get(job)
                 .is_some_and(|j| j.spec.kind == umbersail_wire::JobKind::Service)
         };
-        let left = match () {
+        let remaining_s = match () {
             () if done => 0.0,
             () if self.faulty.get() || fleet.is_mistaken(job) => 1.0,
             () if service => 1e9,
-            () => (fleet.run_s(job, *number) - before).max(0.05) * self.slow.get() / self.speed,
+            () => (fleet.run_s(job, *number) - before).max(0.05) * self.slowdown.get() / self.speed,
         };
         let mut state = self.state.borrow_mut();
         if let Some(task) = state.tasks.get_mut(key) {
             task.state = TaskState::Running;
             task.began = now;
-            task.before = before;
-            task.due = now + left;
+            task.progress_before = before;
+            task.due = now + remaining_s;
         }
         state.changed = true;
         drop(state);
-        fleet.history.add(What::Started {
+        fleet.history.add(EventKind::Started {
             machine: self.name.clone(),
             job: job.clone(),
             task: *number,
             attempt: *attempt,
         });
-        self.wake.raise();
+        self.wake.notify_all();
     }
 
+    /// Ends an attempt: keeps its result or its saved progress, and records how much of its run
+    /// time was useful.
     fn exit(
         &self,
         fleet: &Fleet,
         key: &(String, u32, u64),
         cause: ExitCause,
-        how: End,
-        kept: bool,
+        how: EndReason,
+        checkpointed: bool,
     ) {
         let now = fleet.world.now();
         let mut state = self.state.borrow_mut();
@@ -389,20 +403,20 @@
         } else {
             now
         };
-        let made = if ran {
-            (until - task.began).max(0.0) * self.speed / self.slow.get()
+        let progress = if ran {
+            (until - task.began).max(0.0) * self.speed / self.slowdown.get()
         } else {
             0.0
         };
         task.state = TaskState::Exited;
         task.cause = Some(cause);
-        task.saved = kept.then_some(true);
-        let before = task.before;
+        task.saved = checkpointed.then_some(true);
+        let before = task.progress_before;
         state.changed = true;
         drop(state);
-        self.wake.raise();
+        self.wake.notify_all();
         if !ran {
-            fleet.history.add(What::Withdrawn {
+            fleet.history.add(EventKind::Withdrawn {
                 machine: self.name.clone(),
                 job: key.0.clone(),
                 task: key.1,
@@ -414,24 +428,24 @@
         let spec = fleet.jobs.borrow().get(&key.0).map(|j| j.spec.clone());
         let step = spec.as_ref().map_or(0.0, |s| s.checkpoint_s());
         let useful_s = match how {
-            End::Done => {
+            EndReason::Done => {
                 fleet.saved.borrow_mut().remove(&id);
                 let is_new = fleet.results.borrow_mut().insert(id);
                 if is_new {
-                    fleet.has_result(&key.0);
+                    fleet.result_added(&key.0);
                 }
-                if is_new { made } else { 0.0 }
+                if is_new { progress } else { 0.0 }
             }
-            End::Error => 0.0,
+            EndReason::Error => 0.0,
             _ if spec
                 .as_ref()
                 .is_some_and(|s| s.kind == umbersail_wire::JobKind::Service) =>
             {
-                made
+                progress
             }
             _ if step > 0.0 => {
-                let reached = before + made;
-                let saved = if kept {
+                let reached = before + progress;
+                let saved = if checkpointed {
                     reached
                 } else {
                     (reached / step).floor() * step
@@ -442,7 +456,7 @@
             }
             _ => 0.0,
         };
-        fleet.history.add(What::Ended {
+        fleet.history.add(EventKind::Ended {
             machine: self.name.clone(),
             job: key.0.clone(),
             task: key.1,
@@ -452,7 +466,8 @@
         });
     }
 
-    fn report(&self, fleet: &Fleet) -> Heartbeat {
+    /// Makes the next heartbeat.
+    fn heartbeat(&self, fleet: &Fleet) -> Heartbeat {
         let now = fleet.world.now();
         let mut state = self.state.borrow_mut();
         state.seq += 1;
@@ -480,38 +495,38 @@
         }
     }
 
-    /// Commands sent straight here.
-    fn direct(&self, fleet: &Fleet, request: &Request) -> Response {
-        self.expire(fleet);
+    /// Handles a request that a controller sent directly to the worker.
+    fn handle_direct(&self, fleet: &Fleet, request: &Request) -> Response {
+        self.check_lease(fleet);
         match (request.method.as_str(), request.path()) {
-            ("GET", "/inspect") => answer(200, &self.report(fleet)),
+            ("GET", "/inspect") => answer(200, &self.heartbeat(fleet)),
             ("POST", paths::WORKER_COMMANDS) => {
-                let Ok(order) = decode::<DirectCommands>(&request.body) else {
+                let Ok(message) = decode::<DirectCommands>(&request.body) else {
                     return Response::empty(400);
                 };
-                let obeys = {
+                let accepts = {
                     let state = self.state.borrow();
-                    order.token >= state.token && order.session == state.session
+                    message.token >= state.token && message.session == state.session
                 };
-                if obeys {
-                    self.obey(fleet, order.token, &order.commands);
+                if accepts {
+                    self.execute(fleet, message.token, &message.commands);
                 }
-                answer(if obeys { 200 } else { 409 }, &self.report(fleet))
+                answer(if accepts { 200 } else { 409 }, &self.heartbeat(fleet))
             }
             _ => Response::empty(404),
         }
     }
 
-    /// Commands that arrive at once; the network may hold up their answer.
-    async fn direct_now(&self, fleet: &Fleet, request: &Request) -> Response {
-        let held = match request.path() {
-            paths::WORKER_COMMANDS => fleet.late_answers.get(),
+    /// Handles a request without delay; a fault may delay the reply.
+    async fn handle_direct_now(&self, fleet: &Fleet, request: &Request) -> Response {
+        let delay = match request.path() {
+            paths::WORKER_COMMANDS => fleet.command_reply_delay.get(),
             _ => None,
         };
-        let response = self.direct(fleet, request);
-        if let Some(held_s) = held.and_then(|late| random(|rng| late.draw(rng))) {
+        let response = self.handle_direct(fleet, request);
+        if let Some(held_s) = delay.and_then(|delay| random(|rng| delay.draw(rng))) {
             sleep(held_s).await;
-            fleet.history.add(What::LateAnswer {
+            fleet.history.add(EventKind::LateAnswer {
                 machine: self.name.clone(),
                 held_s: (held_s * 1e6).round() / 1e6,
                 status: response.status,
@@ -520,34 +535,38 @@
         response
     }
 
-    /// Commands that the network held up: whoever sent them has given up, as a rule.
-    async fn direct_late(&self, fleet: &Fleet, request: &Request, held_s: f64) -> Response {
+    /// Handles commands after a network delay. In most cases the sender has timed out by then.
+    async fn handle_direct_late(&self, fleet: &Fleet, request: &Request, held_s: f64) -> Response {
         sleep(held_s).await;
-        self.expire(fleet);
-        let how = decode::<DirectCommands>(&request.body).ok().map(|order| {
+        self.check_lease(fleet);
+        let how = decode::<DirectCommands>(&request.body).ok().map(|message| {
             let state = self.state.borrow();
-            let how = match order.token.cmp(&state.token) {
-                Ordering::Less => history::Late::StaleToken,
-                _ if order.session != state.session => history::Late::StaleSession,
-                Ordering::Equal => history::Late::SameToken,
-                Ordering::Greater => history::Late::HigherToken,
+            let how = match message.token.cmp(&state.token) {
+                Ordering::Less => history::CommandFreshness::StaleToken,
+                _ if message.session != state.session => history::CommandFreshness::StaleSession,
+                Ordering::Equal => history::CommandFreshness::SameToken,
+                Ordering::Greater => history::CommandFreshness::HigherToken,
             };
-            (how, order.token >> GRANT_SHIFT < state.token >> GRANT_SHIFT)
+            (
+                how,
+                message.token >> LEADER_TERM_SHIFT < state.token >> LEADER_TERM_SHIFT,
+            )
         });
-        let response = self.direct(fleet, request);
+        let response = self.handle_direct(fleet, request);
         if let Some((how, from_former)) = how {
-            fleet.history.add(What::LateCommand {
+            fleet.history.add(EventKind::LateCommand {
                 machine: self.name.clone(),
                 held_s: (held_s * 1e6).round() / 1e6,
                 status: response.status,
                 how,
-                from_former,
+                sees_newer_leader: from_former,
             });
         }
         response
     }
 
-    fn obey(&self, fleet: &Fleet, token: u64, commands: &[Command]) {
+    /// Executes commands and adopts the token if it is newer.
+    fn execute(&self, fleet: &Fleet, token: u64, commands: &[Command]) {
         {
             let mut state = self.state.borrow_mut();
             state.changed |= token > state.token;
@@ -580,9 +599,10 @@
                 }
             }
         }
-        self.wake.raise();
+        self.wake.notify_all();
     }
 
+    /// Starts an attempt, after fetching the image if necessary, or refuses to do so.
     fn launch(&self, fleet: &Fleet, key: (String, u32, u64), holders: &[String]) {
         let now = fleet.world.now();
         let spec = fleet.jobs.borrow().get(&key.0).map(|j| j.spec.clone());
@@ -591,7 +611,7 @@
             return;
         }
         let active = |t: &&Task| t.state != TaskState::Exited;
-        let twice = state
+        let is_active = state
             .tasks
             .iter()
             .any(|((job, task, _), t)| *job == key.0 && *task == key.1 && active(&t));
@@ -603,7 +623,7 @@
         let refused = match &spec {
             None => Some(ExitCause::Unknown),
             Some(spec) if key.1 >= spec.tasks => Some(ExitCause::Unknown),
-            Some(_) if twice => Some(ExitCause::Busy),
+            Some(_) if is_active => Some(ExitCause::Busy),
             Some(spec)
                 if used.0 + spec.cpus > self.kind.cpus + 1e-6
                     || used.1 + spec.memory_gb > self.kind.memory_gb + 1e-6 =>
@@ -613,7 +633,7 @@
             Some(_) => None,
         };
         let image = spec.as_ref().map_or(String::new(), |s| s.image.clone());
-        let here = state.images.iter().any(|(i, _)| *i == image);
+        let is_cached = state.images.iter().any(|(i, _)| *i == image);
         let task = Task {
             state: if refused.is_some() {
                 TaskState::Exited
@@ -627,22 +647,22 @@
             image: image.clone(),
             due: 0.0,
             began: now,
-            before: 0.0,
+            progress_before: 0.0,
         };
         state.tasks.insert(key.clone(), task);
         state.changed = true;
         if refused.is_some() {
             return;
         }
-        fleet.history.add(What::Launched {
+        fleet.history.add(EventKind::Launched {
             machine: self.name.clone(),
             job: key.0.clone(),
             task: key.1,
             attempt: key.2,
         });
-        if here {
+        if is_cached {
             drop(state);
-            self.begin(fleet, &key);
+            self.start_task(fleet, &key);
         } else if !state.fetches.contains_key(&image) {
             let size = spec.map_or(0.0, |s| s.image_gb);
             if let Some(store) = &fleet.store {
@@ -652,13 +672,15 @@
                 return;
             }
             let others = (state.fetches.len() + 1) as f64;
-            let lot: f64 = random(|rng| rng.random_range(0.75..1.5));
-            state
-                .fetches
-                .insert(image, now + size / self.kind.fetch_gb_per_s * lot * others);
+            let factor: f64 = random(|rng| rng.random_range(0.75..1.5));
+            state.fetches.insert(
+                image,
+                now + size / self.kind.fetch_gb_per_s * factor * others,
+            );
         }
     }
 
+    /// Stops an attempt. A running task saves its progress first if the grace period suffices.
     fn stop(&self, fleet: &Fleet, key: &(String, u32, u64), grace_s: f64) {
         let spec = fleet.jobs.borrow().get(&key.0).map(|j| j.spec.clone());
         let mut state = self.state.borrow_mut();
@@ -681,8 +703,8 @@
         }
         let image = task.image.clone();
         drop(state);
-        self.exit(fleet, key, ExitCause::Stopped, End::Stopped, false);
-        // A fetch that nobody waits for is given up.
+        self.exit(fleet, key, ExitCause::Stopped, EndReason::Stopped, false);
+        // Cancel the fetch if no other task waits for the image.
         let mut state = self.state.borrow_mut();
         let wanted = state
             .tasks
@@ -690,66 +712,74 @@
             .any(|t| t.state == TaskState::Fetching && t.image == image);
         if !wanted && state.fetches.remove(&image).is_some() {
             drop(state);
-            self.give_up(fleet, &image);
+            self.release_image(fleet, &image);
         }
     }
 
-    async fn report_for_ever(self: Rc<Self>, fleet: Rc<Fleet>, first: usize) {
+    /// Sends heartbeats without end. After a failure the worker turns to the next controller, or
+    /// to the one that a reply names.
+    async fn send_heartbeats(self: Rc<Self>, fleet: Rc<Fleet>, first: usize) {
         let limits = ClientLimits {
             max_body_bytes: 64 << 10,
             max_per_address: 1,
             max_idle: 1,
             max_total: 2,
-            connect_s: REPLY_S,
+            connect_timeout_s: REPLY_TIMEOUT_S,
         };
         let mut client = Client::new(limits.clone());
-        let nodes = fleet.fronts().to_vec();
+        let nodes = fleet.controller_addrs().to_vec();
         let mut node = first;
         loop {
-            self.expire(&fleet);
+            self.check_lease(&fleet);
             let (sent, session) = {
                 let mut state = self.state.borrow_mut();
                 state.changed = false;
                 (fleet.world.now(), state.session)
             };
-            if self.mute.get() {
-                // Refused at once, or never accepted.
+            if self.cannot_send.get() {
+                // A connection is refused at once, or its attempt times out.
                 client = Client::new(limits.clone());
                 node = (node + 1) % nodes.len();
                 let is_refused = random(|rng| rng.random_bool(0.5));
-                sleep(if is_refused { 0.0 } else { REPLY_S } + 1.0).await;
+                sleep(if is_refused { 0.0 } else { REPLY_TIMEOUT_S } + 1.0).await;
                 continue;
             }
-            let report = self.report(&fleet);
+            let report = self.heartbeat(&fleet);
             let body = encode(&report);
             let reply = client
-                .request(nodes[node], "POST", paths::HEARTBEAT, &body, REPLY_S)
+                .request(
+                    nodes[node],
+                    "POST",
+                    paths::HEARTBEAT,
+                    &body,
+                    REPLY_TIMEOUT_S,
+                )
                 .await;
             if reply.is_ok() {
-                fleet.late.saw(&fleet.world, node, &report);
+                fleet.heartbeat_copies.observe(&fleet.world, node, &report);
             }
             let mut pause = None;
             match reply {
-                Ok(_) if self.deaf.get() => {
-                    // It was heard and hears nothing: it waits, gives the connection
-                    // up and tries the next node.
-                    sleep(sent + REPLY_S - fleet.world.now()).await;
+                Ok(_) if self.unreachable.get() => {
+                    // The controller received the heartbeat, but its reply is lost: the
+                    // worker times out and tries the next controller on a new connection.
+                    sleep(sent + REPLY_TIMEOUT_S - fleet.world.now()).await;
                     client = Client::new(limits.clone());
                     node = (node + 1) % nodes.len();
                     pause = Some(1.0);
                 }
-                Ok((200, body)) => self.answered(&fleet, sent, session, &body),
+                Ok((200, body)) => self.handle_reply(&fleet, sent, session, &body),
                 Ok((421, body)) => {
-                    let told = decode::<Misdirected>(&body)
+                    let redirect = decode::<Misdirected>(&body)
                         .ok()
                         .and_then(|m| m.heartbeat_to);
-                    match told
+                    match redirect
                         .and_then(|name| fleet.member(&name))
                         .filter(|n| *n != node)
                     {
                         Some(other) => {
                             node = other;
-                            pause = Some(random(|rng| rng.random_range(0.0..CHANGE_S)));
+                            pause = Some(random(|rng| rng.random_range(0.0..CHANGE_INTERVAL_S)));
                         }
                         None => {
                             node = (node + 1) % nodes.len();
@@ -764,34 +794,36 @@
             }
             match pause {
                 Some(pause) => sleep(pause).await,
-                None => self.wait_for_report(&fleet, sent).await,
+                None => self.wait_for_next_heartbeat(&fleet, sent).await,
             }
         }
     }
 
-    /// Until the next report is due, or half a second after the last one if
-    /// something changed.
-    async fn wait_for_report(&self, fleet: &Fleet, sent: f64) {
+    /// Waits until the next heartbeat is due: after the usual interval, or half a second
+    /// after the last heartbeat if something changed.
+    async fn wait_for_next_heartbeat(&self, fleet: &Fleet, sent: f64) {
         let report_s = fleet.night.workers.report_s;
         let due = sent + random(|rng| rng.random_range(0.75..1.25)) * report_s;
         loop {
             let now = fleet.world.now();
             let changed = self.state.borrow().changed;
-            if now >= due || (changed && now >= sent + CHANGE_S) {
+            if now >= due || (changed && now >= sent + CHANGE_INTERVAL_S) {
                 return;
             }
             let next = if changed {
-                (sent + CHANGE_S).min(due)
+                (sent + CHANGE_INTERVAL_S).min(due)
             } else {
                 due
             };
             let wait = (next - now).max(0.001);
-            let _ = select(pin!(self.wake.raised()), pin!(sleep(wait))).await;
+            let _ = select(pin!(self.wake.notified()), pin!(sleep(wait))).await;
         }
     }
 
-    fn answered(&self, fleet: &Fleet, sent: f64, session: u64, body: &[u8]) {
-        self.expire(fleet);
+    /// Handles the reply to a heartbeat: extends the lease and executes the commands, unless the
+    /// session has changed or the token is older than the worker's.
+    fn handle_reply(&self, fleet: &Fleet, sent: f64, session: u64, body: &[u8]) {
+        self.check_lease(fleet);
         let Ok(reply) = decode::<HeartbeatReply>(body) else {
             return;
         };
@@ -800,8 +832,8 @@
             if session != state.session || reply.token < state.token {
                 return;
             }
-            state.renewed = state.renewed.max(sent);
+            state.renewed_at = state.renewed_at.max(sent);
         }
-        self.obey(fleet, reply.token, &reply.commands);
+        self.execute(fleet, reply.token, &reply.commands);
     }
 }
--- a/crates/umbersail-rehearsal/tests/nights/bad_submissions.rs
+++ b/crates/umbersail-rehearsal/tests/nights/bad_submissions.rs
@@ -2,8 +2,8 @@
 
 use std::collections::BTreeSet;
 
-use umbersail_rehearsal::Night;
-use umbersail_rehearsal::history::{Event, What};
+use umbersail_rehearsal::Scenario;
+use umbersail_rehearsal::history::{Event, EventKind};
 
 use crate::harness::{each, failure, keeps_the_rules, seeds, shop};
 
@@ -57,7 +57,7 @@
     },
 ];
 
-fn night(case: &Case) -> Night {
+fn night(case: &Case) -> Scenario {
     let who = match case.who {
         "" => String::new(),
         who => format!("who = \"{who}\""),
@@ -67,7 +67,7 @@
         .map(|what| failure(what, FROM_S, case.for_s, &who));
     let odd = failure("odd-requests", 5.0, 105.0, "");
     let mut night = shop(110.0, &(odd + &trouble.unwrap_or_default()));
-    night.aims.clear();
+    night.objectives.clear();
     night
 }
 
@@ -84,7 +84,7 @@
 
 fn answers<'a>(events: &'a [Event]) -> Vec<Answer<'a>> {
     let answer = |event: &'a Event| match &event.what {
-        What::InvalidSubmission {
+        EventKind::InvalidSubmission {
             defect,
             wanted,
             status,
--- a/crates/umbersail-rehearsal/tests/nights/close_looks.rs
+++ b/crates/umbersail-rehearsal/tests/nights/close_looks.rs
@@ -1,8 +1,8 @@
 //! Users ask at all controllers within milliseconds, and repeat the submission, right
 //! after a job was accepted, ended or was cancelled.
 
-use umbersail_rehearsal::history::{Event, Question, What};
-use umbersail_rehearsal::{Failure, Night, Trouble};
+use umbersail_rehearsal::history::{Event, EventKind, Question};
+use umbersail_rehearsal::{Failure, Fault, Scenario};
 use umbersail_wire::JobStage;
 
 use crate::harness::{each, failure, keeps_the_rules, seeds, shop};
@@ -15,7 +15,7 @@
 const SOON_S: f64 = 0.1;
 
 /// Small jobs that end within seconds, a quarter of them cancelled.
-pub fn busy(failures: &str) -> Night {
+pub fn busy(failures: &str) -> Scenario {
     let looks = failure("close-looks", 5.0, 70.0, "");
     let mut night = shop(75.0, &(looks + failures));
     for class in &mut night.classes {
@@ -23,7 +23,7 @@
         (class.run_s, class.per_minute, class.cancelled) = (6.0, 40.0, 0.25);
         (class.image_gb, class.cpus, class.memory_gb) = (0.1, 1.0, 1.0);
     }
-    night.aims.clear();
+    night.objectives.clear();
     // Nine questions for each event of a job are more than a small service answers.
     (night.state.rps, night.state.write_rps) = (600.0, 120.0);
     night
@@ -40,24 +40,24 @@
 
 fn answers<'a>(events: &'a [Event]) -> Vec<Answered<'a>> {
     let answer = |event: &'a Event| match &event.what {
-        What::Polled {
+        EventKind::Polled {
             job,
             status,
             stage,
             question: Some(question),
         }
-        | What::Repeated {
+        | EventKind::Repeated {
             job,
             status,
             stage,
             question: Some(question),
         } => Some((job.as_str(), *status, *stage, *question)),
-        What::Accepted {
+        EventKind::Accepted {
             job,
             question: Some(question),
             ..
         } => Some((job.as_str(), 200, None, *question)),
-        What::CancelTold {
+        EventKind::CancelAcknowledged {
             job,
             stage,
             question: Some(question),
@@ -189,7 +189,7 @@
         let crash = |at_s: f64| Failure {
             who: Some("leader".into()),
             back_s: Some(1.0),
-            ..bare(Trouble::ControllerCrash, at_s, 0.0)
+            ..bare(Fault::ControllerCrash, at_s, 0.0)
         };
         let mut night = busy("");
         night.length_s = 40.0;
--- a/crates/umbersail-rehearsal/tests/nights/harness.rs
+++ b/crates/umbersail-rehearsal/tests/nights/harness.rs
@@ -2,8 +2,8 @@
 
 use std::sync::atomic::{AtomicUsize, Ordering};
 
-use umbersail_rehearsal::history::{End, Event, What};
-use umbersail_rehearsal::{Night, Outcome, bundled, play, play_many};
+use umbersail_rehearsal::history::{EndReason, Event, EventKind};
+use umbersail_rehearsal::{Outcome, Scenario, bundled, run, run_many};
 use umbersail_wire::JobStage;
 
 /// Seeds to play: `few` of them, or as many as the variable UMBERSAIL_SEEDS says.
@@ -15,31 +15,30 @@
 
 /// The moments at which a trouble begins, in seconds.
 pub fn begins_at(events: &[Event], name: &str) -> Vec<f64> {
-    let begins =
-        |e: &&Event| matches!(&e.what, What::Trouble { trouble, begins: true } if trouble == name);
+    let begins = |e: &&Event| matches!(&e.what, EventKind::Fault { fault: trouble, begins: true } if trouble == name);
     events.iter().filter(begins).map(|e| e.t).collect()
 }
 
-pub fn night(name: &str) -> Night {
-    Night::parse(name, bundled(name).unwrap()).unwrap()
+pub fn night(name: &str) -> Scenario {
+    Scenario::parse(name, bundled(name).unwrap()).unwrap()
 }
 
 /// The small shop for so many seconds, with failures of its own (TOML).
-pub fn shop(length_s: f64, failures: &str) -> Night {
+pub fn shop(length_s: f64, failures: &str) -> Scenario {
     let text = bundled("zone-power-loss-cold-caches").unwrap();
     let head = &text[..text.find("[[failures]]").unwrap()];
-    let mut night = Night::parse("test", &format!("{head}{failures}")).unwrap();
+    let mut night = Scenario::parse("test", &format!("{head}{failures}")).unwrap();
     night.length_s = length_s;
     night
 }
 
-pub fn played(night: &Night, seed: u64) -> Outcome {
-    play(night, seed, &mut |_, _| {}).unwrap()
+pub fn played(night: &Scenario, seed: u64) -> Outcome {
+    run(night, seed, &mut |_, _| {}).unwrap()
 }
 
 /// No rule is broken.
-pub fn keeps_the_rules(night: &Night, seeds: &[u64]) -> Vec<Outcome> {
-    let outcomes = play_many(night, seeds, 4).unwrap();
+pub fn keeps_the_rules(night: &Scenario, seeds: &[u64]) -> Vec<Outcome> {
+    let outcomes = run_many(night, seeds, 4).unwrap();
     for outcome in &outcomes {
         let figures = &outcome.figures;
         let seed = outcome.seed;
@@ -54,7 +53,7 @@
 }
 
 /// No rule is broken, and all that was accepted and not cancelled is done.
-pub fn holds(night: &Night, seeds: &[u64]) -> Vec<Outcome> {
+pub fn holds(night: &Scenario, seeds: &[u64]) -> Vec<Outcome> {
     let outcomes = keeps_the_rules(night, seeds);
     for outcome in &outcomes {
         let (figures, seed) = (&outcome.figures, outcome.seed);
@@ -76,7 +75,7 @@
     pub from: f64,
     /// Infinite if it did not end.
     pub to: f64,
-    pub how: Option<End>,
+    pub how: Option<EndReason>,
 }
 
 impl Attempt {
@@ -95,7 +94,7 @@
     let mut all: Vec<Attempt> = Vec::new();
     for event in events {
         match &event.what {
-            What::Started {
+            EventKind::Started {
                 machine,
                 job,
                 task,
@@ -109,7 +108,7 @@
                 to: f64::INFINITY,
                 how: None,
             }),
-            What::Ended {
+            EventKind::Ended {
                 machine,
                 job,
                 task,
@@ -135,9 +134,9 @@
 /// Machines that the trouble took: from when, until when, and which.
 pub fn struck<'a>(events: &'a [Event], name: &str) -> Vec<(f64, f64, &'a str)> {
     let took = |e: &'a Event| match &e.what {
-        What::Struck {
+        EventKind::MachineFaulted {
             machine,
-            trouble,
+            fault: trouble,
             for_s,
         } if trouble == name => Some((e.t, e.t + for_s, machine.as_str())),
         _ => None,
@@ -175,7 +174,7 @@
 pub fn elections(events: &[Event]) -> Vec<(f64, &str)> {
     let mut all = Vec::new();
     for event in events {
-        if let What::Elected { member } = &event.what {
+        if let EventKind::Elected { member } = &event.what {
             all.push((event.t, member.as_str()));
         }
     }
@@ -198,7 +197,7 @@
 
 /// The number of the controller that leads a night at this moment if nothing has
 /// gone wrong until then.
-pub fn leader_number(night: &Night, seed: u64, t: f64) -> usize {
+pub fn leader_number(night: &Scenario, seed: u64, t: f64) -> usize {
     let mut quiet = night.clone();
     quiet.failures.clear();
     (quiet.length_s, quiet.drain_s) = (t, 0.0);
@@ -214,7 +213,7 @@
     let runs =
         |job: &str, t: f64| (attempts.iter()).any(|a| a.job == job && a.from < t && t < a.to);
     let told = events.iter().filter_map(|e| match &e.what {
-        What::CancelTold {
+        EventKind::CancelAcknowledged {
             job,
             stage: JobStage::Cancelled,
             ..
--- a/crates/umbersail-rehearsal/tests/nights/last_task.rs
+++ b/crates/umbersail-rehearsal/tests/nights/last_task.rs
@@ -3,8 +3,8 @@
 
 use std::collections::BTreeMap;
 
-use umbersail_rehearsal::history::{Event, What};
-use umbersail_rehearsal::{Failure, Outcome, Trouble};
+use umbersail_rehearsal::history::{Event, EventKind};
+use umbersail_rehearsal::{Failure, Fault, Outcome};
 use umbersail_wire::JobStage;
 
 use crate::close_looks::busy;
@@ -24,8 +24,8 @@
     let (mut done, mut cancelled) = (0, 0);
     for event in events {
         match &event.what {
-            What::CancelAsked { job } => drop(asked.insert(job, event.t)),
-            What::CancelTold { job, stage, .. } => {
+            EventKind::CancelRequested { job } => drop(asked.insert(job, event.t)),
+            EventKind::CancelAcknowledged { job, stage, .. } => {
                 let (Some(end), Some(asked)) = (ends.get(job), asked.get(job.as_str())) else {
                     continue;
                 };
@@ -80,13 +80,13 @@
             (class.run_s, class.per_minute, class.image_gb) = (5.0, 30.0, 0.1);
             class.cancelled = 0.0;
         }
-        night.aims.clear();
+        night.objectives.clear();
         let sweep = Sweep::record(night, *seed);
         let moment = sweep.moments(Anchor::Completion)[*nth].clone();
         let job = || moment.job.clone();
         let failures = |at_s: f64| -> Vec<Failure> {
-            let mut cancel = bare(Trouble::CancelNow, at_s, 0.0);
-            let mut looks = bare(Trouble::CloseLooks, at_s, 1.0);
+            let mut cancel = bare(Fault::CancelNow, at_s, 0.0);
+            let mut looks = bare(Fault::CloseLooks, at_s, 1.0);
             (cancel.job, looks.job) = (job(), job());
             vec![cancel, looks]
         };
@@ -108,7 +108,9 @@
         outcome.figures.breaches
     );
     let told = outcome.events.iter().find_map(|e| match &e.what {
-        What::CancelTold { job, stage, .. } if Some(job) == of.as_ref() => Some(*stage),
+        EventKind::CancelAcknowledged { job, stage, .. } if Some(job) == of.as_ref() => {
+            Some(*stage)
+        }
         _ => None,
     });
     told.expect("the cancellation was answered")
--- a/crates/umbersail-rehearsal/tests/nights/overload.rs
+++ b/crates/umbersail-rehearsal/tests/nights/overload.rs
@@ -2,8 +2,8 @@
 
 use std::collections::BTreeMap;
 
-use umbersail_rehearsal::history::{Event, What};
-use umbersail_rehearsal::{Night, Priority};
+use umbersail_rehearsal::history::{Event, EventKind};
+use umbersail_rehearsal::{Priority, Scenario};
 
 use crate::harness::{failure, keeps_the_rules, seeds, shop};
 
@@ -18,7 +18,7 @@
 
 /// Six machines for two classes of equal jobs, one urgent and one not, each of which
 /// would take two thirds of them; links take 80 ms and lose a packet in thirty.
-fn overloaded(failures: &str) -> Night {
+fn overloaded(failures: &str) -> Scenario {
     let slow = failure("links-slow", 5.0, 150.0, "times = 80\nshare = 0.03");
     let mut night = shop(LENGTH_S, &(slow + failures));
     (night.machines[0].ordinary, night.machines[0].spot) = (3, 0);
@@ -36,20 +36,21 @@
         (class.checkpoint_s, class.save_s) = (0.0, 0.0);
         (class.deadline_times, class.deadline_s) = (0.0, 300.0);
     }
-    night.aims.clear();
+    night.objectives.clear();
     night
 }
 
 /// Seconds in which more tasks waited than could be on their way.
 fn overload_s(events: &[Event]) -> usize {
-    let waits = |e: &&Event| matches!(e.what, What::Level { waiting, .. } if waiting > WAITING);
+    let waits =
+        |e: &&Event| matches!(e.what, EventKind::UsageSample { waiting, .. } if waiting > WAITING);
     events.iter().filter(waits).count()
 }
 
 /// How long acceptances took at the median: two ways over slow links, at the least.
 fn accepted_after_s(events: &[Event]) -> f64 {
     let after = events.iter().filter_map(|e| match &e.what {
-        What::Accepted { after_s, .. } => Some(*after_s),
+        EventKind::Accepted { after_s, .. } => Some(*after_s),
         _ => None,
     });
     median(after.collect())
@@ -66,8 +67,8 @@
     let mut began: BTreeMap<&str, f64> = BTreeMap::new();
     for event in events {
         match &event.what {
-            What::Asked { spec } => drop(asked.insert(&spec.id, (event.t, &spec.class))),
-            What::Started { job, .. } => drop(began.entry(job).or_insert(event.t)),
+            EventKind::Submitted { spec } => drop(asked.insert(&spec.id, (event.t, &spec.class))),
+            EventKind::Started { job, .. } => drop(began.entry(job).or_insert(event.t)),
             _ => {}
         }
     }
--- a/crates/umbersail-rehearsal/tests/nights/sweep.rs
+++ b/crates/umbersail-rehearsal/tests/nights/sweep.rs
@@ -8,8 +8,8 @@
 //! let outcomes = sweep.around(moment, &offsets(0.3, 0.05), |at_s| vec![failure_at(at_s)]);
 //! ```
 
-use umbersail_rehearsal::history::{End, Event, What};
-use umbersail_rehearsal::{Failure, Night, Outcome, Trouble, play_many};
+use umbersail_rehearsal::history::{EndReason, Event, EventKind};
+use umbersail_rehearsal::{Failure, Fault, Outcome, Scenario, run_many};
 use umbersail_wire::JobStage;
 
 use crate::harness::{attempts, played};
@@ -43,7 +43,7 @@
 
 /// A recorded night.
 pub struct Sweep {
-    night: Night,
+    night: Scenario,
     seed: u64,
     events: Vec<Event>,
 }
@@ -55,7 +55,7 @@
 }
 
 /// A failure without anything that its kind does not need.
-pub fn bare(what: Trouble, at_s: f64, for_s: f64) -> Failure {
+pub fn bare(what: Fault, at_s: f64, for_s: f64) -> Failure {
     Failure {
         what,
         at_s,
@@ -78,7 +78,7 @@
 
 impl Sweep {
     /// Plays the night as it is.
-    pub fn record(night: Night, seed: u64) -> Sweep {
+    pub fn record(night: Scenario, seed: u64) -> Sweep {
         let events = played(&night, seed).events;
         Sweep {
             night,
@@ -94,16 +94,16 @@
         }
         let moment = |event: &Event| {
             let job = match (&event.what, anchor) {
-                (What::Accepted { job, .. }, Anchor::Acceptance) => Some(job.clone()),
+                (EventKind::Accepted { job, .. }, Anchor::Acceptance) => Some(job.clone()),
                 (
-                    What::CancelTold {
+                    EventKind::CancelAcknowledged {
                         job,
                         stage: JobStage::Cancelled,
                         ..
                     },
                     Anchor::Cancellation,
                 ) => Some(job.clone()),
-                (What::Elected { .. }, Anchor::Election) => None,
+                (EventKind::Elected { .. }, Anchor::Election) => None,
                 _ => return None,
             };
             Some(Moment { t: event.t, job })
@@ -130,7 +130,7 @@
             let at_s = moment.t + offset;
             let mut night = self.night.clone();
             night.failures.extend(failures(at_s));
-            let played = play_many(&night, &[self.seed], AT_ONCE).unwrap();
+            let played = run_many(&night, &[self.seed], AT_ONCE).unwrap();
             for outcome in played {
                 self.assert_same_until(&outcome, at_s);
                 outcomes.push(outcome);
@@ -161,12 +161,12 @@
     let mut all: Vec<(f64, String)> = Vec::new();
     let attempts = attempts(events);
     for event in events {
-        let What::Asked { spec } = &event.what else {
+        let EventKind::Submitted { spec } = &event.what else {
             continue;
         };
         let its = attempts
             .iter()
-            .filter(|a| a.job == spec.id && a.how == Some(End::Done));
+            .filter(|a| a.job == spec.id && a.how == Some(EndReason::Done));
         let mut ends: Vec<(u32, f64)> = its.map(|a| (a.task, a.to)).collect();
         ends.sort_by(|a, b| a.1.total_cmp(&b.1));
         let mut tasks = std::collections::BTreeSet::new();
--- a/crates/umbersail-rehearsal/tests/nights/teams_at_limits.rs
+++ b/crates/umbersail-rehearsal/tests/nights/teams_at_limits.rs
@@ -4,8 +4,8 @@
 
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
-use umbersail_rehearsal::history::{Event, What};
-use umbersail_rehearsal::{Night, Outcome, Team};
+use umbersail_rehearsal::history::{Event, EventKind};
+use umbersail_rehearsal::{Outcome, Scenario, Team};
 
 use crate::harness::{
     attempts, cancelled_while_running, each, elections, failure, holds, seeds, shop, struck,
@@ -31,19 +31,19 @@
 
 /// A shop of two teams that want more than their limits all the time: jobs of one task,
 /// and arrays of four.
-fn crowded(failures: &str) -> Night {
+fn crowded(failures: &str) -> Scenario {
     crowded_with(failures, 4, 80.0)
 }
 
 /// The same with arrays of so many tasks that run for so long.
-fn crowded_with(failures: &str, array_tasks: u32, run_s: f64) -> Night {
+fn crowded_with(failures: &str, array_tasks: u32, run_s: f64) -> Scenario {
     let mut night = shop(100.0, failures);
     let mut class = night.classes[0].clone();
     (class.cpus, class.memory_gb, class.image_gb) = (TASK_CPUS, 6.0, 0.2);
     (class.run_s, class.cancelled, class.spot) = (run_s, 0.0, false);
     (class.deadline_times, class.deadline_s) = (0.0, 0.0);
     class.exactly = true;
-    night.aims.clear();
+    night.objectives.clear();
     night.teams.clear();
     night.classes.clear();
     for (name, cpus_max) in LIMITS {
@@ -73,9 +73,9 @@
     let mut its_jobs = std::collections::BTreeSet::new();
     for event in events {
         match &event.what {
-            What::Asked { spec } if spec.team == team => drop(its_jobs.insert(&*spec.id)),
-            What::Started { job, .. } if its_jobs.contains(&**job) => used += TASK_CPUS,
-            What::Ended { job, .. } if its_jobs.contains(&**job) => used -= TASK_CPUS,
+            EventKind::Submitted { spec } if spec.team == team => drop(its_jobs.insert(&*spec.id)),
+            EventKind::Started { job, .. } if its_jobs.contains(&**job) => used += TASK_CPUS,
+            EventKind::Ended { job, .. } if its_jobs.contains(&**job) => used -= TASK_CPUS,
             _ => continue,
         }
         steps.push((event.t, used));
@@ -86,7 +86,7 @@
 /// The team that a job was submitted for.
 fn team_of<'a>(events: &'a [Event], job: &str) -> Option<&'a str> {
     events.iter().find_map(|e| match &e.what {
-        What::Asked { spec } if spec.id == job => Some(&*spec.team),
+        EventKind::Submitted { spec } if spec.id == job => Some(&*spec.team),
         _ => None,
     })
 }
@@ -122,8 +122,8 @@
     let mut count = 0;
     for event in events {
         match &event.what {
-            What::Asked { spec } if spec.team == team => drop(its_jobs.insert(&*spec.id)),
-            What::Started { job, .. } if its_jobs.contains(&**job) => {
+            EventKind::Submitted { spec } if spec.team == team => drop(its_jobs.insert(&*spec.id)),
+            EventKind::Started { job, .. } if its_jobs.contains(&**job) => {
                 count += usize::from(event.t >= from && event.t <= to);
             }
             _ => {}
@@ -177,7 +177,7 @@
     let lapsed = all.iter().filter(|a| {
         let told = told.iter().find(|(_, job)| *job == a.job);
         told.is_some_and(|(t, _)| a.from < *t && *t < a.to)
-            && a.how == Some(umbersail_rehearsal::history::End::Lapsed)
+            && a.how == Some(umbersail_rehearsal::history::EndReason::Lapsed)
     });
     Met {
         at_limit_s: (LIMITS.iter())
@@ -193,7 +193,7 @@
 
 /// Plays it: the meeting took place, no rule is broken, and each team has starts again
 /// within a lease of the trouble's end, and is at its limit once more.
-fn meets(night: &Night, seed: u64, trouble: &str) -> (Met, Vec<Event>) {
+fn meets(night: &Scenario, seed: u64, trouble: &str) -> (Met, Vec<Event>) {
     let mut outcomes = holds(night, &[seed]);
     let events = &outcomes[0].events;
     let met = meeting(&outcomes[0], trouble);
--- a/crates/umbersail-rehearsal/tests/nights/unreachable.rs
+++ b/crates/umbersail-rehearsal/tests/nights/unreachable.rs
@@ -3,8 +3,8 @@
 //! for, whether the machine comes back before its lease ends, at that moment, or
 //! after.
 
-use umbersail_rehearsal::history::End;
-use umbersail_rehearsal::{Night, Outcome};
+use umbersail_rehearsal::history::EndReason;
+use umbersail_rehearsal::{Outcome, Scenario};
 
 use crate::harness::{Attempt, attempts, begins_at, holds, seeds, shop, struck};
 
@@ -13,7 +13,7 @@
 
 /// The small shop, whose tasks of one class are long. `count` machines are in
 /// trouble from `from_s` after the leader's end on (before it, if negative).
-fn met_with(trouble: &str, from_s: f64, for_s: f64, back_s: f64) -> Night {
+fn met_with(trouble: &str, from_s: f64, for_s: f64, back_s: f64) -> Scenario {
     let at_s = LEADER_ENDS_S + from_s;
     let failures = format!(
         "[[failures]]\nwhat = \"{trouble}\"\nat_s = {at_s}\nfor_s = {for_s}\ncount = 6\n\
@@ -54,7 +54,7 @@
             let elsewhere = |a: &&Attempt| a.from >= attempt.to && a.machine != machine;
             if attempt.to > until {
                 met.went_on += 1;
-            } else if attempt.how == Some(End::Lapsed) {
+            } else if attempt.how == Some(EndReason::Lapsed) {
                 met.lapsed += 1;
                 met.again += usize::from(all.iter().filter(same).any(|a| elsewhere(&a)));
             }
--- a/crates/umbersail-rehearsal/tests/nights/zones.rs
+++ b/crates/umbersail-rehearsal/tests/nights/zones.rs
@@ -3,8 +3,8 @@
 
 use std::collections::BTreeMap;
 
-use umbersail_rehearsal::history::{End, Event, What};
-use umbersail_rehearsal::{Night, Outcome};
+use umbersail_rehearsal::history::{EndReason, Event, EventKind};
+use umbersail_rehearsal::{Outcome, Scenario};
 
 use crate::harness::{attempts, each, elections, failure, holds, seeds, shop};
 
@@ -12,7 +12,7 @@
 const TROUBLE_AT_S: f64 = 45.0;
 
 /// A shop of jobs whose tasks are in one zone, in both, or in the one that they name.
-fn bound(failures: &str) -> Night {
+fn bound(failures: &str) -> Scenario {
     let mut night = shop(90.0, failures);
     let mut class = night.classes[0].clone();
     (class.tasks, class.most, class.exactly) = (6.0, 6, true);
@@ -21,7 +21,7 @@
     (class.cancelled, class.spot) = (0.1, true);
     (class.deadline_times, class.deadline_s) = (0.0, 0.0);
     (class.at_start, class.per_minute) = (4, 5.0);
-    night.aims.clear();
+    night.objectives.clear();
     night.classes.clear();
     let kinds = [
         ("together", true, false, None),
@@ -44,14 +44,16 @@
     let events = &outcome.events;
     let class_of: BTreeMap<&str, &str> = (events.iter())
         .filter_map(|e| match &e.what {
-            What::Asked { spec } => Some((&*spec.id, &*spec.class)),
+            EventKind::Submitted { spec } => Some((&*spec.id, &*spec.class)),
             _ => None,
         })
         .collect();
     let all = attempts(events);
     let mut lost: BTreeMap<&str, (usize, usize)> = BTreeMap::new();
     for attempt in &all {
-        if !matches!(attempt.how, Some(End::Lapsed | End::Gone)) || attempt.to < TROUBLE_AT_S {
+        if !matches!(attempt.how, Some(EndReason::Lapsed | EndReason::Gone))
+            || attempt.to < TROUBLE_AT_S
+        {
             continue;
         }
         let Some(class) = class_of.get(&*attempt.job) else {
--- a/crates/umbersail-runtime/src/net.rs
+++ b/crates/umbersail-runtime/src/net.rs
@@ -1,4 +1,4 @@
-//! TCP, by the machine's sockets or those of a simulated world.
+//! TCP over the sockets of the machine or of a simulated world.
 
 use std::future::poll_fn;
 use std::io::{self, Read, Write};
@@ -10,7 +10,7 @@
 use crate::executor::{Inner, Real, Source, World, try_with_current, wait_on, with_current};
 use crate::sim::{ConnectionId, Side, Sim};
 
-/// A socket's registration with the event loop, removed on drop.
+/// Registration of a socket with the event loop, removed on drop.
 struct Registration {
     key: usize,
 }
@@ -47,10 +47,10 @@
     }
 }
 
-/// A real socket or a simulated one.
+/// A socket of the real world or of a simulated world.
 enum Socket<R, S: Release> {
     Real(R, Registration),
-    Simulated(OnDrop<S>),
+    Simulated(ReleaseOnDrop<S>),
 }
 
 /// A resource of the simulated network, released on drop.
@@ -58,15 +58,16 @@
     fn release(&self, inner: &Inner);
 }
 
-struct OnDrop<S: Release>(S);
+/// Releases its resource when dropped.
+struct ReleaseOnDrop<S: Release>(S);
 
-impl<S: Release> Drop for OnDrop<S> {
+impl<S: Release> Drop for ReleaseOnDrop<S> {
     fn drop(&mut self) {
         try_with_current(|inner| self.0.release(inner));
     }
 }
 
-/// A bound address.
+/// An address to which a listener is bound.
 struct BoundAddress(SocketAddr);
 
 impl Release for BoundAddress {
@@ -77,13 +78,13 @@
     }
 }
 
-/// An open end of a connection.
-struct OpenEnd {
+/// An open endpoint of a connection.
+struct OpenEndpoint {
     connection: ConnectionId,
     side: Side,
 }
 
-impl Release for OpenEnd {
+impl Release for OpenEndpoint {
     fn release(&self, inner: &Inner) {
         if let Some(sim) = inner.simulated() {
             sim.close(&inner.timers, self.connection, self.side);
@@ -91,11 +92,12 @@
     }
 }
 
-/// Uses the simulated world; a simulated socket is never seen outside of one.
-fn in_world<R>(f: impl FnOnce(&Inner, &Sim) -> R) -> R {
+/// Runs `f` with the simulated world. Only called for simulated sockets, which exist only in a
+/// simulated world.
+fn with_sim<R>(f: impl FnOnce(&Inner, &Sim) -> R) -> R {
     with_current(|inner| match &inner.world {
         World::Simulated(sim) => f(inner, sim),
-        World::Real(_) => unreachable!("a simulated socket in the real world"),
+        World::Real(_) => unreachable!("simulated socket used in the real world"),
     })
 }
 
@@ -105,10 +107,10 @@
 }
 
 impl TcpListener {
-    /// Binds a socket and listens; port 0 selects a free port.
+    /// Binds a socket to the address and listens; port 0 selects a free port.
     ///
     /// # Errors
-    /// If the address can't be bound.
+    /// If the address can't be bound, for example because it is in use.
     pub fn bind(addr: SocketAddr) -> io::Result<TcpListener> {
         with_current(|inner| {
             let socket = match &inner.world {
@@ -118,17 +120,17 @@
                     Socket::Real(io, registration)
                 }
                 World::Simulated(sim) => {
-                    Socket::Simulated(OnDrop(BoundAddress(sim.bind(inner.host(), addr)?)))
+                    Socket::Simulated(ReleaseOnDrop(BoundAddress(sim.bind(inner.host(), addr)?)))
                 }
             };
             Ok(TcpListener { socket })
         })
     }
 
-    /// The address it is bound to.
+    /// Returns the address to which the listener is bound.
     ///
     /// # Errors
-    /// If the operating system can't tell.
+    /// If the operating system can't determine the address.
     pub fn local_addr(&self) -> io::Result<SocketAddr> {
         match &self.socket {
             Socket::Real(io, _) => io.local_addr(),
@@ -139,13 +141,14 @@
     /// Waits for the next connection.
     ///
     /// # Errors
-    /// As for the operating system's call, such as when sockets run out.
+    /// If the operating system reports an error, for example because no socket is free. In a
+    /// simulated world, if the host has no free socket.
     pub async fn accept(&self) -> io::Result<TcpStream> {
         let (io, registration) = match &self.socket {
             Socket::Real(io, registration) => (io, registration),
             Socket::Simulated(bound) => {
                 let accepted = poll_fn(|cx| {
-                    in_world(|_, sim| sim.accept(bound.0.0, cx.waker()))
+                    with_sim(|_, sim| sim.accept(bound.0.0, cx.waker()))
                         .map_or(Poll::Pending, Poll::Ready)
                 });
                 return Ok(TcpStream::simulated(accepted.await?, Side::Server));
@@ -166,20 +169,20 @@
 
 /// A TCP connection.
 pub struct TcpStream {
-    socket: Socket<mio::net::TcpStream, OpenEnd>,
+    socket: Socket<mio::net::TcpStream, OpenEndpoint>,
 }
 
 impl TcpStream {
     fn simulated(connection: ConnectionId, side: Side) -> TcpStream {
         TcpStream {
-            socket: Socket::Simulated(OnDrop(OpenEnd { connection, side })),
+            socket: Socket::Simulated(ReleaseOnDrop(OpenEndpoint { connection, side })),
         }
     }
 
     fn from_mio(mut io: mio::net::TcpStream) -> io::Result<TcpStream> {
         with_current(|inner| {
             let World::Real(real) = &inner.world else {
-                unreachable!("a real socket in a simulated world")
+                unreachable!("real socket used in a simulated world")
             };
             let interest = Interest::READABLE | Interest::WRITABLE;
             let registration = Registration::new(inner, real, &mut io, interest)?;
@@ -190,16 +193,16 @@
         })
     }
 
-    /// Opens a connection.
+    /// Opens a connection to the address.
     ///
     /// # Errors
-    /// If it is refused or the address can't be reached.
+    /// If the connection is refused, the address is unreachable or no socket is free.
     pub async fn connect(addr: SocketAddr) -> io::Result<TcpStream> {
         if with_current(|inner| inner.simulated().is_some()) {
-            let connection = in_world(|inner, sim| sim.connect(&inner.timers, inner.host(), addr))?;
+            let connection = with_sim(|inner, sim| sim.connect(&inner.timers, inner.host(), addr))?;
             let stream = TcpStream::simulated(connection, Side::Client);
             poll_fn(|cx| {
-                in_world(|_, sim| sim.connected(connection, cx.waker()))
+                with_sim(|_, sim| sim.connected(connection, cx.waker()))
                     .map_or(Poll::Pending, Poll::Ready)
             })
             .await?;
@@ -224,7 +227,8 @@
         Ok(stream)
     }
 
-    /// Reads what has arrived; 0 at the end of the stream.
+    /// Waits for data, copies what has arrived into `buf` and returns the number of bytes; 0
+    /// means the end of the stream.
     ///
     /// # Errors
     /// If the connection was reset.
@@ -245,39 +249,42 @@
                 })
                 .await
             }
-            Socket::Simulated(OnDrop(end)) => {
+            Socket::Simulated(ReleaseOnDrop(endpoint)) => {
                 poll_fn(|cx| {
-                    in_world(|_, sim| sim.read(end.connection, end.side, buf, Some(cx.waker())))
-                        .map_or(Poll::Pending, Poll::Ready)
+                    with_sim(|_, sim| {
+                        sim.read(endpoint.connection, endpoint.side, buf, Some(cx.waker()))
+                    })
+                    .map_or(Poll::Pending, Poll::Ready)
                 })
                 .await
             }
         }
     }
 
-    /// True if the connection can carry a new request: nothing to read, not
-    /// closed by the other side.
-    pub fn is_quiet(&mut self) -> bool {
+    /// Whether the connection can carry a new request: no data waits to be read and the peer
+    /// has not closed the connection.
+    pub fn is_reusable(&mut self) -> bool {
         match &mut self.socket {
             Socket::Real(io, _) => {
                 matches!(io.read(&mut [0u8; 1]), Err(e) if e.kind() == io::ErrorKind::WouldBlock)
             }
-            Socket::Simulated(OnDrop(end)) => {
-                in_world(|_, sim| sim.read(end.connection, end.side, &mut [0u8; 1], None)).is_none()
+            Socket::Simulated(ReleaseOnDrop(endpoint)) => {
+                with_sim(|_, sim| sim.read(endpoint.connection, endpoint.side, &mut [0u8; 1], None))
+                    .is_none()
             }
         }
     }
 
-    /// Writes all bytes.
+    /// Writes all bytes of `buf`.
     ///
     /// # Errors
     /// If the connection was reset or closed.
     pub async fn write_all(&mut self, mut buf: &[u8]) -> io::Result<()> {
         let (io, registration) = match &mut self.socket {
             Socket::Real(io, registration) => (io, registration),
-            Socket::Simulated(OnDrop(end)) => {
-                return in_world(|inner, sim| {
-                    sim.write(&inner.timers, end.connection, end.side, buf)
+            Socket::Simulated(ReleaseOnDrop(endpoint)) => {
+                return with_sim(|inner, sim| {
+                    sim.write(&inner.timers, endpoint.connection, endpoint.side, buf)
                 });
             }
         };
