--- a/crates/umbersail-rehearsal/src/judge/mod.rs
+++ b/crates/umbersail-rehearsal/src/judge/mod.rs
@@ -257,12 +257,12 @@
     let end = events.last().map_or(0.0, |e| e.t);
     checker.figures.runs = runs::run_figures(night, events);
     for (job, t) in checker.figures.runs.out_of_order.clone() {
-        let detail = format!("{job}: started before the preceding step had ended");
+        let detail = format!("{job}: began before the step before its own had ended");
         checker.breach(Rule::OutOfOrder, t, events.len().saturating_sub(1), detail);
     }
     for waiting_job in waiting::find_left_waiting(night, events) {
         let detail = format!(
-            "{}: left waiting although machine {} has room",
+            "{}: waits although {} has room",
             waiting_job.job, waiting_job.machine
         );
         checker.breach(Rule::LeftWaiting, waiting_job.t, waiting_job.event, detail);
@@ -296,7 +296,7 @@
             }
             EventKind::Refused { job, status } => {
                 if *status != 0 && self.job(job).accepted.is_some() {
-                    let detail = format!("{job}: accepted, then refused with status {status}");
+                    let detail = format!("{job}: accepted, then refused with {status}");
                     self.breach(Rule::Forgotten, t, index, detail);
                 }
             }
@@ -347,8 +347,7 @@
                 status: status @ (200 | 201),
                 ..
             } => {
-                let detail =
-                    format!("{job}: invalid submission ({defect}) answered with status {status}");
+                let detail = format!("{job}: {defect}, and answered {status}");
                 self.breach(Rule::AcceptedInvalid, t, index, detail);
             }
             EventKind::Rented {
--- a/crates/umbersail-rehearsal/src/judge/monotonic.rs
+++ b/crates/umbersail-rehearsal/src/judge/monotonic.rs
@@ -83,7 +83,7 @@
     /// Checks a repeated submission that was answered as if it were the first one.
     pub(super) fn check_accepted_again(&mut self, answer: AnswerContext, id: &str) {
         if self.job(id).answers.was_known_before(answer) {
-            let detail = format!("{id}: accepted, then its repeated submission accepted as new");
+            let detail = format!("{id}: accepted, and its repeated submission accepted anew");
             self.breach(Rule::OlderAnswer, answer.t, answer.event, detail);
         }
     }
@@ -91,8 +91,7 @@
     /// Checks a cancellation that was answered as if the job did not exist.
     pub(super) fn check_refused_cancel(&mut self, answer: AnswerContext, id: &str, status: u16) {
         if self.job(id).answers.was_known_before(answer) {
-            let detail =
-                format!("{id}: accepted, then its cancellation answered with status {status}");
+            let detail = format!("{id}: accepted, its cancellation answered {status}");
             self.breach(Rule::Forgotten, answer.t, answer.event, detail);
         }
     }
@@ -151,7 +150,7 @@
                 event, t, ran_s, ..
             } = older;
             let detail = format!(
-                "{job}: reported running at {ran_s:.3} s, then queued, while {job}/{task} ran on {machine}"
+                "{job}: called running at {ran_s:.3} s, then queued, while {job}/{task} ran on {machine}"
             );
             self.breach(Rule::OlderAnswer, t, event, detail);
         }
--- a/crates/umbersail-rehearsal/src/judge/tasks.rs
+++ b/crates/umbersail-rehearsal/src/judge/tasks.rs
@@ -28,14 +28,14 @@
             .cancel_acknowledged_at
             .is_some_and(|at| t > at + cancel_s);
         if cancelled {
-            let detail = format!("{id}/{task} starts on {machine} although its job is cancelled");
+            let detail = format!("{id}/{task} starts on {machine} although it is cancelled");
             self.breach(Rule::RanCancelled, t, index, detail);
         }
         let key = (id.to_owned(), task);
         if let Some((other, _, since)) = self.placements.get(&key).and_then(|p| p.first()).cloned()
         {
             let detail =
-                format!("{id}/{task} runs on {other} since {since:.3} s and starts on {machine}");
+                format!("{id}/{task} is on {other} since {since:.3} s and starts on {machine}");
             self.breach(Rule::RanTwice, t, index, detail);
         }
         self.check_place(index, t, machine, &spec, task);
@@ -46,7 +46,7 @@
         let (used, team) = (*used, self.night.teams.iter().find(|x| x.name == spec.team));
         let quota = team.map_or(0.0, |x| x.cpus_max);
         if quota > 0.0 && used > quota + 1e-6 {
-            let detail = format!("{} uses {used} CPUs; its quota is {quota}", spec.team);
+            let detail = format!("{} uses {used} CPUs of {quota}", spec.team);
             self.breach(Rule::Quota, t, index, detail);
         }
     }
@@ -63,17 +63,17 @@
             .as_ref()
             .is_some_and(|types| !types.contains(kind))
         {
-            wrong = Some("the job does not allow this machine type");
+            wrong = Some("its type is not allowed");
         }
         if spec
             .zone
             .as_ref()
             .is_some_and(|zone| *zone != machine_state.zone)
         {
-            wrong = Some("the job does not allow this zone");
+            wrong = Some("its zone is not allowed");
         }
         if machine_state.spot && !spec.spot() {
-            wrong = Some("the job does not allow spot machines");
+            wrong = Some("it is a spot machine");
         }
         if spec.one_zone() || spec.spread() {
             let range = (spec.id.clone(), 0)..=(spec.id.clone(), u32::MAX);
@@ -85,10 +85,10 @@
                 .collect();
             let same = zones.iter().filter(|z| **z == machine_state.zone).count();
             if spec.one_zone() && same < zones.len() {
-                wrong = Some("other tasks of the job run in another zone");
+                wrong = Some("the job's tasks are in another zone");
             }
             if spec.spread() && same + 1 > (spec.tasks as usize).div_ceil(2) {
-                wrong = Some("more than half of the job's tasks run in this zone");
+                wrong = Some("more than half of the tasks are in its zone");
             }
         }
         if let Some(why) = wrong {
@@ -170,7 +170,7 @@
                 .next()
                 .map(|(k, p)| (k.1, p[0].0.clone()));
             if let Some((task, machine)) = running {
-                let detail = format!("{id}/{task} still runs on {machine} after its cancellation");
+                let detail = format!("{id}/{task} is on {machine} long after its cancellation");
                 self.breach(Rule::RanCancelled, t, index, detail);
             }
         }
--- a/crates/umbersail-rehearsal/src/judge/users.rs
+++ b/crates/umbersail-rehearsal/src/judge/users.rs
@@ -13,7 +13,7 @@
         let is_pending = |j: &JobState| j.cancel_requested_at.is_none() && j.final_stage.is_none();
         if self.jobs.get(id).is_some_and(is_pending) && self.queries.record_query(t, id, answered) {
             let detail =
-                format!("{id}: no status request answered for {MAX_SILENCE_S} s after all faults");
+                format!("{id}: no question answered for {MAX_SILENCE_S} s after all troubles");
             self.breach(Rule::ForgottenAtEnd, t, index, detail);
         }
     }
@@ -49,7 +49,7 @@
                         Rule::Forgotten,
                         t,
                         index,
-                        format!("{id}: accepted, then a poll answered with status 404"),
+                        format!("{id}: accepted, answered 404"),
                     );
                 }
             }
@@ -57,12 +57,7 @@
                 let others_answered = t - self.last_answer_at < 20.0;
                 let since = *self.job(id).unanswered_since.get_or_insert(t);
                 if t - since > FORGOTTEN_S && others_answered {
-                    self.breach(
-                        Rule::Forgotten,
-                        t,
-                        index,
-                        format!("{id}: all polls have failed for more than {FORGOTTEN_S} s"),
-                    );
+                    self.breach(Rule::Forgotten, t, index, format!("{id}: every poll fails"));
                     self.job(id).unanswered_since = Some(t);
                 }
             }
@@ -94,7 +89,7 @@
             _ => {}
         }
         if let Some(before) = contradicted {
-            let detail = format!("{id}: reported {before:?}, then {stage:?}");
+            let detail = format!("{id}: called {before:?}, then {stage:?}");
             self.breach(Rule::WentBack, t, index, detail);
         }
         if stage == JobStage::Cancelled && !cancel_requested {
@@ -102,11 +97,11 @@
                 Rule::WentBack,
                 t,
                 index,
-                format!("{id}: reported cancelled although no user cancelled it"),
+                format!("{id}: cancelled by nobody"),
             );
         }
         if stage == JobStage::Done && !complete {
-            let detail = format!("{id}: reported done before all {tasks} tasks were done");
+            let detail = format!("{id}: called done before all {tasks} tasks were");
             self.breach(Rule::NotDone, t, index, detail);
         }
     }
--- a/crates/umbersail-rehearsal/src/report.rs
+++ b/crates/umbersail-rehearsal/src/report.rs
@@ -377,7 +377,7 @@
 <h1>{title}</h1><p>Simulated machines. Seed {seed}; {length:.0} s; {jobs} jobs, {done} done, {cancelled} cancelled; \
 {starts} tasks started, {lost} lost with their machines, {lapsed} killed by their lease; {machines} machines rented for {spent:.2}, \
 {useful:.0}% of it for useful work.</p>{rules}\
-<table><tr><th>objective</th><th>reached</th><th>target</th><th>of</th><th></th></tr>{rows}</table>\
+<table><tr><th>aim</th><th>reached</th><th>wanted</th><th>of</th><th></th></tr>{rows}</table>\
 {p0}{p1}{p2}{p3}<h2>Scripted faults</h2><ul>{list}</ul><p>outcome <code>{hash}</code></p></body></html>\n",
         title = escape(&night.title),
         seed = outcome.seed,
